--- a/peatlead/adapter.py
+++ b/peatlead/adapter.py
@@ -37,8 +37,12 @@
             continue
         events, held.waiting = held.waiting, []
         try:
-            orders = [held.door.order(inst, order) for order in held.planner.decide(clock / MICRO, events)]
-        except Exception as problem:  # whatever it is, it must reach the report of this instance alone
+            orders = [
+                held.door.order(inst, order) for order in held.planner.decide(clock / MICRO, events)
+            ]
+        except (
+            Exception
+        ) as problem:  # whatever it is, it must reach the report of this instance alone
             text = f"{type(problem).__name__}: {problem}".encode("utf-8")[:2000]
             orders = [("BROKEN", {"i": inst, "reasonText": text})]
         reply.extend(orders)
--- a/peatlead/channel_backlog.py
+++ b/peatlead/channel_backlog.py
@@ -26,7 +26,16 @@
     """`head`: what a message counts beside its lines; `longest`: seconds after which an unanswered batch counts no
     longer, since who got it may have fallen silent."""
 
-    __slots__ = ("head", "longest", "unanswered", "batches", "now", "mark", "open_batch", "open_lines")
+    __slots__ = (
+        "head",
+        "longest",
+        "unanswered",
+        "batches",
+        "now",
+        "mark",
+        "open_batch",
+        "open_lines",
+    )
 
     def __init__(self, head, longest):
         self.head, self.longest = head, longest
--- a/peatlead/choice.py
+++ b/peatlead/choice.py
@@ -17,41 +17,105 @@
 """
 
 from collections import deque
-from math import ceil, fsum, log  # a plain sum of floats differs by Python's version: stewards must not
+from math import (
+    ceil,
+    fsum,
+    log,
+)  # a plain sum of floats differs by Python's version: stewards must not
 from random import Random
 
 from . import interface as our
 from .channel_backlog import ChannelBacklog
 from .indexes import Due, Holders, Ranks, by_name, host_word, mass, middle, middles, proxy_key, rank
 
-COVERAGE, LEAST_A_ZONE = 25.0, 1  # shards of this steward's proxies that each host should sit in; hosts
-FIRST_SHARE, STEP, GROW_WAIT = 0.25, 0.25, 10 / 3  # of the weight, at a start; each step, and its seconds
-STRAIN_GAP, FIRST_REGAIN = 5.0, 10.0  # until relief is heard; a slow host's first wait, doubled each time
-NOTE_HOSTS, NOTE_BYTES = 20, 250  # failing hosts that a round tells the other stewards of; of one note
-QUIET_WAIT, LONGEST_WAIT = 10.0, 60.0  # a dropped member's first wait, doubled each time that it fails again
-FAR_MUCH, HOME_WORTH = 0.3, 0.02  # of the target, later than at home; of gain, a crossing worth a plan
-PLAN_EVERY, PLAN_SLACK = 2.0, 0.15  # seconds; the part of a zone's plan that must change to move a size
-STAGES, STAGE_GAP = 10, 0.2  # deltas reach this fraction of the proxies at a time; mean seconds between
+COVERAGE, LEAST_A_ZONE = (
+    25.0,
+    1,
+)  # shards of this steward's proxies that each host should sit in; hosts
+FIRST_SHARE, STEP, GROW_WAIT = (
+    0.25,
+    0.25,
+    10 / 3,
+)  # of the weight, at a start; each step, and its seconds
+STRAIN_GAP, FIRST_REGAIN = (
+    5.0,
+    10.0,
+)  # until relief is heard; a slow host's first wait, doubled each time
+NOTE_HOSTS, NOTE_BYTES = (
+    20,
+    250,
+)  # failing hosts that a round tells the other stewards of; of one note
+QUIET_WAIT, LONGEST_WAIT = (
+    10.0,
+    60.0,
+)  # a dropped member's first wait, doubled each time that it fails again
+FAR_MUCH, HOME_WORTH = (
+    0.3,
+    0.02,
+)  # of the target, later than at home; of gain, a crossing worth a plan
+PLAN_EVERY, PLAN_SLACK = (
+    2.0,
+    0.15,
+)  # seconds; the part of a zone's plan that must change to move a size
+STAGES, STAGE_GAP = (
+    10,
+    0.2,
+)  # deltas reach this fraction of the proxies at a time; mean seconds between
 REMOVE_MOST = 0.75  # of the queue: past it removals wait for the next batches
 YIELD = 1 / 3  # of the drain grace, for which removals wait while tables with earlier deadlines do
 BROUGHT_DEPTH = 1.25  # of a shard, the first of a proxy's order that a table it brought may name
-AT_ONCE, SOON, MORE = 100, 0.01, 1  # tables in a batch, or removals would wait; until the next; its timer
+AT_ONCE, SOON, MORE = (
+    100,
+    0.01,
+    1,
+)  # tables in a batch, or removals would wait; until the next; its timer
 SLOWEST = 16  # times slower than told that a channel may be
-RESTATE_FEW, RESTATE_MOST = 0.02, 0.5  # of the queue, withdrawals for waiting proxies: told always; in all
-TICK, ROUND_WAIT, FADE = 0.1, 0.2, 0.25  # seconds; until a round's sums are in; what is left of older ones
-PROBE_EVERY, PROBE_AGAIN, PROBES_MOST = 1.0, 0.3, 300  # seconds; after a failure; a second, else less often
-ROUNDS_HEARD, SUMS_LATE = 3, 1.0  # until a steward that starts acts; seconds that sums are late, about
-BAD_MUCH, LATE_MUCH, ROOMY = 0.1, 0.42, 0.7  # of the middle try's host, failing; of the target; its cores
-FULL, SPREAD_FULL, MOST_CUT = 0.85, 0.75, 0.85  # of the cores; in shards, uneven; what a cut leaves at least
+RESTATE_FEW, RESTATE_MOST = (
+    0.02,
+    0.5,
+)  # of the queue, withdrawals for waiting proxies: told always; in all
+TICK, ROUND_WAIT, FADE = (
+    0.1,
+    0.2,
+    0.25,
+)  # seconds; until a round's sums are in; what is left of older ones
+PROBE_EVERY, PROBE_AGAIN, PROBES_MOST = (
+    1.0,
+    0.3,
+    300,
+)  # seconds; after a failure; a second, else less often
+ROUNDS_HEARD, SUMS_LATE = (
+    3,
+    1.0,
+)  # until a steward that starts acts; seconds that sums are late, about
+BAD_MUCH, LATE_MUCH, ROOMY = (
+    0.1,
+    0.42,
+    0.7,
+)  # of the middle try's host, failing; of the target; its cores
+FULL, SPREAD_FULL, MOST_CUT = (
+    0.85,
+    0.75,
+    0.85,
+)  # of the cores; in shards, uneven; what a cut leaves at least
 EDGE, REGAIN_PAST = 0.85, 0.02  # of the level where a storm began, surely carried; past it, a round
 LEAST_LET_IN, LEAST_OF_ONE = 0.3, 0.05  # of all kinds, of one
-COLD_PART, COLD_SHUN, COLD_MOST, WARM_MOST = 0.3, 0.2, 0.2, 24  # of what tips, if shunned; a table; join it
+COLD_PART, COLD_SHUN, COLD_MOST, WARM_MOST = (
+    0.3,
+    0.2,
+    0.2,
+    24,
+)  # of what tips, if shunned; a table; join it
 COLD_STEPS = (0.06, 0.12, 0.18, 0.25, 0.37, 0.5, 0.75, 1.0)
 
 
 def enough(hosts, weight):
     """The first of them that bring so much, one at least."""
-    return [h for n, h in enumerate(hosts) if not n or fsum(o.weight * o.share for o in hosts[:n]) < weight]
+    return [
+        h
+        for n, h in enumerate(hosts)
+        if not n or fsum(o.weight * o.share for o in hosts[:n]) < weight
+    ]
 
 
 class Host:
@@ -62,12 +126,27 @@
         self.zone, self.machine, self.word = member.zone, member.machine, host_word(member.name)
         self.told_shut = {}  # proxies that were told it is withdrawn: those that must be told it no longer is
         self.lost_at = now  # when it last stopped being usable
-        self.moved, self.withdrawn_at = 0, now  # the planner's count when what tables go by last changed
+        self.moved, self.withdrawn_at = (
+            0,
+            now,
+        )  # the planner's count when what tables go by last changed
         self.phase, self.started_at = "gone", None  # so that one listed ready counts as starting
         self.cold_from = None  # when its current cold start began, as far as is known
-        self.step, self.share, self.grow_at = 1.0, 1.0, 0.0  # part of its weight by the ramp, as published
-        self.reach, self.spared = 1.0, frozenset()  # part of the reqs that may come; proxies that do without
-        self.regain_at, self.regain_wait, self.strained_at, self.returned_at = 0.0, FIRST_REGAIN, -1e9, -1e9
+        self.step, self.share, self.grow_at = (
+            1.0,
+            1.0,
+            0.0,
+        )  # part of its weight by the ramp, as published
+        self.reach, self.spared = (
+            1.0,
+            frozenset(),
+        )  # part of the reqs that may come; proxies that do without
+        self.regain_at, self.regain_wait, self.strained_at, self.returned_at = (
+            0.0,
+            FIRST_REGAIN,
+            -1e9,
+            -1e9,
+        )
         self.withdrawn, self.strikes, self.out_until, self.out_by_probe = False, 0, None, False
         self.shut_once = False  # proxies may still shut it out on an earlier word
         self.probe_at, self.probe_fails, self.probe_passes, self.probes_bad = 0.0, 0, 0, 0.0
@@ -76,7 +155,9 @@
     def clear_evidence(self, now):
         self.sums = {}  # by zone of the proxies: when heard, and fading: tries, bad ones, seconds of the good
         self.told = {}  # by other steward: when heard, its tries, bad ones, seconds of the good
-        self.tries = self.bad = self.answer_time = 0.0  # of all zones but those with a bad way to it
+        self.tries = self.bad = self.answer_time = (
+            0.0  # of all zones but those with a bad way to it
+        )
         self.own_tries = 0.0  # without what others told
         self.load = 0.0  # fading load report: part of its cores in use, or 1 with reqs waiting
         self.good_at = now
@@ -100,9 +181,18 @@
     def __init__(self, number, groups, first_table):
         self.number, self.key, self.first_table = number, proxy_key(number), first_table
         self.lines = [{} for _ in range(groups)]  # by group: host id -> weight as published
-        self.bound, self.wide, self.sent = False, False, deque()  # wide: goes by all hosts that there are
+        self.bound, self.wide, self.sent = (
+            False,
+            False,
+            deque(),
+        )  # wide: goes by all hosts that there are
         self.heard = {}  # reqs a second by kind, as the sums tell
-        self.around, self.drawn, self.wrote, self.tops = {}, -1, -1, {}  # what its tables went by, and when
+        self.around, self.drawn, self.wrote, self.tops = (
+            {},
+            -1,
+            -1,
+            {},
+        )  # what its tables went by, and when
 
 
 class Planner:
@@ -113,8 +203,16 @@
         self.here, self.unbound = {}, {}  # joined proxies; those that are on no tables yet
         self.joined = self.here.values()
         self.pools, self.old_pools, self.warm = {}, {}, {}  # by group: open; by the last list; warm
-        self.held, self.moves, self.drawn = Holders(), 0, 0  # counts of what changed: of one host; of all
-        self.due, self.restless, self.probe_every = Due(), {}, PROBE_EVERY  # by next probe; that time changes
+        self.held, self.moves, self.drawn = (
+            Holders(),
+            0,
+            0,
+        )  # counts of what changed: of one host; of all
+        self.due, self.restless, self.probe_every = (
+            Due(),
+            {},
+            PROBE_EVERY,
+        )  # by next probe; that time changes
         self.holders = max(1.0, settings.get("proxies", 1) / max(1, settings.get("stewards", 1)))
         self.full = SPREAD_FULL if self.holders > COVERAGE else FULL
         self.watch_at = 0.0 if settings.get("roster_mode") == "on_request" else float("inf")
@@ -123,17 +221,41 @@
         self.newly_withdrawn, self.earlier = [], {}  # hosts; by group: pools before the last lists
         pace, most = settings.get("channel_rate", 1.0), settings.get("queue_most", 0.0)
         self.waiting = ChannelBacklog(settings.get("message_head", 0.0), SLOWEST * most / pace)
-        self.round_at, self.dirty, self.reqs = float("inf"), set(), [1.0] * len(settings["req_kinds"])
-        self.room, self.edge, self.strain_heard, self.level_at, self.levels = 1.0, 1.0, 0.0, 0.0, None
-        self.cutting = self.stormy = self.tight = self.sunk = self.lost = self.listed = self.spoiled = False
+        self.round_at, self.dirty, self.reqs = (
+            float("inf"),
+            set(),
+            [1.0] * len(settings["req_kinds"]),
+        )
+        self.room, self.edge, self.strain_heard, self.level_at, self.levels = (
+            1.0,
+            1.0,
+            0.0,
+            0.0,
+            None,
+        )
+        self.cutting = self.stormy = self.tight = self.sunk = self.lost = self.listed = (
+            self.spoiled
+        ) = False
         self.plan, self.plan_at, self.spread, self.met = {}, 0.0, 1.0, (0.0, 0.0, 0.0, 0)
-        self.cycle, self.news_at = settings.get("sums_every", 1.0), 0.0  # seconds between sums of one, about
-        self.ways, self.far = {}, set()  # (zone of proxies, of hosts): until when bad and the wait; those now
+        self.cycle, self.news_at = (
+            settings.get("sums_every", 1.0),
+            0.0,
+        )  # seconds between sums of one, about
+        self.ways, self.far = (
+            {},
+            set(),
+        )  # (zone of proxies, of hosts): until when bad and the wait; those now
         self.handlers = {
-            our.Roster: self.on_roster, our.ProxyJoined: self.on_joined, our.ProxyLeft: self.on_left,
-            our.HostSums: self.on_host_sums, our.ProbeResult: self.on_probe, our.TimerFired: self.on_timer,
-            our.ReqSums: self.on_req_sums, our.PeerNote: self.on_peer_note,
-            our.Applied: lambda event: self.waiting.answered(event.proxy, event.mark)}
+            our.Roster: self.on_roster,
+            our.ProxyJoined: self.on_joined,
+            our.ProxyLeft: self.on_left,
+            our.HostSums: self.on_host_sums,
+            our.ProbeResult: self.on_probe,
+            our.TimerFired: self.on_timer,
+            our.ReqSums: self.on_req_sums,
+            our.PeerNote: self.on_peer_note,
+            our.Applied: lambda event: self.waiting.answered(event.proxy, event.mark),
+        }
 
     def decide(self, now, events):
         self.now, self.orders = now, []
@@ -162,14 +284,20 @@
             oldest_unanswered=now - batches[0].written_at if batches else 0.0,
             joined_proxies=len(self.here),
             unbound_proxies=len(self.unbound),
-            longest_wait=now - min((proxy.joined_at for proxy in self.unbound.values()), default=now),
-            withdrawn_hosts=sum(host.withdrawn for host in self.hosts.values()))
+            longest_wait=now
+            - min((proxy.joined_at for proxy in self.unbound.values()), default=now),
+            withdrawn_hosts=sum(host.withdrawn for host in self.hosts.values()),
+        )
 
     def group_kinds(self):
         """Kinds that are open to the same hosts share a table."""
         groups = {}
         for at, kind in enumerate(self.facts["req_kinds"]):
-            places = tuple(kind.get("only_zones", ())), tuple(kind.get("only_machines", ())), kind["own_zone"]
+            places = (
+                tuple(kind.get("only_zones", ())),
+                tuple(kind.get("only_machines", ())),
+                kind["own_zone"],
+            )
             groups.setdefault(places, []).append(at)
         return list(groups.items())
 
@@ -186,10 +314,15 @@
             for host in self.hosts.values():
                 if host.phase == "ready" and self.is_open(group, host):
                     found.setdefault(host.zone, []).append(host)
-            old, named = self.old_pools.get(group, {}), {z: by_name(found[z]) for z in sorted(found)}
+            old, named = (
+                self.old_pools.get(group, {}),
+                {z: by_name(found[z]) for z in sorted(found)},
+            )
             # One that is the same as by the last list stays, and what was found in it.
-            self.pools[group] = {z: old[z] if z in old and old[z].hosts == hosts else Ranks(hosts)
-                                 for z, hosts in named.items()}
+            self.pools[group] = {
+                z: old[z] if z in old and old[z].hosts == hosts else Ranks(hosts)
+                for z, hosts in named.items()
+            }
         found = {z: pool for z, pool in self.pools[group].items() if not own_zone or z == zone}
         return {z: pool for z, pool in found.items() if (zone, z) not in self.far} or found
 
@@ -200,8 +333,15 @@
         for proxy in self.joined:
             brought[proxy.zone] = brought.get(proxy.zone, 0.0) + max(0.1, proxy.rate)
         mine, hosts = len(self.joined), [h for h in self.hosts.values() if h.usable]
-        unseen = [h.zone for h in hosts if h.zone not in brought and self.facts.get("joins_own_zone")]
-        each = fsum(brought.values()) / mine * max(0, self.facts["proxies"] - mine) / max(1, len(unseen))
+        unseen = [
+            h.zone for h in hosts if h.zone not in brought and self.facts.get("joins_own_zone")
+        ]
+        each = (
+            fsum(brought.values())
+            / mine
+            * max(0, self.facts["proxies"] - mine)
+            / max(1, len(unseen))
+        )
         for zone in unseen:
             brought[zone] = brought.get(zone, 0.0) + each
         part = fsum(brought.values()) / max(1e-9, fsum(h.weight * h.share for h in hosts))
@@ -209,10 +349,14 @@
         for host in hosts:
             left[host.zone] += host.weight * host.share * part
         for group, ((_, _, own_zone), kinds) in enumerate(self.group_open):
-            room = {zone: fsum(h.weight * h.share for h in members if h.usable)
-                    for zone, members in self.open_hosts(group, None).items()}
+            room = {
+                zone: fsum(h.weight * h.share for h in members if h.usable)
+                for zone, members in self.open_hosts(group, None).items()
+            }
             if fsum(room.values()) and not own_zone:
-                rooms.append((fsum(room.values()), group, room, fsum(work[k] for k in kinds) / fsum(work)))
+                rooms.append(
+                    (fsum(room.values()), group, room, fsum(work[k] for k in kinds) / fsum(work))
+                )
         for _, group, room, part in sorted(rooms, key=lambda r: r[:2]):
             home = {z: max(0.0, min(brought.get(z, 0.0) * part, left[z])) for z in room}
             spare = {z: max(1e-6 * room[z], left[z] - home[z]) for z in room}
@@ -221,20 +365,28 @@
                 left[zone] -= home[zone] + spare[zone] * away
             for zone, rate in brought.items():
                 stays = home.get(zone, 0.0) / max(1e-9, rate * part)
-                plan[group, zone] = {z: ((1 - stays) * spare[z] / fsum(spare.values()) + stays * (z == zone))
-                                     / max(1e-9, room[z]) for z in room}
+                plan[group, zone] = {
+                    z: ((1 - stays) * spare[z] / fsum(spare.values()) + stays * (z == zone))
+                    / max(1e-9, room[z])
+                    for z in room
+                }
         return plan
 
     def keep_plan(self):
         """Where few holders would load a part of a zone unevenly, zones stay whole; sizes ignore wavering."""
         self.plan_at = self.now + PLAN_EVERY
-        if (len(self.group_open) < 2 and self.facts.get("pick") != "lighter of two"
-                and (self.holders < COVERAGE or self.facts.get("price_of_crossing", 0.0) < HOME_WORTH)):
+        if (
+            len(self.group_open) < 2
+            and self.facts.get("pick") != "lighter of two"
+            and (self.holders < COVERAGE or self.facts.get("price_of_crossing", 0.0) < HOME_WORTH)
+        ):
             return
         new = self.plan_zones()
         if new.keys() != self.plan.keys() or any(
-                abs(part - self.plan[at].get(zone, 0.0)) > PLAN_SLACK * max(parts.values())
-                for at, parts in new.items() for zone, part in parts.items()):
+            abs(part - self.plan[at].get(zone, 0.0)) > PLAN_SLACK * max(parts.values())
+            for at, parts in new.items()
+            for zone, part in parts.items()
+        ):
             self.plan = new
             self.all_dirty()
 
@@ -242,10 +394,14 @@
         """A rank has no memory: every steward gives a proxy the same shard, a new list moves few lines."""
         zones = self.open_hosts(group, proxy.zone)
         parts = self.plan.get((group, proxy.zone), {})
-        asked = {z: parts.get(z, 0.0 if parts else 1.0) * len(members) for z, members in zones.items()}
+        asked = {
+            z: parts.get(z, 0.0 if parts else 1.0) * len(members) for z, members in zones.items()
+        }
         most = {z: ceil(COVERAGE * len(members) / self.holders) for z, members in zones.items()}
         total, shard = max(1e-9, fsum(asked.values())), {}
-        size = min(fsum(most.values()), total / max([1e-9, *(asked[z] / len(zones[z]) for z in zones)]))
+        size = min(
+            fsum(most.values()), total / max([1e-9, *(asked[z] / len(zones[z]) for z in zones)])
+        )
         even = self.facts.get("pick") == "lighter of two"  # such proxies need no large part of home
         for zone, members in zones.items():
             here = min(round(size * asked[zone] / total), most[zone] if even else len(members))
@@ -267,20 +423,32 @@
         if self.chilly(members):
             there, proxy.wide, many = {h.id for h in members}, True, max(WARM_MOST, len(members))
             # Up to the weight of a table without cold ones: more would starve them while the others drown.
-            lacks = max(fsum(h.weight for h in around), mass(members)[0] / COLD_MOST) - fsum(mass(members))
-            warm = {z: enough([h for h in pool.top(proxy.key, 2 * many) if h.id not in there][:many], lacks)
-                    for z, pool in self.warm_hosts(group).items()}
-            members = members + (warm.get(proxy.zone) or [h for hosts in warm.values() for h in hosts])
+            lacks = max(fsum(h.weight for h in around), mass(members)[0] / COLD_MOST) - fsum(
+                mass(members)
+            )
+            warm = {
+                z: enough(
+                    [h for h in pool.top(proxy.key, 2 * many) if h.id not in there][:many], lacks
+                )
+                for z, pool in self.warm_hosts(group).items()
+            }
+            members = members + (
+                warm.get(proxy.zone) or [h for hosts in warm.values() for h in hosts]
+            )
         # No doubt may leave a proxy without a line while the list shows hosts that run.
         if not members:
             members, proxy.wide = [h for hosts in zones.values() for h in hosts], True
-        return {h.id: h.weight * h.share for h in members if h.share} or {h.id: h.weight for h in members}
+        return {h.id: h.weight * h.share for h in members if h.share} or {
+            h.id: h.weight for h in members
+        }
 
     def warm_hosts(self, group):
         """By zone, behind a bad way too; counted once a batch."""
         if group not in self.warm:
-            self.warm[group] = {zone: Ranks([h for h in pool if h.usable and h.cold_from is None])
-                                for zone, pool in self.open_hosts(group, None).items()}
+            self.warm[group] = {
+                zone: Ranks([h for h in pool if h.usable and h.cold_from is None])
+                for zone, pool in self.open_hosts(group, None).items()
+            }
         return self.warm[group]
 
     def chilly(self, members):
@@ -290,8 +458,11 @@
 
     def write_table(self, proxy):
         self.dirty.discard(proxy.number)
-        if (proxy.drawn == self.drawn and not proxy.wide
-                and all(host.moved <= proxy.wrote for host in proxy.around.values())):
+        if (
+            proxy.drawn == self.drawn
+            and not proxy.wide
+            and all(host.moved <= proxy.wrote for host in proxy.around.values())
+        ):
             return  # nothing that it goes by has changed since
         proxy.around, proxy.drawn, proxy.wrote, proxy.wide = {}, self.drawn, self.moves, False
         for group in range(len(self.group_open)):
@@ -315,8 +486,10 @@
         standing tables, drawn in their zone, may lack a line for some kind."""
         unbound = list(self.unbound.values())
         due = [p for p in unbound if self.hosts and not self.is_held(p)]
-        covered = {zone: all(zone in self.open_hosts(g, zone) for g in range(len(self.group_open)))
-                   for zone in {p.zone: 0 for p in due}}
+        covered = {
+            zone: all(zone in self.open_hosts(g, zone) for g in range(len(self.group_open)))
+            for zone in {p.zone: 0 for p in due}
+        }
         self.starved = False
         for proxy in sorted(due, key=lambda p: covered[p.zone])[:AT_ONCE]:
             if not self.has_room():
@@ -327,9 +500,16 @@
             proxy.bound = True
             del self.unbound[proxy.number]
             for group, (_, kinds) in enumerate(self.group_open):
-                self.orders.append(our.BindTable(proxy.number, proxy.first_table + group, tuple(kinds)))
-                self.book(proxy, 1 + len(proxy.lines[group]) + len(self.facts["req_kinds"])
-                          + sum(self.hosts[h].shut_once for h in proxy.lines[group]))
+                self.orders.append(
+                    our.BindTable(proxy.number, proxy.first_table + group, tuple(kinds))
+                )
+                self.book(
+                    proxy,
+                    1
+                    + len(proxy.lines[group])
+                    + len(self.facts["req_kinds"])
+                    + sum(self.hosts[h].shut_once for h in proxy.lines[group]),
+                )
             self.table_cost += (self.waiting.lines - before - self.table_cost) / 8
         if len(due) > AT_ONCE and self.has_room():
             self.orders.append(our.SetTimer(MORE, SOON))
@@ -342,7 +522,10 @@
         """Whether, at the told pace, all that wait have their tables before the first of them must."""
         waited = self.now - min(proxy.joined_at for proxy in self.unbound.values())
         left = self.facts["drain_grace"] - self.facts["push_delay_most"] - waited
-        return self.waiting.lines + len(self.unbound) * self.table_cost < left * self.facts["channel_rate"]
+        return (
+            self.waiting.lines + len(self.unbound) * self.table_cost
+            < left * self.facts["channel_rate"]
+        )
 
     def tell_withdrawals(self):
         """Each withdrawal once. Proxies that wait for their tables are told of those hosts that the tables
@@ -376,7 +559,9 @@
             shard, zones = self.shard(proxy, group)
             for zone, pool in self.earlier_pools(group, proxy.zone).items():
                 now_open, chosen = len(zones.get(zone, ())), len(shard.get(zone, ()))
-                many = ceil(BROUGHT_DEPTH * max(LEAST_A_ZONE, chosen * len(pool) / max(1, now_open)))
+                many = ceil(
+                    BROUGHT_DEPTH * max(LEAST_A_ZONE, chosen * len(pool) / max(1, now_open))
+                )
                 found.update(host.id for host in pool.top(proxy.key, many) if host.withdrawn)
         return found
 
@@ -418,8 +603,12 @@
                 for host in gone:
                     self.set_line(proxy, group, host, 0.0)
                     proxy.drawn = -1
-                if gone and (not lines or self.has_room() and self.chilly([self.hosts[h] for h in lines])):
-                    self.write_table(proxy)  # none without a line, cold hosts not with the lost ones' part
+                if gone and (
+                    not lines or self.has_room() and self.chilly([self.hosts[h] for h in lines])
+                ):
+                    self.write_table(
+                        proxy
+                    )  # none without a line, cold hosts not with the lost ones' part
 
     def publish_stage(self):
         """Deltas go to a tenth of the proxies at a time, so that a mistake is met by few at first."""
@@ -429,7 +618,9 @@
         if not self.dirty or (self.now < self.stage_at and not self.sunk):
             return
         part = 0.8 if self.sunk else 0.5  # of its messages
-        waiting = [p for p in self.joined if p.number in self.dirty and p.bound and self.may_write(p, part)]
+        waiting = [
+            p for p in self.joined if p.number in self.dirty and p.bound and self.may_write(p, part)
+        ]
         self.shuffle(waiting)
         # A cold host's part that must sink is as urgent as a removal.
         some = AT_ONCE if self.sunk else ceil(len(self.here) / STAGES)
@@ -437,7 +628,9 @@
         if self.sunk:
             self.orders.append(our.SetTimer(MORE, SOON))
         for proxy in waiting:
-            if some > 0 and self.may_write(proxy, part):  # the tables before it may have filled the queue
+            if some > 0 and self.may_write(
+                proxy, part
+            ):  # the tables before it may have filled the queue
                 before = len(self.orders)
                 self.write_table(proxy)
                 # One that nothing changes for takes no turn, but where messages are counted their pace stays.
@@ -460,7 +653,8 @@
         listed = {m.host for m in event.members}
         lost = [h for h in self.hosts.values() if h.id not in listed and not self.answers_still(h)]
         left = any(m.phase == "ready" for m in event.members) or any(
-            h.phase == "ready" for h in self.hosts.values() if h.id not in listed and h not in lost)
+            h.phase == "ready" for h in self.hosts.values() if h.id not in listed and h not in lost
+        )
         # One that leaves nobody is not believed where it may be wrong: rule 1 is harder than it.
         believed = event.scope != "changes" and (left or not self.facts.get("gone_is_advice"))
         for host in lost if believed else ():
@@ -477,9 +671,13 @@
         self.all_dirty()
 
     def forget(self):
-        past = self.now - LONGEST_WAIT  # until then one may bring its line; after it, records would add up
+        past = (
+            self.now - LONGEST_WAIT
+        )  # until then one may bring its line; after it, records would add up
         for host in [h for h in self.hosts.values() if h.phase == "gone" and h.withdrawn_at < past]:
-            for proxy in [self.proxies[n] for n in self.held.of(host.id)]:  # that left, with what they held
+            for proxy in [
+                self.proxies[n] for n in self.held.of(host.id)
+            ]:  # that left, with what they held
                 for group in range(len(proxy.lines)):
                     self.set_line(proxy, group, host.id, 0.0)
             del self.hosts[host.id]
@@ -490,7 +688,9 @@
         host = self.hosts.setdefault(member.host, Host(member, self.now, proved))
         if member.phase == "gone" and self.answers_still(host):
             return
-        back = member.phase == "ready" and (host.phase != "ready" or member.started_at != host.started_at)
+        back = member.phase == "ready" and (
+            host.phase != "ready" or member.started_at != host.started_at
+        )
         host.phase, host.weight, host.started_at = member.phase, member.weight, member.started_at
         if not back:
             return
@@ -498,7 +698,9 @@
         self.due.push(host.probe_at, host.id)
         host.out_until, host.probe_fails = None, 0
         host.clear_evidence(self.now)
-        host.cold_from = host.started_at if self.now - host.started_at < self.facts["warm_after"] else None
+        host.cold_from = (
+            host.started_at if self.now - host.started_at < self.facts["warm_after"] else None
+        )
         if self.listed or host.cold_from is not None:
             # Past the time that it takes to warm, a ramp would only load the others: a release replaces many.
             self.start_ramp(host, min(GROW_WAIT, self.facts["warm_after"] / 3))
@@ -506,8 +708,13 @@
     def answers_still(self, host):
         """A list that may be wrong must not empty tables of hosts that answer; doubt finds the dead. Silence
         counts by the newest news of any host: one that stood still itself has heard of none."""
-        return (self.facts.get("gone_is_advice") and host.phase == "ready" and not host.probe_fails
-                and min(self.now, self.news_at) - host.good_at < 2 * (self.cycle + self.facts["sums_every"]))
+        return (
+            self.facts.get("gone_is_advice")
+            and host.phase == "ready"
+            and not host.probe_fails
+            and min(self.now, self.news_at) - host.good_at
+            < 2 * (self.cycle + self.facts["sums_every"])
+        )
 
     def withdraw(self, host, on):
         host.withdrawn, host.withdrawn_at, host.shut_once = on, self.now, True
@@ -535,8 +742,11 @@
     def strain(self, host, ready):
         """Slow or full against its peers: it keeps its weight but leaves some shards, longer each time, so
         that it neither drowns nor swings; only while the others can take its part."""
-        if (self.now - host.strained_at < STRAIN_GAP or host.reach <= 1 - 3 * STEP
-                or fsum(h.reach for h in ready if h.usable) < len(ready) * 0.8):
+        if (
+            self.now - host.strained_at < STRAIN_GAP
+            or host.reach <= 1 - 3 * STEP
+            or fsum(h.reach for h in ready if h.usable) < len(ready) * 0.8
+        ):
             return
         calm, host.strained_at = self.now - max(host.strained_at, host.returned_at) > 30, self.now
         host.regain_wait = FIRST_REGAIN if calm else min(LONGEST_WAIT, host.regain_wait * 2)
@@ -545,8 +755,11 @@
     def set_reach(self, host, reach):
         """Of its holders, by what they bring, those that rank it lowest do without it."""
         host.reach, host.regain_at = reach, self.now + host.regain_wait
-        holders = [p for n in {**self.held.of(host.id), **dict.fromkeys(sorted(host.spared))}
-                   if (p := self.here.get(n))]
+        holders = [
+            p
+            for n in {**self.held.of(host.id), **dict.fromkeys(sorted(host.spared))}
+            if (p := self.here.get(n))
+        ]
         spare, host.spared = (1 - reach) * fsum(p.rate for p in holders), set()
         for proxy in sorted(holders, key=lambda p: rank(p.key, host.word), reverse=True):
             if proxy.rate / 2 < spare:
@@ -563,9 +776,14 @@
             return host.step
         if self.tight and self.facts.get("fails_to_shun"):
             return 0.0
-        first, age = self.facts["cold_share"], (self.now - host.cold_from) / self.facts["warm_after"]
+        first, age = (
+            self.facts["cold_share"],
+            (self.now - host.cold_from) / self.facts["warm_after"],
+        )
         part = COLD_SHUN if self.facts.get("fails_to_shun") else COLD_PART
-        most = self.spread * part * self.facts["tip_multiple"] * (first + (1 - first) * min(1.0, age))
+        most = (
+            self.spread * part * self.facts["tip_multiple"] * (first + (1 - first) * min(1.0, age))
+        )
         return max((s for s in COLD_STEPS if s <= min(host.step, most)), default=0.0)
 
     def on_joined(self, event):
@@ -593,14 +811,21 @@
         host = self.hosts.get(event.host)
         self.round_at = min(self.round_at, self.now)
         # Sums from before a start tell of the process that was there before.
-        if host is None or host.cold_from is not None and self.now - event.span - SUMS_LATE < host.cold_from:
+        if (
+            host is None
+            or host.cold_from is not None
+            and self.now - event.span - SUMS_LATE < host.cold_from
+        ):
             return
         # Where lines are capped each covers many rounds and comes seldom: what was heard stands as long.
         self.cycle += (max(event.span, self.facts["sums_every"]) - self.cycle) / 8
         good, (at, *old) = event.tries - event.bad, host.sums.get(event.zone, (self.now, 0, 0, 0))
         host.good_at = self.now if good else host.good_at
         self.news_at = max(self.news_at, host.good_at)
-        keep, news = FADE ** ((self.now - at) / self.cycle), (event.tries, event.bad, event.mean_time * good)
+        keep, news = (
+            FADE ** ((self.now - at) / self.cycle),
+            (event.tries, event.bad, event.mean_time * good),
+        )
         host.sums[event.zone] = self.now, *(o * keep + n for o, n in zip(old, news))
         host.take_report(event.report)
         if event.bad and self.probe_every > PROBE_EVERY and not host.probe_fails:
@@ -608,18 +833,27 @@
 
     def end_round(self):
         self.rounds, self.round_at = self.rounds + 1, float("inf")
-        self.reqs = [max(1e-3, 0.9 * n) for n in self.reqs]  # never none: kinds fall silent for hours
+        self.reqs = [
+            max(1e-3, 0.9 * n) for n in self.reqs
+        ]  # never none: kinds fall silent for hours
         self.watch_ways()
         # Fading is quick: a storm's many failures would outweigh the few good sums after it.
         failing = []
         for host in self.hosts.values():
-            kept = [(FADE ** ((self.now - at) / self.cycle), *sums) for zone, (at, *sums) in host.sums.items()
-                    if (zone, host.zone) not in self.far]
+            kept = [
+                (FADE ** ((self.now - at) / self.cycle), *sums)
+                for zone, (at, *sums) in host.sums.items()
+                if (zone, host.zone) not in self.far
+            ]
             own = host.own_tries, *_ = [fsum(k[0] * k[at] for k in kept) for at in (1, 2, 3)]
             if host.phase == "ready" and own[1] >= 0.5:
                 failing.append((-own[1], host.name, own))
-            kept += [(FADE ** ((self.now - at) / self.cycle), *told) for at, *told in host.told.values()]
-            host.tries, host.bad, host.answer_time = (fsum(k[0] * k[at] for k in kept) for at in (1, 2, 3))
+            kept += [
+                (FADE ** ((self.now - at) / self.cycle), *told) for at, *told in host.told.values()
+            ]
+            host.tries, host.bad, host.answer_time = (
+                fsum(k[0] * k[at] for k in kept) for at in (1, 2, 3)
+            )
         self.tell_peers(failing)
         self.judge()
         self.watch_room()
@@ -635,16 +869,29 @@
             usual = middle(times.get(zone, ()))
             for other, found in times.items():
                 until, wait = self.ways.get((zone, other), (-1e9, 0.0))
-                if (usual and other != zone and self.now >= until and len(found) > 1
-                        and sorted(found)[len(found) // 4] - usual > FAR_MUCH * self.mean_target()):
+                if (
+                    usual
+                    and other != zone
+                    and self.now >= until
+                    and len(found) > 1
+                    and sorted(found)[len(found) // 4] - usual > FAR_MUCH * self.mean_target()
+                ):
                     wait = min(LONGEST_WAIT, 2 * wait) if self.now - until < 30 else QUIET_WAIT
                     self.ways[zone, other] = self.now + wait, wait
-                    self.orders.append(our.LogLine(f"way from zone {zone} to {other} is bad, {wait} s"))
+                    self.orders.append(
+                        our.LogLine(f"way from zone {zone} to {other} is bad, {wait} s")
+                    )
         # Probes go from the steward's own zone: while they fail there is no need to try reqs again.
         for way in [way for way in sorted(self.far) if way[0] == self.facts["zone"]]:
             if middle([h.probes_bad for h in self.hosts.values() if h.zone == way[1]]) > 0.5:
-                self.ways[way] = max(self.ways[way][0], self.now + 2 * self.cycle), self.ways[way][1]
-        near, self.far = self.far, {way for way, (until, _) in self.ways.items() if self.now < until}
+                self.ways[way] = (
+                    max(self.ways[way][0], self.now + 2 * self.cycle),
+                    self.ways[way][1],
+                )
+        near, self.far = (
+            self.far,
+            {way for way, (until, _) in self.ways.items() if self.now < until},
+        )
         if self.far != near:
             self.all_dirty()
 
@@ -699,7 +946,9 @@
         if failed:
             self.probe_by(host, self.now + PROBE_AGAIN)
         if not self.facts.get("tries_told", True):
-            self.round_at = min(self.round_at, self.now)  # else no round would ever end, and none be judged
+            self.round_at = min(
+                self.round_at, self.now
+            )  # else no round would ever end, and none be judged
 
     def probe_by(self, host, at):
         if host.probe_at > at:
@@ -710,7 +959,10 @@
         ready = [h for h in self.hosts.values() if h.phase == "ready" and h.proved]
         spoke = [h for h in ready if h.usable and h.tries >= 0.5]
         heard = [h for h in spoke if h.tries >= 2]
-        usual_bad, usual_load = middle([h.bad / h.tries for h in heard]), middle([h.load for h in heard])
+        usual_bad, usual_load = (
+            middle([h.bad / h.tries for h in heard]),
+            middle([h.load for h in heard]),
+        )
         usual_time, target = middle([h.mean_time for h in heard]), self.mean_target()
         # What the middle try met: cold hosts that are given little say nothing of the room that is left. Few
         # tries a host are enough: when little is let in, nothing else would ever tell that all is well.
@@ -719,13 +971,21 @@
         load = middles([(h.load, n) for h, n in met])
         late = middles([(h.mean_time, n) for h, n in met]) / target
         self.met = bad, load, late, len(spoke)
-        self.tight = max(load / 0.9, late / LATE_MUCH, bad / BAD_MUCH) > 1 - 0.2 * self.tight and load > 0.7
+        self.tight = (
+            max(load / 0.9, late / LATE_MUCH, bad / BAD_MUCH) > 1 - 0.2 * self.tight and load > 0.7
+        )
         held = fsum(h.share for h in ready if h.usable) / max(1, len(ready))
-        self.spread = held if self.facts.get("fails_to_shun") and (self.room < 1 or load > 0.7) else 1.0
+        self.spread = (
+            held if self.facts.get("fails_to_shun") and (self.room < 1 or load > 0.7) else 1.0
+        )
         # A deep probe times out at a busy host: more must fail in a row than chance does at the middle one.
-        fails = max(3.0, log(0.001) / log(min(0.8, max(0.01, middle([h.probes_bad for h in ready])))))
+        fails = max(
+            3.0, log(0.001) / log(min(0.8, max(0.01, middle([h.probes_bad for h in ready]))))
+        )
         for host in [h for h in ready if h.usable]:
-            quiet = self.now - max(host.good_at, self.ways.get((self.facts["zone"], host.zone), (-1e9,))[0])
+            quiet = self.now - max(
+                host.good_at, self.ways.get((self.facts["zone"], host.zone), (-1e9,))[0]
+            )
             # Where no proxy tells of its tries, nobody tells of a silent host: probes convict alone.
             told = host.bad > 0.5 or not self.facts.get("tries_told", True)
             time, part = host.mean_time, host.bad / max(0.5, host.tries)
@@ -753,13 +1013,16 @@
         host.moved = self.moves = self.moves + 1
         self.restless[host.id] = host
         host.out_until = self.now + min(LONGEST_WAIT, QUIET_WAIT * 2 ** (host.strikes - 1))
-        self.orders.append(our.LogLine(f"host {host.id} dropped: {'probes' if by_probe else 'sums'}"))
+        self.orders.append(
+            our.LogLine(f"host {host.id} dropped: {'probes' if by_probe else 'sums'}")
+        )
 
     def tend(self, host):
         """What time alone brings a host: its return, its next step, its next probe."""
         # A shallow probe passes on a hung host: a pass counts only where probes had told the failure.
         if host.out_until is not None and (
-                host.probe_passes >= 2 if host.out_by_probe else self.now >= host.out_until):
+            host.probe_passes >= 2 if host.out_by_probe else self.now >= host.out_until
+        ):
             host.out_until, host.returned_at = None, self.now
             host.clear_evidence(self.now)
             self.start_ramp(host)
@@ -784,14 +1047,20 @@
 
     def watch_room(self):
         bad, load, late, spoke = self.met
-        if self.now < self.level_at or spoke < 3 or not all(self.may_write(p, 0.7) for p in self.joined):
+        if (
+            self.now < self.level_at
+            or spoke < 3
+            or not all(self.may_write(p, 0.7) for p in self.joined)
+        ):
             return
         self.level_at = self.now + 0.8
         # What fails or is late while hosts have room is no want of room: answers that get lost, callers in a
         # hurry; or, right after a cut, what was sent before it. Load reports are newer.
         told = "util" in self.facts["report_fields"]
         over = load < 0.6 and (told or self.room <= LEAST_LET_IN)
-        whole = late < LATE_MUCH and bad < BAD_MUCH and self.spread > 0.9  # no host ramps: all is told
+        whole = (
+            late < LATE_MUCH and bad < BAD_MUCH and self.spread > 0.9
+        )  # no host ramps: all is told
         if (bad > BAD_MUCH or late > LATE_MUCH or load > self.full) and not over:
             # Full queues hold work whose clients have gone: little is let in until it is done. Two rounds
             # must tell so: sums that a stall held back look like a storm.
@@ -802,10 +1071,17 @@
             # What was let in before a cut is still being heard of: no further one once it gets better.
             worse = late + bad >= 0.95 * self.strain_heard
             cut = max(MOST_CUT, min(0.9, LATE_MUCH / max(LATE_MUCH, late)))
-            self.room = LEAST_LET_IN if grave else max(LEAST_LET_IN, self.room * (cut if worse else 1.0))
+            self.room = (
+                LEAST_LET_IN if grave else max(LEAST_LET_IN, self.room * (cut if worse else 1.0))
+            )
             self.cutting, self.stormy, self.strain_heard = True, storm, late + bad
             self.level_at += 1.0 if grave else 0.0
-        elif over and (whole or self.room <= LEAST_LET_IN) or late < 0.7 * LATE_MUCH and load < self.full:
+        elif (
+            over
+            and (whole or self.room <= LEAST_LET_IN)
+            or late < 0.7 * LATE_MUCH
+            and load < self.full
+        ):
             # Back fast to what was surely carried; past it slowly, since reports lag and storms cost more.
             past = max(REGAIN_PAST, told * self.room * (self.full / max(0.4, load) - 1) / 10)
             self.room, self.cutting = min(1.0, max(self.edge, self.room + past)), False
@@ -824,7 +1100,11 @@
         work, worst = self.work_of_kinds(), self.facts.get("value_of_worst_kind", 0.0)
         gain = [n * k["gain"] for n, k in zip(self.reqs, self.facts["req_kinds"])]
         cost = [((1 - worst) * g / fsum(gain) + worst) * fsum(work) / w for g, w in zip(gain, work)]
-        first, shed, levels = cost.index(min(cost)), fsum(work) * (1 - self.room), [self.room] * len(work)
+        first, shed, levels = (
+            cost.index(min(cost)),
+            fsum(work) * (1 - self.room),
+            [self.room] * len(work),
+        )
         if cost[first] < 1:
             taken = min(shed, work[first] * (1 - LEAST_OF_ONE))
             levels = [1 - (shed - taken) / max(1e-9, fsum(work) - work[first])] * len(work)
@@ -834,8 +1114,11 @@
         wanted = [(round(max(LEAST_OF_ONE, level), 2), retry) for level in levels]
         if wanted != self.levels:
             self.orders.append(our.LogLine(f"levels {[level for level, _ in wanted]}"))
-            self.orders += [our.Admit(None, (at,), *new) for at, new in enumerate(wanted)
-                            if not self.levels or new != self.levels[at]]
+            self.orders += [
+                our.Admit(None, (at,), *new)
+                for at, new in enumerate(wanted)
+                if not self.levels or new != self.levels[at]
+            ]
             self.levels = wanted
             for proxy in self.joined:
                 self.book(proxy, len(work))
@@ -849,7 +1132,11 @@
             self.orders.append(our.WatchRoster(True))
         if self.now - self.round_at >= ROUND_WAIT:
             self.end_round()
-        for at in [h for h in {**self.restless, **dict.fromkeys(self.due.take(self.now))} if h in self.hosts]:
+        for at in [
+            h
+            for h in {**self.restless, **dict.fromkeys(self.due.take(self.now))}
+            if h in self.hosts
+        ]:
             self.tend(self.hosts[at])
 
     def may_write(self, proxy, part=0.5):
--- a/peatlead/cli.py
+++ b/peatlead/cli.py
@@ -30,11 +30,20 @@
 
 def begin_log(form):
     """One event a line on standard error: JSON for machines, or text."""
-    shape = structlog.processors.JSONRenderer() if form == "json" else structlog.dev.ConsoleRenderer(colors=False)
+    shape = (
+        structlog.processors.JSONRenderer()
+        if form == "json"
+        else structlog.dev.ConsoleRenderer(colors=False)
+    )
     structlog.configure(
-        processors=[structlog.processors.add_log_level, structlog.processors.TimeStamper(fmt="iso"), shape],
+        processors=[
+            structlog.processors.add_log_level,
+            structlog.processors.TimeStamper(fmt="iso"),
+            shape,
+        ],
         wrapper_class=structlog.make_filtering_bound_logger(logging.INFO),
-        logger_factory=structlog.PrintLoggerFactory(sys.stderr))
+        logger_factory=structlog.PrintLoggerFactory(sys.stderr),
+    )
 
 
 def steward_of(settings, name):
@@ -55,8 +64,15 @@
 @main.command()
 @click.argument("file", type=click.Path())
 @click.option("--name", help="which steward of FILE this is")
-@click.option("--state", type=click.Path(file_okay=False), help="folder for what outlives a restart")
-@click.option("--planner", type=click.Choice(PLANNERS), default="shards", help="plain: the baseline for comparison")
+@click.option(
+    "--state", type=click.Path(file_okay=False), help="folder for what outlives a restart"
+)
+@click.option(
+    "--planner",
+    type=click.Choice(PLANNERS),
+    default="shards",
+    help="plain: the baseline for comparison",
+)
 @click.option("--log", type=click.Choice(("json", "text")), default="json")
 def run(file, name, state, planner, log):
     """Runs a steward until SIGTERM or SIGINT."""
@@ -87,7 +103,9 @@
 
 @main.command()
 @click.argument("file", type=click.Path(), required=False)
-@click.option("--reference", "show_reference", is_flag=True, help="print every setting and what it means")
+@click.option(
+    "--reference", "show_reference", is_flag=True, help="print every setting and what it means"
+)
 def check(file, show_reference):
     """Checks a settings script; an error names file, line and what was expected."""
     if show_reference:
@@ -96,17 +114,22 @@
     if file is None:
         raise click.UsageError("expected FILE or --reference")
     settings = settings_or_exit(file)
-    click.echo(f"{file}: {len(settings['steward'])} stewards, {len(settings['view'])} views and "
-               f"{settings['dns']['open_views']} open ones, {len(settings['request_kind'])} request kinds: usable")
+    click.echo(
+        f"{file}: {len(settings['steward'])} stewards, {len(settings['view'])} views and "
+        f"{settings['dns']['open_views']} open ones, {len(settings['request_kind'])} request kinds: usable"
+    )
 
 
 @main.command()
 @click.argument("script", type=click.Path())
 @click.option("--planner", type=click.Choice((*PLANNERS, "both")), default="shards")
-@click.option("--out", type=click.Path(file_okay=False), help="folder for settings, record and logs")
+@click.option(
+    "--out", type=click.Path(file_okay=False), help="folder for settings, record and logs"
+)
 def day(script, planner, out):
     """Plays a day script against stand-ins and checks the five rules from what crossed the sockets."""
     from .day.script import read_day
+
     try:
         made = read_day(script)
     except BadSettings as problem:
@@ -125,38 +148,63 @@
 async def play_all(made, folder, planners):
     """Side by side, so that the machine's own moods strike all alike."""
     from .day.play import Day
-    plain = {**made, "steering": {**made["steering"], "addresses": 32}}  # every host in every answer
+
+    plain = {
+        **made,
+        "steering": {**made["steering"], "addresses": 32},
+    }  # every host in every answer
     days = [Day(plain if one == "plain" else made, folder / one, one) for one in planners]
     return dict(zip(planners, await asyncio.gather(*(day.play() for day in days))))
 
 
 def show_one(report, folder, planner):
     from .rules.show import as_data, show
-    show(report, {"shards": "peatlead", "plain": "plain baseline (every host in every answer, no health)"}[planner])
+
+    show(
+        report,
+        {"shards": "peatlead", "plain": "plain baseline (every host in every answer, no health)"}[
+            planner
+        ],
+    )
     (folder / "report.json").write_text(json.dumps(as_data(report), indent=1))
 
 
 def compare(reports):
     from rich.console import Console
     from rich.table import Table
+
     table = Table(title="service, side by side", title_justify="left")
     for name in ("request kind", "peatlead", "plain", "not served: peatlead", "not served: plain"):
         table.add_column(name, justify="right")
     ours, plain = reports["shards"].service, reports["plain"].service
     for kind in ours:
-        lost = [sum(many for outcome, many in one[kind]["outcomes"].items() if outcome not in ("done", "late"))
-                for one in (ours, plain)]
-        table.add_row(kind, f"{ours[kind]['part']:.4f}", f"{plain[kind]['part']:.4f}", *map(str, lost))
+        lost = [
+            sum(
+                many
+                for outcome, many in one[kind]["outcomes"].items()
+                if outcome not in ("done", "late")
+            )
+            for one in (ours, plain)
+        ]
+        table.add_row(
+            kind, f"{ours[kind]['part']:.4f}", f"{plain[kind]['part']:.4f}", *map(str, lost)
+        )
     Console(width=118).print(table)
 
 
 @main.command()
-@click.option("--out", type=click.Path(file_okay=False), required=True, help="folder for records and the table")
+@click.option(
+    "--out",
+    type=click.Path(file_okay=False),
+    required=True,
+    help="folder for records and the table",
+)
 @click.option("--only", help="one case by name")
 @click.option("--at-once", type=int, default=3, help="cases played side by side")
 def kinds(out, only, at_once):
     """Plays each kind of trouble alone, beside the plain baseline, and keeps a table."""
     from .day.kinds import play_kinds
+
     try:
         found = asyncio.run(play_kinds(Path(out), only, at_once, click.echo))
     except KeyError:
@@ -171,6 +219,7 @@
     from .rules.check import check as check_rows
     from .rules.record import read_folder
     from .rules.show import show
+
     settings = settings_or_exit(str(Path(folder) / "settings.star"))
     kinds = {kind["name"]: kind["gain"] for kind in settings["request_kind"]}
     report = check_rows(read_folder(folder), settings["limits"], kinds)
@@ -180,11 +229,14 @@
 
 def ask(file, name, question):
     from .steward.control import ask_once
+
     me = steward_of(settings_or_exit(file), name)
     try:
         answer = asyncio.run(ask_once(me["control"], question))
     except (OSError, asyncio.TimeoutError) as problem:
-        raise click.ClickException(f"steward {me['name']} at {me['control']}: {problem or 'no answer'}") from None
+        raise click.ClickException(
+            f"steward {me['name']} at {me['control']}: {problem or 'no answer'}"
+        ) from None
     if "error" in answer:
         raise click.ClickException(answer["error"])
     return answer
@@ -198,12 +250,16 @@
 def answer(file, view, service, name):
     """What VIEW would be told now, asked of a running steward."""
     told = ask(file, name, {"ask": "answer", "view": view, "service": service})
-    click.echo(f"{told['view']} (zone {told['zone']}): lifetime {told['lifetime']} s"
-               + ("" if told["fresh"] else "; the steward stands still and answers nobody"))
+    click.echo(
+        f"{told['view']} (zone {told['zone']}): lifetime {told['lifetime']} s"
+        + ("" if told["fresh"] else "; the steward stands still and answers nobody")
+    )
     for line in told["lines"]:
         ramp = "" if line["weight"] >= line["listed"] else f", ramping to {line['listed']:g}"
         named = "" if line["named"] else ", not named in addresses yet"
-        click.echo(f"  {line['host']} {line['address']} zone {line['zone']} weight {line['weight']:g}{ramp}{named}")
+        click.echo(
+            f"  {line['host']} {line['address']} zone {line['zone']} weight {line['weight']:g}{ramp}{named}"
+        )
 
 
 @main.command()
@@ -225,10 +281,14 @@
     if left is None:
         click.echo(f"{host} ({told['phase']}): {told['named by views']} views are still told of it")
     elif left:
-        click.echo(f"{host} ({told['phase']}): no answer names it; those given run out in {left:.1f} s")
+        click.echo(
+            f"{host} ({told['phase']}): no answer names it; those given run out in {left:.1f} s"
+        )
     else:
-        click.echo(f"{host} ({told['phase']}): no answer names it and those given have run out. Resolvers that keep "
-                   "answers longer than they may still send: stop it once its own reqs have ceased.")
+        click.echo(
+            f"{host} ({told['phase']}): no answer names it and those given have run out. Resolvers that keep "
+            "answers longer than they may still send: stop it once its own reqs have ceased."
+        )
     sys.exit(0 if left == 0 else 1)
 
 
@@ -250,9 +310,13 @@
     told = ask_fleet(file, name, "status")
     for member, about in sorted(told["members"].items()):
         draining = ", draining" if about["draining"] else ""
-        click.echo(f"{member}: {about['state']} for {about['since']:.1f} s, {about['proxies']} proxies{draining}")
-    click.echo(f"{told['steward']}: {told['joined']} joined, {told['moved']} moved, {told['sent on']} sent on, "
-               f"{told['paced']} paced, {told['refusals']} assignments refused")
+        click.echo(
+            f"{member}: {about['state']} for {about['since']:.1f} s, {about['proxies']} proxies{draining}"
+        )
+    click.echo(
+        f"{told['steward']}: {told['joined']} joined, {told['moved']} moved, {told['sent on']} sent on, "
+        f"{told['paced']} paced, {told['refusals']} assignments refused"
+    )
     for proxy, (epoch, since) in told["owned"].items() if proxies else ():
         click.echo(f"  {proxy}: epoch {epoch} for {since:.1f} s")
 
@@ -264,7 +328,9 @@
 def fleet_drain(file, steward, undo):
     """Hands all of STEWARD's proxies to the others."""
     told = ask_fleet(file, steward, "undrain" if undo else "drain")
-    click.echo(f"{steward}: {told['joined']} proxies, {'takes more again' if undo else 'handing over'}")
+    click.echo(
+        f"{steward}: {told['joined']} proxies, {'takes more again' if undo else 'handing over'}"
+    )
 
 
 @fleet.command(name="why")
@@ -274,7 +340,11 @@
 def fleet_why(file, proxy, name):
     """Who should own PROXY, and why."""
     told = ask_fleet(file, name, "why", proxy)
-    here = f"joined here, epoch {told['epoch']} for {told['since']:.1f} s" if told["here"] else "not joined here"
+    here = (
+        f"joined here, epoch {told['epoch']} for {told['since']:.1f} s"
+        if told["here"]
+        else "not joined here"
+    )
     click.echo(f"{proxy}: owner {told['owner']}; by rank {', '.join(told['rank'])}; {here}")
 
 
@@ -292,7 +362,11 @@
         click.echo(f"{ago:10.2f} s ago  {text}")
     for one in losses:
         went = f"{one['without it']} without it, {one['still to go']} to go, {one['left before']} left before"
-        spread = "" if one["last s"] is None else f"; median {one['median s']:g} s, last {one['last s']:g} s"
+        spread = (
+            ""
+            if one["last s"] is None
+            else f"; median {one['median s']:g} s, last {one['last s']:g} s"
+        )
         click.echo(f"loss {one['seconds ago']:.2f} s ago: {one['holders']} held it, {went}{spread}")
     for kind, held in lines.items():
         click.echo(f"{kind}: " + ", ".join(f"{host} {weight:g}" for host, weight in held.items()))
@@ -303,19 +377,29 @@
     """What was published, when and why; and the way back."""
 
 
-STEWARD = click.option("--name", help="which steward of FILE to ask; the first that answers if not given")
+STEWARD = click.option(
+    "--name", help="which steward of FILE to ask; the first that answers if not given"
+)
 
 
 def ask_tables(file, name, do, everyone=False, **args):
     """{steward: answer}. Stewards of one fleet tell each other pins; those that share nothing are asked each."""
     from .steward.control import ask_once
+
     settings = settings_or_exit(file)
-    names = [steward_of(settings, name)["name"]] if name else [one["name"] for one in settings["steward"]]
+    names = (
+        [steward_of(settings, name)["name"]]
+        if name
+        else [one["name"] for one in settings["steward"]]
+    )
     shared, answers, wrong = settings["steward"][0]["peer"] is not None, {}, []
     for one in names:
         try:
-            answers[one] = asyncio.run(ask_once(steward_of(settings, one)["control"],
-                                                {"ask": "tables", "do": do, "args": args}))
+            answers[one] = asyncio.run(
+                ask_once(
+                    steward_of(settings, one)["control"], {"ask": "tables", "do": do, "args": args}
+                )
+            )
         except (OSError, asyncio.TimeoutError) as problem:
             wrong.append(f"steward {one}: {problem or 'no answer'}")
             continue
@@ -335,14 +419,19 @@
     for form in ("%H:%M", "%H:%M:%S"):
         try:
             found = datetime.strptime(text, form)
-            return datetime.now().replace(hour=found.hour, minute=found.minute, second=found.second,
-                                          microsecond=0).timestamp()
+            return (
+                datetime.now()
+                .replace(hour=found.hour, minute=found.minute, second=found.second, microsecond=0)
+                .timestamp()
+            )
         except ValueError:
             continue
     try:
         return datetime.fromisoformat(text).timestamp()
     except ValueError:
-        raise click.BadParameter(f"expected HH:MM, HH:MM:SS or a date and time, got {text!r}") from None
+        raise click.BadParameter(
+            f"expected HH:MM, HH:MM:SS or a date and time, got {text!r}"
+        ) from None
 
 
 def clock(seconds):
@@ -358,11 +447,18 @@
 @STEWARD
 def tables_log(file, proxy, since, until, most, name):
     """Versions, newest last: what changed, when and why."""
-    args = {"proxy": proxy, "most": most, "since": since and moment(since), "until": until and moment(until)}
+    args = {
+        "proxy": proxy,
+        "most": most,
+        "since": since and moment(since),
+        "until": until and moment(until),
+    }
     for steward, told in ask_tables(file, name, "log", not name, **args).items():
         for one in told["versions"]:
-            click.echo(f"{clock(one['at'])} {steward} {one['proxy']} {one['version']}: {one['changes']} changes: "
-                       f"{'; '.join(one['causes']) or 'no cause known'}")
+            click.echo(
+                f"{clock(one['at'])} {steward} {one['proxy']} {one['version']}: {one['changes']} changes: "
+                f"{'; '.join(one['causes']) or 'no cause known'}"
+            )
         if told["more"]:
             click.echo(f"{steward}: {told['more']} older ones not shown (--most)")
 
@@ -401,13 +497,19 @@
 @STEWARD
 def tables_diff(file, proxy, one, other, name):
     """Lines, and parts of the reqs, that differ between two versions."""
-    for told in ask_tables(file, name, "diff", not name, proxy=proxy, one=one, other=other).values():
+    for told in ask_tables(
+        file, name, "diff", not name, proxy=proxy, one=one, other=other
+    ).values():
         click.echo(f"{told['proxy']} {one} -> {other}")
         show_changes(told["changes"])
 
 
 def whom(proxy, zone, share, everyone):
-    chosen = [(kind, str(value)) for kind, value in (("proxy", proxy), ("zone", zone), ("share", share)) if value]
+    chosen = [
+        (kind, str(value))
+        for kind, value in (("proxy", proxy), ("zone", zone), ("share", share))
+        if value
+    ]
     chosen += [("all", "")] if everyone else []
     if len(chosen) != 1:
         raise click.UsageError("expected one of --proxy, --zone, --share and --all")
@@ -416,15 +518,30 @@
 
 def pinning(command):
     """The options that pin and rollback share."""
-    for option in reversed((
+    for option in reversed(
+        (
             click.argument("file", type=click.Path()),
-            click.option("--proxy", help="one proxy or view"), click.option("--zone", help="those of a zone"),
-            click.option("--share", type=click.FloatRange(0, 1, min_open=True), help="this share of all"),
+            click.option("--proxy", help="one proxy or view"),
+            click.option("--zone", help="those of a zone"),
+            click.option(
+                "--share", type=click.FloatRange(0, 1, min_open=True), help="this share of all"
+            ),
             click.option("--all", "everyone", is_flag=True, help="all of them"),
-            click.option("--over", type=float, default=10.0, help="seconds from the first to the last"),
-            click.option("--for", "length", type=float, default=3600.0, help="seconds until it ends by itself"),
+            click.option(
+                "--over", type=float, default=10.0, help="seconds from the first to the last"
+            ),
+            click.option(
+                "--for",
+                "length",
+                type=float,
+                default=3600.0,
+                help="seconds until it ends by itself",
+            ),
             click.option("--by", default="", help="who asks and why, for others to read"),
-            click.option("--dry", is_flag=True, help="only print what would change"), STEWARD)):
+            click.option("--dry", is_flag=True, help="only print what would change"),
+            STEWARD,
+        )
+    ):
         command = option(command)
     return command
 
@@ -432,12 +549,19 @@
 def send_pin(file, name, dry, **args):
     for steward, told in ask_tables(file, name, "pin", dry, dry=dry, **args).items():
         if not dry:
-            click.echo(f"{steward}: pinned as {told['pin']}; to end it: peatlead tables resume {file} {told['pin']}")
+            click.echo(
+                f"{steward}: pinned as {told['pin']}; to end it: peatlead tables resume {file} {told['pin']}"
+            )
             continue
-        click.echo(f"{steward}: {told['proxies']} proxies, {told['would change']} would change, "
-                   f"{told['not known']} whose target is not known here")
+        click.echo(
+            f"{steward}: {told['proxies']} proxies, {told['would change']} would change, "
+            f"{told['not known']} whose target is not known here"
+        )
         for one in told["each"]:
-            click.echo(f"{one['proxy']}" + ("" if one["known"] else ": target not known, would be held as it stands"))
+            click.echo(
+                f"{one['proxy']}"
+                + ("" if one["known"] else ": target not known, would be held as it stands")
+            )
             show_changes(one["changes"])
             for host, why in sorted(one["taken"].items()):
                 click.echo(f"  not as it was: {host} {why}")
@@ -449,7 +573,16 @@
 @pinning
 def tables_pin(file, proxy, zone, share, everyone, over, length, by, dry, name):
     """Holds proxies to what they hold now: only withdrawals and fills go on."""
-    send_pin(file, name, dry, **whom(proxy, zone, share, everyone), target="held", over=over, length=length, by=by)
+    send_pin(
+        file,
+        name,
+        dry,
+        **whom(proxy, zone, share, everyone),
+        target="held",
+        over=over,
+        length=length,
+        by=by,
+    )
 
 
 @tables.command(name="rollback")
@@ -465,14 +598,27 @@
         target, value = "version", to
     elif to:
         value = str(time.time() - moment(to))
-    send_pin(file, name, dry, **whom(proxy, zone, share, everyone), target=target, to=value, over=over, length=length,
-             by=by)
+    send_pin(
+        file,
+        name,
+        dry,
+        **whom(proxy, zone, share, everyone),
+        target=target,
+        to=value,
+        over=over,
+        length=length,
+        by=by,
+    )
 
 
 @tables.command(name="resume")
 @click.argument("file", type=click.Path())
 @click.argument("pin")
-@click.option("--over", type=float, help="seconds from the first to the last; as the pin was laid if not given")
+@click.option(
+    "--over",
+    type=float,
+    help="seconds from the first to the last; as the pin was laid if not given",
+)
 @click.option("--by", default="", help="who asks")
 @STEWARD
 def tables_resume(file, pin, over, by, name):
@@ -483,22 +629,35 @@
 
 @tables.command(name="status")
 @click.argument("file", type=click.Path())
-@click.option("--proxies", is_flag=True, help="the version that each was last sent, and that it says it holds")
+@click.option(
+    "--proxies", is_flag=True, help="the version that each was last sent, and that it says it holds"
+)
 @STEWARD
 def tables_status(file, proxies, name):
     """Pins that stand, and whether versions are kept."""
     for told in ask_tables(file, name, "status", True, proxies=proxies).values():
         kept = "kept on disk" if told["kept on disk"] else f"NOT KEPT on disk: {told['why not']}"
-        click.echo(f"{told['steward']}: {told['proxies']} proxies and views, {told['versions']} versions, {kept}")
+        click.echo(
+            f"{told['steward']}: {told['proxies']} proxies and views, {told['versions']} versions, {kept}"
+        )
         for one in told["pins"]:
-            state = f"ended {one['ended']:.0f} s ago" if one["ended"] is not None else f"{one['left']:.0f} s left"
+            state = (
+                f"ended {one['ended']:.0f} s ago"
+                if one["ended"] is not None
+                else f"{one['left']:.0f} s left"
+            )
             strange = ", ".join(one["target not known"])
             unknown = f", target not known for {strange}" if strange else ""
-            click.echo(f"  {one['pin']}: {one['whom']} {one['which']}, {one['target']} {one['to']}, {state}, holds "
-                       f"{one['holds here']} here{unknown}" + (f", {one['by']}" if one["by"] else ""))
+            click.echo(
+                f"  {one['pin']}: {one['whom']} {one['which']}, {one['target']} {one['to']}, {state}, holds "
+                f"{one['holds here']} here{unknown}" + (f", {one['by']}" if one["by"] else "")
+            )
         for one in told["holders"]:
             behind = "" if one["held"] == one["sent"] else f", says it holds {one['held']}"
-            click.echo(f"  {one['proxy']}: {one['sent']}{behind}" + (f", held by {one['pin']}" if one["pin"] else ""))
+            click.echo(
+                f"  {one['proxy']}: {one['sent']}{behind}"
+                + (f", held by {one['pin']}" if one["pin"] else "")
+            )
 
 
 @main.group()
@@ -510,6 +669,7 @@
     """A day's map from a script, or drawn by seed."""
     from .day.script import read_day
     from .lab.draw import draw
+
     if script is None:
         return draw(seed, kind)
     try:
@@ -518,7 +678,9 @@
         raise click.ClickException(str(problem)) from None
 
 
-KIND = click.option("--kind", type=click.Choice(("fleet", "dns")), default="fleet", help="of drawn days")
+KIND = click.option(
+    "--kind", type=click.Choice(("fleet", "dns")), default="fleet", help="of drawn days"
+)
 
 
 @lab.command(name="run")
@@ -530,12 +692,15 @@
     """Plays a day script, or the day that SEED draws, on simulated time."""
     from .lab.day import play_day
     from .rules.show import show
+
     played = play_day(day_of(script, seed, kind), seed, planner)
     if played.report is not None:
         show(played.report, f"simulated, seed {seed}")
     for find in played.finds:
         click.echo(f"found: {find}")
-    click.echo(f"digest {played.digest}, {played.events} events, {played.seconds:.1f} simulated seconds")
+    click.echo(
+        f"digest {played.digest}, {played.events} events, {played.seconds:.1f} simulated seconds"
+    )
     sys.exit(1 if played.finds else 0)
 
 
@@ -547,10 +712,22 @@
         yield click.echo, lambda done, note: None
         return
     from rich.console import Console
-    from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeRemainingColumn
+    from rich.progress import (
+        BarColumn,
+        MofNCompleteColumn,
+        Progress,
+        TextColumn,
+        TimeRemainingColumn,
+    )
+
     console = Console(stderr=True)
-    columns = (TextColumn(what), BarColumn(), MofNCompleteColumn(), TimeRemainingColumn(),
-               TextColumn("{task.fields[note]}"))
+    columns = (
+        TextColumn(what),
+        BarColumn(),
+        MofNCompleteColumn(),
+        TimeRemainingColumn(),
+        TextColumn("{task.fields[note]}"),
+    )
     with Progress(*columns, console=console) as bar:
         task = bar.add_task(what, total=many, note="")
         yield bar.console.print, lambda done, note: bar.update(task, completed=done, note=note)
@@ -566,6 +743,7 @@
 def lab_hunt(first, last, workers, most, length, kind):
     """Plays seeds FIRST to LAST (not included); what breaks is cut down and printed as a day script."""
     from .lab.hunt import hunt
+
     with progress(f"hunting {kind}", last - first) as (say, step):
         finds, played = hunt(range(first, last), kind, length, workers, say, most, step)
     for find in finds:
@@ -583,6 +761,7 @@
     """The story of WHAT (a req, an agent, a desk, a host, an address) in a day that is played again."""
     from .lab.day import play_day
     from .lab.timeline import timeline
+
     played = play_day(day_of(script, seed, kind), seed)
     lines = timeline(played.rows, what, played.logs)
     click.echo("\n".join(lines) if lines else f"nothing in this day is about {what!r}")
@@ -590,6 +769,7 @@
 
 def study_of(path):
     from .lab.study import Study
+
     try:
         return Study(path, Path(path).read_text(encoding="utf-8"))
     except BadSettings as problem:
@@ -598,7 +778,9 @@
         raise click.ClickException(f"{path}:1: expected a readable study: {problem}") from None
 
 
-BASE = click.option("--results", "base", type=click.Path(), default="found/lab.sqlite", help="the file of results")
+BASE = click.option(
+    "--results", "base", type=click.Path(), default="found/lab.sqlite", help="the file of results"
+)
 
 
 @lab.command(name="study")
@@ -608,8 +790,11 @@
 def lab_study(file, workers, base):
     """Plays what is missing of a study; may be stopped and run again."""
     from .lab.study import Results, run
+
     study, results = study_of(file), Results(base)
-    with progress(study.head["name"], len(study.cells()) - len(results.done(study.head["name"]))) as (say, step):
+    with progress(
+        study.head["name"], len(study.cells()) - len(results.done(study.head["name"]))
+    ) as (say, step):
         run(study, results, workers, say, step)
 
 
@@ -620,6 +805,7 @@
 def lab_compare(file, figure, base):
     """Paired differences of FIGURE to the first variant and policy, with 95% intervals."""
     from .lab.study import Results, compare
+
     study, results = study_of(file), Results(base)
     ways = [(variant, policy) for variant in study.variants for policy in study.policies]
     for case in study.cases:
@@ -628,7 +814,11 @@
                 found = compare(results, study.head["name"], figure, ways[0], way, case)
             except ValueError as problem:
                 raise click.ClickException(str(problem)) from None
-            told = "not played" if found is None else "{:+.4g} [{:+.4g}, {:+.4g}], {} pairs".format(*found)
+            told = (
+                "not played"
+                if found is None
+                else "{:+.4g} [{:+.4g}, {:+.4g}], {} pairs".format(*found)
+            )
             click.echo(f"{case}: {way[0]} / {way[1]} less {ways[0][0]} / {ways[0][1]}: {told}")
 
 
@@ -640,5 +830,6 @@
     """Writes a study's tables and charts as one HTML file."""
     from .lab.report import write
     from .lab.study import Results
+
     write(Results(base), study_of(file), out)
     click.echo(out)
--- a/peatlead/day/fleet.py
+++ b/peatlead/day/fleet.py
@@ -25,15 +25,26 @@
         self.made += 1
         zone = like["zone"] if like else self.zones[at % len(self.zones)]
         pod = like["pod"] if like else at // fleet["pod"]
-        cores = like["cores"] if like else fleet["cores"][at // len(self.zones) % len(fleet["cores"])]
+        cores = (
+            like["cores"] if like else fleet["cores"][at // len(self.zones) % len(fleet["cores"])]
+        )
         return {
-            "name": f"h{number}", "zone": zone, "pod": pod, "cores": cores, "port": self.port,
+            "name": f"h{number}",
+            "zone": zone,
+            "pod": pod,
+            "cores": cores,
+            "port": self.port,
             "address": f"{HOSTS_NET}.{number // 250}.{number % 250 + 1}",
             "work": {kind["name"]: kind["work"] for kind in self.day["kinds"]},
             "repeat": {kind["name"]: kind["repeat"] for kind in self.day["kinds"]},
-            "cold_share": fleet["cold_share"], "warm_after": fleet["warm_after"],
-            "tip_multiple": fleet["tip_multiple"], "tip_span": fleet["tip_span"],
-            "connections": fleet["connections"], "deep": fleet["deep_probes"], "cold": cold}
+            "cold_share": fleet["cold_share"],
+            "warm_after": fleet["warm_after"],
+            "tip_multiple": fleet["tip_multiple"],
+            "tip_span": fleet["tip_span"],
+            "connections": fleet["connections"],
+            "deep": fleet["deep_probes"],
+            "cold": cold,
+        }
 
     def lay_desks(self):
         desks = self.day["desks"]
@@ -48,21 +59,40 @@
             resolver = f"r{at}" if not shared else f"shared{at // 2}"
             kind = desks["resolvers"][at % len(desks["resolvers"])]
             self.add_resolver(resolver, kind, at, shared)
-            self.desks.append({
-                "view": f"desk{at}", "network": f"127.{30 + at // 256}.{at % 256}.0", "resolver": resolver,
-                "name": f"api.{BODY}", "port": self.port, "rate": rate, "clients": max(2, min(40, int(rate))),
-                "habits": self.day["desks"]["habits"], "kinds": self.req_kinds(), "retries": desks["retries"],
-                "tells_subnet": shared})
+            self.desks.append(
+                {
+                    "view": f"desk{at}",
+                    "network": f"127.{30 + at // 256}.{at % 256}.0",
+                    "resolver": resolver,
+                    "name": f"api.{BODY}",
+                    "port": self.port,
+                    "rate": rate,
+                    "clients": max(2, min(40, int(rate))),
+                    "habits": self.day["desks"]["habits"],
+                    "kinds": self.req_kinds(),
+                    "retries": desks["retries"],
+                    "tells_subnet": shared,
+                }
+            )
 
     def lay_agents(self):
         agents = self.day["agents"]
         parts = [exp(self.chance.gauss(0.0, agents["uneven"])) for _ in range(agents["many"])]
-        self.agents = [{
-            "name": f"agent{at}", "zone": self.zones[at % len(self.zones)], "port": self.port,
-            "local": f"127.{60 + at // 250}.{at % 250}.1", "rate": max(0.05, agents["rate"] * one / fsum(parts)),
-            "controllers": [[address, port + 2] for address, port in self.stewards], "kinds": self.req_kinds(),
-            "pick": agents["pick"], "fails_to_shun": agents["fails_to_shun"],
-            "incremental": agents["incremental"]} for at, one in enumerate(parts)]
+        self.agents = [
+            {
+                "name": f"agent{at}",
+                "zone": self.zones[at % len(self.zones)],
+                "port": self.port,
+                "local": f"127.{60 + at // 250}.{at % 250}.1",
+                "rate": max(0.05, agents["rate"] * one / fsum(parts)),
+                "controllers": [[address, port + 2] for address, port in self.stewards],
+                "kinds": self.req_kinds(),
+                "pick": agents["pick"],
+                "fails_to_shun": agents["fails_to_shun"],
+                "incremental": agents["incremental"],
+            }
+            for at, one in enumerate(parts)
+        ]
 
     def req_kinds(self):
         names = ("name", "share", "response_target", "client_timeout", "gain", "repeat")
@@ -70,11 +100,18 @@
 
     def add_resolver(self, name, kind, at, shared):
         if all(one["name"] != name for one in self.resolvers):
-            self.resolvers.append({
-                "do": "resolver", "name": name, "kind": kind, "rotates": at % 2 == 0,
-                "address": f"{RESOLVERS_NET}.1.{at // 2 % 250 + 1}" if shared
-                else f"{RESOLVERS_NET}.{2 + at // 250}.{at % 250 + 1}",
-                "servers": [list(steward) for steward in self.stewards]})
+            self.resolvers.append(
+                {
+                    "do": "resolver",
+                    "name": name,
+                    "kind": kind,
+                    "rotates": at % 2 == 0,
+                    "address": f"{RESOLVERS_NET}.1.{at // 2 % 250 + 1}"
+                    if shared
+                    else f"{RESOLVERS_NET}.{2 + at // 250}.{at % 250 + 1}",
+                    "servers": [list(steward) for steward in self.stewards],
+                }
+            )
 
     def more(self, address, port):
         if not self.agents:
@@ -86,33 +123,52 @@
         """The stewards' settings script for this day, as an operator would write it."""
         steering, fleet = self.day["steering"], self.day["fleet"]
         lines = [f"zone(name = {zone!r})" for zone in self.zones]
-        lines.append(f"dns(zone = {BODY!r}, port = {self.port}, lifetime = {steering['lifetime']}, "
-                     f"addresses = {steering['addresses']}, trusted_resolvers = ['{RESOLVERS_NET}.1.0/24'], "
-                     f"open_views = {16 if self.desks else 0})")
-        lines.append(f"limits(drain_grace = {steering['drain_grace']}, bare_most = {steering['bare_most']}, "
-                     f"cold_share = {fleet['cold_share']}, warm_after = {fleet['warm_after']}, "
-                     f"tip_multiple = {fleet['tip_multiple']}, tip_span = {fleet['tip_span']})")
+        lines.append(
+            f"dns(zone = {BODY!r}, port = {self.port}, lifetime = {steering['lifetime']}, "
+            f"addresses = {steering['addresses']}, trusted_resolvers = ['{RESOLVERS_NET}.1.0/24'], "
+            f"open_views = {16 if self.desks else 0})"
+        )
+        lines.append(
+            f"limits(drain_grace = {steering['drain_grace']}, bare_most = {steering['bare_most']}, "
+            f"cold_share = {fleet['cold_share']}, warm_after = {fleet['warm_after']}, "
+            f"tip_multiple = {fleet['tip_multiple']}, tip_span = {fleet['tip_span']})"
+        )
         lines.append(f"node_list(path = {str(list_path)!r})")
         if self.agents:
             agents = self.day["agents"]
-            lines.append(f"grpc(proxies = {len(self.agents)}, pick = {agents['pick']!r}, "
-                         f"fails_to_shun = {agents['fails_to_shun']})")
+            lines.append(
+                f"grpc(proxies = {len(self.agents)}, pick = {agents['pick']!r}, "
+                f"fails_to_shun = {agents['fails_to_shun']})"
+            )
             lines.append(f"fleet(keys = [{KEY!r}])")
         lines.append(f"probes(port = {self.port}, deadline = {steering['probe_deadline']})")
         lines.append(f"choices(gone_is_advice = {steering['gone_is_advice']})")
         for kind in self.day["kinds"]:
-            told = {name: kind[name] for name in ("name", "response_target", "client_timeout", "gain", "repeat")}
+            told = {
+                name: kind[name]
+                for name in ("name", "response_target", "client_timeout", "gain", "repeat")
+            }
             said = ", ".join(f"{name} = {value!r}" for name, value in told.items())
             lines.append(f"request_kind({said})")
-        lines.append(f"service(label = 'api', kinds = {[kind['name'] for kind in self.day['kinds']]!r})")
+        lines.append(
+            f"service(label = 'api', kinds = {[kind['name'] for kind in self.day['kinds']]!r})"
+        )
         for at, (address, port) in enumerate(self.stewards):
             zone = self.zones[at % len(self.zones)]
-            lines.append(f"steward(name = 'ns{at + 1}', zone = {zone!r}, seed = {at + 1}, "
-                         f"listen = '{address}:{port}', control = '{address}:{port + 1}'{self.more(address, port)})")
-        alone = {one["name"]: one["address"] for one in self.resolvers if not one["name"].startswith("shared")}
+            lines.append(
+                f"steward(name = 'ns{at + 1}', zone = {zone!r}, seed = {at + 1}, "
+                f"listen = '{address}:{port}', control = '{address}:{port + 1}'{self.more(address, port)})"
+            )
+        alone = {
+            one["name"]: one["address"]
+            for one in self.resolvers
+            if not one["name"].startswith("shared")
+        }
         for at, desk in enumerate(self.desks):
             resolvers = [alone[desk["resolver"]]] if desk["resolver"] in alone else []
             rate = max(0.1, round(desk["rate"], 1))
-            lines.append(f"view(name = {desk['view']!r}, zone = {self.zones[at % len(self.zones)]!r}, "
-                         f"networks = ['{desk['network']}/24'], resolvers = {resolvers!r}, rate = {rate})")
+            lines.append(
+                f"view(name = {desk['view']!r}, zone = {self.zones[at % len(self.zones)]!r}, "
+                f"networks = ['{desk['network']}/24'], resolvers = {resolvers!r}, rate = {rate})"
+            )
         return "\n".join(lines) + "\n"
--- a/peatlead/day/kinds.py
+++ b/peatlead/day/kinds.py
@@ -9,8 +9,10 @@
 
 LENGTH = 30
 BASE = f"day(length = {LENGTH}, seed = 3)\n"
-MIXED = ('resolvers = ["keeps", "twice", "tenfold", "least", "stale"], '
-         'habits = ["first", "any", "same", "sorted", "holds"]')
+MIXED = (
+    'resolvers = ["keeps", "twice", "tenfold", "least", "stale"], '
+    'habits = ["first", "any", "same", "sorted", "holds"]'
+)
 CASES = {
     "quiet": "",
     "silent": "silent(at = 5, length = 15, part = 0.1)",
@@ -34,10 +36,8 @@
     "lost answers": "lost_answers(at = 5, length = 15, part = 0.2, lost = 0.3)",
     "neighbours": "neighbour(at = 5, length = 15, part = 0.4, stolen = 0.5)",
     "caches past the lifetime": f"desks({MIXED})\nrelease(at = 4, length = 18, part = 0.6)",
-    "half behind one resolver, fleet returns":
-        "desks(biggest = 0.5, rate = 200)\nrelease(at = 3, length = 20, part = 0.9)",
-    "half behind one resolver, all pods restart":
-        "desks(biggest = 0.5, rate = 150)\npod_restart(at = 5, pods = 4)",
+    "half behind one resolver, fleet returns": "desks(biggest = 0.5, rate = 200)\nrelease(at = 3, length = 20, part = 0.9)",
+    "half behind one resolver, all pods restart": "desks(biggest = 0.5, rate = 150)\npod_restart(at = 5, pods = 4)",
 }
 
 
@@ -55,11 +55,18 @@
             report = await Day(made, place, planner).play()
         (place / "report.json").write_text(json.dumps(as_data(report), indent=1))
         found[name, planner] = report
-        say(f"{name} ({planner}): service {report.service['whole']['part']:.4f}, "
-            f"{'rules kept' if report.kept else 'RULES BROKEN'}")
+        say(
+            f"{name} ({planner}): service {report.service['whole']['part']:.4f}, "
+            f"{'rules kept' if report.kept else 'RULES BROKEN'}"
+        )
 
-    await asyncio.gather(*(one(name, script, planner) for name, script in cases.items()
-                           for planner in ("shards", "plain")))
+    await asyncio.gather(
+        *(
+            one(name, script, planner)
+            for name, script in cases.items()
+            for planner in ("shards", "plain")
+        )
+    )
     text = as_table(cases, found)
     (folder / "kinds.md").write_text(text)
     say(text)
@@ -67,14 +74,20 @@
 
 
 def as_table(cases, found):
-    lines = ["| trouble | service | plain | not served | plain | rules: nearest 1 to 5 | plain breaks |",
-             "| --- | --- | --- | --- | --- | --- | --- |"]
+    lines = [
+        "| trouble | service | plain | not served | plain | rules: nearest 1 to 5 | plain breaks |",
+        "| --- | --- | --- | --- | --- | --- | --- |",
+    ]
     for name in cases:
         ours, plain = found[name, "shards"], found[name, "plain"]
-        nearest = ", ".join(f"{one.nearest:.2f}" + "!" * bool(one.breaches) for one in ours.findings)
+        nearest = ", ".join(
+            f"{one.nearest:.2f}" + "!" * bool(one.breaches) for one in ours.findings
+        )
         broken = ", ".join(one.rule[0] for one in plain.findings if one.breaches) or "none"
-        lines.append(f"| {name} | {part(ours)} | {part(plain)} | {lost(ours)} | {lost(plain)} "
-                     f"| {nearest} | {broken} |")
+        lines.append(
+            f"| {name} | {part(ours)} | {part(plain)} | {lost(ours)} | {lost(plain)} "
+            f"| {nearest} | {broken} |"
+        )
     return "\n".join(lines) + "\n"
 
 
--- a/peatlead/day/nodelist.py
+++ b/peatlead/day/nodelist.py
@@ -19,8 +19,15 @@
 
     def put(self, plan, phase, started):
         self.hosts[plan["name"]] = {
-            "name": plan["name"], "address": plan["address"], "zone": plan["zone"], "pod": plan["pod"],
-            "machine": f"cores{plan['cores']}", "weight": float(plan["cores"]), "phase": phase, "started": started}
+            "name": plan["name"],
+            "address": plan["address"],
+            "zone": plan["zone"],
+            "pod": plan["pod"],
+            "machine": f"cores{plan['cores']}",
+            "weight": float(plan["cores"]),
+            "phase": phase,
+            "started": started,
+        }
 
     def write(self):
         self.version += 1
@@ -28,15 +35,19 @@
         hosts, truth = list(self.hosts.values()), True
         if self.fault is not None:
             hosts, truth, version = self.fault(hosts, version)
-        data = msgspec.json.encode({"version": version, "written": self.now(), "scope": "whole", "hosts": hosts})
+        data = msgspec.json.encode(
+            {"version": version, "written": self.now(), "scope": "whole", "hosts": hosts}
+        )
         torn = self.fault is not None and getattr(self.fault, "torn", False)
         if torn:
-            self.path.write_bytes(data[:len(data) * 2 // 3])
+            self.path.write_bytes(data[: len(data) * 2 // 3])
         else:
             beside = self.path.with_name(self.path.name + ".new")
             beside.write_bytes(data)
             os.replace(beside, self.path)
-        told = {one["name"]: [one["address"], one["phase"], one.get("started", 0.0)] for one in hosts}
+        told = {
+            one["name"]: [one["address"], one["phase"], one.get("started", 0.0)] for one in hosts
+        }
         self.record.row("list", self.now(), version, told, truth and not torn)
 
     def begin(self, verb, trouble, chance):
@@ -47,15 +58,30 @@
             fault = lambda hosts, version: (hosts, False, version)  # noqa: E731
             fault.torn = True
         elif verb == "list_old":
-            old, at = [dict(one, phase="ready") for one in self.hosts.values()], max(0, self.version - 5)
+            old, at = (
+                [dict(one, phase="ready") for one in self.hosts.values()],
+                max(0, self.version - 5),
+            )
             fault = lambda hosts, version: (old, False, at)  # noqa: E731
         elif verb == "list_shrunk":
             forgets = {name for name in sorted(self.hosts) if chance.random() < trouble["part"]}
-            fault = lambda hosts, version: ([h for h in hosts if h["name"] not in forgets], False, version)  # noqa: E731
+            fault = lambda hosts, version: (
+                [h for h in hosts if h["name"] not in forgets],
+                False,
+                version,
+            )  # noqa: E731
         else:
             zones = sorted({one["zone"] for one in self.hosts.values()})
-            ghosts = [{"name": f"ghost{at}", "address": f"127.66.0.{at + 1}", "zone": zones[at % len(zones)],
-                       "phase": "ready", "weight": 4.0} for at in range(trouble["ghosts"])]
+            ghosts = [
+                {
+                    "name": f"ghost{at}",
+                    "address": f"127.66.0.{at + 1}",
+                    "zone": zones[at % len(zones)],
+                    "phase": "ready",
+                    "weight": 4.0,
+                }
+                for at in range(trouble["ghosts"])
+            ]
             fault = lambda hosts, version: (hosts + ghosts, False, version)  # noqa: E731
         self.fault = fault
         self.write()
--- a/peatlead/day/play.py
+++ b/peatlead/day/play.py
@@ -60,7 +60,11 @@
     async def play(self):
         self.loop = asyncio.get_running_loop()
         self.folder.mkdir(parents=True, exist_ok=True)
-        for old in [*self.folder.glob("*.rec"), *self.folder.glob("*.log"), *self.folder.glob("state/*")]:
+        for old in [
+            *self.folder.glob("*.rec"),
+            *self.folder.glob("*.log"),
+            *self.folder.glob("state/*"),
+        ]:
             old.unlink()  # an earlier day's list would be remembered, and its hosts seem started anew
         self.record = self.begin_record()
         self.list = NodeList(self.folder / "nodes.json", self.loop.time, self.record)
@@ -78,17 +82,25 @@
         """The checker's report of all that was recorded."""
         settings = load_settings("settings.star", self.script())
         read = read_folder(self.folder)
-        return check(read, settings["limits"], {kind["name"]: kind["gain"] for kind in self.day["kinds"]})
+        return check(
+            read, settings["limits"], {kind["name"]: kind["gain"] for kind in self.day["kinds"]}
+        )
 
     def script(self):
         return self.fleet.settings(self.folder / "nodes.json")
 
     async def set_up(self):
         (self.folder / "settings.star").write_text(self.script())
-        self.telling, self.teller = await self.loop.create_datagram_endpoint(Teller, local_addr=("127.2.0.1", 0))
+        self.telling, self.teller = await self.loop.create_datagram_endpoint(
+            Teller, local_addr=("127.2.0.1", 0)
+        )
         self.halls = [self.spawn("hosts", at) for at in range(HOST_PROCESSES)]
-        self.rooms = [self.spawn("desks", at) for at in range(DESK_PROCESSES if self.fleet.desks else 0)]
-        self.posts = [self.spawn("agents", at) for at in range(AGENT_PROCESSES if self.fleet.agents else 0)]
+        self.rooms = [
+            self.spawn("desks", at) for at in range(DESK_PROCESSES if self.fleet.desks else 0)
+        ]
+        self.posts = [
+            self.spawn("agents", at) for at in range(AGENT_PROCESSES if self.fleet.agents else 0)
+        ]
         for plan in self.fleet.hosts:
             await self.add_host(plan)
             self.list.put(plan, "ready", self.loop.time() - 10_000)
@@ -98,7 +110,9 @@
         for order in self.fleet.resolvers:
             await self.teller.tell(self.room_of(order["name"]), order)
         for at, plan in enumerate(self.fleet.desks):
-            await self.teller.tell(self.room_of(plan["resolver"]), {"do": "desk", "plan": plan, "desk": at})
+            await self.teller.tell(
+                self.room_of(plan["resolver"]), {"do": "desk", "plan": plan, "desk": at}
+            )
         for at, plan in enumerate(self.fleet.agents):
             await self.teller.tell(self.posts[at % len(self.posts)], {"do": "agent", "plan": plan})
 
@@ -110,8 +124,10 @@
         await asyncio.sleep(SETTLE)
         for child in [*self.stewards.values(), *self.children]:
             if child.poll() is not None:
-                raise RuntimeError(f"a process ended before the day began: {' '.join(child.args[2:5])}; "
-                                   f"its log is in {self.folder}")
+                raise RuntimeError(
+                    f"a process ended before the day began: {' '.join(child.args[2:5])}; "
+                    f"its log is in {self.folder}"
+                )
         start = self.loop.time() + 0.2
         for room in self.rooms + self.posts:
             await self.teller.tell(room, {"do": "begin", "at": start})
@@ -119,7 +135,9 @@
         tasks = [self.loop.create_task(self.strike(trouble)) for trouble in self.day["troubles"]]
         await asyncio.sleep(start + self.day["day"]["length"] - self.loop.time())
         await self.note_ends()
-        await asyncio.gather(*(self.teller.tell(room, {"do": "finish"}) for room in self.rooms + self.posts))
+        await asyncio.gather(
+            *(self.teller.tell(room, {"do": "finish"}) for room in self.rooms + self.posts)
+        )
         for task in tasks:
             if not task.done():
                 task.cancel()
@@ -150,10 +168,22 @@
     def spawn(self, kind, at):
         address = self.address_of(kind, at)
         with open(self.folder / f"{kind}{at}.log", "wb") as log:
-            self.children.append(subprocess.Popen(
-                [sys.executable, "-m", "peatlead.standin.process", kind, address, str(self.fleet.port),
-                 str(self.seed_of(kind, at)),
-                 str(self.folder / f"{kind}{at}.rec")], stdout=log, stderr=log))
+            self.children.append(
+                subprocess.Popen(
+                    [
+                        sys.executable,
+                        "-m",
+                        "peatlead.standin.process",
+                        kind,
+                        address,
+                        str(self.fleet.port),
+                        str(self.seed_of(kind, at)),
+                        str(self.folder / f"{kind}{at}.rec"),
+                    ],
+                    stdout=log,
+                    stderr=log,
+                )
+            )
         return address, self.fleet.port
 
     @staticmethod
@@ -167,8 +197,22 @@
         name = f"ns{at + 1}"
         with open(self.folder / f"{name}.log", "ab") as log:
             self.stewards[at] = subprocess.Popen(
-                [sys.executable, "-m", "peatlead", "run", str(self.folder / "settings.star"), "--name", name,
-                 "--state", str(self.folder / "state"), "--planner", self.planner], stdout=log, stderr=log)
+                [
+                    sys.executable,
+                    "-m",
+                    "peatlead",
+                    "run",
+                    str(self.folder / "settings.star"),
+                    "--name",
+                    name,
+                    "--state",
+                    str(self.folder / "state"),
+                    "--planner",
+                    self.planner,
+                ],
+                stdout=log,
+                stderr=log,
+            )
         self.loop.create_task(self.feed(at, self.stewards[at]))
 
     async def feed(self, at, child):
@@ -177,7 +221,8 @@
         while child.poll() is None:
             try:
                 _, stream = await self.loop.create_connection(
-                    lambda: Asking({"ask": "feed"}, self.take_message), address, port + 1)
+                    lambda: Asking({"ask": "feed"}, self.take_message), address, port + 1
+                )
                 self.feeds[at] = stream
                 await stream.over
             except OSError:
@@ -186,8 +231,16 @@
     def take_message(self, data):
         said = msgspec.json.decode(data)
         if "view" in said and not self.over:
-            self.record.row("message", said["at"], said["steward"], said["view"], said["lines"], said["waiting"],
-                            said["most"], said["held"])
+            self.record.row(
+                "message",
+                said["at"],
+                said["steward"],
+                said["view"],
+                said["lines"],
+                said["waiting"],
+                said["most"],
+                said["held"],
+            )
 
     # Hosts.
 
@@ -199,12 +252,17 @@
         for hall in self.halls:
             names = [plan["name"] for plan in plans if self.where[plan["name"]] == hall]
             if names:
-                await self.teller.tell(hall, {"do": "tell", "hosts": names, "fault": fault, "value": value})
+                await self.teller.tell(
+                    hall, {"do": "tell", "hosts": names, "fault": fault, "value": value}
+                )
 
     def some_hosts(self, trouble):
         """Drawn among those that run and have no trouble yet."""
-        found = [plan for plan in self.fleet.hosts
-                 if not trouble["zone"] or plan["zone"] == trouble["zone"]]
+        found = [
+            plan
+            for plan in self.fleet.hosts
+            if not trouble["zone"] or plan["zone"] == trouble["zone"]
+        ]
         many = max(1, round(len(found) * trouble["part"]))
         free = [plan for plan in found if plan["name"] not in self.begun_at]
         chosen = self.chance.sample(free, min(many, len(free)))
@@ -230,7 +288,9 @@
             except (OSError, asyncio.TimeoutError):
                 continue
             for agent, (epoch, serial, digest, age) in told.get("ends", {}).items():
-                self.record.row("published", self.loop.time(), address, agent, epoch, serial, digest, age)
+                self.record.row(
+                    "published", self.loop.time(), address, agent, epoch, serial, digest, age
+                )
 
     async def strike(self, trouble):
         await asyncio.sleep(max(0.0, self.start + trouble["at"] - self.loop.time()))
@@ -245,8 +305,13 @@
 
     def note(self, trouble, plans):
         now = self.loop.time()
-        self.record.row("trouble", now, trouble["verb"], [plan["address"] for plan in plans],
-                        now + trouble.get("length", 0.0))
+        self.record.row(
+            "trouble",
+            now,
+            trouble["verb"],
+            [plan["address"] for plan in plans],
+            now + trouble.get("length", 0.0),
+        )
 
     async def hosts_fault(self, trouble, fault, value, over):
         plans = self.some_hosts(trouble)
@@ -296,7 +361,11 @@
         """All of a pod's processes die at once and come back cold; the list never says that they went."""
         pods = sorted({plan["pod"] for plan in self.fleet.hosts})
         chosen = set(self.chance.sample(pods, min(trouble["pods"], len(pods))))
-        plans = [plan for plan in self.fleet.hosts if plan["pod"] in chosen and plan["name"] not in self.begun_at]
+        plans = [
+            plan
+            for plan in self.fleet.hosts
+            if plan["pod"] in chosen and plan["name"] not in self.begun_at
+        ]
         await self.tell_hosts(plans, "stop")
         await asyncio.sleep(1.0)
         for plan in plans:
@@ -348,7 +417,9 @@
 
     async def shift(self, trouble):
         zones = self.fleet.zones
-        home = zones.index(trouble["zone"]) if trouble["zone"] else self.chance.randrange(len(zones))
+        home = (
+            zones.index(trouble["zone"]) if trouble["zone"] else self.chance.randrange(len(zones))
+        )
         near = [desk["view"] for at, desk in enumerate(self.fleet.desks) if at % len(zones) == home]
         far = [desk["view"] for desk in self.fleet.desks if desk["view"] not in near]
         less = max(0.1, 1 - (trouble["times"] - 1) * len(near) / max(1, len(far)))
@@ -399,9 +470,15 @@
         while self.loop.time() < until:
             free = [at for at in self.stewards if at not in self.away]
             if len(free) > 1:
-                strike = {"steward": self.chance.choice(free),
-                          "length": self.chance.uniform(0.5, trouble["most"])}
-                case = self.steward_frozen if self.chance.random() < trouble["freezes"] else self.steward_killed
+                strike = {
+                    "steward": self.chance.choice(free),
+                    "length": self.chance.uniform(0.5, trouble["most"]),
+                }
+                case = (
+                    self.steward_frozen
+                    if self.chance.random() < trouble["freezes"]
+                    else self.steward_killed
+                )
                 running.append(self.loop.create_task(case(strike)))
             await asyncio.sleep(trouble["every"] * self.chance.uniform(0.3, 1.7))
         await asyncio.gather(*running)
@@ -415,9 +492,19 @@
     async def rollback(self, trouble):
         """By hand, on any steward that answers; it ends by time, or by hand on another one."""
         whom = ("zone", trouble["zone"]) if trouble["zone"] else ("share", str(trouble["share"]))
-        asked = {"ask": "tables", "do": "pin", "args": {
-            "whom": whom[0], "which": whom[1], "target": "back", "to": str(trouble["back"]), "over": trouble["over"],
-            "length": trouble["length"], "by": "the day"}}
+        asked = {
+            "ask": "tables",
+            "do": "pin",
+            "args": {
+                "whom": whom[0],
+                "which": whom[1],
+                "target": "back",
+                "to": str(trouble["back"]),
+                "over": trouble["over"],
+                "length": trouble["length"],
+                "by": "the day",
+            },
+        }
         for at in range(len(self.stewards)):
             steward = (trouble["steward"] + at) % len(self.stewards)
             if steward in self.away:
--- a/peatlead/dns/answers.py
+++ b/peatlead/dns/answers.py
@@ -87,7 +87,9 @@
         lifetime = self.front.lifetime if self.seat.lasting else 0
         records = [self.front.record(host, self.family, lifetime) for host in order]
         room = (self.limit - 2 - len(self.head) - len(self.tail)) // len(records[0])  # 2: the id
-        records = records[:room]  # fewer addresses than asked for still serve: no need to come again by TCP
+        records = records[
+            :room
+        ]  # fewer addresses than asked for still serve: no need to come again by TCP
         flags, question = self.head[:2], self.head[10:]
         counts = struct.pack(">HHHH", 1, len(records), 0, 1 if self.tail else 0)
         body = self.bodies[order] = flags + counts + question + b"".join(records) + self.tail
@@ -111,9 +113,13 @@
         self.seats = [[Seat() for _ in self.services] for _ in views.views]
         self.doors, self.prepared, self.records = {False: {}, True: {}}, 0, {}
         self.placed = 0  # counts all changes of what may be told
-        self.serial, self.transfer = 1, None  # transfer(query, peer, tcp): messages, where there are secondaries
+        self.serial, self.transfer = (
+            1,
+            None,
+        )  # transfer(query, peer, tcp): messages, where there are secondaries
         self.counts = dict.fromkeys(
-            ("asked", "malformed", "refused", "unknown", "empty", "truncated", "flushed"), 0)
+            ("asked", "malformed", "refused", "unknown", "empty", "truncated", "flushed"), 0
+        )
 
     # What the steward tells.
 
@@ -182,7 +188,9 @@
                 raise ValueError("expected one question")
         except dns.message.Truncated:
             return self.bare(data, dns.rcode.FORMERR)
-        except Exception:  # whatever the codec makes of hostile bytes, the asker gets one short answer
+        except (
+            Exception
+        ):  # whatever the codec makes of hostile bytes, the asker gets one short answer
             self.counts["malformed"] += 1
             return self.bare(data, dns.rcode.FORMERR)
         return self.answer(query, data, peer, tcp)
@@ -205,7 +213,9 @@
         asked = query.question[0]
         found, option = self.find_view(query, peer)
         if query.edns == 0:
-            answer.use_edns(0, payload=self.settings["udp_most"], options=[option] if option else [])
+            answer.use_edns(
+                0, payload=self.settings["udp_most"], options=[option] if option else []
+            )
         if asked.rdclass != dns.rdataclass.IN or not asked.name.is_subdomain(self.zone):
             return self.refuse(answer, limit)
         if asked.rdtype in (dns.rdatatype.AXFR, dns.rdatatype.IXFR):
@@ -213,8 +223,10 @@
                 return self.refuse(answer, limit)
             found = self.transfer(query, peer, tcp)
             return found if tcp else found[0]
-        labels = [label.decode("ascii", "replace").lower()
-                  for label in asked.name.relativize(self.zone).labels]
+        labels = [
+            label.decode("ascii", "replace").lower()
+            for label in asked.name.relativize(self.zone).labels
+        ]
         return self.fill(answer, asked, labels, found, data, peer, tcp, limit)
 
     def refuse(self, answer, limit):
@@ -229,7 +241,9 @@
             for option in query.options:
                 if isinstance(option, dns.edns.ECSOption):
                     if option.srclen == 0:  # the client asks not to be told apart (section 7.1.2)
-                        return Found(self.views.of_peer(peer).view, 0), dns.edns.ECSOption(option.address, 0, 0)
+                        return Found(self.views.of_peer(peer).view, 0), dns.edns.ECSOption(
+                            option.address, 0, 0
+                        )
                     address = ip_address(option.address)
                     found = self.views.of_network(plain(address), option.srclen)
                     return found, dns.edns.ECSOption(option.address, option.srclen, found.scope)
@@ -262,7 +276,9 @@
                 return self.negative(answer, limit)
             if view is None:
                 return self.refuse(answer, limit)
-            return self.steer(answer, asked, self.seats[view.index][service], data, peer, tcp, limit)
+            return self.steer(
+                answer, asked, self.seats[view.index][service], data, peer, tcp, limit
+            )
         self.fill_fixed(answer, name, labels, kind)
         return self.finish(answer, limit) if answer.answer else self.negative(answer, limit)
 
@@ -275,8 +291,11 @@
             host = self.by_label.get(labels[0])
             return host in self.open_hosts
         # Names between the apex and an SRV name exist without records (RFC 8020): _tcp.api
-        return labels[0] == "_tcp" and labels[-1] in self.services and (
-            len(labels) == 2 or len(labels) == 3 and labels[1] in self.views.by_name)
+        return (
+            labels[0] == "_tcp"
+            and labels[-1] in self.services
+            and (len(labels) == 2 or len(labels) == 3 and labels[1] in self.views.by_name)
+        )
 
     def steer(self, answer, asked, seat, data, peer, tcp, limit):
         family = HOST_TYPES.get(asked.rdtype)
@@ -294,9 +313,11 @@
 
     def prepare(self, answer, seat, family, data, peer, tcp, limit):
         empty = answer.to_wire()  # header, question and OPT as the codec has them
-        question = data[12:data.index(b"\0", 12) + 5]  # the asker's own bytes: the case of its name is kept
+        question = data[
+            12 : data.index(b"\0", 12) + 5
+        ]  # the asker's own bytes: the case of its name is kept
         head = empty[2:12] + question
-        made = Prepared(self, seat, family, head, empty[12 + len(question):], limit)
+        made = Prepared(self, seat, family, head, empty[12 + len(question) :], limit)
         if self.prepared >= self.settings["prepared_most"]:
             self.flush()
         self.doors[tcp].setdefault(peer, {})[data[2:]] = made
@@ -311,8 +332,11 @@
         for host, weight in sorted(srv_weights(seat.weighed).items()):
             target = dns.name.Name((self.hosts[host].name.encode(),) + under.labels)
             add(answer.answer, name, lifetime, "SRV", f"0 {weight} {port} {target}")
-            extra += [(target, rtype, self.hosts[host].at[family]) for family, rtype in ((4, "A"), (6, "AAAA"))
-                      if self.hosts[host].at[family]]
+            extra += [
+                (target, rtype, self.hosts[host].at[family])
+                for family, rtype in ((4, "A"), (6, "AAAA"))
+                if self.hosts[host].at[family]
+            ]
         for target, rtype, address in extra:
             add(answer.additional, target, lifetime, rtype, address)
         wire = answer.to_wire(max_size=65535)
@@ -327,14 +351,23 @@
         elif not labels and kind == dns.rdatatype.NS:
             for steward, address in self.stewards:
                 add(answer.answer, name, 60, "NS", f"{steward}.{zone}")
-                add(answer.additional, dns.name.from_text(steward, self.zone), 60, rtype_of(address), address)
+                add(
+                    answer.additional,
+                    dns.name.from_text(steward, self.zone),
+                    60,
+                    rtype_of(address),
+                    address,
+                )
         elif len(labels) == 1:
             for steward, address in self.stewards:
                 if steward == labels[0] and rtype_of(address) == dns.rdatatype.to_text(kind):
                     add(answer.answer, name, 60, rtype_of(address), address)
         elif labels and kind in HOST_TYPES:
-            address = self.hosts[self.by_label[labels[0]]].at[HOST_TYPES[kind]] if len(labels) == 2 \
-                and labels[0] in self.by_label else None
+            address = (
+                self.hosts[self.by_label[labels[0]]].at[HOST_TYPES[kind]]
+                if len(labels) == 2 and labels[0] in self.by_label
+                else None
+            )
             if address:
                 add(answer.answer, name, self.lifetime, dns.rdatatype.to_text(kind), address)
 
@@ -345,21 +378,43 @@
 
     def zone_records(self):
         """{(name, lifetime, type, text)} of all that a plain secondary can say: views' names, and hosts'."""
-        zone, hosts, lifetime = self.zone.to_text(), self.settings["hosts_label"], max(1, self.lifetime)
+        zone, hosts, lifetime = (
+            self.zone.to_text(),
+            self.settings["hosts_label"],
+            max(1, self.lifetime),
+        )
         found = {("@", 60, "NS", f"{name}.{zone}") for name, _ in self.stewards}
         found |= {(name, 60, rtype_of(address), address) for name, address in self.stewards}
         named = set()
         for view in self.views.by_name.values():
             for service, at in self.services.items():
                 seat, name = self.seats[view.index][at], f"{view.name}.{service}"
-                found |= {(name, lifetime, kind, self.hosts[host].at[family]) for host in seat.lines
-                          for family, kind in ((4, "A"), (6, "AAAA")) if self.hosts[host].at[family]}
-                found |= {(f"{self.settings['service_label']}._tcp.{name}", lifetime, "SRV",
-                           f"0 {weight} {self.settings['port']} {self.hosts[host].name}.{hosts}.{zone}")
-                          for host, weight in srv_weights(seat.weighed).items()} if seat.weighed else set()
+                found |= {
+                    (name, lifetime, kind, self.hosts[host].at[family])
+                    for host in seat.lines
+                    for family, kind in ((4, "A"), (6, "AAAA"))
+                    if self.hosts[host].at[family]
+                }
+                found |= (
+                    {
+                        (
+                            f"{self.settings['service_label']}._tcp.{name}",
+                            lifetime,
+                            "SRV",
+                            f"0 {weight} {self.settings['port']} {self.hosts[host].name}.{hosts}.{zone}",
+                        )
+                        for host, weight in srv_weights(seat.weighed).items()
+                    }
+                    if seat.weighed
+                    else set()
+                )
                 named |= set(seat.weighed)
-        return found | {(f"{self.hosts[host].name}.{hosts}", lifetime, kind, self.hosts[host].at[family])
-                        for host in named for family, kind in ((4, "A"), (6, "AAAA")) if self.hosts[host].at[family]}
+        return found | {
+            (f"{self.hosts[host].name}.{hosts}", lifetime, kind, self.hosts[host].at[family])
+            for host in named
+            for family, kind in ((4, "A"), (6, "AAAA"))
+            if self.hosts[host].at[family]
+        }
 
     def negative(self, answer, limit):
         """No such name or no such data: the SOA says for how long that may be kept (RFC 2308 section 3)."""
@@ -372,7 +427,9 @@
             return wire
         self.counts["truncated"] += 1
         answer.answer, answer.authority, answer.additional = [], [], []
-        answer.flags |= dns.flags.TC  # the whole comes by TCP (RFC 2181 section 9: no part is to be used)
+        answer.flags |= (
+            dns.flags.TC
+        )  # the whole comes by TCP (RFC 2181 section 9: no part is to be used)
         return answer.to_wire(max_size=65535)
 
 
--- a/peatlead/dns/notify.py
+++ b/peatlead/dns/notify.py
@@ -10,7 +10,10 @@
 from .zone import Serials, ZoneHistory
 
 EVERY = 1.0  # seconds at least between two versions of the zone
-TRIES, FIRST_WAIT = 6, 1.0  # NOTIFY messages to one secondary, and the wait after the first, doubled each time
+TRIES, FIRST_WAIT = (
+    6,
+    1.0,
+)  # NOTIFY messages to one secondary, and the wait after the first, doubled each time
 
 
 class Secondaries(asyncio.DatagramProtocol):
@@ -20,21 +23,38 @@
     """
 
     def __init__(self, answers, places, index, many, serial, chance, kept):
-        self.answers, self.places, self.chance, self.kept = answers, [tuple(one) for one in places], chance, kept
+        self.answers, self.places, self.chance, self.kept = (
+            answers,
+            [tuple(one) for one in places],
+            chance,
+            kept,
+        )
         self.peers = {address for address, _ in self.places}
         self.history = ZoneHistory(answers.zone, answers.soa, Serials(index, many), serial)
         self.transport, self.made_at, self.waiting, self.placed = None, -1e9, {}, -1
-        self.counts = {"versions": 0, "notified": 0, "answered": 0, "given up": 0, "transfers": 0, "passed": 0}
+        self.counts = {
+            "versions": 0,
+            "notified": 0,
+            "answered": 0,
+            "given up": 0,
+            "transfers": 0,
+            "passed": 0,
+        }
         answers.transfer = self.transfer
 
     async def open(self, address):
         self.loop = asyncio.get_running_loop()
-        self.transport, _ = await self.loop.create_datagram_endpoint(lambda: self, local_addr=(address, 0))
+        self.transport, _ = await self.loop.create_datagram_endpoint(
+            lambda: self, local_addr=(address, 0)
+        )
 
     def tick(self, now):
         """Makes a new version where anything has changed, at most one each EVERY seconds."""
-        if now - self.made_at < EVERY or self.answers.placed == self.placed or not any(
-                seat.lines for view in self.answers.seats for seat in view):
+        if (
+            now - self.made_at < EVERY
+            or self.answers.placed == self.placed
+            or not any(seat.lines for view in self.answers.seats for seat in view)
+        ):
             return
         self.made_at, self.placed = now, self.answers.placed
         if self.history.update(self.answers.zone_records()):
@@ -60,7 +80,10 @@
         message.id = self.chance.randrange(1 << 16)
         self.transport.sendto(message.to_wire(), place)
         self.counts["notified"] += 1
-        self.waiting[place] = message.id, self.loop.call_later(wait, self.notify, place, tries - 1, 2 * wait)
+        self.waiting[place] = (
+            message.id,
+            self.loop.call_later(wait, self.notify, place, tries - 1, 2 * wait),
+        )
 
     def datagram_received(self, data, peer):
         found = self.waiting.get(tuple(peer[:2]))
@@ -73,7 +96,11 @@
 
     def transfer(self, query, peer, tcp):
         """The messages for an AXFR or IXFR query; only secondaries of the settings get any."""
-        if peer not in self.peers or query.question[0].name != self.answers.zone or not self.history.records:
+        if (
+            peer not in self.peers
+            or query.question[0].name != self.answers.zone
+            or not self.history.records
+        ):
             return refused(query)
         self.counts["transfers"] += tcp
         serial = held_serial(query)
--- a/peatlead/dns/rota.py
+++ b/peatlead/dns/rota.py
@@ -67,4 +67,6 @@
     """host -> 16-bit weight (RFC 2782), the heaviest 1,000: in proportion, and none 0, since a 0 would make a
     line that is meant to be light one that is hardly ever met."""
     top = max(lines.values(), default=0.0)
-    return {host: max(1, round(weight / top * 1000)) for host, weight in lines.items()} if top else {}
+    return (
+        {host: max(1, round(weight / top * 1000)) for host, weight in lines.items()} if top else {}
+    )
--- a/peatlead/dns/server.py
+++ b/peatlead/dns/server.py
@@ -47,10 +47,10 @@
         data = self.part + data
         at = 0
         while len(data) - at >= 2:
-            size = int.from_bytes(data[at:at + 2], "big")
+            size = int.from_bytes(data[at : at + 2], "big")
             if len(data) - at - 2 < size:
                 break
-            self.one(data[at + 2:at + 2 + size])
+            self.one(data[at + 2 : at + 2 + size])
             at += 2 + size
         self.part = data[at:]  # under 64 KiB: a message has at most 65,535 bytes
 
--- a/peatlead/dns/thin.py
+++ b/peatlead/dns/thin.py
@@ -29,6 +29,7 @@
 class Named(NamedTuple):
     """`lines`: host -> weight that answers are drawn by; `lasting`: whether they may be kept; `places`: how
     many addresses an answer should have at least."""
+
     lines: dict
     lasting: bool
     places: int = 1
@@ -56,7 +57,9 @@
         for view, rate in heard:
             self.rates[view] = max(LEAST_RATE, rate, self.rates.get(view, 0.0) * CALMS)
             touched |= {view} & self.tables.keys()
-        self.fair = fsum(self.rates.values()) / max(1, sum(1 for views in self.holders.values() if views))
+        self.fair = fsum(self.rates.values()) / max(
+            1, sum(1 for views in self.holders.values() if views)
+        )
         for view, table in changed.items():
             for host in self.tables.get(view, {}).keys() - table.keys():
                 self.holders[host].discard(view)
@@ -64,8 +67,14 @@
                 self.holders.setdefault(host, set()).add(view)
             self.tables[view] = dict(table)
         doubtful = self.ramping.union(*(self.tables[view] for view in touched))
-        ramping = {host for host in doubtful if any(
-            self.tables[view][host] < RAMPING * listed.get(host, 0.0) for view in self.holders.get(host, ()))}
+        ramping = {
+            host
+            for host in doubtful
+            if any(
+                self.tables[view][host] < RAMPING * listed.get(host, 0.0)
+                for view in self.holders.get(host, ())
+            )
+        }
         takers = {host: self.takers(host) for host in sorted(ramping)}
         for host in ramping | self.ramping:
             touched |= self.holders.get(host, set())
@@ -97,7 +106,9 @@
 
     def name(self, view, takers):
         table, lines = self.tables[view], {}
-        parts = self.rates.get(view, 1.0) / max(1e-9, self.fair)  # of a host's fair part of all reqs
+        parts = self.rates.get(view, 1.0) / max(
+            1e-9, self.fair
+        )  # of a host's fair part of all reqs
         for host, weight in table.items():
             if host not in takers:
                 lines[host] = weight
--- a/peatlead/dns/transfer.py
+++ b/peatlead/dns/transfer.py
@@ -30,7 +30,9 @@
         answer.set_rcode(dns.rcode.FORMERR)
         return [answer.to_wire()]
     if not tcp or serial == history.serial:
-        return messages(query, history, [head])  # up to date; or by UDP: come again by TCP (RFC 1995 section 2)
+        return messages(
+            query, history, [head]
+        )  # up to date; or by UDP: come again by TCP (RFC 1995 section 2)
     moved = history.since(serial)
     if moved is None:
         return messages(query, history, whole(history, head))
@@ -38,8 +40,9 @@
     if len(gone) + len(come) > len(history.records):
         return messages(query, history, whole(history, head))  # the whole is shorter
     old = next(record for record in gone if record[2] == SOA)
-    return messages(query, history, [
-        head, old, *sorted(gone - {old}), head, *sorted(come - {head}), head])
+    return messages(
+        query, history, [head, old, *sorted(gone - {old}), head, *sorted(come - {head}), head]
+    )
 
 
 def held_serial(query):
@@ -59,10 +62,14 @@
     answer = dns.message.make_response(query)
     answer.flags |= dns.flags.AA
     wire = answer.to_wire()
-    question = wire[12:wire.index(b"\0", 12) + 5]
+    question = wire[12 : wire.index(b"\0", 12) + 5]
     found = []
     for at in range(0, len(records), EACH):
-        some = records[at:at + EACH]
-        found.append(wire[:4] + struct.pack(">HHHH", 1, len(some), 0, 0) + question
-                     + b"".join(history.canonical.row(record)[1] for record in some))
+        some = records[at : at + EACH]
+        found.append(
+            wire[:4]
+            + struct.pack(">HHHH", 1, len(some), 0, 0)
+            + question
+            + b"".join(history.canonical.row(record)[1] for record in some)
+        )
     return found
--- a/peatlead/dns/views.py
+++ b/peatlead/dns/views.py
@@ -15,6 +15,7 @@
 
 class View(NamedTuple):
     """`number` is the planner's id: a hash of the name, the same at every steward; `rate` reqs a second."""
+
     index: int
     name: str
     number: int
@@ -24,6 +25,7 @@
 
 class Found(NamedTuple):
     """`scope` is the prefix length that the answer holds for (RFC 7871 section 7.2.1)."""
+
     view: Optional[View]
     scope: int
 
@@ -48,7 +50,9 @@
         level.setdefault(network.prefixlen, {})[int(network.network_address)] = value
         bits = network.max_prefixlen
         self.order[network.version] = tuple(
-            (length, ((1 << length) - 1) << (bits - length), level[length]) for length in sorted(level, reverse=True))
+            (length, ((1 << length) - 1) << (bits - length), level[length])
+            for length in sorted(level, reverse=True)
+        )
 
     def find(self, address, most=128):
         """(value, prefix length) of the longest network no longer than `most` that holds the address, or None."""
@@ -72,7 +76,10 @@
                 self.by_network.add(network, view)
             for resolver in entry["resolvers"]:
                 self.by_resolver[ip_address(resolver)] = view
-        self.open = [self.add(f"open:{at}", at % len(zones), 1.0) for at in range(settings["dns"]["open_views"])]
+        self.open = [
+            self.add(f"open:{at}", at % len(zones), 1.0)
+            for at in range(settings["dns"]["open_views"])
+        ]
         self.by_number = {view.number: view for view in self.views}
         if len(self.by_number) != len(self.views):
             raise ValueError("two views hash to one number: rename one")
@@ -104,7 +111,9 @@
         prefix = min(length, OPEN_PREFIX[address.version])
         shift = address.max_prefixlen - prefix
         key = b"%d/%d/%d" % (address.version, prefix, int(address) >> shift)
-        return Found(self.open[int.from_bytes(blake3(key).digest(8), "big") % len(self.open)], prefix)
+        return Found(
+            self.open[int.from_bytes(blake3(key).digest(8), "big") % len(self.open)], prefix
+        )
 
 
 def plain(address: IPv4Address | IPv6Address):
--- a/peatlead/dns/zone.py
+++ b/peatlead/dns/zone.py
@@ -20,7 +20,10 @@
 import dns.rdatatype
 
 WRAP = 1 << 32
-KEPT_MOST, RECORDS_MOST = 500, 50_000  # differences kept; records in them: past either the oldest go
+KEPT_MOST, RECORDS_MOST = (
+    500,
+    50_000,
+)  # differences kept; records in them: past either the oldest go
 SOA, ZONEMD = "SOA", "ZONEMD"
 
 
@@ -75,7 +78,10 @@
 
     def replace(self, bare, serial):
         self.serial = serial
-        head, old = ("@", 60, SOA, self.soa(serial)), {one for one in self.records if one[2] != ZONEMD}
+        head, old = (
+            ("@", 60, SOA, self.soa(serial)),
+            {one for one in self.records if one[2] != ZONEMD},
+        )
         new = bare | {head}
         self.canonical.change(old - new, new - old)
         self.digest = f"{serial} 1 1 {self.canonical.digest()}"  # scheme SIMPLE, SHA-384
@@ -130,9 +136,16 @@
             name, lifetime, rtype, text = record
             owner = self.origin if name == "@" else dns.name.from_text(name, self.origin)
             kind = dns.rdatatype.from_text(rtype)
-            rdata = dns.rdata.from_text("IN", kind, text, self.origin, False).to_digestable(self.origin)
-            wire = owner.to_digestable() + struct.pack(">HHIH", kind, 1, lifetime, len(rdata)) + rdata
-            found = self.made[record] = (tuple(label.lower() for label in reversed(owner.labels)), kind, rdata), wire
+            rdata = dns.rdata.from_text("IN", kind, text, self.origin, False).to_digestable(
+                self.origin
+            )
+            wire = (
+                owner.to_digestable() + struct.pack(">HHIH", kind, 1, lifetime, len(rdata)) + rdata
+            )
+            found = self.made[record] = (
+                (tuple(label.lower() for label in reversed(owner.labels)), kind, rdata),
+                wire,
+            )
         return found
 
     def change(self, gone, come):
--- a/peatlead/fleet/members.py
+++ b/peatlead/fleet/members.py
@@ -19,11 +19,14 @@
 NEWS_MOST = 12  # members that a message tells of
 TOLD_TIMES = 3  # times log2 of the members that each news is passed on
 MEMBERS_MOST = 500
-FORGET_AFTER = 60.0  # seconds that a dead or left member is remembered, so that old news can't revive it
+FORGET_AFTER = (
+    60.0  # seconds that a dead or left member is remembered, so that old news can't revive it
+)
 
 
 class About(msgspec.Struct, array_like=True, frozen=True):
     """News of one member; `load`: proxies joined; `draining`: takes no more."""
+
     name: str
     address: tuple
     state: str
@@ -45,6 +48,7 @@
 
 class TryFor(msgspec.Struct, array_like=True, tag=True):
     """Probe `address` and pass its answer on."""
+
     number: int
     address: tuple
     news: list[About]
@@ -61,6 +65,7 @@
 
 class Mine(NamedTuple):
     """What others should know of this member."""
+
     load: int
     draining: bool
 
@@ -104,7 +109,12 @@
         self.every, self.wait, self.suspect = every, wait, suspect
         self.members, self.round, self.number = {me.name: Member(me, 0.0)}, [], 0
         self.probing, self.passing, self.probe_at, self.last_tick = {}, {}, 0.0, None
-        self.handlers = {Heard: self.on_heard, Tick: self.on_tick, Mine: self.on_mine, Leave: self.on_leave}
+        self.handlers = {
+            Heard: self.on_heard,
+            Tick: self.on_tick,
+            Mine: self.on_mine,
+            Leave: self.on_leave,
+        }
 
     def decide(self, now, events):
         self.now, self.orders = now, []
@@ -114,8 +124,11 @@
 
     def live(self):
         """About of all that are alive or only suspected, by name."""
-        return {name: one.about for name, one in sorted(self.members.items())
-                if one.about.state in (ALIVE, SUSPECT)}
+        return {
+            name: one.about
+            for name, one in sorted(self.members.items())
+            if one.about.state in (ALIVE, SUSPECT)
+        }
 
     # Time.
 
@@ -153,11 +166,18 @@
             self.probing[self.number] = name, False, self.now + self.wait
             self.send(self.members[name].about.address, Ping(self.number, self.news()))
         # Seeds that nobody is known at are asked for ever, one at a time: both halves of a cut start so.
-        known = {one.about.address for one in self.members.values() if one.about.state in (ALIVE, SUSPECT)}
+        known = {
+            one.about.address
+            for one in self.members.values()
+            if one.about.state in (ALIVE, SUSPECT)
+        }
         unknown = [seed for seed in self.seeds if seed not in known]
         if unknown:
             self.number += 1
-            self.send(self.chance.choice(unknown), Ping(self.number, [self.me, *self.news()[:NEWS_MOST - 1]]))
+            self.send(
+                self.chance.choice(unknown),
+                Ping(self.number, [self.me, *self.news()[: NEWS_MOST - 1]]),
+            )
 
     def no_answer(self, number, name, helped):
         del self.probing[number]
@@ -168,7 +188,10 @@
         if not helped and others:
             self.probing[number] = name, True, self.now + 2 * self.wait
             for helper in self.chance.sample(others, min(HELPERS, len(others))):
-                self.send(self.members[helper].about.address, TryFor(number, member.about.address, self.news()))
+                self.send(
+                    self.members[helper].about.address,
+                    TryFor(number, member.about.address, self.news()),
+                )
         elif member.about.state == ALIVE:
             self.learn(msgspec.structs.replace(member.about, state=SUSPECT))
 
@@ -185,10 +208,19 @@
             # One that others hold for dead must hear it, or it could not refute; so must one that started anew
             # and whose news is older than what is known of its life before. A newcomer wants to know all.
             told = {about.name: about.incarnation for about in message.news}
-            extra = [one.about for one in self.members.values() if one.about.address == address and (
-                one.about.state != ALIVE or told.get(one.about.name, 1 << 62) < one.about.incarnation)]
+            extra = [
+                one.about
+                for one in self.members.values()
+                if one.about.address == address
+                and (
+                    one.about.state != ALIVE
+                    or told.get(one.about.name, 1 << 62) < one.about.incarnation
+                )
+            ]
             newcomer = not any(one.about.address == address for one in self.members.values())
-            self.send(address, Ack(message.number, (extra + self.news(everything=newcomer))[:NEWS_MOST]))
+            self.send(
+                address, Ack(message.number, (extra + self.news(everything=newcomer))[:NEWS_MOST])
+            )
         elif type(message) is Ack:
             self.probing.pop(message.number, None)
             if message.number in self.passing:
@@ -206,20 +238,28 @@
     def news(self, everything=False):
         """What to tell now: of us first, then what was told least often, as long as it is news."""
         most = TOLD_TIMES * ceil(log2(len(self.members) + 1))
-        found = sorted((one for one in self.members.values() if everything or one.told < most),
-                       key=lambda one: (one.about.name != self.me.name, one.told, one.about.name))[:NEWS_MOST]
+        found = sorted(
+            (one for one in self.members.values() if everything or one.told < most),
+            key=lambda one: (one.about.name != self.me.name, one.told, one.about.name),
+        )[:NEWS_MOST]
         for one in found:
             one.told += 1
         if not any(one.about.name == self.me.name for one in found):
-            return [self.me, *(one.about for one in found[:NEWS_MOST - 1])]
+            return [self.me, *(one.about for one in found[: NEWS_MOST - 1])]
         return [one.about for one in found]
 
     # What is known.
 
     def learn(self, about):
-        about = msgspec.structs.replace(about, address=tuple(about.address), orders=tuple(about.orders))
+        about = msgspec.structs.replace(
+            about, address=tuple(about.address), orders=tuple(about.orders)
+        )
         if about.name == self.me.name:
-            if about.state != ALIVE and about.incarnation >= self.me.incarnation and self.me.state != LEFT:
+            if (
+                about.state != ALIVE
+                and about.incarnation >= self.me.incarnation
+                and self.me.state != LEFT
+            ):
                 self.refute(about.incarnation)
             elif about.incarnation > self.me.incarnation:
                 self.refute(about.incarnation)  # we were here before, and have forgotten it
@@ -252,7 +292,9 @@
 
     def on_mine(self, event):
         if (event.load, event.draining) != (self.me.load, self.me.draining):
-            self.replace_me(load=event.load, draining=event.draining, incarnation=self.me.incarnation + 1)
+            self.replace_me(
+                load=event.load, draining=event.draining, incarnation=self.me.incarnation + 1
+            )
 
     def on_leave(self, _):
         self.replace_me(state=LEFT, incarnation=self.me.incarnation + 1)
--- a/peatlead/fleet/node.py
+++ b/peatlead/fleet/node.py
@@ -14,16 +14,19 @@
 
 class Note(msgspec.Struct, array_like=True, tag=True):
     """Advice from one member's planner to another's: what it says is the planner's matter."""
+
     payload: bytes
 
 
 class PinsTold(msgspec.Struct, array_like=True, tag=True):
     """Operators' pins, as `tables.pins` writes them."""
+
     payload: bytes
 
 
 class WishTold(msgspec.Struct, array_like=True, tag=True):
     """What one proxy held before a pin, by a steward that owned it then."""
+
     payload: bytes
 
 
@@ -36,21 +39,51 @@
     the sender by its place in the settings; `pinned(payload)` hears pins,
     `wished(payload)` what others know of pinned proxies."""
 
-    def __init__(self, settings, me, chance, boot, mine, log, noted=lambda sender, payload: None,
-                 pinned=lambda payload: None, wished=lambda payload: None):
+    def __init__(
+        self,
+        settings,
+        me,
+        chance,
+        boot,
+        mine,
+        log,
+        noted=lambda sender, payload: None,
+        pinned=lambda payload: None,
+        wished=lambda payload: None,
+    ):
         self.pinned, self.wished = pinned, wished
-        self.settings, self.me, self.mine, self.log, self.noted = settings["fleet"], me, mine, log, noted
+        self.settings, self.me, self.mine, self.log, self.noted = (
+            settings["fleet"],
+            me,
+            mine,
+            log,
+            noted,
+        )
         self.ranks = {one["name"]: at for at, one in enumerate(settings["steward"])}
         self.notes_left, self.notes_at = NOTES_MOST, 0.0
         keys = [bytes.fromhex(one) for one in self.settings["keys"]]
         self.seal = Seal(keys, me["name"], boot)
         seeds = [one["peer"] for one in settings["steward"] if one["name"] != me["name"]]
         about = About(me["name"], me["peer"], "alive", 0, me["grpc"] or ())
-        self.members = Members(about, seeds, chance, self.settings["probe_every"], self.settings["probe_wait"],
-                               self.settings["suspect"])
+        self.members = Members(
+            about,
+            seeds,
+            chance,
+            self.settings["probe_every"],
+            self.settings["probe_wait"],
+            self.settings["suspect"],
+        )
         self.owners = Owners(me["name"], self.settings["joins_rate"], chance)
         self.names, self.transport, self.timer = {}, None, None
-        self.counts = {"in": 0, "out": 0, "bytes out": 0, "refused": 0, "unproven": 0, "notes": 0, "notes dropped": 0}
+        self.counts = {
+            "in": 0,
+            "out": 0,
+            "bytes out": 0,
+            "refused": 0,
+            "unproven": 0,
+            "notes": 0,
+            "notes dropped": 0,
+        }
         self.last_refusal = ""
 
     async def open(self):
@@ -72,7 +105,9 @@
                 self.send(order.address, msgspec.msgpack.encode(order.message))
             else:
                 self.log("member", name=order.name, before=order.before, after=order.after)
-        self.owners.living(now, {name: (about.load, about.draining) for name, about in self.members.live().items()})
+        self.owners.living(
+            now, {name: (about.load, about.draining) for name, about in self.members.live().items()}
+        )
 
     def send(self, address, body):
         data = self.seal.close(body, self.names.get(address, ""))
@@ -88,7 +123,7 @@
             if name not in self.names.values() or self.names.get(address) != name:
                 self.names = {a: n for a, n in self.names.items() if n != name} | {address: name}
             if body.startswith(PROVE):
-                self.seal.learn(name, body[len(PROVE):])
+                self.seal.learn(name, body[len(PROVE) :])
                 return
             message = MESSAGES.decode(body)
         except Unproven as problem:
@@ -132,7 +167,7 @@
         are new to each other could never begin."""
         self.names[address] = problem.name
         if problem.body.startswith(PROVE):
-            self.seal.learn(problem.name, problem.body[len(PROVE):])
+            self.seal.learn(problem.name, problem.body[len(PROVE) :])
         else:
             self.send(address, PROVE + problem.proof)
 
--- a/peatlead/fleet/owners.py
+++ b/peatlead/fleet/owners.py
@@ -15,7 +15,10 @@
 from blake3 import blake3
 
 HOPS_MOST = 2  # a proxy that was sent on this often is taken in by whoever it reached
-EXTRA, ROOM = 1.25, 4  # a controller is full past its fair part by this much; and by this many at least
+EXTRA, ROOM = (
+    1.25,
+    4,
+)  # a controller is full past its fair part by this much; and by this many at least
 MOVE_PART = 0.05  # of its proxies that a controller sends on a second, once another should own them
 SETTLE = 3.0  # seconds that the living must have stood before anything is moved for balance
 AVOID_FOR = 5.0  # seconds that a proxy's word holds that it could not reach a controller
@@ -25,6 +28,7 @@
 class Verdict(NamedTuple):
     """`owner`: name of the controller that should have it; `take`: whether we take it in; `wait`: seconds
     that it should wait before it dials again (0 where it is taken or sent on)."""
+
     owner: str
     take: bool
     wait: float
@@ -76,11 +80,18 @@
         self.tokens_at = now
         if self.tokens < 1:
             # All of a dead controller's proxies come at once: drawn waits spread them over what we can take.
-            return Verdict(self.me, False, self.chance.uniform(0.5, 1.5) * JOIN_BURST / self.joins_rate, "paced")
+            return Verdict(
+                self.me,
+                False,
+                self.chance.uniform(0.5, 1.5) * JOIN_BURST / self.joins_rate,
+                "paced",
+            )
         self.tokens -= 1
         self.epochs[proxy] = max(seen, self.epochs.get(proxy, 0)) + 1
         self.avoided[proxy] = now, tuple(avoid)
-        return Verdict(self.me, True, 0.0, "ours by rank" if owner == self.me else "its owner is out of reach")
+        return Verdict(
+            self.me, True, 0.0, "ours by rank" if owner == self.me else "its owner is out of reach"
+        )
 
     def left(self, proxy):
         self.epochs.pop(proxy, None)
@@ -126,6 +137,7 @@
 
 class Fence(NamedTuple):
     """A proxy's own rule: what it has seen, and whether an order counts. `newest`: (epoch, serial)."""
+
     newest: tuple = (0, 0)
 
     def allows(self, epoch, serial):
@@ -137,6 +149,11 @@
 
 def why(owners, proxy, joined_since: Optional[float], now):
     """For operators: rank, owner, epoch, since when."""
-    return {"proxy": proxy, "rank": ranked(proxy, owners.live), "owner": owners.owner(proxy),
-            "here": proxy in owners.epochs, "epoch": owners.epochs.get(proxy),
-            "since": None if joined_since is None else now - joined_since}
+    return {
+        "proxy": proxy,
+        "rank": ranked(proxy, owners.live),
+        "owner": owners.owner(proxy),
+        "here": proxy in owners.epochs,
+        "epoch": owners.epochs.get(proxy),
+        "since": None if joined_since is None else now - joined_since,
+    }
--- a/peatlead/fleet/seal.py
+++ b/peatlead/fleet/seal.py
@@ -48,7 +48,9 @@
     def close(self, body, to=""):
         """A datagram for the member `to` ("" where its name is not known yet)."""
         self.counter += 1
-        head = HEAD.pack(VERSION, len(self.name), self.boot, self.counter, self.proofs.get(to, NONE))
+        head = HEAD.pack(
+            VERSION, len(self.name), self.boot, self.counter, self.proofs.get(to, NONE)
+        )
         data = head + self.name + body
         return data + self.hash(self.keys[0], data)
 
@@ -64,10 +66,10 @@
             raise BadSeal("the hash does not fit: forged, changed, or another fleet's")
         if len(whole) < HEAD.size + size:
             raise BadSeal("expected a sender")
-        name = whole[HEAD.size:HEAD.size + size].decode("utf-8", "replace")
+        name = whole[HEAD.size : HEAD.size + size].decode("utf-8", "replace")
         if name.encode() == self.name and boot == self.boot:
             raise BadSeal("our own message came back")
-        body = whole[HEAD.size + size:]
+        body = whole[HEAD.size + size :]
         if not self.known(name, boot, proof):
             raise Unproven(name, self.make_proof(name, boot), body)
         self.count(self.senders[name], counter)
@@ -114,7 +116,9 @@
     def make_proof(self, name, boot):
         """A new one each time: one that was made before some other boot was taken proves nothing any more."""
         self.issued += 1
-        proof = blake3(self.boot + boot + self.issued.to_bytes(8, "big"), key=self.keys[0]).digest(8)
+        proof = blake3(self.boot + boot + self.issued.to_bytes(8, "big"), key=self.keys[0]).digest(
+            8
+        )
         if name not in self.wanted and len(self.wanted) >= SENDERS_MOST:
             self.wanted.pop(next(iter(self.wanted)))
         boots = self.wanted.setdefault(name, {})
--- a/peatlead/grpc/assign.py
+++ b/peatlead/grpc/assign.py
@@ -21,8 +21,12 @@
 ROUTES_NAME = "peatlead"
 LINE_NAMES = "xdstp://peatlead/envoy.config.endpoint.v3.LbEndpoint/"
 # What may be tried again, in the proxies' own words; how often.
-RETRY = {"never": ("", 0), "unstarted": ("connect-failure,refused-stream", 1), "once": ("5xx,reset", 1),
-         "twice": ("5xx,reset", 2)}
+RETRY = {
+    "never": ("", 0),
+    "unstarted": ("connect-failure,refused-stream", 1),
+    "once": ("5xx,reset", 1),
+    "twice": ("5xx,reset", 2),
+}
 RETRY_BACK = {value: name for name, value in RETRY.items()}
 
 
@@ -51,12 +55,28 @@
     for group in said.endpoints:
         for one in group.lb_endpoints:
             place = one.endpoint.address.socket_address
-            if not place.address or not 0 < place.port_value < 65536 or not one.load_balancing_weight.value:
-                raise ValueError(f"{said.cluster_name}: expected an address, a port and a weight above 0")
-            lines.append(Line(place.address, place.port_value, group.locality.zone,
-                              one.load_balancing_weight.value / SCALE))
+            if (
+                not place.address
+                or not 0 < place.port_value < 65536
+                or not one.load_balancing_weight.value
+            ):
+                raise ValueError(
+                    f"{said.cluster_name}: expected an address, a port and a weight above 0"
+                )
+            lines.append(
+                Line(
+                    place.address,
+                    place.port_value,
+                    group.locality.zone,
+                    one.load_balancing_weight.value / SCALE,
+                )
+            )
     for drop in said.policy.drop_overloads:
-        level *= 1 - drop.drop_percentage.numerator / (100, 10_000, MILLION)[drop.drop_percentage.denominator]
+        level *= (
+            1
+            - drop.drop_percentage.numerator
+            / (100, 10_000, MILLION)[drop.drop_percentage.denominator]
+        )
     return said.cluster_name, lines, level
 
 
@@ -93,7 +113,9 @@
             policy = route.route.retry_policy
             retry = RETRY_BACK.get((policy.retry_on, policy.num_retries.value))
             if retry is None:
-                raise ValueError(f"{route.route.cluster}: expected a known retry policy, got {policy.retry_on!r}")
+                raise ValueError(
+                    f"{route.route.cluster}: expected a known retry policy, got {policy.retry_on!r}"
+                )
             found[route.route.cluster] = retry
     return found
 
@@ -111,7 +133,7 @@
     if type_url == LINES:
         if not name.startswith(LINE_NAMES):
             raise ValueError(f"expected {LINE_NAMES}KIND/ZONE/ADDRESS:PORT, got {name[:200]!r}")
-        key = "line/" + name[len(LINE_NAMES):]
+        key = "line/" + name[len(LINE_NAMES) :]
         read_line_key(key)
         return key
     if not name or len(name) > 200:
@@ -163,5 +185,7 @@
     _, _, address, port = read_line_key(key)
     place = said.endpoint.address.socket_address
     if (place.address, place.port_value) != (address, port) or not said.load_balancing_weight.value:
-        raise ValueError(f"expected {address}:{port} and a weight above 0, got {place.address}:{place.port_value}")
+        raise ValueError(
+            f"expected {address}:{port} and a weight above 0, got {place.address}:{place.port_value}"
+        )
     return said.load_balancing_weight.value
--- a/peatlead/grpc/discovery.py
+++ b/peatlead/grpc/discovery.py
@@ -36,7 +36,12 @@
     as they stand now; `epoch` is the owner's for this proxy; `published(version, type)` is told what is sent."""
 
     def __init__(self, epoch, resources, identity, published=lambda version, type_url: None):
-        self.epoch, self.resources, self.identity, self.published = epoch, resources, identity, published
+        self.epoch, self.resources, self.identity, self.published = (
+            epoch,
+            resources,
+            identity,
+            published,
+        )
         self.kinds, self.serial, self.refusals, self.applied = {}, 0, [], []
 
     def take(self, request):
@@ -48,8 +53,13 @@
             kind.nonce = ""
             if request.HasField("error_detail"):
                 kind.refused = kind.sent
-                self.refusals.append(Refused(request.type_url, str(kind.sent and kind.sent[0]),
-                                             request.error_detail.message[:500]))
+                self.refusals.append(
+                    Refused(
+                        request.type_url,
+                        str(kind.sent and kind.sent[0]),
+                        request.error_detail.message[:500],
+                    )
+                )
             else:
                 kind.held = read_version(request.version_info)
                 self.applied.append((request.type_url, kind.held))
@@ -79,7 +89,12 @@
         version = Version(self.epoch, self.serial)
         kind.sent, kind.nonce = (version, found), f"{version}"
         self.published(version, type_url)
-        return [discovery_pb2.DiscoveryResponse(
-            version_info=str(version), type_url=type_url, nonce=kind.nonce,
-            control_plane={"identifier": self.identity},
-            resources=[Any(type_url=type_url, value=data) for _, data in sorted(found.items())])]
+        return [
+            discovery_pb2.DiscoveryResponse(
+                version_info=str(version),
+                type_url=type_url,
+                nonce=kind.nonce,
+                control_plane={"identifier": self.identity},
+                resources=[Any(type_url=type_url, value=data) for _, data in sorted(found.items())],
+            )
+        ]
--- a/peatlead/grpc/encoded.py
+++ b/peatlead/grpc/encoded.py
@@ -67,8 +67,18 @@
     """The bytes for {zone: [(address, port, whole weight)]}, in the order given; `dropped` in millionths."""
     parts = [field(CLUSTER_NAME, kind.encode())]
     for zone, lines in zones.items():
-        parts.append(field(ENDPOINTS, b"".join([
-            locality(zone), *[endpoint(*line) for line in lines], total(sum(line[2] for line in lines))])))
+        parts.append(
+            field(
+                ENDPOINTS,
+                b"".join(
+                    [
+                        locality(zone),
+                        *[endpoint(*line) for line in lines],
+                        total(sum(line[2] for line in lines)),
+                    ]
+                ),
+            )
+        )
     if dropped:
         parts.append(policy(dropped))
     return b"".join(parts)
--- a/peatlead/grpc/framing.py
+++ b/peatlead/grpc/framing.py
@@ -4,7 +4,14 @@
 """
 
 OK, CANCELLED, UNKNOWN, INVALID, DEADLINE, NOT_FOUND = 0, 1, 2, 3, 4, 5
-EXHAUSTED, PRECONDITION, UNIMPLEMENTED, INTERNAL, UNAVAILABLE, UNAUTHENTICATED = 8, 9, 12, 13, 14, 16
+EXHAUSTED, PRECONDITION, UNIMPLEMENTED, INTERNAL, UNAVAILABLE, UNAUTHENTICATED = (
+    8,
+    9,
+    12,
+    13,
+    14,
+    16,
+)
 UNITS = {"H": 3600.0, "M": 60.0, "S": 1.0, "m": 1e-3, "u": 1e-6, "n": 1e-9}
 LONGEST = 4 << 20  # bytes of one message
 
@@ -32,14 +39,16 @@
         self.held += data
         found, at = [], 0
         while len(self.held) - at >= 5:
-            size = int.from_bytes(self.held[at + 1:at + 5], "big")
+            size = int.from_bytes(self.held[at + 1 : at + 5], "big")
             if self.held[at] != 0:  # we name no encoding, so none may be used
                 raise BadFrame(UNIMPLEMENTED, "expected a message that is not compressed")
             if size > self.longest:
-                raise BadFrame(EXHAUSTED, f"expected a message of at most {self.longest} bytes, got {size}")
+                raise BadFrame(
+                    EXHAUSTED, f"expected a message of at most {self.longest} bytes, got {size}"
+                )
             if len(self.held) - at - 5 < size:
                 break
-            found.append(bytes(self.held[at + 5:at + 5 + size]))
+            found.append(bytes(self.held[at + 5 : at + 5 + size]))
             at += 5 + size
         del self.held[:at]
         return found
@@ -54,4 +63,6 @@
 
 def percent(text):
     """`grpc-message`: percent-encoded beyond printable ASCII."""
-    return "".join(chr(b) if 0x20 <= b <= 0x7E and b != 0x25 else f"%{b:02X}" for b in text.encode())[:1000]
+    return "".join(
+        chr(b) if 0x20 <= b <= 0x7E and b != 0x25 else f"%{b:02X}" for b in text.encode()
+    )[:1000]
--- a/peatlead/grpc/front.py
+++ b/peatlead/grpc/front.py
@@ -50,6 +50,7 @@
     """What a proxy says of itself: `epoch` the newest that it has seen, `held` {kind: [Line]}, `hops` how
     often it was sent on, `avoid` controllers that it could not reach. One that says nothing of hops knows
     nothing of being sent on: it is taken in by whoever it dials."""
+
     name: str
     zone: str
     epoch: int
@@ -72,11 +73,17 @@
         rate = min(1e6, max(0.01, said["rate"].number_value))
     if "held" in said:
         for kind, lines in said["held"].struct_value.fields.items():
-            held[kind] = [read_line(one.string_value) for one in lines.list_value.values[:HELD_MOST]]
+            held[kind] = [
+                read_line(one.string_value) for one in lines.list_value.values[:HELD_MOST]
+            ]
     if request.type_url == LINES:
         read_held_lines(request, held)
     hops = int(said["hops"].number_value) if "hops" in said else 100
-    avoid = tuple(one.string_value for one in said["avoid"].list_value.values[:100]) if "avoid" in said else ()
+    avoid = (
+        tuple(one.string_value for one in said["avoid"].list_value.values[:100])
+        if "avoid" in said
+        else ()
+    )
     return Node(node.id, node.locality.zone, min(max(0, epoch), 2**53), held, rate, hops, avoid)
 
 
@@ -141,8 +148,14 @@
         core.joined(self)
 
     def begin(self, epoch):
-        return Discovery(epoch, self.resources, self.front.identity, lambda version, type_url:
-                         self.front.core.published(self, version, sorted(self.TYPES[type_url])))
+        return Discovery(
+            epoch,
+            self.resources,
+            self.front.identity,
+            lambda version, type_url: self.front.core.published(
+                self, version, sorted(self.TYPES[type_url])
+            ),
+        )
 
     def tell_news(self):
         core, found = self.front.core, self.discovery
@@ -158,25 +171,36 @@
             return None
         if type_url == ENDPOINTS:
             known = [name for name in self.front.kinds if name in names or not names]
-            return {name: write_lines(name, self.lines(name), self.levels.get(name, 1.0)) for name in known}
+            return {
+                name: write_lines(name, self.lines(name), self.levels.get(name, 1.0))
+                for name in known
+            }
         if type_url == ROUTES:
             kinds = {name: self.retries.get(name, "unstarted") for name in self.front.kinds}
             return {ROUTES_NAME: write_routes(kinds)}
         return {}
 
     def lines(self, kind):
-        return [Line(*self.front.core.place_of(host), weight)
-                for host, weight in self.front.core.lines_of(self, self.front.kinds[kind]).items()]
+        return [
+            Line(*self.front.core.place_of(host), weight)
+            for host, weight in self.front.core.lines_of(self, self.front.kinds[kind]).items()
+        ]
 
     def items(self, part):
         """{key: value} as they stand; None while there is nothing to say."""
         if not self.ready:
             return None
         if part == "line":
-            return {line_key(kind, line.zone, line.address, line.port): whole_weight(line.weight)
-                    for kind in self.front.kinds for line in self.lines(kind)}
+            return {
+                line_key(kind, line.zone, line.address, line.port): whole_weight(line.weight)
+                for kind in self.front.kinds
+                for line in self.lines(kind)
+            }
         if part == "level":
-            return {f"level/{kind}": round(self.levels.get(kind, 1.0) * MILLION) for kind in self.front.kinds}
+            return {
+                f"level/{kind}": round(self.levels.get(kind, 1.0) * MILLION)
+                for kind in self.front.kinds
+            }
         return {f"retry/{kind}": self.retries.get(kind, "unstarted") for kind in self.front.kinds}
 
     def changed(self, parts=PARTS):
@@ -214,8 +238,13 @@
     TYPES = {LINES: {"line"}, ENDPOINTS: {"level"}, ROUTES: {"retry"}}
 
     def begin(self, epoch):
-        return Incremental(epoch, self.items, self.front.identity,
-                           lambda version, parts: self.front.core.published(self, version, parts), self.front.zones)
+        return Incremental(
+            epoch,
+            self.items,
+            self.front.identity,
+            lambda version, parts: self.front.core.published(self, version, parts),
+            self.front.zones,
+        )
 
 
 class Loads:
@@ -247,7 +276,9 @@
             return
         if request.cluster_stats:
             core.gathered.report(start)
-            read_report(request, self.front.kinds, core.host_of, session.number, session.zone, core.gathered)
+            read_report(
+                request, self.front.kinds, core.host_of, session.number, session.zone, core.gathered
+            )
             core.reported(session, start)
 
     def tell_interval(self, session):
@@ -255,7 +286,9 @@
         every = self.front.core.report_every(session)
         if self.told != every:
             self.told = every
-            answer = lrs_pb2.LoadStatsResponse(send_all_clusters=True, report_endpoint_granularity=True)
+            answer = lrs_pb2.LoadStatsResponse(
+                send_all_clusters=True, report_endpoint_granularity=True
+            )
             answer.load_reporting_interval.FromMilliseconds(int(every * 1000))
             self.call.send(answer.SerializeToString())
 
@@ -274,7 +307,10 @@
 
     def connect(self):
         made = Connection(False, self.serve)
-        made.ended_all, made.crowd = lambda reason: self.held.drop(made), lambda: len(self.held.streams)
+        made.ended_all, made.crowd = (
+            lambda reason: self.held.drop(made),
+            lambda: len(self.held.streams),
+        )
         self.held.add(made)
         return made
 
--- a/peatlead/grpc/gather.py
+++ b/peatlead/grpc/gather.py
@@ -43,11 +43,23 @@
         """[ReqSums and HostSums], hosts in the order of their indices."""
         if self.begun is None or now - self.begun < self.wait:
             return []
-        events = [our.ReqSums(proxy, kind, *sums) for proxy, kinds in self.kinds.items()
-                  for kind, sums in kinds.items()]
+        events = [
+            our.ReqSums(proxy, kind, *sums)
+            for proxy, kinds in self.kinds.items()
+            for kind, sums in kinds.items()
+        ]
         for (host, zone), (tries, bad, seconds, util, utils, span) in sorted(self.hosts.items()):
-            events.append(our.HostSums(host, zone, tries, bad, span, seconds / max(1, tries - bad),
-                                       {"util": util / utils} if utils else None))
+            events.append(
+                our.HostSums(
+                    host,
+                    zone,
+                    tries,
+                    bad,
+                    span,
+                    seconds / max(1, tries - bad),
+                    {"util": util / utils} if utils else None,
+                )
+            )
         self.hosts, self.kinds, self.begun = {}, {}, None
         return events
 
--- a/peatlead/grpc/http2.py
+++ b/peatlead/grpc/http2.py
@@ -23,8 +23,12 @@
 CONTROL_MOST = 200  # resets, pings and settings of a peer within CONTROL_SPAN: more is a flood
 CONTROL_SPAN = 10.0
 CREDITS = 3  # window updates that a peer may send for each frame of data that it got, uncounted
-CONTROL = (h2.events.PingReceived, h2.events.RemoteSettingsChanged, h2.events.PriorityUpdated,
-           h2.events.UnknownFrameReceived)
+CONTROL = (
+    h2.events.PingReceived,
+    h2.events.RemoteSettingsChanged,
+    h2.events.PriorityUpdated,
+    h2.events.UnknownFrameReceived,
+)
 PING_EVERY, PING_WAIT = 1.0, 1.0  # seconds: a half-open peer that says nothing is found in two
 PING_SLACK = 0.01
 PINGS_A_SECOND = 500  # of all connections of a listener: more of them are pinged less often
@@ -63,8 +67,11 @@
     def finish(self, status, text="", **more):
         """The server's end: what waits goes first, then the status and `more` as trailing metadata."""
         if not self.over and self.closing is None:
-            self.closing = [("grpc-status", str(status)), ("grpc-message", percent(text)),
-                            *((name.replace("_", "-"), value) for name, value in more.items())]
+            self.closing = [
+                ("grpc-status", str(status)),
+                ("grpc-message", percent(text)),
+                *((name.replace("_", "-"), value) for name, value in more.items()),
+            ]
             self.connection.pump(self)
 
     def reset(self, text, code=h2.errors.ErrorCodes.CANCEL):
@@ -87,12 +94,23 @@
 
     def __init__(self, client, serve=None, ping_every=PING_EVERY, ping_wait=PING_WAIT):
         super().__init__(0.0, 16 << 20)
-        self.talk = h2.connection.H2Connection(h2.config.H2Configuration(
-            client_side=client, header_encoding="utf-8", validate_inbound_headers=True))
+        self.talk = h2.connection.H2Connection(
+            h2.config.H2Configuration(
+                client_side=client, header_encoding="utf-8", validate_inbound_headers=True
+            )
+        )
         self.client, self.serve, self.calls, self.control = client, serve, {}, deque()
-        self.ping_every, self.ping_wait, self.ping_timer, self.pinged = ping_every, ping_wait, None, None
+        self.ping_every, self.ping_wait, self.ping_timer, self.pinged = (
+            ping_every,
+            ping_wait,
+            None,
+            None,
+        )
         self.going, self.heard, self.credits = False, 0.0, 2 * CREDITS
-        self.ended_all, self.crowd = lambda reason: None, lambda: 0  # how many connections share the pings
+        self.ended_all, self.crowd = (
+            lambda reason: None,
+            lambda: 0,
+        )  # how many connections share the pings
 
     @property
     def live(self):
@@ -103,11 +121,14 @@
     # Its life.
 
     def opened(self):
-        self.talk.local_settings = h2.settings.Settings(client=self.client, initial_values={
-            h2.settings.SettingCodes.MAX_CONCURRENT_STREAMS: STREAMS_MOST,
-            h2.settings.SettingCodes.MAX_HEADER_LIST_SIZE: HEADERS_MOST,
-            h2.settings.SettingCodes.ENABLE_PUSH: 0,
-        })
+        self.talk.local_settings = h2.settings.Settings(
+            client=self.client,
+            initial_values={
+                h2.settings.SettingCodes.MAX_CONCURRENT_STREAMS: STREAMS_MOST,
+                h2.settings.SettingCodes.MAX_HEADER_LIST_SIZE: HEADERS_MOST,
+                h2.settings.SettingCodes.ENABLE_PUSH: 0,
+            },
+        )
         self.talk.initiate_connection()
         self.flush()
         if self.ping_every:
@@ -131,7 +152,9 @@
             return
         every = max(self.ping_every, self.crowd() / PINGS_A_SECOND)
         wait, self.pinged = every - (now - self.heard), None
-        if wait < PING_SLACK:  # a remainder of rounding would be waited for without end, at no time at all
+        if (
+            wait < PING_SLACK
+        ):  # a remainder of rounding would be waited for without end, at no time at all
             wait, self.pinged = max(every, self.ping_wait), now
             self.talk.ping(b"peatlead")
             self.flush()
@@ -217,13 +240,17 @@
         headers = dict(event.headers)
         call = self.calls[event.stream_id] = Call(self, event.stream_id, headers.get(":path", ""))
         call.told = headers
-        if headers.get(":method") != "POST" or not headers.get("content-type", "").startswith("application/grpc"):
+        if headers.get(":method") != "POST" or not headers.get("content-type", "").startswith(
+            "application/grpc"
+        ):
             self.talk.send_headers(event.stream_id, [(":status", "415")], end_stream=True)
             call.end(12, "not gRPC")
         else:
             timeout = read_timeout(headers.get("grpc-timeout", ""))
             if timeout is not None:
-                call.deadline = self.loop.call_later(timeout, call.finish, DEADLINE, "its deadline has passed")
+                call.deadline = self.loop.call_later(
+                    timeout, call.finish, DEADLINE, "its deadline has passed"
+                )
             self.serve(call)
 
     def take_end(self, call):
@@ -251,9 +278,18 @@
         """A client's call; messages may be sent at once. Raises h2's ProtocolError past the peer's limit."""
         number = self.talk.get_next_available_stream_id()
         call = self.calls[number] = Call(self, number, path)
-        self.talk.send_headers(number, [
-            (":method", "POST"), (":scheme", "http"), (":path", path), (":authority", authority),
-            ("te", "trailers"), ("content-type", "application/grpc"), *headers])
+        self.talk.send_headers(
+            number,
+            [
+                (":method", "POST"),
+                (":scheme", "http"),
+                (":path", path),
+                (":authority", authority),
+                ("te", "trailers"),
+                ("content-type", "application/grpc"),
+                *headers,
+            ],
+        )
         call.answered = True
         self.flush()
         return call
@@ -262,9 +298,14 @@
         """The server's first headers, with `more` as metadata."""
         if not call.answered and not call.over and self.live:
             call.answered = True
-            self.talk.send_headers(call.number, [
-                (":status", "200"), ("content-type", "application/grpc"),
-                *((name.replace("_", "-"), value) for name, value in more.items())])
+            self.talk.send_headers(
+                call.number,
+                [
+                    (":status", "200"),
+                    ("content-type", "application/grpc"),
+                    *((name.replace("_", "-"), value) for name, value in more.items()),
+                ],
+            )
 
     def pump(self, call):
         """As much of a call as the peer's window takes."""
@@ -274,7 +315,9 @@
             self.accept(call)
         had = bool(call.out)
         while call.out:
-            room = min(self.talk.local_flow_control_window(call.number), self.talk.max_outbound_frame_size)
+            room = min(
+                self.talk.local_flow_control_window(call.number), self.talk.max_outbound_frame_size
+            )
             if room <= 0:
                 break
             part = call.out[0][:room]
@@ -284,7 +327,7 @@
             if len(part) == len(call.out[0]):
                 call.out.popleft()
             else:
-                call.out[0] = call.out[0][len(part):]
+                call.out[0] = call.out[0][len(part) :]
         if not call.out and call.closing is not None:
             self.talk.send_headers(call.number, call.closing, end_stream=True)
             self.flush()
@@ -310,6 +353,10 @@
 async def dial(address, local=None, deadline=1.0, **more):
     """A client's Connection. Raises OSError or asyncio.TimeoutError."""
     loop = asyncio.get_running_loop()
-    _, made = await within(deadline, loop.create_connection(
-        lambda: Connection(True, **more), *address, local_addr=(local, 0) if local else None))
+    _, made = await within(
+        deadline,
+        loop.create_connection(
+            lambda: Connection(True, **more), *address, local_addr=(local, 0) if local else None
+        ),
+    )
     return made
--- a/peatlead/grpc/incremental.py
+++ b/peatlead/grpc/incremental.py
@@ -16,7 +16,15 @@
 
 from ..tables.holder import BASE, DIGEST
 from ..tables.version import WHOLE, Digest, Stamp, Version, changes, read_stamp
-from .assign import ENDPOINTS, LINES, ROUTES, read_resource_name, read_value, resource_name, write_value
+from .assign import (
+    ENDPOINTS,
+    LINES,
+    ROUTES,
+    read_resource_name,
+    read_value,
+    resource_name,
+    write_value,
+)
 from .discovery import NAMES_MOST, Refused
 
 PARTS_OF = {LINES: "line", ENDPOINTS: "level", ROUTES: "retry"}
@@ -27,7 +35,17 @@
 class Part:
     """One resource type on the stream. `held`: {key: value} as far as the proxy has said; None: not known."""
 
-    __slots__ = ("held", "digest", "flying", "nonce", "asked", "dirty", "refused", "wholes", "names")
+    __slots__ = (
+        "held",
+        "digest",
+        "flying",
+        "nonce",
+        "asked",
+        "dirty",
+        "refused",
+        "wholes",
+        "names",
+    )
 
     def __init__(self):
         self.held, self.digest, self.flying, self.nonce = {}, Digest(), None, ""
@@ -35,7 +53,9 @@
         self.refused, self.wholes, self.names = None, 0, set()
 
     def subscribe(self, request):
-        names = (self.names | set(request.resource_names_subscribe)) - set(request.resource_names_unsubscribe)
+        names = (self.names | set(request.resource_names_subscribe)) - set(
+            request.resource_names_unsubscribe
+        )
         names = set(sorted(names)[:NAMES_MOST])
         self.dirty |= names != self.names
         self.names = names
@@ -43,8 +63,12 @@
     def wants(self, key):
         """None and "*" are all; a collection's name ends in "/*"."""
         name = resource_name(key)
-        return not self.names or "*" in self.names or name in self.names or any(
-            one.endswith("/*") and name.startswith(one[:-1]) for one in self.names)
+        return (
+            not self.names
+            or "*" in self.names
+            or name in self.names
+            or any(one.endswith("/*") and name.startswith(one[:-1]) for one in self.names)
+        )
 
 
 class Incremental:
@@ -121,15 +145,24 @@
         self.sent += len(moved)
         self.published(version, (PARTS_OF[type_url],))
         made = discovery_pb2.DeltaDiscoveryResponse(
-            type_url=type_url, nonce=part.nonce, system_version_info=str(Stamp(version, base, str(digest))),
-            control_plane={"identifier": self.identity})
+            type_url=type_url,
+            nonce=part.nonce,
+            system_version_info=str(Stamp(version, base, str(digest))),
+            control_plane={"identifier": self.identity},
+        )
         for key in sorted(moved):
             if moved[key] is None:
                 made.removed_resources.append(resource_name(key))
             else:
-                made.resources.append(discovery_pb2.Resource(
-                    name=resource_name(key), version=str(moved[key]),
-                    resource=Any(type_url=type_url, value=write_value(key, moved[key], self.zones))))
+                made.resources.append(
+                    discovery_pb2.Resource(
+                        name=resource_name(key),
+                        version=str(moved[key]),
+                        resource=Any(
+                            type_url=type_url, value=write_value(key, moved[key], self.zones)
+                        ),
+                    )
+                )
         return made
 
 
@@ -147,7 +180,9 @@
 
 def read_delta(response):
     """(type, {key: value or None}, Stamp) of a response, for a proxy. Raises ValueError with what was expected."""
-    moved = {read_resource_name(response.type_url, name): None for name in response.removed_resources}
+    moved = {
+        read_resource_name(response.type_url, name): None for name in response.removed_resources
+    }
     for one in response.resources:
         key = read_resource_name(response.type_url, one.name)
         moved[key] = read_value(key, one.resource.value)
--- a/peatlead/indexes.py
+++ b/peatlead/indexes.py
@@ -15,7 +15,11 @@
 from math import fsum
 
 SALT = b"turf"  # one order of many alike (docs/results/scale.md): days on the bench are compared under the same
-LANE, LOW, SHIFT = 64, 0xFFFFFFFF, 15  # bits of a lane; the part of it that holds a word; of the mixing
+LANE, LOW, SHIFT = (
+    64,
+    0xFFFFFFFF,
+    15,
+)  # bits of a lane; the part of it that holds a word; of the mixing
 FEW = 32  # hosts: up to here sorting all is as quick as looking for the top
 BELOW = [re.compile(b"[\\x00-\\x%02x]" % top, re.DOTALL) for top in range(256)]
 
@@ -36,7 +40,9 @@
 
 def mass(hosts):
     """What the cold ones weigh, and the warm."""
-    return [fsum(h.weight * h.share for h in hosts if (h.cold_from is None) == warm) for warm in (0, 1)]
+    return [
+        fsum(h.weight * h.share for h in hosts if (h.cold_from is None) == warm) for warm in (0, 1)
+    ]
 
 
 def host_word(name):
@@ -80,7 +86,9 @@
     def __init__(self, hosts):
         self.hosts = by_name(hosts)
         self.many = len(self.hosts)
-        self.packed = int.from_bytes(struct.pack(f"<{self.many}Q", *[host.word for host in self.hosts]), "little")
+        self.packed = int.from_bytes(
+            struct.pack(f"<{self.many}Q", *[host.word for host in self.hosts]), "little"
+        )
         self.words, self.low = masks(self.many)
 
     def __len__(self):
@@ -103,13 +111,13 @@
     def likely(self, data, many):
         """Sorted places of all whose highest byte is low enough that as many as are needed should be among them;
         None where they are not, or where that would be most."""
-        below = 256 * (many + 4 * many ** 0.5 + 4) / self.many
+        below = 256 * (many + 4 * many**0.5 + 4) / self.many
         if below > 128:
             return None
         found = [one.start() for one in BELOW[int(below)].finditer(data[3::8])]
         if len(found) < many:
             return None
-        return sorted(found, key=lambda at: int.from_bytes(data[8 * at:8 * at + 4], "little"))
+        return sorted(found, key=lambda at: int.from_bytes(data[8 * at : 8 * at + 4], "little"))
 
 
 class Holders:
--- a/peatlead/interface.py
+++ b/peatlead/interface.py
@@ -9,6 +9,7 @@
 
 class Member(NamedTuple):
     """One host as the roster lists it; phase is "ready", "draining" or "gone"."""
+
     host: int
     name: bytes
     zone: int
@@ -21,6 +22,7 @@
 
 class Roster(NamedTuple):
     """News of the host list; scope is "changes", "whole", "remembered" or "unavailable"."""
+
     scope: str
     version: int
     members: tuple[Member, ...]
@@ -39,6 +41,7 @@
 
 class HostSums(NamedTuple):
     """What the joined proxies of one zone met at a host over `span` seconds, told late."""
+
     host: int
     zone: int
     tries: int
@@ -50,6 +53,7 @@
 
 class ReqSums(NamedTuple):
     """Reqs of one request kind that reached a proxy over `span` seconds, told late."""
+
     proxy: int
     kind: int
     reqs: int
@@ -59,6 +63,7 @@
 
 class ProbeResult(NamedTuple):
     """outcome is "ok", "errored", "denied", "timed out", "unreachable" or "broken"."""
+
     host: int
     outcome: str
     took: float
@@ -67,6 +72,7 @@
 
 class Applied(NamedTuple):
     """A proxy has applied the message that carried the mark, `took` seconds after the order."""
+
     proxy: int
     mark: int
     took: float
@@ -86,6 +92,7 @@
     since no answered mark covers it, and `oldest_unanswered`, seconds since the oldest of it was ordered;
     `unbound_proxies`: joined ones without a table of this steward, and `longest_wait`, seconds since the first of
     them joined; `withdrawn_hosts`: hosts listed as draining or gone."""
+
     queued_lines: float
     oldest_unanswered: float
     joined_proxies: int
@@ -115,6 +122,7 @@
 
 class SetLine(NamedTuple):
     """Order: one line of a table; weight 0 takes the line out."""
+
     table: int
     host: int
     weight: float
@@ -126,6 +134,7 @@
 
 class BindTable(NamedTuple):
     """Order: put a proxy on a table for these request kinds."""
+
     proxy: int
     table: int
     kinds: tuple[int, ...]
@@ -136,6 +145,7 @@
     `waiting`: which of the proxies that are on no table of this steward yet must be told, None for all of them; a
     channel that knows itself who holds the host needs no such list. Proxies on this steward's tables lose the host's
     line by an order of their own."""
+
     host: int
     on: bool
     waiting: Optional[tuple[int, ...]] = None
@@ -143,6 +153,7 @@
 
 class Admit(NamedTuple):
     """Order: share let in, and retry: "never", "unstarted", "once" or "twice"; table None is every proxy."""
+
     table: Optional[int]
     kinds: tuple[int, ...]
     level: float
--- a/peatlead/lab/day.py
+++ b/peatlead/lab/day.py
@@ -102,7 +102,10 @@
         async def serve():
             hall = HALLS[kind](chance, self.rows)
             self.inside.append(hall)
-            await loop.create_datagram_endpoint(lambda: Orders(hall), local_addr=(address, self.fleet.port))
+            await loop.create_datagram_endpoint(
+                lambda: Orders(hall), local_addr=(address, self.fleet.port)
+            )
+
         self.children.append(self.run_in(loop, serve))
         return address, self.fleet.port
 
@@ -118,12 +121,19 @@
 
         async def serve():
             made = self.swap.get("steward", Steward)(
-                settings, name, log, PLANNERS.get(self.planner, self.oracle), str(self.folder / "state"), boot=boot,
-                wall=lambda: self.world.now)
+                settings,
+                name,
+                log,
+                PLANNERS.get(self.planner, self.oracle),
+                str(self.folder / "state"),
+                boot=boot,
+                wall=lambda: self.world.now,
+            )
             await made.start()
             self.decisions(name, made)
             if await made.ended != "stopped":
                 self.world.report(loop, RuntimeError(made.ended.result()), f"steward {name}")
+
         self.stewards[at] = self.run_in(loop, serve)
         self.loop.create_task(self.feed(at, self.stewards[at]))
 
@@ -132,8 +142,12 @@
 
     def truth(self):
         """{host name: cores that it has for reqs now}: none where it is silent, hung, tipped or going."""
-        return {name: host.able(self.world.now) for hall in self.inside
-                for name, host in getattr(hall, "hosts", {}).items() if host.server is not None}
+        return {
+            name: host.able(self.world.now)
+            for hall in self.inside
+            for name, host in getattr(hall, "hosts", {}).items()
+            if host.server is not None
+        }
 
     def decisions(self, name, steward):
         """Each decide's orders go into the digest."""
@@ -143,6 +157,7 @@
             orders = real(now, events)
             self.world.note("decide", name, len(events), repr(orders))
             return orders
+
         steward.planner.decide = decide
 
     def run_in(self, loop, serve):
@@ -151,8 +166,11 @@
 
     def begin_task(self, loop, serve):
         task = loop.create_task(serve())
-        task.add_done_callback(lambda done: done.cancelled() or done.exception() is None or self.world.report(
-            loop, done.exception(), f"process {loop.name}"))
+        task.add_done_callback(
+            lambda done: done.cancelled()
+            or done.exception() is None
+            or self.world.report(loop, done.exception(), f"process {loop.name}")
+        )
 
     async def link_cut(self, trouble):
         one, other, links = trouble["one"], trouble["other"], self.world.links
@@ -186,15 +204,25 @@
 
     def __init__(self, report, world, day):
         self.report, self.digest, self.events = report, world.digest.hexdigest(16), world.events
-        self.wrong = [f"at {now:.3f} s in {name}: {problem!r} ({where})" for now, name, where, problem in world.wrong]
-        self.logs, self.rows, self.seconds, self.trace = day.logs, day.rows.rows, world.now, world.trace
+        self.wrong = [
+            f"at {now:.3f} s in {name}: {problem!r} ({where})"
+            for now, name, where, problem in world.wrong
+        ]
+        self.logs, self.rows, self.seconds, self.trace = (
+            day.logs,
+            day.rows.rows,
+            world.now,
+            world.trace,
+        )
 
     @property
     def finds(self):
         """Rules broken and exceptions, in words."""
         found = list(self.wrong)
         if self.report is not None:
-            found += [f"rule {one.rule}: {one.said}" for one in self.report.findings if one.breaches]
+            found += [
+                f"rule {one.rule}: {one.said}" for one in self.report.findings if one.breaches
+            ]
         return found
 
 
--- a/peatlead/lab/hunt.py
+++ b/peatlead/lab/hunt.py
@@ -20,7 +20,10 @@
 
 def symptom(finds):
     """What has to show again for a smaller day to count as the same find: the rule, or the error's type."""
-    return {one.split(":")[0] if one.startswith("rule") else one.split(" s in ")[-1].split("(")[0] for one in finds}
+    return {
+        one.split(":")[0] if one.startswith("rule") else one.split(" s in ")[-1].split("(")[0]
+        for one in finds
+    }
 
 
 def look(job):
@@ -31,14 +34,21 @@
     return seed, played.finds, played.digest, played.events, time.perf_counter() - start
 
 
-def hunt(seeds, kind, length=20.0, workers=None, say=print, most=MOST_FINDS, step=lambda done, note: None):
+def hunt(
+    seeds, kind, length=20.0, workers=None, say=print, most=MOST_FINDS, step=lambda done, note: None
+):
     """([Find], seeds played): each find is cut down and replayed before it is told. `step(done, note)` is called
     after each seed."""
     found, done, start = [], 0, time.perf_counter()
     with multiprocessing.get_context("spawn").Pool(workers) as pool:
-        for seed, finds, digest, _, _ in pool.imap_unordered(look, ((seed, kind, length) for seed in seeds)):
+        for seed, finds, digest, _, _ in pool.imap_unordered(
+            look, ((seed, kind, length) for seed in seeds)
+        ):
             done += 1
-            step(done, note := f"{len(found)} finds, {done / (time.perf_counter() - start):.1f} a second")
+            step(
+                done,
+                note := f"{len(found)} finds, {done / (time.perf_counter() - start):.1f} a second",
+            )
             if done % 100 == 0:
                 say(f"{done} seeds, {note}")
             if finds:
@@ -47,8 +57,10 @@
                 if len(found) >= most:
                     pool.terminate()
                     break
-    return [one._replace(script=as_script(shrink(draw(one.seed, kind, length), one.seed, one.what)))
-            for one in sorted(found)], done
+    return [
+        one._replace(script=as_script(shrink(draw(one.seed, kind, length), one.seed, one.what)))
+        for one in sorted(found)
+    ], done
 
 
 def shrink(made, seed, finds, play=play_day, tries=60):
@@ -62,7 +74,7 @@
     while size and tries > 0:
         at, smaller = 0, False
         while at < len(made["troubles"]) and tries > 0:
-            candidate = {**made, "troubles": made["troubles"][:at] + made["troubles"][at + size:]}
+            candidate = {**made, "troubles": made["troubles"][:at] + made["troubles"][at + size :]}
             tries -= 1
             if shows(candidate):
                 made, smaller = candidate, True
--- a/peatlead/lab/members.py
+++ b/peatlead/lab/members.py
@@ -32,16 +32,24 @@
                 self.sent += 1
                 self.bytes += len(data)
                 if self.chance.random() >= self.loss:
-                    self.way.append((self.now + self.chance.uniform(0.001, 0.02), name, order.address[0], data))
+                    self.way.append(
+                        (self.now + self.chance.uniform(0.001, 0.02), name, order.address[0], data)
+                    )
 
     def run(self, seconds, each=None):
         end = self.now + seconds
         while self.now < end:
             self.now = round(self.now + STEP, 6)
-            due = sorted(one for one in self.way if one[0] <= self.now and one[2] not in self.frozen)
+            due = sorted(
+                one for one in self.way if one[0] <= self.now and one[2] not in self.frozen
+            )
             self.way = [one for one in self.way if one not in due]
             for _, source, target, data in due:
-                if target in self.nodes and target not in self.dead and (source, target) not in self.cut:
+                if (
+                    target in self.nodes
+                    and target not in self.dead
+                    and (source, target) not in self.cut
+                ):
                     message = msgspec.msgpack.decode(data, type=Ping | Ack | TryFor)
                     self.step(target, [Heard((source, 1), message)])
             for name in sorted(self.nodes):
@@ -51,8 +59,11 @@
                 each()
 
     def states(self, of):
-        return {name: one.members[of].about.state for name, one in self.nodes.items()
-                if name not in self.dead and of in one.members}
+        return {
+            name: one.members[of].about.state
+            for name, one in self.nodes.items()
+            if name not in self.dead and of in one.members
+        }
 
     def agreed(self, live):
         return all(set(self.nodes[name].live()) == set(live) for name in live)
--- a/peatlead/lab/policies.py
+++ b/peatlead/lab/policies.py
@@ -30,8 +30,11 @@
 
     def lay(self, zone, goal):
         old, self.lines[zone] = self.lines[zone], goal
-        return [our.SetLine(zone, host, goal.get(host, 0.0)) for host in sorted(old.keys() | goal.keys())
-                if goal.get(host) != old.get(host)]
+        return [
+            our.SetLine(zone, host, goal.get(host, 0.0))
+            for host in sorted(old.keys() | goal.keys())
+            if goal.get(host) != old.get(host)
+        ]
 
     def ready(self):
         return [member for member in self.members.values() if member.phase == "ready"]
--- a/peatlead/lab/study.py
+++ b/peatlead/lab/study.py
@@ -20,8 +20,21 @@
 from ..settings.shapes import REQUIRED, Field, expected, many, number, one_of, text
 from .day import POLICIES, play_day
 
-FIGURES = ("service", "worst_kind", "lost", "late", "shed", "rule1", "rule2", "rule3", "rule4", "rule5",
-           "takeover_median", "takeover_worst", "events")
+FIGURES = (
+    "service",
+    "worst_kind",
+    "lost",
+    "late",
+    "shed",
+    "rule1",
+    "rule2",
+    "rule3",
+    "rule4",
+    "rule5",
+    "takeover_median",
+    "takeover_worst",
+    "events",
+)
 BOOTSTRAPS = 2000
 
 
@@ -32,12 +45,19 @@
 
 
 SHAPES = {
-    "study": {"name": Field(text, REQUIRED, "what reports call it"),
-              "question": Field(text, REQUIRED, "what it is to answer"),
-              "seeds": Field(number(2, 100_000, True), 20, "days of each cell")},
-    "case": {"name": Field(text, REQUIRED, "a day"), "script": Field(text, REQUIRED, "its day script")},
-    "vary": {"name": Field(text, REQUIRED, "a variant"),
-             "set": Field(values, {}, "what differs: {'steering.addresses': 4, 'module.COVERAGE': 16}")},
+    "study": {
+        "name": Field(text, REQUIRED, "what reports call it"),
+        "question": Field(text, REQUIRED, "what it is to answer"),
+        "seeds": Field(number(2, 100_000, True), 20, "days of each cell"),
+    },
+    "case": {
+        "name": Field(text, REQUIRED, "a day"),
+        "script": Field(text, REQUIRED, "its day script"),
+    },
+    "vary": {
+        "name": Field(text, REQUIRED, "a variant"),
+        "set": Field(values, {}, "what differs: {'steering.addresses': 4, 'module.COVERAGE': 16}"),
+    },
     "policy": {"names": Field(many(one_of(*POLICIES), 1), ["shards"], "who decides")},
 }
 
@@ -51,7 +71,11 @@
         if len(heads) != 1:
             raise BadSettings(f"{name}:1: expected one call of study(), got {len(heads)}")
         self.head = heads[0]
-        self.cases = {v["name"]: load_day(f"{name} case {v['name']}", v["script"]) for c, v in said if c == "case"}
+        self.cases = {
+            v["name"]: load_day(f"{name} case {v['name']}", v["script"])
+            for c, v in said
+            if c == "case"
+        }
         self.variants = {v["name"]: v["set"] for c, v in said if c == "vary"} or {"as is": {}}
         self.policies = [p for c, v in said if c == "policy" for p in v["names"]] or ["shards"]
         if not self.cases:
@@ -61,18 +85,26 @@
                 try:
                     changed(made, changes)
                 except (KeyError, ValueError) as problem:
-                    raise BadSettings(f"{name}:1: vary {variant}: expected names of a day or the module: "
-                                      f"{problem}") from None
+                    raise BadSettings(
+                        f"{name}:1: vary {variant}: expected names of a day or the module: "
+                        f"{problem}"
+                    ) from None
 
     def cells(self):
-        return [(case, variant, policy, seed) for case in self.cases for variant in self.variants
-                for policy in self.policies for seed in range(self.head["seeds"])]
+        return [
+            (case, variant, policy, seed)
+            for case in self.cases
+            for variant in self.variants
+            for policy in self.policies
+            for seed in range(self.head["seeds"])
+        ]
 
 
 def changed(made, changes):
     """(the day with its changes, {module constant: value})."""
     made, module = {**made}, {}
     from .. import choice
+
     for name, value in changes.items():
         part, _, field = name.partition(".")
         if part == "module":
@@ -96,11 +128,18 @@
     spans = sorted(span for _, span in report.takeovers)
     found = {
         "service": whole["part"],
-        "worst_kind": min(one["part"] for kind, one in report.service.items() if kind != "whole" and one["reqs"]),
-        "lost": sum(many for outcome, many in outcomes.items() if outcome not in ("done", "late", "shed")),
-        "late": outcomes.get("late", 0), "shed": outcomes.get("shed", 0),
-        "takeover_median": spans[len(spans) // 2] if spans else None, "takeover_worst": spans[-1] if spans else None,
-        "events": played.events}
+        "worst_kind": min(
+            one["part"] for kind, one in report.service.items() if kind != "whole" and one["reqs"]
+        ),
+        "lost": sum(
+            many for outcome, many in outcomes.items() if outcome not in ("done", "late", "shed")
+        ),
+        "late": outcomes.get("late", 0),
+        "shed": outcomes.get("shed", 0),
+        "takeover_median": spans[len(spans) // 2] if spans else None,
+        "takeover_worst": spans[-1] if spans else None,
+        "events": played.events,
+    }
     return {**found, **{f"rule{at + 1}": report.findings[at].nearest for at in range(5)}}
 
 
@@ -108,6 +147,7 @@
     """One cell in a process of its own: the module's constants are set there and put back."""
     key, made, changes, policy, seed = job
     from .. import choice
+
     made, module = changed(made, changes)
     old = {name: getattr(choice, name) for name in module}
     try:
@@ -129,15 +169,29 @@
         columns = ", ".join(f"{name} REAL" for name in FIGURES)
         self.base.execute(
             "CREATE TABLE IF NOT EXISTS cells (study TEXT, cell TEXT, case_name TEXT, variant TEXT, policy TEXT, "
-            f"seed INTEGER, digest TEXT, kept INTEGER, finds TEXT, {columns}, PRIMARY KEY (study, cell))")
+            f"seed INTEGER, digest TEXT, kept INTEGER, finds TEXT, {columns}, PRIMARY KEY (study, cell))"
+        )
 
     def done(self, study):
-        return {cell for cell, in self.base.execute("SELECT cell FROM cells WHERE study = ?", (study,))}
+        return {
+            cell
+            for (cell,) in self.base.execute("SELECT cell FROM cells WHERE study = ?", (study,))
+        }
 
     def keep(self, study, key, digest, finds, found):
         case, variant, policy, seed = key
-        row = (study, repr(key), case, variant, policy, seed, digest, int(not finds), "\n".join(finds),
-               *(found[name] for name in FIGURES))
+        row = (
+            study,
+            repr(key),
+            case,
+            variant,
+            policy,
+            seed,
+            digest,
+            int(not finds),
+            "\n".join(finds),
+            *(found[name] for name in FIGURES),
+        )
         self.base.execute(f"INSERT OR REPLACE INTO cells VALUES ({', '.join('?' * len(row))})", row)
         self.base.commit()
 
@@ -147,19 +201,25 @@
             raise ValueError(f"expected one of {', '.join(FIGURES)}, got {figure!r}")
         rows = self.base.execute(
             f"SELECT seed, {figure} FROM cells WHERE study = ? AND case_name = ? AND variant = ? AND policy = ? "
-            "ORDER BY seed", (study, case, variant, policy))
+            "ORDER BY seed",
+            (study, case, variant, policy),
+        )
         return {seed: value for seed, value in rows if value is not None}
 
     def broken(self, study):
-        return self.base.execute("SELECT cell, finds FROM cells WHERE study = ? AND kept = 0 ORDER BY cell",
-                                 (study,)).fetchall()
+        return self.base.execute(
+            "SELECT cell, finds FROM cells WHERE study = ? AND kept = 0 ORDER BY cell", (study,)
+        ).fetchall()
 
 
 def run(study, results, workers=None, say=print, step=lambda done, note: None):
     """Plays what is missing. Returns how many cells were played. `step(done, note)` is called after each."""
     name, done, broken = study.head["name"], results.done(study.head["name"]), 0
-    jobs = [((case, variant, policy, seed), study.cases[case], study.variants[variant], policy, seed)
-            for case, variant, policy, seed in study.cells() if repr((case, variant, policy, seed)) not in done]
+    jobs = [
+        ((case, variant, policy, seed), study.cases[case], study.variants[variant], policy, seed)
+        for case, variant, policy, seed in study.cells()
+        if repr((case, variant, policy, seed)) not in done
+    ]
     say(f"{name}: {len(jobs)} of {len(study.cells())} cells to play")
     if not jobs:
         return 0
--- a/peatlead/lab/wheel.py
+++ b/peatlead/lab/wheel.py
@@ -102,25 +102,25 @@
         """Nothing in the lowest turn: on to the coarser wheel's next slot, or to the far ones."""
         for level in range(1, LEVELS):
             if self.counts[level]:
-                span = SLOTS ** level
+                span = SLOTS**level
                 self.tick = (self.tick // span + 1) * span
                 for one in range(LEVELS - 1, 0, -1):
-                    if self.tick % SLOTS ** one == 0:
+                    if self.tick % SLOTS**one == 0:
                         self.lower_slot(one)
                 self.take_due()
                 return
         if self.far:
             self.tick = max(self.tick, int(self.far[0][0] * TICKS))
-            while self.far and int(self.far[0][0] * TICKS) - self.tick < SLOTS ** LEVELS // 2:
+            while self.far and int(self.far[0][0] * TICKS) - self.tick < SLOTS**LEVELS // 2:
                 self.place(heapq.heappop(self.far))
 
     def lower(self, level):
-        if level < LEVELS and self.tick % SLOTS ** level == 0:
+        if level < LEVELS and self.tick % SLOTS**level == 0:
             self.lower(level + 1)
             self.lower_slot(level)
 
     def lower_slot(self, level):
-        at = self.tick // SLOTS ** level % SLOTS
+        at = self.tick // SLOTS**level % SLOTS
         entries, self.levels[level][at] = self.levels[level][at], []
         self.counts[level] -= len(entries)
         for entry in entries:
