--- a/peatlead/lab/world.py
+++ b/peatlead/lab/world.py
@@ -39,7 +39,9 @@
         self.listening, self.datagrams, self.port = {}, {}, EPHEMERAL
         self.digest, self.events, self.trace = blake3(), 0, [] if trace else None
         self.graveyard = []  # of killed processes: nothing of theirs may run again, not even on collection
-        self.ready = deque()  # what is due now, in order of insertion: most of all callbacks never wait
+        self.ready = (
+            deque()
+        )  # what is due now, in order of insertion: most of all callbacks never wait
         self.cpu = real_time.process_time()  # at the end of the last callback
         self.inside = None  # the process whose callback ran last
 
@@ -50,8 +52,15 @@
     def note(self, what, *fields):
         """Into the digest, and the trace where one is kept."""
         self.events += 1
-        self.digest.update(b"".join([PACK(self.now), what.encode(), *[
-            one if type(one) is bytes else str(one).encode() for one in fields]]))
+        self.digest.update(
+            b"".join(
+                [
+                    PACK(self.now),
+                    what.encode(),
+                    *[one if type(one) is bytes else str(one).encode() for one in fields],
+                ]
+            )
+        )
         if self.trace is not None:
             self.trace.append((self.now, what, *fields))
 
@@ -119,7 +128,8 @@
             return None
         base = self.near if one == other else self.far
         return base * (1 + self.jitter * self.chance.random()) + (
-            self.slow.get((one, other), 0.0) or self.slow.get((source, target), 0.0))
+            self.slow.get((one, other), 0.0) or self.slow.get((source, target), 0.0)
+        )
 
     def lost(self):
         return self.loss and self.chance.random() < self.loss
@@ -312,7 +322,13 @@
     """A listener; `sockets` for those that ask where it listens."""
 
     def __init__(self, loop, factory, key, backlog):
-        self.loop, self.factory, self.key, self.backlog, self.waiting = loop, factory, key, backlog, 0
+        self.loop, self.factory, self.key, self.backlog, self.waiting = (
+            loop,
+            factory,
+            key,
+            backlog,
+            0,
+        )
         self.sockets = [self]
 
     def getsockname(self):
@@ -326,10 +342,18 @@
     """A connection on its way: a round trip, then the listener's kernel takes it or refuses."""
 
     def __init__(self, loop, local, target, answer):
-        self.loop, self.local, self.target, self.answer, self.world = loop, local, target, answer, loop.world
+        self.loop, self.local, self.target, self.answer, self.world = (
+            loop,
+            local,
+            target,
+            answer,
+            loop.world,
+        )
         delay = self.world.links.delay(local[0], target[0])
         if delay is None:
-            self.world.at(self.world.now + GONE_AFTER, loop, self.refuse, TimeoutError(110, "timed out"))
+            self.world.at(
+                self.world.now + GONE_AFTER, loop, self.refuse, TimeoutError(110, "timed out")
+            )
         else:
             self.world.at(self.world.now + delay, None, self.arrive)
 
@@ -340,7 +364,12 @@
             # A full queue drops the first packet: the caller hears nothing and would try again.
             world.at(world.now + GONE_AFTER, self.loop, self.refuse, TimeoutError(110, "timed out"))
         elif server is None:
-            world.at(world.now + back, self.loop, self.refuse, ConnectionRefusedError(111, "Connection refused"))
+            world.at(
+                world.now + back,
+                self.loop,
+                self.refuse,
+                ConnectionRefusedError(111, "Connection refused"),
+            )
         else:
             server.waiting += 1
             far = Socket(server.loop, self.target, self.local, None)
@@ -365,8 +394,20 @@
 
     def __init__(self, loop, local, peer, protocol):
         super().__init__()
-        self.loop, self.world, self.local, self.peer, self.protocol = loop, loop.world, local, peer, protocol
-        self.other, self.server, self.opened, self.closing, self.over = None, None, False, False, False
+        self.loop, self.world, self.local, self.peer, self.protocol = (
+            loop,
+            loop.world,
+            local,
+            peer,
+            protocol,
+        )
+        self.other, self.server, self.opened, self.closing, self.over = (
+            None,
+            None,
+            False,
+            False,
+            False,
+        )
         self.kernel, self.size, self.way, self.free_at, self.scheduled = deque(), 0, 0, 0.0, False
         self.out, self.waits, self.label = deque(), 0, f"{local}{peer}".encode()
         loop.sockets[self] = True
@@ -426,9 +467,13 @@
         self.world.at(self.free_at, None, self.other.arrive, what)
 
     def retry(self, what, until):
-        if self.world.links.delay(self.local[0], self.peer[0]) is not None or self.world.now >= until:
+        if (
+            self.world.links.delay(self.local[0], self.peer[0]) is not None
+            or self.world.now >= until
+        ):
             self.send_kernel(what) if self.world.now < until else self.world.at(
-                self.world.now, self.loop, self.lose, TimeoutError(110, "timed out"))
+                self.world.now, self.loop, self.lose, TimeoutError(110, "timed out")
+            )
         else:
             self.world.at(self.world.now + 0.2, None, self.retry, what, until)
 
@@ -501,7 +546,7 @@
     def feed(self, data):
         room = self.protocol.get_buffer(-1)
         if len(data) <= min(len(room), CHUNK):
-            room[:len(data)] = data
+            room[: len(data)] = data
             self.protocol.buffer_updated(len(data))
             return
         view = memoryview(data)
@@ -516,7 +561,13 @@
 class Datagrams(asyncio.DatagramTransport):
     def __init__(self, loop, key, protocol):
         super().__init__()
-        self.loop, self.world, self.key, self.protocol, self.over = loop, loop.world, key, protocol, False
+        self.loop, self.world, self.key, self.protocol, self.over = (
+            loop,
+            loop.world,
+            key,
+            protocol,
+            False,
+        )
 
     def get_extra_info(self, name, default=None):
         return self.key if name == "sockname" else default
@@ -571,10 +622,8 @@
     if world.wrong:
         now, name, where, problem = world.wrong[0]
         raise RuntimeError(f"at {now:.3f} s in {name}: {problem!r} ({where})") from (
-            problem if isinstance(problem, BaseException) else None)
+            problem if isinstance(problem, BaseException) else None
+        )
     if not task.done():
         raise TimeoutError(f"not done after {until} simulated seconds")
     return task.result()
-
-
-
--- a/peatlead/measure/dns_fuzz.py
+++ b/peatlead/measure/dns_fuzz.py
@@ -14,8 +14,17 @@
 
 from .dns_speed import build
 
-NAMES = ("api.example.org", "_http._tcp.api.example.org", "d1.api.example.org", "example.org", "h3.hosts.example.org",
-         "ns1.example.org", "x.y.z", ".", "a" * 63 + ".example.org")
+NAMES = (
+    "api.example.org",
+    "_http._tcp.api.example.org",
+    "d1.api.example.org",
+    "example.org",
+    "h3.hosts.example.org",
+    "ns1.example.org",
+    "x.y.z",
+    ".",
+    "a" * 63 + ".example.org",
+)
 KINDS = ("A", "AAAA", "SRV", "SOA", "NS", "ANY", "AXFR", "IXFR", "MX", "TXT", "OPT")
 
 
@@ -23,9 +32,16 @@
     made = []
     for name in NAMES:
         for kind in KINDS:
-            for edns, options in ((False, None), (0, None), (0, [dns.edns.ECSOption("127.100.3.0", 24)]),
-                                  (0, [dns.edns.ECSOption("2001:db8::", 56)]), (1, None)):
-                made.append(dns.message.make_query(name, kind, use_edns=edns, options=options).to_wire())
+            for edns, options in (
+                (False, None),
+                (0, None),
+                (0, [dns.edns.ECSOption("127.100.3.0", 24)]),
+                (0, [dns.edns.ECSOption("2001:db8::", 56)]),
+                (1, None),
+            ):
+                made.append(
+                    dns.message.make_query(name, kind, use_edns=edns, options=options).to_wire()
+                )
     return made
 
 
@@ -42,7 +58,7 @@
         elif how == 2:
             del data[at:]
         elif how == 3:
-            data[at:at] = data[at:at + draw.randrange(64)]
+            data[at:at] = data[at : at + draw.randrange(64)]
         elif how == 4:
             data[at:] = draw.choice(others)[at:]
         elif how == 5 and len(data) > 12:
@@ -72,11 +88,17 @@
             raise AssertionError(f"query {at} of seed {seed}: {len(answer)} bytes for {data.hex()}")
         longest = max(longest, len(answer))
         found[f"code {answer[3] & 15}"] += 1
-    return {"queries": many, "seed": seed, "longest answer": longest, **found, "prepared": answers.prepared}
+    return {
+        "queries": many,
+        "seed": seed,
+        "longest answer": longest,
+        **found,
+        "prepared": answers.prepared,
+    }
 
 
 def main():
-    many, seed = (int(one) for one in [*sys.argv[1:], *("100000", "1")[len(sys.argv) - 1:]])
+    many, seed = (int(one) for one in [*sys.argv[1:], *("100000", "1")[len(sys.argv) - 1 :]])
     start = time.perf_counter()
     found = fuzz(many, seed)
     print(json.dumps({**found, "seconds": round(time.perf_counter() - start, 1)}))
--- a/peatlead/measure/dns_speed.py
+++ b/peatlead/measure/dns_speed.py
@@ -54,7 +54,9 @@
     def datagram_received(self, data, peer):
         query = dns.message.from_wire(data)
         answer = dns.message.make_response(query)
-        answer.answer.append(dns.rrset.from_text(query.question[0].name, 1, "IN", "A", "127.10.0.1", "127.10.0.2"))
+        answer.answer.append(
+            dns.rrset.from_text(query.question[0].name, 1, "IN", "A", "127.10.0.1", "127.10.0.2")
+        )
         self.sendto(answer.to_wire(), peer)
 
 
@@ -91,8 +93,12 @@
 async def load(port, seconds, window, views, seed, clients=3):
     """Answers a second that the clients had."""
     results = multiprocessing.Queue()
-    running = [multiprocessing.Process(target=client, args=(port, seed + at, seconds, window, views, results))
-               for at in range(clients)]
+    running = [
+        multiprocessing.Process(
+            target=client, args=(port, seed + at, seconds, window, views, results)
+        )
+        for at in range(clients)
+    ]
     for one in running:
         one.start()
     while any(one.is_alive() for one in running):
@@ -143,15 +149,24 @@
     changing.cancel()
     ratios = sorted(front_rate / echo for front_rate, echo in zip(found["front"], found["echo"]))
     return {
-        "views": views, "hosts": hosts, "rounds": rounds, "tables changed": counted[0],
-        "echo a second": [round(x) for x in found["echo"]], "front a second": [round(x) for x in found["front"]],
+        "views": views,
+        "hosts": hosts,
+        "rounds": rounds,
+        "tables changed": counted[0],
+        "echo a second": [round(x) for x in found["echo"]],
+        "front a second": [round(x) for x in found["front"]],
         "codec a second": [round(x) for x in found["codec"]],
-        "front / echo": {"least": round(ratios[0], 3), "median": round(ratios[len(ratios) // 2], 3),
-                         "most": round(ratios[-1], 3)},
-        "codec / echo": round(sum(found["codec"]) / len(found["codec"]) / (
-            sum(found["echo"]) / len(found["echo"])), 3),
-        "bytes held a view": held(views, hosts), "peak resident MB": resource.getrusage(
-            resource.RUSAGE_SELF).ru_maxrss // 1024}
+        "front / echo": {
+            "least": round(ratios[0], 3),
+            "median": round(ratios[len(ratios) // 2], 3),
+            "most": round(ratios[-1], 3),
+        },
+        "codec / echo": round(
+            sum(found["codec"]) / len(found["codec"]) / (sum(found["echo"]) / len(found["echo"])), 3
+        ),
+        "bytes held a view": held(views, hosts),
+        "peak resident MB": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // 1024,
+    }
 
 
 def held(views, hosts):
@@ -166,7 +181,10 @@
             answers.respond(wire, f"127.{100 + view // 250}.{view % 250}.9")
     whole = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    return {"settings, view and table": tables // views, "orders and prepared answers": (whole - tables) // views}
+    return {
+        "settings, view and table": tables // views,
+        "orders and prepared answers": (whole - tables) // views,
+    }
 
 
 def main():
--- a/peatlead/measure/encoding.py
+++ b/peatlead/measure/encoding.py
@@ -44,7 +44,11 @@
                 write("look", table, 0.9)
             spent.setdefault(name, []).append((time.process_time() - start) / len(tables) * 1e6)
     best = {name: round(min(found), 1) for name, found in spent.items()}
-    print(json.dumps({"us a table of 9 lines": best, "ratio": round(best["plain"] / best["parts"], 2)}))
+    print(
+        json.dumps(
+            {"us a table of 9 lines": best, "ratio": round(best["plain"] / best["parts"], 2)}
+        )
+    )
 
 
 if __name__ == "__main__":
--- a/peatlead/measure/grpc_fuzz.py
+++ b/peatlead/measure/grpc_fuzz.py
@@ -32,9 +32,13 @@
     request.node.id = "agent1"
     cluster = request.cluster_stats.add(cluster_name="look", total_dropped_requests=3)
     cluster.load_report_interval.FromMilliseconds(1000)
-    one = cluster.upstream_locality_stats.add().upstream_endpoint_stats.add(total_successful_requests=5)
+    one = cluster.upstream_locality_stats.add().upstream_endpoint_stats.add(
+        total_successful_requests=5
+    )
     one.address.socket_address.address, one.address.socket_address.port_value = "10.0.0.1", 80
-    one.load_metric_stats.add(metric_name="seconds", num_requests_finished_with_metric=5, total_metric_value=1.0)
+    one.load_metric_stats.add(
+        metric_name="seconds", num_requests_finished_with_metric=5, total_metric_value=1.0
+    )
     return request.SerializeToString()
 
 
@@ -42,10 +46,15 @@
     plain = discovery_pb2.DiscoveryRequest(type_url=ENDPOINTS, resource_names=["look"])
     plain.node.id, plain.node.locality.zone = "agent1", "a"
     plain.node.metadata.fields["epoch"].number_value = 3
-    plain.node.metadata.fields["held"].struct_value.fields["look"].list_value.values.add(
-        ).string_value = "10.0.0.1|80|a|1.0"
-    delta = discovery_pb2.DeltaDiscoveryRequest(type_url=LINES, initial_resource_versions={
-        "xdstp://peatlead/envoy.config.endpoint.v3.LbEndpoint/look/a/10.0.0.1:80": "1000"})
+    plain.node.metadata.fields["held"].struct_value.fields[
+        "look"
+    ].list_value.values.add().string_value = "10.0.0.1|80|a|1.0"
+    delta = discovery_pb2.DeltaDiscoveryRequest(
+        type_url=LINES,
+        initial_resource_versions={
+            "xdstp://peatlead/envoy.config.endpoint.v3.LbEndpoint/look/a/10.0.0.1:80": "1000"
+        },
+    )
     delta.node.id = "agent1"
     return plain.SerializeToString(), delta.SerializeToString()
 
@@ -54,17 +63,20 @@
     data = bytearray(data)
     for _ in range(chance.randrange(1, 9)):
         at = chance.randrange(len(data) + 1)
-        data[at:at + chance.randrange(4)] = chance.randbytes(chance.randrange(4))
+        data[at : at + chance.randrange(4)] = chance.randbytes(chance.randrange(4))
     return bytes(data)
 
 
 def read(data):
     """All readers of what a proxy sends."""
     for make, use in (
-            (lrs_pb2.LoadStatsRequest,
-             lambda said: read_report(said, {"look": 0}, lambda place: 1, 7, 0, Gathered())),
-            (discovery_pb2.DiscoveryRequest, read_node),
-            (discovery_pb2.DeltaDiscoveryRequest, lambda said: (read_node(said), read_held(said)))):
+        (
+            lrs_pb2.LoadStatsRequest,
+            lambda said: read_report(said, {"look": 0}, lambda place: 1, 7, 0, Gathered()),
+        ),
+        (discovery_pb2.DiscoveryRequest, read_node),
+        (discovery_pb2.DeltaDiscoveryRequest, lambda said: (read_node(said), read_held(said))),
+    ):
         try:
             use(make.FromString(data))
         except (DecodeError, ValueError):
@@ -79,8 +91,16 @@
 def frames(path, message):
     client = h2.connection.H2Connection(h2.config.H2Configuration(header_encoding="utf-8"))
     client.initiate_connection()
-    client.send_headers(1, [(":method", "POST"), (":scheme", "http"), (":path", path), (":authority", "x"),
-                            ("content-type", "application/grpc")])
+    client.send_headers(
+        1,
+        [
+            (":method", "POST"),
+            (":scheme", "http"),
+            (":path", path),
+            (":authority", "x"),
+            ("content-type", "application/grpc"),
+        ],
+    )
     client.send_data(1, frame(message))
     return client.data_to_send()
 
@@ -100,7 +120,7 @@
         for at in range(0, len(stream), size):
             if made.transport.is_closing():
                 break
-            made.received(stream[at:at + size])
+            made.received(stream[at : at + size])
         made.connection_lost(None)
         if made.calls:
             raise RuntimeError(f"calls left behind by {stream!r}")
@@ -108,8 +128,17 @@
         if played == 2000:
             peak = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
     grown = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - (peak or 0)
-    print(json.dumps({"seconds": seconds, "seed": seed, "inputs": 2 * played, "peak KiB at 2,000": peak,
-                      "grown KiB": grown}))
+    print(
+        json.dumps(
+            {
+                "seconds": seconds,
+                "seed": seed,
+                "inputs": 2 * played,
+                "peak KiB at 2,000": peak,
+                "grown KiB": grown,
+            }
+        )
+    )
 
 
 if __name__ == "__main__":
--- a/peatlead/measure/herd.py
+++ b/peatlead/measure/herd.py
@@ -65,8 +65,9 @@
         self.named = {}
 
     async def begin(self):
-        self.connection = await dial(self.controller, f"127.{60 + self.at // 250}.{self.at % 250}.1", 30.0,
-                                     ping_every=0.0)
+        self.connection = await dial(
+            self.controller, f"127.{60 + self.at // 250}.{self.at % 250}.1", 30.0, ping_every=0.0
+        )
         self.call = self.connection.call(DISCOVERY, "peatlead")
         self.call.message = self.take
         for type_url in (ENDPOINTS, ROUTES):
@@ -77,8 +78,11 @@
     def take(self, data):
         now = time.monotonic()
         response = discovery_pb2.DiscoveryResponse.FromString(data)
-        answer = discovery_pb2.DiscoveryRequest(type_url=response.type_url, version_info=response.version_info,
-                                                response_nonce=response.nonce)
+        answer = discovery_pb2.DiscoveryRequest(
+            type_url=response.type_url,
+            version_info=response.version_info,
+            response_nonce=response.nonce,
+        )
         self.call.send(answer.SerializeToString())
         self.size += len(data)
         if response.type_url == ENDPOINTS:
@@ -91,8 +95,19 @@
     async def report(self, every, follow):
         """Load reports of one try a host it holds, for each kind."""
         call, told = self.connection.call(LOADS, "peatlead"), [every]
-        call.message = lambda data: told.append(max(every, lrs_pb2.LoadStatsResponse.FromString(
-            data).load_reporting_interval.ToMilliseconds() / 1000)) if follow else None
+        call.message = (
+            lambda data: told.append(
+                max(
+                    every,
+                    lrs_pb2.LoadStatsResponse.FromString(
+                        data
+                    ).load_reporting_interval.ToMilliseconds()
+                    / 1000,
+                )
+            )
+            if follow
+            else None
+        )
         await asyncio.sleep(every * (self.at % 97) / 97)
         while not call.over:
             request = lrs_pb2.LoadStatsRequest()
@@ -113,7 +128,7 @@
     made = [Agent(at, controller) for at in numbers]
     loop = asyncio.get_running_loop()
     for at in range(0, len(made), 50):
-        await asyncio.gather(*(one.begin() for one in made[at:at + 50]))
+        await asyncio.gather(*(one.begin() for one in made[at : at + 50]))
     while not all(one.seen for one in made):
         await asyncio.sleep(0.05)
     pipe.send(("joined", max(one.seen[0][0] for one in made)))
@@ -132,7 +147,7 @@
             found = []
             for one in made:
                 held = [at for at, (_, hosts) in enumerate(one.seen) if value in hosts]
-                gone = [when for when, hosts in one.seen[held[-1] + 1:]] if held else []
+                gone = [when for when, hosts in one.seen[held[-1] + 1 :]] if held else []
                 found.append(gone[0] if gone else (None if held else 0.0))
             pipe.send(found)
 
@@ -146,13 +161,24 @@
         loop = asyncio.get_running_loop()
         await loop.create_server(lambda: Answered(30.0), "0.0.0.0", port, backlog=1024)
         await asyncio.Event().wait()
+
     asyncio.run(serve())
 
 
 def write_list(folder, version, hosts, draining=()):
-    made = {"version": version, "written": 0.0, "hosts": [
-        {"name": f"h{at}", "zone": ZONES[at % 3], "phase": "draining" if at in draining else "ready",
-         "address": f"127.10.{at // 250}.{at % 250 + 1}"} for at in range(hosts)]}
+    made = {
+        "version": version,
+        "written": 0.0,
+        "hosts": [
+            {
+                "name": f"h{at}",
+                "zone": ZONES[at % 3],
+                "phase": "draining" if at in draining else "ready",
+                "address": f"127.10.{at // 250}.{at % 250 + 1}",
+            }
+            for at in range(hosts)
+        ],
+    }
     Path(folder, "nodes.new").write_text(json.dumps(made))
     os.rename(f"{folder}/nodes.new", f"{folder}/nodes.json")
     return time.monotonic()
@@ -172,8 +198,15 @@
 
 def spread(values):
     values = sorted(values)
-    return {"median": round(values[len(values) // 2] * 1000, 1), "99th": round(
-        values[int(len(values) * 0.99)] * 1000, 1), "last": round(values[-1] * 1000, 1)} if values else {}
+    return (
+        {
+            "median": round(values[len(values) // 2] * 1000, 1),
+            "99th": round(values[int(len(values) * 0.99)] * 1000, 1),
+            "last": round(values[-1] * 1000, 1),
+        }
+        if values
+        else {}
+    )
 
 
 def ask(context, what, value=None):
@@ -188,21 +221,40 @@
     write_list(folder, 1, hosts)
     prober = multiprocessing.Process(target=probed, args=(port + 3,), daemon=True)
     prober.start()
-    steward = subprocess.Popen([sys.executable, "-m", "peatlead", "run", f"{folder}/settings.star"],
-                               stdout=open(f"{folder}/log", "w"), stderr=subprocess.STDOUT)
+    steward = subprocess.Popen(
+        [sys.executable, "-m", "peatlead", "run", f"{folder}/settings.star"],
+        stdout=open(f"{folder}/log", "w"),
+        stderr=subprocess.STDOUT,
+    )
     time.sleep(2.5)
-    base, spent, begin, pipes, children = memory(steward.pid), cpu(steward.pid), time.monotonic(), [], []
+    base, spent, begin, pipes, children = (
+        memory(steward.pid),
+        cpu(steward.pid),
+        time.monotonic(),
+        [],
+        [],
+    )
     for at in range(CLIENTS):
         here, there = multiprocessing.Pipe()
-        children.append(multiprocessing.Process(
-            target=client, args=(range(at, proxies, CLIENTS), ("127.1.0.1", port + 2), rate, there), daemon=True))
+        children.append(
+            multiprocessing.Process(
+                target=client,
+                args=(range(at, proxies, CLIENTS), ("127.1.0.1", port + 2), rate, there),
+                daemon=True,
+            )
+        )
         children[-1].start()
         pipes.append(here)
     try:
         joined = max(pipe.recv()[1] for pipe in pipes) - begin
-        told = {"proxies": proxies, "hosts": hosts, "reports a second": abs(rate) * proxies,
-                "all served after s": round(joined, 2), "CPU s": round(cpu(steward.pid) - spent, 2),
-                "KiB a proxy": round((memory(steward.pid) - base) * 1024 / proxies, 1)}
+        told = {
+            "proxies": proxies,
+            "hosts": hosts,
+            "reports a second": abs(rate) * proxies,
+            "all served after s": round(joined, 2),
+            "CPU s": round(cpu(steward.pid) - spent, 2),
+            "KiB a proxy": round((memory(steward.pid) - base) * 1024 / proxies, 1),
+        }
         time.sleep(GO)
         spent, sizes = cpu(steward.pid), ask(pipes, "sizes")
         time.sleep(GO)
@@ -212,11 +264,19 @@
         found = ask(pipes, "without", "127.10.0.1")
         late = [one - at for one in found if one]
         more = [new - old for new, old in zip(ask(pipes, "sizes"), sizes)]
-        told.update({"held it": len([one for one in found if one != 0.0]), "told ms": spread(late),
-                     "never told": sum(one is None for one in found), "bytes a proxy": sum(more) // proxies,
-                     "CPU of it": round(cpu(steward.pid) - spent, 2)})
+        told.update(
+            {
+                "held it": len([one for one in found if one != 0.0]),
+                "told ms": spread(late),
+                "never told": sum(one is None for one in found),
+                "bytes a proxy": sum(more) // proxies,
+                "CPU of it": round(cpu(steward.pid) - spent, 2),
+            }
+        )
         status = asyncio.run(ask_once(("127.1.0.1", port + 1), {"ask": "status"}))
-        told["status"] = {name: status[name] for name in ("slowest_decide", "channel", "burden") if name in status}
+        told["status"] = {
+            name: status[name] for name in ("slowest_decide", "channel", "burden") if name in status
+        }
         told["bare loop ms"] = bare(proxies, max(1, sum(more) // proxies))
         print(json.dumps(told), flush=True)
     finally:
@@ -241,6 +301,7 @@
 
 def bare(proxies, size):
     """The same bytes from one loop to as many streams, all of them in this process: what the sockets alone cost."""
+
     async def whole():
         loop, heard, ends = asyncio.get_running_loop(), [], []
 
@@ -251,8 +312,13 @@
         server = await loop.create_server(Taken, "127.1.0.9", 0, backlog=1024)
         address = server.sockets[0].getsockname()
         for at in range(proxies):
-            heard.append((await loop.create_connection(
-                Ear, *address, local_addr=(f"127.{60 + at // 250}.{at % 250}.2", 0)))[1])
+            heard.append(
+                (
+                    await loop.create_connection(
+                        Ear, *address, local_addr=(f"127.{60 + at // 250}.{at % 250}.2", 0)
+                    )
+                )[1]
+            )
         await asyncio.sleep(0.2)
         begin, data = time.monotonic(), b"x" * size
         for one in ends:
@@ -264,6 +330,7 @@
         for one in [*heard, *ends]:
             one.cut("over")
         return {**found, "to write": round(wrote * 1000, 1)}
+
     return asyncio.run(whole())
 
 
--- a/peatlead/measure/lab_speed.py
+++ b/peatlead/measure/lab_speed.py
@@ -10,16 +10,23 @@
 from ..day.script import load_day
 from ..lab.day import play_day
 
-SIZES = {"24 / 80": (24, 80, 300, 20), "82 / 291": (82, 291, 1000, 8), "1000 / 3000": (1000, 3000, 1000, 2)}
+SIZES = {
+    "24 / 80": (24, 80, 300, 20),
+    "82 / 291": (82, 291, 1000, 8),
+    "1000 / 3000": (1000, 3000, 1000, 2),
+}
 
 
 def day(hosts, agents, rate, length):
-    return load_day("speed", f"""
+    return load_day(
+        "speed",
+        f"""
 day(length = {length}, seed = 1, stewards = 3)
 fleet(hosts = {hosts}, zones = ["a", "b", "c"])
 desks(views = 0, shared = 0)
 agents(many = {agents}, rate = {rate})
-""")
+""",
+    )
 
 
 def main():
@@ -33,11 +40,22 @@
         played = play_day(day(*size), 1)
         spent = time.process_time() - start
         reqs = sum(row.kind == "req" for row in played.rows)
-        print(json.dumps({
-            "hosts / agents": name, "reqs a second": size[2], "simulated seconds": round(played.seconds, 1),
-            "cpu seconds": round(spent, 1), "simulated a cpu second": round(played.seconds / spent, 2),
-            "us a req": round(spent / reqs * 1e6), "deliveries": played.events, "finds": played.finds,
-            "peak MB": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // 1024}), flush=True)
+        print(
+            json.dumps(
+                {
+                    "hosts / agents": name,
+                    "reqs a second": size[2],
+                    "simulated seconds": round(played.seconds, 1),
+                    "cpu seconds": round(spent, 1),
+                    "simulated a cpu second": round(played.seconds / spent, 2),
+                    "us a req": round(spent / reqs * 1e6),
+                    "deliveries": played.events,
+                    "finds": played.finds,
+                    "peak MB": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // 1024,
+                }
+            ),
+            flush=True,
+        )
 
 
 if __name__ == "__main__":
--- a/peatlead/measure/members.py
+++ b/peatlead/measure/members.py
@@ -27,7 +27,14 @@
     died = until(net, lambda: set(net.states("n1").values()) == {"dead"})
     net.start("n1")
     back = until(net, lambda: net.agreed(sorted(net.nodes)))
-    return joined, died, back, steady[0] / steady[2] / many, steady[1] / steady[2] / many, cpu / steady[2] / many
+    return (
+        joined,
+        died,
+        back,
+        steady[0] / steady[2] / many,
+        steady[1] / steady[2] / many,
+        cpu / steady[2] / many,
+    )
 
 
 def main():
@@ -35,11 +42,20 @@
         found = [measure(many, seed) for seed in range(9)]
         middle = [sorted(column)[len(column) // 2] for column in zip(*found)]
         worst = [max(column) for column in zip(*found)]
-        print(json.dumps({
-            "members": many, "all know all, s (median, worst of 9)": [middle[0], worst[0]],
-            "all know of a death, s": [middle[1], worst[1]], "known again, s": [middle[2], worst[2]],
-            "messages a second and member": round(middle[3], 1), "bytes a second and member": round(middle[4]),
-            "CPU ms a second and member (with the model's own)": round(middle[5] * 1000, 2)}), flush=True)
+        print(
+            json.dumps(
+                {
+                    "members": many,
+                    "all know all, s (median, worst of 9)": [middle[0], worst[0]],
+                    "all know of a death, s": [middle[1], worst[1]],
+                    "known again, s": [middle[2], worst[2]],
+                    "messages a second and member": round(middle[3], 1),
+                    "bytes a second and member": round(middle[4]),
+                    "CPU ms a second and member (with the model's own)": round(middle[5] * 1000, 2),
+                }
+            ),
+            flush=True,
+        )
 
 
 if __name__ == "__main__":
--- a/peatlead/measure/scale.py
+++ b/peatlead/measure/scale.py
@@ -16,15 +16,45 @@
 from ..steward.channel import Channel, Publisher, ViewState
 
 FACTS = {
-    "stewards": 1, "zone": 0, "zones": ["a", "b", "c"], "machines": ["m"], "roster_mode": "pushed",
-    "messages_most": 30, "messages_span": 10.0, "push_delay": 0.3, "push_delay_most": 1.0, "bare_most": 4.0,
-    "sums_every": 1.0, "probing": True, "report_fields": ["util"], "cold_share": 0.3, "warm_after": 8.0,
-    "tip_multiple": 3.0, "tip_span": 2.0, "drain_grace": 3.0, "value_of_whole": 0.5, "value_of_worst_kind": 0.1,
-    "message_head": 6.0, "standing": 8.0, "tries_told": True,
+    "stewards": 1,
+    "zone": 0,
+    "zones": ["a", "b", "c"],
+    "machines": ["m"],
+    "roster_mode": "pushed",
+    "messages_most": 30,
+    "messages_span": 10.0,
+    "push_delay": 0.3,
+    "push_delay_most": 1.0,
+    "bare_most": 4.0,
+    "sums_every": 1.0,
+    "probing": True,
+    "report_fields": ["util"],
+    "cold_share": 0.3,
+    "warm_after": 8.0,
+    "tip_multiple": 3.0,
+    "tip_span": 2.0,
+    "drain_grace": 3.0,
+    "value_of_whole": 0.5,
+    "value_of_worst_kind": 0.1,
+    "message_head": 6.0,
+    "standing": 8.0,
+    "tries_told": True,
     "req_kinds": [
-        {"name": name, "response_target": 0.5, "client_timeout": 2.0, "repeat": "replayable", "gain": gain,
-         "drops_repeats_in": "all", "repeat_window": 5.0, "late_gain": 0.1, "own_zone": False, "write": False}
-        for name, gain in (("lookup", 1.0), ("file", 6.0))]}
+        {
+            "name": name,
+            "response_target": 0.5,
+            "client_timeout": 2.0,
+            "repeat": "replayable",
+            "gain": gain,
+            "drops_repeats_in": "all",
+            "repeat_window": 5.0,
+            "late_gain": 0.1,
+            "own_zone": False,
+            "write": False,
+        }
+        for name, gain in (("lookup", 1.0), ("file", 6.0))
+    ],
+}
 SIZES = ((82, 291), (300, 1000), (1000, 1000), (1000, 3000), (3000, 3000))
 
 
@@ -37,8 +67,16 @@
 
 
 def member(host, phase="ready", started_at=0.0):
-    return our.Member(host, b"10.%d.%d.%d" % (host % 3, host // 250, host % 250), host % 3, 0, host // 4, phase, 1.0,
-                      started_at)
+    return our.Member(
+        host,
+        b"10.%d.%d.%d" % (host % 3, host // 250, host % 250),
+        host % 3,
+        0,
+        host // 4,
+        phase,
+        1.0,
+        started_at,
+    )
 
 
 class Run:
@@ -47,7 +85,12 @@
     def __init__(self, module, hosts, proxies):
         self.hosts, self.proxies, self.now = hosts, proxies, 100.0
         # The channel's pace grows with the fleet, or it would be all that is seen.
-        facts = {**FACTS, "proxies": proxies, "channel_rate": 100.0 * proxies, "queue_most": 100.0 * proxies}
+        facts = {
+            **FACTS,
+            "proxies": proxies,
+            "channel_rate": 100.0 * proxies,
+            "queue_most": 100.0 * proxies,
+        }
         self.planner, self.more = module.Planner(facts, 1), False
         self.decide([our.Roster("remembered", 1, tuple(map(member, range(hosts))))])
 
@@ -71,28 +114,41 @@
         return found, many
 
     def join(self):
-        numbers = [2 ** 32 - 1 - at * 7919 for at in range(self.proxies)]
-        return self.batches([our.ProxyJoined(number, at % 3, 10.0, True) for at, number in enumerate(numbers)])[0]
+        numbers = [2**32 - 1 - at * 7919 for at in range(self.proxies)]
+        return self.batches(
+            [our.ProxyJoined(number, at % 3, 10.0, True) for at, number in enumerate(numbers)]
+        )[0]
 
     def ticks(self, many):
         found = []
         for _ in range(many):
             self.now += 0.1
-            spent, _ = self.decide([our.TimerFired(0), *(our.ProbeResult(host, "ok", 0.001, {"util": 0.5})
-                                                         for host in self.probed)])
+            spent, _ = self.decide(
+                [
+                    our.TimerFired(0),
+                    *(our.ProbeResult(host, "ok", 0.001, {"util": 0.5}) for host in self.probed),
+                ]
+            )
             found.append(spent)
         return found
 
     def round(self):
         self.now += 0.1
-        self.decide([our.HostSums(host, zone, 10, 0, 1.0, 0.1, {"util": 0.5})
-                     for host in range(self.hosts) for zone in range(3)])
+        self.decide(
+            [
+                our.HostSums(host, zone, 10, 0, 1.0, 0.1, {"util": 0.5})
+                for host in range(self.hosts)
+                for zone in range(3)
+            ]
+        )
         self.now += 0.3
         return self.decide([our.TimerFired(0)])[0]
 
     def withdraw(self, hosts):
         self.now += 0.1
-        spent, many = self.batches([our.Roster("changes", 2, tuple(member(host, "draining") for host in hosts))])
+        spent, many = self.batches(
+            [our.Roster("changes", 2, tuple(member(host, "draining") for host in hosts))]
+        )
         return spent, many
 
     def release(self, steps=30):
@@ -100,8 +156,10 @@
         part, longest, total = max(1, int(self.hosts * 0.96) // steps), 0.0, 0.0
         for at in range(steps):
             hosts = range(at * part, (at + 1) * part)
-            for events in ([our.Roster("changes", 3 + at, tuple(member(h, "draining") for h in hosts))],
-                           [our.Roster("changes", 3 + at, tuple(member(h, "ready", self.now) for h in hosts))]):
+            for events in (
+                [our.Roster("changes", 3 + at, tuple(member(h, "draining") for h in hosts))],
+                [our.Roster("changes", 3 + at, tuple(member(h, "ready", self.now) for h in hosts))],
+            ):
                 self.now += 0.1
                 spent = [self.decide(events)[0], *self.ticks(4)]
                 longest, total = max(longest, *spent), total + sum(spent)
@@ -114,7 +172,14 @@
 
     def __init__(self, module, hosts, proxies, rate=10.0, channel=4000.0):
         self.publisher, self.channel = Publisher(), Channel(channel, FACTS["message_head"], channel)
-        self.states, self.rate, self.sent, self.lines, self.most_sent, self.bare = {}, rate, {}, 0, 0, 0
+        self.states, self.rate, self.sent, self.lines, self.most_sent, self.bare = (
+            {},
+            rate,
+            {},
+            0,
+            0,
+            0,
+        )
         self.longest = self.spent = self.cold_worst = 0.0
         self.answers = []
         super().__init__(module, hosts, proxies)
@@ -128,12 +193,17 @@
         for proxy in sorted(messages):
             self.channel.offer(self.now, proxy, messages[proxy], marks.get(proxy, ()))
         for proxy, message in self.channel.due(self.now):
-            self.answers += [our.Applied(proxy, mark, self.now - message.offered) for mark in message.marks]
+            self.answers += [
+                our.Applied(proxy, mark, self.now - message.offered) for mark in message.marks
+            ]
             times = self.sent.setdefault(proxy, deque())
             times.append(self.now)
             while self.now - times[0] > FACTS["messages_span"]:
                 times.popleft()
-            self.most_sent, self.lines = max(self.most_sent, len(times)), self.lines + len(message.ops)
+            self.most_sent, self.lines = (
+                max(self.most_sent, len(times)),
+                self.lines + len(message.ops),
+            )
             self.states[proxy].apply(message.ops)
         return spent, orders
 
@@ -178,7 +248,9 @@
             ready = [h for at, h in back if at <= self.now]
             if ready:
                 back = [(at, h) for at, h in back if at > self.now]
-                events.append(our.Roster("changes", 2, tuple(member(h, "ready", self.now) for h in ready)))
+                events.append(
+                    our.Roster("changes", 2, tuple(member(h, "ready", self.now) for h in ready))
+                )
             self.now += 0.1
             self.decide([our.TimerFired(0), *events])
             if round(self.now * 10) % 5 == 0:
@@ -186,12 +258,15 @@
         for _ in range(100):
             self.ticks(1)
             self.look()
-        return {"lines a proxy": round(self.lines / self.proxies, 1),
-                "messages a proxy in 10 s, most": self.most_sent,
-                "queue, deepest part": round(self.channel.deepest / self.channel.most, 2),
-                "proxies without a line": self.bare,
-                "cold host, most of what tips it": round(self.cold_worst, 3), "CPU s": round(self.spent, 2),
-                "longest batch ms": round(self.longest * 1000, 1)}
+        return {
+            "lines a proxy": round(self.lines / self.proxies, 1),
+            "messages a proxy in 10 s, most": self.most_sent,
+            "queue, deepest part": round(self.channel.deepest / self.channel.most, 2),
+            "proxies without a line": self.bare,
+            "cold host, most of what tips it": round(self.cold_worst, 3),
+            "CPU s": round(self.spent, 2),
+            "longest batch ms": round(self.longest * 1000, 1),
+        }
 
 
 def measure(module, hosts, proxies):
@@ -203,9 +278,17 @@
     zone, _ = run.withdraw(range(0, hosts, 3))
     run.withdraw([])
     longest, total = released(module, hosts, proxies)
-    return {"join": sum(joins), "longest join batch": max(joins), "tick": sorted(ticks)[len(ticks) // 2],
-            "longest tick": max(ticks), "round": round_spent, "withdrawal": max(one), "zone lost": sum(zone),
-            "release in 30 s": total, "longest of it": longest}
+    return {
+        "join": sum(joins),
+        "longest join batch": max(joins),
+        "tick": sorted(ticks)[len(ticks) // 2],
+        "longest tick": max(ticks),
+        "round": round_spent,
+        "withdrawal": max(one),
+        "zone lost": sum(zone),
+        "release in 30 s": total,
+        "longest of it": longest,
+    }
 
 
 def released(module, hosts, proxies):
@@ -220,13 +303,24 @@
     chart = args.pop() if "--chart" in sys.argv else None
     if args == ["release"]:
         for hosts, proxies in SIZES[:4]:
-            for pace in sorted({4000, 14 * proxies}):  # the usual; as much a proxy as that is at 291
+            for pace in sorted(
+                {4000, 14 * proxies}
+            ):  # the usual; as much a proxy as that is at 291
                 run = Paced(choice, hosts, proxies, channel=pace)
                 run.join()
                 run.ticks(100)
                 run.lines, run.channel.deepest = 0, 0.0
-                print(json.dumps({"hosts": hosts, "proxies": proxies, "lines a second": pace, **run.replace()}),
-                      flush=True)
+                print(
+                    json.dumps(
+                        {
+                            "hosts": hosts,
+                            "proxies": proxies,
+                            "lines a second": pace,
+                            **run.replace(),
+                        }
+                    ),
+                    flush=True,
+                )
         return
     before = load(args[0]) if args else None
     found = []
@@ -234,23 +328,40 @@
         row = {"hosts": hosts, "proxies": proxies, "now": measure(choice, hosts, proxies)}
         if before is not None and hosts * proxies <= 1000 * 3000:
             row["before"] = measure(before, hosts, proxies)
-            row["ratio"] = {name: round(row["before"][name] / max(1e-6, value), 1)
-                            for name, value in row["now"].items()}
+            row["ratio"] = {
+                name: round(row["before"][name] / max(1e-6, value), 1)
+                for name, value in row["now"].items()
+            }
         found.append(row)
-        print(json.dumps({name: {k: round(v * 1000, 2) if name != "ratio" else v for k, v in value.items()}
-                          if type(value) is dict else value for name, value in row.items()}), flush=True)
+        print(
+            json.dumps(
+                {
+                    name: {
+                        k: round(v * 1000, 2) if name != "ratio" else v for k, v in value.items()
+                    }
+                    if type(value) is dict
+                    else value
+                    for name, value in row.items()
+                }
+            ),
+            flush=True,
+        )
     if chart:
         draw(found, chart)
 
 
 def draw(rows, path):
     import matplotlib
+
     matplotlib.use("Agg")
     from matplotlib import pyplot
+
     figure, axes = pyplot.subplots(1, 3, figsize=(13, 4))
     for axis, name in zip(axes, ("join", "tick", "zone lost")):
         for which in ("before", "now"):
-            points = [(row["hosts"] * row["proxies"], row[which][name]) for row in rows if which in row]
+            points = [
+                (row["hosts"] * row["proxies"], row[which][name]) for row in rows if which in row
+            ]
             axis.loglog(*zip(*points), marker="o", label=which)
         axis.set(title=name, xlabel="hosts x proxies", ylabel="CPU seconds")
         axis.legend()
--- a/peatlead/measure/versions.py
+++ b/peatlead/measure/versions.py
@@ -21,24 +21,44 @@
 
 
 def digests(python, kind, first, last, hash_seed):
-    made = subprocess.run([python, "-c", PLAY, kind, str(first), str(last)], capture_output=True, text=True,
-                          check=True, env={**os.environ, "PYTHONHASHSEED": str(hash_seed)})
+    made = subprocess.run(
+        [python, "-c", PLAY, kind, str(first), str(last)],
+        capture_output=True,
+        text=True,
+        check=True,
+        env={**os.environ, "PYTHONHASHSEED": str(hash_seed)},
+    )
     return made.stdout.split()
 
 
 def main():
     seeds, pythons = int(sys.argv[1]), sys.argv[2:] or [sys.executable]
-    jobs = [(python, kind, 0, seeds, hash_seed) for python in pythons for kind in ("fleet", "dns")
-            for hash_seed in (1, 2)]
+    jobs = [
+        (python, kind, 0, seeds, hash_seed)
+        for python in pythons
+        for kind in ("fleet", "dns")
+        for hash_seed in (1, 2)
+    ]
     with ThreadPoolExecutor(4) as pool:
         found = dict(zip(jobs, pool.map(lambda job: digests(*job), jobs)))
     differ = 0
     for kind in ("fleet", "dns"):
         lists = [made for job, made in found.items() if job[1] == kind]
         differ += sum(len(set(one)) > 1 for one in zip(*lists))
-    names = [subprocess.run([python, "--version"], capture_output=True, text=True).stdout.strip()
-             for python in pythons]
-    print(json.dumps({"pythons": names, "seeds": 2 * seeds, "plays of each": 2 * len(pythons), "differ": differ}))
+    names = [
+        subprocess.run([python, "--version"], capture_output=True, text=True).stdout.strip()
+        for python in pythons
+    ]
+    print(
+        json.dumps(
+            {
+                "pythons": names,
+                "seeds": 2 * seeds,
+                "plays of each": 2 * len(pythons),
+                "differ": differ,
+            }
+        )
+    )
     sys.exit(1 if differ else 0)
 
 
--- a/peatlead/net/errors.py
+++ b/peatlead/net/errors.py
@@ -6,9 +6,19 @@
 import errno
 
 # No descriptor, buffer, memory, port or route here: nothing was asked of the peer.
-LOCAL_SHORTAGE = frozenset({
-    errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENETDOWN,
-    errno.EAGAIN, errno.EINTR})
+LOCAL_SHORTAGE = frozenset(
+    {
+        errno.EMFILE,
+        errno.ENFILE,
+        errno.ENOBUFS,
+        errno.ENOMEM,
+        errno.EADDRNOTAVAIL,
+        errno.ENETUNREACH,
+        errno.ENETDOWN,
+        errno.EAGAIN,
+        errno.EINTR,
+    }
+)
 # Those with which a call that opens a listener or a file may succeed a moment later.
 PASSING = LOCAL_SHORTAGE | {errno.EADDRINUSE, errno.EIO, errno.ESTALE}
 
--- a/peatlead/net/http.py
+++ b/peatlead/net/http.py
@@ -15,7 +15,11 @@
 from .errors import is_local
 from .streams import Stream, within
 
-BODY_MOST, HEAD_MOST, AHEAD_MOST = 4 << 20, 64 << 10, 16  # bytes; bytes; reqs sent ahead of their answers
+BODY_MOST, HEAD_MOST, AHEAD_MOST = (
+    4 << 20,
+    64 << 10,
+    16,
+)  # bytes; bytes; reqs sent ahead of their answers
 PHRASES = {one.value: one.phrase for one in HTTPStatus}
 
 
@@ -153,7 +157,7 @@
 
     def received(self, data):
         self.heard += len(data)
-        if (self.waiting is None or self.heard > BODY_MOST + HEAD_MOST or feed(self.parser, data)):
+        if self.waiting is None or self.heard > BODY_MOST + HEAD_MOST or feed(self.parser, data):
             self.fail("broken")  # an answer that nobody asked for would be taken for the next one's
             self.cut("not HTTP")
 
@@ -175,7 +179,9 @@
 async def connect(loop, address, deadline, local=None):
     """An Exchange to (host, port), from the address `local` if given. Raises Failed."""
     try:
-        opening = loop.create_connection(Exchange, *address, local_addr=(local, 0) if local else None)
+        opening = loop.create_connection(
+            Exchange, *address, local_addr=(local, 0) if local else None
+        )
         _, stream = await within(max(0.0, deadline - loop.time()), opening)
         return stream
     except asyncio.TimeoutError:
@@ -220,7 +226,9 @@
         if self.parser.should_upgrade():
             raise TooMuch(501)  # what follows would be another protocol's
         method, keep = self.parser.get_method().decode("latin-1"), self.parser.should_keep_alive()
-        self.ahead.append((method, req.target.decode("latin-1"), req.headers, b"".join(req.body), keep))
+        self.ahead.append(
+            (method, req.target.decode("latin-1"), req.headers, b"".join(req.body), keep)
+        )
 
     def advance(self):
         while self.ahead and not self.busy and self.transport is not None:
@@ -228,8 +236,13 @@
             self.busy, self.last = True, self.last or not keep
             self.serve(*req)
         if self.refused and not self.busy:  # after the answers to what came whole before it
-            self.send(write_message(f"HTTP/1.1 {self.refused} {PHRASES[self.refused]}",
-                                    [("content-length", "0"), ("connection", "close")], b""))
+            self.send(
+                write_message(
+                    f"HTTP/1.1 {self.refused} {PHRASES[self.refused]}",
+                    [("content-length", "0"), ("connection", "close")],
+                    b"",
+                )
+            )
             self.close()
 
     def answer(self, status, headers, body, last=False):
--- a/peatlead/net/orca.py
+++ b/peatlead/net/orca.py
@@ -9,14 +9,21 @@
 import msgspec
 
 HEADER = "endpoint-load-metrics"
-OURS = {"cpu_utilization": "util", "rps_fractional": "done_rate", "eps": "bad_rate",
-        "named_metrics.waiting": "waiting", "named_metrics.holding": "holding"}
+OURS = {
+    "cpu_utilization": "util",
+    "rps_fractional": "done_rate",
+    "eps": "bad_rate",
+    "named_metrics.waiting": "waiting",
+    "named_metrics.holding": "holding",
+}
 THEIRS = {ours: theirs for theirs, ours in OURS.items()}
 
 
 def write_report(report):
     """The header's value for {our name: number}."""
-    return "TEXT " + ", ".join(f"{THEIRS[name]}={value:.6g}" for name, value in sorted(report.items()))
+    return "TEXT " + ", ".join(
+        f"{THEIRS[name]}={value:.6g}" for name, value in sorted(report.items())
+    )
 
 
 def read_report(value):
--- a/peatlead/net/streams.py
+++ b/peatlead/net/streams.py
@@ -131,7 +131,9 @@
 
     def received(self, data):
         first, *rest = data.split(b"\n")
-        self.part += first  # what came before it is not read again: a long line may come byte by byte
+        self.part += (
+            first  # what came before it is not read again: a long line may come byte by byte
+        )
         if rest:
             whole, self.part = [bytes(self.part), *rest[:-1]], bytearray(rest[-1])
             for one in whole:
--- a/peatlead/platform/clock.py
+++ b/peatlead/platform/clock.py
@@ -7,7 +7,9 @@
 
 from collections import deque
 
-STEP_LEAST = 0.25  # seconds that the clocks must differ from the last offset: less is slew, and no step
+STEP_LEAST = (
+    0.25  # seconds that the clocks must differ from the last offset: less is slew, and no step
+)
 OFFSETS_KEPT = 8  # steps that are remembered
 SLACK = 1.0  # seconds that a host may seem to start in the future by the same clock
 
--- a/peatlead/platform/configuration.py
+++ b/peatlead/platform/configuration.py
@@ -10,14 +10,37 @@
 from ..wire.names import settings_from
 from .messages import Unreadable, read_document, read_list, read_place
 
-NEEDED = ("proxies", "zones", "zone", "channel_rate", "message_head", "queue_most", "bare_most", "drain_grace",
-          "warm_after", "push_delay_most")  # that the planner can't do without
+NEEDED = (
+    "proxies",
+    "zones",
+    "zone",
+    "channel_rate",
+    "message_head",
+    "queue_most",
+    "bare_most",
+    "drain_grace",
+    "warm_after",
+    "push_delay_most",
+)  # that the planner can't do without
 
 
 # Where a deployment has no such rule its settings may leave these out: then it binds nothing.
-UNBOUND = {"messages_most": 0, "messages_span": 0.0, "cold_share": 1.0, "tip_multiple": 1e9, "sums_every": 1.0}
-NUMBERS = (*NEEDED, *UNBOUND, "stewards", "connect_timeout", "price_of_crossing", "value_of_worst_kind",
-           "fails_to_shun")  # those that are told must be numbers
+UNBOUND = {
+    "messages_most": 0,
+    "messages_span": 0.0,
+    "cold_share": 1.0,
+    "tip_multiple": 1e9,
+    "sums_every": 1.0,
+}
+NUMBERS = (
+    *NEEDED,
+    *UNBOUND,
+    "stewards",
+    "connect_timeout",
+    "price_of_crossing",
+    "value_of_worst_kind",
+    "fails_to_shun",
+)  # those that are told must be numbers
 
 
 class BadConfiguration(Exception):
@@ -31,6 +54,7 @@
 class Told(NamedTuple):
     """`listen`, `discovery`: (address, port); `facts`: the planner's settings; `known`: the list as this steward last
     had it, or None; `sockets`: file descriptors that the process may hold."""
+
     name: str
     listen: tuple
     discovery: tuple
@@ -52,12 +76,21 @@
         raise BadConfiguration(f"{path}: {problem.strerror}", may_pass(problem)) from None
     try:
         said = read_document(data)
-        known = read_list(said.known, wall)._replace(scope="remembered") if bytes(said.known) else None
-        listen, discovery, seed = read_place(said.listen), read_place(said.discovery), int(said.seed, 16)
+        known = (
+            read_list(said.known, wall)._replace(scope="remembered") if bytes(said.known) else None
+        )
+        listen, discovery, seed = (
+            read_place(said.listen),
+            read_place(said.discovery),
+            int(said.seed, 16),
+        )
     except (Unreadable, ValueError) as problem:
         raise BadConfiguration(f"{path}: {problem}") from None
     try:
-        facts = {**UNBOUND, **{k: v for k, v in settings_from(said.settings).items() if v is not None}}
+        facts = {
+            **UNBOUND,
+            **{k: v for k, v in settings_from(said.settings).items() if v is not None},
+        }
     except (AttributeError, KeyError, TypeError, ValueError) as problem:
         raise BadConfiguration(f"{path}: settings: {problem!r}") from None
     wrong = faults(facts)
@@ -69,24 +102,38 @@
 def faults(facts):
     """What is wrong with the settings, a sentence each: the planner takes them to be right."""
     found = [f"{name}: expected it, not there" for name in NEEDED if name not in facts]
-    found += [f"{name}: expected a number from 0 up, got {facts[name]!r}" for name in NUMBERS
-              if name in facts and name != "zones" and not is_number(facts[name])]
+    found += [
+        f"{name}: expected a number from 0 up, got {facts[name]!r}"
+        for name in NUMBERS
+        if name in facts and name != "zones" and not is_number(facts[name])
+    ]
     zones, kinds = facts.get("zones"), facts["req_kinds"]
     if not (isinstance(zones, list) and zones and all(isinstance(zone, str) for zone in zones)):
         found.append(f"zones: expected names, got {zones!r}")
     elif not found and not (isinstance(facts["zone"], int) and facts["zone"] < len(zones)):
         found.append(f"zone: expected one of {len(zones)}, got {facts['zone']!r}")
-    found += [f"{name}: expected more than 0, got {facts[name]!r}" for name in ("channel_rate", "proxies")
-              if not found and not facts[name] > 0]
+    found += [
+        f"{name}: expected more than 0, got {facts[name]!r}"
+        for name in ("channel_rate", "proxies")
+        if not found and not facts[name] > 0
+    ]
     if not kinds:
         found.append("req_kinds: expected at least one, got none")
     names = [kind.get("name") for kind in kinds]
-    found += [f"request kind {at}: expected a name of its own, got {name!r}" for at, name in enumerate(names)
-              if not isinstance(name, str) or not name or names.index(name) < at]
-    found += [f"request kind {kind.get('name')!r}: {name}: expected {what}, got {kind.get(name)!r}"
-              for kind in kinds for name, what, least in (
-                  ("response_target", "seconds", 0.0), ("gain", "a number from 0 up", -1.0))
-              if not is_number(kind.get(name)) or kind[name] <= least]
+    found += [
+        f"request kind {at}: expected a name of its own, got {name!r}"
+        for at, name in enumerate(names)
+        if not isinstance(name, str) or not name or names.index(name) < at
+    ]
+    found += [
+        f"request kind {kind.get('name')!r}: {name}: expected {what}, got {kind.get(name)!r}"
+        for kind in kinds
+        for name, what, least in (
+            ("response_target", "seconds", 0.0),
+            ("gain", "a number from 0 up", -1.0),
+        )
+        if not is_number(kind.get(name)) or kind[name] <= least
+    ]
     return found
 
 
--- a/peatlead/platform/discovery.py
+++ b/peatlead/platform/discovery.py
@@ -10,7 +10,10 @@
 from .messages import Unreadable, read_list
 
 WAIT, SLACK, CONNECT = 2.0, 0.75, 0.5  # seconds: of a call; until its answer is overdue; to connect
-AGAIN, AGAIN_MOST = 0.05, 0.5  # seconds until the next try after a failure, doubled each time, up to this
+AGAIN, AGAIN_MOST = (
+    0.05,
+    0.5,
+)  # seconds until the next try after a failure, doubled each time, up to this
 PATH = "/v1/endpoints"
 
 
@@ -77,8 +80,16 @@
     fails."""
 
     def __init__(self, watch, place):
-        self.watch, self.place, self.stream, self.failures, self.answered = watch, place, None, 0, False
-        self.task = asyncio.get_running_loop().create_task(self.run(), name=f"watch {place[0]}:{place[1]}")
+        self.watch, self.place, self.stream, self.failures, self.answered = (
+            watch,
+            place,
+            None,
+            0,
+            False,
+        )
+        self.task = asyncio.get_running_loop().create_task(
+            self.run(), name=f"watch {place[0]}:{place[1]}"
+        )
 
     def stop(self):
         self.task.cancel()
@@ -100,7 +111,9 @@
                 if self is not self.watch.now:
                     return self.hang_up()
                 await self.fail(str(problem))
-            except Exception as problem:  # a watch that ends is worse than a list that is asked for whole again
+            except (
+                Exception
+            ) as problem:  # a watch that ends is worse than a list that is asked for whole again
                 self.watch.version = None
                 await self.fail(f"news not taken: {problem!r}")
 
@@ -108,7 +121,9 @@
         """Told once; the next try after a while, longer each time."""
         self.hang_up()
         if not self.failures:
-            self.watch.log("discovery does not answer", why=why, place=f"{self.place[0]}:{self.place[1]}")
+            self.watch.log(
+                "discovery does not answer", why=why, place=f"{self.place[0]}:{self.place[1]}"
+            )
         self.failures += 1
         wait = min(AGAIN_MOST, AGAIN * 2 ** min(8, self.failures - 1))
         await asyncio.sleep(wait * self.watch.chance.uniform(0.5, 1.0))
@@ -119,10 +134,14 @@
         if self.stream is None or not self.stream.usable:
             self.stream = None
             self.stream = await connect(loop, self.place, loop.time() + CONNECT)
-        wait = WAIT if self.answered and version is not None else 0.0  # a new address tells at once that it is up
+        wait = (
+            WAIT if self.answered and version is not None else 0.0
+        )  # a new address tells at once that it is up
         path = PATH if version is None else f"{PATH}?after={version}&wait_ms={round(wait * 1000)}"
         deadline = loop.time() + SLACK + wait
-        answer = await self.stream.ask("GET", path, [("host", f"{self.place[0]}:{self.place[1]}")], b"", deadline)
+        answer = await self.stream.ask(
+            "GET", path, [("host", f"{self.place[0]}:{self.place[1]}")], b"", deadline
+        )
         if answer.status != 200:
             raise Unreadable(f"expected 200, got {answer.status}")
         return read_list(answer.body, self.watch.wall())
--- a/peatlead/platform/front.py
+++ b/peatlead/platform/front.py
@@ -30,7 +30,9 @@
 
 JOIN_WITHIN = 1.3  # seconds that one may take to join, or is told an error and closed
 REFUSED_WITHIN = 1.0  # seconds that one who was refused may take to read why
-QUIET_MOST = 15.0  # seconds of silence after which a zone's collector makes room for another of that zone
+QUIET_MOST = (
+    15.0  # seconds of silence after which a zone's collector makes room for another of that zone
+)
 FIRST_MOST = 4096  # bytes of a line before joining: ours are some hundred; after it a message may be LINE_MOST
 UNREAD_MOST = 128 << 10  # bytes that a party may leave unread
 AT_ONCE, BACKLOG = 8, 1024  # connections taken in one turn of the loop; that may wait meanwhile
@@ -46,7 +48,9 @@
         self.over, self.asked, self.deadline = False, 0, None
 
     def opened(self):
-        self.deadline = self.loop.call_later(JOIN_WITHIN, self.refuse, "expected a message that joins")
+        self.deadline = self.loop.call_later(
+            JOIN_WITHIN, self.refuse, "expected a message that joins"
+        )
         self.front.add(self)
 
     def received(self, data):
@@ -115,7 +119,9 @@
         self.front.count("refused")
         self.send(write_error(why))
         self.deadline.cancel()
-        self.deadline = self.loop.call_later(REFUSED_WITHIN, self.cut, "did not read why it was refused")
+        self.deadline = self.loop.call_later(
+            REFUSED_WITHIN, self.cut, "did not read why it was refused"
+        )
         self.close()
 
     def leave(self):
@@ -144,12 +150,16 @@
 
     async def open(self, place):
         """Raises OSError."""
-        listener = socket.socket(socket.AF_INET6 if ":" in place[0] else socket.AF_INET, socket.SOCK_STREAM)
+        listener = socket.socket(
+            socket.AF_INET6 if ":" in place[0] else socket.AF_INET, socket.SOCK_STREAM
+        )
         try:
             listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             listener.setblocking(False)
             listener.bind(place)
-            listener.listen(BACKLOG)  # a herd waits there; it is taken `AT_ONCE` at a time, or it would pass `most`
+            listener.listen(
+                BACKLOG
+            )  # a herd waits there; it is taken `AT_ONCE` at a time, or it would pass `most`
             self.server = Listener(listener, lambda: Caller(self), AT_ONCE, self.owner.log)
         except OSError:
             listener.close()
@@ -172,7 +182,9 @@
     def collector(self, caller):
         """Its zone's others that have fallen silent go: a machine that vanished never ends its connection."""
         before = caller.loop.time() - QUIET_MOST
-        for other in [one for one in self.callers if one.collects == caller.collects and one is not caller]:
+        for other in [
+            one for one in self.callers if one.collects == caller.collects and one is not caller
+        ]:
             if other.touched < before:
                 other.cut("silent")
 
--- a/peatlead/platform/messages.py
+++ b/peatlead/platform/messages.py
@@ -21,8 +21,15 @@
 RETRIES = {"never": 0, "unstarted": 1, "once": 2, "twice": 3}
 # Load reports come under the settings' names for their fields, as on the simulator's wire; the pages' own examples
 # use others.
-REPORTS = {"inflight": "holding", "queue": "waiting", "util": "util", "latency_ms": "service_ms", "qps": "done_rate",
-           "eps": "bad_rate", **names.REPORTS}
+REPORTS = {
+    "inflight": "holding",
+    "queue": "waiting",
+    "util": "util",
+    "latency_ms": "service_ms",
+    "qps": "done_rate",
+    "eps": "bad_rate",
+    **names.REPORTS,
+}
 
 Count = Annotated[float, Meta(ge=0, le=1e7)]
 Milliseconds = Annotated[float, Meta(ge=0, le=1e7)]
@@ -42,6 +49,7 @@
 
 class ProxyHere(Struct, tag="hello", tag_field="msg"):
     """A proxy's stream begins. `rate`: its usual reqs a second; `standing_only`: it holds no ordered table."""
+
     proxy: Number = field(name="node")
     zone: Name = field(name="locality")
     rate: Annotated[float, Meta(ge=0, le=1e9)] = field(name="w", default=0.0)
@@ -50,11 +58,13 @@
 
 class CollectorHere(Struct, tag="agent", tag_field="msg"):
     """A collector's connection begins."""
+
     zone: Name = field(name="locality")
 
 
 class HostMet(Struct, tag="outcomes", tag_field="msg"):
     """What the proxies of a zone met at a host. `span`, `mean_time` of the good ones: seconds."""
+
     zone: Name = field(name="locality")
     host: Name = field(name="endpoint")
     tries: Count = field(name="total")
@@ -78,6 +88,7 @@
 
 class ReqsMet(Struct, tag="demand", tag_field="msg"):
     """Reqs of one kind that came to a proxy, over `span` seconds."""
+
     proxy: Number = field(name="node")
     kind: Name = field(name="route")
     tries: Count = field(name="total")
@@ -91,6 +102,7 @@
 
 class MarkMet(Struct, tag="ack", tag_field="msg"):
     """A proxy has applied all up to a mark, `took` seconds after the order."""
+
     proxy: Number = field(name="node")
     mark: Annotated[int, Meta(ge=0, le=1 << 32)] = field(name="nonce")
     latency: Milliseconds
@@ -137,8 +149,11 @@
 
 def our_report(said):
     """{our name: number} of a load report, or None where it holds none."""
-    return {REPORTS[name]: value for name, value in (said or {}).items()
-            if name in REPORTS and value is not None} or None
+    return {
+        REPORTS[name]: value
+        for name, value in (said or {}).items()
+        if name in REPORTS and value is not None
+    } or None
 
 
 def read_report(body):
@@ -151,9 +166,11 @@
 
 # Orders.
 
+
 class Table(NamedTuple):
     """A part of a message. `kinds`: names of request kinds, None for all; `lines`: [(host's name, weight)];
     `level`: (share, retry) or None."""
+
     kinds: Optional[tuple]
     whole: bool
     lines: list
@@ -172,8 +189,10 @@
             if table.whole and not at:
                 part["full"] = True
             if table.lines or table.whole:
-                part["endpoints"] = [(name, weight and max(LEAST_WEIGHT, round(weight, 6)))
-                                     for name, weight in table.lines[at:at + LINES_A_PART]]
+                part["endpoints"] = [
+                    (name, weight and max(LEAST_WEIGHT, round(weight, 6)))
+                    for name, weight in table.lines[at : at + LINES_A_PART]
+                ]
             if table.level is not None and not at:
                 part["admit"], part["policy"] = table.level[0], RETRIES[table.level[1]]
             parts.append(part)
@@ -194,6 +213,7 @@
 
 # Discovery.
 
+
 class Instance(Struct):
     instanceId: Name
     hostPort: str
@@ -235,8 +255,14 @@
         except (msgspec.MsgspecError, ValueError) as problem:
             bad.append(f"host {at}: {problem}")
             unread.append(name_of(raw))
-    return Listing("whole" if said.reset else "changes", said.generation, written, tuple(hosts.values()), tuple(bad),
-                   tuple(unread))
+    return Listing(
+        "whole" if said.reset else "changes",
+        said.generation,
+        written,
+        tuple(hosts.values()),
+        tuple(bad),
+        tuple(unread),
+    )
 
 
 def name_of(raw):
@@ -249,8 +275,17 @@
 
 def entry_of(one):
     address, port = read_place(one.hostPort)
-    return Entry(name=one.instanceId, zone=one.zone, phase=PHASES[one.lifecycle], address=address, port=port,
-                 machine=one.machineType, pod=one.cell, weight=one.weight, started=one.startedAtMs / 1000)
+    return Entry(
+        name=one.instanceId,
+        zone=one.zone,
+        phase=PHASES[one.lifecycle],
+        address=address,
+        port=port,
+        machine=one.machineType,
+        pod=one.cell,
+        weight=one.weight,
+        started=one.startedAtMs / 1000,
+    )
 
 
 def read_place(text):
@@ -263,6 +298,7 @@
 
 # The configuration.
 
+
 class Limits(Struct, frozen=True):
     sockets: Annotated[int, Meta(ge=32)] = 1024
 
--- a/peatlead/platform/node.py
+++ b/peatlead/platform/node.py
@@ -26,14 +26,19 @@
 
 PROBES_AT_ONCE, PROBES_WAITING, PROBE_PATH = 24, 1000, "/status/load"
 A_PROBE_OF = 16  # descriptors: where they are few, connections of proxies come first
-FIRST_LIST = 1.0  # seconds that the first answer to a probe waits for a list, where none with hosts is known
+FIRST_LIST = (
+    1.0  # seconds that the first answer to a probe waits for a list, where none with hosts is known
+)
 SETTLE = 0.4  # seconds that peers have to take what was written before the end: 0.7 s are sure
 ANEW_MOST, ANEW_SPAN = 3, 60.0  # planners that may fail within so many seconds
 GONE_MOST = 20_000  # names of hosts that went, remembered in case one comes back
 SWEEP = 5.0  # seconds between looks for hosts that the planner has forgotten
 START_WITHIN = 20.0  # seconds for which a listener that can't be opened is tried again
 START_AGAIN, START_AGAIN_MOST = 0.05, 0.5  # seconds to the next try, doubled each time, up to this
-RELOAD_AGAIN, RELOAD_AGAIN_MOST = 0.2, 6.4  # the same of a configuration that can't be read at SIGHUP
+RELOAD_AGAIN, RELOAD_AGAIN_MOST = (
+    0.2,
+    6.4,
+)  # the same of a configuration that can't be read at SIGHUP
 JOINED_ANEW = "joined anew"  # why a proxy's older stream ends
 OUTCOMES = {200: "ok", 503: "errored"}
 
@@ -50,18 +55,35 @@
         self.reload_again, self.reload_wait = None, RELOAD_AGAIN
         self.kinds = [kind["name"] for kind in self.facts["req_kinds"]]
         self.kind_at = {name: at for at, name in enumerate(self.kinds)}
-        self.door = Door(self.facts["zones"], log, self.facts.get("machines", ()), unstarted_old=True,
-                         age_of=self.clock.age)
+        self.door = Door(
+            self.facts["zones"],
+            log,
+            self.facts.get("machines", ()),
+            unstarted_old=True,
+            age_of=self.clock.age,
+        )
         probes = min(PROBES_AT_ONCE, max(1, told.sockets // A_PROBE_OF))
         self.front = Front(self, told.sockets, probes)
-        self.watch = Watch(told.discovery, self.on_listing, log, self.clock.now, Random(told.seed ^ 1))
-        self.prober = Prober({
-            "path": PROBE_PATH, "deadline": self.facts.get("connect_timeout", 0.25), "at_once": probes,
-            "waiting_most": PROBES_WAITING}, self.on_probe, read_answer)
+        self.watch = Watch(
+            told.discovery, self.on_listing, log, self.clock.now, Random(told.seed ^ 1)
+        )
+        self.prober = Prober(
+            {
+                "path": PROBE_PATH,
+                "deadline": self.facts.get("connect_timeout", 0.25),
+                "at_once": probes,
+                "waiting_most": PROBES_WAITING,
+            },
+            self.on_probe,
+            read_answer,
+        )
         self.carriers[our.Probe] = self.send_probe
         self.streams, self.ready = {}, False
         self.telemetry = Telemetry(log)
-        self.changed, self.gone = set(), {}  # hosts that were ever not as they are; names that were forgotten
+        self.changed, self.gone = (
+            set(),
+            {},
+        )  # hosts that were ever not as they are; names that were forgotten
 
     # Its life.
 
@@ -77,9 +99,14 @@
         self.watch.start()
         self.loop.call_later(FIRST_LIST, self.get_ready)
         self.loop.call_later(SWEEP, self.sweep)
-        self.log("steward started", name=self.told.name, listen=f"{self.told.listen[0]}:{self.told.listen[1]}",
-                 proxies=self.facts["proxies"], kinds=self.kinds, limits={
-                     name: self.facts[name] for name in NEEDED if name not in ("zones", "proxies")})
+        self.log(
+            "steward started",
+            name=self.told.name,
+            listen=f"{self.told.listen[0]}:{self.told.listen[1]}",
+            proxies=self.facts["proxies"],
+            kinds=self.kinds,
+            limits={name: self.facts[name] for name in NEEDED if name not in ("zones", "proxies")},
+        )
 
     async def open_front(self):
         """A shortage that may pass is no reason to be no steward: tried again until `START_WITHIN`, then OSError."""
@@ -114,8 +141,13 @@
         if not self.ended.done():
             self.ended.set_result(self.why)
             self.front.cut()
-            self.log("steward stopped", why=self.why, decided=self.decided, slowest=round(self.slowest, 3),
-                     ends=self.front.counts)
+            self.log(
+                "steward stopped",
+                why=self.why,
+                decided=self.decided,
+                slowest=round(self.slowest, 3),
+                ends=self.front.counts,
+            )
 
     def hear(self, event):
         if not self.stopping:
@@ -135,7 +167,9 @@
             return
         self.planner = self.make_planner(self.facts, self.told.seed + len(self.failures))
         self.publisher = Publisher()
-        self.hear(self.door.roster(Listing("remembered", 0, 0.0, tuple(self.door.entries.values())), now))
+        self.hear(
+            self.door.roster(Listing("remembered", 0, 0.0, tuple(self.door.entries.values())), now)
+        )
         for proxy, caller in self.streams.items():
             self.publisher.join(proxy, levelled=True)
             self.hear(our.ProxyJoined(proxy, caller.zone, caller.rate, False))
@@ -167,11 +201,21 @@
                 self.reload_again = self.loop.call_later(self.reload_wait, self.read_again)
                 self.reload_wait *= 2
             return
-        others = [name for name in ("name", "listen", "sockets") if getattr(told, name) != getattr(self.told, name)]
-        others += sorted(name for name in {**told.facts, **self.facts}
-                         if told.facts.get(name) != self.facts.get(name))
+        others = [
+            name
+            for name in ("name", "listen", "sockets")
+            if getattr(told, name) != getattr(self.told, name)
+        ]
+        others += sorted(
+            name
+            for name in {**told.facts, **self.facts}
+            if told.facts.get(name) != self.facts.get(name)
+        )
         if others:
-            self.log("new configuration: all but discovery's address is for the next start", differs=others[:20])
+            self.log(
+                "new configuration: all but discovery's address is for the next start",
+                differs=others[:20],
+            )
         self.log("discovery's address", place=f"{told.discovery[0]}:{told.discovery[1]}")
         self.watch.move(told.discovery)
 
@@ -188,11 +232,23 @@
             at, old = self.door.index.get(entry.name), before[entry.name]
             # Nobody shuts out what is listed for the first time; news of a host may sum up several.
             again = first or old is not None or entry.name in self.gone
-            if at is not None and again and (entry.started or listing.scope == "changes"
-                                             or {old, entry.phase} - {None, "ready"}):
+            if (
+                at is not None
+                and again
+                and (
+                    entry.started
+                    or listing.scope == "changes"
+                    or {old, entry.phase} - {None, "ready"}
+                )
+            ):
                 self.changed.add(at)
-        self.log("list", scope=listing.scope, version=listing.version, hosts=len(listing.hosts),
-                 ready=sum(one.phase == "ready" for one in listing.hosts))
+        self.log(
+            "list",
+            scope=listing.scope,
+            version=listing.version,
+            hosts=len(listing.hosts),
+            ready=sum(one.phase == "ready" for one in listing.hosts),
+        )
         self.hear(roster)
         if listing.scope != "remembered":
             self.get_ready()
@@ -204,9 +260,16 @@
         unread = [*listing.unread, *(entry.name for entry in strange)]
         if listing.scope != "whole" or not unread:
             return listing
-        kept = [self.door.entries[self.door.index[name]] for name in unread if name in self.door.index]
-        return listing._replace(scope="changes" if None in unread else "whole", hosts=(
-            *kept, *(entry for entry in listing.hosts if entry.name not in {one.name for one in kept})))
+        kept = [
+            self.door.entries[self.door.index[name]] for name in unread if name in self.door.index
+        ]
+        return listing._replace(
+            scope="changes" if None in unread else "whole",
+            hosts=(
+                *kept,
+                *(entry for entry in listing.hosts if entry.name not in {one.name for one in kept}),
+            ),
+        )
 
     def phase_of(self, name):
         at = self.door.index.get(name)
@@ -215,7 +278,9 @@
     def sweep(self):
         """The planner has forgotten hosts that went; so do we, or names of successors would add up."""
         self.loop.call_later(SWEEP, self.sweep)
-        for at in [at for at in self.door.entries if at not in self.planner.hosts and not self.inbox]:
+        for at in [
+            at for at in self.door.entries if at not in self.planner.hosts and not self.inbox
+        ]:
             self.gone.pop(name := self.door.entries[at].name, None)
             self.gone[name] = True
             self.door.forget(at)
@@ -241,7 +306,11 @@
         same = caller.proxy is None or caller.proxy == here.proxy
         if not same or here.proxy >= self.facts["proxies"] or here.zone not in self.door.zones:
             return None
-        caller.zone, caller.rate, caller.standing_only = self.door.zones[here.zone], here.rate, here.standing_only
+        caller.zone, caller.rate, caller.standing_only = (
+            self.door.zones[here.zone],
+            here.rate,
+            here.standing_only,
+        )
         return here.proxy
 
     def collects(self, here):
@@ -272,19 +341,27 @@
         if event is None:
             self.front.count("names nothing")
         elif type(event) is our.Applied:
-            self.note(event)  # one for each message that was written: a batch for each would be most of the work
+            self.note(
+                event
+            )  # one for each message that was written: a batch for each would be most of the work
         else:
             self.hear(event)
 
     def host_sums(self, _, met):
         host, zone = self.door.index.get(met.host), self.door.zones.get(met.zone)
         if host is not None and zone is not None:
-            return our.HostSums(host, zone, int(met.tries), int(met.bad), met.span, met.mean_time, met.report)
+            return our.HostSums(
+                host, zone, int(met.tries), int(met.bad), met.span, met.mean_time, met.report
+            )
 
     def req_sums(self, caller, met):
         """Any collector may tell of any proxy, a proxy of itself."""
         kind = self.kind_at.get(met.kind)
-        if kind is not None and met.proxy < self.facts["proxies"] and caller.proxy in (None, met.proxy):
+        if (
+            kind is not None
+            and met.proxy < self.facts["proxies"]
+            and caller.proxy in (None, met.proxy)
+        ):
             return our.ReqSums(met.proxy, kind, int(met.tries), int(met.bad), met.span)
 
     def applied(self, caller, met):
@@ -303,7 +380,9 @@
                 shut, opened = self.turned(caller, ops)
                 mark = marks[proxy][-1] if proxy in marks else None
                 data = write_message(self.tables(proxy, ops), shut, opened, mark)
-            except Exception as problem:  # it would miss what the planner takes it to hold: it comes anew for all
+            except (
+                Exception
+            ) as problem:  # it would miss what the planner takes it to hold: it comes anew for all
                 self.log("message not written", proxy=proxy, error=repr(problem))
                 caller.cut("message not written")
                 continue
@@ -332,10 +411,16 @@
     def tables(self, proxy, ops):
         """[Table] of a message's lines and levels. Lines of tables that it is bound to now are whole; the levels that
         a whole table makes it forget go with it."""
-        bound, levels = self.publisher.bound.get(proxy, {}), {op[1]: v for op, v in ops.items() if op[0] == "level"}
+        bound, levels = (
+            self.publisher.bound.get(proxy, {}),
+            {op[1]: v for op, v in ops.items() if op[0] == "level"},
+        )
         whole = {table for op, table in ops.items() if op[0] == "bind"}
-        levels.update((kind, self.publisher.levels[kind]) for kind, table in bound.items()
-                      if table in whole and kind in self.publisher.levels)
+        levels.update(
+            (kind, self.publisher.levels[kind])
+            for kind, table in bound.items()
+            if table in whole and kind in self.publisher.levels
+        )
         lines, users, alike = {table: [] for table in sorted(whole)}, {}, {}
         for op, value in ops.items():
             if op[0] == "line" and (value or op[1] not in whole):
@@ -344,9 +429,11 @@
             users.setdefault(table, []).append(kind)
         for kind, level in sorted(levels.items()):
             alike.setdefault(level, []).append(kind)
-        return [Table(self.names_of(users[table]), table in whole, found, None)
-                for table, found in lines.items() if table in users] + [
-                    Table(self.names_of(kinds), False, [], level) for level, kinds in alike.items()]
+        return [
+            Table(self.names_of(users[table]), table in whole, found, None)
+            for table, found in lines.items()
+            if table in users
+        ] + [Table(self.names_of(kinds), False, [], level) for level, kinds in alike.items()]
 
     def names_of(self, kinds):
         """None, for all of them, is shorter."""
--- a/peatlead/probes/news.py
+++ b/peatlead/probes/news.py
@@ -49,7 +49,12 @@
     """
 
     def __init__(self, kinds, view_of, zone, every):
-        self.kinds, self.view_of, self.zone, self.every = {k: at for at, k in enumerate(kinds)}, view_of, zone, every
+        self.kinds, self.view_of, self.zone, self.every = (
+            {k: at for at, k in enumerate(kinds)},
+            view_of,
+            zone,
+            every,
+        )
         self.last, self.hosts, self.views, self.reports = {}, {}, {}, {}
         self.begun = None
 
@@ -70,12 +75,14 @@
 
     def add(self, host, kinds, network, rows, old):
         view = self.view_of(network)
-        for at, name in enumerate(kinds[:len(rows)]):
+        for at, name in enumerate(kinds[: len(rows)]):
             kind, row = self.kinds.get(name), rows[at]
             if kind is None or view is None or len(row) != FIELDS:
                 continue
             base = old[at] if old and at < len(old) and len(old[at]) == FIELDS else [0.0] * FIELDS
-            new = [max(0.0, n - b) for n, b in zip(row, base)]  # counters that went back tell nothing
+            new = [
+                max(0.0, n - b) for n, b in zip(row, base)
+            ]  # counters that went back tell nothing
             taken, done, errored, denied, abandoned, _, seconds = new
             if done + errored + denied + abandoned:
                 sums = self.hosts.setdefault((host, view.zone), [0.0, 0.0, 0.0])
@@ -99,10 +106,21 @@
         span = now - self.begun
         if span < self.every or not (self.hosts or self.views):
             return []
-        events = [our.ReqSums(numbers[view], kind, int(reqs), int(unanswered), span)
-                  for (view, kind), (reqs, unanswered) in sorted(self.views.items())]
+        events = [
+            our.ReqSums(numbers[view], kind, int(reqs), int(unanswered), span)
+            for (view, kind), (reqs, unanswered) in sorted(self.views.items())
+        ]
         for (host, zone), (tries, bad, seconds) in sorted(self.hosts.items()):
-            events.append(our.HostSums(host, zone, int(tries), int(bad), span, seconds / max(1.0, tries - bad),
-                                       self.reports.get(host)))
+            events.append(
+                our.HostSums(
+                    host,
+                    zone,
+                    int(tries),
+                    int(bad),
+                    span,
+                    seconds / max(1.0, tries - bad),
+                    self.reports.get(host),
+                )
+            )
         self.hosts, self.views, self.reports, self.begun = {}, {}, {}, now
         return events
--- a/peatlead/probes/prober.py
+++ b/peatlead/probes/prober.py
@@ -18,7 +18,13 @@
     """
 
     def __init__(self, settings, tell, read, headers=list, local=None):
-        self.settings, self.tell, self.read, self.headers, self.local = settings, tell, read, headers, local
+        self.settings, self.tell, self.read, self.headers, self.local = (
+            settings,
+            tell,
+            read,
+            headers,
+            local,
+        )
         self.waiting, self.tasks, self.dropped = deque(), {}, 0
 
     def probe(self, host, place):
@@ -33,7 +39,9 @@
     def begin(self):
         while self.waiting and len(self.tasks) < self.settings["at_once"]:
             host, place = self.waiting.popleft()
-            task = asyncio.get_running_loop().create_task(self.ask(host, place), name=f"probe {host}")
+            task = asyncio.get_running_loop().create_task(
+                self.ask(host, place), name=f"probe {host}"
+            )
             self.tasks[host] = task
 
     async def ask(self, host, place):
@@ -42,8 +50,13 @@
         deadline = start + self.settings["deadline"]
         try:
             stream = await connect(loop, place, deadline, self.local)
-            answer = await stream.ask("GET", self.settings["path"], [
-                ("host", place[0]), ("connection", "close"), *self.headers()], b"", deadline)
+            answer = await stream.ask(
+                "GET",
+                self.settings["path"],
+                [("host", place[0]), ("connection", "close"), *self.headers()],
+                b"",
+                deadline,
+            )
             outcome, report, told = self.read(answer)
         except Failed as problem:
             outcome = problem.outcome
--- a/peatlead/rules/check.py
+++ b/peatlead/rules/check.py
@@ -7,7 +7,10 @@
 from collections import Counter, defaultdict, deque
 from typing import NamedTuple
 
-KEEP_THE_RFC = ("keeps", "agent")  # RFC 8767 lets a resolver serve on what has run out; that is counted apart
+KEEP_THE_RFC = (
+    "keeps",
+    "agent",
+)  # RFC 8767 lets a resolver serve on what has run out; that is counted apart
 READ_WITHIN = 0.25  # seconds
 SAME_START = 0.2  # seconds between a start as the host and as the list has it
 IN_FLIGHT = 1.5  # seconds
@@ -18,6 +21,7 @@
 
 class Finding(NamedTuple):
     """`nearest`: part of the limit; `breaches`: how many; `said`: the nearest or the breaches, in words."""
+
     rule: str
     nearest: float
     breaches: int
@@ -46,14 +50,28 @@
         rows[row.kind].append(row)
     awake = Awake(rows)
     drain, late_sends = drains(rows, limits, awake)
-    findings = [bare(rows, limits), twice(rows), drain, cold(rows, limits, awake), channel(rows, limits)]
+    findings = [
+        bare(rows, limits),
+        twice(rows),
+        drain,
+        cold(rows, limits, awake),
+        channel(rows, limits),
+    ]
     if rows["order"]:
         findings.append(orders(rows))
     if rows["held"]:
         findings.append(tables(rows, limits, awake))
     answers = Counter(row.resolver for row in rows["answer"])
-    return Report(findings, service(rows["req"], kinds), late_sends, dict(answers), still_named(rows),
-                  takeovers(rows), len(read.rows), read.torn)
+    return Report(
+        findings,
+        service(rows["req"], kinds),
+        late_sends,
+        dict(answers),
+        still_named(rows),
+        takeovers(rows),
+        len(read.rows),
+        read.torn,
+    )
 
 
 def finding(rule, nearest, said, breaches=None):
@@ -104,7 +122,9 @@
                 note(row.at - empty.setdefault(key, row.at), key)
     for key, at in held.items():
         note(last - at, key)
-    said = f"longest {worst:.2f} s of {limits['bare_most']} s" + (f" ({where[1]} at {where[0]})" if where else "")
+    said = f"longest {worst:.2f} s of {limits['bare_most']} s" + (
+        f" ({where[1]} at {where[0]})" if where else ""
+    )
     return finding("1 a line to pick", worst / limits["bare_most"], said)
 
 
@@ -112,8 +132,13 @@
     """2. Reqs that may not run twice and did; replayable ones may."""
     seen = Counter((row.req, row.repeat) for row in rows["effect"] if row.repeat != "replayable")
     doubled = [(req, repeat, many) for (req, repeat), many in seen.items() if many > 1]
-    said = f"{len(seen)} effects, none twice" if not doubled else ", ".join(
-        f"{req} ({repeat}) {many} times" for req, repeat, many in doubled[:WHOLE_MANY])
+    said = (
+        f"{len(seen)} effects, none twice"
+        if not doubled
+        else ", ".join(
+            f"{req} ({repeat}) {many} times" for req, repeat, many in doubled[:WHOLE_MANY]
+        )
+    )
     return finding("2 no effect twice", float(len(doubled)), said, len(doubled))
 
 
@@ -144,7 +169,9 @@
             kind["worst"] = max(kind["worst"], past - grace if past else 0.0)
             kind["after grace"] += past > grace
             if row.resolver == "agent":
-                past = min(past, row.at - joined.since(row.view, row.at))  # it binds proxies while they are joined
+                past = min(
+                    past, row.at - joined.since(row.view, row.at)
+                )  # it binds proxies while they are joined
             elif past > grace and not awake.any_knew(since, row.at):
                 continue  # the lab's seeds 41001, 50050: frozen through the drain, then shown a list that was wrong
             if row.resolver in KEEP_THE_RFC:
@@ -152,15 +179,20 @@
                 if past > grace:
                     breaches += 1
                     named.append(f"{row.address} {past:.2f} s ({row.view}, {row.habit})")
-    said = f"last send {worst * grace:.2f} s of {grace} s" + (": " + ", ".join(named[:WHOLE_MANY]) if named else "")
+    said = f"last send {worst * grace:.2f} s of {grace} s" + (
+        ": " + ", ".join(named[:WHOLE_MANY]) if named else ""
+    )
     return finding("3 drains kept", worst, said, breaches), dict(late)
 
 
 def readable(lists):
     """The lists that told the truth for long enough to be read. One that was torn or replaced before a steward
     looked again (node_list.every, 0.2 s) was told to nobody."""
-    return [row for row, after in zip(lists, [*lists[1:], None])
-            if row.told and (after is None or after.at - row.at >= READ_WITHIN)]
+    return [
+        row
+        for row, after in zip(lists, [*lists[1:], None])
+        if row.told and (after is None or after.at - row.at >= READ_WITHIN)
+    ]
 
 
 class Joined:
@@ -202,8 +234,10 @@
             newest[row.agent] = max(version, newest.get(row.agent, (0, 0)))
         old += row.done == "old"
         refused += row.done == "refused"
-    said = (f"{len(rows['order'])} orders: {twice_done} applied twice, {old_done} old ones applied of "
-            f"{old + old_done} that arrived, {refused} refused, {shared} of an epoch that two owners gave")
+    said = (
+        f"{len(rows['order'])} orders: {twice_done} applied twice, {old_done} old ones applied of "
+        f"{old + old_done} that arrived, {refused} refused, {shared} of an epoch that two owners gave"
+    )
     wrong = twice_done + old_done + shared
     return finding("6 no order twice, none old", float(wrong), said, wrong)
 
@@ -214,7 +248,10 @@
 
     def __init__(self, rows):
         lists = rows["list"]
-        last = max((row.at for kind in ("list", "held", "try", "steward") for row in rows[kind]), default=0.0)
+        last = max(
+            (row.at for kind in ("list", "held", "try", "steward") for row in rows[kind]),
+            default=0.0,
+        )
         ends = [row.at for row in lists[1:]] + [last]
         self.true = [(row.at, end) for row, end in zip(lists, ends) if row.told]
         self.answering = sorted({row.steward for row in rows["answer"] if row.rcode != "none"})
@@ -227,8 +264,11 @@
 
     def any_knew(self, since, now):
         """Whether one that answers, and runs now, can have known; True where none ever answered."""
-        return not self.answering or any(self.knew(one, since, now) for one in self.answering
-                                         if not any(gone <= now < back for gone, back in self.away[one]))
+        return not self.answering or any(
+            self.knew(one, since, now)
+            for one in self.answering
+            if not any(gone <= now < back for gone, back in self.away[one])
+        )
 
     def knew(self, steward, since, now):
         for start, end in self.true:
@@ -256,7 +296,11 @@
         since, went = drained.get(address), gone.get(address, now)
         if since is not None and now - since > grace and awake.knew(steward, since, went):
             return now - since - grace
-        if address in gone and now - went > grace + DOUBT and awake.knew(steward, went, now - DOUBT):
+        if (
+            address in gone
+            and now - went > grace + DOUBT
+            and awake.knew(steward, went, now - DOUBT)
+        ):
             return now - went - grace
         return 0.0
 
@@ -274,10 +318,15 @@
             there = joined.get(row.agent, row.steward) == row.steward
             back = {one: late(row.steward, one, row.at) for one in row.addresses} if there else {}
             revived += sum(past > 0 for past in back.values())
-            wrong += [f"{row.agent} was given {one} {past:.2f} s past the grace"
-                      for one, past in back.items() if past]
+            wrong += [
+                f"{row.agent} was given {one} {past:.2f} s past the grace"
+                for one, past in back.items()
+                if past
+            ]
         elif row.version >= newest:
-            newest = row.version if id(row) in binding else newest  # a torn one was read by nobody: seed 81155
+            newest = (
+                row.version if id(row) in binding else newest
+            )  # a torn one was read by nobody: seed 81155
             for address, phase, _ in row.hosts.values():
                 if phase == "ready":
                     drained.pop(address, None)
@@ -295,12 +344,20 @@
         ends += mine.digest == row.digest
         newer = (mine.epoch, mine.serial) > (row.epoch, row.serial)
         if mine.digest != row.digest and not newer and row.age >= IN_FLIGHT:
-            wrong.append(f"{row.agent} holds {mine.epoch}.{mine.serial}, not what {row.steward} published as "
-                         f"{row.epoch}.{row.serial} {row.age:.1f} s before")
-    said = (f"{len(rows['held'])} deltas applied, {ends} agents end on what was last published, "
-            f"{revived} hosts revived, {len(rows['pin'])} pins")
-    return finding("7 tables as published", float(len(wrong)),
-                   said + "".join(f"; {one}" for one in wrong[:WHOLE_MANY]), len(wrong))
+            wrong.append(
+                f"{row.agent} holds {mine.epoch}.{mine.serial}, not what {row.steward} published as "
+                f"{row.epoch}.{row.serial} {row.age:.1f} s before"
+            )
+    said = (
+        f"{len(rows['held'])} deltas applied, {ends} agents end on what was last published, "
+        f"{revived} hosts revived, {len(rows['pin'])} pins"
+    )
+    return finding(
+        "7 tables as published",
+        float(len(wrong)),
+        said + "".join(f"; {one}" for one in wrong[:WHOLE_MANY]),
+        len(wrong),
+    )
 
 
 def takeovers(rows):
@@ -314,7 +371,11 @@
                         waiting.setdefault(agent, (row.what, row.at, row.steward))
             elif row.what in ("started", "woken"):
                 # Frozen for so short a time that its agents never left: no takeover took place.
-                for agent in [a for a, w in waiting.items() if w[2] == row.steward and to.get(a) == row.steward]:
+                for agent in [
+                    a
+                    for a, w in waiting.items()
+                    if w[2] == row.steward and to.get(a) == row.steward
+                ]:
                     what, at, _ = waiting.pop(agent)
                     found.append((what + ", stayed", row.at - at))
         elif row.what == "joined":
@@ -325,7 +386,9 @@
         elif to.get(row.agent) == row.steward and row.agent not in waiting:
             waiting[row.agent] = "lost", row.at, row.steward
     last = max((row.at for row in rows["stream"]), default=0.0)
-    return found + [(what + ", never", last - at) for what, at, _ in waiting.values() if last - at > 5.0]
+    return found + [
+        (what + ", never", last - at) for what, at, _ in waiting.values() if last - at > 5.0
+    ]
 
 
 def cold(rows, limits, awake):
@@ -337,19 +400,33 @@
         for name, (_, phase, started) in row.hosts.items():
             if phase == "ready" and (not told[name] or told[name][-1][0] != started):
                 # One that is new on the list stands in no table but by orders that knew of it.
-                told[name].append((started, row.at, row.at + (limits["drain_grace"] if told[name] else 0.0)))
+                told[name].append(
+                    (started, row.at, row.at + (limits["drain_grace"] if told[name] else 0.0))
+                )
     for row in rows["cold"] + rows["tipped"]:
-        since = [(at, binds) for started, at, binds in told[row.host] if started >= row.since - SAME_START]
+        since = [
+            (at, binds)
+            for started, at, binds in told[row.host]
+            if started >= row.since - SAME_START
+        ]
         # The lab's dns seed 40374: the only steward there was frozen through the start, and woke to a shrunk list.
         known = bool(since) and row.at > since[0][1] and awake.any_knew(since[0][0], row.at)
         if row.kind == "tipped":
             (tipped if known else early).add(row.host)
         elif known and row.part > nearest:
             nearest, where = row.part, row.host
-    said = f"tipped: {', '.join(sorted(tipped)[:WHOLE_MANY])}" if tipped else (
-        f"nearest {where}" if where else "no host was known to be cold")
+    said = (
+        f"tipped: {', '.join(sorted(tipped)[:WHOLE_MANY])}"
+        if tipped
+        else (f"nearest {where}" if where else "no host was known to be cold")
+    )
     said += f"; {len(early)} tipped before their start could be known" if early else ""
-    return finding("4 no cold host pushed over", nearest if not tipped else max(1.0, nearest), said, len(tipped))
+    return finding(
+        "4 no cold host pushed over",
+        nearest if not tipped else max(1.0, nearest),
+        said,
+        len(tipped),
+    )
 
 
 def channel(rows, limits):
@@ -369,8 +446,10 @@
             lines.popleft()
         pace = max(pace, sum(many for _, many in lines) / limits["channel_rate"])
     part = most_messages / limits["messages_most"] if limits["messages_most"] else 0.0
-    said = (f"deepest {deepest:.2f} of the limit, {most_messages} messages to one view in "
-            f"{limits['messages_span']:.0f} s, pace {pace:.2f} of what was told, {len(messages)} messages")
+    said = (
+        f"deepest {deepest:.2f} of the limit, {most_messages} messages to one view in "
+        f"{limits['messages_span']:.0f} s, pace {pace:.2f} of what was told, {len(messages)} messages"
+    )
     return finding("5 the queue stays short", max(deepest, part), said)
 
 
@@ -381,9 +460,18 @@
         for address in trouble.whom if trouble.name in FAILING else ():
             ends = []
             for kind in ("answer", "try"):
-                last = max((row.at for row in rows[kind] if trouble.at < row.at < trouble.until
-                            and (address in row.addresses if kind == "answer" else row.address == address)
-                            and row.resolver in KEEP_THE_RFC), default=trouble.at)
+                last = max(
+                    (
+                        row.at
+                        for row in rows[kind]
+                        if trouble.at < row.at < trouble.until
+                        and (
+                            address in row.addresses if kind == "answer" else row.address == address
+                        )
+                        and row.resolver in KEEP_THE_RFC
+                    ),
+                    default=trouble.at,
+                )
                 ends.append(last - trouble.at)
             found.append((trouble.name, address, *ends))
     return found
@@ -396,8 +484,15 @@
         mine = [row for row in reqs if row.req and row.kind == "req" and row.fields["kind"] == kind]
         outcomes = Counter(row.outcome for row in mine)
         earned = sum(row.gain for row in mine)
-        found[kind] = {"reqs": len(mine), "part": earned / max(1e-9, gain * len(mine)), "outcomes": dict(outcomes)}
+        found[kind] = {
+            "reqs": len(mine),
+            "part": earned / max(1e-9, gain * len(mine)),
+            "outcomes": dict(outcomes),
+        }
     whole = sum(gain * found[kind]["reqs"] for kind, gain in kinds.items())
-    found["whole"] = {"reqs": len(reqs), "part": sum(row.gain for row in reqs) / max(1e-9, whole),
-                      "outcomes": dict(Counter(row.outcome for row in reqs))}
+    found["whole"] = {
+        "reqs": len(reqs),
+        "part": sum(row.gain for row in reqs) / max(1e-9, whole),
+        "outcomes": dict(Counter(row.outcome for row in reqs)),
+    }
     return found
--- a/peatlead/rules/record.py
+++ b/peatlead/rules/record.py
@@ -98,10 +98,10 @@
         pass  # killed while it wrote: what was whole stands
     decode = msgspec.msgpack.decode
     while len(held) - at >= 4:
-        size = int.from_bytes(held[at:at + 4], "big")
+        size = int.from_bytes(held[at : at + 4], "big")
         if len(held) - at - 4 < size:
             break
-        kind, when, *fields = decode(held[at + 4:at + 4 + size])
+        kind, when, *fields = decode(held[at + 4 : at + 4 + size])
         rows.append(Row(kind, when, dict(zip(ROWS[kind], fields))))
         at += 4 + size
     return rows, len(held) - at
--- a/peatlead/settings/script.py
+++ b/peatlead/settings/script.py
@@ -39,7 +39,9 @@
             raise BadSettings(f"{name}:1: expected one call of {kind}(), got {len(calls)}")
         needed = [field for field, spec in fields.items() if spec.default is REQUIRED]
         if not calls and needed:
-            raise BadSettings(f"{name}:1: expected a call of {kind}({', '.join(f + ' = ...' for f in needed)})")
+            raise BadSettings(
+                f"{name}:1: expected a call of {kind}({', '.join(f + ' = ...' for f in needed)})"
+            )
         made[kind] = calls[0] if calls else {field: spec.default for field, spec in fields.items()}
     check_whole(name, made)
     return made
@@ -52,13 +54,17 @@
     def builtin(called, fields):
         def take(*positional, **given):
             said.append((called, take_fields(called, fields, positional, given)))
+
         return take
 
     for called, fields in shapes.items():
         module.add_callable(called, builtin(called, fields))
     try:
-        starlark.eval(module, starlark.parse(name, source, starlark.Dialect.extended()),
-                      starlark.Globals.standard())
+        starlark.eval(
+            module,
+            starlark.parse(name, source, starlark.Dialect.extended()),
+            starlark.Globals.standard(),
+        )
     except starlark.StarlarkError as problem:
         raise BadSettings(where(name, str(problem))) from None
     return said
@@ -111,14 +117,20 @@
         for service in made["service"]:
             known(service["kinds"], kinds, f"service {service['label']}.kinds")
             if len({tuple(kinds[k]["only_zones"]) for k in service["kinds"]}) > 1:
-                raise ValueError(f"service {service['label']}: expected kinds that are open to the same zones: "
-                                 "a name has one answer for all of them")
+                raise ValueError(
+                    f"service {service['label']}: expected kinds that are open to the same zones: "
+                    "a name has one answer for all of them"
+                )
         for kind in ("view", "steward"):
             for one in made[kind]:
                 known([one["zone"]], zones, f"{kind} {one['name']}.zone")
-        unique([n for view in made["view"] for n in view["networks"] + view["resolvers"]], "network")
+        unique(
+            [n for view in made["view"] for n in view["networks"] + view["resolvers"]], "network"
+        )
         if not made["view"] and not made["dns"]["open_views"] and not made["grpc"]["proxies"]:
-            raise ValueError("expected a view(...), dns.open_views or grpc.proxies: nobody could be served")
+            raise ValueError(
+                "expected a view(...), dns.open_views or grpc.proxies: nobody could be served"
+            )
         peers = [one for one in made["steward"] if one["peer"]]
         if peers and len(peers) < len(made["steward"]):
             raise ValueError("steward.peer: expected for all stewards of a fleet, or for none")
@@ -135,8 +147,10 @@
     limits, lifetime = made["limits"], made["dns"]["lifetime"]
     room = limits["drain_grace"] - limits["push_delay_most"] - made["node_list"]["every"]
     if lifetime > room:
-        raise ValueError(f"dns.lifetime: expected at most {max(0, int(room))}, got {lifetime}: drain_grace less "
-                         f"push_delay_most and node_list.every leaves {room:.2f} s")
+        raise ValueError(
+            f"dns.lifetime: expected at most {max(0, int(room))}, got {lifetime}: drain_grace less "
+            f"push_delay_most and node_list.every leaves {room:.2f} s"
+        )
 
 
 def unique(names, what):
@@ -150,4 +164,6 @@
 def known(names, all_of_them, what):
     for name in names:
         if name not in all_of_them:
-            raise ValueError(f"{what}: expected one of {', '.join(sorted(all_of_them))}, got {name!r}")
+            raise ValueError(
+                f"{what}: expected one of {', '.join(sorted(all_of_them))}, got {name!r}"
+            )
--- a/peatlead/settings/shapes.py
+++ b/peatlead/settings/shapes.py
@@ -11,7 +11,9 @@
 
 
 class Field(NamedTuple):
-    check: Callable[[Any], Any]  # returns the value as it is kept, or raises ValueError("expected ...")
+    check: Callable[
+        [Any], Any
+    ]  # returns the value as it is kept, or raises ValueError("expected ...")
     default: Any
     meaning: str
 
@@ -29,6 +31,7 @@
             bounds = f"at least {least}" if most is None else f"from {least} to {most}"
             raise expected(f"a number {bounds}", value)
         return value if whole else float(value)
+
     return check
 
 
@@ -49,6 +52,7 @@
         if value not in choices:
             raise expected("one of " + ", ".join(map(repr, choices)), value)
         return value
+
     return check
 
 
@@ -57,14 +61,16 @@
         if not isinstance(value, (list, tuple)) or len(value) < least:
             raise expected(f"a list of at least {least}" if least else "a list", value)
         return [check_one(one) for one in value]
+
     return check
 
 
 def domain(value):
     """A domain name in lower case without the last dot (RFC 1035 section 2.3.1)."""
     labels = text(value).rstrip(".").lower().split(".")
-    if len(value) > 200 or not all(0 < len(x) < 64 and x.replace("-", "").replace("_", "").isalnum()
-                                   for x in labels):
+    if len(value) > 200 or not all(
+        0 < len(x) < 64 and x.replace("-", "").replace("_", "").isalnum() for x in labels
+    ):
         raise expected("a domain name of letters, digits and hyphens", value)
     return ".".join(labels)
 
@@ -113,56 +119,104 @@
     "dns": {
         "zone": Field(domain, REQUIRED, "the zone that stewards answer for"),
         "hosts_label": Field(label, "hosts", "host names stand under this label of the zone"),
-        "port": Field(number(1, 65535, True), REQUIRED, "the port that hosts serve reqs on, told in SRV"),
+        "port": Field(
+            number(1, 65535, True), REQUIRED, "the port that hosts serve reqs on, told in SRV"
+        ),
         "service_label": Field(label, "_http", "first label of SRV names"),
-        "lifetime": Field(number(0, 3600, True), REQUIRED, "lifetime (TTL) of answers that name hosts, seconds"),
+        "lifetime": Field(
+            number(0, 3600, True), REQUIRED, "lifetime (TTL) of answers that name hosts, seconds"
+        ),
         "addresses": Field(number(1, 64, True), 8, "addresses in an A or AAAA answer"),
-        "udp_most": Field(number(512, 4096, True), 1232, "longest answer over UDP with EDNS, bytes"),
-        "trusted_resolvers": Field(many(network), [], "resolvers whose client subnet option is believed"),
-        "open_views": Field(number(0, 65536, True), 16, "views that networks not listed share, by hash"),
-        "tcp_most": Field(number(1, 10000, True), 256, "TCP connections held at most; the idlest is cut"),
+        "udp_most": Field(
+            number(512, 4096, True), 1232, "longest answer over UDP with EDNS, bytes"
+        ),
+        "trusted_resolvers": Field(
+            many(network), [], "resolvers whose client subnet option is believed"
+        ),
+        "open_views": Field(
+            number(0, 65536, True), 16, "views that networks not listed share, by hash"
+        ),
+        "tcp_most": Field(
+            number(1, 10000, True), 256, "TCP connections held at most; the idlest is cut"
+        ),
         "tcp_idle": Field(some_seconds, 10.0, "a TCP peer silent or slow for longer is cut"),
-        "secondaries": Field(many(endpoint), [], "ADDRESS:PORT of name servers that fetch the zone and hear of news"),
-        "prepared_most": Field(number(16, 10_000_000, True), 50_000, "prepared queries kept; when full, all go"),
+        "secondaries": Field(
+            many(endpoint), [], "ADDRESS:PORT of name servers that fetch the zone and hear of news"
+        ),
+        "prepared_most": Field(
+            number(16, 10_000_000, True), 50_000, "prepared queries kept; when full, all go"
+        ),
     },
     "limits": {
-        "drain_grace": Field(some_seconds, REQUIRED, "a drained host must get no req later than this"),
+        "drain_grace": Field(
+            some_seconds, REQUIRED, "a drained host must get no req later than this"
+        ),
         "bare_most": Field(some_seconds, REQUIRED, "a view may be without a line for this long"),
-        "cold_share": Field(number(0.01, 1.0), REQUIRED, "part of its capacity that a just started host has"),
-        "warm_after": Field(some_seconds, REQUIRED, "after this a started host has all its capacity"),
-        "tip_multiple": Field(number(1.0), REQUIRED, "a cold host falls over past this multiple of its capacity"),
+        "cold_share": Field(
+            number(0.01, 1.0), REQUIRED, "part of its capacity that a just started host has"
+        ),
+        "warm_after": Field(
+            some_seconds, REQUIRED, "after this a started host has all its capacity"
+        ),
+        "tip_multiple": Field(
+            number(1.0), REQUIRED, "a cold host falls over past this multiple of its capacity"
+        ),
         "tip_span": Field(some_seconds, REQUIRED, "... offered for this long"),
         "queue_most": Field(number(1.0), 4000.0, "lines that may wait in a steward's channel"),
         "channel_rate": Field(number(1.0), 4000.0, "lines a second that the channel lets through"),
         "message_head": Field(number(0.0), 6.0, "lines that the head of a message counts for"),
-        "messages_most": Field(number(0, whole=True), 40, "messages to one view in messages_span; 0: no cap"),
+        "messages_most": Field(
+            number(0, whole=True), 40, "messages to one view in messages_span; 0: no cap"
+        ),
         "messages_span": Field(some_seconds, 10.0, "see messages_most"),
-        "push_delay_most": Field(some_seconds, 0.5, "longest way of a message from steward to answers"),
+        "push_delay_most": Field(
+            some_seconds, 0.5, "longest way of a message from steward to answers"
+        ),
     },
     "node_list": {
         "path": Field(text, REQUIRED, "the JSON file with the hosts"),
         "every": Field(some_seconds, 0.2, "how often the file is looked at"),
-        "patience": Field(some_seconds, 2.0, "how long a torn or missing file is tried again before it is told"),
+        "patience": Field(
+            some_seconds, 2.0, "how long a torn or missing file is tried again before it is told"
+        ),
     },
     "probes": {
         "port": Field(number(1, 65535, True), REQUIRED, "the port that hosts answer probes on"),
-        "path": Field(text, "/load", "what is asked for; a deep probe waits and is served like a req"),
+        "path": Field(
+            text, "/load", "what is asked for; a deep probe waits and is served like a req"
+        ),
         "deadline": Field(some_seconds, 0.8, "a probe without an answer by then timed out"),
-        "at_once": Field(number(1, 100000, True), 64, "probes in flight at most; more wait their turn"),
-        "waiting_most": Field(number(1, 100000, True), 512, "probes that may wait; more are dropped and counted"),
+        "at_once": Field(
+            number(1, 100000, True), 64, "probes in flight at most; more wait their turn"
+        ),
+        "waiting_most": Field(
+            number(1, 100000, True), 512, "probes that may wait; more are dropped and counted"
+        ),
     },
     "grpc": {
-        "proxies": Field(number(0, 100_000, True), 0, "proxies that are expected, of all stewards together"),
-        "pick": Field(one_of("random", "even", "lighter of two"), "lighter of two", "how they choose a line"),
-        "fails_to_shun": Field(number(0, 100, True), 3, "failures in a row at which a proxy shuns a host; 0: never"),
-        "connections_most": Field(number(1, 100_000, True), 10_000, "that a steward holds; the idlest is cut"),
+        "proxies": Field(
+            number(0, 100_000, True), 0, "proxies that are expected, of all stewards together"
+        ),
+        "pick": Field(
+            one_of("random", "even", "lighter of two"), "lighter of two", "how they choose a line"
+        ),
+        "fails_to_shun": Field(
+            number(0, 100, True), 3, "failures in a row at which a proxy shuns a host; 0: never"
+        ),
+        "connections_most": Field(
+            number(1, 100_000, True), 10_000, "that a steward holds; the idlest is cut"
+        ),
     },
     "fleet": {
-        "keys": Field(many(key), [], "32 bytes in hex each: the first seals members' messages, all open them"),
+        "keys": Field(
+            many(key), [], "32 bytes in hex each: the first seals members' messages, all open them"
+        ),
         "probe_every": Field(some_seconds, 0.3, "between a member's probes of others"),
         "probe_wait": Field(some_seconds, 0.15, "for an answer"),
         "suspect": Field(some_seconds, 1.0, "until a member that does not refute is held for dead"),
-        "joins_rate": Field(number(1.0), 200.0, "proxies a second that a steward takes in past a burst"),
+        "joins_rate": Field(
+            number(1.0), 200.0, "proxies a second that a steward takes in past a burst"
+        ),
     },
     "tables": {
         "versions_each": Field(number(2, 100_000, True), 256, "versions kept of one proxy"),
@@ -170,12 +224,16 @@
         "memory_most": Field(number(1 << 16, 1 << 40), 64 << 20, "bytes of memory for them, about"),
         "disk_most": Field(number(1 << 16, 1 << 40), 64 << 20, "bytes of disk for them"),
         "age_most": Field(some_seconds, 86_400.0, "a version older than this is dropped"),
-        "sync_every": Field(some_seconds, 1.0, "between syncs to disk: what a machine's death may cost"),
+        "sync_every": Field(
+            some_seconds, 1.0, "between syncs to disk: what a machine's death may cost"
+        ),
     },
     "choices": {
         "gone_is_advice": Field(flag, False, "a host missing from the list stays while it answers"),
         "crossing_price": Field(part, 0.0, "of gain lost by a req that crosses zones"),
-        "value_of_worst_kind": Field(part, 0.1, "weight of the worst served request kind in service"),
+        "value_of_worst_kind": Field(
+            part, 0.1, "weight of the worst served request kind in service"
+        ),
         "sums_every": Field(some_seconds, 1.0, "seconds between sums of what hosts tell"),
     },
 }
@@ -186,7 +244,9 @@
         "response_target": Field(some_seconds, REQUIRED, "an answer by then earns its whole gain"),
         "client_timeout": Field(some_seconds, REQUIRED, "clients give up then"),
         "gain": Field(number(0.0), 1.0, "worth of one req done"),
-        "repeat": Field(one_of("replayable", "uniqued", "non-replayable"), REQUIRED, "may it run again"),
+        "repeat": Field(
+            one_of("replayable", "uniqued", "non-replayable"), REQUIRED, "may it run again"
+        ),
         "only_zones": Field(many(text), [], "zones whose hosts may serve it; none: all"),
     },
     "service": {
@@ -206,7 +266,9 @@
         "listen": Field(endpoint, REQUIRED, "ADDRESS:PORT for DNS, UDP and TCP"),
         "control": Field(endpoint, REQUIRED, "ADDRESS:PORT for operators' questions"),
         "grpc": Field(endpoint, None, "ADDRESS:PORT for proxies; none: no gRPC front"),
-        "peer": Field(endpoint, None, "ADDRESS:PORT for other stewards of one fleet; none: it shares nothing"),
+        "peer": Field(
+            endpoint, None, "ADDRESS:PORT for other stewards of one fleet; none: it shares nothing"
+        ),
         "seed": Field(number(0, whole=True), 1, "of all its chance"),
     },
 }
--- a/peatlead/sources/file.py
+++ b/peatlead/sources/file.py
@@ -17,7 +17,13 @@
     def __init__(self, settings, tell, log):
         self.path, self.every = Path(settings["path"]), settings["every"]
         self.patience, self.tell, self.log = settings["patience"], tell, log
-        self.seen, self.version, self.bad_since, self.told_bad, self.task = None, None, None, False, None
+        self.seen, self.version, self.bad_since, self.told_bad, self.task = (
+            None,
+            None,
+            None,
+            False,
+            None,
+        )
 
     def remember(self, version):
         """The version that was known before this start: an older one is not taken after it either."""
@@ -58,7 +64,12 @@
         for why in listing.bad:
             self.log("list entry left out", path=str(self.path), why=why)
         if self.version is not None and listing.version < self.version:
-            self.log("older list not taken", path=str(self.path), version=listing.version, last=self.version)
+            self.log(
+                "older list not taken",
+                path=str(self.path),
+                version=listing.version,
+                last=self.version,
+            )
             return
         self.version = listing.version
         self.tell(listing)
--- a/peatlead/sources/listing.py
+++ b/peatlead/sources/listing.py
@@ -14,6 +14,7 @@
 
 class Entry(msgspec.Struct, frozen=True):
     """One host as a list names it; `started` is by the list's own clock, seconds."""
+
     name: str
     zone: str
     phase: str
@@ -29,6 +30,7 @@
 class Listing(NamedTuple):
     """`scope`: "whole", "changes", "remembered" or "unavailable"; `written` by the list's own clock; `unread`: names
     of hosts whose entries can't be used, None for each whose name can't be read either."""
+
     scope: str
     version: int
     written: float
--- a/peatlead/sources/memory.py
+++ b/peatlead/sources/memory.py
@@ -26,8 +26,14 @@
         """Raises OSError; the caller says so and goes on."""
         if self.path is None:
             return
-        body = msgspec.json.encode({
-            "version": listing.version, "written": listing.written, "scope": "whole", "hosts": listing.hosts})
+        body = msgspec.json.encode(
+            {
+                "version": listing.version,
+                "written": listing.written,
+                "scope": "whole",
+                "hosts": listing.hosts,
+            }
+        )
         head = b"peatlead-list %d %s\n" % (FORMAT, blake3(body).hexdigest().encode())
         beside = self.path.with_name(self.path.name + ".new")
         self.path.parent.mkdir(parents=True, exist_ok=True)
--- a/peatlead/standin/agents.py
+++ b/peatlead/standin/agents.py
@@ -14,7 +14,15 @@
 from h2.exceptions import ProtocolError
 
 from ..fleet.owners import Fence
-from ..grpc.assign import ENDPOINTS, ROUTES, ROUTES_NAME, Line, read_lines, read_routes, resource_name
+from ..grpc.assign import (
+    ENDPOINTS,
+    ROUTES,
+    ROUTES_NAME,
+    Line,
+    read_lines,
+    read_routes,
+    resource_name,
+)
 from ..grpc.front import DELTA, DISCOVERY, LOADS
 from ..grpc.http2 import dial
 from ..grpc.incremental import PARTS_OF, read_delta
@@ -123,7 +131,9 @@
         call.message = lambda data: take(call, steward, data)
         self.current, joined = call, False
         self.ask_first(call, hops)
-        done, _ = await asyncio.wait([taken, over], timeout=JOIN_WAIT, return_when=asyncio.FIRST_COMPLETED)
+        done, _ = await asyncio.wait(
+            [taken, over], timeout=JOIN_WAIT, return_when=asyncio.FIRST_COMPLETED
+        )
         if not done:
             self.give_up(connection)
             return "failed", {}
@@ -140,7 +150,9 @@
         else:
             self.give_up(connection)
             return "failed", {}
-        if told.get("grpc-status") == "14" and ("peatlead-owner" in told or "peatlead-wait" in told):
+        if told.get("grpc-status") == "14" and (
+            "peatlead-owner" in told or "peatlead-wait" in told
+        ):
             return "sent on", told
         return ("ended" if joined else "failed"), told
 
@@ -169,7 +181,9 @@
         self.hints = found
 
     def ask_first(self, call, hops):
-        request = discovery_pb2.DiscoveryRequest(type_url=ENDPOINTS, resource_names=[k.name for k in self.plan.kinds])
+        request = discovery_pb2.DiscoveryRequest(
+            type_url=ENDPOINTS, resource_names=[k.name for k in self.plan.kinds]
+        )
         request.node.id, request.node.locality.zone = self.plan.name, self.plan.zone
         # Each dial is a join of its own: whoever it dialled before may only be slow, and must not have the same
         # epoch to give. So what was dialled is fenced off, whether it ever answered or not.
@@ -177,23 +191,44 @@
         if self.plan.incremental:
             self.ask_deltas(call, hops)
             return
-        held = {kind: [f"{one.address}|{one.port}|{one.zone}|{one.weight}" for one in lines]
-                for kind, lines in self.lines.items()}
-        request.node.metadata.update({
-            "epoch": self.fence.newest[0], "rate": self.plan.rate, "hops": hops,
-            "avoid": [self.names[address] for address in self.avoid if address in self.names], "held": held})
+        held = {
+            kind: [f"{one.address}|{one.port}|{one.zone}|{one.weight}" for one in lines]
+            for kind, lines in self.lines.items()
+        }
+        request.node.metadata.update(
+            {
+                "epoch": self.fence.newest[0],
+                "rate": self.plan.rate,
+                "hops": hops,
+                "avoid": [self.names[address] for address in self.avoid if address in self.names],
+                "held": held,
+            }
+        )
         call.send(request.SerializeToString(deterministic=True))
-        call.send(discovery_pb2.DiscoveryRequest(type_url=ROUTES, resource_names=[ROUTES_NAME]).SerializeToString())
+        call.send(
+            discovery_pb2.DiscoveryRequest(
+                type_url=ROUTES, resource_names=[ROUTES_NAME]
+            ).SerializeToString()
+        )
 
     def ask_deltas(self, call, hops):
         """The first requests of the incremental variant: what it holds goes as its resources' versions."""
         self.holder.raise_fence(Version(*self.fence.newest))
         for type_url, part in PARTS_OF.items():
-            request = discovery_pb2.DeltaDiscoveryRequest(type_url=type_url, resource_names_subscribe=["*"])
+            request = discovery_pb2.DeltaDiscoveryRequest(
+                type_url=type_url, resource_names_subscribe=["*"]
+            )
             request.node.id, request.node.locality.zone = self.plan.name, self.plan.zone
-            request.node.metadata.update({
-                "epoch": self.fence.newest[0], "rate": self.plan.rate, "hops": hops,
-                "avoid": [self.names[address] for address in self.avoid if address in self.names]})
+            request.node.metadata.update(
+                {
+                    "epoch": self.fence.newest[0],
+                    "rate": self.plan.rate,
+                    "hops": hops,
+                    "avoid": [
+                        self.names[address] for address in self.avoid if address in self.names
+                    ],
+                }
+            )
             for key, value in self.holder.parts[part].items():
                 request.initial_resource_versions[resource_name(key)] = str(value)
             call.send(request.SerializeToString(deterministic=True))
@@ -201,7 +236,9 @@
     def take_delta(self, call, steward, data):
         """All of a delta, or nothing of it and the reason back."""
         response = discovery_pb2.DeltaDiscoveryResponse.FromString(data)
-        answer = discovery_pb2.DeltaDiscoveryRequest(type_url=response.type_url, response_nonce=response.nonce)
+        answer = discovery_pb2.DeltaDiscoveryRequest(
+            type_url=response.type_url, response_nonce=response.nonce
+        )
         version = read_version(response.nonce)
         if call is not self.current:
             self.note(steward, version, "old")
@@ -219,7 +256,9 @@
             self.fence = self.fence.past(*version)
             self.show_held()
             self.note(steward, version, "applied")
-            if PARTS_OF[type_url] == "line":  # a level that comes first says nothing of lines it brought along
+            if (
+                PARTS_OF[type_url] == "line"
+            ):  # a level that comes first says nothing of lines it brought along
                 self.note_held(steward, version)
         else:
             answer.error_detail.code, answer.error_detail.message = 3, outcome
@@ -242,8 +281,16 @@
     def note_held(self, steward, version):
         """What it holds now, for the checker: by digest, and the hosts that are in it."""
         addresses = sorted({one.address for lines in self.lines.values() for one in lines})
-        self.record.row("held", self.loop.time(), self.plan.name, steward, *version,
-                        str(self.holder.digests["line"]), self.holder.sound("line"), addresses)
+        self.record.row(
+            "held",
+            self.loop.time(),
+            self.plan.name,
+            steward,
+            *version,
+            str(self.holder.digests["line"]),
+            self.holder.sound("line"),
+            addresses,
+        )
 
     # Orders.
 
@@ -254,8 +301,13 @@
             self.note(steward, version, "old")
             return
         answer = discovery_pb2.DiscoveryRequest(
-            type_url=response.type_url, response_nonce=response.nonce, version_info=response.version_info,
-            resource_names=[ROUTES_NAME] if response.type_url == ROUTES else [k.name for k in self.plan.kinds])
+            type_url=response.type_url,
+            response_nonce=response.nonce,
+            version_info=response.version_info,
+            resource_names=[ROUTES_NAME]
+            if response.type_url == ROUTES
+            else [k.name for k in self.plan.kinds],
+        )
         try:
             self.apply(response)
             self.fence = self.fence.past(*version)
@@ -296,7 +348,10 @@
         asked, every = self.loop.create_future(), [1.0]
 
         def take(data):
-            every[0] = lrs_pb2.LoadStatsResponse.FromString(data).load_reporting_interval.ToMilliseconds() / 1000
+            every[0] = (
+                lrs_pb2.LoadStatsResponse.FromString(data).load_reporting_interval.ToMilliseconds()
+                / 1000
+            )
             if not asked.done():
                 asked.set_result(True)
 
@@ -305,7 +360,9 @@
         first.node.id = self.plan.name
         call.send(first.SerializeToString())
         await asyncio.wait([asked], timeout=JOIN_WAIT)
-        while asked.done() and not call.over and not self.stopped and connection.transport is not None:
+        while (
+            asked.done() and not call.over and not self.stopped and connection.transport is not None
+        ):
             await asyncio.sleep(every[0])
             call.send(self.stats().SerializeToString(deterministic=True))
 
@@ -323,11 +380,16 @@
                     one.address.socket_address.address = address
                     one.address.socket_address.port_value = self.plan.port
                     one.total_successful_requests, one.total_error_requests = tally.good, tally.bad
-                    for metric, many, total in (("seconds", tally.good, tally.seconds),
-                                                ("util", tally.reports, tally.util)):
+                    for metric, many, total in (
+                        ("seconds", tally.good, tally.seconds),
+                        ("util", tally.reports, tally.util),
+                    ):
                         if many:
-                            one.load_metric_stats.add(metric_name=metric, num_requests_finished_with_metric=many,
-                                                      total_metric_value=total)
+                            one.load_metric_stats.add(
+                                metric_name=metric,
+                                num_requests_finished_with_metric=many,
+                                total_metric_value=total,
+                            )
         self.tallies.clear()
         self.told_at = now
         return request
@@ -363,12 +425,30 @@
                     break
         now = self.loop.time()
         late = now - due > kind.response_target
-        gain = 0.0 if outcome != "done" or now > deadline else kind.gain * (self.plan.late_gain if late else 1.0)
-        self.record.row("req", now, req, kind.name, self.plan.name, "agent", self.plan.pick,
-                        "late" if outcome == "done" and late else outcome, due, len(tried), gain)
+        gain = (
+            0.0
+            if outcome != "done" or now > deadline
+            else kind.gain * (self.plan.late_gain if late else 1.0)
+        )
+        self.record.row(
+            "req",
+            now,
+            req,
+            kind.name,
+            self.plan.name,
+            "agent",
+            self.plan.pick,
+            "late" if outcome == "done" and late else outcome,
+            due,
+            len(tried),
+            gain,
+        )
 
     def choose_line(self, kind, tried):
-        lines, now = [one for one in self.lines.get(kind, ()) if one.address not in tried], self.loop.time()
+        lines, now = (
+            [one for one in self.lines.get(kind, ()) if one.address not in tried],
+            self.loop.time(),
+        )
         fit = [one for one in lines if self.shunned.get(one.address, 0.0) <= now] or lines
         if not fit:
             return None
@@ -378,18 +458,42 @@
 
     async def attempt(self, req, kind, line, deadline, number, most):
         """(outcome, whether it may have run)."""
-        start, tally, address = self.loop.time(), self.tallies[kind.name, line.address], line.address
+        start, tally, address = (
+            self.loop.time(),
+            self.tallies[kind.name, line.address],
+            line.address,
+        )
         self.flying[address] += 1
         outcome, sent, good = "unreachable", False, False
         try:
             stream = self.usable(address) or await connect(
-                self.loop, (address, line.port), min(deadline, start + CONNECT_WAIT), self.plan.local)
+                self.loop,
+                (address, line.port),
+                min(deadline, start + CONNECT_WAIT),
+                self.plan.local,
+            )
             sent = True
-            self.record.row("try", self.loop.time(), req, kind.name, self.plan.name, "agent", self.plan.pick,
-                            address, number, "sent", True)
+            self.record.row(
+                "try",
+                self.loop.time(),
+                req,
+                kind.name,
+                self.plan.name,
+                "agent",
+                self.plan.pick,
+                address,
+                number,
+                "sent",
+                True,
+            )
             part = TRY_PART if number < most else 1.0
-            answer = await stream.ask("POST", "/" + kind.name, [("host", "x"), ("req-id", req)], b"",
-                                      start + (deadline - start) * part)
+            answer = await stream.ask(
+                "POST",
+                "/" + kind.name,
+                [("host", "x"), ("req-id", req)],
+                b"",
+                start + (deadline - start) * part,
+            )
             outcome = {200: "done", 429: "shed", 503: "denied"}.get(answer.status, "errored")
             sent, good = outcome not in ("denied", "shed"), outcome == "done"
             self.take_load(tally, answer)
@@ -418,7 +522,9 @@
         tally.bad += 1
         self.fails[address] += 1
         if self.plan.fails_to_shun and self.fails[address] >= self.plan.fails_to_shun:
-            self.shunned[address] = self.loop.time() + self.plan.shun_for * self.chance.uniform(0.6, 1.4)
+            self.shunned[address] = self.loop.time() + self.plan.shun_for * self.chance.uniform(
+                0.6, 1.4
+            )
             self.fails[address] = 0
 
     def usable(self, address):
--- a/peatlead/standin/desks.py
+++ b/peatlead/standin/desks.py
@@ -30,6 +30,7 @@
 
 class Plan(msgspec.Struct):
     """One desk. `name` is what it resolves; `network` tells the resolver's client subnet where it sends one."""
+
     view: str
     network: str
     resolver: str
@@ -56,7 +57,9 @@
         """The order in which it would try them."""
         if self.habit == "any":
             addresses = chance.sample(addresses, len(addresses))
-        elif self.habit == "sorted":  # RFC 6724 rule 9 and its like: by address, whatever the answer's order
+        elif (
+            self.habit == "sorted"
+        ):  # RFC 6724 rule 9 and its like: by address, whatever the answer's order
             addresses = sorted(addresses)
         elif self.habit in ("same", "holds") and self.last in addresses:
             addresses = [self.last] + [one for one in addresses if one != self.last]
@@ -81,10 +84,17 @@
 
     def __init__(self, plan, resolver, chance, record, number):
         self.plan, self.resolver, self.chance, self.record = plan, resolver, chance, record
-        self.loop, self.rate, self.sent, self.stopped = asyncio.get_running_loop(), plan.rate, 0, False
+        self.loop, self.rate, self.sent, self.stopped = (
+            asyncio.get_running_loop(),
+            plan.rate,
+            0,
+            False,
+        )
         base = plan.network.rpartition(".")[0]
-        self.clients = [Client(plan.habits[at % len(plan.habits)], f"{base}.{at % 250 + 1}")
-                        for at in range(plan.clients)]
+        self.clients = [
+            Client(plan.habits[at % len(plan.habits)], f"{base}.{at % 250 + 1}")
+            for at in range(plan.clients)
+        ]
         self.tasks, self.number, self.in_work = set(), number, 0
 
     def begin(self, at):
@@ -124,27 +134,49 @@
             await asyncio.sleep(waits)
         now = self.loop.time()
         late = now - due > kind.response_target
-        gain = 0.0 if outcome != "done" or now > deadline else kind.gain * (self.plan.late_gain if late else 1.0)
+        gain = (
+            0.0
+            if outcome != "done" or now > deadline
+            else kind.gain * (self.plan.late_gain if late else 1.0)
+        )
         outcome = "late" if outcome == "done" and late else outcome
-        self.record.row("req", now, req, kind.name, self.plan.view, self.resolver.kind, client.habit, outcome,
-                        due, tries, gain)
+        self.record.row(
+            "req",
+            now,
+            req,
+            kind.name,
+            self.plan.view,
+            self.resolver.kind,
+            client.habit,
+            outcome,
+            due,
+            tries,
+            gain,
+        )
 
     async def attempt(self, req, kind, client, deadline, number, before):
         """(outcome, address, whether this kind may be tried again after it)."""
-        address, stream = await self.way(client, deadline, number, before if kind.repeat == "uniqued" else None)
+        address, stream = await self.way(
+            client, deadline, number, before if kind.repeat == "uniqued" else None
+        )
         if address is None:
             return "unresolved", before, True
         sent = False
         try:
             if stream is None:
-                stream = await connect(self.loop, (address, self.plan.port),
-                                       min(deadline, self.loop.time() + CONNECT_WAIT), client.local)
+                stream = await connect(
+                    self.loop,
+                    (address, self.plan.port),
+                    min(deadline, self.loop.time() + CONNECT_WAIT),
+                    client.local,
+                )
             sent = True
             self.note(req, kind, client, address, number, "sent", True)
             share = self.chance.uniform(0.5, 1.0) if number < self.plan.retries else 1.0
             give_up = self.loop.time() + (deadline - self.loop.time()) * share
-            answer = await stream.ask("POST", "/" + kind.name, [
-                ("host", self.plan.name), ("req-id", req)], b"", give_up)
+            answer = await stream.ask(
+                "POST", "/" + kind.name, [("host", self.plan.name), ("req-id", req)], b"", give_up
+            )
             outcome = {200: "done", 429: "shed", 503: "denied"}.get(answer.status, "errored")
             client.last = address
             client.keep(address, stream)
@@ -170,7 +202,9 @@
         try:
             network = self.plan.network + "/24" if self.plan.tells_subnet else ""
             wait = min(LOOKUP_WAIT, max(0.01, deadline - self.loop.time()))
-            found = await within(wait, self.resolver.lookup(self.plan.name, network, self.plan.view))
+            found = await within(
+                wait, self.resolver.lookup(self.plan.name, network, self.plan.view)
+            )
         except asyncio.TimeoutError:
             return None, None
         if not found:
@@ -179,8 +213,19 @@
         return address, client.usable(address)
 
     def note(self, req, kind, client, address, number, outcome, sent):
-        self.record.row("try", self.loop.time(), req, kind.name, self.plan.view, self.resolver.kind, client.habit,
-                        address, number, outcome, sent)
+        self.record.row(
+            "try",
+            self.loop.time(),
+            req,
+            kind.name,
+            self.plan.view,
+            self.resolver.kind,
+            client.habit,
+            address,
+            number,
+            outcome,
+            sent,
+        )
 
     async def finish(self):
         """No more arrivals; waits for those under way, whose own deadlines bound it."""
@@ -199,12 +244,16 @@
         if said["do"] == "resolver":
             servers = [tuple(server) for server in said["servers"]]
             made = self.resolvers[said["name"]] = Resolver(
-                said["kind"], said["address"], servers, self.chance, self.record, said["rotates"])
+                said["kind"], said["address"], servers, self.chance, self.record, said["rotates"]
+            )
             await made.begin()
         elif said["do"] == "desk":
             plan = msgspec.convert(said["plan"], Plan)
-            self.desks.append(Desk(plan, self.resolvers[plan.resolver], self.chance, self.record,
-                                   str(said["desk"])))
+            self.desks.append(
+                Desk(
+                    plan, self.resolvers[plan.resolver], self.chance, self.record, str(said["desk"])
+                )
+            )
         elif said["do"] == "begin":
             for desk in self.desks:
                 desk.begin(said["at"])
@@ -214,4 +263,3 @@
                     desk.rate = desk.plan.rate * said["times"]
         elif said["do"] == "finish":
             await asyncio.gather(*(desk.finish() for desk in self.desks))
-
--- a/peatlead/standin/hosts.py
+++ b/peatlead/standin/hosts.py
@@ -14,12 +14,15 @@
 from ..net.orca import HEADER, write_report
 
 IDLE = 30.0
-LEVELS_LAST = 5.0  # seconds: levels that no steward repeats are void; a dead steward must not shed for good
+LEVELS_LAST = (
+    5.0  # seconds: levels that no steward repeats are void; a dead steward must not shed for good
+)
 PROBE_WORK = 0.004
 
 
 class Plan(msgspec.Struct):
     """What a host is. `work`: kind -> mean seconds of one core; `repeat`: kind -> repeat class."""
+
     name: str
     zone: str
     pod: int
@@ -59,12 +62,25 @@
 
 
 class Job:
-    __slots__ = ("req", "kind", "work", "connection", "network", "arrived", "abandoned", "probe", "repeat")
+    __slots__ = (
+        "req",
+        "kind",
+        "work",
+        "connection",
+        "network",
+        "arrived",
+        "abandoned",
+        "probe",
+        "repeat",
+    )
 
     def __init__(self, req, kind, work, connection, network, arrived, probe=False, repeat=False):
         self.req, self.kind, self.work, self.connection = req, kind, work, connection
         self.network, self.arrived, self.abandoned = network, arrived, False
-        self.probe, self.repeat = probe, repeat  # a repeat is worked on like the first, with no effect
+        self.probe, self.repeat = (
+            probe,
+            repeat,
+        )  # a repeat is worked on like the first, with no effect
 
 
 class Host:
@@ -73,7 +89,10 @@
     def __init__(self, plan, chance, record, pods):
         self.plan, self.chance, self.record, self.pods = plan, chance, record, pods
         self.loop, self.server = asyncio.get_running_loop(), None
-        self.connections, self.levels = {}, {}  # in order: a set of objects is in that of their addresses
+        self.connections, self.levels = (
+            {},
+            {},
+        )  # in order: a set of objects is in that of their addresses
         self.boots = 0
         self.reset(cold=plan.cold)
 
@@ -106,7 +125,13 @@
         """Cores that it has for reqs at this moment."""
         if self.silent or self.hung or self.tipped or self.draining or now < self.paused_until:
             return 0.0
-        return self.warmth(now) * self.plan.cores * (1 - self.stolen) * (1 - self.errors) * (1 - self.lost)
+        return (
+            self.warmth(now)
+            * self.plan.cores
+            * (1 - self.stolen)
+            * (1 - self.errors)
+            * (1 - self.lost)
+        )
 
     def offer(self, now, work):
         """All work that arrives counts against a cold host: it falls over past what its start can bear."""
@@ -127,7 +152,11 @@
         """Part of the cores in use since the last report, at least a second back."""
         if now - self.util_at >= 1.0:
             self.util = min(1.0, self.busy_seconds / (now - self.util_at) / self.plan.cores)
-            self.util, self.util_at, self.busy_seconds = max(self.util, min(1.0, self.stolen)), now, 0.0
+            self.util, self.util_at, self.busy_seconds = (
+                max(self.util, min(1.0, self.stolen)),
+                now,
+                0.0,
+            )
         return self.util
 
     # Reqs.
@@ -168,7 +197,8 @@
             connection.answer(503, [], b"full", self.draining)
             return
         repeat = self.plan.repeat[kind] == "uniqued" and self.pods.is_repeat(
-            self.plan.pod, req, now, self.plan.window)
+            self.plan.pod, req, now, self.plan.window
+        )
         job = Job(req, kind, work, connection, connection.network, now, repeat=repeat)
         connection.job = job
         self.queue.append(job)
@@ -194,8 +224,11 @@
     def level(self, kind, now):
         """The mean of what stewards told of late: each of them steers all reqs, so the lowest of two that waver
         would shed for both."""
-        told = [level for (name, _), (level, at) in self.levels.items()
-                if name == kind and now - at < LEVELS_LAST]
+        told = [
+            level
+            for (name, _), (level, at) in self.levels.items()
+            if name == kind and now - at < LEVELS_LAST
+        ]
         return fsum(told) / len(told) if told else 1.0
 
     def count(self, network, kind):
@@ -235,7 +268,9 @@
 
     def end(self, job, now):
         if not job.repeat:
-            self.record.row("effect", now, self.plan.name, job.req, job.kind, self.plan.repeat[job.kind])
+            self.record.row(
+                "effect", now, self.plan.name, job.req, job.kind, self.plan.repeat[job.kind]
+            )
         count = self.count(job.network, job.kind)
         if not job.abandoned:
             job.connection.job = None
@@ -243,8 +278,12 @@
             count[6] += now - job.arrived
             self.done_lately.append(now)
             if self.chance.random() >= self.lost:
-                job.connection.answer(200, [("host-name", self.plan.name), ("load-util", f"{self.measure(now):.3f}")],
-                                      b"done", self.draining)
+                job.connection.answer(
+                    200,
+                    [("host-name", self.plan.name), ("load-util", f"{self.measure(now):.3f}")],
+                    b"done",
+                    self.draining,
+                )
 
     def abandon(self, job):
         """The client has gone; the work has not."""
@@ -257,7 +296,10 @@
         rate = sum(now - at < 2 for at in self.done_lately) / 2
         report = {"util": self.measure(now), "done_rate": rate, "waiting": len(self.queue)}
         kinds = list(self.plan.work)
-        networks = {network: [rows.get(kind, [0] * 7) for kind in kinds] for network, rows in self.counts.items()}
+        networks = {
+            network: [rows.get(kind, [0] * 7) for kind in kinds]
+            for network, rows in self.counts.items()
+        }
         body = msgspec.json.encode({"boot": self.boot, "kinds": kinds, "networks": networks})
         connection.answer(200, [(HEADER, write_report(report))], body)
 
@@ -267,7 +309,8 @@
         if self.server is not None:
             return  # another trouble has started it already
         self.server = await self.loop.create_server(
-            lambda: Connection(self), self.plan.address, self.plan.port, backlog=512)
+            lambda: Connection(self), self.plan.address, self.plan.port, backlog=512
+        )
 
     def tell(self, fault, value):
         """`fault`: an attribute of `reset`, or "drain", "stop", "start", "pause", "restart"."""
--- a/peatlead/standin/platform_agents.py
+++ b/peatlead/standin/platform_agents.py
@@ -42,12 +42,20 @@
 
 def lines_of(parts):
     """What a message counts in the channel, without its head."""
-    return sum(bool(part.get("full")) + len(part.get("endpoints", ())) + len(part.get("eject", ()))
-               + len(part.get("restore", ())) + ("admit" in part) + ("nonce_out" in part) for part in parts)
+    return sum(
+        bool(part.get("full"))
+        + len(part.get("endpoints", ()))
+        + len(part.get("eject", ()))
+        + len(part.get("restore", ()))
+        + ("admit" in part)
+        + ("nonce_out" in part)
+        for part in parts
+    )
 
 
 class Queued(NamedTuple):
     """A message in the channel; `size` in lines, its head included."""
+
     stream: object
     parts: list
     size: float
--- a/peatlead/standin/platform_fleet.py
+++ b/peatlead/standin/platform_fleet.py
@@ -29,6 +29,7 @@
 class FleetPlan(NamedTuple):
     """`channel_part`: the real pace of each channel as a part of the told one; `redial`: seconds until a proxy whose
     stream broke dials again; `rehome`: seconds after which it goes back to its own steward, 0 for never."""
+
     stewards: int
     proxies: int
     hosts: int
@@ -43,6 +44,7 @@
     """`longest`: the longest time in seconds that a proxy could still reach a host after its steward was told, or it
     joined; `late`: [(proxy, host, seconds)] past the grace, one for each pair; `most_waiting`: the longest queue of
     any channel, in lines."""
+
     longest: float
     late: list
     most_waiting: float
@@ -101,13 +103,17 @@
         self.kinds = [kind["name"] for kind in settings["classes"]]
         self.names = [f"n{at}" for at in range(plan.stewards)]
         self.zones = settings["zones"]
-        self.proxies = [ProxyState(number, self.zones[number % len(self.zones)], self.kinds)
-                        for number in range(plan.proxies)]
+        self.proxies = [
+            ProxyState(number, self.zones[number % len(self.zones)], self.kinds)
+            for number in range(plan.proxies)
+        ]
         self.version, self.hosts, self.changed_at = 1, {}, {}
         self.watches, self.streams, self.processes, self.tasks = [], {}, {}, set()
         family = settings["familyInfo"]
-        self.channels = {name: PacedChannel(family["channelRate"] * plan.channel_part, family["perMessage"])
-                         for name in self.names}
+        self.channels = {
+            name: PacedChannel(family["channelRate"] * plan.channel_part, family["perMessage"])
+            for name in self.names
+        }
         self.drained_at, self.lateness, self.stopped = {}, {}, False
         self.list_hosts([self.host(at) for at in range(plan.hosts)])
 
@@ -115,8 +121,16 @@
 
     def host(self, at, lifecycle="active"):
         zone = self.zones[at % len(self.zones)]
-        return {"instanceId": f"s-{at}", "hostPort": f"127.4.1.{at % 250 + 1}:9", "zone": zone, "machineType": "m",
-                "cell": 0, "lifecycle": lifecycle, "weight": 1.0, "startedAtMs": 0.0}
+        return {
+            "instanceId": f"s-{at}",
+            "hostPort": f"127.4.1.{at % 250 + 1}:9",
+            "zone": zone,
+            "machineType": "m",
+            "cell": 0,
+            "lifecycle": lifecycle,
+            "weight": 1.0,
+            "startedAtMs": 0.0,
+        }
 
     def list_hosts(self, hosts):
         """News of the list, told at once to all who watch."""
@@ -133,7 +147,9 @@
     def answer_watches(self):
         waiting, self.watches = self.watches, []
         for watch in waiting:
-            query = dict(pair.split("=") for pair in watch.path.partition("?")[2].split("&") if pair)
+            query = dict(
+                pair.split("=") for pair in watch.path.partition("?")[2].split("&") if pair
+            )
             after = int(query.get("after", -1))
             changed = [one for name, one in self.hosts.items() if self.changed_at[name] > after]
             if after >= 0 and not changed and query.get("wait_ms") != "0":
@@ -149,7 +165,9 @@
 
     async def start(self):
         loop = asyncio.get_running_loop()
-        self.server = await loop.create_server(lambda: DiscoveryAgent(self), "127.4.2.1", self.plan.port)
+        self.server = await loop.create_server(
+            lambda: DiscoveryAgent(self), "127.4.2.1", self.plan.port
+        )
         for name in self.names:
             self.restart(name)
         for name in self.names:
@@ -161,18 +179,29 @@
     def restart(self, name):
         """Starts a steward; the list in its configuration is the one of the fleet's first moment."""
         at = self.names.index(name)
-        known = {"generation": 0, "reset": True, "instances": [self.host(host) for host in range(self.plan.hosts)]}
+        known = {
+            "generation": 0,
+            "reset": True,
+            "instances": [self.host(host) for host in range(self.plan.hosts)],
+        }
         configuration = {
-            "name": name, "listen": f"{self.address(name)}:{self.plan.port}",
+            "name": name,
+            "listen": f"{self.address(name)}:{self.plan.port}",
             "discovery": f"127.4.2.1:{self.plan.port}",
-            "seed": f"{self.plan.seed + at:x}", "limits": {"sockets": 1024}, "known": known,
-            "settings": {**self.settings, "rank": at, "locality": at % len(self.zones)}}
+            "seed": f"{self.plan.seed + at:x}",
+            "limits": {"sockets": 1024},
+            "known": known,
+            "settings": {**self.settings, "rank": at, "locality": at % len(self.zones)},
+        }
         path = f"{self.folder}/{name}.json"
         with open(path, "w") as file:
             json.dump(configuration, file)
         with open(f"{self.folder}/{name}.log", "ab") as log:
             self.processes[name] = subprocess.Popen(
-                [sys.executable, "-m", "peatlead.platform"], env={**os.environ, "NODE_CONFIG": path}, stderr=log)
+                [sys.executable, "-m", "peatlead.platform"],
+                env={**os.environ, "NODE_CONFIG": path},
+                stderr=log,
+            )
 
     async def ready(self, name):
         loop = asyncio.get_running_loop()
@@ -219,7 +248,8 @@
             name = self.names[at % len(self.names)]
             try:
                 _, stream = await loop.create_connection(
-                    lambda to=name: ProxyStream(self, state, to), self.address(name), self.plan.port)
+                    lambda to=name: ProxyStream(self, state, to), self.address(name), self.plan.port
+                )
             except OSError:
                 at += 1
                 await asyncio.sleep(0.01)
@@ -228,7 +258,9 @@
             if old is not None:
                 old.cut("moved")
             if self.plan.rehome and name != self.home(state):
-                loop.call_later(self.random.uniform(0.5, 1.0) * self.plan.rehome, self.go_home, state, stream)
+                loop.call_later(
+                    self.random.uniform(0.5, 1.0) * self.plan.rehome, self.go_home, state, stream
+                )
             return
 
     def go_home(self, state, stream):
@@ -241,7 +273,9 @@
             del self.streams[state]
             state.joined_at = None
             wait = self.random.uniform(*self.plan.redial)
-            asyncio.get_running_loop().call_later(wait, lambda: self.spawn(self.dial(state, stream.steward)))
+            asyncio.get_running_loop().call_later(
+                wait, lambda: self.spawn(self.dial(state, stream.steward))
+            )
 
     # What is looked at.
 
@@ -272,9 +306,16 @@
                 self.lateness[pair] = max(held, self.lateness.get(pair, 0.0))
 
     def drain_report(self, grace):
-        late = [(proxy, host, round(held, 3)) for (proxy, host), held in self.lateness.items() if held > grace]
-        return DrainReport(max(self.lateness.values(), default=0.0), sorted(late),
-                           max(channel.most_waiting for channel in self.channels.values()))
+        late = [
+            (proxy, host, round(held, 3))
+            for (proxy, host), held in self.lateness.items()
+            if held > grace
+        ]
+        return DrainReport(
+            max(self.lateness.values(), default=0.0),
+            sorted(late),
+            max(channel.most_waiting for channel in self.channels.values()),
+        )
 
     def still_held(self):
         """How many proxies can reach a host that drains or went."""
--- a/peatlead/standin/process.py
+++ b/peatlead/standin/process.py
@@ -43,7 +43,9 @@
         try:
             await self.hall.command(said)
             answer = {"number": said["number"], "error": ""}
-        except Exception as problem:  # told to the day, which ends: a stand-in that is wrong proves nothing
+        except (
+            Exception
+        ) as problem:  # told to the day, which ends: a stand-in that is wrong proves nothing
             traceback.print_exc()
             answer = {"number": said["number"], "error": repr(problem)}
         self.done[said["number"]] = msgspec.json.encode(answer)
--- a/peatlead/standin/resolvers.py
+++ b/peatlead/standin/resolvers.py
@@ -75,7 +75,7 @@
         """Many resolvers turn the order from one answer to the next."""
         if self.rotates and kept.addresses:
             kept.turn = (kept.turn + 1) % len(kept.addresses)
-            return kept.addresses[kept.turn:] + kept.addresses[:kept.turn]
+            return kept.addresses[kept.turn :] + kept.addresses[: kept.turn]
         return list(kept.addresses)
 
     async def ask(self, name, network, view):
@@ -96,16 +96,29 @@
             self.slowness[server] = 0.7 * self.slowness[server] + 0.3 * took
             code = dns.rcode.to_text(answer.rcode())
             addresses, lifetime = read_addresses(answer)
-            self.record.row("answer", self.loop.time(), view, self.kind, server[0], code, addresses, lifetime,
-                            self.loop.time() - start)
+            self.record.row(
+                "answer",
+                self.loop.time(),
+                view,
+                self.kind,
+                server[0],
+                code,
+                addresses,
+                lifetime,
+                self.loop.time() - start,
+            )
             if code in ("NOERROR", "NXDOMAIN"):
                 return self.keep(name, network, addresses, lifetime)
-        self.record.row("answer", self.loop.time(), view, self.kind, "", "none", [], 0, self.loop.time() - start)
+        self.record.row(
+            "answer", self.loop.time(), view, self.kind, "", "none", [], 0, self.loop.time() - start
+        )
         return None
 
     def order(self):
         """Quick ones first, each again once; chance between those alike, so that no server is left unused."""
-        servers = sorted(self.servers, key=lambda s: (round(self.slowness[s], 2), self.chance.random()))
+        servers = sorted(
+            self.servers, key=lambda s: (round(self.slowness[s], 2), self.chance.random())
+        )
         return (servers * TRIES)[:TRIES]
 
     async def ask_server(self, server, wire, query):
@@ -163,7 +176,9 @@
 
 async def ask_tcp(loop, server, local, wire):
     try:
-        _, stream = await loop.create_connection(lambda: TcpAsk(wire), *server, local_addr=(local, 0))
+        _, stream = await loop.create_connection(
+            lambda: TcpAsk(wire), *server, local_addr=(local, 0)
+        )
     except OSError:
         return None
     data = await stream.over
--- a/peatlead/standin/secondary.py
+++ b/peatlead/standin/secondary.py
@@ -27,12 +27,16 @@
 
     def received(self, data):
         self.part += data
-        while len(self.part) >= 2 and len(self.part) - 2 >= (size := int.from_bytes(self.part[:2], "big")):
-            wire, self.part = self.part[2:2 + size], self.part[2 + size:]
+        while len(self.part) >= 2 and len(self.part) - 2 >= (
+            size := int.from_bytes(self.part[:2], "big")
+        ):
+            wire, self.part = self.part[2 : 2 + size], self.part[2 + size :]
             if self.over.done():
                 return
             try:
-                message = dns.message.from_wire(wire, xfr=True, origin=self.origin, one_rr_per_rrset=True)
+                message = dns.message.from_wire(
+                    wire, xfr=True, origin=self.origin, one_rr_per_rrset=True
+                )
                 if self.inbound.process_message(message):
                     self.over.set_result("done")
                     self.close()
@@ -50,11 +54,19 @@
 
     def __init__(self, origin, address, primary):
         self.origin, self.address, self.primary = origin, address, primary
-        self.zone, self.fetched, self.records, self.task, self.again = dns.zone.Zone(origin), {}, 0, None, False
+        self.zone, self.fetched, self.records, self.task, self.again = (
+            dns.zone.Zone(origin),
+            {},
+            0,
+            None,
+            False,
+        )
 
     async def open(self):
         self.loop = asyncio.get_running_loop()
-        self.transport, _ = await self.loop.create_datagram_endpoint(lambda: self, local_addr=self.address)
+        self.transport, _ = await self.loop.create_datagram_endpoint(
+            lambda: self, local_addr=self.address
+        )
 
     @property
     def serial(self):
@@ -99,7 +111,10 @@
             try:
                 origin = self.zone.from_wire_origin()
                 _, stream = await self.loop.create_connection(
-                    lambda: Transfer(query, inbound, origin), *self.primary, local_addr=(self.address[0], 0))
+                    lambda: Transfer(query, inbound, origin),
+                    *self.primary,
+                    local_addr=(self.address[0], 0),
+                )
             except OSError as problem:
                 return f"ended: {problem.strerror}"
             return await stream.over
--- a/peatlead/steward/burden.py
+++ b/peatlead/steward/burden.py
@@ -22,30 +22,49 @@
 from math import ceil
 from typing import NamedTuple
 
-LATE_MOST = 0.03  # seconds that the steward's timer may run late, on the mean, before it takes less on
-LATE_GRAVE, LATE_CUT = 0.25, 0.5  # from here on nothing that can wait is taken; one that stood still is no later
-REPORT_PART, REPORT_LEAST = 0.35, 0.03  # of all time that reports may take: at ease; however late it runs
-GIVE, TAKE_BACK = 0.05, 0.7  # of the ease a beat: what comes back while in time; what is left when late
+LATE_MOST = (
+    0.03  # seconds that the steward's timer may run late, on the mean, before it takes less on
+)
+LATE_GRAVE, LATE_CUT = (
+    0.25,
+    0.5,
+)  # from here on nothing that can wait is taken; one that stood still is no later
+REPORT_PART, REPORT_LEAST = (
+    0.35,
+    0.03,
+)  # of all time that reports may take: at ease; however late it runs
+GIVE, TAKE_BACK = (
+    0.05,
+    0.7,
+)  # of the ease a beat: what comes back while in time; what is left when late
 SMOOTH = 0.2  # of a new beat's lateness
 LONGEST = 8  # times the usual interval that reports may be apart: news of failures gets as old
 STEP, TELL_GAP = 1.25, 5.0  # a new interval differs by this at least; seconds between two tellings
-CALM, SCATTER = 20.0, 0.25  # seconds at ease until a shorter one is told; by how much proxies' intervals differ
+CALM, SCATTER = (
+    20.0,
+    0.25,
+)  # seconds at ease until a shorter one is told; by how much proxies' intervals differ
 EARLY = 0.4  # of the interval: one that reports sooner than this after its last that was read
 COST_FIRST, COST_SMOOTH = 0.0004, 0.01  # seconds that a report takes, until measured; of a new one
 SENDERS_FADE = 0.1  # of the estimate of reports a second, a beat
 GATHER_MOST = 0.5  # of a round: how long sums may be gathered
-JOINS_EASY, JOIN_WAIT = 600.0, 0.5  # of proxies that bring tables, a second, at ease; mean seconds until the next try
+JOINS_EASY, JOIN_WAIT = (
+    600.0,
+    0.5,
+)  # of proxies that bring tables, a second, at ease; mean seconds until the next try
 QUESTIONS = 50.0  # of operators, a second, at ease
 
 
 class Did(NamedTuple):
     """`many` reports were read in `seconds` of the loop's time."""
+
     many: int
     seconds: float
 
 
 class Beat(NamedTuple):
     """The steward's timer ran `late` seconds after its time; `senders` proxies are joined."""
+
     late: float
     senders: int
 
@@ -85,7 +104,11 @@
 
     def __init__(self, every, uniform):
         self.every, self.uniform = every, uniform
-        self.ease, self.late, self.cost = 1.0, 0.0, COST_FIRST  # ease: 0 with no time for what can wait
+        self.ease, self.late, self.cost = (
+            1.0,
+            0.0,
+            COST_FIRST,
+        )  # ease: 0 with no time for what can wait
         self.interval, self.told_at, self.strained_at = every, -1e9, -1e9
         self.gather, self.rate, self.beat_at, self.counted = 0.0, 0.0, None, 0
         self.joins, self.questions = Allowance(JOINS_EASY), Allowance(QUESTIONS)
@@ -101,7 +124,9 @@
 
     def on_did(self, event):
         if event.many:
-            self.cost += COST_SMOOTH * min(10, event.many) * (event.seconds / event.many - self.cost)
+            self.cost += (
+                COST_SMOOTH * min(10, event.many) * (event.seconds / event.many - self.cost)
+            )
 
     def on_beat(self, event):
         if self.beat_at is not None and self.now > self.beat_at:
@@ -118,7 +143,9 @@
         needs = self.rate * max(0.0, self.cost)
         self.share = min(1.0, budget / needs) if needs else 1.0
         self.set_interval(event.senders * self.cost / budget)
-        gather = min(GATHER_MOST * self.every, round((1.0 - self.ease) * GATHER_MOST * self.every, 2))
+        gather = min(
+            GATHER_MOST * self.every, round((1.0 - self.ease) * GATHER_MOST * self.every, 2)
+        )
         if gather != self.gather:
             self.gather = gather
             self.orders.append(Gather(gather))
@@ -141,14 +168,20 @@
     def interval_of(self, part):
         """What a proxy is told; `part` from 0 to 1 is its own. All on one longer interval would go on reporting
         within the second in which they always did, and nobody in the seconds between."""
-        return self.interval if self.interval == self.every else self.interval * (1 + SCATTER * (2 * part - 1))
+        return (
+            self.interval
+            if self.interval == self.every
+            else self.interval * (1 + SCATTER * (2 * part - 1))
+        )
 
     # Asked for each as it comes.
 
     def takes_report(self, now, last, turn):
         """`last`: when this proxy's last one was read, None for never; `turn`: how many came before."""
         if last is not None and now - last < EARLY * self.interval:
-            self.shed["reports early"] += 1  # it counts for nobody: who floods must not cost the others their turns
+            self.shed["reports early"] += (
+                1  # it counts for nobody: who floods must not cost the others their turns
+            )
             return False
         self.counted += 1
         # Of any number of turns, this share, evenly spread.
@@ -171,6 +204,13 @@
         return False
 
     def told(self):
-        return {"ease": round(self.ease, 3), "late ms": round(self.late * 1000, 1), "reports every": self.interval,
-                "reports a second": round(self.rate, 1), "us a report": round(self.cost * 1e6),
-                "read": round(self.share, 3), "gather": self.gather, "shed": dict(self.shed)}
+        return {
+            "ease": round(self.ease, 3),
+            "late ms": round(self.late * 1000, 1),
+            "reports every": self.interval,
+            "reports a second": round(self.rate, 1),
+            "us a report": round(self.cost * 1e6),
+            "read": round(self.share, 3),
+            "gather": self.gather,
+            "shed": dict(self.shed),
+        }
--- a/peatlead/steward/channel.py
+++ b/peatlead/steward/channel.py
@@ -32,8 +32,11 @@
 
 def taken_away(ops):
     """The hosts that a message takes from its view or proxy: their reqs are lost reqs until it arrives."""
-    return {op[1] if op[0] == "withdrawn" else op[2]: True for op, value in ops.items()
-            if op[0] == "withdrawn" and value or op[0] == "line" and not value}
+    return {
+        op[1] if op[0] == "withdrawn" else op[2]: True
+        for op, value in ops.items()
+        if op[0] == "withdrawn" and value or op[0] == "line" and not value
+    }
 
 
 class Channel:
@@ -41,9 +44,18 @@
 
     def __init__(self, rate, head, most):
         self.rate, self.head, self.most = rate, head, most
-        self.urgent, self.calm = OrderedDict(), OrderedDict()  # views of `queue` that lose a host, and the others
+        self.urgent, self.calm = (
+            OrderedDict(),
+            OrderedDict(),
+        )  # views of `queue` that lose a host, and the others
         self.run = 0  # urgent ones that went in a row
-        self.queue, self.free_at, self.waiting, self.deepest, self.past = OrderedDict(), 0.0, 0.0, 0.0, 0
+        self.queue, self.free_at, self.waiting, self.deepest, self.past = (
+            OrderedDict(),
+            0.0,
+            0.0,
+            0.0,
+            0,
+        )
 
     def offer(self, now, view, ops, marks=(), causes=()):
         message = self.queue.get(view)
@@ -53,7 +65,9 @@
         before = len(message.ops)
         for op, value in ops.items():
             put(message.ops, op, value)
-        lane, other = (self.urgent, self.calm) if taken_away(message.ops) else (self.calm, self.urgent)
+        lane, other = (
+            (self.urgent, self.calm) if taken_away(message.ops) else (self.calm, self.urgent)
+        )
         other.pop(view, None)
         lane.setdefault(view, True)
         message.marks = list(marks) or message.marks  # the newest tells of all before it
@@ -103,8 +117,14 @@
     def __init__(self):
         self.tables, self.users, self.bound, self.joined = {}, {}, {}, set()
         self.holders, self.changed = {}, 0  # host -> {table: weight}; counts all changes of tables
-        self.told, self.unbound = {}, set()  # host -> views that were told it is shut out; views on no table of ours
-        self.levelled, self.levels = set(), {}  # those that follow levels themselves; kind: (level, retry)
+        self.told, self.unbound = (
+            {},
+            set(),
+        )  # host -> views that were told it is shut out; views on no table of ours
+        self.levelled, self.levels = (
+            set(),
+            {},
+        )  # those that follow levels themselves; kind: (level, retry)
         self.shut = {}  # view -> hosts that it was told are shut out since it joined: those are not told again
 
     def join(self, view, levelled=False):
@@ -164,7 +184,9 @@
             for view in back:
                 self.shut[view].discard(order.host)
             return back
-        waiting = self.unbound if order.waiting is None else self.unbound.intersection(order.waiting)
+        waiting = (
+            self.unbound if order.waiting is None else self.unbound.intersection(order.waiting)
+        )
         told = waiting | (self.joined - self.levelled)
         self.told.setdefault(order.host, set()).update(told)
         news = {view for view in told & self.joined if order.host not in self.shut[view]}
@@ -197,7 +219,9 @@
             put(ops, ("bind", kind), order.table)
             if old is not None and old not in bound.values():
                 self.users[old].discard(order.proxy)
-                put(ops, ("left", old), True)  # or its lines would stand when the view comes back to it
+                put(
+                    ops, ("left", old), True
+                )  # or its lines would stand when the view comes back to it
         self.users.setdefault(order.table, set()).add(order.proxy)
         for host, weight in self.tables.get(order.table, {}).items():
             put(ops, ("line", order.table, host), weight)
--- a/peatlead/steward/control.py
+++ b/peatlead/steward/control.py
@@ -41,7 +41,7 @@
         try:
             question = msgspec.json.decode(data, type=Question)
         except msgspec.MsgspecError as problem:
-            self.say({"error": f"expected a question such as {{\"ask\": \"status\"}}: {problem}"})
+            self.say({"error": f'expected a question such as {{"ask": "status"}}: {problem}'})
             return
         if question.ask == "feed":
             self.control.feeds[self] = True
@@ -58,7 +58,13 @@
     only asks (what an operator orders is always taken). A feed that does not read is cut."""
 
     def __init__(self, takes, answers):
-        self.takes, self.answers, self.held, self.feeds, self.server = takes, answers, Held(PEERS), {}, None
+        self.takes, self.answers, self.held, self.feeds, self.server = (
+            takes,
+            answers,
+            Held(PEERS),
+            {},
+            None,
+        )
 
     async def open(self, address):
         self.server = await asyncio.get_running_loop().create_server(lambda: Peer(self), *address)
@@ -66,7 +72,9 @@
     def reply(self, question):
         answer = self.answers.get(question.ask)
         if answer is None:
-            return {"error": f"expected ask to be one of {', '.join(sorted([*self.answers, 'feed']))}"}
+            return {
+                "error": f"expected ask to be one of {', '.join(sorted([*self.answers, 'feed']))}"
+            }
         if not question.do and not self.takes():
             return {"error": "more questions than there is time for: ask again in a second"}
         return answer(question)
@@ -88,7 +96,11 @@
 
     def __init__(self, question, take):
         super().__init__(waiting_most=65536, longest=64 << 20)
-        self.question, self.take, self.over = question, take, asyncio.get_running_loop().create_future()
+        self.question, self.take, self.over = (
+            question,
+            take,
+            asyncio.get_running_loop().create_future(),
+        )
 
     def opened(self):
         self.send(msgspec.json.encode(self.question) + b"\n")
@@ -112,8 +124,10 @@
 
     async def go():
         _, stream = await loop.create_connection(lambda: Asking(question, take), *address)
-        stream.over.add_done_callback(lambda over: found.done() or found.set_exception(
-            OSError(f"the steward ended the connection: {over.result()}")))
+        stream.over.add_done_callback(
+            lambda over: found.done()
+            or found.set_exception(OSError(f"the steward ended the connection: {over.result()}"))
+        )
         try:
             return await found
         finally:
--- a/peatlead/steward/core.py
+++ b/peatlead/steward/core.py
@@ -64,14 +64,20 @@
             orders = self.planner.decide(now, events)
         except Exception as problem:  # half decided is worse than dead: another steward answers
             trace = traceback.extract_tb(problem.__traceback__)[-1]
-            self.log("decide failed", error=repr(problem), at=f"{trace.filename}:{trace.lineno}",
-                     events=[type(event).__name__ for event in events][:20])
+            self.log(
+                "decide failed",
+                error=repr(problem),
+                at=f"{trace.filename}:{trace.lineno}",
+                events=[type(event).__name__ for event in events][:20],
+            )
             self.failed(problem)
             return
         self.decided += 1
         self.slowest = max(self.slowest, self.loop.time() - now)
         messages, marks, rest = self.publisher.take(orders)
-        for order in rest:  # before the messages: without its timers a planner would stand still for good
+        for (
+            order
+        ) in rest:  # before the messages: without its timers a planner would stand still for good
             carry = self.carriers.get(type(order))
             if carry is not None:
                 carry(order)
@@ -83,7 +89,9 @@
         self.stop(f"decide failed: {problem!r}")
 
     def set_timer(self, order):
-        self.loop.call_later(order.delay, self.fire_of, self.planner, order.token, self.begun + order.delay)
+        self.loop.call_later(
+            order.delay, self.fire_of, self.planner, order.token, self.begun + order.delay
+        )
 
     def fire_of(self, planner, token, due):
         if planner is self.planner:  # else the planner that asked for it is no more
--- a/peatlead/steward/door.py
+++ b/peatlead/steward/door.py
@@ -24,7 +24,11 @@
         for entry in listing.hosts:
             zone = self.zones.get(entry.zone)
             if zone is None:
-                self.log("list entry left out", host=entry.name, why=f"zone {entry.zone!r} is not in the settings")
+                self.log(
+                    "list entry left out",
+                    host=entry.name,
+                    why=f"zone {entry.zone!r} is not in the settings",
+                )
                 continue
             at = self.index.get(entry.name)
             if at is None:
@@ -32,8 +36,18 @@
                 self.next += 1
             self.entries[at] = entry
             machine = self.machines.setdefault(entry.machine, len(self.machines))
-            members.append(our.Member(at, entry.name.encode(), zone, machine, entry.pod, entry.phase,
-                                      entry.weight, self.start_of(entry, listing.written, now)))
+            members.append(
+                our.Member(
+                    at,
+                    entry.name.encode(),
+                    zone,
+                    machine,
+                    entry.pod,
+                    entry.phase,
+                    entry.weight,
+                    self.start_of(entry, listing.written, now),
+                )
+            )
         self.listed = self.listed or listing.scope != "unavailable"
         return our.Roster(listing.scope, listing.version, tuple(members))
 
@@ -46,7 +60,9 @@
             unknown = LONG_AGO if self.unstarted_old or not self.listed else 0.0
             age = unknown
             if known:
-                age = self.age_of(entry.started) if self.age_of else max(0.0, written - entry.started)
+                age = (
+                    self.age_of(entry.started) if self.age_of else max(0.0, written - entry.started)
+                )
             self.started = {k: v for k, v in self.started.items() if k[0] != entry.name}
             self.started[key] = now - age
         return self.started[key]
--- a/peatlead/steward/proxies.py
+++ b/peatlead/steward/proxies.py
@@ -23,8 +23,13 @@
         settings = steward.settings
         self.port = settings["dns"]["port"]
         self.gathered, self.burden = Gathered(), steward.burden
-        self.front = GrpcFront(self, steward.me["name"], steward.kinds, settings["grpc"]["connections_most"],
-                               [zone["name"] for zone in settings["zone"]])
+        self.front = GrpcFront(
+            self,
+            steward.me["name"],
+            steward.kinds,
+            settings["grpc"]["connections_most"],
+            [zone["name"] for zone in settings["zone"]],
+        )
         self.by_number, self.places, self.refusals, self.acks = {}, {}, 0, 0
         self.moved = self.sent_on = self.paced = 0
 
@@ -52,15 +57,24 @@
 
     def place(self, owner):
         about = self.about(owner)
-        return {"peatlead_owner": f"{about.orders[0]}:{about.orders[1]}"} if about and about.orders else {}
+        return (
+            {"peatlead_owner": f"{about.orders[0]}:{about.orders[1]}"}
+            if about and about.orders
+            else {}
+        )
 
     def hints(self, node):
         """Where to dial, best first, when this controller ends."""
         if self.owners is None:
             return {}
         abouts = [self.about(name) for name in ranked(node.name, self.owners.live)]
-        return {"peatlead_controllers": ",".join(
-            f"{one.name}={one.orders[0]}:{one.orders[1]}" for one in abouts if one and one.orders)}
+        return {
+            "peatlead_controllers": ",".join(
+                f"{one.name}={one.orders[0]}:{one.orders[1]}"
+                for one in abouts
+                if one and one.orders
+            )
+        }
 
     def joined(self, session):
         node, steward = session.node, self.steward
@@ -76,8 +90,13 @@
         session.causes, session.held = {}, NONE
         held = self.take_held(session)
         self.show(session)
-        lines = {line_key(kind, one.zone, one.address, one.port): whole_weight(one.weight)
-                 for kind, many in node.held.items() if kind in self.front.kinds for one in many if one.weight > 0}
+        lines = {
+            line_key(kind, one.zone, one.address, one.port): whole_weight(one.weight)
+            for kind, many in node.held.items()
+            if kind in self.front.kinds
+            for one in many
+            if one.weight > 0
+        }
         steward.published.joined(node.name, session.epoch, lines, len(lines))
         steward.proxy_joined(session.number, session.zone, node.rate, not held)
 
@@ -86,7 +105,9 @@
         of it like out of any table. Lines of hosts that no list has named are left out of what we know."""
         for kind, lines in session.node.held.items():
             at = self.front.kinds.get(kind)
-            known = {self.host_of((one.address, one.port)): one.weight for one in lines if one.weight > 0}
+            known = {
+                self.host_of((one.address, one.port)): one.weight for one in lines if one.weight > 0
+            }
             known.pop(None, None)
             if at is not None and known:
                 session.state.tables["held", kind] = known
@@ -120,7 +141,9 @@
 
     def refused(self, session, refusal):
         self.refusals += 1
-        self.steward.log("assignment refused", proxy=session.node.name, version=refusal.version, why=refusal.text)
+        self.steward.log(
+            "assignment refused", proxy=session.node.name, version=refusal.version, why=refusal.text
+        )
 
     def applied(self, session, type_url, version):
         self.acks += 1
@@ -135,16 +158,22 @@
             items = {}
             for part in parts:
                 items.update(session.items(part))
-            self.steward.published.sent(session.node.name, version, parts, items, tuple(session.causes))
+            self.steward.published.sent(
+                session.node.name, version, parts, items, tuple(session.causes)
+            )
 
     def lines_of(self, session, kind):
         names = list(self.front.kinds)
         return self.steward.published.lines(
-            session.node.name, session.node.zone, names[kind], session.state.lines(kind))
+            session.node.name, session.node.zone, names[kind], session.state.lines(kind)
+        )
 
     def everyone(self):
-        return [(session.number, name, session.node.zone) for name, session in sorted(self.front.sessions.items())
-                if session.number is not None]
+        return [
+            (session.number, name, session.node.zone)
+            for name, session in sorted(self.front.sessions.items())
+            if session.number is not None
+        ]
 
     def host_of(self, place):
         address, port = place
@@ -170,12 +199,18 @@
             before = pinned and session.ready and [session.items(part) for part in PARTS]
             session.state.apply(message.ops)
             self.show(session)
-            if before and before == [session.items(part) for part in PARTS] and not self.behind(session):
+            if (
+                before
+                and before == [session.items(part) for part in PARTS]
+                and not self.behind(session)
+            ):
                 return None
             if not session.stale:
                 session.causes = {}  # all that was caused before has been sent
             session.causes.update(dict.fromkeys(message.causes))
-            concerned = [op[0] for op, value in message.ops.items() if self.concerns(session, op, value)]
+            concerned = [
+                op[0] for op, value in message.ops.items() if self.concerns(session, op, value)
+            ]
             if pinned or concerned:
                 session.changed(PARTS if pinned else concerned_parts(concerned))
         return session
@@ -187,7 +222,9 @@
     @staticmethod
     def concerns(session, op, value):
         """A withdrawal of a host that it holds nowhere is no news for it."""
-        return op[0] != "withdrawn" or any(op[1] in table for table in session.state.tables.values())
+        return op[0] != "withdrawn" or any(
+            op[1] in table for table in session.state.tables.values()
+        )
 
     def show(self, session):
         names = list(self.front.kinds)
@@ -213,6 +250,12 @@
         return why(self.owners, name, session and session.since, self.steward.loop.time())
 
     def status(self):
-        return {"joined": len(self.front.sessions), "acks": self.acks, "refusals": self.refusals,
-                "moved": self.moved, "sent on": self.sent_on, "paced": self.paced,
-                "connections": len(self.front.held.streams)}
+        return {
+            "joined": len(self.front.sessions),
+            "acks": self.acks,
+            "refusals": self.refusals,
+            "moved": self.moved,
+            "sent on": self.sent_on,
+            "paced": self.paced,
+            "connections": len(self.front.held.streams),
+        }
