--- a/peatlead/steward/published.py
+++ b/peatlead/steward/published.py
@@ -28,7 +28,9 @@
 
 PINS_EVERY = 10.0  # seconds between notes of the pins' age on disk
 TELL_EVERY = 2.0  # seconds between tellings of the pins to other stewards
-LOOK_PART = 0.15  # of the channel's queue: pins move proxies only while less waits, the planner comes first
+LOOK_PART = (
+    0.15  # of the channel's queue: pins move proxies only while less waits, the planner comes first
+)
 TELL_MOST = 20  # wishes told to other stewards in one round of the planner's timer
 WISH = tuple[str, str, int, int, dict[str, int]]  # pin id, proxy, version, its lines then
 WISH_MOST = 60_000  # bytes of one wish, packed: a datagram
@@ -40,17 +42,38 @@
 
     def __init__(self, steward, folder, wall, bounds, boot):
         self.steward, self.wall = steward, wall
-        self.store = Store(bounds["versions_each"], bounds["versions_most"], int(bounds["memory_most"]),
-                           bounds["age_most"])
-        self.log = TableLog(folder, self.store, steward.log, bounds["sync_every"], disk_most=int(bounds["disk_most"]))
+        self.store = Store(
+            bounds["versions_each"],
+            bounds["versions_most"],
+            int(bounds["memory_most"]),
+            bounds["age_most"],
+        )
+        self.log = TableLog(
+            folder,
+            self.store,
+            steward.log,
+            bounds["sync_every"],
+            disk_most=int(bounds["disk_most"]),
+        )
         shared = steward.me["peer"] is not None
         self.pins = Pins(steward.me["name"], "-" + blake3(boot).hexdigest()[:4] if shared else "")
         self.causes = Causes(self.name_of, lambda host: steward.listed.get(host, 0.0))
         self.places, self.phases, self.shut = {}, {}, set()
-        self.wishes, self.unknown = {}, set()  # (pin id, name) -> items; those whose target is not known
+        self.wishes, self.unknown = (
+            {},
+            set(),
+        )  # (pin id, name) -> items; those whose target is not known
         self.boot, self.pins_at, self.told_at = 1, 0.0, 0.0
-        self.parts, self.parts_at, self.named, self.covered = {}, -1, frozenset(), {}  # parts: as of that change
-        self.offered, self.to_tell = {}, {}  # (pin id, name) -> (Version, items) told by others; ours still to tell
+        self.parts, self.parts_at, self.named, self.covered = (
+            {},
+            -1,
+            frozenset(),
+            {},
+        )  # parts: as of that change
+        self.offered, self.to_tell = (
+            {},
+            {},
+        )  # (pin id, name) -> (Version, items) told by others; ours still to tell
         self.looked = {}  # proxy -> (when a pin last changed what it is to hold, what it was to change)
 
     def name_of(self, host):
@@ -124,7 +147,7 @@
         if self.steward.fleet:
             pins = self.pins.told(now)
             for at in range(0, len(pins), 6):  # datagrams: a few at a time
-                self.steward.fleet.tell_pins(write_pins(pins[at:at + 6]))
+                self.steward.fleet.tell_pins(write_pins(pins[at : at + 6]))
 
     def spread_pins(self, now):
         """An operator has changed them: on disk and on their way before the answer."""
@@ -176,7 +199,11 @@
             self.steward.log("wish refused", why=str(problem))
             return
         key, version = (pin, name), Version(epoch, serial)
-        if pin not in self.pins.held or len(self.offered) > 100_000 or version <= self.offered.get(key, (NONE,))[0]:
+        if (
+            pin not in self.pins.held
+            or len(self.offered) > 100_000
+            or version <= self.offered.get(key, (NONE,))[0]
+        ):
             return
         self.offered[key] = version, items
         own = self.target(self.pins.held[pin], name)
@@ -248,8 +275,11 @@
         publisher = self.steward.publisher
         if self.parts_at != publisher.changed:
             listed, self.parts_at = self.steward.listed, publisher.changed
-            self.parts = {host: max(tables.values()) / max(1e-9, listed.get(host, 1.0))
-                          for host, tables in publisher.holders.items() if tables}
+            self.parts = {
+                host: max(tables.values()) / max(1e-9, listed.get(host, 1.0))
+                for host, tables in publisher.holders.items()
+                if tables
+            }
         return Facts(self.phases, self.shut, self.parts)
 
     # Pinned proxies.
@@ -261,14 +291,19 @@
         """The items that a pin holds a proxy to: found once, then kept, on disk too."""
         key = held.pin.id, name
         if key not in self.wishes:
-            found = max(filter(None, (self.target(held, name), self.offered.get(key))), default=None,
-                        key=lambda one: one[0])
+            found = max(
+                filter(None, (self.target(held, name), self.offered.get(key))),
+                default=None,
+                key=lambda one: one[0],
+            )
             items = found and found[1]
             if items is None:
                 self.unknown.add(key)
                 history = self.store.histories.get(name)
                 items = dict(history.items) if history else {}
-                self.steward.log("pin's target is not known: held as it stands", pin=held.pin.id, proxy=name)
+                self.steward.log(
+                    "pin's target is not known: held as it stands", pin=held.pin.id, proxy=name
+                )
             self.keep_wish(key, target_lines(items))
         return self.wishes[key]
 
@@ -336,8 +371,14 @@
         # What was asked for once is on its way: a proxy that does not take it must not be asked each tick.
         if moved != asked and (shut or now - at >= LOOK_GAP):
             self.looked[name] = now, moved
-            why = f"held by {held.pin.id} {held.pin.by}".rstrip() if held else f"{self.covered[name]} ended"
-            self.steward.channel.offer(now, number, {("look", key): True for key in moved}, (), (why,))
+            why = (
+                f"held by {held.pin.id} {held.pin.by}".rstrip()
+                if held
+                else f"{self.covered[name]} ended"
+            )
+            self.steward.channel.offer(
+                now, number, {("look", key): True for key in moved}, (), (why,)
+            )
         if held is not None:
             self.covered[name] = held.pin.id
 
@@ -353,8 +394,15 @@
 
     def answer(self, question):
         """The `tables` questions: do = log, show, diff, pin, resume, status."""
-        asked = {"log": self.tell_log, "show": self.tell_show, "diff": self.tell_diff, "pin": self.take_pin,
-                 "resume": self.take_resume, "status": self.tell_status, "ends": self.tell_ends}.get(question.do)
+        asked = {
+            "log": self.tell_log,
+            "show": self.tell_show,
+            "diff": self.tell_diff,
+            "pin": self.take_pin,
+            "resume": self.take_resume,
+            "status": self.tell_status,
+            "ends": self.tell_ends,
+        }.get(question.do)
         if asked is None:
             return {"error": "expected do to be log, show, diff, pin, resume, status or ends"}
         try:
@@ -375,8 +423,12 @@
             return {"item": key, "value": value}
         kind, zone, address, _ = read_line_key(key)
         host = self.places.get(address)
-        return {"item": f"line/{kind}", "host": self.name_of(host) if host is not None else address, "zone": zone,
-                "value": None if value is None else value / SCALE}
+        return {
+            "item": f"line/{kind}",
+            "host": self.name_of(host) if host is not None else address,
+            "zone": zone,
+            "value": None if value is None else value / SCALE,
+        }
 
     def tell_log(self, args):
         name = args.get("proxy") or None
@@ -384,11 +436,21 @@
             name = self.history_of(name)[0]
         since, until = float(args.get("since") or 0.0), float(args.get("until") or 1e12)
         found = self.store.between(since, until, name)
-        shown = found[-min(SHOWN_MOST, int(args.get("most") or 50)):]
-        return {"versions": [{
-            "proxy": one, "version": str(entry.version), "at": entry.at, "causes": list(entry.causes),
-            "changes": len(entry.moved), "digest": entry.digest} for one, entry in shown],
-            "more": len(found) - len(shown)}
+        shown = found[-min(SHOWN_MOST, int(args.get("most") or 50)) :]
+        return {
+            "versions": [
+                {
+                    "proxy": one,
+                    "version": str(entry.version),
+                    "at": entry.at,
+                    "causes": list(entry.causes),
+                    "changes": len(entry.moved),
+                    "digest": entry.digest,
+                }
+                for one, entry in shown
+            ],
+            "more": len(found) - len(shown),
+        }
 
     def tell_show(self, args):
         name, history = self.history_of(args["proxy"])
@@ -396,9 +458,13 @@
         items = history.at_version(version)
         zone = self.steward.zone_of(name)
         held = self.pin_of(name, zone)
-        return {"proxy": name, "version": str(version), "digest": history.digest_at(version) or str(history.digest),
-                "items": [self.read(key, items[key]) for key in sorted(items)],
-                "pinned by": held.pin.id if held else None}
+        return {
+            "proxy": name,
+            "version": str(version),
+            "digest": history.digest_at(version) or str(history.digest),
+            "items": [self.read(key, items[key]) for key in sorted(items)],
+            "pinned by": held.pin.id if held else None,
+        }
 
     def tell_diff(self, args):
         name, history = self.history_of(args["proxy"])
@@ -411,15 +477,26 @@
     def compare(self, before, after):
         """Each item that differs, and for lines the part of the kind's reqs before and after."""
         parts = [parts_of(items) for items in (before, after)]
-        return [{**self.read(key, after.get(key)), "before": self.read(key, before.get(key))["value"],
-                 "part before": parts[0].get(key), "part after": parts[1].get(key)}
-                for key in sorted(changes(before, after))]
+        return [
+            {
+                **self.read(key, after.get(key)),
+                "before": self.read(key, before.get(key))["value"],
+                "part before": parts[0].get(key),
+                "part after": parts[1].get(key),
+            }
+            for key in sorted(changes(before, after))
+        ]
 
     def take_pin(self, args):
         now = self.steward.loop.time()
-        more = {"which": str(args.get("which", "")), "target": args.get("target", "held"),
-                "to": str(args.get("to", "")), "over": float(args.get("over", 10.0)),
-                "length": float(args.get("length", 3600.0)), "by": str(args.get("by", ""))[:200]}
+        more = {
+            "which": str(args.get("which", "")),
+            "target": args.get("target", "held"),
+            "to": str(args.get("to", "")),
+            "over": float(args.get("over", 10.0)),
+            "length": float(args.get("length", 3600.0)),
+            "by": str(args.get("by", ""))[:200],
+        }
         if more["target"] == "back":
             float(more["to"])
         if args.get("dry"):
@@ -427,34 +504,57 @@
         pin = self.pins.make(now, args["whom"], **more)
         self.note_pasts()
         self.spread_pins(now)
-        self.steward.log("tables pinned", pin=pin.id, whom=pin.whom, which=pin.which, target=pin.target, to=pin.to,
-                         by=pin.by)
+        self.steward.log(
+            "tables pinned",
+            pin=pin.id,
+            whom=pin.whom,
+            which=pin.which,
+            target=pin.target,
+            to=pin.to,
+            by=pin.by,
+        )
         return {"pin": pin.id}
 
     def dry(self, now, whom, more):
         """What a pin would change once it has reached all, and what the guard takes out."""
-        pin = Pin("dry", 0, 1, whom, more["which"], more["target"], more["to"], 0.0, 0.0, more["length"])
+        pin = Pin(
+            "dry", 0, 1, whom, more["which"], more["target"], more["to"], 0.0, 0.0, more["length"]
+        )
         check(pin)
         held, found = Held(pin, now), []
         for number, name, zone in self.steward.everyone():
             if not held.covers(now, name, zone):
                 continue
             target = (self.target(held, name) or (NONE, None))[1]
-            one = {"proxy": name, "known": target is not None, "changes": [], "taken": {}, "filled": []}
+            one = {
+                "proxy": name,
+                "known": target is not None,
+                "changes": [],
+                "taken": {},
+                "filled": [],
+            }
             if target is not None:
                 history = self.store.histories[name]
                 after = {}
                 for label, wanted in self.steward.wanted_of(number):
                     done = self.guarded(target_lines(target), name, label, wanted)
                     after.update(self.as_items(label, done.lines))
-                    one["taken"].update({self.name_of(h) if h >= 0 else "an unknown address": why
-                                         for h, why in done.taken.items()})
+                    one["taken"].update(
+                        {
+                            self.name_of(h) if h >= 0 else "an unknown address": why
+                            for h, why in done.taken.items()
+                        }
+                    )
                     one["filled"] += [self.name_of(host) for host in done.filled]
                 one["changes"] = self.compare(target_lines(history.items), after)
             found.append(one)
         changed = [one for one in found if one["changes"] or one["taken"] or not one["known"]]
-        return {"proxies": len(found), "would change": sum(bool(one["changes"]) for one in found),
-                "not known": sum(not one["known"] for one in found), "each": changed[:SHOWN_MOST]}
+        return {
+            "proxies": len(found),
+            "would change": sum(bool(one["changes"]) for one in found),
+            "not known": sum(not one["known"] for one in found),
+            "each": changed[:SHOWN_MOST],
+        }
 
     def tell_ends(self, _):
         """What each joined proxy was last sent: version, digest of its lines, seconds since."""
@@ -462,16 +562,27 @@
         for _, name, _ in self.steward.everyone():
             history = self.store.histories.get(name)
             if history and history.entries and not name.startswith("view:"):
-                found[name] = [*history.last, str(Digest(target_lines(history.items))), now - history.entries[-1].at]
+                found[name] = [
+                    *history.last,
+                    str(Digest(target_lines(history.items))),
+                    now - history.entries[-1].at,
+                ]
         return {"steward": self.steward.me["name"], "ends": found}
 
     def as_items(self, label, lines):
-        return {line_key(label, entry.zone, entry.address or entry.address6, self.steward.port): whole_weight(weight)
-                for host, weight in lines.items() for entry in (self.steward.door.entries[host],)}
+        return {
+            line_key(
+                label, entry.zone, entry.address or entry.address6, self.steward.port
+            ): whole_weight(weight)
+            for host, weight in lines.items()
+            for entry in (self.steward.door.entries[host],)
+        }
 
     def take_resume(self, args):
         now = self.steward.loop.time()
-        pin = self.pins.resume(now, args["pin"], None if args.get("over") is None else float(args["over"]))
+        pin = self.pins.resume(
+            now, args["pin"], None if args.get("over") is None else float(args["over"])
+        )
         self.spread_pins(now)
         self.steward.log("pin ended by hand", pin=pin.id, by=str(args.get("by", ""))[:200])
         return {"pin": pin.id, "over": pin.over}
@@ -483,8 +594,14 @@
             history, session = self.store.histories.get(name), self.steward.session_of(number)
             held = self.pin_of(name, zone)
             sent = history.last if history else NONE
-            found.append({"proxy": name, "sent": str(sent), "held": str(session.held if session else sent),
-                          "pin": held.pin.id if held else None})
+            found.append(
+                {
+                    "proxy": name,
+                    "sent": str(sent),
+                    "held": str(session.held if session else sent),
+                    "pin": held.pin.id if held else None,
+                }
+            )
         return found
 
     def tell_status(self, args):
@@ -492,17 +609,46 @@
         pins = []
         for key, one in sorted(self.pins.held.items()):
             pin = one.pin
-            here = [name for _, name, zone in everyone if (found := self.pin_of(name, zone)) and found.pin.id == key]
-            pins.append({"pin": key, "whom": pin.whom, "which": pin.which, "target": pin.target, "to": pin.to,
-                         "by": pin.by, "age": now - one.base, "left": max(0.0, one.until - now), "over": pin.over,
-                         "ended": None if one.ended_at is None else now - one.ended_at,
-                         "holds here": len(here), "covered by a later pin": sum(
-                             one.covers(now, name, zone) for _, name, zone in everyone) - len(here),
-                         "target not known": sorted(name for pin_id, name in self.unknown if pin_id == key)})
-        return {"steward": self.steward.me["name"], "proxies": len(everyone), "versions": self.store.many,
-                "bytes": self.store.size, "dropped": self.store.dropped, "kept on disk": self.log.broken is None,
-                "why not": self.log.broken, "not kept": self.log.lost, "disk": sum(self.log.segments.values()),
-                "pins": pins, "holders": self.tell_holders() if args.get("proxies") else []}
+            here = [
+                name
+                for _, name, zone in everyone
+                if (found := self.pin_of(name, zone)) and found.pin.id == key
+            ]
+            pins.append(
+                {
+                    "pin": key,
+                    "whom": pin.whom,
+                    "which": pin.which,
+                    "target": pin.target,
+                    "to": pin.to,
+                    "by": pin.by,
+                    "age": now - one.base,
+                    "left": max(0.0, one.until - now),
+                    "over": pin.over,
+                    "ended": None if one.ended_at is None else now - one.ended_at,
+                    "holds here": len(here),
+                    "covered by a later pin": sum(
+                        one.covers(now, name, zone) for _, name, zone in everyone
+                    )
+                    - len(here),
+                    "target not known": sorted(
+                        name for pin_id, name in self.unknown if pin_id == key
+                    ),
+                }
+            )
+        return {
+            "steward": self.steward.me["name"],
+            "proxies": len(everyone),
+            "versions": self.store.many,
+            "bytes": self.store.size,
+            "dropped": self.store.dropped,
+            "kept on disk": self.log.broken is None,
+            "why not": self.log.broken,
+            "not kept": self.log.lost,
+            "disk": sum(self.log.segments.values()),
+            "pins": pins,
+            "holders": self.tell_holders() if args.get("proxies") else [],
+        }
 
 
 def target_lines(items):
--- a/peatlead/steward/steward.py
+++ b/peatlead/steward/steward.py
@@ -26,7 +26,9 @@
 from .published import Published
 from .story import Story
 
-PUMP_MOST = 300  # messages sent in one callback: what comes in meanwhile waits no longer than these take
+PUMP_MOST = (
+    300  # messages sent in one callback: what comes in meanwhile waits no longer than these take
+)
 
 
 class Steward(Core):
@@ -38,16 +40,33 @@
     `await start()` opens sockets (OSError where it can't); `ended` is a future: "stopped", or the error.
     """
 
-    def __init__(self, settings, name, log, planner=Planner, folder=None, source=FileSource, boot=b"\1" * 8,
-                 wall=lambda: 0.0):
+    def __init__(
+        self,
+        settings,
+        name,
+        log,
+        planner=Planner,
+        folder=None,
+        source=FileSource,
+        boot=b"\1" * 8,
+        wall=lambda: 0.0,
+    ):
         self.settings = settings
         self.me = next(one for one in settings["steward"] if one["name"] == name)
         chance = Random(self.me["seed"])
         self.views = Views(settings)
         self.numbers = [view.number for view in self.views.views]
-        super().__init__(planner(facts_of(settings, self.me, len(self.numbers)), self.me["seed"]), log)
-        self.carriers.update({our.Probe: self.send_probe, our.Admit: self.set_levels,
-                              our.FetchRoster: self.fetch_list, our.SendPeer: self.send_note})
+        super().__init__(
+            planner(facts_of(settings, self.me, len(self.numbers)), self.me["seed"]), log
+        )
+        self.carriers.update(
+            {
+                our.Probe: self.send_probe,
+                our.Admit: self.set_levels,
+                our.FetchRoster: self.fetch_list,
+                our.SendPeer: self.send_note,
+            }
+        )
         self.answers = Answers(settings, self.views, chance.uniform)
         self.front = DnsFront(settings["dns"], self.answers)
         self.door = Door([zone["name"] for zone in settings["zone"]], log)
@@ -55,27 +74,52 @@
         self.channel = Channel(limits["channel_rate"], limits["message_head"], limits["queue_most"])
         self.states = [ViewState() for _ in self.numbers]
         self.services = service_kinds(settings)
-        self.thinning = Thinning({(view.index, at): view.rate for view in self.views.views
-                                  for at in range(len(self.services))})
+        self.thinning = Thinning(
+            {
+                (view.index, at): view.rate
+                for view in self.views.views
+                for at in range(len(self.services))
+            }
+        )
         kinds = [kind["name"] for kind in settings["request_kind"]]
         self.levels, self.kinds = {}, kinds
         self.news = News(kinds, self.view_of, self.views_zone(), settings["choices"]["sums_every"])
-        self.prober = Prober(settings["probes"], self.on_probe, read_answer, self.probe_headers,
-                             self.me["listen"][0])
-        self.burden = Burden(settings["choices"]["sums_every"], Random(self.me["seed"] + 11).uniform)
+        self.prober = Prober(
+            settings["probes"], self.on_probe, read_answer, self.probe_headers, self.me["listen"][0]
+        )
+        self.burden = Burden(
+            settings["choices"]["sums_every"], Random(self.me["seed"] + 11).uniform
+        )
         self.memory = Memory(folder and f"{folder}/list-{name}")
         self.source = source(settings["node_list"], self.on_listing, log)
         self.secondaries = None
         self.port, self.listed = settings["dns"]["port"], {}  # host -> its whole weight
-        self.published = Published(self, folder and f"{folder}/tables-{name}", wall, settings["tables"], boot)
-        self.control = Control(self.takes_question, {
-            "answer": self.tell_answer, "status": self.tell_status, "drained": self.tell_drained,
-            "tables": self.published.answer})
+        self.published = Published(
+            self, folder and f"{folder}/tables-{name}", wall, settings["tables"], boot
+        )
+        self.control = Control(
+            self.takes_question,
+            {
+                "answer": self.tell_answer,
+                "status": self.tell_status,
+                "drained": self.tell_drained,
+                "tables": self.published.answer,
+            },
+        )
         self.fleet = self.me["peer"] and FleetNode(
-            settings, self.me, Random(chance.random()), boot, self.count_proxies, log, self.on_note,
-            self.published.hear_pins, self.published.hear_wish)
+            settings,
+            self.me,
+            Random(chance.random()),
+            boot,
+            self.count_proxies,
+            log,
+            self.on_note,
+            self.published.hear_pins,
+            self.published.hear_wish,
+        )
         self.proxies = self.me["grpc"] and Proxies(
-            self, self.fleet and self.fleet.owners, self.fleet and self.fleet.about)
+            self, self.fleet and self.fleet.owners, self.fleet and self.fleet.about
+        )
         if self.fleet:
             self.control.answers["fleet"] = self.tell_fleet
         self.story = Story()
@@ -100,8 +144,14 @@
         if self.settings["dns"]["secondaries"]:
             names = [one["name"] for one in self.settings["steward"]]
             self.secondaries = Secondaries(
-                self.answers, self.settings["dns"]["secondaries"], names.index(self.me["name"]), len(names),
-                self.published.zone_serial(), Random(self.me["seed"] + 7), self.published.keep_serial)
+                self.answers,
+                self.settings["dns"]["secondaries"],
+                names.index(self.me["name"]),
+                len(names),
+                self.published.zone_serial(),
+                Random(self.me["seed"] + 7),
+                self.published.keep_serial,
+            )
             await self.secondaries.open(self.me["listen"][0])
         listing, why = self.memory.recall()
         if listing:
@@ -171,8 +221,11 @@
 
     def wake(self, now):
         """It stood still for longer than its answers may be trusted: first the list, then the answers."""
-        self.log("stood still", seconds=round(now - self.front.fresh_until + self.fresh_for, 3),
-                 unanswered=self.front.unanswered)
+        self.log(
+            "stood still",
+            seconds=round(now - self.front.fresh_until + self.fresh_for, 3),
+            unanswered=self.front.unanswered,
+        )
         self.source.fetch(now)
 
     def refresh(self, now):
@@ -196,11 +249,15 @@
             for host in taken_away(messages[view]):
                 if self.holds(view, host):
                     self.story.losing(now, host, view)
-            self.channel.offer(now, view, messages[view], marks.get(view, ()), causes.of_all(messages[view]))
+            self.channel.offer(
+                now, view, messages[view], marks.get(view, ()), causes.of_all(messages[view])
+            )
 
     def send_probe(self, order):
         entry = self.door.entries[order.host]
-        self.prober.probe(order.host, (entry.address or entry.address6, self.settings["probes"]["port"]))
+        self.prober.probe(
+            order.host, (entry.address or entry.address6, self.settings["probes"]["port"])
+        )
 
     def probe_headers(self):
         return [("peatlead-levels", self.levels_text())]
@@ -229,12 +286,16 @@
             if view is None:
                 session = self.proxies and self.proxies.apply(number, message)
                 if session:
-                    self.tell_feed(now, session.node.name, message, self.proxies.held_lines(session))
+                    self.tell_feed(
+                        now, session.node.name, message, self.proxies.held_lines(session)
+                    )
                 continue
             self.states[view.index].apply(message.ops)
             self.story.applied(now, number)
             tables = self.tables_of(view)
-            self.published.view(f"view:{view.name}", self.items_of_tables(tables), tuple(message.causes))
+            self.published.view(
+                f"view:{view.name}", self.items_of_tables(tables), tuple(message.causes)
+            )
             changed.update({(view.index, at): table for at, table in enumerate(tables)})
             self.tell_feed(now, view.name, message, [len(table) for table in tables])
         if changed:
@@ -253,8 +314,10 @@
     def tables_of(self, view):
         """A view's tables by service: the planner's, through the guard where the view is pinned."""
         zone = self.settings["zone"][view.zone]["name"]
-        return [self.published.lines(f"view:{view.name}", zone, label, wanted)
-                for label, wanted in self.wanted_of(view.number)]
+        return [
+            self.published.lines(f"view:{view.name}", zone, label, wanted)
+            for label, wanted in self.wanted_of(view.number)
+        ]
 
     def items_of_tables(self, tables):
         found = {}
@@ -265,7 +328,10 @@
     def everyone(self):
         """[(number, name, zone)] of all that are published to."""
         zones = self.settings["zone"]
-        found = [(view.number, f"view:{view.name}", zones[view.zone]["name"]) for view in self.views.views]
+        found = [
+            (view.number, f"view:{view.name}", zones[view.zone]["name"])
+            for view in self.views.views
+        ]
         return found + (self.proxies.everyone() if self.proxies else [])
 
     def session_of(self, number):
@@ -282,8 +348,10 @@
             kinds = self.proxies.front.kinds.items() if session else ()
             return [(kind, session.state.lines(at)) for kind, at in kinds]
         state = self.states[view.index]
-        return [(service["label"], state.lines(kinds[0]))
-                for service, kinds in zip(self.settings["service"], self.services)]
+        return [
+            (service["label"], state.lines(kinds[0]))
+            for service, kinds in zip(self.settings["service"], self.services)
+        ]
 
     def items_of(self, number):
         """{key: value} of the lines that a view or proxy is to hold now; None where there is nothing to say."""
@@ -294,9 +362,18 @@
         return self.items_of_tables(self.tables_of(view))
 
     def tell_feed(self, now, name, message, held):
-        self.control.publish({
-            "at": now, "steward": self.me["name"], "view": name, "lines": len(message.ops),
-            "offered": message.offered, "waiting": self.channel.waiting, "most": self.channel.most, "held": held})
+        self.control.publish(
+            {
+                "at": now,
+                "steward": self.me["name"],
+                "view": name,
+                "lines": len(message.ops),
+                "offered": message.offered,
+                "waiting": self.channel.waiting,
+                "most": self.channel.most,
+                "held": held,
+            }
+        )
 
     def show(self, changed, heard):
         """New tables or rates, as far as they change what answers name."""
@@ -329,8 +406,13 @@
                 self.answers.open_hosts.add(member.host)
             else:
                 self.answers.open_hosts.discard(member.host)
-        self.log("list", scope=listing.scope, version=listing.version, hosts=len(listing.hosts),
-                 ready=sum(one.phase == "ready" for one in listing.hosts))
+        self.log(
+            "list",
+            scope=listing.scope,
+            version=listing.version,
+            hosts=len(listing.hosts),
+            ready=sum(one.phase == "ready" for one in listing.hosts),
+        )
         if listing.scope == "whole" and listing.hosts:
             try:
                 self.memory.keep(listing)
@@ -388,17 +470,34 @@
     def tell_answer(self, question):
         """What a view would be told now, and why."""
         view = next((v for v in self.views.views if v.name == question.view), None)
-        service = self.answers.services.get(question.service or self.settings["service"][0]["label"])
+        service = self.answers.services.get(
+            question.service or self.settings["service"][0]["label"]
+        )
         if view is None or service is None:
-            return {"error": f"expected a view and a service of the settings, got {question.view!r} "
-                             f"and {question.service!r}"}
+            return {
+                "error": f"expected a view and a service of the settings, got {question.view!r} "
+                f"and {question.service!r}"
+            }
         seat = self.answers.seats[view.index][service]
         names = self.door.entries
-        lines = [{"host": names[h].name, "address": names[h].address, "zone": names[h].zone, "weight": w,
-                  "listed": names[h].weight, "named": h in seat.lines} for h, w in sorted(seat.weighed.items())]
-        return {"view": view.name, "zone": self.settings["zone"][view.zone]["name"],
-                "lifetime": self.answers.lifetime if seat.lasting else 0, "lines": lines,
-                "fresh": self.front.fresh_until >= self.loop.time()}
+        lines = [
+            {
+                "host": names[h].name,
+                "address": names[h].address,
+                "zone": names[h].zone,
+                "weight": w,
+                "listed": names[h].weight,
+                "named": h in seat.lines,
+            }
+            for h, w in sorted(seat.weighed.items())
+        ]
+        return {
+            "view": view.name,
+            "zone": self.settings["zone"][view.zone]["name"],
+            "lifetime": self.answers.lifetime if seat.lasting else 0,
+            "lines": lines,
+            "fresh": self.front.fresh_until >= self.loop.time(),
+        }
 
     def tell_why(self, question):
         """A host or a proxy: what is known, what befell it lately, and how each loss went out."""
@@ -407,17 +506,33 @@
         host = getattr(planner, "hosts", {}).get(index)
         if host is not None:
             held = planner.held.of(index) if hasattr(planner, "held") else ()
-            return {"host": question.host, "steward": self.me["name"], **host_told(host, now), "holders": len(held),
-                    **self.story.tell(now, index)}
+            return {
+                "host": question.host,
+                "steward": self.me["name"],
+                **host_told(host, now),
+                "holders": len(held),
+                **self.story.tell(now, index),
+            }
         session = self.proxies and self.proxies.front.sessions.get(question.host)
         if session:
             name = self.published.name_of
-            return {"proxy": question.host, "steward": self.me["name"], "zone": session.node.zone,
-                    "joined seconds ago": round(now - session.since, 1), "epoch": session.epoch,
-                    "says it holds": str(session.held), "waits for its window": not session.call.idle,
-                    "losses under way": [name(at) for at in self.story.holding.get(session.number, ())],
-                    "lines": {kind: {name(at): weight for at, weight in sorted(self.proxies.lines_of(
-                        session, number).items())} for kind, number in self.proxies.front.kinds.items()}}
+            return {
+                "proxy": question.host,
+                "steward": self.me["name"],
+                "zone": session.node.zone,
+                "joined seconds ago": round(now - session.since, 1),
+                "epoch": session.epoch,
+                "says it holds": str(session.held),
+                "waits for its window": not session.call.idle,
+                "losses under way": [name(at) for at in self.story.holding.get(session.number, ())],
+                "lines": {
+                    kind: {
+                        name(at): weight
+                        for at, weight in sorted(self.proxies.lines_of(session, number).items())
+                    }
+                    for kind, number in self.proxies.front.kinds.items()
+                },
+            }
         return {"error": f"expected a host of the list or a joined proxy, got {question.host!r}"}
 
     def tell_drained(self, question):
@@ -427,10 +542,15 @@
             return {"error": f"expected a host of the list, got {question.host!r}"}
         views = {seat[0] for seat in self.thinning.holders.get(host, ())}
         gone = self.loop.time() - self.left_at[host] if not views and host in self.left_at else None
-        return {"host": question.host, "phase": self.door.entries[host].phase, "named by views": len(views),
-                "seconds since the last answer": gone,
-                "seconds until no kept answer names it": None if views else max(
-                    0.0, self.answers.lifetime - (gone if gone is not None else 0.0))}
+        return {
+            "host": question.host,
+            "phase": self.door.entries[host].phase,
+            "named by views": len(views),
+            "seconds since the last answer": gone,
+            "seconds until no kept answer names it": None
+            if views
+            else max(0.0, self.answers.lifetime - (gone if gone is not None else 0.0)),
+        }
 
     def tell_fleet(self, question):
         """status, drain or why."""
@@ -442,28 +562,62 @@
             owners.draining = False
         elif question.do == "why" and proxies:
             return proxies.tell_why(question.host)
-        members = {one.about.name: {
-            "state": one.about.state, "since": self.loop.time() - one.since, "proxies": one.about.load,
-            "draining": one.about.draining, "incarnation": one.about.incarnation}
-            for one in self.fleet.members.members.values()}
-        return {"steward": self.me["name"], "draining": owners.draining, "members": members,
-                "messages": dict(self.fleet.counts), **(proxies.status() if proxies else {}),
-                "pins": sorted(self.published.pins.standing()),
-                "owned": {name: [epoch, self.loop.time() - proxies.front.sessions[name].since]
-                          for name, epoch in sorted(owners.epochs.items()) if name in proxies.front.sessions}}
+        members = {
+            one.about.name: {
+                "state": one.about.state,
+                "since": self.loop.time() - one.since,
+                "proxies": one.about.load,
+                "draining": one.about.draining,
+                "incarnation": one.about.incarnation,
+            }
+            for one in self.fleet.members.members.values()
+        }
+        return {
+            "steward": self.me["name"],
+            "draining": owners.draining,
+            "members": members,
+            "messages": dict(self.fleet.counts),
+            **(proxies.status() if proxies else {}),
+            "pins": sorted(self.published.pins.standing()),
+            "owned": {
+                name: [epoch, self.loop.time() - proxies.front.sessions[name].since]
+                for name, epoch in sorted(owners.epochs.items())
+                if name in proxies.front.sessions
+            },
+        }
 
     def tell_status(self, _):
         return {
             **({"proxies": self.proxies.status()} if self.proxies else {}),
-            **({"secondaries": {**self.secondaries.counts, "serial": self.secondaries.history.serial}}
-               if self.secondaries else {}),
-            "steward": self.me["name"], "views": len(self.numbers), "hosts": len(self.door.entries),
-            "decided": self.decided, "slowest_decide": self.slowest, "answers": dict(self.answers.counts),
-            "unanswered": self.front.unanswered, "prepared": self.answers.prepared,
-            "channel": {"waiting": self.channel.waiting, "deepest": self.channel.deepest,
-                        "most": self.channel.most, "past": self.channel.past},
-            "burden": self.burden.told(), "probes_dropped": self.prober.dropped, "levels": self.levels_text(),
-            "fresh": self.front.fresh_until >= self.loop.time()}
+            **(
+                {
+                    "secondaries": {
+                        **self.secondaries.counts,
+                        "serial": self.secondaries.history.serial,
+                    }
+                }
+                if self.secondaries
+                else {}
+            ),
+            "steward": self.me["name"],
+            "views": len(self.numbers),
+            "hosts": len(self.door.entries),
+            "decided": self.decided,
+            "slowest_decide": self.slowest,
+            "answers": dict(self.answers.counts),
+            "unanswered": self.front.unanswered,
+            "prepared": self.answers.prepared,
+            "channel": {
+                "waiting": self.channel.waiting,
+                "deepest": self.channel.deepest,
+                "most": self.channel.most,
+                "past": self.channel.past,
+            },
+            "burden": self.burden.told(),
+            "probes_dropped": self.prober.dropped,
+            "levels": self.levels_text(),
+            "fresh": self.front.fresh_until >= self.loop.time(),
+        }
 
 
 def read_answer(answer):
@@ -475,17 +629,21 @@
 
 def host_told(host, now):
     """What the planner knows of a host."""
-    return {"phase": host.phase, "usable": host.usable, "share": host.share, "reach": host.reach,
-            "cold for s": None if host.cold_from is None else round(now - host.cold_from, 1),
-            "out for s more": None if host.out_until is None else round(host.out_until - now, 1),
-            "tries": round(host.tries, 1), "bad": round(host.bad, 1), "load": round(host.load, 2),
-            "probes failed in a row": host.probe_fails}
+    return {
+        "phase": host.phase,
+        "usable": host.usable,
+        "share": host.share,
+        "reach": host.reach,
+        "cold for s": None if host.cold_from is None else round(now - host.cold_from, 1),
+        "out for s more": None if host.out_until is None else round(host.out_until - now, 1),
+        "tries": round(host.tries, 1),
+        "bad": round(host.bad, 1),
+        "load": round(host.load, 2),
+        "probes failed in a row": host.probe_fails,
+    }
 
 
 def service_kinds(settings):
     """For each service the indices of its request kinds."""
     kinds = {kind["name"]: at for at, kind in enumerate(settings["request_kind"])}
     return [[kinds[name] for name in service["kinds"]] for service in settings["service"]]
-
-
-
--- a/peatlead/steward/story.py
+++ b/peatlead/steward/story.py
@@ -8,7 +8,10 @@
 from collections import OrderedDict, deque
 
 NOTES_EACH, HOSTS_MOST = 20, 20_000  # notes of one host; hosts that have any
-LOSSES_MOST, PAST_EACH = 500, 3  # losses that are under way at a time; ended ones that are kept of a host
+LOSSES_MOST, PAST_EACH = (
+    500,
+    3,
+)  # losses that are under way at a time; ended ones that are kept of a host
 
 
 class Loss:
@@ -21,10 +24,15 @@
 
     def summary(self, now):
         found = sorted(self.delays)
-        return {"seconds ago": round(now - self.at, 3), "holders": self.told + self.gone + len(self.waiting),
-                "without it": self.told, "left before": self.gone, "still to go": len(self.waiting),
-                "median s": round(found[len(found) // 2], 4) if found else None,
-                "last s": round(found[-1], 4) if found else None}
+        return {
+            "seconds ago": round(now - self.at, 3),
+            "holders": self.told + self.gone + len(self.waiting),
+            "without it": self.told,
+            "left before": self.gone,
+            "still to go": len(self.waiting),
+            "median s": round(found[len(found) // 2], 4) if found else None,
+            "last s": round(found[-1], 4) if found else None,
+        }
 
 
 LEFT = object()  # its message has left the channel; what is sent next has it in
@@ -104,5 +112,7 @@
 
     def tell(self, now, host):
         losses = [*self.past.get(host, ()), *([self.open[host]] if host in self.open else [])]
-        return {"notes": [[round(now - at, 3), text] for at, text in self.notes.get(host, ())],
-                "losses": [loss.summary(now) for loss in losses]}
+        return {
+            "notes": [[round(now - at, 3), text] for at, text in self.notes.get(host, ())],
+            "losses": [loss.summary(now) for loss in losses],
+        }
--- a/peatlead/tables/disk.py
+++ b/peatlead/tables/disk.py
@@ -24,7 +24,10 @@
         self.sync_every, self.again, self.disk_most = sync_every, again, disk_most
         self.noted, self.waiting, self.file, self.framer = {}, [], None, None
         self.number, self.written, self.synced_at, self.unsynced = 0, 0, 0.0, False
-        self.segments, self.contents = {}, {}  # number -> bytes; number -> {name: newest version in it}
+        self.segments, self.contents = (
+            {},
+            {},
+        )  # number -> bytes; number -> {name: newest version in it}
         self.broken, self.retry_at, self.lost = None if folder else "no folder is set", 0.0, 0
 
     # Reading.
@@ -84,23 +87,37 @@
     def take_whole(self, record, history, version):
         """Where versions before a snapshot were not kept, one that sums them up bridges the gap."""
         if history.last == version:
-            return None if history.items == record.items else f"{record.name}: two states of {version}"
+            return (
+                None if history.items == record.items else f"{record.name}: two states of {version}"
+            )
         if version < history.last:
             return f"{record.name}: a state of {version} after {history.last}"
         if not history.last.epoch:
             self.store.restart(record.name, version, record.items)
             return None
         at = history.entries[-1].at if history.entries else 0.0
-        self.store.commit(record.name, version, at, ("what led to it was not kept",),
-                          changes(history.items, record.items))
+        self.store.commit(
+            record.name,
+            version,
+            at,
+            ("what led to it was not kept",),
+            changes(history.items, record.items),
+        )
         return f"{record.name}: what led to {version} was not kept"
 
     # Writing.
 
     def publish(self, name, entry):
         if self.folder is not None:
-            self.waiting.append(Published(name, *entry.version, entry.at, list(entry.causes),
-                                          {key: new for key, _, new in entry.moved}))
+            self.waiting.append(
+                Published(
+                    name,
+                    *entry.version,
+                    entry.at,
+                    list(entry.causes),
+                    {key: new for key, _, new in entry.moved},
+                )
+            )
 
     def left(self, name):
         if self.folder is not None:
@@ -138,7 +155,9 @@
                 self.write(self.waiting)
                 for record in self.waiting:
                     if type(record) is Published:
-                        self.contents[self.number][record.name] = Version(record.epoch, record.serial)
+                        self.contents[self.number][record.name] = Version(
+                            record.epoch, record.serial
+                        )
                 self.waiting = []
             if self.unsynced and now - self.synced_at >= self.sync_every:
                 os.fsync(self.file.fileno())
@@ -178,10 +197,18 @@
         self.lose()
         names = list(self.store.histories)
         for at in range(0, len(names), SNAPSHOT_PART):
-            self.write([Whole(name, *self.store.histories[name].last, self.store.histories[name].items)
-                        for name in names[at:at + SNAPSHOT_PART]])
-        self.write([*(Noted(key, value) for key, value in sorted(self.noted.items())),
-                    *(Gone(name) for name in self.store.gone)])
+            self.write(
+                [
+                    Whole(name, *self.store.histories[name].last, self.store.histories[name].items)
+                    for name in names[at : at + SNAPSHOT_PART]
+                ]
+            )
+        self.write(
+            [
+                *(Noted(key, value) for key, value in sorted(self.noted.items())),
+                *(Gone(name) for name in self.store.gone),
+            ]
+        )
         if self.broken is not None:
             self.log("tables are kept again", lost=self.lost)
             self.broken = None
@@ -216,7 +243,9 @@
             if over:
                 for name, version in self.contents[oldest].items():
                     self.store.drop_up_to(name, version)
-            needed = any(self.store.reaches(name, version) for name, version in self.contents[oldest].items())
+            needed = any(
+                self.store.reaches(name, version) for name, version in self.contents[oldest].items()
+            )
             if needed or oldest == self.number:
                 return
             try:
--- a/peatlead/tables/guard.py
+++ b/peatlead/tables/guard.py
@@ -23,6 +23,7 @@
 class Facts(NamedTuple):
     """`phases`: {host: phase as listed}; `shut`: withdrawn hosts; `parts`: {host: greatest part of its listed
     weight that any of the planner's tables gives it}, none for a host that it names nowhere."""
+
     phases: dict
     shut: set
     parts: dict
@@ -30,6 +31,7 @@
 
 class Guarded(NamedTuple):
     """`lines`: {host: weight}; `taken`: {host: why it is not as wished}; `filled`: hosts that were put in."""
+
     lines: dict
     taken: dict
     filled: tuple
--- a/peatlead/tables/history.py
+++ b/peatlead/tables/history.py
@@ -21,6 +21,7 @@
 
 class Entry(NamedTuple):
     """One version: `at` by the wall clock, for operators alone; `moved` is ((key, before, after), ...)."""
+
     version: Version
     at: float
     causes: tuple
@@ -116,11 +117,15 @@
     """All proxies' histories, and the bounds. `each_most` versions of one proxy, `most` of all, `bytes_most` about,
     `age_most` seconds, `names_most` proxies."""
 
-    def __init__(self, each_most=256, most=100_000, bytes_most=64 << 20, age_most=86_400.0, names_most=5000):
+    def __init__(
+        self, each_most=256, most=100_000, bytes_most=64 << 20, age_most=86_400.0, names_most=5000
+    ):
         self.each_most, self.most, self.bytes_most = each_most, most, bytes_most
         self.age_most, self.names_most = age_most, names_most
         self.histories, self.gone = {}, OrderedDict()
-        self.order = deque()  # (name, version), oldest first; what was dropped out of turn is skipped
+        self.order = (
+            deque()
+        )  # (name, version), oldest first; what was dropped out of turn is skipped
         self.many, self.size, self.dropped = 0, 0, 0
 
     def history(self, name):
@@ -175,8 +180,12 @@
 
     def bound(self, now):
         """A clock that was set back makes nothing old; the other bounds go on holding."""
-        while self.order and (self.stale() or self.many > self.most or self.size > self.bytes_most
-                              or self.oldest().at < now - self.age_most):
+        while self.order and (
+            self.stale()
+            or self.many > self.most
+            or self.size > self.bytes_most
+            or self.oldest().at < now - self.age_most
+        ):
             name, version = self.order.popleft()
             history = self.histories.get(name)
             if history and history.entries and history.entries[0].version == version:
@@ -203,8 +212,13 @@
     def compact(self):
         """What was dropped out of turn must not pile up behind one old version that still stands."""
         if len(self.order) > 2 * self.many + 1000:
-            kept = {name: {entry.version for entry in one.entries} for name, one in self.histories.items()}
-            self.order = deque((name, version) for name, version in self.order if version in kept.get(name, ()))
+            kept = {
+                name: {entry.version for entry in one.entries}
+                for name, one in self.histories.items()
+            }
+            self.order = deque(
+                (name, version) for name, version in self.order if version in kept.get(name, ())
+            )
 
     def between(self, since=0.0, until=float("inf"), name=None):
         """[(name, Entry)] in order of publishing, for the operators' log."""
--- a/peatlead/tables/pins.py
+++ b/peatlead/tables/pins.py
@@ -18,7 +18,9 @@
 import msgspec
 from blake3 import blake3
 
-PINS_MOST = 32  # pins that stand; ended ones are remembered as long, so that old news cannot revive them
+PINS_MOST = (
+    32  # pins that stand; ended ones are remembered as long, so that old news cannot revive them
+)
 FORGET_AFTER = 600.0  # seconds
 LOOK_GAP = 1.5  # seconds between two changes of one proxy for a pin's sake, where none of its hosts is shut
 LENGTH_MOST = 7 * 86_400.0
@@ -33,6 +35,7 @@
     "proxy" with `which`; `target`: "held", "back" (seconds before it was made) or "version", with `to`;
     `age`, `left`: seconds, when it was written down; `over`: seconds from first to last proxy; `ended`: seconds since
     it ended, or None; `by`: who asked, for others to read."""
+
     id: str
     stamp: int
     rev: int
@@ -63,7 +66,9 @@
     if pin.target == "version" and pin.whom != "proxy":
         raise BadPin("expected one proxy: a version is one proxy's")
     if not 0 <= pin.over <= 3600 or not 0 < pin.left <= LENGTH_MOST:
-        raise BadPin(f"expected stages of up to an hour and an end within a week, got {pin.over} s and {pin.left} s")
+        raise BadPin(
+            f"expected stages of up to an hour and an end within a week, got {pin.over} s and {pin.left} s"
+        )
 
 
 def share_of(pin):
@@ -85,13 +90,16 @@
     def as_pin(self, now):
         """As it should be written down or told at `now`."""
         return msgspec.structs.replace(
-            self.pin, age=now - self.base, left=max(0.0, self.until - now),
-            ended=None if self.ended_at is None else now - self.ended_at)
+            self.pin,
+            age=now - self.base,
+            left=max(0.0, self.until - now),
+            ended=None if self.ended_at is None else now - self.ended_at,
+        )
 
     def covers(self, now, name, zone):
         """Whether the pin holds this proxy now."""
         pin = self.pin
-        if (pin.whom == "proxy" and name != pin.which or pin.whom == "zone" and zone != pin.which):
+        if pin.whom == "proxy" and name != pin.which or pin.whom == "zone" and zone != pin.which:
             return False
         at = place(pin, name)
         if pin.whom == "share":
@@ -136,14 +144,18 @@
         """Ends a pin. Raises BadPin."""
         one = self.held.get(name)
         if one is None:
-            raise BadPin(f"expected one of {', '.join(sorted(self.standing())) or 'no pin at all'}, got {name!r}")
+            raise BadPin(
+                f"expected one of {', '.join(sorted(self.standing())) or 'no pin at all'}, got {name!r}"
+            )
         if one.ended_at is None:
             self.end(one, now, over)
         return one.as_pin(now)
 
     def end(self, one, now, over=None):
         one.ended_at = now
-        one.pin = msgspec.structs.replace(one.pin, rev=one.pin.rev + 1, over=one.pin.over if over is None else over)
+        one.pin = msgspec.structs.replace(
+            one.pin, rev=one.pin.rev + 1, over=one.pin.over if over is None else over
+        )
 
     def hear(self, now, pins):
         """What another steward, or our own disk, says. True where anything changed."""
@@ -170,15 +182,19 @@
         ended = [one for one in self.held.values() if one.ended_at is None and now >= one.until]
         for one in ended:
             self.end(one, now)
-        self.held = {key: one for key, one in self.held.items()
-                     if one.ended_at is None or now - one.ended_at < FORGET_AFTER + one.pin.over}
+        self.held = {
+            key: one
+            for key, one in self.held.items()
+            if one.ended_at is None or now - one.ended_at < FORGET_AFTER + one.pin.over
+        }
         return [one.pin.id for one in ended]
 
     def of(self, now, name, zone):
         found = None
         for one in self.held.values():
-            if (found is None or (one.pin.stamp, one.pin.id) > (found.pin.stamp, found.pin.id)) and (
-                    one.covers(now, name, zone)):
+            if (
+                found is None or (one.pin.stamp, one.pin.id) > (found.pin.stamp, found.pin.id)
+            ) and (one.covers(now, name, zone)):
                 found = one
         return found
 
--- a/peatlead/tables/records.py
+++ b/peatlead/tables/records.py
@@ -25,6 +25,7 @@
 
 class Published(msgspec.Struct, array_like=True, tag="p"):
     """One version; `moved`: {key: value, or None where it went}."""
+
     name: str
     epoch: int
     serial: int
@@ -35,6 +36,7 @@
 
 class Whole(msgspec.Struct, array_like=True, tag="w"):
     """A proxy's newest state, at the start of a segment."""
+
     name: str
     epoch: int
     serial: int
@@ -47,6 +49,7 @@
 
 class Noted(msgspec.Struct, array_like=True, tag="n"):
     """Anything small that must outlive a restart, by a key: the newest counts. `value` None: no more."""
+
     key: str
     value: Optional[bytes]
 
@@ -65,13 +68,16 @@
         return HEAD % FORMAT
 
     def frame(self, records):
-        body = self.zip.compress(ENCODER.encode(records)) + self.zip.flush(zstandard.COMPRESSOBJ_FLUSH_BLOCK)
+        body = self.zip.compress(ENCODER.encode(records)) + self.zip.flush(
+            zstandard.COMPRESSOBJ_FLUSH_BLOCK
+        )
         self.chain = blake3(self.chain + body).digest(8)
         return FRAME.pack(len(body), self.chain) + body
 
 
 class Segment(NamedTuple):
     """`sound`: bytes up to the end of the last frame that checks out; `why`: what ended it, or ""."""
+
     records: list
     sound: int
     why: str
@@ -80,7 +86,7 @@
 def read_segment(data):
     """A Segment of a file's bytes, whatever they are."""
     end = data.find(b"\n", 0, 64)
-    head = data[:end + 1]
+    head = data[: end + 1]
     if head != HEAD % FORMAT:
         words = head.split()
         if len(words) == 2 and words[0] == b"peatlead-tables" and words[1].isdigit():
@@ -92,14 +98,22 @@
         if len(data) - at < FRAME.size:
             return Segment(records, at, f"torn in a frame's head at byte {at}")
         size, told = FRAME.unpack_from(data, at)
-        body = data[at + FRAME.size:at + FRAME.size + size]
+        body = data[at + FRAME.size : at + FRAME.size + size]
         if size > FRAME_MOST:
-            return Segment(records, at, f"a frame of {size} bytes at byte {at}: the length is not to be believed")
+            return Segment(
+                records,
+                at,
+                f"a frame of {size} bytes at byte {at}: the length is not to be believed",
+            )
         if len(body) < size:
-            return Segment(records, at, f"torn in a frame at byte {at}: {len(body)} of {size} bytes")
+            return Segment(
+                records, at, f"torn in a frame at byte {at}: {len(body)} of {size} bytes"
+            )
         chain = blake3(chain + body).digest(8)
         if chain != told:
-            return Segment(records, at, f"the checksum does not fit at byte {at}: changed, or out of its place")
+            return Segment(
+                records, at, f"the checksum does not fit at byte {at}: changed, or out of its place"
+            )
         try:
             plain = unzip.decompress(body)
             inflated += len(plain)
--- a/peatlead/tables/version.py
+++ b/peatlead/tables/version.py
@@ -20,6 +20,7 @@
 
 class Version(NamedTuple):
     """`epoch` of the owner, `serial` within it: ordered, and written `epoch.serial`."""
+
     epoch: int
     serial: int
 
@@ -54,7 +55,7 @@
 
 
 def part_of(key):
-    return key[:key.index("/")]
+    return key[: key.index("/")]
 
 
 def whole_weight(weight):
@@ -118,6 +119,7 @@
 class Stamp(NamedTuple):
     """What goes with a delta: the version that it leads to, the digests of what it starts from ("none": from
     anything, it is whole) and of what it must come to."""
+
     version: Version
     base: str
     digest: str
--- a/peatlead/wire/codec.py
+++ b/peatlead/wire/codec.py
@@ -8,23 +8,72 @@
 REPLY_HEADER = struct.Struct(">II")
 ENTRY = struct.Struct(">6sBHHBfQ")
 
-NUMBERS = {kind: struct.Struct(">" + code) for kind, code in (
-    ("u8", "B"), ("u16", "H"), ("u32", "I"), ("u64", "Q"), ("f32", "f"), ("host", "6s"))}
+NUMBERS = {
+    kind: struct.Struct(">" + code)
+    for kind, code in (
+        ("u8", "B"),
+        ("u16", "H"),
+        ("u32", "I"),
+        ("u64", "Q"),
+        ("f32", "f"),
+        ("host", "6s"),
+    )
+}
 
 EVENTS = {
     1030: ("ATTACH", (("i", "u32"), ("seed", "u64"), ("env", "json"))),
     1100: ("TOPOLOGY", (("i", "u32"), ("mode", "u8"), ("version", "u32"), ("members", "entries"))),
-    1020: ("WEIGHT_SEEN", (("i", "u32"), ("category", "u16"), ("routeTable", "u16"), ("many", "u32"),
-                           ("coversUs", "u32"), ("failed", "u32"))),
-    1110: ("CHECK_RESULT", (("i", "u32"), ("how", "u16"), ("host", "host"), ("timeTakenUs", "u32"),
-                            ("feedback", "floats"))),
-    1130: ("INTAKE", (("i", "u32"), ("many", "u32"), ("px", "u16"), ("category", "u16"),
-                      ("coversUs", "u32"), ("failed", "u32"))),
+    1020: (
+        "WEIGHT_SEEN",
+        (
+            ("i", "u32"),
+            ("category", "u16"),
+            ("routeTable", "u16"),
+            ("many", "u32"),
+            ("coversUs", "u32"),
+            ("failed", "u32"),
+        ),
+    ),
+    1110: (
+        "CHECK_RESULT",
+        (
+            ("i", "u32"),
+            ("how", "u16"),
+            ("host", "host"),
+            ("timeTakenUs", "u32"),
+            ("feedback", "floats"),
+        ),
+    ),
+    1130: (
+        "INTAKE",
+        (
+            ("i", "u32"),
+            ("many", "u32"),
+            ("px", "u16"),
+            ("category", "u16"),
+            ("coversUs", "u32"),
+            ("failed", "u32"),
+        ),
+    ),
     1090: ("CAUGHT_UP", (("i", "u32"), ("version", "u32"), ("timeTakenUs", "u32"), ("px", "u16"))),
-    1050: ("CHECKED_IN", (("i", "u32"), ("px", "u16"), ("locality", "u8"), ("size", "f32"), ("on", "u8"))),
+    1050: (
+        "CHECKED_IN",
+        (("i", "u32"), ("px", "u16"), ("locality", "u8"), ("size", "f32"), ("on", "u8")),
+    ),
     1060: ("WAKE", (("i", "u32"), ("token", "u32"))),
-    1000: ("TALLY", (("i", "u32"), ("host", "host"), ("failed", "u32"), ("coversUs", "u32"),
-                     ("timeTakenUs", "u32"), ("many", "u32"), ("locality", "u8"), ("feedback", "floats"))),
+    1000: (
+        "TALLY",
+        (
+            ("i", "u32"),
+            ("host", "host"),
+            ("failed", "u32"),
+            ("coversUs", "u32"),
+            ("timeTakenUs", "u32"),
+            ("many", "u32"),
+            ("locality", "u8"),
+            ("feedback", "floats"),
+        ),
+    ),
     1040: ("SHUTDOWN", (("i", "u32"),)),
     1080: ("INBOX", (("i", "u32"), ("who", "u32"), ("bytes", "bytes"))),
     1070: ("IN_STORE", (("i", "u32"), ("routeTable", "u16"), ("host", "host"), ("size", "f32"))),
@@ -43,8 +92,16 @@
     "TEST": (1010, (("i", "u32"), ("host", "host"))),
     "BROKEN": (1040, (("i", "u32"), ("reasonText", "bytes"))),
     "UPSERT": (1070, (("i", "u32"), ("routeTable", "u16"), ("host", "host"), ("size", "f32"))),
-    "GATE_CLASS": (1110, (("i", "u32"), ("lanes", "u16"), ("routeTable", "u16"), ("amount", "f32"),
-                          ("secondTry", "u8"))),
+    "GATE_CLASS": (
+        1110,
+        (
+            ("i", "u32"),
+            ("lanes", "u16"),
+            ("routeTable", "u16"),
+            ("amount", "f32"),
+            ("secondTry", "u8"),
+        ),
+    ),
     "WAKE_ME": (1000, (("i", "u32"), ("token", "u32"), ("offsetUs", "u32"))),
     "NONCE": (1120, (("i", "u32"), ("version", "u32"), ("on", "u8"))),
 }
@@ -99,9 +156,11 @@
     def take_bytes(size):
         nonlocal at
         if at + size > len(body):
-            raise BadInput(f"record {number} at byte {start}: a count of {size} overruns the batch at {at}")
+            raise BadInput(
+                f"record {number} at byte {start}: a count of {size} overruns the batch at {at}"
+            )
         at += size
-        return body[at - size:at]
+        return body[at - size : at]
 
     code = take(NUMBERS["u16"])[0]
     if code not in EVENTS:
@@ -128,7 +187,9 @@
     try:
         value = json.loads(data.decode("utf-8"))
     except ValueError as problem:
-        raise BadInput(f"record {number} at byte {start}: settings are not JSON: {problem}") from None
+        raise BadInput(
+            f"record {number} at byte {start}: settings are not JSON: {problem}"
+        ) from None
     if not isinstance(value, dict):
         raise BadInput(f"record {number} at byte {start}: settings are not a JSON object")
     return value
--- a/peatlead/wire/names.py
+++ b/peatlead/wire/names.py
@@ -5,11 +5,24 @@
 
 SCOPES = {0: "changes", 1: "whole", 2: "remembered", 3: "unavailable"}
 PHASES = {0: "gone", 1: "ready", 2: "draining"}
-OUTCOMES = {100: "ok", 301: "errored", 302: "denied", 303: "timed out", 304: "unreachable", 305: "broken"}
+OUTCOMES = {
+    100: "ok",
+    301: "errored",
+    302: "denied",
+    303: "timed out",
+    304: "unreachable",
+    305: "broken",
+}
 RETRIES = {"never": 0, "unstarted": 1, "once": 2, "twice": 3}
 REPEATS = {"repeatable": "replayable", "by_key": "uniqued", "once": "non-replayable"}
-REPORTS = {"rif": "holding", "q": "waiting", "busy": "util", "lat_ms": "service_ms", "rate": "done_rate",
-           "fail_rate": "bad_rate"}
+REPORTS = {
+    "rif": "holding",
+    "q": "waiting",
+    "busy": "util",
+    "lat_ms": "service_ms",
+    "rate": "done_rate",
+    "fail_rate": "bad_rate",
+}
 PICKS = {"random": "random", "rotate": "even", "p2c": "lighter of two"}
 EVERY_TABLE = 65535
 EVERY_PEER = 65535
@@ -17,43 +30,82 @@
 
 # Where a setting stands on the wire, and what it is called here. A name that ends in Us there is a time.
 PLAIN = {
-    "balancers": "stewards", "rank": "rank", "locality": "zone", "zones": "zones", "kinds": "machines",
-    "weightSource": "weight_source", "registryMode": "roster_mode", "countedBy": "counted_by",
+    "balancers": "stewards",
+    "rank": "rank",
+    "locality": "zone",
+    "zones": "zones",
+    "kinds": "machines",
+    "weightSource": "weight_source",
+    "registryMode": "roster_mode",
+    "countedBy": "counted_by",
     "roundUs": "tick",
-    "familyInfo.channelRate": "channel_rate", "familyInfo.perMessage": "message_head",
-    "familyInfo.pendingMax": "queue_most", "familyInfo.messagesMost": "messages_most",
-    "familyInfo.countedOverUs": "messages_span", "familyInfo.pushDelayUs": "push_delay",
-    "familyInfo.lateMostUs": "push_delay_most", "familyInfo.emptyForUs": "bare_most",
-    "familyInfo.reportEveryUs": "sums_every", "familyInfo.hearsPerS": "sums_rate",
-    "familyInfo.dataPlaneSize": "proxies", "familyInfo.choice": "pick", "familyInfo.standing": "standing",
-    "familyInfo.failsToEject": "fails_to_shun", "familyInfo.tryFactor": "try_targets",
-    "familyInfo.usualHow": "usual_retry", "familyInfo.throttleBy": "level_unit",
-    "familyInfo.ranges": "slices", "familyInfo.exclusive": "exclusive",
+    "familyInfo.channelRate": "channel_rate",
+    "familyInfo.perMessage": "message_head",
+    "familyInfo.pendingMax": "queue_most",
+    "familyInfo.messagesMost": "messages_most",
+    "familyInfo.countedOverUs": "messages_span",
+    "familyInfo.pushDelayUs": "push_delay",
+    "familyInfo.lateMostUs": "push_delay_most",
+    "familyInfo.emptyForUs": "bare_most",
+    "familyInfo.reportEveryUs": "sums_every",
+    "familyInfo.hearsPerS": "sums_rate",
+    "familyInfo.dataPlaneSize": "proxies",
+    "familyInfo.choice": "pick",
+    "familyInfo.standing": "standing",
+    "familyInfo.failsToEject": "fails_to_shun",
+    "familyInfo.tryFactor": "try_targets",
+    "familyInfo.usualHow": "usual_retry",
+    "familyInfo.throttleBy": "level_unit",
+    "familyInfo.ranges": "slices",
+    "familyInfo.exclusive": "exclusive",
     "familyInfo.localFirst": "joins_own_zone",
-    "familyInfo.smallestConnTable": "connections_least", "familyInfo.costPerLine": "price_of_lines",
-    "familyInfo.movePrice": "price_of_moves", "familyInfo.leaseUs": "lease", "familyInfo.settleUs": "settle",
-    "familyInfo.parkUs": "park", "familyInfo.homeOnly": "own_zone_only", "familyInfo.mutating": "writes",
+    "familyInfo.smallestConnTable": "connections_least",
+    "familyInfo.costPerLine": "price_of_lines",
+    "familyInfo.movePrice": "price_of_moves",
+    "familyInfo.leaseUs": "lease",
+    "familyInfo.settleUs": "settle",
+    "familyInfo.parkUs": "park",
+    "familyInfo.homeOnly": "own_zone_only",
+    "familyInfo.mutating": "writes",
     "familyInfo.warmKeys": "warm_keys",
-    "limits.connIdleUs": "connection_idle", "limits.connectTimeoutUs": "connect_timeout",
-    "limits.cpuUsPerS": "cpu_share", "limits.peers": "peer_notes", "limits.probing": "probing",
+    "limits.connIdleUs": "connection_idle",
+    "limits.connectTimeoutUs": "connect_timeout",
+    "limits.cpuUsPerS": "cpu_share",
+    "limits.peers": "peer_notes",
+    "limits.probing": "probing",
     "limits.streamsPerConn": "streams",
-    "obligations.askWithinUs": "ask_within", "obligations.coldFrom": "cold_share",
-    "obligations.warmAfterUs": "warm_after", "obligations.drainGraceUs": "drain_grace",
-    "obligations.tipMultiple": "tip_multiple", "obligations.fallUs": "tip_span",
+    "obligations.askWithinUs": "ask_within",
+    "obligations.coldFrom": "cold_share",
+    "obligations.warmAfterUs": "warm_after",
+    "obligations.drainGraceUs": "drain_grace",
+    "obligations.tipMultiple": "tip_multiple",
+    "obligations.fallUs": "tip_span",
     "obligations.goneIsAdvice": "gone_is_advice",
-    "prices.crossZone": "price_of_crossing", "prices.handshake": "price_of_handshakes",
-    "prices.connection": "price_of_connections", "prices.probe": "price_of_probes",
-    "prices.waste": "price_of_waste", "prices.lateFail": "price_of_late_failure",
+    "prices.crossZone": "price_of_crossing",
+    "prices.handshake": "price_of_handshakes",
+    "prices.connection": "price_of_connections",
+    "prices.probe": "price_of_probes",
+    "prices.waste": "price_of_waste",
+    "prices.lateFail": "price_of_late_failure",
     "prices.peer": "price_of_notes",
-    "scoringMix.whole": "value_of_whole", "scoringMix.worstClass": "value_of_worst_kind",
+    "scoringMix.whole": "value_of_whole",
+    "scoringMix.worstClass": "value_of_worst_kind",
     "scoringMix.worstWindow": "value_of_worst_span",
-    "stats.how": "reports_come", "stats.fields": "report_fields",
+    "stats.how": "reports_come",
+    "stats.fields": "report_fields",
 }
 OF_KIND = {
-    "name": "name", "targetUs": "response_target", "deadlineUs": "client_timeout",
+    "name": "name",
+    "targetUs": "response_target",
+    "deadlineUs": "client_timeout",
     "aimStretch": "target_stretch",
-    "repeat": "repeat", "group": "drops_repeats_in", "windowUs": "repeat_window", "worth": "gain",
-    "lateWorth": "late_gain", "onlyZones": "only_zones", "onlyKinds": "only_machines",
+    "repeat": "repeat",
+    "group": "drops_repeats_in",
+    "windowUs": "repeat_window",
+    "worth": "gain",
+    "lateWorth": "late_gain",
+    "onlyZones": "only_zones",
+    "onlyKinds": "only_machines",
 }
 
 
@@ -80,10 +132,14 @@
     found["req_kinds"] = []
     for at, entry in enumerate(env.get("classes", ())):
         kind = {name: in_seconds(key, entry[key]) for key, name in OF_KIND.items() if key in entry}
-        kind.setdefault("response_target", kind.get("client_timeout"))  # one without a target has its deadline
+        kind.setdefault(
+            "response_target", kind.get("client_timeout")
+        )  # one without a target has its deadline
         kind.setdefault("gain", 1.0)
         kind["repeat"] = REPEATS.get(kind.get("repeat"), "non-replayable")
-        kind["drops_repeats_in"] = {"cell": "cell", "zone": "zone"}.get(kind.get("drops_repeats_in"), "all")
+        kind["drops_repeats_in"] = {"cell": "cell", "zone": "zone"}.get(
+            kind.get("drops_repeats_in"), "all"
+        )
         kind["own_zone"] = bool(own_zone[at]) if at < len(own_zone) else False
         kind["write"] = bool(writes[at]) if at < len(writes) else True
         found["req_kinds"].append(kind)
@@ -110,8 +166,16 @@
 
     def member(self, entry):
         address, zone, machine, cell, phase, weight, since = entry
-        return our.Member(self.host(address), address, zone, machine, cell, PHASES.get(phase, "gone"), weight,
-                          since / MICRO)
+        return our.Member(
+            self.host(address),
+            address,
+            zone,
+            machine,
+            cell,
+            PHASES.get(phase, "gone"),
+            weight,
+            since / MICRO,
+        )
 
     def event(self, name, rec):
         return FROM_WIRE[name](self, rec)
@@ -132,16 +196,27 @@
 
 FROM_WIRE = {
     "TALLY": lambda door, r: our.HostSums(
-        door.host(r["host"]), r["locality"], r["many"], r["failed"], seconds(r, "coversUs"),
-        seconds(r, "timeTakenUs"), door.report(r["feedback"])),
+        door.host(r["host"]),
+        r["locality"],
+        r["many"],
+        r["failed"],
+        seconds(r, "coversUs"),
+        seconds(r, "timeTakenUs"),
+        door.report(r["feedback"]),
+    ),
     "INTAKE": lambda door, r: our.ReqSums(
-        r["px"], r["category"], r["many"], r["failed"], seconds(r, "coversUs")),
+        r["px"], r["category"], r["many"], r["failed"], seconds(r, "coversUs")
+    ),
     "WAKE": lambda door, r: our.TimerFired(r["token"]),
     "CHECK_RESULT": lambda door, r: our.ProbeResult(
-        door.host(r["host"]), OUTCOMES.get(r["how"], "errored"), seconds(r, "timeTakenUs"),
-        door.report(r["feedback"])),
+        door.host(r["host"]),
+        OUTCOMES.get(r["how"], "errored"),
+        seconds(r, "timeTakenUs"),
+        door.report(r["feedback"]),
+    ),
     "TOPOLOGY": lambda door, r: our.Roster(
-        SCOPES.get(r["mode"], "unavailable"), r["version"], tuple(map(door.member, r["members"]))),
+        SCOPES.get(r["mode"], "unavailable"), r["version"], tuple(map(door.member, r["members"]))
+    ),
     "CHECKED_IN": lambda door, r: our.ProxyJoined(r["px"], r["locality"], r["size"], bool(r["on"])),
     "LEFT": lambda door, r: our.ProxyLeft(r["px"]),
     "CAUGHT_UP": lambda door, r: our.Applied(r["px"], r["version"], seconds(r, "timeTakenUs")),
@@ -149,26 +224,41 @@
     "GIVEN": lambda door, r: our.SliceGiven(r["routeTable"], bool(r["on"])),
     "IN_STORE": lambda door, r: our.SliceLine(r["routeTable"], door.host(r["host"]), r["size"]),
     "WEIGHT_SEEN": lambda door, r: our.SliceSums(
-        r["routeTable"], r["category"], r["many"], r["failed"], seconds(r, "coversUs")),
+        r["routeTable"], r["category"], r["many"], r["failed"], seconds(r, "coversUs")
+    ),
 }
 
 TO_WIRE = {
-    our.SetLine: lambda door, o: ("UPSERT", {
-        "routeTable": o.table, "host": door.addresses[o.host], "size": o.weight}),
+    our.SetLine: lambda door, o: (
+        "UPSERT",
+        {"routeTable": o.table, "host": door.addresses[o.host], "size": o.weight},
+    ),
     our.ClearTable: lambda door, o: ("BLANK", {"routeTable": o.table}),
-    our.BindTable: lambda door, o: ("ATTACH_TABLE", {
-        "lanes": mask(o.kinds), "px": o.proxy, "routeTable": o.table}),
+    our.BindTable: lambda door, o: (
+        "ATTACH_TABLE",
+        {"lanes": mask(o.kinds), "px": o.proxy, "routeTable": o.table},
+    ),
     our.Withdraw: lambda door, o: ("CORDON", {"host": door.addresses[o.host], "on": int(o.on)}),
-    our.Admit: lambda door, o: ("GATE_CLASS", {
-        "lanes": mask(o.kinds), "routeTable": EVERY_TABLE if o.table is None else o.table,
-        "amount": o.level, "secondTry": RETRIES[o.retry]}),
+    our.Admit: lambda door, o: (
+        "GATE_CLASS",
+        {
+            "lanes": mask(o.kinds),
+            "routeTable": EVERY_TABLE if o.table is None else o.table,
+            "amount": o.level,
+            "secondTry": RETRIES[o.retry],
+        },
+    ),
     our.Mark: lambda door, o: ("NONCE", {"version": o.number % 65536, "on": int(o.everyone)}),
     our.Probe: lambda door, o: ("TEST", {"host": door.addresses[o.host]}),
     our.FetchRoster: lambda door, o: ("GET_LIST", {}),
     our.WatchRoster: lambda door, o: ("OBSERVE", {"on": int(o.on)}),
-    our.SendPeer: lambda door, o: ("WRITE_PEER", {
-        "whom": EVERY_PEER if o.peer is None else o.peer, "bytes": o.payload}),
-    our.SetTimer: lambda door, o: ("WAKE_ME", {
-        "token": o.token, "offsetUs": max(1, min(LONGEST_TIMER, round(o.delay * MICRO)))}),
+    our.SendPeer: lambda door, o: (
+        "WRITE_PEER",
+        {"whom": EVERY_PEER if o.peer is None else o.peer, "bytes": o.payload},
+    ),
+    our.SetTimer: lambda door, o: (
+        "WAKE_ME",
+        {"token": o.token, "offsetUs": max(1, min(LONGEST_TIMER, round(o.delay * MICRO)))},
+    ),
     our.LogLine: lambda door, o: ("JOURNAL_LINE", {"reasonText": o.text.encode("utf-8")[:2000]}),
 }
--- a/tests/places.py
+++ b/tests/places.py
@@ -38,7 +38,9 @@
 
 
 def settings(port=5300, path="/nowhere/nodes.json", script=SCRIPT, more=""):
-    return load_settings("test.star", script.format(port=port, control=port + 1, grpc=port + 2, path=path) + more)
+    return load_settings(
+        "test.star", script.format(port=port, control=port + 1, grpc=port + 2, path=path) + more
+    )
 
 
 def run(case, deadline=90.0):
@@ -86,11 +88,25 @@
         self.settings = settings(self.port, f"{folder}/nodes.json", script)
         self.chance, self.pods, self.hosts, self.stewards, self.log = Random(4), Pods(), [], [], []
         self.closing = []
-        self.plans = [Plan(
-            name=f"h{at}", zone=("north", "south")[at % 2], pod=0, address=f"127.10.9.{at + 1}", port=self.port,
-            cores=2, work={"look": 0.01, "file": 0.01}, repeat={"look": "replayable", "file": "non-replayable"},
-            cold_share=0.25, warm_after=12.0, tip_multiple=3.0, tip_span=1.5, deep=deep, cold=cold)
-            for at in range(hosts)]
+        self.plans = [
+            Plan(
+                name=f"h{at}",
+                zone=("north", "south")[at % 2],
+                pod=0,
+                address=f"127.10.9.{at + 1}",
+                port=self.port,
+                cores=2,
+                work={"look": 0.01, "file": 0.01},
+                repeat={"look": "replayable", "file": "non-replayable"},
+                cold_share=0.25,
+                warm_after=12.0,
+                tip_multiple=3.0,
+                tip_span=1.5,
+                deep=deep,
+                cold=cold,
+            )
+            for at in range(hosts)
+        ]
         self.phases, self.version, self.extra = {plan.name: "ready" for plan in self.plans}, 0, []
 
     async def begin(self):
@@ -102,8 +118,16 @@
 
     def write(self, data=None):
         self.version += 1
-        hosts = [{"name": plan.name, "zone": plan.zone, "address": plan.address, "phase": self.phases[plan.name]}
-                 for plan in self.plans if plan.name in self.phases]
+        hosts = [
+            {
+                "name": plan.name,
+                "zone": plan.zone,
+                "address": plan.address,
+                "phase": self.phases[plan.name],
+            }
+            for plan in self.plans
+            if plan.name in self.phases
+        ]
         said = {"version": self.version, "written": 50.0, "hosts": hosts + self.extra}
         path = self.folder / "nodes.json"
         path.with_suffix(".new").write_bytes(json.dumps(said).encode() if data is None else data)
@@ -120,8 +144,13 @@
         self.write()
 
     async def steward(self, name="ns1", planner=Planner):
-        made = Steward(self.settings, name, lambda event, **more: self.log.append((event, more)), planner,
-                       str(self.folder / "state"))
+        made = Steward(
+            self.settings,
+            name,
+            lambda event, **more: self.log.append((event, more)),
+            planner,
+            str(self.folder / "state"),
+        )
         self.stewards.append(made)
         await made.start()
         return made
@@ -131,11 +160,14 @@
         peer = {"desk0": "10.1.0.1", "desk1": "10.2.0.1"}[view]
         found = set()
         for _ in range(many):
-            data = steward.answers.respond(dns.message.make_query("api.example.org", "A").to_wire(), peer)
+            data = steward.answers.respond(
+                dns.message.make_query("api.example.org", "A").to_wire(), peer
+            )
             answer = dns.message.from_wire(data)
             found |= {str(one) for rrset in answer.answer for one in rrset}
         return {plan.name for plan in self.plans if plan.address in found} | (
-            found - {plan.address for plan in self.plans})
+            found - {plan.address for plan in self.plans}
+        )
 
     def end(self):
         for steward in self.stewards:
@@ -148,6 +180,7 @@
 
 def play(case, **more):
     """Runs `case(world)` in a world that has begun."""
+
     async def whole():
         with tempfile.TemporaryDirectory() as folder:
             world = await World(folder, **more).begin()
@@ -156,4 +189,5 @@
             finally:
                 world.end()
                 await asyncio.sleep(0.02)
+
     return run(whole())
--- a/tests/plants.py
+++ b/tests/plants.py
@@ -26,6 +26,7 @@
         if verdict.take:
             self.epochs[proxy] = 1
         return verdict
+
     return mock.patch.object(Owners, "admit", admit)
 
 
@@ -36,23 +37,40 @@
     def take(self, call, steward, data):
         self.current = call
         real(self, call, steward, data)
-    with mock.patch.object(Fence, "allows", lambda self, *_: True), mock.patch.object(Agent, "take", take):
+
+    with (
+        mock.patch.object(Fence, "allows", lambda self, *_: True),
+        mock.patch.object(Agent, "take", take),
+    ):
         yield
 
 
 def withdrawals_forgotten():
     real = Publisher.take
-    return mock.patch.object(Publisher, "take", lambda self, orders: real(self, [
-        one for one in orders if not (type(one) is our.Withdraw or type(one) is our.SetLine and not one.weight)]))
+    return mock.patch.object(
+        Publisher,
+        "take",
+        lambda self, orders: real(
+            self,
+            [
+                one
+                for one in orders
+                if not (type(one) is our.Withdraw or type(one) is our.SetLine and not one.weight)
+            ],
+        ),
+    )
 
 
 def cold_bound_ignored():
     real = thin.Thinning.decide
 
     def decide(self, changed, listed, heard=()):
-        changed = {view: {host: 50.0 * listed[host] / max(0.01, weight) for host, weight in table.items()}
-                   for view, table in changed.items()}
+        changed = {
+            view: {host: 50.0 * listed[host] / max(0.01, weight) for host, weight in table.items()}
+            for view, table in changed.items()
+        }
         return real(self, changed, listed, heard)
+
     return mock.patch.object(thin.Thinning, "decide", decide)
 
 
@@ -62,6 +80,7 @@
     async def start(self):
         self.answers.lifetime = 30
         await real(self)
+
     return mock.patch.object(Steward, "start", start)
 
 
@@ -70,6 +89,7 @@
 
     def admit(self, out, order):
         real(self, out, order._replace(retry="once"))
+
     return mock.patch.object(Publisher, "admit", admit)
 
 
@@ -80,25 +100,32 @@
         if any(op[0] == "withdrawn" and value for op, value in ops.items()):
             raise KeyError("planted")
         real(self, ops)
+
     return mock.patch.object(ViewState, "apply", apply)
 
 
 def tables_emptied_by_a_drain():
     real = ViewState.lines
-    return mock.patch.object(ViewState, "lines", lambda self, kind: {} if self.withdrawn else real(self, kind))
+    return mock.patch.object(
+        ViewState, "lines", lambda self, kind: {} if self.withdrawn else real(self, kind)
+    )
 
 
 def channel_without_pace():
     """Every table goes out again with each tick: the planner's room is not looked at."""
     from peatlead.choice import Planner
+
     real = Planner.on_timer
 
     def on_timer(self, event):
         real(self, event)
         for proxy in self.joined:
             if proxy.bound:
-                self.orders += [our.SetLine(proxy.first_table, host, weight)
-                                for host, weight in proxy.lines[0].items()]
+                self.orders += [
+                    our.SetLine(proxy.first_table, host, weight)
+                    for host, weight in proxy.lines[0].items()
+                ]
+
     return mock.patch.object(Planner, "on_timer", on_timer)
 
 
--- a/tests/platforms.py
+++ b/tests/platforms.py
@@ -16,8 +16,16 @@
 
 
 def instance(at, zone="z0", lifecycle="active", started=0.0):
-    return {"instanceId": f"s-{at}", "hostPort": f"127.3.1.{at + 1}:9", "zone": zone, "machineType": "m",
-            "cell": 0, "lifecycle": lifecycle, "weight": 1.0, "startedAtMs": started}
+    return {
+        "instanceId": f"s-{at}",
+        "hostPort": f"127.3.1.{at + 1}:9",
+        "zone": zone,
+        "machineType": "m",
+        "cell": 0,
+        "lifecycle": lifecycle,
+        "weight": 1.0,
+        "startedAtMs": started,
+    }
 
 
 class Discovery(Server):
@@ -95,13 +103,22 @@
     def __init__(self, hosts=4, sockets=256, known=None, silent=False, **facts):
         self.port, self.log, self.peers = free_port(), [], []
         self.desk = Desk([instance(at, f"z{at % 2}") for at in range(hosts)])
-        self.told = Told("n0", (STEWARD, self.port), ("127.3.0.9", self.port), 7, sockets,
-                         {**FACTS, "probing": False, "connect_timeout": 0.2, **facts}, known)
+        self.told = Told(
+            "n0",
+            (STEWARD, self.port),
+            ("127.3.0.9", self.port),
+            7,
+            sockets,
+            {**FACTS, "probing": False, "connect_timeout": 0.2, **facts},
+            known,
+        )
         self.desk.silent = silent
 
     async def begin(self, wall=lambda: 2e9):
         await self.desk.open(self.port)
-        self.node = Node(self.told, lambda: self.told, lambda event, **more: self.log.append((event, more)), wall)
+        self.node = Node(
+            self.told, lambda: self.told, lambda event, **more: self.log.append((event, more)), wall
+        )
         await self.node.start()
         return self
 
@@ -144,4 +161,5 @@
         finally:
             place.end()
             await asyncio.sleep(0.02)
+
     return run(whole())
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -27,7 +27,9 @@
     made["dns"].update(dns)
     answers = Answers(made, Views(made), random.Random(1).uniform)
     for host in range(hosts):
-        answers.know(host, f"h{host}", f"127.10.0.{host + 1}", f"2001:db8::{host + 1:x}" if host % 2 else "")
+        answers.know(
+            host, f"h{host}", f"127.10.0.{host + 1}", f"2001:db8::{host + 1:x}" if host % 2 else ""
+        )
         answers.open_hosts.add(host)
     lines = lines or {0: 2.0, 1: 1.0, 2: 1.0}
     for view in answers.views.views:
@@ -95,7 +97,9 @@
     def test_takers_bring_what_was_planned_at_most_and_none_more_than_it_whole(self, rates, share):
         thin = Thinning(dict(enumerate(rates)))
         table = {0: share, 1: 1.0, 2: 1.0}
-        named = thin.decide({view: table for view in range(len(rates))}, dict.fromkeys(range(3), 1.0))
+        named = thin.decide(
+            {view: table for view in range(len(rates))}, dict.fromkeys(range(3), 1.0)
+        )
         planned = sum(rates) * share / (share + 2)
         takers = [rates[view] for view in named if 0 in named[view].lines]
         self.assertLessEqual(sum(takers) / 3, planned + 1e-9)
@@ -124,8 +128,11 @@
 
 
 class WhichView(unittest.TestCase):
-    @given(some.lists(some.tuples(some.integers(0, 2**32 - 1), some.integers(0, 32)), max_size=30),
-           some.integers(0, 2**32 - 1), some.integers(0, 32))
+    @given(
+        some.lists(some.tuples(some.integers(0, 2**32 - 1), some.integers(0, 32)), max_size=30),
+        some.integers(0, 2**32 - 1),
+        some.integers(0, 32),
+    )
     def test_the_longest_prefix_is_what_a_plain_scan_finds(self, networks, address, most):
         found, plain = PrefixMap(), {}
         for at, (base, length) in enumerate(networks):
@@ -167,12 +174,16 @@
     def test_aaaa_names_only_hosts_that_have_one_and_none_is_no_data(self):
         self.assertEqual(set(addresses(ask(front(), kind="AAAA"))), {"2001:db8::2"})
         none = ask(front({0: 1.0, 2: 1.0}), kind="AAAA")
-        self.assertEqual((none.rcode(), none.answer, len(none.authority)), (dns.rcode.NOERROR, [], 1))
+        self.assertEqual(
+            (none.rcode(), none.answer, len(none.authority)), (dns.rcode.NOERROR, [], 1)
+        )
 
     def test_srv_carries_the_weights_and_addresses_as_they_fit(self):
         answer = ask(front({0: 2.0, 1: 1.0}), "_http._tcp.api.example.org", "SRV", use_edns=0)
-        self.assertEqual({str(one.target): one.weight for one in answer.answer[0]},
-                         {"h0.hosts.example.org.": 1000, "h1.hosts.example.org.": 500})
+        self.assertEqual(
+            {str(one.target): one.weight for one in answer.answer[0]},
+            {"h0.hosts.example.org.": 1000, "h1.hosts.example.org.": 500},
+        )
         self.assertEqual(len(answer.additional), 3)
         many = {host: 1.0 for host in range(7)}
         small = ask(front(many), "_http._tcp.api.example.org", "SRV")
@@ -192,9 +203,14 @@
         self.assertFalse(dns.message.from_wire(data).flags & dns.flags.TC)
 
     def test_negative_answers_carry_the_soa(self):
-        for name, kind, code in (("x.example.org", "A", dns.rcode.NXDOMAIN), ("api.example.org", "MX", 0),
-                                 ("a.b.api.example.org", "A", dns.rcode.NXDOMAIN), ("_tcp.api.example.org", "A", 0),
-                                 ("hosts.example.org", "A", 0), ("h99.hosts.example.org", "A", dns.rcode.NXDOMAIN)):
+        for name, kind, code in (
+            ("x.example.org", "A", dns.rcode.NXDOMAIN),
+            ("api.example.org", "MX", 0),
+            ("a.b.api.example.org", "A", dns.rcode.NXDOMAIN),
+            ("_tcp.api.example.org", "A", 0),
+            ("hosts.example.org", "A", 0),
+            ("h99.hosts.example.org", "A", dns.rcode.NXDOMAIN),
+        ):
             with self.subTest(name):
                 answer = ask(front(), name, kind)
                 self.assertEqual((answer.rcode(), answer.answer), (code, []))
@@ -219,7 +235,9 @@
         self.assertEqual(answers.respond(query.to_wire(), "10.1.0.1")[3] & 15, dns.rcode.NOTIMP)
         query = dns.message.make_query("api.example.org", "A").to_wire()
         self.assertEqual(answers.respond(query[:20], "10.1.0.1")[3] & 15, dns.rcode.FORMERR)
-        self.assertIsNone(answers.respond(query[:2] + b"\x80" + query[3:], "10.1.0.1"))  # an answer: no loop
+        self.assertIsNone(
+            answers.respond(query[:2] + b"\x80" + query[3:], "10.1.0.1")
+        )  # an answer: no loop
         self.assertIsNone(answers.respond(query[:11], "10.1.0.1"))
 
     def test_the_case_of_the_name_is_kept(self):
@@ -242,7 +260,9 @@
     def test_two_views_behind_one_resolver_by_names_of_their_own(self):
         answers = front()
         answers.place(1, 0, Named({7: 1.0}, True), {7: 1.0})
-        self.assertEqual(addresses(ask(answers, "desk1.api.example.org", peer="10.9.0.1")), ["127.10.0.8"])
+        self.assertEqual(
+            addresses(ask(answers, "desk1.api.example.org", peer="10.9.0.1")), ["127.10.0.8"]
+        )
         self.assertEqual(len(addresses(ask(answers, "desk0.api.example.org", peer="10.2.0.1"))), 2)
 
     def test_no_table_is_a_failure_that_sends_the_resolver_on_and_is_not_kept(self):
@@ -270,18 +290,23 @@
 
     def test_mutated_queries_never_raise_and_never_pass_their_transport(self):
         answers, chance = front({host: 1.0 for host in range(40)}, addresses=40), random.Random(3)
-        seeds = [dns.message.make_query(name, kind, use_edns=edns, options=options).to_wire()
-                 for name in ("api.example.org", "_http._tcp.api.example.org", "example.org", "x.y")
-                 for kind in ("A", "AAAA", "SRV", "SOA", "ANY", "AXFR")
-                 for edns, options in ((False, None), (0, None), (0, [dns.edns.ECSOption("10.2.0.0", 24)]))]
+        seeds = [
+            dns.message.make_query(name, kind, use_edns=edns, options=options).to_wire()
+            for name in ("api.example.org", "_http._tcp.api.example.org", "example.org", "x.y")
+            for kind in ("A", "AAAA", "SRV", "SOA", "ANY", "AXFR")
+            for edns, options in (
+                (False, None),
+                (0, None),
+                (0, [dns.edns.ECSOption("10.2.0.0", 24)]),
+            )
+        ]
         for _ in range(4000):
             data = bytearray(chance.choice(seeds))
             for _ in range(chance.randrange(4)):
                 data[chance.randrange(len(data))] = chance.randrange(256)
-            data = bytes(data[:chance.randrange(len(data) + 1)] if chance.random() < 0.2 else data)
+            data = bytes(data[: chance.randrange(len(data) + 1)] if chance.random() < 0.2 else data)
             tcp = chance.random() < 0.2
             answer = answers.respond(data, chance.choice(("10.1.0.1", "192.0.2.53")), tcp)
             if answer is not None:
                 self.assertEqual(answer[:2], data[:2])
                 self.assertLessEqual(len(answer), 65535 if tcp else 1232)
-
--- a/tests/test_burden.py
+++ b/tests/test_burden.py
@@ -15,7 +15,12 @@
     def __init__(self, senders, cost, follow=True, every=1.0):
         self.burden, self.senders = Burden(every, lambda low, high: low), senders
         self.cost, self.follow = cost, follow
-        self.now, self.next, self.last, self.turn = 0.0, [at / senders for at in range(senders)], {}, {}
+        self.now, self.next, self.last, self.turn = (
+            0.0,
+            [at / senders for at in range(senders)],
+            {},
+            {},
+        )
         self.read, self.sent, self.late, self.orders, self.backlog = [0] * senders, 0, 0.0, [], 0.0
 
     def run(self, seconds, extra=0.0):
@@ -26,14 +31,18 @@
             for at in range(self.senders):
                 while self.next[at] <= self.now:
                     self.sent += 1
-                    if self.burden.takes_report(self.next[at], self.last.get(at), self.turn.get(at, 0)):
+                    if self.burden.takes_report(
+                        self.next[at], self.last.get(at), self.turn.get(at, 0)
+                    ):
                         self.read[at] += 1
                         self.last[at] = self.next[at]
                         self.burden.decide(self.now, [Did(1, self.cost)])
                         spent += self.cost
                     self.turn[at] = self.turn.get(at, 0) + 1
                     part = at * 619 % 997 / 996
-                    self.next[at] += self.burden.interval_of(part) if self.follow else self.burden.every
+                    self.next[at] += (
+                        self.burden.interval_of(part) if self.follow else self.burden.every
+                    )
             self.backlog = max(0.0, self.backlog + spent - 0.1)
             self.late = self.backlog
             self.orders += self.burden.decide(self.now, [Beat(self.late, self.senders)])
@@ -73,7 +82,9 @@
         self.assertTrue(any(type(order) is Gather and order.seconds > 0 for order in made.orders))
         self.assertTrue(any(type(order) is Say for order in made.orders))
         made.run(120)
-        self.assertEqual((made.burden.ease, made.burden.interval, made.burden.gather), (1.0, 1.0, 0.0))
+        self.assertEqual(
+            (made.burden.ease, made.burden.interval, made.burden.gather), (1.0, 1.0, 0.0)
+        )
 
     def test_one_that_floods_costs_the_others_nothing(self):
         made = Burden(1.0, lambda low, high: low)
@@ -105,7 +116,12 @@
             made.decide(now, [Beat(late, 10)])
         self.assertEqual((made.ease, made.interval), (1.0, 1.0))
 
-    @given(some.lists(some.tuples(some.floats(0, 3), some.integers(0, 5000), some.floats(0, 0.01)), max_size=80))
+    @given(
+        some.lists(
+            some.tuples(some.floats(0, 3), some.integers(0, 5000), some.floats(0, 0.01)),
+            max_size=80,
+        )
+    )
     def test_bounds_hold_whatever_comes(self, beats):
         made, now = Burden(1.0, lambda low, high: low), 0.0
         for late, senders, cost in beats:
@@ -144,11 +160,15 @@
         made.reqs(7, 0, 6, 0, 2.0)
         events = made.due(5.0)
         hosts = [event for event in events if type(event) is our.HostSums]
-        self.assertEqual([(one.host, one.zone, one.tries, one.bad, one.report) for one in hosts],
-                         [(3, 0, 200, 50, {"util": 0.5}), (3, 1, 200, 50, {"util": 0.5})])
+        self.assertEqual(
+            [(one.host, one.zone, one.tries, one.bad, one.report) for one in hosts],
+            [(3, 0, 200, 50, {"util": 0.5}), (3, 1, 200, 50, {"util": 0.5})],
+        )
         self.assertEqual([round(one.mean_time, 9) for one in hosts], [0.2, 0.2])
-        self.assertEqual([one for one in events if type(one) is our.ReqSums and one.proxy == 7],
-                         [our.ReqSums(7, 0, 10, 1, 3.0)])
+        self.assertEqual(
+            [one for one in events if type(one) is our.ReqSums and one.proxy == 7],
+            [our.ReqSums(7, 0, 10, 1, 3.0)],
+        )
         self.assertEqual(made.due(6.0), [])
 
     def test_they_wait_for_their_time_and_forget_who_left(self):
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -141,7 +141,9 @@
         made = planner()
         orders = made.decide(101.0, [our.Roster("changes", 2, (member(3, 1, "draining"),))])
         self.assertIn(our.Withdraw(3, True, ()), orders)  # nobody waits for a table
-        self.assertEqual(len([o for o in of_type(orders, our.SetLine) if o.host == 3 and not o.weight]), 4)
+        self.assertEqual(
+            len([o for o in of_type(orders, our.SetLine) if o.host == 3 and not o.weight]), 4
+        )
 
     def test_nothing_is_tried_again_that_may_have_run(self):
         made = planner()
@@ -169,7 +171,6 @@
             host.out_until = 1e9
         self.assertTrue(made.table(made.proxies[0], 0))
 
-
     def test_cold_hosts_alone_never_make_a_table(self):
         made = planner()
         proxy = made.proxies[0]
@@ -237,7 +238,11 @@
     def test_a_channel_far_slower_than_told_never_holds_more_than_it_may(self):
         # At an eighth of its pace, 8,619 lines waited where 8,600 may: half the pace was all that was counted on.
         made = planner(hosts=60, proxies=0, channel_rate=2000.0, queue_most=3000.0)
-        made.facts["proxies"], publisher, channel = 90, Publisher(), []  # [proxy, lines that are left, marks]
+        made.facts["proxies"], publisher, channel = (
+            90,
+            Publisher(),
+            [],
+        )  # [proxy, lines that are left, marks]
         events, free, most, bound = [], 0.0, 0.0, set()
         for tick in range(600):
             now = 101.0 + tick / 10
@@ -248,9 +253,17 @@
                 host = tick // 100
                 events.append(our.Roster("changes", tick, (member(host, host % 2, "draining"),)))
             messages, marks, _ = publisher.take(made.decide(now, [our.TimerFired(0), *events]))
-            channel += [[proxy, 6 + len(ops), marks.get(proxy, ())] for proxy, ops in messages.items()]
-            bound.update(proxy for proxy, ops in messages.items() if any(op[0] == "bind" for op in ops))
-            most, events, free = max(most, sum(one[1] for one in channel)), [], free + 2000.0 / 8 / 10
+            channel += [
+                [proxy, 6 + len(ops), marks.get(proxy, ())] for proxy, ops in messages.items()
+            ]
+            bound.update(
+                proxy for proxy, ops in messages.items() if any(op[0] == "bind" for op in ops)
+            )
+            most, events, free = (
+                max(most, sum(one[1] for one in channel)),
+                [],
+                free + 2000.0 / 8 / 10,
+            )
             while channel and free >= channel[0][1]:
                 proxy, lines, told = channel.pop(0)
                 free -= lines
@@ -261,16 +274,23 @@
 
     def test_so_many_withdrawals_as_would_fill_the_queue_are_not_told_again(self):
         made = planner(hosts=80, channel_rate=100.0, queue_most=400.0)
-        made.decide(101.0, [our.Roster("changes", 2, tuple(member(h, h % 2, "draining") for h in range(60)))])
+        made.decide(
+            101.0,
+            [our.Roster("changes", 2, tuple(member(h, h % 2, "draining") for h in range(60)))],
+        )
         orders = made.decide(101.1, [our.ProxyJoined(9, 0, 10.0, False)])
         self.assertFalse(of_type(orders, our.Withdraw))
 
-    def test_a_drain_that_all_waiting_proxies_would_fill_the_queue_with_waits_for_their_tables(self):
+    def test_a_drain_that_all_waiting_proxies_would_fill_the_queue_with_waits_for_their_tables(
+        self,
+    ):
         # One steward with 1,100 waiting proxies and 30 hosts that drain: 45,011 lines where 45,000 may.
         made = planner(hosts=60, channel_rate=100.0, queue_most=400.0)
         made.waiting.unanswered = 180.0
         made.decide(101.0, [our.ProxyJoined(n, n % 2, 10.0, False) for n in range(10, 40)])
-        orders = made.decide(101.1, [our.Roster("changes", 2, tuple(member(h, h % 2, "draining") for h in range(9)))])
+        orders = made.decide(
+            101.1, [our.Roster("changes", 2, tuple(member(h, h % 2, "draining") for h in range(9)))]
+        )
         self.assertEqual({order.waiting for order in of_type(orders, our.Withdraw)}, {()})
         publisher = Publisher()
         publisher.join(10, levelled=True)
@@ -280,17 +300,33 @@
         self.assertEqual(list(publisher.take([our.Withdraw(3, True)])[0]), [11])
         made.waiting.unanswered = 0.0
         made.waiting.batches.clear()
-        orders = [order for tick in range(60) for order in made.decide(101.2 + tick / 10, [our.TimerFired(0)])]
+        orders = [
+            order
+            for tick in range(60)
+            for order in made.decide(101.2 + tick / 10, [our.TimerFired(0)])
+        ]
         self.assertTrue(of_type(orders, our.BindTable))
 
     def test_events_that_name_what_is_not_known_are_taken_in_and_put_nothing_on_a_table(self):
         made = planner()
-        orders = made.decide(101.0, [
-            our.HostSums(900, 7, 3, 5, 0.0, 0.1, {"odd": 1.0}), our.ReqSums(900, 70, 5, 0, 0.0),
-            our.ReqSums(0, 70, 5, 0, 1.0), our.HostSums(1, 7, 3, 5, 9.0, 0.1, None), our.ProxyLeft(1),
-            our.ProbeResult(900, "ok", 0.1, None), our.ProxyLeft(900), our.PeerNote(5, b""), our.ProxyLeft(1),
-            our.Roster("changes", 1, (member(901, 6, "gone"), member(2), member(2))),
-            our.ProxyJoined(60000, 9, 1.0, False), our.ProxyJoined(60000, 9, 1.0, True), our.TimerFired(99)])
+        orders = made.decide(
+            101.0,
+            [
+                our.HostSums(900, 7, 3, 5, 0.0, 0.1, {"odd": 1.0}),
+                our.ReqSums(900, 70, 5, 0, 0.0),
+                our.ReqSums(0, 70, 5, 0, 1.0),
+                our.HostSums(1, 7, 3, 5, 9.0, 0.1, None),
+                our.ProxyLeft(1),
+                our.ProbeResult(900, "ok", 0.1, None),
+                our.ProxyLeft(900),
+                our.PeerNote(5, b""),
+                our.ProxyLeft(1),
+                our.Roster("changes", 1, (member(901, 6, "gone"), member(2), member(2))),
+                our.ProxyJoined(60000, 9, 1.0, False),
+                our.ProxyJoined(60000, 9, 1.0, True),
+                our.TimerFired(99),
+            ],
+        )
         later = made.decide(103.0, [our.TimerFired(0), our.TimerFired(0)])
         named = {o.host for o in of_type(orders + later, our.SetLine) if o.weight}
         self.assertFalse(named & {900, 901})
@@ -342,7 +378,6 @@
         self.assertLess(made.levels[0][0], 0.6)
         self.assertEqual(made.levels[1][0], 1.0)
 
-
     def test_failures_at_hosts_with_room_cut_nothing(self):
         made = planner(report_fields=["util"])
         for host in made.hosts.values():
@@ -424,9 +459,13 @@
             made, now = planner(tries_told=told), 100.0
             for _ in range(40):
                 now += 0.25
-                probes = [our.ProbeResult(h, "timed out" if h == 3 else "ok", 0.1, None) for h in range(8)]
+                probes = [
+                    our.ProbeResult(h, "timed out" if h == 3 else "ok", 0.1, None) for h in range(8)
+                ]
                 made.decide(now, [*probes, our.TimerFired(0)])
-            self.assertEqual((made.hosts[3].usable, any(3 in p.lines[0] for p in made.joined)), (usable, usable))
+            self.assertEqual(
+                (made.hosts[3].usable, any(3 in p.lines[0] for p in made.joined)), (usable, usable)
+            )
 
     def test_proxies_whose_numbers_are_hashes_of_names_are_ranked(self):
         made = planner()
@@ -451,15 +490,25 @@
 
     def round_of(self, made, now, bad_of_0=2):
         """One round in which host 0 failed a few of its few tries, and all others were well."""
-        made.decide(now, [our.HostSums(h, 0, 5 if h else 3, 0 if h else bad_of_0, 1.0, 0.1, {"util": 0.3})
-                          for h in range(8)])
+        made.decide(
+            now,
+            [
+                our.HostSums(h, 0, 5 if h else 3, 0 if h else bad_of_0, 1.0, 0.1, {"util": 0.3})
+                for h in range(8)
+            ],
+        )
         return made.decide(now + 0.3, [our.TimerFired(0)])
 
     def test_a_note_is_never_longer_than_a_wire_takes(self):
         # tn in full, 2026-12-01: notes of 264 bytes where 256 go ended three days with nothing.
         made = planner(hosts=60, peer_notes=True)
-        made.decide(101.0, [our.HostSums(h, 0, 900, 800, 1.0, 0.1, {"util": 0.3}) for h in range(40)])
-        notes = [order.payload for order in of_type(made.decide(101.3, [our.TimerFired(0)]), our.SendPeer)]
+        made.decide(
+            101.0, [our.HostSums(h, 0, 900, 800, 1.0, 0.1, {"util": 0.3}) for h in range(40)]
+        )
+        notes = [
+            order.payload
+            for order in of_type(made.decide(101.3, [our.TimerFired(0)]), our.SendPeer)
+        ]
         self.assertTrue(len(notes) > 1 and all(len(note) <= 250 for note in notes))
         self.assertEqual(sum(len(note.split(b"\n")) for note in notes), 20)
         made.now, made.orders = 101.4, []
@@ -470,7 +519,9 @@
         made = planner(peer_notes=True)
         made.decide(100.5, [our.PeerNote(1, b"host-0 30.0 30.0 0.0")])
         told = of_type(self.round_of(made, 101.0), our.SendPeer)
-        self.assertEqual([(one.peer, one.payload) for one in told], [(None, b"host-0 2.0 1.3 0.07")])
+        self.assertEqual(
+            [(one.peer, one.payload) for one in told], [(None, b"host-0 2.0 1.3 0.07")]
+        )
 
     def test_no_notes_where_none_are_permitted_or_nothing_fails(self):
         self.assertFalse(of_type(self.round_of(planner(), 101.0), our.SendPeer))
@@ -478,7 +529,9 @@
 
     def test_a_part_of_the_tries_convicts_only_with_the_others_parts(self):
         alone, told = planner(peer_notes=True), planner(peer_notes=True)
-        told.decide(100.9, [our.PeerNote(1, b"host-0 3.0 2.0 0.1"), our.PeerNote(2, b"host-0 3.0 2.0 0.1")])
+        told.decide(
+            100.9, [our.PeerNote(1, b"host-0 3.0 2.0 0.1"), our.PeerNote(2, b"host-0 3.0 2.0 0.1")]
+        )
         for made in (alone, told):
             self.round_of(made, 101.0)
         self.assertTrue(alone.hosts[0].usable)
@@ -486,15 +539,28 @@
 
     def test_notes_that_make_no_sense_are_left_out(self):
         made = planner(peer_notes=True)
-        for payload in (b"", b"host-0", b"host-0 x 1 1", b"host-0 1 9 0", b"host-0 nan nan nan", b"ghost 9 9 0",
-                        b"host-0 1 2 3 4 5", b"\xff\xfe 1 1 1"):
+        for payload in (
+            b"",
+            b"host-0",
+            b"host-0 x 1 1",
+            b"host-0 1 9 0",
+            b"host-0 nan nan nan",
+            b"ghost 9 9 0",
+            b"host-0 1 2 3 4 5",
+            b"\xff\xfe 1 1 1",
+        ):
             made.decide(100.5, [our.PeerNote(1, payload)])
         self.assertFalse(any(host.told for host in made.hosts.values()))
 
     def test_a_note_from_before_a_start_does_not_count(self):
         made = planner(peer_notes=True)
-        made.decide(101.0, [our.Roster("changes", 2, (member(0, started_at=100.9),)),
-                            our.PeerNote(1, b"host-0 9.0 9.0 0.0")])
+        made.decide(
+            101.0,
+            [
+                our.Roster("changes", 2, (member(0, started_at=100.9),)),
+                our.PeerNote(1, b"host-0 9.0 9.0 0.0"),
+            ],
+        )
         self.assertFalse(made.hosts[0].told)
 
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -36,8 +36,10 @@
             self.assertIn("2 stewards, 2 views", call("check", path).output)
             path.write_text("zone(nam = 1)")
             told = call("check", path)
-            self.assertEqual((told.exit_code, told.output), (1, f"Error: {path}:1: zone.name: expected a value: "
-                                                             "as the node list names it\n"))
+            self.assertEqual(
+                (told.exit_code, told.output),
+                (1, f"Error: {path}:1: zone.name: expected a value: as the node list names it\n"),
+            )
             self.assertIn("lifetime", call("check", "--reference").output)
             self.assertIn("expected FILE", call("check").output)
 
@@ -54,8 +56,11 @@
         with tempfile.TemporaryDirectory() as folder:
             port, path = free_port(), Path(folder) / "s.star"
             path.write_text(SCRIPT.format(port=port, control=port + 1, path=f"{folder}/n.json"))
-            child = subprocess.Popen([sys.executable, "-m", "peatlead", "run", str(path), "--name", "ns1"],
-                                     stderr=subprocess.PIPE, text=True)
+            child = subprocess.Popen(
+                [sys.executable, "-m", "peatlead", "run", str(path), "--name", "ns1"],
+                stderr=subprocess.PIPE,
+                text=True,
+            )
             events = []
             for line in child.stderr:
                 events.append(json.loads(line)["event"])
@@ -72,8 +77,11 @@
             before = steward.tell_drained(ask)
             world.phases["h2"] = "draining"
             world.write()
-            await until(lambda: steward.tell_drained(ask)["seconds until no kept answer names it"] == 0, 5.0)
+            await until(
+                lambda: steward.tell_drained(ask)["seconds until no kept answer names it"] == 0, 5.0
+            )
             return before["named by views"] > 0, steward.tell_drained(ask)["phase"]
+
         self.assertEqual(play(case), (True, "draining"))
 
 
@@ -86,11 +94,17 @@
             await until(lambda: len(world.named(steward)) == 4)
             first = str(steward.published.store.histories["view:desk0"].last)
             file = world.folder / "service.star"
-            file.write_text(SCRIPT.format(port=world.port, control=world.port + 1, path=f"{world.folder}/nodes.json"))
+            file.write_text(
+                SCRIPT.format(
+                    port=world.port, control=world.port + 1, path=f"{world.folder}/nodes.json"
+                )
+            )
             loop = asyncio.get_running_loop()
 
             async def peatlead(*words):
-                made = await loop.run_in_executor(None, lambda: call("tables", words[0], file, *words[1:]))
+                made = await loop.run_in_executor(
+                    None, lambda: call("tables", words[0], file, *words[1:])
+                )
                 return made.exit_code, made.output
 
             world.phases["h0"] = "draining"
@@ -103,17 +117,28 @@
             code, said = await peatlead("diff", "desk0", first, last, *ns1)
             self.assertIn("h0 (north): 1.0 -> None, 25.0% -> 0.0%", said)
             self.assertIn("h3", (await peatlead("show", "desk0", "--version", first, *ns1))[1])
-            code, said = await peatlead("rollback", "--proxy", "view:desk0", "--to", first, "--dry", *ns1)
+            code, said = await peatlead(
+                "rollback", "--proxy", "view:desk0", "--to", first, "--dry", *ns1
+            )
             self.assertIn("not as it was: h0 drains", said)
-            code, said = await peatlead("rollback", "--proxy", "view:desk0", "--to", first, "--over", "0", *ns1)
+            code, said = await peatlead(
+                "rollback", "--proxy", "view:desk0", "--to", first, "--over", "0", *ns1
+            )
             self.assertIn("pinned as ns1-1", said)
-            self.assertIn("ns1-1: proxy view:desk0, version", (await peatlead("status", "--proxies", *ns1))[1])
+            self.assertIn(
+                "ns1-1: proxy view:desk0, version", (await peatlead("status", "--proxies", *ns1))[1]
+            )
             self.assertEqual((await peatlead("resume", "ns1-1", *ns1))[0], 0)
-            for words, what in ((("rollback", "--all"), "--to and --back"), (("pin", *ns1), "--all"),
-                                (("rollback", "--all", "--to", "noon"), "HH:MM"),
-                                (("resume", "x-1", *ns1), "got 'x-1'"), (("show", "nobody", *ns1), "nobody")):
+            for words, what in (
+                (("rollback", "--all"), "--to and --back"),
+                (("pin", *ns1), "--all"),
+                (("rollback", "--all", "--to", "noon"), "HH:MM"),
+                (("resume", "x-1", *ns1), "got 'x-1'"),
+                (("show", "nobody", *ns1), "nobody"),
+            ):
                 code, said = await peatlead(*words)
                 self.assertTrue(code and what in said and "Traceback" not in said, said)
+
         play(case)
 
 
@@ -125,5 +150,7 @@
             told = call("day", path, "--out", folder)
             self.assertEqual(told.exit_code, 0, told.output)
             kinds = {row.kind for row in read_folder(Path(folder) / "shards").rows}
-            self.assertLessEqual({"answer", "try", "req", "effect", "list", "message", "trouble"}, kinds)
+            self.assertLessEqual(
+                {"answer", "try", "req", "effect", "list", "message", "trouble"}, kinds
+            )
             self.assertEqual(call("rules", Path(folder) / "shards").exit_code, 0)
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -13,16 +13,36 @@
 GRACE, SLACK = 3.0, 0.3  # seconds; the platform's pages extend the grace by so much
 PACE = 3200.0  # lines a second: all tables of 240 proxies that join at once take about six tenths of the grace
 SETTINGS = {
-    "balancers": 4, "rank": 0, "locality": 0, "zones": ["z0", "z1"], "kinds": ["m"], "classes": [
-        {"name": "read", "targetUs": 800000, "deadlineUs": 2500000, "repeat": "repeatable", "worth": 2.0},
-        {"name": "pay", "targetUs": 500000, "deadlineUs": 1200000, "repeat": "once", "worth": 6.0}],
-    "familyInfo": {"dataPlaneSize": 320, "channelRate": PACE, "perMessage": 6.0, "pendingMax": 8800.0,
-                   "emptyForUs": 4400000, "lateMostUs": 300000},
-    "obligations": {"drainGraceUs": 1e6 * GRACE, "warmAfterUs": 15000000}}
+    "balancers": 4,
+    "rank": 0,
+    "locality": 0,
+    "zones": ["z0", "z1"],
+    "kinds": ["m"],
+    "classes": [
+        {
+            "name": "read",
+            "targetUs": 800000,
+            "deadlineUs": 2500000,
+            "repeat": "repeatable",
+            "worth": 2.0,
+        },
+        {"name": "pay", "targetUs": 500000, "deadlineUs": 1200000, "repeat": "once", "worth": 6.0},
+    ],
+    "familyInfo": {
+        "dataPlaneSize": 320,
+        "channelRate": PACE,
+        "perMessage": 6.0,
+        "pendingMax": 8800.0,
+        "emptyForUs": 4400000,
+        "lateMostUs": 300000,
+    },
+    "obligations": {"drainGraceUs": 1e6 * GRACE, "warmAfterUs": 15000000},
+}
 
 
 def play(case, **plan):
     """`case(fleet)` once all proxies hold tables; gives the report on drains."""
+
     async def whole():
         with tempfile.TemporaryDirectory() as folder:
             fleet = Fleet(SETTINGS, FleetPlan(4, 320, 40, free_port(), **plan), folder)
@@ -36,6 +56,7 @@
             finally:
                 fleet.stop()
                 await asyncio.sleep(0.05)
+
     return run(whole(), 180.0)
 
 
@@ -48,7 +69,9 @@
         self.assertEqual(report.late, [])
         self.assertLessEqual(report.most_waiting, SETTINGS["familyInfo"]["pendingMax"])
 
-    def test_a_steward_that_takes_all_proxies_in_a_release_takes_drained_hosts_out_within_the_grace(self):
+    def test_a_steward_that_takes_all_proxies_in_a_release_takes_drained_hosts_out_within_the_grace(
+        self,
+    ):
         # Three of four stewards are killed while hosts drain in steps: as in the incident, the last one writes whole
         # tables to three quarters of the fleet and removals to the rest.
         async def case(fleet):
@@ -60,6 +83,7 @@
             drain(fleet, range(6, 12))
             await asyncio.sleep(1.2)
             drain(fleet, range(12, 18))
+
         self.assert_kept(play(case))
 
     def test_a_steward_that_restarts_in_a_release_takes_out_what_went_while_it_was_away(self):
@@ -75,6 +99,7 @@
             await fleet.ready("n0")
             await asyncio.sleep(1.0)
             drain(fleet, range(10, 14))
+
         self.assert_kept(play(case, rehome=1.0))
 
     def test_all_stewards_started_anew_at_once_in_a_release_take_out_what_went_meanwhile(self):
@@ -88,4 +113,5 @@
                 fleet.restart(name)
             await asyncio.sleep(1.0)
             drain(fleet, range(10, 14))
+
         self.assert_kept(play(case))
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -53,10 +53,13 @@
     def test_what_was_heard_before_the_end_is_decided_on_and_written(self):
         async def case(place):
             proxy = await joined(place)
-            place.node.on_listing(listing(2, instance(1, "z1", "leaving")))  # in the inbox, undecided
+            place.node.on_listing(
+                listing(2, instance(1, "z1", "leaving"))
+            )  # in the inbox, undecided
             place.node.stop()
             await until(lambda: proxy.over)
             self.assertEqual((taken_out(proxy), place.node.ended.result()), ({"s-1"}, "stopped"))
+
         play(case)
 
     def test_bytes_that_wait_are_sent_and_one_that_reads_nothing_holds_up_nobody(self):
@@ -69,6 +72,7 @@
             place.node.stop()
             await until(lambda: proxy.over and place.node.ended.done())
             self.assertEqual(taken_out(proxy), {"s-0"})
+
         play(case)
 
     def test_a_second_end_a_reload_and_late_timers_change_nothing(self):
@@ -83,6 +87,7 @@
             place.node.on_probe(0, "ok", 0.1, None, None)
             await until(lambda: proxy.over and place.node.ended.done())
             self.assertEqual((place.node.ended.result(), place.node.decided), ("stopped", decided))
+
         play(case)
 
     def test_an_end_before_the_start_is_through_leaves_no_listener(self):
@@ -94,6 +99,7 @@
             await until(other.ended.done)
             with self.assertRaises(OSError):
                 await asyncio.get_running_loop().create_connection(Lines, "127.3.0.2", place.port)
+
         play(case)
 
 
@@ -110,6 +116,7 @@
             await until(lambda: "s-1" in taken_out(proxy))
             await until(lambda: place.node.decided > before + 5)  # its timers go on
             self.assertIsNone(proxy.over)
+
         play(case)
 
     def test_timers_of_a_planner_that_is_no_more_are_not_heard(self):
@@ -120,6 +127,7 @@
             self.assertEqual(heard, [])
             place.node.fire_of(place.node.planner, 0, 0.0)
             self.assertEqual(heard, [our.TimerFired(0)])
+
         play(case)
 
     def test_one_that_goes_on_failing_is_the_stewards_end(self):
@@ -130,6 +138,7 @@
                 await until(place.node.ended.done)
             self.assertIn("planted", place.node.ended.result())
             self.assertEqual(len(place.node.failures), ANEW_MOST + 1)
+
         play(case)
 
     def test_a_message_that_cant_be_written_costs_its_stream_and_no_timer(self):
@@ -144,6 +153,7 @@
             before = place.node.decided
             await until(lambda: place.node.decided > before + 3)
             self.assertIsNone(again.over)
+
         play(case)
 
 
@@ -154,8 +164,10 @@
         told = [made.take([our.Withdraw(1, True)])[0] for _ in range(2)]
         made.leave(5)
         made.join(5, levelled=True)
-        self.assertEqual([*told, made.take([our.Withdraw(1, True)])[0]],
-                         [{5: {("withdrawn", 1): True}}, {}, {5: {("withdrawn", 1): True}}])
+        self.assertEqual(
+            [*told, made.take([our.Withdraw(1, True)])[0]],
+            [{5: {("withdrawn", 1): True}}, {}, {5: {("withdrawn", 1): True}}],
+        )
         self.assertEqual(made.take([our.Withdraw(1, False)])[0], {5: {("withdrawn", 1): False}})
         self.assertEqual(made.take([our.Withdraw(1, True)])[0], {5: {("withdrawn", 1): True}})
 
@@ -171,7 +183,10 @@
             place.desk.change(instance(8))
             await until(lambda: len(place.node.changed) == 2)
             proxy = await joined(place, 2)
-            self.assertEqual({name for part in proxy.got for name in part.get("restore", ())}, {"s-1", "s-8"})
+            self.assertEqual(
+                {name for part in proxy.got for name in part.get("restore", ())}, {"s-1", "s-8"}
+            )
+
         play(case, probing=False)
 
     def test_a_long_message_may_come_byte_by_byte(self):
@@ -179,20 +194,34 @@
             heard, hear = [], place.node.hear
             place.node.hear = lambda event: (heard.append(event), hear(event))
             agent = await place.collector()
-            said = json.dumps({"msg": "outcomes", "locality": "z0", "endpoint": "s-1", "total": 4, "errors": 0,
-                               "interval": 1000}).encode()
+            said = json.dumps(
+                {
+                    "msg": "outcomes",
+                    "locality": "z0",
+                    "endpoint": "s-1",
+                    "total": 4,
+                    "errors": 0,
+                    "interval": 1000,
+                }
+            ).encode()
             agent.send(said[:-1] + b" " * 300_000)
-            await until(lambda: any(len(caller.part) > 300_000 for caller in place.node.front.callers))
+            await until(
+                lambda: any(len(caller.part) > 300_000 for caller in place.node.front.callers)
+            )
             for byte in b"}\n":
                 agent.send(bytes((byte,)))
             await until(lambda: any(type(event) is our.HostSums for event in heard))
             agent.send(b" " * (messages.LINE_MOST + 2))
             await until(lambda: agent.over)
+
         play(case)
 
     def test_a_reset_right_after_accept_and_in_the_middle_of_a_part_leaves_nothing(self):
         async def case(place):
-            for said in [b""] * 20 + [b'{"msg":"hel', b'{"msg":"hello","node":1,"locality":"z0"}\n{"msg":'] * 5:
+            for said in [b""] * 20 + [
+                b'{"msg":"hel',
+                b'{"msg":"hello","node":1,"locality":"z0"}\n{"msg":',
+            ] * 5:
                 one = socket.create_connection((STEWARD, place.port))
                 one.sendall(said)
                 one.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -200,6 +229,7 @@
             proxy = await joined(place)
             await until(lambda: list(place.node.front.callers) == [place.node.streams[0]])
             self.assertEqual((list(place.node.planner.here), proxy.over), ([0], None))
+
         play(case)
 
     def test_one_that_is_refused_and_does_not_read_is_no_joined_proxy_for_long(self):
@@ -209,6 +239,7 @@
             with mock.patch.object(caller, "close"):  # as while bytes wait that nobody reads
                 caller.line(b"no sense")
                 await until(lambda: not place.node.planner.here)
+
         with mock.patch.object(front, "REFUSED_WITHIN", 0.05):
             play(case)
 
@@ -221,6 +252,7 @@
             late = await place.collector()
             await until(lambda: silent.over)
             self.assertEqual((other.over, live.over, late.over), (None, None, None))
+
         play(case)
 
 
@@ -241,6 +273,7 @@
             for conn in later.conns:
                 conn.cut("over")
             later.servers[0].close()
+
         play(case)
 
     def test_an_address_that_never_answered_is_left_at_once_and_the_one_before_it_kept(self):
@@ -254,6 +287,7 @@
             await until(lambda: place.node.watch.before is None)
             place.desk.change(instance(1, "z1", "leaving"))
             await until(lambda: place.node.planner.hosts[1].phase == "draining")
+
         play(case)
 
     def test_a_close_while_an_answer_is_half_read_loses_no_news(self):
@@ -264,6 +298,7 @@
             conn.close()
             place.desk.change(instance(0, lifecycle="leaving"))
             await until(lambda: place.node.planner.hosts[0].phase == "draining")
+
         play(case)
 
     def test_changes_of_a_version_that_went_back_are_not_taken_and_the_whole_list_is(self):
@@ -279,6 +314,7 @@
             await until(lambda: place.desk.paths.count("/v1/endpoints") > whole)
             await until(lambda: place.node.watch.version == 3)
             self.assertEqual(place.node.planner.hosts[0].phase, "draining")
+
         play(case)
 
     def test_news_that_came_while_a_decide_was_long_come_with_the_next_call(self):
@@ -291,20 +327,33 @@
                     long.append(place.desk.held.clear())  # the call that waited is lost meanwhile
                     place.desk.change(instance(0, lifecycle="leaving"))
                 return decide(now, events)
+
             with mock.patch.object(place.node.planner, "decide", once):
                 await until(lambda: place.node.planner.hosts[0].phase == "draining")
+
         play(case)
 
     def test_a_spoilt_entry_of_a_whole_list_takes_its_host_out_of_nothing(self):
         async def case(place):
             await until(lambda: place.node.watch.version == 1)
             good = [instance(at, f"z{at % 2}") for at in range(4)]
-            for bad, left in (({**good[1], "lifecycle": 7}, "ready"), ({**good[1], "zone": "nowhere"}, "ready"),
-                              ({"zone": "z1"}, "ready"), (None, "gone")):
-                place.node.on_listing(listing(9, *[one for at, one in enumerate(good) if at != 1],
-                                              *[bad] * (bad is not None), whole=True))
+            for bad, left in (
+                ({**good[1], "lifecycle": 7}, "ready"),
+                ({**good[1], "zone": "nowhere"}, "ready"),
+                ({"zone": "z1"}, "ready"),
+                (None, "gone"),
+            ):
+                place.node.on_listing(
+                    listing(
+                        9,
+                        *[one for at, one in enumerate(good) if at != 1],
+                        *[bad] * (bad is not None),
+                        whole=True,
+                    )
+                )
                 await until(lambda: not place.node.inbox)
                 self.assertEqual(place.node.planner.hosts[1].phase, left, bad)
+
         play(case)
 
     def test_a_probe_of_a_host_that_was_forgotten_meanwhile_is_no_news(self):
@@ -315,6 +364,7 @@
             place.node.on_probe(3, "timed out", 0.2, None, None)
             place.node.on_listing(listing(2, instance(3, "z1")))
             await until(lambda: place.node.door.index["s-3"] == 4 and 4 in place.node.planner.hosts)
+
         play(case)
 
     def test_alive_is_answered_from_the_known_list_while_discovery_is_silent(self):
@@ -324,6 +374,7 @@
             peer.say(msg="probe")
             await until(lambda: peer.got == [{"msg": "alive"}])
             self.assertIsNone(place.node.watch.version)
+
         known = listing(0, instance(0), instance(1, "z1"), whole=True)._replace(scope="remembered")
         play(case, known=known, silent=True)
 
@@ -342,28 +393,55 @@
             second.say(msg="demand", node=8, route="pay", total=1, errors=0, interval=1000)
             await until(lambda: other.node.front.counts.get("names nothing"))
             other.end()
+
         play(case)
 
     def test_each_setting_that_cant_be_used_is_named(self):
         self.assertEqual(faults(FACTS), [])
-        for name, value, said in (("channel_rate", "fast", "channel_rate"), ("zone", 2, "zone"),
-                                  ("zones", [], "zones"), ("proxies", 0, "proxies"),
-                                  ("drain_grace", float("nan"), "drain_grace"),
-                                  ("req_kinds", [], "req_kinds")):
+        for name, value, said in (
+            ("channel_rate", "fast", "channel_rate"),
+            ("zone", 2, "zone"),
+            ("zones", [], "zones"),
+            ("proxies", 0, "proxies"),
+            ("drain_grace", float("nan"), "drain_grace"),
+            ("req_kinds", [], "req_kinds"),
+        ):
             self.assertIn(said, faults({**FACTS, name: value})[0])
         kind = FACTS["req_kinds"][0]
-        for change, said in (({"gain": -1.0}, "gain"), ({"response_target": 0.0}, "response_target"),
-                             ({"name": 7}, "7")):
+        for change, said in (
+            ({"gain": -1.0}, "gain"),
+            ({"response_target": 0.0}, "response_target"),
+            ({"name": 7}, "7"),
+        ):
             self.assertIn(said, faults({**FACTS, "req_kinds": [{**kind, **change}]})[0])
         self.assertIn("a name of its own", faults({**FACTS, "req_kinds": [kind, kind]})[0])
 
 
 SETTINGS = {
-    "balancers": 1, "rank": 0, "locality": 0, "zones": ["z0"], "kinds": ["m"], "classes": [
-        {"name": "read", "targetUs": 800000, "deadlineUs": 2500000, "repeat": "repeatable", "worth": 2.0}],
-    "familyInfo": {"dataPlaneSize": 4, "channelRate": 1000.0, "perMessage": 6.0, "pendingMax": 2000.0,
-                   "emptyForUs": 3000000, "lateMostUs": 1000000},
-    "obligations": {"drainGraceUs": 2000000, "warmAfterUs": 15000000}}
+    "balancers": 1,
+    "rank": 0,
+    "locality": 0,
+    "zones": ["z0"],
+    "kinds": ["m"],
+    "classes": [
+        {
+            "name": "read",
+            "targetUs": 800000,
+            "deadlineUs": 2500000,
+            "repeat": "repeatable",
+            "worth": 2.0,
+        }
+    ],
+    "familyInfo": {
+        "dataPlaneSize": 4,
+        "channelRate": 1000.0,
+        "perMessage": 6.0,
+        "pendingMax": 2000.0,
+        "emptyForUs": 3000000,
+        "lateMostUs": 1000000,
+    },
+    "obligations": {"drainGraceUs": 2000000, "warmAfterUs": 15000000},
+}
 
 
 class Program(unittest.TestCase):
@@ -373,11 +451,22 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.port, self.path = free_port(), Path(folder.name, "config.json")
-        self.said = {"name": "n0", "listen": f"127.3.0.3:{self.port}", "discovery": "127.3.0.4:9", "seed": "1f",
-                     "known": {"generation": 0, "reset": True, "instances": [instance(0)]}, "settings": SETTINGS}
+        self.said = {
+            "name": "n0",
+            "listen": f"127.3.0.3:{self.port}",
+            "discovery": "127.3.0.4:9",
+            "seed": "1f",
+            "known": {"generation": 0, "reset": True, "instances": [instance(0)]},
+            "settings": SETTINGS,
+        }
         self.path.write_text(json.dumps(self.said))
-        program = subprocess.Popen([sys.executable, "-m", "peatlead.platform"], stderr=subprocess.PIPE, text=True,
-                                   env={**os.environ, "NODE_CONFIG": str(self.path)}, **limits)
+        program = subprocess.Popen(
+            [sys.executable, "-m", "peatlead.platform"],
+            stderr=subprocess.PIPE,
+            text=True,
+            env={**os.environ, "NODE_CONFIG": str(self.path)},
+            **limits,
+        )
         self.addCleanup(program.stderr.close)
         self.addCleanup(program.kill)
         self.read(program, "steward started")
@@ -398,15 +487,24 @@
         program = self.start()
         self.path.write_text('{"name":')
         program.send_signal(signal.SIGHUP)
-        self.assertIn("not a configuration", self.read(program, "new configuration not taken")["why"])
+        self.assertIn(
+            "not a configuration", self.read(program, "new configuration not taken")["why"]
+        )
         self.said["settings"] = {**SETTINGS, "locality": 9}
         self.path.write_text(json.dumps(self.said))
         program.send_signal(signal.SIGHUP)
-        self.assertIn("zone: expected one of 1", self.read(program, "new configuration not taken")["why"])
-        self.said["settings"] = {**SETTINGS, "obligations": {"drainGraceUs": 1000000, "warmAfterUs": 15000000}}
+        self.assertIn(
+            "zone: expected one of 1", self.read(program, "new configuration not taken")["why"]
+        )
+        self.said["settings"] = {
+            **SETTINGS,
+            "obligations": {"drainGraceUs": 1000000, "warmAfterUs": 15000000},
+        }
         self.path.write_text(json.dumps(self.said))
         program.send_signal(signal.SIGHUP)
-        told = self.read(program, "new configuration: all but discovery's address is for the next start")
+        told = self.read(
+            program, "new configuration: all but discovery's address is for the next start"
+        )
         self.assertEqual(told["differs"], ["drain_grace"])
         self.assertEqual(self.asked(), '{"msg":"alive"}\n')
         program.terminate()
@@ -417,8 +515,11 @@
         with tempfile.TemporaryDirectory() as folder:
             path = f"{folder}/config.json"
             os.mkfifo(path)
-            program = subprocess.Popen([sys.executable, "-m", "peatlead.platform"], stderr=subprocess.PIPE,
-                                       env={**os.environ, "NODE_CONFIG": path})
+            program = subprocess.Popen(
+                [sys.executable, "-m", "peatlead.platform"],
+                stderr=subprocess.PIPE,
+                env={**os.environ, "NODE_CONFIG": path},
+            )
             self.addCleanup(program.stderr.close)
             self.addCleanup(program.kill)
             with open(path, "wb"):  # it has come so far as to read what it is told
@@ -427,7 +528,9 @@
                 self.assertEqual(program.wait(60), 0)
 
     def test_descriptors_used_up_are_no_end_and_those_that_come_later_are_served(self):
-        program = self.start(preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (40, 40)))
+        program = self.start(
+            preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (40, 40))
+        )
         herd = [socket.create_connection(("127.3.0.3", self.port), 30) for _ in range(80)]
         self.read(program, "accept put off")
         for one in herd:
@@ -457,8 +560,11 @@
 
             def run(fails="nothing"):
                 (root / "calls").write_text("")
-                done = subprocess.run(["sh", "deploy/build"], cwd=root, env={
-                    "PATH": f"{root}:{os.environ['PATH']}", "ROOT": folder, "FAILS": fails})
+                done = subprocess.run(
+                    ["sh", "deploy/build"],
+                    cwd=root,
+                    env={"PATH": f"{root}:{os.environ['PATH']}", "ROOT": folder, "FAILS": fails},
+                )
                 return done.returncode, (root / "calls").read_text().count("venv --clear")
 
             self.assertEqual(run("pip install"), (1, 1))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -29,7 +29,12 @@
     def test_losses_alone_kill_nobody_for_good(self):
         net, wrong = Net(5, loss=0.15), []
         net.run(5.0)
-        net.run(60.0, lambda: wrong.append(sum(s == "dead" for n in net.nodes for s in net.states(n).values())))
+        net.run(
+            60.0,
+            lambda: wrong.append(
+                sum(s == "dead" for n in net.nodes for s in net.states(n).values())
+            ),
+        )
         self.assertLess(sum(map(bool, wrong)), len(wrong) * 0.05)
         net.loss = 0.0
         net.run(4.0)
@@ -109,10 +114,21 @@
         about = net.nodes["n2"].live()["n0"]
         self.assertEqual((about.load, about.draining), (17, True))
 
-    @given(some.lists(some.tuples(some.sampled_from(["kill", "start", "cut", "heal", "freeze", "wake", "loss"]),
-                                  some.integers(0, 3), some.integers(0, 3), some.floats(0.05, 3.0)), max_size=12),
-           some.integers(0, 1000))
-    def test_whatever_befalls_them_incarnations_never_go_back_and_all_agree_in_the_end(self, what, seed):
+    @given(
+        some.lists(
+            some.tuples(
+                some.sampled_from(["kill", "start", "cut", "heal", "freeze", "wake", "loss"]),
+                some.integers(0, 3),
+                some.integers(0, 3),
+                some.floats(0.05, 3.0),
+            ),
+            max_size=12,
+        ),
+        some.integers(0, 1000),
+    )
+    def test_whatever_befalls_them_incarnations_never_go_back_and_all_agree_in_the_end(
+        self, what, seed
+    ):
         net, seen = Net(4, seed), {}
 
         def watch():
@@ -124,6 +140,7 @@
                     if one.since <= net.now:
                         self.assertGreaterEqual(one.about.incarnation, seen.get(key, 0))
                         seen[key] = one.about.incarnation
+
         net.run(3.0, watch)
         for verb, a, b, wait in what:
             one, other = f"n{a}", f"n{b}"
@@ -170,7 +187,7 @@
         good = one.close(b"x", "b")
         for at in range(len(good)):
             with self.assertRaises(BadSeal):
-                other.open(good[:at] + bytes([good[at] ^ 1]) + good[at + 1:])
+                other.open(good[:at] + bytes([good[at] ^ 1]) + good[at + 1 :])
             with self.assertRaises(BadSeal):
                 other.open(good[:at])
         with self.assertRaisesRegex(BadSeal, "another fleet's"):
@@ -188,7 +205,9 @@
             other.open(anew.close(b"hi", "b"))
         anew.learn("b", caught.exception.proof)
         self.assertEqual(other.open(anew.close(b"hi", "b")), ("a", b"hi"))
-        for old in recorded * 2:  # the boot was proven once, but none of its messages had come through
+        for old in (
+            recorded * 2
+        ):  # the boot was proven once, but none of its messages had come through
             with self.assertRaises(BadSeal):
                 other.open(old)
         self.assertEqual(other.open(anew.close(b"ho", "b")), ("a", b"ho"))
@@ -309,14 +328,20 @@
         self.assertEqual(made.moves(11.0), [])
         self.assertTrue(made.moves(14.0))
 
-    @given(some.lists(some.tuples(some.sampled_from("abc"), some.integers(0, 4), some.booleans()), max_size=40),
-           some.integers(0, 99))
+    @given(
+        some.lists(
+            some.tuples(some.sampled_from("abc"), some.integers(0, 4), some.booleans()), max_size=40
+        ),
+        some.integers(0, 99),
+    )
     def test_epochs_never_go_back_and_one_owner_at_most_is_effective(self, joins, seed):
         """The proxy joins whom it will, in any order; orders of all that it ever joined arrive in any order."""
         made, chance = fleet_of("a", "b", "c"), random.Random(seed)
         fence, orders, effective = Fence(), [], []
         for name, many, forget in joins:
-            fence = Fence((fence.newest[0] + 1, 1 << 62))  # its dial itself fences all that were before
+            fence = Fence(
+                (fence.newest[0] + 1, 1 << 62)
+            )  # its dial itself fences all that were before
             verdict = made[name].admit(0.0, "p", fence.newest[0], hops=9)
             if not verdict.take:
                 continue
@@ -343,12 +368,23 @@
             script = SCRIPT
             for at in (1, 2):
                 here = f'"127.1.0.{at}:'
-                script = script.replace(f"control = {here}", f'peer = {here}{{grpc}}", control = {here}')
+                script = script.replace(
+                    f"control = {here}", f'peer = {here}{{grpc}}", control = {here}'
+                )
             only = settings(port, script=script, more=f"fleet(keys = [{KEY.hex()!r}])")
             stewards = only["steward"]
             for at, me in enumerate(stewards):
-                made.append(FleetNode(only, me, random.Random(at), bytes([at]) * 8, lambda: 0, lambda *_, **__: None,
-                                      lambda sender, payload: heard.append((sender, payload))))
+                made.append(
+                    FleetNode(
+                        only,
+                        me,
+                        random.Random(at),
+                        bytes([at]) * 8,
+                        lambda: 0,
+                        lambda *_, **__: None,
+                        lambda sender, payload: heard.append((sender, payload)),
+                    )
+                )
                 await made[-1].open()
             try:
                 await until(lambda: all(len(one.members.live()) == 2 for one in made))
@@ -364,4 +400,5 @@
             finally:
                 for one in made:
                     one.leave()
+
         run(case())
--- a/tests/test_grpc.py
+++ b/tests/test_grpc.py
@@ -33,15 +33,25 @@
 
 FLEET = SCRIPT
 for at in (1, 2):
-    FLEET = FLEET.replace(f'control = "127.1.0.{at}:{{control}}")', f'control = "127.1.0.{at}:{{control}}", '
-                          f'grpc = "127.1.0.{at}:{{grpc}}", peer = "127.1.0.{at}:{{control}}")')
-FLEET = FLEET.replace("view(", "# view(").replace("open_views = 4", "open_views = 0") + """
+    FLEET = FLEET.replace(
+        f'control = "127.1.0.{at}:{{control}}")',
+        f'control = "127.1.0.{at}:{{control}}", '
+        f'grpc = "127.1.0.{at}:{{grpc}}", peer = "127.1.0.{at}:{{control}}")',
+    )
+FLEET = (
+    FLEET.replace("view(", "# view(").replace("open_views = 4", "open_views = 0")
+    + """
 steward(name = "ns3", zone = "north", listen = "127.1.0.3:{port}", control = "127.1.0.3:{control}",
         grpc = "127.1.0.3:{grpc}", peer = "127.1.0.3:{control}")
 grpc(proxies = 6)
 fleet(keys = ["%s"], probe_every = 0.1, probe_wait = 0.06, suspect = 0.3)
-""" % ("ab" * 32)
-KINDS = [Kind("look", 0.5, 0.5, 1.5, 1.0, "replayable"), Kind("file", 0.5, 0.5, 1.5, 1.0, "non-replayable")]
+"""
+    % ("ab" * 32)
+)
+KINDS = [
+    Kind("look", 0.5, 0.5, 1.5, 1.0, "replayable"),
+    Kind("file", 0.5, 0.5, 1.5, 1.0, "non-replayable"),
+]
 LINES = [Line("127.10.9.1", 80, "north", 1.0), Line("127.10.9.2", 80, "south", 0.25)]
 
 
@@ -49,6 +59,7 @@
     async def one(world):
         world.settings["limits"]["messages_most"] = 40
         return await case(world)
+
     return play(one, script=FLEET, **more)
 
 
@@ -66,7 +77,7 @@
     def test_messages_come_out_whole_whatever_the_pieces(self, messages, size):
         data, unframer, found = b"".join(map(frame, messages)), Unframer(), []
         for at in range(0, len(data), size):
-            found += unframer.feed(data[at:at + size])
+            found += unframer.feed(data[at : at + size])
         self.assertEqual(found, messages)
 
     def test_compressed_and_overlong_messages_are_refused(self):
@@ -74,12 +85,24 @@
             with self.assertRaises(BadFrame) as caught:
                 Unframer().feed(data)
             self.assertEqual(caught.exception.status, status)
-        self.assertEqual([read_timeout(t) for t in ("3S", "250m", "x", "1", "999999999H", "")],
-                         [3.0, 0.25, None, None, None, None])
-
-    @given(some.lists(some.builds(Line, some.sampled_from(["10.0.0.1", "10.0.0.2", "2001:db8::1"]),
-                                  some.integers(1, 65535), some.sampled_from(["a", "b", ""]),
-                                  some.floats(0.001, 4000.0)), max_size=12), some.floats(0.0, 1.0))
+        self.assertEqual(
+            [read_timeout(t) for t in ("3S", "250m", "x", "1", "999999999H", "")],
+            [3.0, 0.25, None, None, None, None],
+        )
+
+    @given(
+        some.lists(
+            some.builds(
+                Line,
+                some.sampled_from(["10.0.0.1", "10.0.0.2", "2001:db8::1"]),
+                some.integers(1, 65535),
+                some.sampled_from(["a", "b", ""]),
+                some.floats(0.001, 4000.0),
+            ),
+            max_size=12,
+        ),
+        some.floats(0.0, 1.0),
+    )
     def test_what_is_put_together_is_what_protobuf_writes(self, lines, level):
         self.assertEqual(write_lines("look", lines, level), write_whole("look", lines, level))
 
@@ -104,15 +127,17 @@
     def test_one_response_is_under_way_and_the_newest_follows(self):
         state = {"look": b"1"}
         made = Discovery(7, lambda _, names: dict(state), "ns1")
-        first, = made.take(self.request())
+        (first,) = made.take(self.request())
         self.assertEqual((first.version_info, first.nonce), ("7.1", "7.1"))
         for value in (b"2", b"3"):
             state["look"] = value
             self.assertEqual(made.changed(ENDPOINTS), [])
-        second, = made.take(self.request(response_nonce="7.1", version_info="7.1"))
+        (second,) = made.take(self.request(response_nonce="7.1", version_info="7.1"))
         self.assertEqual(second.resources[0].value, b"3")
         self.assertEqual(made.applied, [(ENDPOINTS, Version(7, 1))])
-        self.assertEqual(made.take(self.request(response_nonce="7.1", version_info="7.1")), [])  # late, overtaken
+        self.assertEqual(
+            made.take(self.request(response_nonce="7.1", version_info="7.1")), []
+        )  # late, overtaken
 
     def test_a_refusal_is_reported_and_the_same_is_not_sent_again(self):
         state = {"look": b"1"}
@@ -125,27 +150,42 @@
         self.assertEqual(len(made.changed(ENDPOINTS)), 1)
 
     def test_versions_that_are_not_ours_are_none(self):
-        self.assertEqual([read_version(t) for t in ("", "3", "a.b", "1.2.3", "9" * 50 + ".1")], [NONE] * 5)
+        self.assertEqual(
+            [read_version(t) for t in ("", "3", "a.b", "1.2.3", "9" * 50 + ".1")], [NONE] * 5
+        )
         self.assertEqual(read_version("12.3"), Version(12, 3))
 
     def test_reports_become_sums_and_odd_ones_nothing(self):
         request = lrs_pb2.LoadStatsRequest()
-        for name, span, good, bad in (("look", 1.0, 8, 2), ("other", 1.0, 5, 0), ("file", 1e6, 5, 0)):
+        for name, span, good, bad in (
+            ("look", 1.0, 8, 2),
+            ("other", 1.0, 5, 0),
+            ("file", 1e6, 5, 0),
+        ):
             cluster = request.cluster_stats.add(cluster_name=name, total_dropped_requests=3)
             cluster.load_report_interval.FromNanoseconds(int(span * 1e9))
             for address in ("127.10.9.1", "203.0.113.9"):
                 one = cluster.upstream_locality_stats.add().upstream_endpoint_stats.add()
-                one.address.socket_address.address, one.address.socket_address.port_value = address, 80
+                one.address.socket_address.address, one.address.socket_address.port_value = (
+                    address,
+                    80,
+                )
                 one.total_successful_requests, one.total_error_requests = good, bad
-                one.load_metric_stats.add(metric_name="seconds", num_requests_finished_with_metric=8,
-                                          total_metric_value=2.0)
-                one.load_metric_stats.add(metric_name="util", num_requests_finished_with_metric=4,
-                                          total_metric_value=2.0)
+                one.load_metric_stats.add(
+                    metric_name="seconds",
+                    num_requests_finished_with_metric=8,
+                    total_metric_value=2.0,
+                )
+                one.load_metric_stats.add(
+                    metric_name="util", num_requests_finished_with_metric=4, total_metric_value=2.0
+                )
         gathered = Gathered()
         gathered.report(0.0)
         read_report(request, {"look": 0, "file": 1}, {("127.10.9.1", 80): 5}.get, 70, 1, gathered)
-        self.assertEqual(gathered.due(0.0), [our.ReqSums(70, 0, 23, 7, 1.0),
-                                  our.HostSums(5, 1, 10, 2, 1.0, 0.25, {"util": 0.5})])
+        self.assertEqual(
+            gathered.due(0.0),
+            [our.ReqSums(70, 0, 23, 7, 1.0), our.HostSums(5, 1, 10, 2, 1.0, 0.25, {"util": 0.5})],
+        )
 
 
 class Wire(unittest.TestCase):
@@ -155,6 +195,7 @@
         def connect():
             made.append(Connection(False, serve, ping_every=0.0))
             return made[-1]
+
         server = await loop.create_server(connect, "127.1.0.1", 0)
         world.closing.append(server.close)
         return server.sockets[0].getsockname(), made
@@ -191,14 +232,21 @@
             client.flush()
             await until(lambda: got.count(big) >= 5)
             client.close()
+
         play(case)
 
     def test_a_call_ends_at_its_deadline(self):
         async def case(world):
             address, _ = await self.server(world, lambda call: None)
-            client, over = await dial(address, ping_every=0.0), asyncio.get_running_loop().create_future()
-            client.call("/x", "y", [("grpc-timeout", "50m")]).ended = lambda *told: over.set_result(told)
+            client, over = (
+                await dial(address, ping_every=0.0),
+                asyncio.get_running_loop().create_future(),
+            )
+            client.call("/x", "y", [("grpc-timeout", "50m")]).ended = lambda *told: over.set_result(
+                told
+            )
             return await asyncio.wait_for(over, 5)
+
         self.assertEqual(play(case), (4, "its deadline has passed"))
 
     def test_half_open_peers_are_found_by_pings(self):
@@ -210,6 +258,7 @@
             over = loop.create_future()
             client.ended_all = over.set_result
             return await over
+
         self.assertEqual(play(case), "no answer to pings")
 
     def test_floods_and_junk_cost_the_peer_its_connection(self):
@@ -241,6 +290,7 @@
                 ended.append(kind)
             await until(lambda: all(one.transport is None for one in made))
             return ended, [len(one.calls) for one in made]
+
         self.assertEqual(play(case), (["pings", "settings", "resets", "junk"], [0] * 4))
 
     def test_mutated_frames_raise_nothing(self):
@@ -248,9 +298,19 @@
             chance = random.Random(5)
             client = h2.connection.H2Connection(h2.config.H2Configuration(header_encoding="utf-8"))
             client.initiate_connection()
-            client.send_headers(1, [(":method", "POST"), (":scheme", "http"), (":path", DISCOVERY),
-                                    (":authority", "x"), ("content-type", "application/grpc")])
-            client.send_data(1, frame(discovery_pb2.DiscoveryRequest(type_url=ENDPOINTS).SerializeToString()))
+            client.send_headers(
+                1,
+                [
+                    (":method", "POST"),
+                    (":scheme", "http"),
+                    (":path", DISCOVERY),
+                    (":authority", "x"),
+                    ("content-type", "application/grpc"),
+                ],
+            )
+            client.send_data(
+                1, frame(discovery_pb2.DiscoveryRequest(type_url=ENDPOINTS).SerializeToString())
+            )
             whole = client.data_to_send()
             await world.steward()
             loop = asyncio.get_running_loop()
@@ -263,6 +323,7 @@
                 await asyncio.sleep(0)
                 stream.close()
             await asyncio.sleep(0.1)
+
         fleet(case)
 
 
@@ -274,17 +335,29 @@
             await until(lambda: len(one.lines.get("look", ())) == 4 and one.retries)
             heard = []
             real = steward.planner.handlers[our.HostSums]
-            steward.planner.handlers[our.HostSums] = lambda event: (heard.append(event), real(event))
+            steward.planner.handlers[our.HostSums] = lambda event: (
+                heard.append(event),
+                real(event),
+            )
             await until(lambda: sum(event.tries for event in heard) > 5)
             self.assertEqual(one.retries, {"look": "unstarted", "file": "unstarted"})
-            await until(lambda: [x["held"] == x["sent"] != "0.0" for x in steward.published.tell_holders()
-                                 if x["proxy"] == one.plan.name] == [True])
+            await until(
+                lambda: [
+                    x["held"] == x["sent"] != "0.0"
+                    for x in steward.published.tell_holders()
+                    if x["proxy"] == one.plan.name
+                ]
+                == [True]
+            )
             self.assertGreater(heard[0].mean_time, 0.005)
             world.phases["h1"] = "draining"
             world.write()
-            await until(lambda: {line.address for line in one.lines["look"]} ==
-                        {"127.10.9.1", "127.10.9.3", "127.10.9.4"})
+            await until(
+                lambda: {line.address for line in one.lines["look"]}
+                == {"127.10.9.1", "127.10.9.3", "127.10.9.4"}
+            )
             await one.finish()
+
         fleet(case)
 
     def test_an_independent_client_completes_both_streams(self):
@@ -295,27 +368,40 @@
             def client():
                 with grpc.insecure_channel(f"127.1.0.1:{world.port + 2}") as channel:
                     done = threading.Event()
-                    first = discovery_pb2.DiscoveryRequest(type_url=ENDPOINTS, resource_names=["look", "file"])
+                    first = discovery_pb2.DiscoveryRequest(
+                        type_url=ENDPOINTS, resource_names=["look", "file"]
+                    )
                     first.node.id, first.node.locality.zone = "plain", "north"
 
                     def requests():
                         yield first
                         done.wait(10)
                         yield discovery_pb2.DiscoveryRequest(
-                            type_url=ENDPOINTS, resource_names=["look", "file"], response_nonce=found["nonce"],
-                            version_info=found["version"])
+                            type_url=ENDPOINTS,
+                            resource_names=["look", "file"],
+                            response_nonce=found["nonce"],
+                            version_info=found["version"],
+                        )
+
                     stream = channel.stream_stream(
-                        DISCOVERY, discovery_pb2.DiscoveryRequest.SerializeToString,
-                        discovery_pb2.DiscoveryResponse.FromString)(requests(), timeout=10)
+                        DISCOVERY,
+                        discovery_pb2.DiscoveryRequest.SerializeToString,
+                        discovery_pb2.DiscoveryResponse.FromString,
+                    )(requests(), timeout=10)
                     answer = next(stream)
-                    found.update(nonce=answer.nonce, version=answer.version_info,
-                                 lines=len(read_lines(answer.resources[0].value)[1]))
+                    found.update(
+                        nonce=answer.nonce,
+                        version=answer.version_info,
+                        lines=len(read_lines(answer.resources[0].value)[1]),
+                    )
                     done.set()
                     report = lrs_pb2.LoadStatsRequest()
                     report.node.id = "plain"
                     loads = channel.stream_stream(
-                        LOADS, lrs_pb2.LoadStatsRequest.SerializeToString,
-                        lrs_pb2.LoadStatsResponse.FromString)(iter([report]), timeout=10)
+                        LOADS,
+                        lrs_pb2.LoadStatsRequest.SerializeToString,
+                        lrs_pb2.LoadStatsResponse.FromString,
+                    )(iter([report]), timeout=10)
                     found["every"] = next(loads).load_reporting_interval.ToMilliseconds()
                     list(loads)
                     found["loads"] = loads.code()
@@ -324,12 +410,15 @@
                     except grpc.RpcError as problem:
                         found["unknown"] = problem.code()
                     stream.cancel()
+
             await loop.run_in_executor(None, client)
             return found["lines"], found["every"], found["loads"], found["unknown"]
+
         self.assertEqual(fleet(case), (4, 200, grpc.StatusCode.OK, grpc.StatusCode.UNIMPLEMENTED))
 
     def test_an_independent_client_follows_the_incremental_variant(self):
         """It knows nothing of our stamps: levels tell it the collections, the collections its lines."""
+
         async def case(world):
             steward = await world.steward()
             loop, found, asks = asyncio.get_running_loop(), {}, queue.Queue()
@@ -339,14 +428,24 @@
 
             def client():
                 with grpc.insecure_channel(f"127.1.0.1:{world.port + 2}") as channel:
-                    ask(type_url=ENDPOINTS, resource_names_subscribe=["look"],
-                        node={"id": "plain", "locality": {"zone": "north"}})
+                    ask(
+                        type_url=ENDPOINTS,
+                        resource_names_subscribe=["look"],
+                        node={"id": "plain", "locality": {"zone": "north"}},
+                    )
                     stream = channel.stream_stream(
-                        DELTA, discovery_pb2.DeltaDiscoveryRequest.SerializeToString,
-                        discovery_pb2.DeltaDiscoveryResponse.FromString)(iter(asks.get, None), timeout=20)
+                        DELTA,
+                        discovery_pb2.DeltaDiscoveryRequest.SerializeToString,
+                        discovery_pb2.DeltaDiscoveryResponse.FromString,
+                    )(iter(asks.get, None), timeout=20)
                     answer = next(stream)
-                    table = endpoint_pb2.ClusterLoadAssignment.FromString(answer.resources[0].resource.value)
-                    names = [one.leds_cluster_locality_config.leds_collection_name for one in table.endpoints]
+                    table = endpoint_pb2.ClusterLoadAssignment.FromString(
+                        answer.resources[0].resource.value
+                    )
+                    names = [
+                        one.leds_cluster_locality_config.leds_collection_name
+                        for one in table.endpoints
+                    ]
                     ask(type_url=ENDPOINTS, response_nonce=answer.nonce)
                     ask(type_url=LINES_URL, resource_names_subscribe=names)
                     answer = next(stream)
@@ -358,6 +457,7 @@
                     found["gone"] = list(answer.removed_resources), len(answer.resources)
                     asks.put(None)
                     stream.cancel()
+
             task = loop.run_in_executor(None, client)
             await until(lambda: "first" in found)
             await until(lambda: steward.proxies.acks >= 2)
@@ -385,6 +485,7 @@
             self.assertEqual(dict(world.log)["assignment refused"]["why"], "planted")
             one.apply = real
             await one.finish()
+
         fleet(case)
 
 
@@ -410,40 +511,64 @@
             stewards.pop(first).stop()
             await until(lambda: self.owner(stewards))
             await until(lambda: one.fence.newest[0] > epoch)
-            self.assertEqual(set(held["look"]), set(one.lines["look"]))  # same shard, whoever owns it
+            self.assertEqual(
+                set(held["look"]), set(one.lines["look"])
+            )  # same shard, whoever owns it
             await one.finish()
+
         fleet(case)
 
     def test_a_cut_between_controllers_that_both_reach_the_agents_doubles_nothing_and_heals(self):
         async def case(world):
             stewards = await self.three(world)
-            agents = [agent(world, f"p{at}", (at % 3 + 1, (at + 1) % 3 + 1, (at + 2) % 3 + 1)) for at in range(6)]
+            agents = [
+                agent(world, f"p{at}", (at % 3 + 1, (at + 1) % 3 + 1, (at + 2) % 3 + 1))
+                for at in range(6)
+            ]
             await until(lambda: all(self.owner(stewards, one.plan.name) for one in agents))
             real = {name: one.fleet.send for name, one in stewards.items()}
             for one in stewards.values():  # each believes that it is alone, and owns them all
                 one.fleet.send = lambda address, body: None
-            await until(lambda: all(len(one.fleet.members.live()) == 1 for one in stewards.values()))
+            await until(
+                lambda: all(len(one.fleet.members.live()) == 1 for one in stewards.values())
+            )
             world.phases["h1"] = "draining"
             world.write()
-            await until(lambda: all({line.address for line in one.lines["look"]} == {
-                "127.10.9.1", "127.10.9.3", "127.10.9.4"} for one in agents))
+            await until(
+                lambda: all(
+                    {line.address for line in one.lines["look"]}
+                    == {"127.10.9.1", "127.10.9.3", "127.10.9.4"}
+                    for one in agents
+                )
+            )
             for name, one in stewards.items():
                 one.fleet.send = real[name]
-            await until(lambda: all(len(one.fleet.members.live()) == 3 for one in stewards.values()))
-            await until(lambda: all(self.owner(stewards, one.plan.name) ==
-                                    stewards["ns1"].fleet.owners.owner_but_full(one.plan.name) for one in agents), 15)
+            await until(
+                lambda: all(len(one.fleet.members.live()) == 3 for one in stewards.values())
+            )
+            await until(
+                lambda: all(
+                    self.owner(stewards, one.plan.name)
+                    == stewards["ns1"].fleet.owners.owner_but_full(one.plan.name)
+                    for one in agents
+                ),
+                15,
+            )
             orders = [row for one in agents for row in one.record.of("order")]
             versions = [(row[2], row[4], row[5]) for row in orders if row[6] == "applied"]
             self.assertEqual(len(versions), len(set(versions)))
             for one in agents:
                 await one.finish()
+
         fleet(case)
 
     def test_handing_over_moves_all_and_nobody_is_left_without_lines(self):
         async def case(world):
             stewards = await self.three(world)
             agents = [agent(world, f"p{at}") for at in range(5)]
-            await until(lambda: all(self.owner(stewards, one.plan.name) and one.lines for one in agents))
+            await until(
+                lambda: all(self.owner(stewards, one.plan.name) and one.lines for one in agents)
+            )
             busy = max(stewards, key=lambda name: len(stewards[name].proxies.front.sessions))
             stewards[busy].tell_fleet(type("Q", (), {"do": "drain", "host": ""}))
             await until(lambda: not stewards[busy].proxies.front.sessions, 15)
@@ -453,6 +578,7 @@
             self.assertFalse(told["here"])
             for one in agents:
                 await one.finish()
+
         fleet(case)
 
     def test_old_orders_that_arrive_do_not_act(self):
@@ -466,8 +592,12 @@
             connection = session.call.connection
             connection.ping_timer.cancel()
             real, connection.received = connection.received, lambda data: None
-            await until(lambda: any(self.owner({k: s}) for k, s in stewards.items() if k != first), 15)
-            await until(lambda: one.fence.newest[0] > 1 and one.record.of("order")[-1][6] == "applied", 15)
+            await until(
+                lambda: any(self.owner({k: s}) for k, s in stewards.items() if k != first), 15
+            )
+            await until(
+                lambda: one.fence.newest[0] > 1 and one.record.of("order")[-1][6] == "applied", 15
+            )
             connection.received = real
             held = dict(one.lines)
             session.state.withdrawn.update(range(3))
@@ -478,18 +608,22 @@
             await until(lambda: any(row[6] == "old" for row in one.record.of("order")))
             self.assertEqual(one.lines, held)
             await one.finish()
+
         fleet(case)
 
     def test_a_forged_member_message_changes_nothing(self):
         async def case(world):
             stewards = await self.three(world)
             loop = asyncio.get_running_loop()
-            transport, _ = await loop.create_datagram_endpoint(asyncio.DatagramProtocol, local_addr=("127.1.0.9", 0))
+            transport, _ = await loop.create_datagram_endpoint(
+                asyncio.DatagramProtocol, local_addr=("127.1.0.9", 0)
+            )
             for data in (b"junk", b"\x01" * 90, bytes(60), b"\x01\x03" + bytes(80)):
                 transport.sendto(data, ("127.1.0.1", world.port + 1))
             await until(lambda: stewards["ns1"].fleet.counts["refused"] >= 4)
             transport.close()
             return len(stewards["ns1"].fleet.members.live())
+
         self.assertEqual(fleet(case), 3)
 
 
@@ -520,8 +654,16 @@
 
             server = await asyncio.start_server(serve, "127.1.0.9", world.port + 2)
             world.closing.append(server.close)
-            plan = Plan("p0", "north", "127.60.9.1", [["127.1.0.9", world.port + 2]], world.port, 20.0, KINDS,
-                        incremental=True)
+            plan = Plan(
+                "p0",
+                "north",
+                "127.60.9.1",
+                [["127.1.0.9", world.port + 2]],
+                world.port,
+                20.0,
+                KINDS,
+                incremental=True,
+            )
             one = Agent(plan, world.chance, Quiet())
             one.begin(asyncio.get_running_loop().time())
             world.closing.append(lambda: setattr(one, "stopped", True))
@@ -531,12 +673,18 @@
             def same():
                 items = steward.published.store.histories["p0"].items
                 lines = {key: value for key, value in items.items() if key.startswith("line/")}
-                return one.holder.parts["line"] == lines and len({line.address for line in one.lines["look"]}) == 3
+                return (
+                    one.holder.parts["line"] == lines
+                    and len({line.address for line in one.lines["look"]}) == 3
+                )
 
             await until(same)
             self.assertTrue(one.holder.sound("line"))
-            self.assertNotIn("127.10.9.2", {line.address for lines in one.lines.values() for line in lines})
+            self.assertNotIn(
+                "127.10.9.2", {line.address for lines in one.lines.values() for line in lines}
+            )
             self.assertFalse([row for row in one.record.of("held") if not row[7]])
             self.assertTrue(cuts)
             await one.finish()
+
         fleet(case)
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -25,9 +25,13 @@
 
     async def test_a_req_in_pieces_is_one_req(self):
         server, _ = self.start()
-        for at in range(len(whole := b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc")):
-            server.received(whole[at:at + 1])
-        self.assertEqual(server.served, [("POST", "/a", {"host": "x", "content-length": "3"}, b"abc")])
+        for at in range(
+            len(whole := b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc")
+        ):
+            server.received(whole[at : at + 1])
+        self.assertEqual(
+            server.served, [("POST", "/a", {"host": "x", "content-length": "3"}, b"abc")]
+        )
 
     async def test_reqs_sent_ahead_are_served_one_after_the_other(self):
         server, wire = self.start()
@@ -48,18 +52,28 @@
             server.answer(200, [], b"")
             await asyncio.sleep(0)
         self.assertTrue(wire.closed)
-        self.assertEqual([wire.out.count(b"HTTP/1.1 %d" % status) for status in (200, 429)], [http.AHEAD_MOST, 1])
+        self.assertEqual(
+            [wire.out.count(b"HTTP/1.1 %d" % status) for status in (200, 429)], [http.AHEAD_MOST, 1]
+        )
 
     async def test_what_is_out_of_bounds_is_refused_by_name(self):
         long = b"x: " + b"y" * 3000 + b"\r\n"
-        for said, status in ((b"GET / HTTP/1.1\r\n\r\n", 400), (b"nonsense\r\n\r\n", 400),
-                             (b"GET / HTTP/1.1\r\nHost: x\r\n" + long * 30, 431),
-                             (b"GET / HTTP/1.1\r\nHost: x\r\nHost: y\r\n\r\n", 400),
-                             (b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nab",
-                              400),
-                             (b"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n"
-                              b"0\r\n\r\n", 400),
-                             (b"GET / HTTP/1.1\r\nHost: x\r\nConnection: Upgrade\r\nUpgrade: h2c\r\n\r\n", 501)):
+        for said, status in (
+            (b"GET / HTTP/1.1\r\n\r\n", 400),
+            (b"nonsense\r\n\r\n", 400),
+            (b"GET / HTTP/1.1\r\nHost: x\r\n" + long * 30, 431),
+            (b"GET / HTTP/1.1\r\nHost: x\r\nHost: y\r\n\r\n", 400),
+            (
+                b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nab",
+                400,
+            ),
+            (
+                b"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n"
+                b"0\r\n\r\n",
+                400,
+            ),
+            (b"GET / HTTP/1.1\r\nHost: x\r\nConnection: Upgrade\r\nUpgrade: h2c\r\n\r\n", 501),
+        ):
             server, wire = self.start()
             server.received(said)
             self.assertEqual(wire.out.split(b" ")[1:2], [b"%d" % status], said[:60])
@@ -67,7 +81,9 @@
 
     async def test_a_body_past_its_bound_is_not_kept(self):
         server, wire = self.start()
-        server.received(b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n" % (http.BODY_MOST + 1))
+        server.received(
+            b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n" % (http.BODY_MOST + 1)
+        )
         for _ in range(http.BODY_MOST // 65536 + 1):
             server.received(b"z" * 65536)
         self.assertTrue(wire.out.startswith(b"HTTP/1.1 413"))
@@ -79,16 +95,22 @@
         exchange, wire = Exchange(), Nowhere()
         exchange.connection_made(wire)
         loop = asyncio.get_running_loop()
-        task = loop.create_task(exchange.ask("GET", "/", [("host", "x")], b"", loop.time() + deadline))
+        task = loop.create_task(
+            exchange.ask("GET", "/", [("host", "x")], b"", loop.time() + deadline)
+        )
         await asyncio.sleep(0)
         for data in answers:
             exchange.received(data)
         return exchange, task
 
     async def test_an_answer_and_the_next_on_one_connection(self):
-        exchange, task = await self.ask(b"HTTP/1.1 200 OK\r\nA: b\r\nContent-Le", b"ngth: 2\r\n\r\nhi")
+        exchange, task = await self.ask(
+            b"HTTP/1.1 200 OK\r\nA: b\r\nContent-Le", b"ngth: 2\r\n\r\nhi"
+        )
         answer = await task
-        self.assertEqual((answer.status, answer.headers["a"], answer.body, answer.keep), (200, "b", b"hi", True))
+        self.assertEqual(
+            (answer.status, answer.headers["a"], answer.body, answer.keep), (200, "b", b"hi", True)
+        )
         loop = asyncio.get_running_loop()
         task = loop.create_task(exchange.ask("GET", "/", [("host", "x")], b"", loop.time() + 1))
         await asyncio.sleep(0)
--- a/tests/test_indexes.py
+++ b/tests/test_indexes.py
@@ -26,7 +26,7 @@
 
 
 class Order(unittest.TestCase):
-    @given(some.integers(0, 400), some.integers(0, 2 ** 64 - 1), some.integers(1, 60), some.randoms())
+    @given(some.integers(0, 400), some.integers(0, 2**64 - 1), some.integers(1, 60), some.randoms())
     def test_the_top_is_that_of_ranking_one_by_one(self, hosts, number, many, chance):
         hosts, key = pool(hosts), proxy_key(number)
         plain = sorted(hosts, key=lambda host: (rank(key, host.word), host.name))[:many]
@@ -46,7 +46,9 @@
             names = sorted(host.name for host in hosts.top(proxy_key(number), 4))
             taken.update(names)
             pairs.update((one, other) for at, one in enumerate(names) for other in names[:at])
-        self.assertTrue(all(300 < taken[host.name] < 500 for host in hosts), taken.most_common()[::39])
+        self.assertTrue(
+            all(300 < taken[host.name] < 500 for host in hosts), taken.most_common()[::39]
+        )
         mean = 4000 * 6 / 780
         spread = sum((pairs[key] - mean) ** 2 for key in pairs) / 780 / mean
         self.assertTrue(0.7 < spread < 1.3, spread)
@@ -75,7 +77,9 @@
                 made.take(host, proxy)
                 plain[host, proxy] -= 1
         for host in range(6):
-            self.assertEqual(set(made.of(host)), {p for (h, p), many in plain.items() if h == host and many})
+            self.assertEqual(
+                set(made.of(host)), {p for (h, p), many in plain.items() if h == host and many}
+            )
         self.assertEqual(set(made.of_all(range(6))), {p for (_, p), many in plain.items() if many})
 
     def test_what_is_due_comes_once_by_its_time(self):
@@ -96,14 +100,23 @@
             events, drawn = [our.TimerFired(0)], chance.random()
             host = chance.randrange(12)
             if drawn < 0.08:
-                ready = phases[host][0] == "ready" and sum(phase == "ready" for phase, _ in phases.values()) > 6
+                ready = (
+                    phases[host][0] == "ready"
+                    and sum(phase == "ready" for phase, _ in phases.values()) > 6
+                )
                 phases[host] = ("draining", phases[host][1]) if ready else ("ready", now)
                 events.append(our.Roster("changes", 2, (member(host, host % 2, *phases[host]),)))
             elif drawn < 0.12:
                 bad ^= {host}
             if step % 10 == 5:
-                events += [our.HostSums(h, z, 9, 8 if h in bad else 0, 1.0, 0.1, {"util": chance.uniform(0.2, 0.9)})
-                           for h, (phase, _) in phases.items() if phase == "ready" for z in (0, 1)]
+                events += [
+                    our.HostSums(
+                        h, z, 9, 8 if h in bad else 0, 1.0, 0.1, {"util": chance.uniform(0.2, 0.9)}
+                    )
+                    for h, (phase, _) in phases.items()
+                    if phase == "ready"
+                    for z in (0, 1)
+                ]
             made.decide(now, events)
         return now
 
@@ -115,8 +128,13 @@
             for _ in range(400):  # until all are warm, and all stages are through
                 now += 0.1
                 made.decide(now, [our.TimerFired(0)])
-            alone = [p for p in made.joined if p.drawn == made.drawn and not p.wide
-                     and all(host.moved <= p.wrote for host in p.around.values())]
+            alone = [
+                p
+                for p in made.joined
+                if p.drawn == made.drawn
+                and not p.wide
+                and all(host.moved <= p.wrote for host in p.around.values())
+            ]
             seen += len(alone)
             for proxy in alone:
                 for group, lines in enumerate(proxy.lines):
@@ -128,8 +146,14 @@
             made = planner(hosts=12, proxies=24)
             self.drive(made, Random(seed))
             for host in made.hosts:
-                self.assertEqual(set(made.held.of(host)), {
-                    p.number for p in made.proxies.values() if any(host in lines for lines in p.lines)})
+                self.assertEqual(
+                    set(made.held.of(host)),
+                    {
+                        p.number
+                        for p in made.proxies.values()
+                        if any(host in lines for lines in p.lines)
+                    },
+                )
 
     def test_a_host_that_time_alone_changes_is_looked_at_until_it_rests(self):
         made = planner()
@@ -145,7 +169,9 @@
         made, now, probes = planner(), 100.0, Counter()
         for _ in range(100):
             now += 0.1
-            probes.update(order.host for order in of_type(made.decide(now, [our.TimerFired(0)]), our.Probe))
+            probes.update(
+                order.host for order in of_type(made.decide(now, [our.TimerFired(0)]), our.Probe)
+            )
         self.assertEqual(len(probes), 8)
         self.assertTrue(all(8 <= many <= 11 for many in probes.values()), probes)
 
@@ -154,8 +180,12 @@
         made, now, probes = planner(hosts=900), 100.0, Counter()
         for _ in range(300):
             now += 0.1
-            probes.update(order.host for order in of_type(made.decide(now, [our.TimerFired(0)]), our.Probe))
-        self.assertTrue(0.8 * choice.PROBES_MOST * 30 < sum(probes.values()) <= 1.2 * choice.PROBES_MOST * 30)
+            probes.update(
+                order.host for order in of_type(made.decide(now, [our.TimerFired(0)]), our.Probe)
+            )
+        self.assertTrue(
+            0.8 * choice.PROBES_MOST * 30 < sum(probes.values()) <= 1.2 * choice.PROBES_MOST * 30
+        )
         self.assertTrue(min(probes.values()) >= 7, probes.most_common()[-3:])
         later = next(h.id for h in made.hosts.values() if h.probe_at > now + 1)
         made.decide(now, [our.HostSums(later, 0, 5, 2, 1.0, 0.1, None)])
@@ -170,7 +200,9 @@
     def crowd(self, many):
         facts = {**FACTS, "proxies": many, "channel_rate": 1e6, "queue_most": 1e6}
         made = Planner(facts, 1)
-        made.decide(100.0, [our.Roster("remembered", 1, tuple(member(h, h % 2) for h in range(40)))])
+        made.decide(
+            100.0, [our.Roster("remembered", 1, tuple(member(h, h % 2) for h in range(40)))]
+        )
         return made
 
     def test_many_joins_are_spread_and_a_removal_goes_between(self):
@@ -187,7 +219,11 @@
                 [told] = of_type(orders, our.Withdraw)
                 self.assertEqual((told.host, told.on), (5, True))
                 self.assertTrue(set(told.waiting) <= set(made.unbound))
-                held = {p.number for p in made.joined if p.bound and any(5 in lines for lines in p.lines)}
+                held = {
+                    p.number
+                    for p in made.joined
+                    if p.bound and any(5 in lines for lines in p.lines)
+                }
                 self.assertEqual(held, set())
                 continue
             again = [order for order in of_type(orders, our.SetTimer) if order.token == choice.MORE]
@@ -238,18 +274,24 @@
 
     def test_numbers_up_to_2_to_the_64_are_proxies(self):
         made = self.crowd(3)
-        orders = made.decide(101.0, [our.ProxyJoined(n, 0, 1.0, True) for n in (2 ** 16, 2 ** 32, 2 ** 64 - 1)])
+        orders = made.decide(
+            101.0, [our.ProxyJoined(n, 0, 1.0, True) for n in (2**16, 2**32, 2**64 - 1)]
+        )
         self.assertEqual(len(of_type(orders, our.BindTable)), 3 * len(made.group_open))
 
     def test_a_table_with_too_many_cold_hosts_gets_some_warm_ones_not_all_of_a_large_zone(self):
         made = Planner({**FACTS, "proxies": 3000, "channel_rate": 1e6, "queue_most": 1e6}, 1)
-        made.decide(100.0, [our.Roster("remembered", 1, tuple(member(h, h % 2) for h in range(400)))])
+        made.decide(
+            100.0, [our.Roster("remembered", 1, tuple(member(h, h % 2) for h in range(400)))]
+        )
         made.decide(100.0, [our.ProxyJoined(0, 0, 1.0, True)])
         proxy = made.proxies[0]
         for host in proxy.lines[0]:
             made.hosts[host].cold_from, made.hosts[host].share = 100.0, 0.25
         lines = made.table(proxy, 0)
-        cold = sum(weight for host, weight in lines.items() if made.hosts[host].cold_from is not None)
+        cold = sum(
+            weight for host, weight in lines.items() if made.hosts[host].cold_from is not None
+        )
         warm = [host for host in lines if made.hosts[host].cold_from is None]
         self.assertTrue(0 < len(warm) <= choice.WARM_MOST)
         self.assertTrue(proxy.wide and cold <= 0.5 * sum(lines.values()))
@@ -280,7 +322,9 @@
         made = self.written((1, 50), (2, 50))
         for proxy, mark in (("b", 2), ("a", 1), ("a", 1), ("b", 7), ("c", 2), ("b", 2), ("a", 0)):
             made.answered(proxy, mark)
-            self.assertEqual(made.unanswered, 57)  # b's answer covers the first batch and its own message, no more
+            self.assertEqual(
+                made.unanswered, 57
+            )  # b's answer covers the first batch and its own message, no more
         made.answered("a", 2)
         self.assertEqual(made.unanswered, 0.0)
         made = self.written((1, 50))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -5,8 +5,14 @@
 from peatlead.rules.check import check
 from peatlead.rules.record import ROWS, Read, Recorder, Row, read_folder
 
-LIMITS = {"drain_grace": 3.0, "bare_most": 4.0, "messages_most": 5, "messages_span": 10.0, "message_head": 6.0,
-          "channel_rate": 1000.0}
+LIMITS = {
+    "drain_grace": 3.0,
+    "bare_most": 4.0,
+    "messages_most": 5,
+    "messages_span": 10.0,
+    "message_head": 6.0,
+    "channel_rate": 1000.0,
+}
 
 
 def row(kind, at, *fields):
@@ -40,23 +46,33 @@
         return [finding.rule[0] for finding in found(*rows).findings if finding.breaches]
 
     def test_a_clean_record_keeps_all(self):
-        self.assertEqual(self.broken(answer(1, ["a1"]), message(1), listed(0, "ready"), sent(2, "a1")), [])
+        self.assertEqual(
+            self.broken(answer(1, ["a1"]), message(1), listed(0, "ready"), sent(2, "a1")), []
+        )
 
     def test_1_a_view_without_a_line(self):
         self.assertEqual(self.broken(message(1, held=0), message(5.1, held=2)), ["1"])
         self.assertEqual(self.broken(message(1, held=0), message(4.9, held=2)), [])
         self.assertEqual(self.broken(message(1, held=0), answer(9, ["a1"], steward="s2")), ["1"])
-        self.assertEqual(self.broken(*(answer(at, [], rcode="SERVFAIL") for at in (1, 3, 5.5))), ["1"])
-        self.assertEqual(self.broken(answer(1, [], rcode="SERVFAIL"), answer(2, ["a1"]), answer(6, [])), [])
+        self.assertEqual(
+            self.broken(*(answer(at, [], rcode="SERVFAIL") for at in (1, 3, 5.5))), ["1"]
+        )
+        self.assertEqual(
+            self.broken(answer(1, [], rcode="SERVFAIL"), answer(2, ["a1"]), answer(6, [])), []
+        )
 
     def test_1_a_killed_stewards_duty_ends(self):
         killed = row("steward", 2, "s1", "killed")
-        self.assertEqual(self.broken(message(1, held=0), killed, answer(9, ["a1"], steward="s2")), [])
+        self.assertEqual(
+            self.broken(message(1, held=0), killed, answer(9, ["a1"], steward="s2")), []
+        )
 
     def test_2_an_effect_twice(self):
         effects = [row("effect", at, "h1", "r1", "look", "uniqued") for at in (1, 2)]
         self.assertEqual(self.broken(*effects), ["2"])
-        self.assertEqual(self.broken(*(row("effect", at, "h1", "r1", "look", "replayable") for at in (1, 2))), [])
+        self.assertEqual(
+            self.broken(*(row("effect", at, "h1", "r1", "look", "replayable") for at in (1, 2))), []
+        )
 
     def test_3_a_send_after_the_grace(self):
         drained = [listed(0, "ready"), listed(10, "draining")]
@@ -65,36 +81,55 @@
         self.assertEqual(self.broken(*drained, listed(11, "ready"), sent(14, "a1")), [])
 
     def test_3_resolvers_that_keep_answers_too_long_are_counted_apart(self):
-        report = found(listed(0, "ready"), listed(10, "gone"), sent(15, "a1", "tenfold"), sent(11, "a1", "tenfold"))
+        report = found(
+            listed(0, "ready"),
+            listed(10, "gone"),
+            sent(15, "a1", "tenfold"),
+            sent(11, "a1", "tenfold"),
+        )
         self.assertTrue(report.kept)
         self.assertEqual(report.late_sends["tenfold"], {"sends": 2, "after grace": 1, "worst": 2.0})
 
     def test_3_a_list_that_was_torn_before_anybody_read_it_binds_nobody(self):
         torn = listed(10.1, "draining", told=False)
-        self.assertEqual(self.broken(listed(0, "ready"), listed(10, "draining"), torn, sent(14, "a1")), [])
+        self.assertEqual(
+            self.broken(listed(0, "ready"), listed(10, "draining"), torn, sent(14, "a1")), []
+        )
 
     def test_3_a_wrong_list_that_names_it_ready_again_is_news_too_but_an_old_one_is_not(self):
         wrong = row("list", 11, 1, {"h1": ["a1", "ready", 1.0]}, False)
-        self.assertEqual(self.broken(listed(0, "ready"), listed(10, "draining"), wrong, sent(14, "a1")), [])
+        self.assertEqual(
+            self.broken(listed(0, "ready"), listed(10, "draining"), wrong, sent(14, "a1")), []
+        )
         old = row("list", 11, 0, {"h1": ["a1", "ready", 1.0]}, False)
-        self.assertEqual(self.broken(listed(0, "ready"), listed(10, "draining"), old, sent(14, "a1")), ["3"])
+        self.assertEqual(
+            self.broken(listed(0, "ready"), listed(10, "draining"), old, sent(14, "a1")), ["3"]
+        )
 
     def test_3_a_list_that_is_wrong_binds_nobody(self):
-        self.assertEqual(self.broken(listed(0, "ready"), listed(1, "gone", told=False), sent(9, "a1")), [])
+        self.assertEqual(
+            self.broken(listed(0, "ready"), listed(1, "gone", told=False), sent(9, "a1")), []
+        )
 
     def test_4_a_cold_host_pushed_over(self):
         told = listed(0, "ready")
-        self.assertEqual(self.broken(told, row("cold", 4, "h1", 1.2, 0.9), row("tipped", 4, "h1", 0.9)), ["4"])
+        self.assertEqual(
+            self.broken(told, row("cold", 4, "h1", 1.2, 0.9), row("tipped", 4, "h1", 0.9)), ["4"]
+        )
         self.assertEqual(found(told, row("cold", 4, "h1", 0.4, 0.9)).findings[3].nearest, 0.4)
 
     def test_4_one_pushed_over_before_its_start_could_be_known_is_counted_apart(self):
         again = listed(0, "ready"), listed(10, "ready", started=9.0)
         self.assertEqual(self.broken(*again, row("tipped", 13.5, "h1", 9.0)), ["4"])
-        self.assertEqual(self.broken(again[0], row("tipped", 1, "h1", 0.9)), ["4"])  # it is new: all who name it know
+        self.assertEqual(
+            self.broken(again[0], row("tipped", 1, "h1", 0.9)), ["4"]
+        )  # it is new: all who name it know
         report = found(*again, row("cold", 12, "h1", 1.2, 9.0), row("tipped", 12, "h1", 9.0))
         self.assertTrue(report.kept)
         self.assertIn("1 tipped before", report.findings[3].said)
-        self.assertEqual(self.broken(again[0], row("tipped", 20, "h1", 15.0)), [])  # a start that no list told
+        self.assertEqual(
+            self.broken(again[0], row("tipped", 20, "h1", 15.0)), []
+        )  # a start that no list told
 
     def test_5_the_queue_and_the_messages(self):
         self.assertEqual(self.broken(message(1, waiting=1001.0)), ["5"])
@@ -102,8 +137,10 @@
         self.assertEqual(self.broken(*(message(at * 4) for at in range(6))), [])
 
     def test_service_counts_gain_by_request_kind(self):
-        reqs = [row("req", 1, f"r{at}", "look", "desk0", "keeps", "first", outcome, 0.5, 1, gain)
-                for at, (outcome, gain) in enumerate((("done", 2.0), ("late", 0.2), ("timed out", 0.0)))]
+        reqs = [
+            row("req", 1, f"r{at}", "look", "desk0", "keeps", "first", outcome, 0.5, 1, gain)
+            for at, (outcome, gain) in enumerate((("done", 2.0), ("late", 0.2), ("timed out", 0.0)))
+        ]
         self.assertAlmostEqual(found(*reqs).service["look"]["part"], 2.2 / 6)
 
 
@@ -119,7 +156,7 @@
             self.assertEqual(len(read_folder(folder).rows), 50)
             recorder.row("tipped", 50.0, "h50", 0.0)
             recorder.close()
-            path.write_bytes(path.read_bytes()[:len(whole) + 3])
+            path.write_bytes(path.read_bytes()[: len(whole) + 3])
             self.assertEqual(len(read_folder(folder).rows), 50)
 
     def test_a_row_of_the_wrong_shape_is_refused(self):
@@ -149,14 +186,23 @@
         return row("order", at, "agent0", "s1", 1, 1, "applied", 1)
 
     def test_an_agent_that_ends_on_something_else_is_found(self):
-        start = [self.joined(0), self.order(0), self.held(1), row("stream", 11, "agent0", "s1", "lost")]
+        start = [
+            self.joined(0),
+            self.order(0),
+            self.held(1),
+            row("stream", 11, "agent0", "s1", "lost"),
+        ]
         self.assertEqual(self.broken(*start, self.published(10)), [])
         self.assertEqual(self.broken(*start, self.published(10, serial=2, digest="d2")), ["7"])
         self.assertEqual(self.broken(*start, self.published(10, digest="d2")), ["7"])
-        self.assertEqual(self.broken(*start, self.published(10, serial=2, digest="d2", age=0.1)), [])  # on its way
+        self.assertEqual(
+            self.broken(*start, self.published(10, serial=2, digest="d2", age=0.1)), []
+        )  # on its way
 
     def test_memory_that_does_not_fit_its_digest_is_found(self):
-        self.assertEqual(self.broken(self.joined(0), self.order(0), self.held(1, sound=False)), ["7"])
+        self.assertEqual(
+            self.broken(self.joined(0), self.order(0), self.held(1, sound=False)), ["7"]
+        )
 
     def test_a_host_that_is_given_past_the_grace_is_found_unless_nobody_could_know(self):
         drained = [self.joined(0), self.order(0), listed(0, "ready"), listed(10, "draining")]
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -9,7 +9,14 @@
 import h2.settings
 from envoy.service.discovery.v3 import discovery_pb2
 from envoy.service.load_stats.v3 import lrs_pb2
-from hyperframe.frame import ContinuationFrame, DataFrame, GoAwayFrame, HeadersFrame, SettingsFrame, WindowUpdateFrame
+from hyperframe.frame import (
+    ContinuationFrame,
+    DataFrame,
+    GoAwayFrame,
+    HeadersFrame,
+    SettingsFrame,
+    WindowUpdateFrame,
+)
 
 from peatlead import interface as our
 from peatlead.grpc.assign import ENDPOINTS
@@ -22,7 +29,7 @@
 from .places import SCRIPT, play, until
 
 CONTROL = 'control = "127.1.0.1:{control}"'
-GRPC = SCRIPT.replace(CONTROL, CONTROL + ', grpc = "127.1.0.1:{grpc}"') + '\ngrpc(proxies = 40)\n'
+GRPC = SCRIPT.replace(CONTROL, CONTROL + ', grpc = "127.1.0.1:{grpc}"') + "\ngrpc(proxies = 40)\n"
 
 
 def peer():
@@ -32,8 +39,13 @@
     return made
 
 
-HEADERS = [(":method", "POST"), (":scheme", "http"), (":path", DISCOVERY), (":authority", "x"),
-           ("content-type", "application/grpc")]
+HEADERS = [
+    (":method", "POST"),
+    (":scheme", "http"),
+    (":path", DISCOVERY),
+    (":authority", "x"),
+    ("content-type", "application/grpc"),
+]
 
 
 class Hostile(unittest.IsolatedAsyncioTestCase):
@@ -49,7 +61,7 @@
         for at in range(0, len(data), 16384):
             if made.transport.is_closing():
                 return at
-            made.received(data[at:at + 16384])
+            made.received(data[at : at + 16384])
         return len(data)
 
     def ends(self, first, again, most=3000):
@@ -67,7 +79,9 @@
     async def test_a_block_of_headers_without_end(self):
         first = HeadersFrame(1, b"\x00" * 10)
         data = peer().data_to_send() + first.serialize()
-        self.assertLess(self.ends(data, lambda at: ContinuationFrame(1, b"\x00" * 100).serialize()), 100)
+        self.assertLess(
+            self.ends(data, lambda at: ContinuationFrame(1, b"\x00" * 100).serialize()), 100
+        )
 
     async def test_headers_that_unfold_to_far_more_than_they_take(self):
         client = peer()
@@ -86,17 +100,28 @@
     async def test_frames_that_carry_nothing(self):
         client = peer()
         client.send_headers(1, HEADERS)
-        self.assertLess(self.ends(client.data_to_send(), lambda at: DataFrame(1, b"").serialize()), 300)
+        self.assertLess(
+            self.ends(client.data_to_send(), lambda at: DataFrame(1, b"").serialize()), 300
+        )
 
     async def test_window_updates_for_nothing(self):
         client = peer()
         client.send_headers(1, HEADERS)
         whole = client.data_to_send()
-        self.assertLess(self.ends(whole, lambda at: WindowUpdateFrame(0, window_increment=1).serialize()), 300)
+        self.assertLess(
+            self.ends(whole, lambda at: WindowUpdateFrame(0, window_increment=1).serialize()), 300
+        )
 
     async def test_settings_that_change_the_window_to_and_fro(self):
-        self.assertLess(self.ends(peer().data_to_send(), lambda at: SettingsFrame(
-            0, settings={SettingsFrame.INITIAL_WINDOW_SIZE: at % 2}).serialize()), 300)
+        self.assertLess(
+            self.ends(
+                peer().data_to_send(),
+                lambda at: SettingsFrame(
+                    0, settings={SettingsFrame.INITIAL_WINDOW_SIZE: at % 2}
+                ).serialize(),
+            ),
+            300,
+        )
 
     async def test_streams_opened_and_reset_at_once(self):
         client = peer()
@@ -113,7 +138,7 @@
         client.send_headers(1, HEADERS)
         made, wire = self.start()
         self.feed(made, client.data_to_send())
-        call, = self.calls
+        (call,) = self.calls
         sent = 0
         while call.send(b"x" * 100_000):
             sent += 1
@@ -126,7 +151,7 @@
         client.send_headers(1, HEADERS)
         made, wire = self.start()
         self.feed(made, client.data_to_send())
-        call, = self.calls
+        (call,) = self.calls
         self.feed(made, GoAwayFrame(0).serialize())
         self.assertTrue(wire.closed and not call.over)
         call.send(b"an order")
@@ -140,14 +165,16 @@
         chance = random.Random(8)
         client = peer()
         client.send_headers(1, HEADERS)
-        client.send_data(1, frame(discovery_pb2.DiscoveryRequest(type_url=ENDPOINTS).SerializeToString()))
+        client.send_data(
+            1, frame(discovery_pb2.DiscoveryRequest(type_url=ENDPOINTS).SerializeToString())
+        )
         whole = client.data_to_send()
         for _ in range(400):
             made, _ = self.start()
             data = bytearray(whole)
             for _ in range(chance.randrange(1, 8)):
                 at = chance.randrange(len(data))
-                data[at:at + chance.randrange(3)] = chance.randbytes(chance.randrange(3))
+                data[at : at + chance.randrange(3)] = chance.randbytes(chance.randrange(3))
             self.feed(made, bytes(data))
             made.connection_lost(None)
             self.assertEqual(made.calls, {})
@@ -158,7 +185,10 @@
         async def case(world):
             steward = await world.steward()
             heard, real = [], steward.planner.handlers[our.HostSums]
-            steward.planner.handlers[our.HostSums] = lambda event: (heard.append(event), real(event))
+            steward.planner.handlers[our.HostSums] = lambda event: (
+                heard.append(event),
+                real(event),
+            )
             controller = "127.1.0.1", world.port + 2
             first = [Agent(at, controller) for at in range(36)]
             await asyncio.gather(*(one.begin() for one in first))
@@ -166,7 +196,9 @@
             for one in first:  # every one of them dials anew
                 one.connection.cut("herd")
             again = [Agent(at, controller) for at in range(36)]
-            world.phases.update({plan.name: "draining" for plan in world.plans if plan.zone == "south"})
+            world.phases.update(
+                {plan.name: "draining" for plan in world.plans if plan.zone == "south"}
+            )
             world.write()
             await asyncio.gather(*(one.begin() for one in again))
             slow, reading = again[::3], [one for at, one in enumerate(again) if at % 3]
@@ -189,7 +221,9 @@
                 world.phases["h0"] = "draining" if at % 2 else "ready"
                 world.write()
                 await asyncio.sleep(0.03)
-            calls = [call for one in steward.proxies.front.held.streams for call in one.calls.values()]
+            calls = [
+                call for one in steward.proxies.front.held.streams for call in one.calls.values()
+            ]
             self.assertTrue(calls and all(call.waiting < 10_000 for call in calls))
             self.assertEqual(len(steward.proxies.front.sessions), 36)
             for one in slow:
@@ -199,6 +233,7 @@
             await until(lambda: all(one.hosts and not drained & one.hosts for one in again))
             for one in again:
                 one.connection.cut("over")
+
         play(case, script=GRPC)
 
     def report(self, agent):
@@ -208,11 +243,11 @@
         cluster = request.cluster_stats.add(cluster_name="look")
         cluster.load_report_interval.FromMilliseconds(1000)
         place = cluster.upstream_locality_stats.add()
-        for address, good in ((min(agent.hosts), 7), ("203.0.113.9", 7), ("127.10.9.2", 2 ** 62)):
+        for address, good in ((min(agent.hosts), 7), ("203.0.113.9", 7), ("127.10.9.2", 2**62)):
             one = place.upstream_endpoint_stats.add(total_successful_requests=good)
             one.address.socket_address.address = address
             one.address.socket_address.port_value = agent.controller[1] - 2
-        back = request.cluster_stats.add(cluster_name="file", total_dropped_requests=2 ** 63)
+        back = request.cluster_stats.add(cluster_name="file", total_dropped_requests=2**63)
         back.load_report_interval.FromNanoseconds(-5_000_000_000)
         return request.SerializeToString()
 
@@ -230,12 +265,12 @@
                         while loop.time() < until_then:
                             pass
                 return real(now, events)
+
             steward.planner.decide = decide
             await until(lambda: len(fired) >= 12)
             self.assertEqual({ticks for _, ticks in fired}, {1})
             gaps = [after - before for (before, _), (after, _) in zip(fired, fired[1:])]
             self.assertGreater(min(gaps), 0.09)  # of the timer's own: never two in a row
             self.assertGreater(steward.burden.late, 0.0)
-        play(case, script=GRPC)
-
 
+        play(case, script=GRPC)
