--- a/tests/test_shortages.py
+++ b/tests/test_shortages.py
@@ -22,14 +22,25 @@
     def outcome(self, number):
         async def case():
             loop = asyncio.get_running_loop()
-            with mock.patch.object(loop, "create_connection", side_effect=OSError(number, "planted")):
+            with mock.patch.object(
+                loop, "create_connection", side_effect=OSError(number, "planted")
+            ):
                 with self.assertRaises(Failed) as raised:
                     await connect(loop, ("127.0.0.1", 9), loop.time() + 1.0)
             return raised.exception.outcome
+
         return run(case())
 
     def test_a_connection_that_this_machine_has_no_means_for_tells_nothing_of_the_host(self):
-        for name in ("EMFILE", "ENFILE", "ENOBUFS", "ENOMEM", "EADDRNOTAVAIL", "ENETUNREACH", "EINTR"):
+        for name in (
+            "EMFILE",
+            "ENFILE",
+            "ENOBUFS",
+            "ENOMEM",
+            "EADDRNOTAVAIL",
+            "ENETUNREACH",
+            "EINTR",
+        ):
             self.assertEqual(self.outcome(getattr(errno, name)), "denied", name)
         for name in ("ECONNREFUSED", "EHOSTUNREACH", "ECONNRESET"):
             self.assertEqual(self.outcome(getattr(errno, name)), "unreachable", name)
@@ -38,7 +49,10 @@
     def test_probes_that_could_not_be_sent_convict_nobody(self):
         made = planner(tries_told=False, report_fields=[])
         for tick in range(100):
-            results = [our.ProbeResult(host, "denied" if host == 3 else "ok", 0.0, None) for host in made.hosts]
+            results = [
+                our.ProbeResult(host, "denied" if host == 3 else "ok", 0.0, None)
+                for host in made.hosts
+            ]
             made.decide(101.0 + tick / 10, [our.TimerFired(0), *results])
         self.assertTrue(made.hosts[3].usable)
 
@@ -55,16 +69,20 @@
             proxy = await place.proxy()
             await until(lambda: proxy.got)
             self.assertEqual(sum(event == "listener put off" for event, _ in place.log), 2)
+
         with mock.patch.object(Front, "open", fail_twice):
             play(case)
 
     def test_a_listener_that_may_not_be_opened_ends_the_start_at_once(self):
         async def case():
             place = Place()
-            with mock.patch.object(Front, "open", side_effect=OSError(errno.EACCES, "not permitted")):
+            with mock.patch.object(
+                Front, "open", side_effect=OSError(errno.EACCES, "not permitted")
+            ):
                 with self.assertRaises(OSError):
                     await place.begin()
             place.end()
+
         run(case())
 
 
@@ -96,8 +114,12 @@
             with socket.create_server(("127.0.0.1", 0), backlog=peers) as real:
                 real.setblocking(False)
                 found = []
-                listener = Listener(FailingListener(real, plan), lambda: found.append(1) or asyncio.Protocol(), 8,
-                                    lambda event, **fields: events.append(event))
+                listener = Listener(
+                    FailingListener(real, plan),
+                    lambda: found.append(1) or asyncio.Protocol(),
+                    8,
+                    lambda event, **fields: events.append(event),
+                )
                 dialled = [socket.create_connection(real.getsockname()) for _ in range(peers)]
                 await until(lambda: len(found) == peers)
                 listener.close()
@@ -105,17 +127,23 @@
                     one.close()
             await asyncio.sleep(0.02)
             return listener
+
         listener = run(case())
         return events, listener
 
     def test_the_trouble_of_one_connection_holds_up_no_other(self):
-        plan = [getattr(errno, name) for name in ("ECONNABORTED", "EPROTO", "EPERM", "ENETDOWN", "EHOSTUNREACH")]
+        plan = [
+            getattr(errno, name)
+            for name in ("ECONNABORTED", "EPROTO", "EPERM", "ENETDOWN", "EHOSTUNREACH")
+        ]
         events, _ = self.taken(plan, 20)
         self.assertEqual(events, [])
 
     def test_a_shortage_is_told_once_and_its_pause_starts_anew_with_the_next(self):
         # Each cost a second: a steward that took 240 proxies with one accept of ten failing kept drained hosts 5 s.
-        events, listener = self.taken([errno.ENFILE, errno.ENOBUFS, 0, errno.EMFILE, 0, errno.ENOMEM], 20)
+        events, listener = self.taken(
+            [errno.ENFILE, errno.ENOBUFS, 0, errno.EMFILE, 0, errno.ENOMEM], 20
+        )
         self.assertEqual(events, ["accept put off", "accept goes on"] * 3)
         self.assertEqual(listener.pause, PAUSE)
 
@@ -136,6 +164,7 @@
                     listener.close()
                     await asyncio.sleep(0.05)
                     return listener.timer.cancelled()
+
         self.assertTrue(run(case()))
 
 
@@ -153,12 +182,22 @@
         async def case(place):
             await until(lambda: place.node.watch.version == 1)
             told = place.told._replace(discovery=("127.3.0.9", place.port + 1))
-            with mock.patch.object(place.node, "reread", side_effect=[
-                    BadConfiguration("half written"), BadConfiguration("half written"), told]):
+            with mock.patch.object(
+                place.node,
+                "reread",
+                side_effect=[
+                    BadConfiguration("half written"),
+                    BadConfiguration("half written"),
+                    told,
+                ],
+            ):
                 place.node.reload()
                 await until(lambda: place.node.watch.place == told.discovery)
-            refused = [fields for event, fields in place.log if event == "new configuration not taken"]
+            refused = [
+                fields for event, fields in place.log if event == "new configuration not taken"
+            ]
             self.assertEqual(refused, [{"why": "half written"}])
+
         play(case)
 
 
@@ -167,12 +206,17 @@
 
     def setUp(self):
         self.loop, self.ahead, self.steps = 100.0, 1.9e9, []
-        self.clock = WallClock(lambda: self.loop + self.ahead, lambda: self.loop,
-                               lambda event, **fields: self.steps.append(fields["by"]))
+        self.clock = WallClock(
+            lambda: self.loop + self.ahead,
+            lambda: self.loop,
+            lambda event, **fields: self.steps.append(fields["by"]),
+        )
 
     def test_a_hosts_age_is_a_span_of_real_time_however_the_wall_clock_is_stepped(self):
         for step in (3600.0, -3600.0, 2.5, -30.0):
-            before = self.loop + self.ahead  # a start that is stamped before the step, and one after it
+            before = (
+                self.loop + self.ahead
+            )  # a start that is stamped before the step, and one after it
             self.loop += 5.0
             self.ahead += step
             after = self.loop + self.ahead
@@ -204,7 +248,9 @@
             await until(lambda: place.node.watch.version == 1)
             wall[0] -= 3600.0
             place.desk.change(instance(7, started=1000 * (wall[0] - 1.0)))
-            await until(lambda: any(host.name == b"s-7" for host in place.node.planner.hosts.values()))
+            await until(
+                lambda: any(host.name == b"s-7" for host in place.node.planner.hosts.values())
+            )
             [host] = [host for host in place.node.planner.hosts.values() if host.name == b"s-7"]
             return host.cold_from is not None
 
@@ -215,4 +261,5 @@
             finally:
                 place.end()
                 await asyncio.sleep(0.02)
+
         self.assertTrue(run(whole()))
--- a/tests/test_steward_parts.py
+++ b/tests/test_steward_parts.py
@@ -20,11 +20,20 @@
 
 from .places import settings
 
-ORDERS = some.lists(some.one_of(
-    some.builds(our.SetLine, some.integers(0, 3), some.integers(0, 5), some.sampled_from([0.0, 1.0, 2.0])),
-    some.builds(our.BindTable, some.integers(0, 2), some.integers(0, 3), some.just((0,))),
-    some.builds(our.Withdraw, some.integers(0, 5), some.booleans()),
-    some.builds(our.ClearTable, some.integers(0, 3))), max_size=12)
+ORDERS = some.lists(
+    some.one_of(
+        some.builds(
+            our.SetLine,
+            some.integers(0, 3),
+            some.integers(0, 5),
+            some.sampled_from([0.0, 1.0, 2.0]),
+        ),
+        some.builds(our.BindTable, some.integers(0, 2), some.integers(0, 3), some.just((0,))),
+        some.builds(our.Withdraw, some.integers(0, 5), some.booleans()),
+        some.builds(our.ClearTable, some.integers(0, 3)),
+    ),
+    max_size=12,
+)
 
 
 class OnTheWay(unittest.TestCase):
@@ -52,7 +61,9 @@
         for view, message in channel.due(1e9):
             states[view].apply(message.ops)
         for view, state in states.items():
-            wanted = {h: w for h, w in tables.get(bound.get(view), {}).items() if w and h not in out}
+            wanted = {
+                h: w for h, w in tables.get(bound.get(view), {}).items() if w and h not in out
+            }
             self.assertEqual(state.lines(0), wanted)
         self.assertEqual(channel.waiting, 0.0)
 
@@ -64,14 +75,14 @@
         self.assertEqual(channel.waiting, 14.0)
         self.assertEqual([view for view, _ in channel.due(0.0)], [1])
         self.assertEqual(channel.due(0.6), [])
-        (view, message), = channel.due(0.75)
+        ((view, message),) = channel.due(0.75)
         self.assertEqual((view, message.ops), (2, {("line", 0, 1): 49.0}))
 
     def test_a_withdrawal_rides_with_the_message_that_waits_first(self):
         channel = Channel(10.0, 6.0, 100.0)
         channel.offer(0.0, 1, {("line", 0, 1): 1.0})
         channel.offer(0.0, 1, {("withdrawn", 1): True})
-        (_, message), = channel.due(0.0)
+        ((_, message),) = channel.due(0.0)
         state = ViewState()
         state.apply({("bind", 0): 0, **message.ops})
         self.assertEqual(state.lines(0), {})
@@ -113,7 +124,9 @@
         publisher.take([our.BindTable(view, view, (0,)) for view in range(4)])
         publisher.take([our.SetLine(1, 9, 1.0), our.SetLine(2, 9, 1.0)])
         shut, _, _ = publisher.take([our.Withdraw(9, True)])
-        self.assertEqual(sorted(shut), [4, 5])  # one on no table yet, a DNS view; the holders lose the line instead
+        self.assertEqual(
+            sorted(shut), [4, 5]
+        )  # one on no table yet, a DNS view; the holders lose the line instead
         publisher.leave(4)
         publisher.join(4, levelled=True)
         open_again, _, _ = publisher.take([our.Withdraw(9, False)])
@@ -131,20 +144,36 @@
 
 
 class Lists(unittest.TestCase):
-    HOST = {"name": "h1", "zone": "north", "phase": "ready", "address": "127.0.0.9", "started": 50.0}
+    HOST = {
+        "name": "h1",
+        "zone": "north",
+        "phase": "ready",
+        "address": "127.0.0.9",
+        "started": 50.0,
+    }
 
     def document(self, *hosts, version=1, written=100.0):
         return json.dumps({"version": version, "written": written, "hosts": hosts}).encode()
 
     def source(self, path):
         told, log = [], []
-        made = FileSource({"path": str(path), "every": 0.1, "patience": 1.0}, told.append,
-                          lambda event, **_: log.append(event))
+        made = FileSource(
+            {"path": str(path), "every": 0.1, "patience": 1.0},
+            told.append,
+            lambda event, **_: log.append(event),
+        )
         return made, told, log
 
     def test_one_bad_entry_does_not_cost_the_others(self):
-        bad = [{**self.HOST, "name": "a.b"}, {**self.HOST, "phase": "well"}, {**self.HOST, "weight": 0},
-               {**self.HOST, "address": "::1"}, {"zone": "north"}, 7, {**self.HOST, "weight": "1"}]
+        bad = [
+            {**self.HOST, "name": "a.b"},
+            {**self.HOST, "phase": "well"},
+            {**self.HOST, "weight": 0},
+            {**self.HOST, "address": "::1"},
+            {"zone": "north"},
+            7,
+            {**self.HOST, "weight": "1"},
+        ]
         read = read_document(self.document(self.HOST, *bad, self.HOST))
         self.assertEqual(([h.name for h in read.hosts], len(read.bad)), (["h1"], 8))
 
@@ -186,9 +215,13 @@
                 Path(f"{folder}/list").write_bytes(whole[:cut])
                 self.assertIsNone(memory.recall()[0])
             for at in range(0, len(whole), 3):
-                Path(f"{folder}/list").write_bytes(whole[:at] + bytes([whole[at] ^ 4]) + whole[at + 1:])
+                Path(f"{folder}/list").write_bytes(
+                    whole[:at] + bytes([whole[at] ^ 4]) + whole[at + 1 :]
+                )
                 self.assertIsNone(memory.recall()[0])
-            Path(f"{folder}/list").write_bytes(whole.replace(b"peatlead-list 1", b"peatlead-list 9"))
+            Path(f"{folder}/list").write_bytes(
+                whole.replace(b"peatlead-list 1", b"peatlead-list 9")
+            )
             self.assertEqual(memory.recall()[1], "not a list of this format")
 
     def test_a_crash_while_remembering_leaves_the_old_one(self):
@@ -206,15 +239,23 @@
     def test_a_process_keeps_the_start_it_was_first_seen_with(self):
         door = Door([zone["name"] for zone in settings()["zone"]], lambda *_, **__: None)
         first = door.roster(read_document(self.document(self.HOST)), 1000.0).members[0]
-        again = door.roster(read_document(self.document(self.HOST, version=2, written=130.0)), 1031.0).members[0]
-        anew = door.roster(read_document(self.document({**self.HOST, "started": 130.0}, version=3, written=131.0)),
-                           1032.0).members[0]
-        self.assertEqual((first.started_at, again.started_at, anew.started_at), (950.0, 950.0, 1031.0))
+        again = door.roster(
+            read_document(self.document(self.HOST, version=2, written=130.0)), 1031.0
+        ).members[0]
+        anew = door.roster(
+            read_document(self.document({**self.HOST, "started": 130.0}, version=3, written=131.0)),
+            1032.0,
+        ).members[0]
+        self.assertEqual(
+            (first.started_at, again.started_at, anew.started_at), (950.0, 950.0, 1031.0)
+        )
         self.assertEqual((first.host, anew.host), (0, 0))
 
     def test_a_zone_that_is_not_in_the_settings_is_left_out(self):
         door = Door([zone["name"] for zone in settings()["zone"]], lambda *_, **__: None)
-        listing = Listing("whole", 1, 0.0, read_document(self.document({**self.HOST, "zone": "mars"})).hosts)
+        listing = Listing(
+            "whole", 1, 0.0, read_document(self.document({**self.HOST, "zone": "mars"})).hosts
+        )
         self.assertEqual(door.roster(listing, 0.0).members, ())
 
 
@@ -226,30 +267,44 @@
         return made
 
     def told(self, boot="b", **rows):
-        return Told(boot, ["look"], {network.replace("_", "."): [row] for network, row in rows.items()})
+        return Told(
+            boot, ["look"], {network.replace("_", "."): [row] for network, row in rows.items()}
+        )
 
     def test_sums_are_what_came_since_by_the_views_zone(self):
         news = self.news()
         news.take(3, self.told(**{"10_1_0_0": [10, 9, 1, 0, 0, 0, 4.5]}), {"util": 0.4})
-        news.take(3, self.told(**{"10_1_0_0": [16, 13, 1, 0, 2, 0, 6.5], "10_2_0_0": [1, 1, 0, 0, 0, 0, 0.1]}), None)
+        news.take(
+            3,
+            self.told(
+                **{"10_1_0_0": [16, 13, 1, 0, 2, 0, 6.5], "10_2_0_0": [1, 1, 0, 0, 0, 0, 0.1]}
+            ),
+            None,
+        )
         events = news.due(2.0, [70, 71])
-        self.assertEqual(events, [
-            our.ReqSums(70, 0, 6, 2, 2.0), our.ReqSums(71, 0, 1, 0, 2.0),
-            our.HostSums(3, 0, 6, 2, 2.0, 0.5, {"util": 0.4}), our.HostSums(3, 1, 1, 0, 2.0, 0.1, {"util": 0.4})])
+        self.assertEqual(
+            events,
+            [
+                our.ReqSums(70, 0, 6, 2, 2.0),
+                our.ReqSums(71, 0, 1, 0, 2.0),
+                our.HostSums(3, 0, 6, 2, 2.0, 0.5, {"util": 0.4}),
+                our.HostSums(3, 1, 1, 0, 2.0, 0.1, {"util": 0.4}),
+            ],
+        )
 
     def test_a_new_process_counts_from_none_and_counters_that_go_back_tell_nothing(self):
         news = self.news()
         news.take(3, self.told(**{"10_1_0_0": [100, 90, 0, 0, 0, 0, 9.0]}), None)
         news.take(3, self.told("c", **{"10_1_0_0": [4, 4, 0, 0, 0, 0, 1.0]}), None)
         news.take(3, self.told("c", **{"10_1_0_0": [1, 1, 0, 0, 0, 0, 0.5]}), None)
-        sums, = [e for e in news.due(1.0, [70, 71]) if type(e) is our.HostSums]
+        (sums,) = [e for e in news.due(1.0, [70, 71]) if type(e) is our.HostSums]
         self.assertEqual((sums.tries, sums.bad), (4, 0))
 
     def test_a_hung_host_is_told_of_by_clients_that_gave_up(self):
         news = self.news()
         news.take(3, self.told(**{"10_1_0_0": [0, 0, 0, 0, 0, 0, 0.0]}), None)
         news.take(3, self.told(**{"10_1_0_0": [9, 0, 0, 0, 8, 0, 0.0]}), None)
-        sums, = [e for e in news.due(1.0, [70, 71]) if type(e) is our.HostSums]
+        (sums,) = [e for e in news.due(1.0, [70, 71]) if type(e) is our.HostSums]
         self.assertEqual((sums.tries, sums.bad), (8, 8))
 
     def test_an_idle_host_that_passes_probes_was_heard(self):
@@ -267,9 +322,20 @@
         self.assertEqual(news.due(1.0, [70, 71]), [])
 
     def test_load_reports_in_the_published_forms(self):
-        self.assertEqual(read_report(write_report({"util": 0.25, "waiting": 3})), {"util": 0.25, "waiting": 3.0})
-        self.assertEqual(read_report('JSON {"cpu_utilization": 0.5, "named_metrics": {"waiting": 2}}'),
-                         {"util": 0.5, "waiting": 2.0})
-        for value in ("", "TEXT", "TEXT cpu_utilization=nan, eps", "JSON {", "BIN xx", "JSON [1]",
-                      "TEXT cpu_utilization=-1"):
+        self.assertEqual(
+            read_report(write_report({"util": 0.25, "waiting": 3})), {"util": 0.25, "waiting": 3.0}
+        )
+        self.assertEqual(
+            read_report('JSON {"cpu_utilization": 0.5, "named_metrics": {"waiting": 2}}'),
+            {"util": 0.5, "waiting": 2.0},
+        )
+        for value in (
+            "",
+            "TEXT",
+            "TEXT cpu_utilization=nan, eps",
+            "JSON {",
+            "BIN xx",
+            "JSON [1]",
+            "TEXT cpu_utilization=-1",
+        ):
             self.assertEqual(read_report(value), {})
--- a/tests/test_story.py
+++ b/tests/test_story.py
@@ -18,14 +18,16 @@
     def test_a_holder_is_without_once_the_version_that_says_so_is_in_force(self):
         made = Story()
         made.losing(1.0, 5, 70)
-        made.applied(1.1, 70, Version(1, 3))  # of a version from before: its message has not left yet
+        made.applied(
+            1.1, 70, Version(1, 3)
+        )  # of a version from before: its message has not left yet
         made.left(70)
         made.applied(1.2, 70, Version(1, 3))  # it was under way when the message left
         made.sent(70, Version(1, 4))
         made.applied(1.3, 70, Version(1, 3))
         self.assertIn(5, made.open)
         made.applied(1.5, 70, Version(1, 4))
-        told, = made.tell(2.0, 5)["losses"]
+        (told,) = made.tell(2.0, 5)["losses"]
         self.assertEqual((told["holders"], told["without it"], told["last s"]), (1, 1, 0.5))
         self.assertEqual((made.open, made.holding), ({}, {}))
 
@@ -36,11 +38,19 @@
             made.left(holder)
         made.applied(0.2, 1)
         made.ended(0.3, 2)
-        told, = made.tell(1.0, 9)["losses"]
+        (told,) = made.tell(1.0, 9)["losses"]
         self.assertEqual((told["without it"], told["left before"], told["still to go"]), (1, 1, 1))
 
-    @given(some.lists(some.tuples(some.sampled_from(("lose", "left", "sent", "applied", "ended")),
-                                  some.integers(0, 6), some.integers(0, 6)), max_size=120))
+    @given(
+        some.lists(
+            some.tuples(
+                some.sampled_from(("lose", "left", "sent", "applied", "ended")),
+                some.integers(0, 6),
+                some.integers(0, 6),
+            ),
+            max_size=120,
+        )
+    )
     def test_nothing_is_left_behind_whatever_the_order(self, steps):
         made, serial = Story(), 0
         for at, (what, host, holder) in enumerate(steps):
@@ -56,7 +66,9 @@
             else:
                 made.ended(float(at), holder)
             pairs = {(host, holder) for host, loss in made.open.items() for holder in loss.waiting}
-            self.assertEqual(pairs, {(host, holder) for holder, hosts in made.holding.items() for host in hosts})
+            self.assertEqual(
+                pairs, {(host, holder) for holder, hosts in made.holding.items() for host in hosts}
+            )
         for holder in range(7):
             made.ended(999.0, holder)
         self.assertEqual((made.open, made.holding), ({}, {}))
@@ -67,8 +79,10 @@
             made.losing(0.0, host, 1)
             for at in range(30):
                 made.note(float(at), host, "again")
-        self.assertEqual((len(made.open), made.forgotten, len(made.holding[1])),
-                         (module.LOSSES_MOST, 50, module.LOSSES_MOST))
+        self.assertEqual(
+            (len(made.open), made.forgotten, len(made.holding[1])),
+            (module.LOSSES_MOST, 50, module.LOSSES_MOST),
+        )
         self.assertEqual(len(made.tell(99.0, 7)["notes"]), module.NOTES_EACH)
 
 
@@ -79,8 +93,11 @@
             agents = [Agent(at, ("127.1.0.1", world.port + 2)) for at in range(6)]
             await asyncio.gather(*(one.begin() for one in agents))
             await until(lambda: all(len(one.hosts) > 1 for one in agents))
-            name, address = next((plan.name, plan.address) for plan in world.plans
-                                 if any(plan.address in one.hosts for one in agents))
+            name, address = next(
+                (plan.name, plan.address)
+                for plan in world.plans
+                if any(plan.address in one.hosts for one in agents)
+            )
             holders = sum(address in one.hosts for one in agents)
             world.phases[name] = "draining"
             world.write()
@@ -96,8 +113,11 @@
             proxy = await ask_once(steward.me["control"], {"ask": "why", "host": "agent3"})
             self.assertEqual((proxy["zone"], proxy["losses under way"]), ("a", []))
             self.assertNotIn(name, proxy["lines"]["look"])
-            self.assertIn("expected a host", (await ask_once(
-                steward.me["control"], {"ask": "why", "host": "nobody"}))["error"])
+            self.assertIn(
+                "expected a host",
+                (await ask_once(steward.me["control"], {"ask": "why", "host": "nobody"}))["error"],
+            )
             for one in agents:
                 one.connection.cut("over")
+
         play(case, script=GRPC)
--- a/tests/test_tables.py
+++ b/tests/test_tables.py
@@ -15,15 +15,22 @@
 from peatlead.tables.version import Digest, Version, changes, line_key, read_line_key
 
 KEYS = some.sampled_from([f"line/k/z/10.0.0.{at}:1" for at in range(6)] + ["level/k", "retry/k"])
-STATES = some.lists(some.dictionaries(KEYS, some.integers(1, 4), max_size=6), min_size=1, max_size=20)
+STATES = some.lists(
+    some.dictionaries(KEYS, some.integers(1, 4), max_size=6), min_size=1, max_size=20
+)
 
 
 def grown(states, store=None, name="p", epoch=1):
     """A store with a version for each state."""
     store = store or Store()
     for at, state in enumerate(states):
-        store.commit(name, Version(epoch, at + 1), float(at), (f"cause {at}",),
-                     changes(store.history(name).items, state))
+        store.commit(
+            name,
+            Version(epoch, at + 1),
+            float(at),
+            (f"cause {at}",),
+            changes(store.history(name).items, state),
+        )
     return store
 
 
@@ -68,8 +75,18 @@
 
     def test_line_keys_come_back_and_odd_ones_are_refused(self):
         for address in ("10.0.0.1", "2001:db8::7"):
-            self.assertEqual(read_line_key(line_key("k", "a/b", address, 80)), ("k", "a/b", address, 80))
-        for odd in ("", "line", "line/k/z/x", "line/k/z/x:0", "line/k/z/x:99999", "level/k", "line//z/x:1"):
+            self.assertEqual(
+                read_line_key(line_key("k", "a/b", address, 80)), ("k", "a/b", address, 80)
+            )
+        for odd in (
+            "",
+            "line",
+            "line/k/z/x",
+            "line/k/z/x:0",
+            "line/k/z/x:99999",
+            "level/k",
+            "line//z/x:1",
+        ):
             with self.assertRaises(ValueError):
                 read_line_key(odd)
 
@@ -79,9 +96,13 @@
         for bounds in ({"each_most": 3}, {"most": 3}, {"age_most": 2.5}, {"bytes_most": 1100}):
             store = grown([{"level/k": at} for at in range(1, 11)], Store(**bounds))
             history = store.histories["p"]
-            self.assertEqual([entry.version.serial for entry in history.entries], [8, 9, 10], bounds)
+            self.assertEqual(
+                [entry.version.serial for entry in history.entries], [8, 9, 10], bounds
+            )
             self.assertEqual(history.items, {"level/k": 10})
-            self.assertEqual(history.at_version(Version(1, 7)), {"level/k": 7})  # the farthest way back
+            self.assertEqual(
+                history.at_version(Version(1, 7)), {"level/k": 7}
+            )  # the farthest way back
             with self.assertRaises(Unknown):
                 history.at_version(Version(1, 6))
             with self.assertRaises(Unknown):
@@ -98,7 +119,9 @@
         self.assertEqual(sorted(store.histories), ["a", "c", "d"])
         store.history("a")  # back
         store.history("e")
-        self.assertEqual(sorted(store.histories), ["a", "c", "d", "e"])  # those that count are never forgotten
+        self.assertEqual(
+            sorted(store.histories), ["a", "c", "d", "e"]
+        )  # those that count are never forgotten
 
     def test_many_versions_of_one_beside_an_old_one_of_another_do_not_pile_up(self):
         store = Store(each_most=10)
@@ -116,7 +139,9 @@
         self.folder, self.said = Path(self.made.name) / "tables", []
 
     def open(self, **bounds):
-        log = TableLog(self.folder, Store(**bounds), lambda event, **more: self.said.append((event, more)))
+        log = TableLog(
+            self.folder, Store(**bounds), lambda event, **more: self.said.append((event, more))
+        )
         self.addCleanup(log.close)
         wrong = log.recall()
         log.start(0.0)
@@ -124,13 +149,24 @@
 
     def publish(self, log, many, name="p", first=1, at=0.0):
         for one in range(first, first + many):
-            log.publish(name, log.store.commit(name, Version(1, one), at + one, (f"cause {one}",),
-                                               {f"line/k/z/h{one % 7}:1": one}))
+            log.publish(
+                name,
+                log.store.commit(
+                    name,
+                    Version(1, one),
+                    at + one,
+                    (f"cause {one}",),
+                    {f"line/k/z/h{one % 7}:1": one},
+                ),
+            )
         log.flush(at)
 
     def same(self, one, other, name="p"):
         mine, theirs = one.store.histories[name], other.store.histories[name]
-        self.assertEqual((mine.items, mine.last, str(mine.digest)), (theirs.items, theirs.last, str(theirs.digest)))
+        self.assertEqual(
+            (mine.items, mine.last, str(mine.digest)),
+            (theirs.items, theirs.last, str(theirs.digest)),
+        )
         self.assertEqual(list(mine.entries), list(theirs.entries))
 
     def test_a_restarted_steward_knows_what_it_had_published(self):
@@ -159,7 +195,7 @@
             fresh = TableLog(self.folder, Store(), None)
             fresh.recall()
             found = list(fresh.store.histories["p"].entries) if fresh.store.histories else []
-            self.assertEqual(found, full[:len(found)])
+            self.assertEqual(found, full[: len(found)])
             self.assertEqual(len(found) % 3, 0)
 
     def test_a_bit_that_flips_anywhere_is_found_and_nothing_past_it_is_taken(self):
@@ -171,28 +207,41 @@
         chance = random.Random(5)
         for _ in range(200):
             at = chance.randrange(len(whole))
-            path.write_bytes(whole[:at] + bytes([whole[at] ^ 1 << chance.randrange(8)]) + whole[at + 1:])
+            path.write_bytes(
+                whole[:at] + bytes([whole[at] ^ 1 << chance.randrange(8)]) + whole[at + 1 :]
+            )
             fresh = TableLog(self.folder, Store(), None)
             wrong = fresh.recall()
             self.assertTrue(wrong, f"a flip at byte {at} went unseen")
             found = list(fresh.store.histories["p"].entries) if fresh.store.histories else []
-            self.assertEqual(found, full[:len(found)])
+            self.assertEqual(found, full[: len(found)])
 
     def test_a_frame_from_elsewhere_or_twice_is_no_frame_of_this_place(self):
         framer, other = Framer(), Framer()
-        frames = [framer.frame([Published("p", 1, at, 0.0, [], {"level/k": at})]) for at in (1, 2, 3)]
+        frames = [
+            framer.frame([Published("p", 1, at, 0.0, [], {"level/k": at})]) for at in (1, 2, 3)
+        ]
         foreign = other.frame([Published("p", 1, 9, 0.0, [], {"level/k": 9})])
         head = framer.head()
         self.assertEqual(len(read_segment(head + b"".join(frames)).records), 3)
-        for odd in ([frames[0], frames[0]], [frames[0], frames[2]], [frames[0], foreign], [frames[1]]):
+        for odd in (
+            [frames[0], frames[0]],
+            [frames[0], frames[2]],
+            [frames[0], foreign],
+            [frames[1]],
+        ):
             read = read_segment(head + b"".join(odd))
             self.assertLessEqual(len(read.records), 1)
             self.assertIn("checksum", read.why)
 
     def test_other_formats_are_named_and_left_alone(self):
         self.folder.mkdir()
-        for name, data in (("00000001.log", b"peatlead-tables 0\nwhatever"), ("00000002.log", b"junk"),
-                           ("00000003.log", b""), ("notes.txt", b"x")):
+        for name, data in (
+            ("00000001.log", b"peatlead-tables 0\nwhatever"),
+            ("00000002.log", b"junk"),
+            ("00000003.log", b""),
+            ("notes.txt", b"x"),
+        ):
             (self.folder / name).write_bytes(data)
         log, wrong = self.open()
         odd = "not a log of tables"
@@ -209,7 +258,7 @@
         files = sorted(self.folder.glob("*.log"))
         self.assertGreater(len(files), 3)
         data = files[1].read_bytes()
-        files[1].write_bytes(data[:len(data) // 2] + b"\0" + data[len(data) // 2 + 1:])
+        files[1].write_bytes(data[: len(data) // 2] + b"\0" + data[len(data) // 2 + 1 :])
         again, wrong = self.open()
         self.assertTrue(any("checksum" in why for _, why in wrong))
         mine, theirs = log.store.histories["p"], again.store.histories["p"]
@@ -252,7 +301,7 @@
             def write(self, data):
                 if not self.room:
                     raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
-                data, self.room = data[:self.room], 0
+                data, self.room = data[: self.room], 0
                 return real.write(data)
 
             def __getattr__(self, name):
@@ -265,7 +314,9 @@
         self.assertEqual(log.store.histories["p"].last, Version(1, 15))  # publishing goes on
         self.publish(log, 2, first=16, at=7.0)
         self.assertIsNone(log.broken)
-        self.assertEqual([event for event, _ in self.said], ["tables are not kept", "tables are kept again"])
+        self.assertEqual(
+            [event for event, _ in self.said], ["tables are not kept", "tables are kept again"]
+        )
         self.publish(log, 1, first=18, at=8.0)
         again, wrong = self.open()
         self.assertTrue(any("torn" in why for _, why in wrong))
--- a/tests/test_telemetry.py
+++ b/tests/test_telemetry.py
@@ -16,11 +16,20 @@
     def test_a_batch_names_the_proxies_that_joined_left_and_were_sent_tables(self):
         self.telemetry.proxy_joined(1, True)
         self.telemetry.proxy_left(2, "reset")
-        self.telemetry.message_written(1, {("bind", 0): 4, ("line", 4, 7): 1.0, ("line", 3, 6): 0.0})
+        self.telemetry.message_written(
+            1, {("bind", 0): 4, ("line", 4, 7): 1.0, ("line", 3, 6): 0.0}
+        )
         self.telemetry.end_batch(100.0, planner())
-        self.assertEqual(self.events[0], ("proxies", {"joined": [1], "left": {"reset": [2]}, "tables": [1]}))
-        self.assertEqual({name: self.events[1][1]["since"][name] for name in ("tables", "lines", "removed_lines")},
-                         {"tables": 1, "lines": 2, "removed_lines": 1})
+        self.assertEqual(
+            self.events[0], ("proxies", {"joined": [1], "left": {"reset": [2]}, "tables": [1]})
+        )
+        self.assertEqual(
+            {
+                name: self.events[1][1]["since"][name]
+                for name in ("tables", "lines", "removed_lines")
+            },
+            {"tables": 1, "lines": 2, "removed_lines": 1},
+        )
 
     def test_the_status_comes_once_a_second_and_not_while_nothing_happens(self):
         idle = planner()
@@ -36,7 +45,9 @@
         made = planner(queue_most=10.0)
         made.decide(101.0, [our.ProxyJoined(2, 0, 5.0, False)])
         status = made.status(102.5)
-        self.assertEqual((status.joined_proxies, status.unbound_proxies, status.longest_wait), (4, 2, 2.5))
+        self.assertEqual(
+            (status.joined_proxies, status.unbound_proxies, status.longest_wait), (4, 2, 2.5)
+        )
         self.assertGreater(status.queued_lines, 0)
 
     def test_a_steward_tells_of_joins_tables_and_ends_of_its_streams(self):
@@ -44,10 +55,15 @@
             proxy = await place.proxy(3)
             await until(lambda: proxy.got)
             place.desk.change(instance(2, lifecycle="leaving"))
-            await until(lambda: any(["s-2", 0.0] in part.get("endpoints", ()) for part in proxy.got))
+            await until(
+                lambda: any(["s-2", 0.0] in part.get("endpoints", ()) for part in proxy.got)
+            )
             proxy.cut("over")
-            await until(lambda: any(event == "proxies" and fields["left"] for event, fields in place.log))
+            await until(
+                lambda: any(event == "proxies" and fields["left"] for event, fields in place.log)
+            )
             return [fields for event, fields in place.log if event == "proxies"]
+
         told = play(case)
         for name in ("joined", "tables"):
             self.assertEqual([number for fields in told for number in fields[name]], [3], name)
--- a/tests/test_transfer.py
+++ b/tests/test_transfer.py
@@ -17,14 +17,22 @@
 
 ORIGIN = dns.name.from_text("example.org.")
 SECONDARY = "127.1.0.77"
-RECORDS = some.frozensets(some.sampled_from(
-    [(f"d{at}.api", 1, "A", f"10.0.0.{host}") for at in range(3) for host in range(1, 5)]), max_size=8)
+RECORDS = some.frozensets(
+    some.sampled_from(
+        [(f"d{at}.api", 1, "A", f"10.0.0.{host}") for at in range(3) for host in range(1, 5)]
+    ),
+    max_size=8,
+)
 NS = ("@", 60, "NS", "ns1.example.org.")
 
 
 def history(serial=0, index=0, many=1):
-    return ZoneHistory(ORIGIN, lambda at: f"ns1.example.org. h.example.org. {at} 60 10 600 5", Serials(index, many),
-                       serial)
+    return ZoneHistory(
+        ORIGIN,
+        lambda at: f"ns1.example.org. h.example.org. {at} 60 10 600 5",
+        Serials(index, many),
+        serial,
+    )
 
 
 class Numbers(unittest.TestCase):
@@ -59,9 +67,16 @@
 
     def test_the_digest_is_what_another_library_computes(self):
         made = history()
-        made.update({NS, ("d1.api", 1, "A", "10.0.0.1"),
-                     ("_http._tcp.d1.api", 1, "SRV", "0 5 80 h1.hosts.example.org.")})
-        text = "\n".join(f"{name} {lifetime} IN {rtype} {rdata}" for name, lifetime, rtype, rdata in made.records)
+        made.update(
+            {
+                NS,
+                ("d1.api", 1, "A", "10.0.0.1"),
+                ("_http._tcp.d1.api", 1, "SRV", "0 5 80 h1.hosts.example.org."),
+            }
+        )
+        text = "\n".join(
+            f"{name} {lifetime} IN {rtype} {rdata}" for name, lifetime, rtype, rdata in made.records
+        )
         zone = dns.zone.from_text(text, ORIGIN, relativize=True)
         zone.verify_digest()
         zone.delete_rdataset("d1.api", "A")
@@ -88,15 +103,21 @@
     """A steward, and a plain secondary on loopback."""
 
     def play(self, case, **more):
-        script = SCRIPT.replace("open_views = 4", f'open_views = 4, secondaries = ["{SECONDARY}:{{grpc}}"]')
+        script = SCRIPT.replace(
+            "open_views = 4", f'open_views = 4, secondaries = ["{SECONDARY}:{{grpc}}"]'
+        )
 
         async def whole(world):
             steward = await world.steward()
             second = Secondary(ORIGIN, (SECONDARY, world.port + 2), ("127.1.0.1", world.port))
             await second.open()
             world.closing.append(second.close)
-            await until(lambda: second.serial is not None and second.serial == steward.secondaries.history.serial)
+            await until(
+                lambda: second.serial is not None
+                and second.serial == steward.secondaries.history.serial
+            )
             await case(world, steward, second)
+
         play(whole, script=script, **more)
 
     def test_it_is_told_fetches_what_differs_and_holds_checked_versions(self):
@@ -107,10 +128,13 @@
             world.phases["h0"] = "draining"
             world.write()
             await until(lambda: second.zone.get_node("h0.hosts") is None)
-            self.assertNotIn("h0.hosts", str(second.zone.get_rdataset("_http._tcp.desk0.api", "SRV")))
+            self.assertNotIn(
+                "h0.hosts", str(second.zone.get_rdataset("_http._tcp.desk0.api", "SRV"))
+            )
             await until(lambda: second.serial == steward.secondaries.history.serial)
             self.assertTrue(newer(second.serial, first) and second.sound())
             self.assertEqual(set(second.fetched), {"done"})
+
         self.play(case)
 
     def test_one_that_missed_many_is_served_and_one_whose_memory_is_bad_gets_the_whole(self):
@@ -118,11 +142,16 @@
             second.zone.delete_rdataset("desk0.api", "A")  # its memory went bad
             world.phases["h1"] = "draining"
             world.write()
-            await until(lambda: newer(steward.secondaries.history.serial, second.serial)
-                        or second.fetched["done"] > 1)
-            await until(lambda: second.serial == steward.secondaries.history.serial
-                        and second.zone.get_rdataset("desk0.api", "A"))
+            await until(
+                lambda: newer(steward.secondaries.history.serial, second.serial)
+                or second.fetched["done"] > 1
+            )
+            await until(
+                lambda: second.serial == steward.secondaries.history.serial
+                and second.zone.get_rdataset("desk0.api", "A")
+            )
             self.assertTrue(second.sound())
+
         self.play(case)
 
     def test_a_steward_that_was_set_back_passes_what_its_secondary_holds(self):
@@ -137,6 +166,7 @@
             self.assertTrue(second.sound())
             self.assertEqual(steward.secondaries.counts["passed"], 1)
             self.assertEqual(steward.published.zone_serial(), second.serial)
+
         self.play(case)
 
     def test_strangers_udp_and_odd_queries(self):
@@ -149,11 +179,15 @@
             [wire] = steward.answers.respond(query.to_wire(), SECONDARY, True)
             self.assertEqual(dns.message.from_wire(wire).rcode(), 1)
             query = dns.message.make_query(ORIGIN, "AXFR")
-            self.assertEqual(dns.message.from_wire(steward.answers.respond(query.to_wire(), SECONDARY)).rcode(), 5)
+            self.assertEqual(
+                dns.message.from_wire(steward.answers.respond(query.to_wire(), SECONDARY)).rcode(),
+                5,
+            )
             asked = dns.message.make_query(ORIGIN, "IXFR")
             asked.authority.append(dns.rrset.from_text(ORIGIN, 60, "IN", "SOA", "a. b. 7 1 1 1 1"))
             told = dns.message.from_wire(steward.answers.respond(asked.to_wire(), SECONDARY))
             self.assertEqual([one.rdtype for one in told.answer], [dns.rdatatype.SOA])
+
         self.play(case)
 
     def test_one_that_never_answers_is_given_up(self):
@@ -165,6 +199,7 @@
             self.assertFalse(places.waiting)
             second.transport = places.transport  # something to close
             await asyncio.sleep(0)
+
         self.play(case)
 
 
@@ -184,7 +219,9 @@
         many = 0 if drawn < 0.3 else 2 if drawn < 0.6 else 1
         self.did.add(many)
         for _ in range(many):
-            asyncio.get_running_loop().call_later(self.chance.uniform(0.0, 0.4), self.send, data, to)
+            asyncio.get_running_loop().call_later(
+                self.chance.uniform(0.0, 0.4), self.send, data, to
+            )
 
     def send(self, data, to):
         if not self.transport.is_closing():
@@ -193,7 +230,9 @@
 
 class RoughWay(unittest.TestCase):
     def test_news_that_is_lost_doubled_and_late_ends_on_the_same_checked_version(self):
-        script = SCRIPT.replace("open_views = 4", f'open_views = 4, secondaries = ["{SECONDARY}:{{grpc}}"]')
+        script = SCRIPT.replace(
+            "open_views = 4", f'open_views = 4, secondaries = ["{SECONDARY}:{{grpc}}"]'
+        )
 
         async def case(world):
             steward = await world.steward()
@@ -201,16 +240,22 @@
             await second.open()
             way = Rough((SECONDARY, world.port + 3), random.Random(3))
             loop = asyncio.get_running_loop()
-            transport, _ = await loop.create_datagram_endpoint(lambda: way, local_addr=(SECONDARY, world.port + 2))
+            transport, _ = await loop.create_datagram_endpoint(
+                lambda: way, local_addr=(SECONDARY, world.port + 2)
+            )
             world.closing += [second.close, transport.close]
             await until(lambda: second.serial is not None, 30.0)
             await world.shake(12, 0.3)
-            await until(lambda: second.serial == steward.secondaries.history.serial
-                        and second.zone.get_node("h1.hosts") is None and steward.answers.placed
-                        == steward.secondaries.placed, 30.0)
+            await until(
+                lambda: second.serial == steward.secondaries.history.serial
+                and second.zone.get_node("h1.hosts") is None
+                and steward.answers.placed == steward.secondaries.placed,
+                30.0,
+            )
             self.assertTrue(second.sound())
             self.assertEqual(way.did, {0, 1, 2})
             self.assertEqual(set(second.fetched), {"done"})
+
         play(case, script=script)
 
 
@@ -222,6 +267,6 @@
         again = history(first.serial)
         again.update({NS})
         self.assertTrue(newer(again.serial, first.serial))
-        self.assertIsNone(again.since(first.serial))  # what led there went with the process: the whole is sent
-
-
+        self.assertIsNone(
+            again.since(first.serial)
+        )  # what led there went with the process: the whole is sent
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -27,12 +27,13 @@
 
     def test_malformed_input_is_told_with_its_place(self):
         for data, words in (
-                (batch(TALLY)[:-3], "truncated batch"),
-                (b"\0\0", "truncated batch header"),
-                (batch("9999000000"), "record 0 at byte 0: unknown code"),
-                (batch(TALLY[:-2]), "overruns"),
-                (batch("040600000003" + "00" * 8 + "000000022a"), "overruns"),
-                (batch("040600000003" + "00" * 8 + "000000022a2a"), "not JSON")):
+            (batch(TALLY)[:-3], "truncated batch"),
+            (b"\0\0", "truncated batch header"),
+            (batch("9999000000"), "record 0 at byte 0: unknown code"),
+            (batch(TALLY[:-2]), "overruns"),
+            (batch("040600000003" + "00" * 8 + "000000022a"), "overruns"),
+            (batch("040600000003" + "00" * 8 + "000000022a2a"), "not JSON"),
+        ):
             with self.assertRaises(codec.BadInput) as caught:
                 codec.read_batch(io.BytesIO(data))
             self.assertRegex(str(caught.exception), words)
@@ -40,8 +41,12 @@
 
 class Names(unittest.TestCase):
     def test_settings_come_in_our_words_and_seconds_and_unknown_keys_are_skipped(self):
-        facts = names.settings_from({"familyInfo": {"emptyForUs": 3000000, "new": 1}, "classes": [
-            {"repeat": "by_key", "targetUs": 400000, "group": "cell"}]})
+        facts = names.settings_from(
+            {
+                "familyInfo": {"emptyForUs": 3000000, "new": 1},
+                "classes": [{"repeat": "by_key", "targetUs": 400000, "group": "cell"}],
+            }
+        )
         self.assertEqual(facts["bare_most"], 3.0)
         self.assertEqual(facts["req_kinds"][0]["repeat"], "uniqued")
         self.assertEqual(facts["req_kinds"][0]["response_target"], 0.4)
@@ -49,8 +54,18 @@
 
     def test_hosts_are_small_indices_inside_and_addresses_outside(self):
         door = names.Door({"stats": {"fields": ["busy"]}})
-        event = door.event("TALLY", {"host": b"\1\2\3\4\0\7", "locality": 0, "many": 3, "failed": 1,
-                                     "coversUs": 1000000, "timeTakenUs": 5000, "feedback": (0.5,)})
+        event = door.event(
+            "TALLY",
+            {
+                "host": b"\1\2\3\4\0\7",
+                "locality": 0,
+                "many": 3,
+                "failed": 1,
+                "coversUs": 1000000,
+                "timeTakenUs": 5000,
+                "feedback": (0.5,),
+            },
+        )
         self.assertEqual(event, our.HostSums(0, 0, 3, 1, 1.0, 0.005, {"util": 0.5}))
         self.assertEqual(door.order(9, our.Probe(0)), ("TEST", {"host": b"\1\2\3\4\0\7", "i": 9}))
 
@@ -64,5 +79,15 @@
         held = adapter.Instance({"env": {}, "seed": 1})
         held.planner.decide = lambda now, events: 1 // 0
         reply = adapter.take_batch({3: held}, 0, [("WAKE", {"i": 3, "token": 1})])
-        self.assertEqual(reply, [("BROKEN", {
-            "i": 3, "reasonText": b"ZeroDivisionError: integer division or modulo by zero"})])
+        self.assertEqual(
+            reply,
+            [
+                (
+                    "BROKEN",
+                    {
+                        "i": 3,
+                        "reasonText": b"ZeroDivisionError: integer division or modulo by zero",
+                    },
+                )
+            ],
+        )
