--- a/peatlead/day/nodelist.py
+++ b/peatlead/day/nodelist.py
@@ -65,11 +65,11 @@
             fault = lambda hosts, version: (old, False, at)  # noqa: E731
         elif verb == "list_shrunk":
             forgets = {name for name in sorted(self.hosts) if chance.random() < trouble["part"]}
-            fault = lambda hosts, version: (
+            fault = lambda hosts, version: (  # noqa: E731
                 [h for h in hosts if h["name"] not in forgets],
                 False,
                 version,
-            )  # noqa: E731
+            )
         else:
             zones = sorted({one["zone"] for one in self.hosts.values()})
             ghosts = [
