--- a/tests/transcripts/record_platform.py
+++ b/tests/transcripts/record_platform.py
@@ -321,8 +321,9 @@
 class Party(Peer):
     """A proxy, a collector or anybody else; a proxy acknowledges after `latency` milliseconds, if at all."""
 
-    def __init__(self, first=b"", node=None, latency=None):
+    def __init__(self, first=b"", node=None, latency=None, hangs_up=True):
         self.first, self.node, self.latency, self.part, self.over = first, node, latency, b"", False
+        self.hangs_up = hangs_up  # ends its own direction once the program has ended the other
 
     def opened(self):
         if self.first:
@@ -344,7 +345,8 @@
     def ended(self):
         if not self.over:
             self.over = True
-            self.finish()
+            if self.hangs_up:
+                self.finish()
 
 
 def instance(at, lifecycle="active", **more):
@@ -379,17 +381,17 @@
         self.write("10.0.9.1:7000")
         self.plan()
 
-    def write(self, discovery, torn=False):
+    def write(self, discovery, torn=False, **more):
         said = json.loads((DATA / "configuration.json").read_text())
-        text = json.dumps({**said, "discovery": discovery})
+        text = json.dumps({**said, "discovery": discovery, **more})
         Path(self.path).write_text(text[:40] if torn else text)
 
     def at(self, seconds, call, *args):
         self.loop.call_at(100.0 + seconds, call, *args)
 
-    def join(self, seconds, name, first=b"", node=None, latency=None):
+    def join(self, seconds, name, first=b"", node=None, latency=None, hangs_up=True):
         def dial():
-            self.parties[name] = self.loop.dial(name, Party(first, node, latency))
+            self.parties[name] = self.loop.dial(name, Party(first, node, latency, hangs_up))
         self.at(seconds, dial)
 
     def tell(self, seconds, name, **fields):
@@ -501,7 +503,65 @@
         self.tell(start + 1.23, "proxy-0", msg="probe")
 
 
-SCRIPTS = {"usual": Usual}
+class Pressed(Usual):
+    """26 proxies join at once over a slow channel, by a list that is remembered, while discovery is away; then hosts
+    drain, all hosts are overloaded, and a herd of connections that never join takes all that the address may hold."""
+
+    def write(self, discovery, torn=False, **more):
+        said = json.loads((DATA / "configuration.json").read_text())
+        settings = said["settings"]
+        settings["familyInfo"].update(dataPlaneSize=26, channelRate=65.0, pendingMax=104.0, homeOnly=[])
+        settings["limits"]["probing"] = False
+        known = {"generation": 9, "reset": True, "instances": [instance(at) for at in range(12)]}
+        super().write(discovery, torn, settings=settings, known=known, limits={"sockets": 80}, seed="c0ffee")
+
+    def plan(self):
+        del self.loop.servers[FIRST]
+        for at in range(12):
+            self.first.listed[f"h-{at}"] = instance(at)
+        self.at(0.6, self.loop.servers.update, {FIRST: self.first.connection})
+        for proxy in range(26):
+            # Every second one brings a table of another steward; some are slow to acknowledge, one never hangs up.
+            self.join(0.3 + 0.005 * proxy, f"proxy-{proxy}", hello(proxy, f"z{proxy % 2}", 4.0 + proxy % 5,
+                      proxy % 2 == 0), proxy, 400.0 if proxy % 9 == 4 else 30.0 + proxy, proxy != 8)
+        self.join(0.6, "collector-z0", line(msg="agent", locality="z0"))
+        self.join(0.6, "collector-z1", line(msg="agent", locality="z1"))
+        self.at(1.2, self.first.change, instance(1, "leaving"), instance(6, "leaving"))
+        self.at(4.0, self.first.change, instance(1, "left"), instance(6, "left"))
+        self.at(5.0, self.first.change, instance(1, startedAtMs=(EPOCH + 4.5) * 1000))
+        for second in range(1, 20):
+            self.report(second)
+        for number in range(45):
+            self.join(9.0 + 0.001 * number, f"herd-{number}", b"" if number % 3 else b'{"msg"')
+        self.at(12.0, self.first.change, instance(3, "left"))
+        self.signal(20.0, signal.SIGTERM)
+
+    def report(self, second):
+        hard = 8 <= second < 15
+        for zone in (0, 1):
+            for at in range(12):
+                total = 60 + (5 * at + second) % 11
+                self.tell(second + 0.1 + 0.01 * at, f"collector-z{zone}", msg="outcomes", locality=f"z{zone}",
+                          endpoint=f"h-{at}", total=total, errors=total // 2 if hard else second % 2,
+                          rtt=700.0 + at if hard else 40.0 + at, interval=1000.0,
+                          metrics={"busy": 0.99 if hard else 0.4, "rif": 30.0 if hard else 2.0})
+        for proxy in range(0, 26, 2):
+            for kind, total in (("read", 60 + proxy), ("pay", 9)):
+                self.tell(second + 0.3, f"collector-z{proxy % 2}", msg="demand", node=proxy, route=kind, total=total,
+                          errors=0, interval=1000.0)
+
+
+class Unconfigured(Usual):
+    """The configuration can't be used: the command ends before anything is opened."""
+
+    def write(self, discovery, torn=False, **more):
+        super().write(discovery, settings={"zones": ["z0"], "classes": []})
+
+    def plan(self):
+        pass
+
+
+SCRIPTS = {"usual": Usual, "pressed": Pressed, "unconfigured": Unconfigured}
 
 
 def record(name):
@@ -521,6 +581,6 @@
 
 
 if __name__ == "__main__":
-    sys.stdout.write("".join(json.dumps(row) + "\n" for row in record(sys.argv[1])))
+    sys.stdout.write("".join(json.dumps(row, separators=(",", ":")) + "\n" for row in record(sys.argv[1])))
     sys.stdout.flush()
     os._exit(0)  # nothing that the command left unfinished is told of
--- a/tests/transcripts/test_platform_transcripts.py
+++ b/tests/transcripts/test_platform_transcripts.py
@@ -27,10 +27,10 @@
 class Transcripts(unittest.TestCase):
     maxDiff = 4000
 
-    def compare(self, script):
+    def compare(self, script, code="0", least=100):
         stored = (DATA / f"transcript_{script}.jsonl").read_text().splitlines()
-        self.assertGreater(len(stored), 100)
-        self.assertEqual(json.loads(stored[-1])[1:], ["command", "exit", "0"])
+        self.assertGreaterEqual(len(stored), least)
+        self.assertEqual(json.loads(stored[-1])[1:], ["command", "exit", code])
         for hash_seed in ("0", "4242"):
             found = recorded(script, hash_seed)
             for at, (was, now) in enumerate(zip(stored, found), 1):
@@ -40,6 +40,12 @@
     def test_usual_traffic_gets_the_same_bytes_at_the_same_times(self):
         self.compare("usual")
 
+    def test_many_proxies_on_a_slow_channel_and_overload_get_the_same_bytes_at_the_same_times(self):
+        self.compare("pressed")
+
+    def test_a_configuration_that_cannot_be_used_opens_nothing_and_exits_with_1(self):
+        self.compare("unconfigured", "1", 1)
+
 
 if __name__ == "__main__":
     unittest.main()
