--- a/tests/transcripts/test_platform_transcripts.py
+++ b/tests/transcripts/test_platform_transcripts.py
@@ -196,6 +196,9 @@
     def test_many_proxies_on_a_slow_channel_and_overload_get_the_same_bytes_at_the_same_times(self):
         self.compare("pressed")
 
+    def test_troubles_of_the_machine_get_the_same_bytes_at_the_same_times(self):
+        self.compare("troubled", least=50)
+
     def test_a_configuration_that_cannot_be_used_opens_nothing_and_exits_with_1(self):
         self.compare("unconfigured", "1", 1)
 
