--- a/peatlead/fleet/members.py
+++ b/peatlead/fleet/members.py
@@ -33,17 +33,17 @@
     draining: bool = False
 
 
-class Ping(msgspec.Struct, array_like=True, tag=True):
+class Ping(msgspec.Struct, array_like=True, tag="Ping"):
     number: int
     news: list[About]
 
 
-class Ack(msgspec.Struct, array_like=True, tag=True):
+class Ack(msgspec.Struct, array_like=True, tag="Ack"):
     number: int
     news: list[About]
 
 
-class TryFor(msgspec.Struct, array_like=True, tag=True):
+class TryFor(msgspec.Struct, array_like=True, tag="TryFor"):
     """Probe `address` and pass its answer on."""
     number: int
     address: tuple
--- a/peatlead/fleet/node.py
+++ b/peatlead/fleet/node.py
@@ -12,17 +12,17 @@
 NOTE_MOST, NOTES_MOST = 1000, 100  # bytes of a note; notes that are taken in within a second
 
 
-class Note(msgspec.Struct, array_like=True, tag=True):
+class Note(msgspec.Struct, array_like=True, tag="Note"):
     """Advice from one member's planner to another's: what it says is the planner's matter."""
     payload: bytes
 
 
-class PinsTold(msgspec.Struct, array_like=True, tag=True):
+class PinsTold(msgspec.Struct, array_like=True, tag="PinsTold"):
     """Operators' pins, as `tables.pins` writes them."""
     payload: bytes
 
 
-class WishTold(msgspec.Struct, array_like=True, tag=True):
+class WishTold(msgspec.Struct, array_like=True, tag="WishTold"):
     """What one proxy held before a pin, by a steward that owned it then."""
     payload: bytes
 
