--- a/tests/transcripts/test_gossip_transcripts.py
+++ b/tests/transcripts/test_gossip_transcripts.py
@@ -12,6 +12,7 @@
 
 from peatlead.fleet import members as membership
 from peatlead.fleet import node as nodes
+from peatlead.fleet import owners
 from peatlead.fleet import seal as seals
 
 from ..places import SCRIPT, settings
@@ -44,6 +45,11 @@
     return datagrams, changes
 
 
+def rank(proxy, names):
+    """Controllers for a proxy, best first."""
+    return owners.ranked(proxy, names)
+
+
 def heard(source, data):
     return membership.Heard((source, 1), decode(data))
 
@@ -242,7 +248,8 @@
         "datagrams": [[*one[:3], recorded.text(one[3])] for one in datagrams], "changes": changes,
         "long run": {"datagrams": len(long), "changes": len(seen),
                      "sha256": sha256(b"".join(f"{one[:3]}".encode() + one[3] for one in long)).hexdigest()},
-        "seal": seal_transcript(), "sealed datagrams": sealed, "told": told}
+        "seal": seal_transcript(), "sealed datagrams": sealed, "told": told,
+        "ranks": [[proxy, rank(proxy, ["ns1", "ns2", "ns3", "béta"])] for proxy in ("p0", "p1", "p2", "p3", "é")]}
 
 
 class Messages(unittest.TestCase):
