--- a/peatlead/lab/day.py
+++ b/peatlead/lab/day.py
@@ -20,6 +20,7 @@
 from ..settings.script import load_settings
 from ..standin.process import HALLS, Orders
 from ..steward.steward import Steward
+from .plain import plain
 from .policies import HomePlanner, OraclePlanner
 from .world import World, play
 
@@ -136,12 +137,12 @@
                 for name, host in getattr(hall, "hosts", {}).items() if host.server is not None}
 
     def decisions(self, name, steward):
-        """Each decide's orders go into the digest."""
+        """Each decide's orders go into the digest, without the names of their types."""
         real = steward.planner.decide
 
         def decide(now, events):
             orders = real(now, events)
-            self.world.note("decide", name, len(events), repr(orders))
+            self.world.note("decide", name, len(events), plain(orders))
             return orders
         steward.planner.decide = decide
 
--- /dev/null
+++ b/peatlead/lab/plain.py
@@ -0,0 +1,29 @@
+"""Events and orders as plain values, for digests: what a type or a field is called must not matter. Pure.
+
+Each is its kind's number in `KINDS` and its values in their order. A number is for good: new kinds go to the end.
+"""
+
+from .. import interface as our
+
+KINDS = (
+    our.Member, our.Roster, our.ProxyJoined, our.ProxyLeft, our.HostSums, our.ReqSums, our.ProbeResult, our.Applied,
+    our.TimerFired, our.PeerNote, our.PlannerStatus, our.SliceGiven, our.SliceLine, our.SliceSums, our.SetLine,
+    our.ClearTable, our.BindTable, our.Withdraw, our.Admit, our.Mark, our.Probe, our.FetchRoster, our.WatchRoster,
+    our.SendPeer, our.SetTimer, our.LogLine)
+NUMBERS = {kind: number for number, kind in enumerate(KINDS)}
+
+
+def plain(value):
+    """Plain tuples of a value. Raises TypeError for what has no lasting form."""
+    kind = type(value)
+    if kind in NUMBERS:
+        return ("kind", NUMBERS[kind], *map(plain, value))
+    if kind in (tuple, list):
+        return tuple(map(plain, value))
+    if kind is dict:
+        return ("map", *sorted((plain(key), plain(one)) for key, one in value.items()))
+    if kind in (set, frozenset):
+        return ("set", *sorted(map(plain, value)))
+    if value is None or kind in (bool, int, float, str, bytes):
+        return value
+    raise TypeError(f"expected an event, an order or plain values, got {kind.__name__}")
