--- a/peatlead/adapter.py
+++ b/peatlead/adapter.py
@@ -3,17 +3,17 @@
 import gc
 import sys
 
-from .choice import Planner
-from .wire.codec import MICRO, BadInput, read_batch, write_reply
-from .wire.names import Door
+from .planner.planner import Planner
+from .wire.codec import MICRO, WireFormatError, read_batch, write_reply
+from .wire.names import WireTranslator
 
 
 class Instance:
     """One steward: its own planner and its own ids; nothing is shared with another."""
 
     def __init__(self, record):
-        self.door = Door(record["env"])
-        self.planner = Planner(self.door.settings, record["seed"])
+        self.translator = WireTranslator(record["env"])
+        self.planner = Planner(self.translator.settings, record["seed"])
         self.waiting = []
 
 
@@ -24,12 +24,14 @@
         if name == "ATTACH":
             instances[inst] = Instance(record)
         elif inst not in instances:
-            raise BadInput(f"record {number}: {name} for instance {inst}, which was never started")
+            raise WireFormatError(
+                f"record {number}: {name} for instance {inst}, which was never started"
+            )
         elif name == "SHUTDOWN":
             del instances[inst]
         else:
             held = instances[inst]
-            held.waiting.append(held.door.event(name, record))
+            held.waiting.append(held.translator.event(name, record))
     reply = []
     for inst in dict.fromkeys(record["i"] for _, record in records):
         held = instances.get(inst)
@@ -38,7 +40,8 @@
         events, held.waiting = held.waiting, []
         try:
             orders = [
-                held.door.order(inst, order) for order in held.planner.decide(clock / MICRO, events)
+                held.translator.order(inst, order)
+                for order in held.planner.decide(clock / MICRO, events)
             ]
         except (
             Exception
@@ -56,7 +59,7 @@
         while (batch := read_batch(stream)) is not None:
             out.write(write_reply(take_batch(instances, *batch)))
             out.flush()
-    except BadInput as problem:
+    except WireFormatError as problem:
         print(f"peatlead.adapter: {problem}", file=sys.stderr)
         return 2
     return 0
--- a/peatlead/measure/dns_fuzz.py
+++ b/peatlead/benchmarks/dns_fuzz.py
@@ -1,6 +1,6 @@
 """Mutated DNS queries without end: no exception, and no answer longer than its transport bears.
 
-`python -m peatlead.measure.dns_fuzz [MANY] [SEED]`
+`python -m peatlead.benchmarks.dns_fuzz [MANY] [SEED]`
 """
 
 import json
--- a/peatlead/measure/dns_speed.py
+++ b/peatlead/benchmarks/dns_speed.py
@@ -21,8 +21,8 @@
 
 from ..dns.answers import Answers
 from ..dns.server import DnsFront
-from ..dns.thin import Named
 from ..dns.views import Views
+from ..dns.warmup_thinning import Named
 from ..settings import load_settings
 
 SCRIPT = """
--- a/peatlead/measure/encoding.py
+++ b/peatlead/benchmarks/encoding.py
@@ -1,4 +1,4 @@
-"""Assignments from parts encoded once against protobuf's own way: `python -m peatlead.measure.encoding`"""
+"""Assignments from parts encoded once against protobuf's own way: `python -m peatlead.benchmarks.encoding`"""
 
 import json
 import time
@@ -6,7 +6,7 @@
 
 from envoy.config.endpoint.v3 import endpoint_pb2
 
-from ..grpc.assign import Line, write_lines
+from ..grpc.resources import Line, write_lines
 from ..tables.version import MILLION, whole_weight
 
 
--- a/peatlead/measure/herd.py
+++ b/peatlead/benchmarks/herd.py
@@ -1,4 +1,4 @@
-"""A whole steward and thousands of streams on loopback: `python -m peatlead.measure.herd PROXIES HOSTS [REPORTS]`
+"""A whole steward and thousands of streams on loopback: `python -m peatlead.benchmarks.herd PROXIES HOSTS [REPORTS]`
 
 Bare agents in processes of their own join one real steward, take what is published and answer for it. Measured:
 until all are served, memory a proxy; then one host drains that all hold: milliseconds from the list's file to each
@@ -21,13 +21,13 @@
 from envoy.service.discovery.v3 import discovery_pb2
 from envoy.service.load_stats.v3 import lrs_pb2
 
-from ..day.play import free_port
-from ..grpc.assign import ENDPOINTS, ROUTES, read_lines
-from ..grpc.front import DISCOVERY, LOADS
+from ..controller.control_socket import ask_once
 from ..grpc.http2 import dial
+from ..grpc.resources import ENDPOINTS, ROUTES, read_lines
+from ..grpc.server import DISCOVERY, LOADS
 from ..net.http import Server
 from ..net.streams import Stream
-from ..steward.control import ask_once
+from ..scenario.runner import free_port
 
 CLIENTS, ZONES, GO = 4, ("a", "b", "c"), 5.0
 KINDS = ("look", "file")
--- a/peatlead/measure/members.py
+++ b/peatlead/benchmarks/members.py
@@ -1,4 +1,4 @@
-"""Membership at 3, 10 and 50 controllers, by the machines alone: `python -m peatlead.measure.members`.
+"""Membership at 3, 10 and 50 controllers, by the machines alone: `python -m peatlead.benchmarks.members`.
 
 Seconds until all know all, until all know of a death, and what each member sends and costs meanwhile.
 """
--- a/peatlead/measure/reality.py
+++ b/peatlead/benchmarks/reality.py
@@ -1,6 +1,6 @@
 """The lab against loopback sockets: the same day scripts on both, side by side.
 
-`python -m peatlead.measure.reality FOLDER [WORKERS]`, where FOLDER is what `peatlead kinds --out FOLDER` left.
+`python -m peatlead.benchmarks.reality FOLDER [WORKERS]`, where FOLDER is what `peatlead kinds --out FOLDER` left.
 """
 
 import json
@@ -8,9 +8,9 @@
 import sys
 from pathlib import Path
 
-from ..day.kinds import BASE, CASES
-from ..day.script import load_day
 from ..lab.day import play_day
+from ..scenario.kinds import BASE, CASES
+from ..scenario.script import load_day
 
 
 def one(name):
--- a/peatlead/measure/wheel.py
+++ b/peatlead/benchmarks/wheel.py
@@ -1,10 +1,10 @@
-"""The timer wheel beside the heap, in one run: `python -m peatlead.measure.wheel`."""
+"""The timer wheel beside the heap, in one run: `python -m peatlead.benchmarks.wheel`."""
 
 import json
 import random
 import time
 
-from ..lab.wheel import HeapTimers, WheelTimers
+from ..lab.timer_wheel import HeapTimers, WheelTimers
 
 
 def work(made, held, many, seed):
--- a/peatlead/cli.py
+++ b/peatlead/cli.py
@@ -15,7 +15,7 @@
 import click
 import structlog
 
-from .settings import BadSettings, read_settings
+from .settings import SettingsError, read_settings
 from .settings.shapes import reference
 
 PLANNERS = ("shards", "plain")
@@ -24,7 +24,7 @@
 def settings_or_exit(path):
     try:
         return read_settings(path)
-    except BadSettings as problem:
+    except SettingsError as problem:
         raise click.ClickException(str(problem)) from None
 
 
@@ -83,13 +83,15 @@
 
 
 async def serve(settings, name, state, planner):
-    from .choice import Planner
-    from .day.plain import PlainPlanner
-    from .steward.steward import Steward
+    from .controller.controller import Controller
+    from .planner.planner import Planner
+    from .scenario.plain import PlainPlanner
 
     logger = structlog.get_logger().bind(steward=name)
     made = {"shards": Planner, "plain": PlainPlanner}[planner]
-    steward = Steward(settings, name, logger.info, made, state, boot=os.urandom(8), wall=time.time)
+    steward = Controller(
+        settings, name, logger.info, made, state, boot=os.urandom(8), wall=time.time
+    )
     loop = asyncio.get_running_loop()
     for one in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(one, steward.stop)
@@ -128,11 +130,11 @@
 )
 def day(script, planner, out):
     """Plays a day script against stand-ins and checks the five rules from what crossed the sockets."""
-    from .day.script import read_day
+    from .scenario.script import read_day
 
     try:
         made = read_day(script)
-    except BadSettings as problem:
+    except SettingsError as problem:
         raise click.ClickException(str(problem)) from None
     folder = Path(out or tempfile.mkdtemp(prefix="peatlead-day-"))
     chosen = PLANNERS if planner == "both" else (planner,)
@@ -147,7 +149,7 @@
 
 async def play_all(made, folder, planners):
     """Side by side, so that the machine's own moods strike all alike."""
-    from .day.play import Day
+    from .scenario.runner import Day
 
     plain = {
         **made,
@@ -158,7 +160,7 @@
 
 
 def show_one(report, folder, planner):
-    from .rules.show import as_data, show
+    from .invariants.report import as_data, show
 
     show(
         report,
@@ -203,7 +205,7 @@
 @click.option("--at-once", type=int, default=3, help="cases played side by side")
 def kinds(out, only, at_once):
     """Plays each kind of trouble alone, beside the plain baseline, and keeps a table."""
-    from .day.kinds import play_kinds
+    from .scenario.kinds import play_kinds
 
     try:
         found = asyncio.run(play_kinds(Path(out), only, at_once, click.echo))
@@ -216,9 +218,9 @@
 @click.argument("folder", type=click.Path(exists=True, file_okay=False))
 def rules(folder):
     """Checks a day's record again."""
-    from .rules.check import check as check_rows
-    from .rules.record import read_folder
-    from .rules.show import show
+    from .invariants.checker import check as check_rows
+    from .invariants.record import read_folder
+    from .invariants.report import show
 
     settings = settings_or_exit(str(Path(folder) / "settings.star"))
     kinds = {kind["name"]: kind["gain"] for kind in settings["request_kind"]}
@@ -228,7 +230,7 @@
 
 
 def ask(file, name, question):
-    from .steward.control import ask_once
+    from .controller.control_socket import ask_once
 
     me = steward_of(settings_or_exit(file), name)
     try:
@@ -384,7 +386,7 @@
 
 def ask_tables(file, name, do, everyone=False, **args):
     """{steward: answer}. Stewards of one fleet tell each other pins; those that share nothing are asked each."""
-    from .steward.control import ask_once
+    from .controller.control_socket import ask_once
 
     settings = settings_or_exit(file)
     names = (
@@ -667,14 +669,14 @@
 
 def day_of(script, seed, kind):
     """A day's map from a script, or drawn by seed."""
-    from .day.script import read_day
-    from .lab.draw import draw
+    from .lab.random_scenario import draw
+    from .scenario.script import read_day
 
     if script is None:
         return draw(seed, kind)
     try:
         return read_day(script)
-    except BadSettings as problem:
+    except SettingsError as problem:
         raise click.ClickException(str(problem)) from None
 
 
@@ -690,8 +692,8 @@
 @KIND
 def lab_run(script, seed, planner, kind):
     """Plays a day script, or the day that SEED draws, on simulated time."""
+    from .invariants.report import show
     from .lab.day import play_day
-    from .rules.show import show
 
     played = play_day(day_of(script, seed, kind), seed, planner)
     if played.report is not None:
@@ -772,7 +774,7 @@
 
     try:
         return Study(path, Path(path).read_text(encoding="utf-8"))
-    except BadSettings as problem:
+    except SettingsError as problem:
         raise click.ClickException(str(problem)) from None
     except (OSError, UnicodeDecodeError) as problem:
         raise click.ClickException(f"{path}:1: expected a readable study: {problem}") from None
--- a/peatlead/steward/core.py
+++ b/peatlead/controller/batch_loop.py
@@ -10,11 +10,11 @@
 import asyncio
 import traceback
 
-from .. import interface as our
+from .. import interface
 from .channel import Publisher
 
 
-class Core:
+class BatchLoop:
     """`planner` makes the decisions, `log(event, **fields)` tells of them. `ended` is a future: "stopped", or the
     error. `decided` counts batches, `slowest` is the longest decide, in seconds."""
 
@@ -24,7 +24,7 @@
         self.ended = self.loop.create_future()
         self.publisher = Publisher()
         self.inbox, self.step_due, self.begun, self.decided, self.slowest = [], False, 0.0, 0, 0.0
-        self.carriers = {our.SetTimer: self.set_timer, our.LogLine: self.log_line}
+        self.carriers = {interface.SetTimer: self.set_timer, interface.LogMessage: self.log_line}
 
     # For subclasses.
 
@@ -98,7 +98,7 @@
             self.fire(token, due)
 
     def fire(self, token, due):
-        self.hear(our.TimerFired(token))
+        self.hear(interface.TimerFired(token))
 
     def log_line(self, order):
         self.log("planner", text=order.text)
--- a/peatlead/steward/channel.py
+++ b/peatlead/controller/channel.py
@@ -11,7 +11,7 @@
 
 from collections import OrderedDict
 
-from .. import interface as our
+from .. import interface
 
 CAUSES_MOST = 8  # of a message that was merged again and again
 URGENT_RUN = 3  # messages that take hosts away, between two that do not
@@ -154,22 +154,22 @@
         out, marks, rest = {}, {}, []
         for order in orders:
             kind = type(order)
-            if kind is our.SetLine:
-                self.set_line(out, order.table, order.host, order.weight)
-            elif kind is our.ClearTable:
+            if kind is interface.SetEntry:
+                self.set_line(out, order.table, order.endpoint, order.weight)
+            elif kind is interface.ClearTable:
                 for host in list(self.tables.get(order.table, ())):
                     self.set_line(out, order.table, host, 0.0)
-            elif kind is our.BindTable:
+            elif kind is interface.AssignTable:
                 self.bind(out, order)
-            elif kind is our.Withdraw:
+            elif kind is interface.WithdrawEndpoint:
                 for view in self.concerned(order):
-                    out.setdefault(view, {})["withdrawn", order.host] = order.on
-            elif kind is our.Mark:
-                for view in sorted(self.joined if order.everyone else out):
+                    out.setdefault(view, {})["withdrawn", order.endpoint] = order.withdrawn
+            elif kind is interface.RequestAcknowledgement:
+                for view in sorted(self.joined if order.all_proxies else out):
                     out.setdefault(view, {})
-                    marks.setdefault(view, []).append(order.number)
+                    marks.setdefault(view, []).append(order.nonce)
             else:
-                if kind is our.Admit:
+                if kind is interface.SetAdmission:
                     self.admit(out, order)
                 rest.append(order)
         return out, marks, rest
@@ -179,24 +179,22 @@
         on our tables loses the line instead: a second line that says the same would only fill the channel. To all of
         a thousand proxies a lost zone would be 100,000 lines, for tables that never named it. That it is let in again
         goes to those that were told it was not: to all, a release of 300 hosts made 200,000 lines wait."""
-        if not order.on:
-            back = self.told.pop(order.host, set()) & self.joined
+        if not order.withdrawn:
+            back = self.told.pop(order.endpoint, set()) & self.joined
             for view in back:
-                self.shut[view].discard(order.host)
+                self.shut[view].discard(order.endpoint)
             return back
-        waiting = (
-            self.unbound if order.waiting is None else self.unbound.intersection(order.waiting)
-        )
+        waiting = self.unbound if order.notify is None else self.unbound.intersection(order.notify)
         told = waiting | (self.joined - self.levelled)
-        self.told.setdefault(order.host, set()).update(told)
-        news = {view for view in told & self.joined if order.host not in self.shut[view]}
+        self.told.setdefault(order.endpoint, set()).update(told)
+        news = {view for view in told & self.joined if order.endpoint not in self.shut[view]}
         for view in news:
-            self.shut[view].add(order.host)
+            self.shut[view].add(order.endpoint)
         return news
 
     def admit(self, out, order):
-        for at in order.kinds:
-            self.levels[at] = order.level, order.retry
+        for at in order.request_classes:
+            self.levels[at] = order.fraction, order.retry_policy
             for view in self.levelled:
                 put(out.setdefault(view, {}), ("level", at), self.levels[at])
 
@@ -214,7 +212,7 @@
         ops = out.setdefault(order.proxy, {})
         self.unbound.discard(order.proxy)
         bound = self.bound.setdefault(order.proxy, {})
-        for kind in order.kinds:
+        for kind in order.request_classes:
             old, bound[kind] = bound.get(kind), order.table
             put(ops, ("bind", kind), order.table)
             if old is not None and old not in bound.values():
--- a/peatlead/steward/control.py
+++ b/peatlead/controller/control_socket.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from ..net.streams import Held, Lines, within
+from ..net.streams import ConnectionSet, Lines, within
 
 PEERS = 64
 IDLE = 3600.0
@@ -61,7 +61,7 @@
         self.takes, self.answers, self.held, self.feeds, self.server = (
             takes,
             answers,
-            Held(PEERS),
+            ConnectionSet(PEERS),
             {},
             None,
         )
--- a/peatlead/steward/steward.py
+++ b/peatlead/controller/controller.py
@@ -3,35 +3,35 @@
 from ipaddress import ip_address
 from random import Random
 
-from .. import interface as our
-from ..choice import Planner
+from .. import interface
 from ..dns.answers import Answers
 from ..dns.notify import Secondaries
 from ..dns.server import DnsFront
-from ..dns.thin import Thinning
 from ..dns.views import Views
-from ..fleet.node import FleetNode
+from ..dns.warmup_thinning import WarmupThinning
+from ..fleet.gossip import GossipNode
+from ..health.load_report_counts import LoadReportCounts, read_told
+from ..health.prober import Prober
 from ..net.orca import HEADER, read_report
-from ..probes.news import News, read_told
-from ..probes.prober import Prober
-from ..sources.file import FileSource
-from ..sources.memory import Memory
-from .burden import Beat, Burden, Gather, Say
+from ..planner.planner import Planner
+from ..sources.endpoint_cache import EndpointCache
+from ..sources.file_watch import FileSource
+from .batch_loop import BatchLoop
 from .channel import Channel, ViewState, taken_away
-from .control import Control
-from .core import Core
-from .door import Door
-from .facts import facts_of
+from .control_socket import Control
+from .endpoint_registry import EndpointRegistry
+from .overload import Beat, Gather, OverloadControl, Say
+from .planner_settings import planner_settings
+from .propagation import PropagationTrace
 from .proxies import Proxies
-from .published import Published
-from .story import Story
+from .publication import Publication
 
 PUMP_MOST = (
     300  # messages sent in one callback: what comes in meanwhile waits no longer than these take
 )
 
 
-class Steward(Core):
+class Controller(BatchLoop):
     """One steward of a settings map.
 
     `log(event, **fields)`; `planner(facts, seed)` makes the decisions; `folder` keeps what outlives it;
@@ -57,24 +57,24 @@
         self.views = Views(settings)
         self.numbers = [view.number for view in self.views.views]
         super().__init__(
-            planner(facts_of(settings, self.me, len(self.numbers)), self.me["seed"]), log
+            planner(planner_settings(settings, self.me, len(self.numbers)), self.me["seed"]), log
         )
         self.carriers.update(
             {
-                our.Probe: self.send_probe,
-                our.Admit: self.set_levels,
-                our.FetchRoster: self.fetch_list,
-                our.SendPeer: self.send_note,
+                interface.CheckHealth: self.send_probe,
+                interface.SetAdmission: self.set_levels,
+                interface.FetchEndpoints: self.fetch_list,
+                interface.SendGossip: self.send_note,
             }
         )
         self.answers = Answers(settings, self.views, chance.uniform)
         self.front = DnsFront(settings["dns"], self.answers)
-        self.door = Door([zone["name"] for zone in settings["zone"]], log)
+        self.registry = EndpointRegistry([zone["name"] for zone in settings["zone"]], log)
         limits = settings["limits"]
         self.channel = Channel(limits["channel_rate"], limits["message_head"], limits["queue_most"])
         self.states = [ViewState() for _ in self.numbers]
         self.services = service_kinds(settings)
-        self.thinning = Thinning(
+        self.thinning = WarmupThinning(
             {
                 (view.index, at): view.rate
                 for view in self.views.views
@@ -83,18 +83,20 @@
         )
         kinds = [kind["name"] for kind in settings["request_kind"]]
         self.levels, self.kinds = {}, kinds
-        self.news = News(kinds, self.view_of, self.views_zone(), settings["choices"]["sums_every"])
+        self.news = LoadReportCounts(
+            kinds, self.view_of, self.views_zone(), settings["choices"]["sums_every"]
+        )
         self.prober = Prober(
             settings["probes"], self.on_probe, read_answer, self.probe_headers, self.me["listen"][0]
         )
-        self.burden = Burden(
+        self.overload = OverloadControl(
             settings["choices"]["sums_every"], Random(self.me["seed"] + 11).uniform
         )
-        self.memory = Memory(folder and f"{folder}/list-{name}")
+        self.memory = EndpointCache(folder and f"{folder}/list-{name}")
         self.source = source(settings["node_list"], self.on_listing, log)
         self.secondaries = None
         self.port, self.listed = settings["dns"]["port"], {}  # host -> its whole weight
-        self.published = Published(
+        self.published = Publication(
             self, folder and f"{folder}/tables-{name}", wall, settings["tables"], boot
         )
         self.control = Control(
@@ -106,7 +108,7 @@
                 "tables": self.published.answer,
             },
         )
-        self.fleet = self.me["peer"] and FleetNode(
+        self.fleet = self.me["peer"] and GossipNode(
             settings,
             self.me,
             Random(chance.random()),
@@ -118,11 +120,11 @@
             self.published.hear_wish,
         )
         self.proxies = self.me["grpc"] and Proxies(
-            self, self.fleet and self.fleet.owners, self.fleet and self.fleet.about
+            self, self.fleet and self.fleet.ownership, self.fleet and self.fleet.about
         )
         if self.fleet:
             self.control.answers["fleet"] = self.tell_fleet
-        self.story = Story()
+        self.propagation = PropagationTrace()
         self.control.answers["why"] = self.tell_why
         self.left_at = {}  # host -> when the last answer could name it
         self.pump_due, self.networks = None, {}
@@ -187,7 +189,7 @@
     def fire(self, token, due):
         """The planner's timer. How late it runs tells what this steward may take on."""
         now = self.loop.time()
-        for order in self.burden.decide(now, [Beat(now - due, self.count_proxies())]):
+        for order in self.overload.decide(now, [Beat(now - due, self.count_proxies())]):
             if type(order) is Gather and self.proxies:
                 self.proxies.gathered.wait = order.seconds
             elif type(order) is Say:
@@ -195,7 +197,7 @@
         super().fire(token, due)
 
     def takes_question(self):
-        return self.burden.takes_question(self.loop.time())
+        return self.overload.takes_question(self.loop.time())
 
     def before(self, now):
         """First of all what a stall has made stale; then the sums that are due."""
@@ -211,7 +213,7 @@
 
     def after(self, now, events):
         self.pump()
-        if any(type(event) is our.TimerFired for event in events) or self.decided == 1:
+        if any(type(event) is interface.TimerFired for event in events) or self.decided == 1:
             self.refresh(now)
             self.published.tick(now)
             if self.secondaries:
@@ -238,32 +240,34 @@
     def offer(self, now, orders, messages, marks):
         causes = self.published.causes
         for order in orders:
-            if type(order) is our.LogLine:
+            if type(order) is interface.LogMessage:
                 told = causes.planner_said(order.text)
                 if told:
-                    self.story.note(now, *told)
-            elif type(order) is our.Withdraw:
-                self.published.withdrew(order.host, order.on)
-                self.story.note(now, order.host, "withdrawn" if order.on else "let in again")
+                    self.propagation.note(now, *told)
+            elif type(order) is interface.WithdrawEndpoint:
+                self.published.withdrew(order.endpoint, order.withdrawn)
+                self.propagation.note(
+                    now, order.endpoint, "withdrawn" if order.withdrawn else "let in again"
+                )
         for view in sorted(messages):
             for host in taken_away(messages[view]):
                 if self.holds(view, host):
-                    self.story.losing(now, host, view)
+                    self.propagation.losing(now, host, view)
             self.channel.offer(
                 now, view, messages[view], marks.get(view, ()), causes.of_all(messages[view])
             )
 
     def send_probe(self, order):
-        entry = self.door.entries[order.host]
+        entry = self.registry.entries[order.endpoint]
         self.prober.probe(
-            order.host, (entry.address or entry.address6, self.settings["probes"]["port"])
+            order.endpoint, (entry.address or entry.address6, self.settings["probes"]["port"])
         )
 
     def probe_headers(self):
         return [("peatlead-levels", self.levels_text())]
 
     def set_levels(self, order):
-        self.levels.update({at: order.level for at in order.kinds})
+        self.levels.update({at: order.fraction for at in order.request_classes})
 
     def fetch_list(self, _):
         self.loop.call_soon(lambda: self.source.fetch(self.loop.time()))
@@ -280,8 +284,8 @@
             self.pump_due = None
         for number, message in self.channel.due(now, PUMP_MOST):
             for mark in message.marks:
-                self.note(our.Applied(number, mark, now - message.offered))
-            self.story.left(number)
+                self.note(interface.Acknowledged(number, mark, now - message.offered))
+            self.propagation.left(number)
             view = self.views.by_number.get(number)
             if view is None:
                 session = self.proxies and self.proxies.apply(number, message)
@@ -291,7 +295,7 @@
                     )
                 continue
             self.states[view.index].apply(message.ops)
-            self.story.applied(now, number)
+            self.propagation.applied(now, number)
             tables = self.tables_of(view)
             self.published.view(
                 f"view:{view.name}", self.items_of_tables(tables), tuple(message.causes)
@@ -391,21 +395,21 @@
 
     def on_listing(self, listing):
         now = self.loop.time()
-        roster = self.door.roster(listing, now)
-        for member in roster.members:
-            entry = self.door.entries[member.host]
-            self.listed[member.host] = entry.weight
-            turned = self.published.know(member.host, entry)
+        roster = self.registry.roster(listing, now)
+        for member in roster.endpoints:
+            entry = self.registry.entries[member.id]
+            self.listed[member.id] = entry.weight
+            turned = self.published.know(member.id, entry)
             if turned:
-                self.published.causes.phases({member.host: turned}, listing.version)
-                self.story.note(now, member.host, self.published.causes.news[member.host])
-            self.answers.know(member.host, entry.name, entry.address, entry.address6)
+                self.published.causes.phases({member.id: turned}, listing.version)
+                self.propagation.note(now, member.id, self.published.causes.news[member.id])
+            self.answers.know(member.id, entry.name, entry.address, entry.address6)
             if self.proxies:
-                self.proxies.know(member.host, entry)
+                self.proxies.know(member.id, entry)
             if member.phase == "ready":
-                self.answers.open_hosts.add(member.host)
+                self.answers.open_hosts.add(member.id)
             else:
-                self.answers.open_hosts.discard(member.host)
+                self.answers.open_hosts.discard(member.id)
         self.log(
             "list",
             scope=listing.scope,
@@ -423,7 +427,7 @@
     def on_probe(self, host, outcome, took, report, told):
         self.news.take(host, told, report)
         self.news.probed(host, outcome == "ok", took)
-        self.hear(our.ProbeResult(host, outcome, took, report))
+        self.hear(interface.HealthCheckResult(host, outcome, took, report))
 
     def view_of(self, network):
         """The view of a client network as hosts tell it, remembered: hosts tell the same ones each time."""
@@ -441,11 +445,11 @@
         """What views bring, by service: answers depend on it (dns/thin.py)."""
         heard = {}
         for event in events:
-            if type(event) is our.ReqSums and event.proxy in self.views.by_number:
+            if type(event) is interface.RequestStats and event.proxy in self.views.by_number:
                 view = self.views.by_number[event.proxy].index
                 for at, kinds in enumerate(self.services):
-                    if event.kind in kinds:
-                        heard[view, at] = heard.get((view, at), 0.0) + event.reqs / event.span
+                    if event.request_class in kinds:
+                        heard[view, at] = heard.get((view, at), 0.0) + event.requests / event.window
         if heard:
             self.show({}, sorted(heard.items()))
 
@@ -453,14 +457,14 @@
         return ",".join(f"{self.kinds[at]}={level}" for at, level in sorted(self.levels.items()))
 
     def proxy_joined(self, number, zone, rate, standing_only):
-        self.hear(our.ProxyJoined(number, zone, rate, standing_only))
+        self.hear(interface.ProxyConnected(number, zone, rate, standing_only))
 
     def proxy_left(self, number):
-        self.story.ended(self.loop.time(), number)
-        self.hear(our.ProxyLeft(number))
+        self.propagation.ended(self.loop.time(), number)
+        self.hear(interface.ProxyDisconnected(number))
 
     def on_note(self, sender, payload):
-        self.hear(our.PeerNote(sender, payload))
+        self.hear(interface.GossipReceived(sender, payload))
 
     def count_proxies(self):
         return len(self.proxies.front.sessions) if self.proxies else 0
@@ -479,7 +483,7 @@
                 f"and {question.service!r}"
             }
         seat = self.answers.seats[view.index][service]
-        names = self.door.entries
+        names = self.registry.entries
         lines = [
             {
                 "host": names[h].name,
@@ -502,7 +506,7 @@
     def tell_why(self, question):
         """A host or a proxy: what is known, what befell it lately, and how each loss went out."""
         now, planner = self.loop.time(), self.planner
-        index = self.door.index.get(question.host)
+        index = self.registry.index.get(question.host)
         host = getattr(planner, "hosts", {}).get(index)
         if host is not None:
             held = planner.held.of(index) if hasattr(planner, "held") else ()
@@ -511,7 +515,7 @@
                 "steward": self.me["name"],
                 **host_told(host, now),
                 "holders": len(held),
-                **self.story.tell(now, index),
+                **self.propagation.tell(now, index),
             }
         session = self.proxies and self.proxies.front.sessions.get(question.host)
         if session:
@@ -524,7 +528,9 @@
                 "epoch": session.epoch,
                 "says it holds": str(session.held),
                 "waits for its window": not session.call.idle,
-                "losses under way": [name(at) for at in self.story.holding.get(session.number, ())],
+                "losses under way": [
+                    name(at) for at in self.propagation.holding.get(session.number, ())
+                ],
                 "lines": {
                     kind: {
                         name(at): weight
@@ -537,14 +543,14 @@
 
     def tell_drained(self, question):
         """Whether answers still name a host, and when the last of them runs out at resolvers that keep lifetimes."""
-        host = self.door.index.get(question.host)
+        host = self.registry.index.get(question.host)
         if host is None:
             return {"error": f"expected a host of the list, got {question.host!r}"}
         views = {seat[0] for seat in self.thinning.holders.get(host, ())}
         gone = self.loop.time() - self.left_at[host] if not views and host in self.left_at else None
         return {
             "host": question.host,
-            "phase": self.door.entries[host].phase,
+            "phase": self.registry.entries[host].phase,
             "named by views": len(views),
             "seconds since the last answer": gone,
             "seconds until no kept answer names it": None
@@ -554,12 +560,12 @@
 
     def tell_fleet(self, question):
         """status, drain or why."""
-        owners, proxies = self.fleet.owners, self.proxies
+        ownership, proxies = self.fleet.ownership, self.proxies
         if question.do == "drain":
-            owners.draining = True
+            ownership.draining = True
             self.log("draining", proxies=self.count_proxies())
         elif question.do == "undrain":
-            owners.draining = False
+            ownership.draining = False
         elif question.do == "why" and proxies:
             return proxies.tell_why(question.host)
         members = {
@@ -574,14 +580,14 @@
         }
         return {
             "steward": self.me["name"],
-            "draining": owners.draining,
+            "draining": ownership.draining,
             "members": members,
             "messages": dict(self.fleet.counts),
             **(proxies.status() if proxies else {}),
             "pins": sorted(self.published.pins.standing()),
             "owned": {
                 name: [epoch, self.loop.time() - proxies.front.sessions[name].since]
-                for name, epoch in sorted(owners.epochs.items())
+                for name, epoch in sorted(ownership.epochs.items())
                 if name in proxies.front.sessions
             },
         }
@@ -601,7 +607,7 @@
             ),
             "steward": self.me["name"],
             "views": len(self.numbers),
-            "hosts": len(self.door.entries),
+            "hosts": len(self.registry.entries),
             "decided": self.decided,
             "slowest_decide": self.slowest,
             "answers": dict(self.answers.counts),
@@ -613,7 +619,7 @@
                 "most": self.channel.most,
                 "past": self.channel.past,
             },
-            "burden": self.burden.told(),
+            "burden": self.overload.told(),
             "probes_dropped": self.prober.dropped,
             "levels": self.levels_text(),
             "fresh": self.front.fresh_until >= self.loop.time(),
--- a/peatlead/steward/door.py
+++ b/peatlead/controller/endpoint_registry.py
@@ -1,11 +1,11 @@
 """Between names and the small indices inside: hosts, zones, and the list's clock. Nothing is decided here."""
 
-from .. import interface as our
+from .. import interface
 
 LONG_AGO = 1e6  # seconds: the age of a host on the first list that tells no start
 
 
-class Door:
+class EndpointRegistry:
     """Hosts by name outside, by index inside. An index is never used again: orders name hosts by it.
 
     `zones`, `machines`: names in the order of the settings; `unstarted_old`: a host that tells no start has run for
@@ -37,7 +37,7 @@
             self.entries[at] = entry
             machine = self.machines.setdefault(entry.machine, len(self.machines))
             members.append(
-                our.Member(
+                interface.Endpoint(
                     at,
                     entry.name.encode(),
                     zone,
@@ -49,7 +49,7 @@
                 )
             )
         self.listed = self.listed or listing.scope != "unavailable"
-        return our.Roster(listing.scope, listing.version, tuple(members))
+        return interface.EndpointUpdate(listing.scope, listing.version, tuple(members))
 
     def start_of(self, entry, written, now):
         """On our clock: the list's two times are by one clock, whichever it is, so their difference holds.
--- a/peatlead/steward/burden.py
+++ b/peatlead/controller/overload.py
@@ -99,7 +99,7 @@
         return True
 
 
-class Burden:
+class OverloadControl:
     """`every`: seconds between two reports of a proxy, as the settings have it; `uniform(low, high)` draws."""
 
     def __init__(self, every, uniform):
--- a/peatlead/steward/facts.py
+++ b/peatlead/controller/planner_settings.py
@@ -1,7 +1,7 @@
 """The planner's settings out of the program's. Names and units only: nothing is decided here."""
 
 
-def facts_of(settings, steward, views):
+def planner_settings(settings, steward, views):
     """The plain map that `Planner` takes. All views join every steward; gRPC proxies one of a fleet."""
     stewards = len(settings["steward"]) if steward["peer"] else 1
     proxies, shun = settings["grpc"]["proxies"], settings["grpc"]["fails_to_shun"]
--- a/peatlead/steward/story.py
+++ b/peatlead/controller/propagation.py
@@ -14,7 +14,7 @@
 )  # losses that are under way at a time; ended ones that are kept of a host
 
 
-class Loss:
+class Withdrawal:
     """One host's; `waiting`: holder -> None, LEFT, or the version that was sent."""
 
     __slots__ = ("at", "waiting", "told", "gone", "last", "delays")
@@ -38,7 +38,7 @@
 LEFT = object()  # its message has left the channel; what is sent next has it in
 
 
-class Story:
+class PropagationTrace:
     def __init__(self):
         self.notes, self.open, self.past, self.holding = OrderedDict(), OrderedDict(), {}, {}
         self.forgotten = 0
@@ -56,7 +56,7 @@
         if loss is None:
             if len(self.open) >= LOSSES_MOST:
                 self.forget(next(iter(self.open)))
-            loss = self.open[host] = Loss(now)
+            loss = self.open[host] = Withdrawal(now)
         if holder not in loss.waiting:
             loss.waiting[holder] = None
             self.holding.setdefault(holder, {})[host] = True
--- a/peatlead/steward/proxies.py
+++ b/peatlead/controller/proxies.py
@@ -1,13 +1,13 @@
 """The steward's side of the gRPC front: proxies that join, and a fleet's say in it."""
 
 from ..dns.views import number_of
-from ..fleet.owners import ranked, why
+from ..fleet.ownership import ranked, why
 from ..grpc.framing import UNAVAILABLE
-from ..grpc.front import GrpcFront
-from ..grpc.gather import Gathered
+from ..grpc.load_aggregation import LoadAggregator
+from ..grpc.server import GrpcFront
 from ..tables.version import NONE, PARTS, line_key, whole_weight
-from .burden import Did
 from .channel import ViewState
+from .overload import Did
 
 
 def concerned_parts(ops):
@@ -18,11 +18,11 @@
 class Proxies:
     """`steward` is asked to hear events and to publish; `owners` (or None) decides whose a proxy is."""
 
-    def __init__(self, steward, owners, about):
-        self.steward, self.owners, self.about = steward, owners, about
+    def __init__(self, steward, ownership, about):
+        self.steward, self.ownership, self.about = steward, ownership, about
         settings = steward.settings
         self.port = settings["dns"]["port"]
-        self.gathered, self.burden = Gathered(), steward.burden
+        self.gathered, self.overload = LoadAggregator(), steward.overload
         self.front = GrpcFront(
             self,
             steward.me["name"],
@@ -40,15 +40,15 @@
         # One that has forgotten its epoch, and a steward that has forgotten its own: the greater counts.
         seen = max(node.epoch, self.steward.published.newest_epoch(node.name))
         now = self.steward.loop.time()
-        wait = self.burden.takes_join(now, not any(node.held.values()))
+        wait = self.overload.takes_join(now, not any(node.held.values()))
         if wait:
             self.paced += 1
             return 0, (UNAVAILABLE, "paced: more to do than time", {"peatlead_wait": f"{wait:.3f}"})
-        if self.owners is None:
+        if self.ownership is None:
             return seen + 1, None
-        verdict = self.owners.admit(now, node.name, seen, node.hops, node.avoid)
+        verdict = self.ownership.admit(now, node.name, seen, node.hops, node.avoid)
         if verdict.take:
-            return self.owners.epochs[node.name], None
+            return self.ownership.epochs[node.name], None
         if verdict.wait:
             self.paced += 1
             return 0, (UNAVAILABLE, verdict.why, {"peatlead_wait": f"{verdict.wait:.3f}"})
@@ -65,9 +65,9 @@
 
     def hints(self, node):
         """Where to dial, best first, when this controller ends."""
-        if self.owners is None:
+        if self.ownership is None:
             return {}
-        abouts = [self.about(name) for name in ranked(node.name, self.owners.live)]
+        abouts = [self.about(name) for name in ranked(node.name, self.ownership.live)]
         return {
             "peatlead_controllers": ",".join(
                 f"{one.name}={one.orders[0]}:{one.orders[1]}"
@@ -79,7 +79,7 @@
     def joined(self, session):
         node, steward = session.node, self.steward
         session.number, session.state = number_of("proxy:" + node.name), ViewState()
-        session.zone = steward.door.zones.get(node.zone, 0)
+        session.zone = steward.registry.zones.get(node.zone, 0)
         self.front.add(session)
         self.by_number[session.number] = session
         publisher = steward.publisher
@@ -121,23 +121,23 @@
             self.steward.publisher.leave(session.number)
             self.gathered.forget(session.number)
             self.steward.published.left(session.node.name)
-            if self.owners is not None:
-                self.owners.left(session.node.name)
+            if self.ownership is not None:
+                self.ownership.left(session.node.name)
             self.steward.proxy_left(session.number)
 
     # Load reports.
 
     def takes_report(self, session, now):
-        taken = self.burden.takes_report(now, session.report_at, session.reports)
+        taken = self.overload.takes_report(now, session.report_at, session.reports)
         session.reports += 1
         return taken
 
     def reported(self, session, started):
         session.report_at = started
-        self.burden.decide(started, [Did(1, self.steward.loop.time() - started)])
+        self.overload.decide(started, [Did(1, self.steward.loop.time() - started)])
 
     def report_every(self, session):
-        return self.burden.interval_of(0.5 if session is None else session.number % 997 / 996)
+        return self.overload.interval_of(0.5 if session is None else session.number % 997 / 996)
 
     def refused(self, session, refusal):
         self.refusals += 1
@@ -147,13 +147,13 @@
 
     def applied(self, session, type_url, version):
         self.acks += 1
-        self.steward.story.applied(self.steward.loop.time(), session.number, version)
+        self.steward.propagation.applied(self.steward.loop.time(), session.number, version)
         session.held = max(session.held, version)
 
     def published(self, session, version, parts):
         """A version was sent: into the store, with what led to it."""
         if "line" in parts:
-            self.steward.story.sent(session.number, version)
+            self.steward.propagation.sent(session.number, version)
         if self.front.sessions.get(session.node.name) is session:
             items = {}
             for part in parts:
@@ -180,7 +180,7 @@
         return self.places.get(address) if port == self.port else None
 
     def place_of(self, host):
-        entry = self.steward.door.entries[host]
+        entry = self.steward.registry.entries[host]
         return entry.address or entry.address6, self.port, entry.zone
 
     # What the steward tells.
@@ -238,7 +238,7 @@
 
     def move(self, now):
         """Sends on what another should own."""
-        for name, owner in self.owners.moves(now) if self.owners is not None else ():
+        for name, owner in self.ownership.moves(now) if self.ownership is not None else ():
             session = self.front.sessions.get(name)
             place = self.place(owner)
             if session is not None and place:
@@ -247,7 +247,7 @@
 
     def tell_why(self, name):
         session = self.front.sessions.get(name)
-        return why(self.owners, name, session and session.since, self.steward.loop.time())
+        return why(self.ownership, name, session and session.since, self.steward.loop.time())
 
     def status(self):
         return {
--- a/peatlead/steward/published.py
+++ b/peatlead/controller/publication.py
@@ -8,11 +8,20 @@
 import zstandard
 from blake3 import blake3
 
-from ..tables.causes import Causes
-from ..tables.disk import TableLog
-from ..tables.guard import RAMPED, Facts, Guarded, guard
-from ..tables.history import Store, Unknown
-from ..tables.pins import LOOK_GAP, BadPin, Held, Pin, Pins, check, read_pins, write_pins
+from ..tables.change_causes import ChangeCauses
+from ..tables.guard import RAMPED, GuardContext, GuardedTable, guard
+from ..tables.history import Store, UnknownVersionError
+from ..tables.pins import (
+    LOOK_GAP,
+    ActivePin,
+    Pin,
+    PinError,
+    Pins,
+    check,
+    read_pins,
+    write_pins,
+)
+from ..tables.table_log import TableLog
 from ..tables.version import (
     NONE,
     SCALE,
@@ -37,7 +46,7 @@
 SHOWN_MOST = 500  # versions, or proxies of a dry run, that one answer lists
 
 
-class Published:
+class Publication:
     """`steward` gives what is wanted and who is there; `wall()` the time of day, for stamps that people read."""
 
     def __init__(self, steward, folder, wall, bounds, boot):
@@ -57,7 +66,7 @@
         )
         shared = steward.me["peer"] is not None
         self.pins = Pins(steward.me["name"], "-" + blake3(boot).hexdigest()[:4] if shared else "")
-        self.causes = Causes(self.name_of, lambda host: steward.listed.get(host, 0.0))
+        self.causes = ChangeCauses(self.name_of, lambda host: steward.listed.get(host, 0.0))
         self.places, self.phases, self.shut = {}, {}, set()
         self.wishes, self.unknown = (
             {},
@@ -77,7 +86,7 @@
         self.looked = {}  # proxy -> (when a pin last changed what it is to hold, what it was to change)
 
     def name_of(self, host):
-        return self.steward.door.entries[host].name
+        return self.steward.registry.entries[host].name
 
     # Its life.
 
@@ -280,7 +289,7 @@
                 for host, tables in publisher.holders.items()
                 if tables
             }
-        return Facts(self.phases, self.shut, self.parts)
+        return GuardContext(self.phases, self.shut, self.parts)
 
     # Pinned proxies.
 
@@ -323,7 +332,7 @@
                 return read_version(pin.to), history.at_version(read_version(pin.to))
             age = self.steward.loop.time() - held.base
             return history.at_time(self.wall() - age - float(pin.to))
-        except Unknown:
+        except UnknownVersionError:
             return None
 
     def lines(self, name, zone, label, wanted):
@@ -332,14 +341,16 @@
         return wanted if held is None else self.guarded(held, name, label, wanted).lines
 
     def guarded(self, held, name, label, wanted):
-        items = self.wish(held, name) if type(held) is Held else held
+        items = self.wish(held, name) if type(held) is ActivePin else held
         wish = {}
         for key, value in items.items():
             kind, _, address, _ = read_line_key(key)
             if kind == label:
                 wish[self.places.get(address, -1)] = value / SCALE
         if not wish:
-            return Guarded(dict(wanted), {}, ())  # of this kind nothing is known: the planner's
+            return GuardedTable(
+                dict(wanted), {}, ()
+            )  # of this kind nothing is known: the planner's
         return guard(wish, wanted, self.facts())
 
     def look(self, now):
@@ -407,15 +418,19 @@
             return {"error": "expected do to be log, show, diff, pin, resume, status or ends"}
         try:
             return asked(question.args)
-        except (BadPin, Unknown, ValueError, KeyError, TypeError) as problem:
-            said = f"{problem.args[0]} is not kept" if type(problem) is Unknown else str(problem)
+        except (PinError, UnknownVersionError, ValueError, KeyError, TypeError) as problem:
+            said = (
+                f"{problem.args[0]} is not kept"
+                if type(problem) is UnknownVersionError
+                else str(problem)
+            )
             return {"error": f"tables {question.do}: {said}"}
 
     def history_of(self, name):
         for one in (name, f"view:{name}"):
             if one in self.store.histories:
                 return one, self.store.histories[one]
-        raise BadPin(f"expected a proxy or view that was published to, got {name!r}")
+        raise PinError(f"expected a proxy or view that was published to, got {name!r}")
 
     def read(self, key, value):
         """An item for people: host by name, weight as listed."""
@@ -470,7 +485,7 @@
         name, history = self.history_of(args["proxy"])
         versions = [read_version(args[side]) for side in ("one", "other")]
         if NONE in versions:
-            raise BadPin("expected two versions, EPOCH.SERIAL each")
+            raise PinError("expected two versions, EPOCH.SERIAL each")
         before, after = (history.at_version(version) for version in versions)
         return {"proxy": name, "changes": self.compare(before, after)}
 
@@ -521,7 +536,7 @@
             "dry", 0, 1, whom, more["which"], more["target"], more["to"], 0.0, 0.0, more["length"]
         )
         check(pin)
-        held, found = Held(pin, now), []
+        held, found = ActivePin(pin, now), []
         for number, name, zone in self.steward.everyone():
             if not held.covers(now, name, zone):
                 continue
@@ -575,7 +590,7 @@
                 label, entry.zone, entry.address or entry.address6, self.steward.port
             ): whole_weight(weight)
             for host, weight in lines.items()
-            for entry in (self.steward.door.entries[host],)
+            for entry in (self.steward.registry.entries[host],)
         }
 
     def take_resume(self, args):
--- a/peatlead/dns/rota.py
+++ b/peatlead/dns/answer_order.py
@@ -9,7 +9,7 @@
 from math import fsum
 
 
-class Rota:
+class AnswerRotation:
     """An endless order of picks over weighted lines.
 
     `lines` maps host index to weight above 0; `start` (0 to 1, drawn) sets the first credits, so that many
@@ -45,7 +45,7 @@
     """
     if not lines:
         return []
-    rota, places = Rota(lines, start), min(places, len(lines))
+    rota, places = AnswerRotation(lines, start), min(places, len(lines))
     picks = [rota.pick() for _ in range(length)]
     found = []
     for at in range(length):
--- a/peatlead/dns/answers.py
+++ b/peatlead/dns/answers.py
@@ -20,7 +20,7 @@
 import dns.rdatatype
 import dns.rrset
 
-from .rota import orders, srv_weights
+from .answer_order import orders, srv_weights
 from .views import Found, plain
 
 RING = 64  # answers that are ordered ahead at a time
@@ -152,9 +152,9 @@
 
     def respond(self, data, peer, tcp=False):
         self.counts["asked"] += 1
-        door = self.doors[tcp].get(peer)
-        if door is not None:
-            known = door.get(data[2:])
+        registry = self.doors[tcp].get(peer)
+        if registry is not None:
+            known = registry.get(data[2:])
             if known is not None and known.seat.lines:
                 return data[:2] + known.next()
         return self.read(data, peer, tcp)
--- a/peatlead/dns/server.py
+++ b/peatlead/dns/server.py
@@ -6,7 +6,7 @@
 
 import asyncio
 
-from ..net.streams import Held, Stream
+from ..net.streams import ConnectionSet, Stream
 
 
 class Udp(asyncio.DatagramProtocol):
@@ -72,7 +72,7 @@
 
     def __init__(self, settings, answers):
         self.settings, self.answers = settings, answers
-        self.held, self.fresh_until, self.unanswered = Held(settings["tcp_most"]), 0.0, 0
+        self.held, self.fresh_until, self.unanswered = ConnectionSet(settings["tcp_most"]), 0.0, 0
         self.closers = []
 
     async def open(self, address):
--- a/peatlead/dns/thin.py
+++ b/peatlead/dns/warmup_thinning.py
@@ -35,7 +35,7 @@
     places: int = 1
 
 
-class Thinning:
+class WarmupThinning:
     """Remembers which views hold which host, so that a change costs the views it touches.
 
     One entry point: `decide(changed, listed, heard)` returns {view: Named} for all views whose named lines
--- a/peatlead/fleet/seal.py
+++ b/peatlead/fleet/authentication.py
@@ -24,18 +24,18 @@
 LONGEST = 60_000
 
 
-class BadSeal(Exception):
+class AuthenticationError(Exception):
     """Why a datagram was not taken."""
 
 
-class Sender:
+class SenderState:
     __slots__ = ("boot", "highest", "seen", "retired")
 
     def __init__(self, boot):
         self.boot, self.highest, self.seen, self.retired = boot, 0, 0, []
 
 
-class Seal:
+class Authenticator:
     """`keys`: the first seals, all open, so that keys change in service. `boot`: 8 bytes, new at each start."""
 
     def __init__(self, keys, name, boot):
@@ -55,23 +55,23 @@
         return data + self.hash(self.keys[0], data)
 
     def open(self, data):
-        """(sender, body). Raises BadSeal, among them Unproven."""
+        """(sender, body). Raises AuthenticationError, among them Unproven."""
         if len(data) < HEAD.size + HASH or len(data) > LONGEST:
-            raise BadSeal("expected a sealed message")
+            raise AuthenticationError("expected a sealed message")
         version, size, boot, counter, proof = HEAD.unpack_from(data)
         if version != VERSION:
-            raise BadSeal(f"expected version {VERSION}, got {version}")
+            raise AuthenticationError(f"expected version {VERSION}, got {version}")
         whole, told = data[:-HASH], data[-HASH:]
         if not any(compare_digest(self.hash(key, whole), told) for key in self.keys):
-            raise BadSeal("the hash does not fit: forged, changed, or another fleet's")
+            raise AuthenticationError("the hash does not fit: forged, changed, or another fleet's")
         if len(whole) < HEAD.size + size:
-            raise BadSeal("expected a sender")
+            raise AuthenticationError("expected a sender")
         name = whole[HEAD.size : HEAD.size + size].decode("utf-8", "replace")
         if name.encode() == self.name and boot == self.boot:
-            raise BadSeal("our own message came back")
+            raise AuthenticationError("our own message came back")
         body = whole[HEAD.size + size :]
         if not self.known(name, boot, proof):
-            raise Unproven(name, self.make_proof(name, boot), body)
+            raise UnprovenSenderError(name, self.make_proof(name, boot), body)
         self.count(self.senders[name], counter)
         return name, body
 
@@ -81,15 +81,15 @@
         if sender is not None and sender.boot == boot:
             return True
         if sender is not None and boot in sender.retired:
-            raise BadSeal("a boot that was replaced")
+            raise AuthenticationError("a boot that was replaced")
         made = self.wanted.get(name, {}).get(boot, ())
         if not any(compare_digest(proof, one) for one in made):
             return False
         del self.wanted[name]  # what else was on its way to be proven has to begin anew
         if sender is None:
             if len(self.senders) >= SENDERS_MOST:
-                raise BadSeal("too many senders")
-            self.senders[name] = Sender(boot)
+                raise AuthenticationError("too many senders")
+            self.senders[name] = SenderState(boot)
         else:
             sender.retired = [*sender.retired, sender.boot][-RETIRED_MOST:]
             sender.boot, sender.highest, sender.seen = boot, 0, 0
@@ -103,7 +103,7 @@
             sender.seen = (sender.seen << ahead | 1) & ((1 << WINDOW) - 1) if ahead < WINDOW else 1
             sender.highest = counter
         elif -ahead >= WINDOW or sender.seen >> -ahead & 1:
-            raise BadSeal("a message that came before")
+            raise AuthenticationError("a message that came before")
         else:
             sender.seen |= 1 << -ahead
 
@@ -132,7 +132,7 @@
         return blake3(data, key=key).digest(HASH)
 
 
-class Unproven(BadSeal):
+class UnprovenSenderError(AuthenticationError):
     """Its hash fits, its boot is not known: `proof` is what it has to repeat, `body` what it said."""
 
     def __init__(self, name, proof, body):
--- a/peatlead/fleet/node.py
+++ b/peatlead/fleet/gossip.py
@@ -4,37 +4,50 @@
 
 import msgspec
 
-from .members import About, Ack, Heard, Leave, Members, Mine, Ping, Send, Tick, TryFor
-from .owners import Owners
-from .seal import BadSeal, Seal, Unproven
+from .authentication import AuthenticationError, Authenticator, UnprovenSenderError
+from .membership import (
+    Ack,
+    DatagramReceived,
+    IndirectPing,
+    Leave,
+    LocalStatus,
+    MemberInfo,
+    Membership,
+    Ping,
+    SendDatagram,
+    Tick,
+)
+from .ownership import Ownership
 
 TICK = 0.05
 NOTE_MOST, NOTES_MOST = 1000, 100  # bytes of a note; notes that are taken in within a second
 
 
-class Note(msgspec.Struct, array_like=True, tag="Note"):
+class GossipMessage(msgspec.Struct, array_like=True, tag="Note"):
     """Advice from one member's planner to another's: what it says is the planner's matter."""
 
     payload: bytes
 
 
-class PinsTold(msgspec.Struct, array_like=True, tag="PinsTold"):
+class PinsMessage(msgspec.Struct, array_like=True, tag="PinsTold"):
     """Operators' pins, as `tables.pins` writes them."""
 
     payload: bytes
 
 
-class WishTold(msgspec.Struct, array_like=True, tag="WishTold"):
+class DrainRequestMessage(msgspec.Struct, array_like=True, tag="WishTold"):
     """What one proxy held before a pin, by a steward that owned it then."""
 
     payload: bytes
 
 
-MESSAGES = msgspec.msgpack.Decoder(Ping | Ack | TryFor | Note | PinsTold | WishTold)
+MESSAGES = msgspec.msgpack.Decoder(
+    Ping | Ack | IndirectPing | GossipMessage | PinsMessage | DrainRequestMessage
+)
 PROVE = b"prove"
 
 
-class FleetNode(asyncio.DatagramProtocol):
+class GossipNode(asyncio.DatagramProtocol):
     """`mine()` gives how many proxies have joined; `log(event, **fields)`; `noted(sender, payload)` hears notes,
     the sender by its place in the settings; `pinned(payload)` hears pins,
     `wished(payload)` what others know of pinned proxies."""
@@ -62,10 +75,10 @@
         self.ranks = {one["name"]: at for at, one in enumerate(settings["steward"])}
         self.notes_left, self.notes_at = NOTES_MOST, 0.0
         keys = [bytes.fromhex(one) for one in self.settings["keys"]]
-        self.seal = Seal(keys, me["name"], boot)
+        self.seal = Authenticator(keys, me["name"], boot)
         seeds = [one["peer"] for one in settings["steward"] if one["name"] != me["name"]]
-        about = About(me["name"], me["peer"], "alive", 0, me["grpc"] or ())
-        self.members = Members(
+        about = MemberInfo(me["name"], me["peer"], "alive", 0, me["grpc"] or ())
+        self.members = Membership(
             about,
             seeds,
             chance,
@@ -73,7 +86,7 @@
             self.settings["probe_wait"],
             self.settings["suspect"],
         )
-        self.owners = Owners(me["name"], self.settings["joins_rate"], chance)
+        self.ownership = Ownership(me["name"], self.settings["joins_rate"], chance)
         self.names, self.transport, self.timer = {}, None, None
         self.counts = {
             "in": 0,
@@ -95,17 +108,17 @@
         self.transport = transport
 
     def tick(self):
-        self.carry([Mine(self.mine(), self.owners.draining), Tick()])
+        self.carry([LocalStatus(self.mine(), self.ownership.draining), Tick()])
         self.timer = self.loop.call_later(TICK, self.tick)
 
     def carry(self, events):
         now = self.loop.time()
         for order in self.members.decide(now, events):
-            if type(order) is Send:
+            if type(order) is SendDatagram:
                 self.send(order.address, msgspec.msgpack.encode(order.message))
             else:
                 self.log("member", name=order.name, before=order.before, after=order.after)
-        self.owners.living(
+        self.ownership.living(
             now, {name: (about.load, about.draining) for name, about in self.members.live().items()}
         )
 
@@ -126,24 +139,24 @@
                 self.seal.learn(name, body[len(PROVE) :])
                 return
             message = MESSAGES.decode(body)
-        except Unproven as problem:
+        except UnprovenSenderError as problem:
             self.counts["unproven"] += 1
             self.answer_unproven(address, problem)
             return
-        except (BadSeal, msgspec.MsgspecError) as problem:
+        except (AuthenticationError, msgspec.MsgspecError) as problem:
             self.counts["refused"] += 1
             if str(problem) != self.last_refusal:  # one line for a flood of the same
                 self.last_refusal = str(problem)
                 self.log("member message refused", address=str(address), why=str(problem))
             return
-        if type(message) is Note:
+        if type(message) is GossipMessage:
             self.take_note(name, message.payload)
-        elif type(message) is PinsTold:
+        elif type(message) is PinsMessage:
             self.pinned(message.payload)
-        elif type(message) is WishTold:
+        elif type(message) is DrainRequestMessage:
             self.wished(message.payload)
         else:
-            self.carry([Heard(address, message)])
+            self.carry([DatagramReceived(address, message)])
 
     def take_note(self, name, payload):
         """Past the most a second they are dropped and counted: advice that is lost costs little."""
@@ -160,7 +173,7 @@
     def tell(self, payload):
         """A note to all that live. None is repeated here: what must arrive is told again by who tells it."""
         if len(payload) <= NOTE_MOST:
-            self.tell_all(Note(payload))
+            self.tell_all(GossipMessage(payload))
 
     def answer_unproven(self, address, problem):
         """Tell it the proof to repeat. What it says is not taken, but for a proof that it asks of us: two that
@@ -172,10 +185,10 @@
             self.send(address, PROVE + problem.proof)
 
     def tell_pins(self, payload):
-        self.tell_all(PinsTold(payload))
+        self.tell_all(PinsMessage(payload))
 
     def tell_wish(self, payload):
-        self.tell_all(WishTold(payload))
+        self.tell_all(DrainRequestMessage(payload))
 
     def tell_all(self, message):
         for name, about in self.members.live().items():
--- a/peatlead/fleet/members.py
+++ b/peatlead/fleet/membership.py
@@ -24,7 +24,7 @@
 )
 
 
-class About(msgspec.Struct, array_like=True, frozen=True):
+class MemberInfo(msgspec.Struct, array_like=True, frozen=True):
     """News of one member; `load`: proxies joined; `draining`: takes no more."""
 
     name: str
@@ -38,23 +38,23 @@
 
 class Ping(msgspec.Struct, array_like=True, tag="Ping"):
     number: int
-    news: list[About]
+    news: list[MemberInfo]
 
 
 class Ack(msgspec.Struct, array_like=True, tag="Ack"):
     number: int
-    news: list[About]
+    news: list[MemberInfo]
 
 
-class TryFor(msgspec.Struct, array_like=True, tag="TryFor"):
+class IndirectPing(msgspec.Struct, array_like=True, tag="TryFor"):
     """Probe `address` and pass its answer on."""
 
     number: int
     address: tuple
-    news: list[About]
+    news: list[MemberInfo]
 
 
-class Heard(NamedTuple):
+class DatagramReceived(NamedTuple):
     address: tuple
     message: object
 
@@ -63,7 +63,7 @@
     pass
 
 
-class Mine(NamedTuple):
+class LocalStatus(NamedTuple):
     """What others should know of this member."""
 
     load: int
@@ -74,12 +74,12 @@
     pass
 
 
-class Send(NamedTuple):
+class SendDatagram(NamedTuple):
     address: tuple
     message: object
 
 
-class Changed(NamedTuple):
+class StateChanged(NamedTuple):
     name: str
     before: Optional[str]
     after: str
@@ -100,7 +100,7 @@
     return (new.incarnation, grave[new.state]) > (old.incarnation, grave[old.state])
 
 
-class Members:
+class Membership:
     """`me`: About of this member; `seeds`: addresses that are asked until somebody is known; `chance`: a
     seeded random.Random; `every`, `wait`, `suspect`: seconds between probes, for an answer, of suspicion."""
 
@@ -110,9 +110,9 @@
         self.members, self.round, self.number = {me.name: Member(me, 0.0)}, [], 0
         self.probing, self.passing, self.probe_at, self.last_tick = {}, {}, 0.0, None
         self.handlers = {
-            Heard: self.on_heard,
+            DatagramReceived: self.on_heard,
             Tick: self.on_tick,
-            Mine: self.on_mine,
+            LocalStatus: self.on_mine,
             Leave: self.on_leave,
         }
 
@@ -190,7 +190,7 @@
             for helper in self.chance.sample(others, min(HELPERS, len(others))):
                 self.send(
                     self.members[helper].about.address,
-                    TryFor(number, member.about.address, self.news()),
+                    IndirectPing(number, member.about.address, self.news()),
                 )
         elif member.about.state == ALIVE:
             self.learn(msgspec.structs.replace(member.about, state=SUSPECT))
@@ -226,14 +226,14 @@
             if message.number in self.passing:
                 back, theirs, _ = self.passing.pop(message.number)
                 self.send(back, Ack(theirs, self.news()))
-        elif type(message) is TryFor:
+        elif type(message) is IndirectPing:
             self.number += 1
             if len(self.passing) < MEMBERS_MOST:
                 self.passing[self.number] = address, message.number, self.now + 3 * self.wait
                 self.send(tuple(message.address), Ping(self.number, self.news()))
 
     def send(self, address, message):
-        self.orders.append(Send(tuple(address), message))
+        self.orders.append(SendDatagram(tuple(address), message))
 
     def news(self, everything=False):
         """What to tell now: of us first, then what was told least often, as long as it is news."""
@@ -269,7 +269,7 @@
             if len(self.members) >= MEMBERS_MOST or about.state in (DEAD, LEFT):
                 return
             self.members[about.name] = known = Member(about, self.now)
-            self.orders.append(Changed(about.name, None, about.state))
+            self.orders.append(StateChanged(about.name, None, about.state))
         elif not beats(about, known.about):
             return
         else:
@@ -279,7 +279,7 @@
             known.about, known.told = about, 0
             if about.state != before:
                 known.since = self.now
-                self.orders.append(Changed(about.name, before, about.state))
+                self.orders.append(StateChanged(about.name, before, about.state))
         known.suspect_until = self.now + self.suspicion() if about.state == SUSPECT else None
 
     def refute(self, incarnation):
--- a/peatlead/fleet/owners.py
+++ b/peatlead/fleet/ownership.py
@@ -25,7 +25,7 @@
 JOIN_BURST = 50  # joins taken at once before they are paced
 
 
-class Verdict(NamedTuple):
+class AdmissionDecision(NamedTuple):
     """`owner`: name of the controller that should have it; `take`: whether we take it in; `wait`: seconds
     that it should wait before it dials again (0 where it is taken or sent on)."""
 
@@ -44,7 +44,7 @@
     return sorted(names, key=lambda name: (score(proxy, name), name), reverse=True)
 
 
-class Owners:
+class Ownership:
     """One controller's side. `joins_rate`: joins a second that are taken past a burst."""
 
     def __init__(self, me, joins_rate, chance):
@@ -75,12 +75,12 @@
         """Verdict on a proxy that has dialled us; a taken one gets an epoch past `seen`."""
         owner = self.owner(proxy, avoid)
         if owner != self.me and hops < HOPS_MOST and owner in self.live:
-            return Verdict(owner, False, 0.0, "another's by rank")
+            return AdmissionDecision(owner, False, 0.0, "another's by rank")
         self.tokens = min(float(JOIN_BURST), self.tokens + (now - self.tokens_at) * self.joins_rate)
         self.tokens_at = now
         if self.tokens < 1:
             # All of a dead controller's proxies come at once: drawn waits spread them over what we can take.
-            return Verdict(
+            return AdmissionDecision(
                 self.me,
                 False,
                 self.chance.uniform(0.5, 1.5) * JOIN_BURST / self.joins_rate,
@@ -89,7 +89,7 @@
         self.tokens -= 1
         self.epochs[proxy] = max(seen, self.epochs.get(proxy, 0)) + 1
         self.avoided[proxy] = now, tuple(avoid)
-        return Verdict(
+        return AdmissionDecision(
             self.me, True, 0.0, "ours by rank" if owner == self.me else "its owner is out of reach"
         )
 
@@ -147,13 +147,13 @@
         return Fence(max(self.newest, (epoch, serial)))
 
 
-def why(owners, proxy, joined_since: Optional[float], now):
+def why(ownership, proxy, joined_since: Optional[float], now):
     """For operators: rank, owner, epoch, since when."""
     return {
         "proxy": proxy,
-        "rank": ranked(proxy, owners.live),
-        "owner": owners.owner(proxy),
-        "here": proxy in owners.epochs,
-        "epoch": owners.epochs.get(proxy),
+        "rank": ranked(proxy, ownership.live),
+        "owner": ownership.owner(proxy),
+        "here": proxy in ownership.epochs,
+        "epoch": ownership.epochs.get(proxy),
         "since": None if joined_since is None else now - joined_since,
     }
--- a/peatlead/grpc/framing.py
+++ b/peatlead/grpc/framing.py
@@ -16,7 +16,7 @@
 LONGEST = 4 << 20  # bytes of one message
 
 
-class BadFrame(Exception):
+class FramingError(Exception):
     """`status` is what the caller is told."""
 
     def __init__(self, status, text):
@@ -41,9 +41,9 @@
         while len(self.held) - at >= 5:
             size = int.from_bytes(self.held[at + 1 : at + 5], "big")
             if self.held[at] != 0:  # we name no encoding, so none may be used
-                raise BadFrame(UNIMPLEMENTED, "expected a message that is not compressed")
+                raise FramingError(UNIMPLEMENTED, "expected a message that is not compressed")
             if size > self.longest:
-                raise BadFrame(
+                raise FramingError(
                     EXHAUSTED, f"expected a message of at most {self.longest} bytes, got {size}"
                 )
             if len(self.held) - at - 5 < size:
--- a/peatlead/grpc/http2.py
+++ b/peatlead/grpc/http2.py
@@ -15,7 +15,7 @@
 import h2.settings
 
 from ..net.streams import Stream, within
-from .framing import DEADLINE, BadFrame, Unframer, frame, percent, read_timeout
+from .framing import DEADLINE, FramingError, Unframer, frame, percent, read_timeout
 
 STREAMS_MOST = 16  # calls of one peer at a time
 HEADERS_MOST = 16384
@@ -226,7 +226,7 @@
     def take_data(self, call, data):
         try:
             messages = call.unframer.feed(data)
-        except BadFrame as problem:
+        except FramingError as problem:
             if self.client:
                 call.reset(str(problem))
             else:
--- a/peatlead/grpc/incremental.py
+++ b/peatlead/grpc/incremental.py
@@ -14,9 +14,10 @@
 from envoy.service.discovery.v3 import discovery_pb2
 from google.protobuf.any_pb2 import Any
 
-from ..tables.holder import BASE, DIGEST
+from ..tables.replica import BASE, DIGEST
 from ..tables.version import WHOLE, Digest, Stamp, Version, changes, read_stamp
-from .assign import (
+from .discovery import NAMES_MOST, Refused
+from .resources import (
     ENDPOINTS,
     LINES,
     ROUTES,
@@ -25,7 +26,6 @@
     resource_name,
     write_value,
 )
-from .discovery import NAMES_MOST, Refused
 
 PARTS_OF = {LINES: "line", ENDPOINTS: "level", ROUTES: "retry"}
 TYPES = {part: url for url, part in PARTS_OF.items()}
--- a/peatlead/grpc/gather.py
+++ b/peatlead/grpc/load_aggregation.py
@@ -6,10 +6,10 @@
 (reports.py).
 """
 
-from .. import interface as our
+from .. import interface
 
 
-class Gathered:
+class LoadAggregator:
     """`host(...)` and `reqs(...)` add; `due(now)` gives the events once `wait` seconds have passed since the
     first."""
 
@@ -40,17 +40,17 @@
         sums[2] += span
 
     def due(self, now):
-        """[ReqSums and HostSums], hosts in the order of their indices."""
+        """[RequestStats and EndpointStats], hosts in the order of their indices."""
         if self.begun is None or now - self.begun < self.wait:
             return []
         events = [
-            our.ReqSums(proxy, kind, *sums)
+            interface.RequestStats(proxy, kind, *sums)
             for proxy, kinds in self.kinds.items()
             for kind, sums in kinds.items()
         ]
         for (host, zone), (tries, bad, seconds, util, utils, span) in sorted(self.hosts.items()):
             events.append(
-                our.HostSums(
+                interface.EndpointStats(
                     host,
                     zone,
                     tries,
--- a/peatlead/grpc/assign.py
+++ b/peatlead/grpc/resources.py
@@ -13,7 +13,7 @@
 from google.protobuf.message import DecodeError
 
 from ..tables.version import MILLION, SCALE, read_line_key, whole_weight
-from .encoded import assignment
+from .encoder import assignment
 
 ENDPOINTS = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
 ROUTES = "type.googleapis.com/envoy.config.route.v3.RouteConfiguration"
--- a/peatlead/grpc/front.py
+++ b/peatlead/grpc/server.py
@@ -20,9 +20,14 @@
 from envoy.service.load_stats.v3 import lrs_pb2
 from google.protobuf.message import DecodeError
 
-from ..net.streams import Held
+from ..net.streams import ConnectionSet
 from ..tables.version import MILLION, PARTS, SCALE, line_key, read_version, whole_weight
-from .assign import (
+from .discovery import Discovery
+from .framing import INVALID, NOT_FOUND, UNAVAILABLE, UNIMPLEMENTED
+from .http2 import Connection
+from .incremental import Incremental
+from .load_reports import read_report
+from .resources import (
     ENDPOINTS,
     LINES,
     ROUTES,
@@ -33,11 +38,6 @@
     write_lines,
     write_routes,
 )
-from .discovery import Discovery
-from .framing import INVALID, NOT_FOUND, UNAVAILABLE, UNIMPLEMENTED
-from .http2 import Connection
-from .incremental import Incremental
-from .reports import read_report
 
 DISCOVERY = "/envoy.service.discovery.v3.AggregatedDiscoveryService/StreamAggregatedResources"
 DELTA = "/envoy.service.discovery.v3.AggregatedDiscoveryService/DeltaAggregatedResources"
@@ -46,7 +46,7 @@
 NAME_MOST = 200
 
 
-class Node(NamedTuple):
+class ProxyNode(NamedTuple):
     """What a proxy says of itself: `epoch` the newest that it has seen, `held` {kind: [Line]}, `hops` how
     often it was sent on, `avoid` controllers that it could not reach. One that says nothing of hops knows
     nothing of being sent on: it is taken in by whoever it dials."""
@@ -84,7 +84,9 @@
         if "avoid" in said
         else ()
     )
-    return Node(node.id, node.locality.zone, min(max(0, epoch), 2**53), held, rate, hops, avoid)
+    return ProxyNode(
+        node.id, node.locality.zone, min(max(0, epoch), 2**53), held, rate, hops, avoid
+    )
 
 
 def read_line(text):
@@ -299,7 +301,7 @@
     def __init__(self, core, identity, kinds, most=10_000, zones=()):
         self.core, self.identity, self.zones = core, identity, zones
         self.kinds = {name: at for at, name in enumerate(kinds)}
-        self.sessions, self.held, self.server = {}, Held(most), None
+        self.sessions, self.held, self.server = {}, ConnectionSet(most), None
 
     async def open(self, address):
         loop = asyncio.get_running_loop()
--- a/peatlead/probes/news.py
+++ b/peatlead/health/load_report_counts.py
@@ -13,13 +13,13 @@
 
 import msgspec
 
-from .. import interface as our
+from .. import interface
 
 FIELDS = 7
 NETWORKS_MOST = 20_000  # in one document
 
 
-class Told(msgspec.Struct):
+class EndpointReport(msgspec.Struct):
     boot: str
     kinds: list[str]
     networks: dict[str, list[list[float]]]
@@ -28,7 +28,7 @@
 def read_told(body):
     """The document, or None where it is not one."""
     try:
-        told = msgspec.json.decode(body, type=Told)
+        told = msgspec.json.decode(body, type=EndpointReport)
     except msgspec.MsgspecError:
         return None
     if len(told.networks) > NETWORKS_MOST or not told.kinds:
@@ -41,7 +41,7 @@
     networks: dict
 
 
-class News:
+class LoadReportCounts:
     """Differences of what hosts told, gathered until the next round of sums.
 
     `kinds`: names in the planner's order; `view_of(network text)` gives the view, or None; `zone` is where
@@ -107,12 +107,12 @@
         if span < self.every or not (self.hosts or self.views):
             return []
         events = [
-            our.ReqSums(numbers[view], kind, int(reqs), int(unanswered), span)
+            interface.RequestStats(numbers[view], kind, int(reqs), int(unanswered), span)
             for (view, kind), (reqs, unanswered) in sorted(self.views.items())
         ]
         for (host, zone), (tries, bad, seconds) in sorted(self.hosts.items()):
             events.append(
-                our.HostSums(
+                interface.EndpointStats(
                     host,
                     zone,
                     int(tries),
--- a/peatlead/probes/prober.py
+++ b/peatlead/health/prober.py
@@ -7,7 +7,7 @@
 import asyncio
 from collections import deque
 
-from ..net.http import Failed, connect
+from ..net.http import RequestFailedError, connect
 
 
 class Prober:
@@ -58,7 +58,7 @@
                 deadline,
             )
             outcome, report, told = self.read(answer)
-        except Failed as problem:
+        except RequestFailedError as problem:
             outcome = problem.outcome
         finally:
             if stream is not None:
--- a/peatlead/interface.py
+++ b/peatlead/interface.py
@@ -1,191 +1,301 @@
-"""What the planner hears (events) and what it may order. Types only: no logic, no tuning, and one default.
+"""Events that the planner takes and commands that it returns: types only, no logic and no tuning.
 
-Times are float seconds on the steward's own clock. `host`, `proxy`, `zone`, `machine`, `cell` and `kind`
-are small whole numbers; `Member.name` is the host's stable name, the same at every steward.
+Times are float seconds on the controller's own monotonic clock. `endpoint`, `proxy`, `zone`, `machine_type`, `cell`,
+`table` and `request_class` are small non-negative integers that the controller assigns; `Endpoint.name` is the
+endpoint's stable name, the same at every controller.
+
+The enumerations are `StrEnum`s: their values are what settings, stored lists and the wire call them.
 """
 
-from typing import NamedTuple, Optional
+from enum import StrEnum
+from typing import NamedTuple, Optional, Union
+
+LoadReport = dict[str, float]  # by metric: "util" (0 to 1), "waiting", "holding" (requests), ...
+
+
+class EndpointPhase(StrEnum):
+    """Where an endpoint stands in its life, as the endpoint list has it."""
+
+    READY = "ready"
+    DRAINING = "draining"
+    GONE = "gone"
+
+
+class ListScope(StrEnum):
+    """What an endpoint update covers."""
+
+    CHANGES = "changes"  # endpoints that are not named stay as they were
+    WHOLE = "whole"  # endpoints that are not named are gone
+    REMEMBERED = "remembered"  # the list as it was stored before a restart
+    UNAVAILABLE = "unavailable"  # the source failed; nothing is known anew
+
+
+class HealthCheckOutcome(StrEnum):
+    """How a health check ended."""
+
+    OK = "ok"
+    ERRORED = "errored"  # answered, with a failure
+    DENIED = "denied"  # not sent: the controller's own machine ran out of something
+    TIMED_OUT = "timed out"
+    UNREACHABLE = "unreachable"
+    BROKEN = "broken"  # the connection ended, or the answer was malformed
 
 
-class Member(NamedTuple):
-    """One host as the roster lists it; phase is "ready", "draining" or "gone"."""
+class RetryPolicy(StrEnum):
+    """Which attempts a proxy may make after the first one."""
 
-    host: int
+    NEVER = "never"
+    UNSTARTED = "unstarted"  # only where the endpoint promises that it had not begun
+    ONCE = "once"
+    TWICE = "twice"
+
+
+# Events.
+
+
+class Endpoint(NamedTuple):
+    """One endpoint as the list has it; `weight` is relative to the others', `started_at` its process's start."""
+
+    id: int
     name: bytes
     zone: int
-    machine: int
+    machine_type: int
     cell: int
     phase: str
     weight: float
     started_at: float
 
 
-class Roster(NamedTuple):
-    """News of the host list; scope is "changes", "whole", "remembered" or "unavailable"."""
+class EndpointUpdate(NamedTuple):
+    """The endpoint list, or a part of it, has arrived; `scope` is a `ListScope`."""
 
     scope: str
     version: int
-    members: tuple[Member, ...]
+    endpoints: tuple[Endpoint, ...]
 
 
-class ProxyJoined(NamedTuple):
+class ProxyConnected(NamedTuple):
+    """A proxy has opened its stream; `request_rate` is in requests a second, and `bootstrap_only` is true where it
+    holds no table of any controller yet."""
+
     proxy: int
     zone: int
-    rate: float
-    standing_only: bool
+    request_rate: float
+    bootstrap_only: bool
+
 
+class ProxyDisconnected(NamedTuple):
+    """A proxy's stream has ended."""
 
-class ProxyLeft(NamedTuple):
     proxy: int
 
 
-class HostSums(NamedTuple):
-    """What the joined proxies of one zone met at a host over `span` seconds, told late."""
+class EndpointStats(NamedTuple):
+    """What the connected proxies of one zone met at an endpoint over `window` seconds, reported late (as in LRS)."""
 
-    host: int
+    endpoint: int
     zone: int
-    tries: int
-    bad: int
-    span: float
-    mean_time: float
-    report: Optional[dict[str, float]]
+    attempts: int
+    errors: int
+    window: float
+    mean_latency: float  # seconds, of the attempts that succeeded
+    load_report: Optional[LoadReport]
 
 
-class ReqSums(NamedTuple):
-    """Reqs of one request kind that reached a proxy over `span` seconds, told late."""
+class RequestStats(NamedTuple):
+    """Requests of one class that reached a proxy over `window` seconds, reported late."""
 
     proxy: int
-    kind: int
-    reqs: int
+    request_class: int
+    requests: int
     unanswered: int
-    span: float
+    window: float
 
 
-class ProbeResult(NamedTuple):
-    """outcome is "ok", "errored", "denied", "timed out", "unreachable" or "broken"."""
+class HealthCheckResult(NamedTuple):
+    """A health check has ended after `duration` seconds; `outcome` is a `HealthCheckOutcome`."""
 
-    host: int
+    endpoint: int
     outcome: str
-    took: float
-    report: Optional[dict[str, float]]
+    duration: float
+    load_report: Optional[LoadReport]
 
 
-class Applied(NamedTuple):
-    """A proxy has applied the message that carried the mark, `took` seconds after the order."""
+class Acknowledged(NamedTuple):
+    """A proxy has applied the message that carried the nonce, `duration` seconds after the command."""
 
     proxy: int
-    mark: int
-    took: float
+    nonce: int
+    duration: float
 
 
 class TimerFired(NamedTuple):
+    """A timer that the planner set is due."""
+
     token: int
 
 
-class PeerNote(NamedTuple):
+class GossipReceived(NamedTuple):
+    """A note from another controller's planner."""
+
     sender: int
     payload: bytes
 
 
-class PlannerStatus(NamedTuple):
-    """For logs and metrics; no decision goes by it. `queued_lines`: what the planner takes to wait in the channel,
-    since no answered mark covers it, and `oldest_unanswered`, seconds since the oldest of it was ordered;
-    `unbound_proxies`: joined ones without a table of this steward, and `longest_wait`, seconds since the first of
-    them joined; `withdrawn_hosts`: hosts listed as draining or gone."""
-
-    queued_lines: float
-    oldest_unanswered: float
-    joined_proxies: int
-    unbound_proxies: int
-    longest_wait: float
-    withdrawn_hosts: int
-
+class KeyRangeAssigned(NamedTuple):
+    """A table of a key range was given to this controller or taken from it. Not used by the planner."""
 
-class SliceGiven(NamedTuple):
     table: int
-    held: bool
+    assigned: bool
+
 
+class KeyRangeEntry(NamedTuple):
+    """One stored entry of a key range's table. Not used by the planner."""
 
-class SliceLine(NamedTuple):
     table: int
-    host: int
+    endpoint: int
     weight: float
 
 
-class SliceSums(NamedTuple):
+class KeyRangeStats(NamedTuple):
+    """Requests of one class to a key range over `window` seconds. Not used by the planner."""
+
     table: int
-    kind: int
-    reqs: int
+    request_class: int
+    requests: int
     unanswered: int
-    span: float
+    window: float
+
+
+Event = Union[
+    EndpointUpdate,
+    ProxyConnected,
+    ProxyDisconnected,
+    EndpointStats,
+    RequestStats,
+    HealthCheckResult,
+    Acknowledged,
+    TimerFired,
+    GossipReceived,
+    KeyRangeAssigned,
+    KeyRangeEntry,
+    KeyRangeStats,
+]
 
 
-class SetLine(NamedTuple):
-    """Order: one line of a table; weight 0 takes the line out."""
+# Commands.
+
+
+class SetEntry(NamedTuple):
+    """Set the weight of one endpoint in a table; weight 0 removes the entry."""
 
     table: int
-    host: int
+    endpoint: int
     weight: float
 
 
 class ClearTable(NamedTuple):
+    """Remove all entries of a table."""
+
     table: int
 
 
-class BindTable(NamedTuple):
-    """Order: put a proxy on a table for these request kinds."""
+class AssignTable(NamedTuple):
+    """Route these request classes of a proxy by a table."""
 
     proxy: int
     table: int
-    kinds: tuple[int, ...]
+    request_classes: tuple[int, ...]
 
 
-class Withdraw(NamedTuple):
-    """Order: shut a host out of (or let it back into) the tables that joined proxies hold, whoever wrote them.
-    `waiting`: which of the proxies that are on no table of this steward yet must be told, None for all of them; a
-    channel that knows itself who holds the host needs no such list. Proxies on this steward's tables lose the host's
-    line by an order of their own."""
+class WithdrawEndpoint(NamedTuple):
+    """Eject an endpoint from the tables that connected proxies hold, whoever wrote them, or restore it.
 
-    host: int
-    on: bool
-    waiting: Optional[tuple[int, ...]] = None
+    `notify` names the proxies on no table of this controller that must be told, None for all of them; a channel that
+    knows itself who holds the endpoint needs no such list. Proxies on this controller's tables lose the endpoint's
+    entry by a `SetEntry` of their own.
+    """
 
+    endpoint: int
+    withdrawn: bool
+    notify: Optional[tuple[int, ...]] = None
 
-class Admit(NamedTuple):
-    """Order: share let in, and retry: "never", "unstarted", "once" or "twice"; table None is every proxy."""
+
+class SetAdmission(NamedTuple):
+    """Admit a fraction (0 to 1) of the requests of these classes; `retry_policy` is a `RetryPolicy`. Table None
+    means every proxy."""
 
     table: Optional[int]
-    kinds: tuple[int, ...]
-    level: float
-    retry: str
+    request_classes: tuple[int, ...]
+    fraction: float
+    retry_policy: str
+
 
+class RequestAcknowledgement(NamedTuple):
+    """Ask the proxies that this batch writes to, or all of them, to acknowledge a nonce once they have applied it."""
 
-class Mark(NamedTuple):
-    number: int
-    everyone: bool
+    nonce: int
+    all_proxies: bool
 
 
-class Probe(NamedTuple):
-    host: int
+class CheckHealth(NamedTuple):
+    """Start a health check of an endpoint."""
 
+    endpoint: int
 
-class FetchRoster(NamedTuple):
-    pass
 
+class FetchEndpoints(NamedTuple):
+    """Ask the source for the endpoint list once."""
 
-class WatchRoster(NamedTuple):
-    on: bool
 
+class WatchEndpoints(NamedTuple):
+    """Start or stop to watch the endpoint list."""
+
+    enabled: bool
+
+
+class SendGossip(NamedTuple):
+    """Send a note to another controller's planner, or to all where `peer` is None."""
 
-class SendPeer(NamedTuple):
     peer: Optional[int]
     payload: bytes
 
 
 class SetTimer(NamedTuple):
+    """Send `TimerFired(token)` after `delay` seconds."""
+
     token: int
     delay: float
 
 
-class LogLine(NamedTuple):
+class LogMessage(NamedTuple):
+    """Write a line to the log."""
+
     text: str
+
+
+Command = Union[
+    SetEntry,
+    ClearTable,
+    AssignTable,
+    WithdrawEndpoint,
+    SetAdmission,
+    RequestAcknowledgement,
+    CheckHealth,
+    FetchEndpoints,
+    WatchEndpoints,
+    SendGossip,
+    SetTimer,
+    LogMessage,
+]
+
+
+class PlannerStatus(NamedTuple):
+    """The planner's state for logs and metrics; no decision depends on it."""
+
+    queued_entries: float  # taken to wait in the channel, since no acknowledged nonce covers them
+    oldest_unacknowledged: float  # seconds since the oldest of those was written
+    connected_proxies: int
+    unassigned_proxies: int  # connected ones without a table of this controller
+    longest_wait: float  # seconds since the first of those connected
+    withdrawn_endpoints: int  # listed as draining or gone
--- a/peatlead/lab/hunt.py
+++ b/peatlead/lab/hunt.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from .day import play_day
-from .draw import as_script, draw
+from .random_scenario import as_script, draw
 
 MOST_FINDS = 5  # a hunt ends after so many
 
--- a/peatlead/lab/plain.py
+++ b/peatlead/lab/plain.py
@@ -3,13 +3,38 @@
 Each is its kind's number in `KINDS` and its values in their order. A number is for good: new kinds go to the end.
 """
 
-from .. import interface as our
+from enum import StrEnum
+
+from .. import interface
 
 KINDS = (
-    our.Member, our.Roster, our.ProxyJoined, our.ProxyLeft, our.HostSums, our.ReqSums, our.ProbeResult, our.Applied,
-    our.TimerFired, our.PeerNote, our.PlannerStatus, our.SliceGiven, our.SliceLine, our.SliceSums, our.SetLine,
-    our.ClearTable, our.BindTable, our.Withdraw, our.Admit, our.Mark, our.Probe, our.FetchRoster, our.WatchRoster,
-    our.SendPeer, our.SetTimer, our.LogLine)
+    interface.Endpoint,
+    interface.EndpointUpdate,
+    interface.ProxyConnected,
+    interface.ProxyDisconnected,
+    interface.EndpointStats,
+    interface.RequestStats,
+    interface.HealthCheckResult,
+    interface.Acknowledged,
+    interface.TimerFired,
+    interface.GossipReceived,
+    interface.PlannerStatus,
+    interface.KeyRangeAssigned,
+    interface.KeyRangeEntry,
+    interface.KeyRangeStats,
+    interface.SetEntry,
+    interface.ClearTable,
+    interface.AssignTable,
+    interface.WithdrawEndpoint,
+    interface.SetAdmission,
+    interface.RequestAcknowledgement,
+    interface.CheckHealth,
+    interface.FetchEndpoints,
+    interface.WatchEndpoints,
+    interface.SendGossip,
+    interface.SetTimer,
+    interface.LogMessage,
+)
 NUMBERS = {kind: number for number, kind in enumerate(KINDS)}
 
 
@@ -24,6 +49,8 @@
         return ("map", *sorted((plain(key), plain(one)) for key, one in value.items()))
     if kind in (set, frozenset):
         return ("set", *sorted(map(plain, value)))
+    if isinstance(value, StrEnum):
+        return str(value)
     if value is None or kind in (bool, int, float, str, bytes):
         return value
     raise TypeError(f"expected an event, an order or plain values, got {kind.__name__}")
--- a/peatlead/lab/draw.py
+++ b/peatlead/lab/random_scenario.py
@@ -7,7 +7,7 @@
 
 from random import Random
 
-from ..day.script import KINDS, ONCE, VERBS, load_day
+from ..scenario.script import KINDS, ONCE, VERBS, load_day
 
 ON = 0.35  # chance that a kind of trouble is on for a seed
 
--- a/peatlead/lab/world.py
+++ b/peatlead/lab/simulation.py
@@ -15,7 +15,7 @@
 
 from blake3 import blake3
 
-from .wheel import HeapTimers
+from .timer_wheel import HeapTimers
 
 PACK = struct.Struct(">d").pack
 set_running_loop = asyncio._set_running_loop
@@ -26,11 +26,11 @@
 GONE_AFTER = 30.0  # seconds until a connection over a cut link is given up by the kernel
 
 
-class Stuck(Exception):
+class SimulationStuckError(Exception):
     """A callback that never yields, by name."""
 
 
-class World:
+class Simulation:
     """`links`: Links; `run(seconds)` plays until then or until nothing is left to do."""
 
     def __init__(self, seed, timers=None, trace=False):
@@ -204,13 +204,13 @@
             self.world.enter(self)
         try:
             call(*values)
-        except (KeyboardInterrupt, Stuck):
+        except (KeyboardInterrupt, SimulationStuckError):
             raise
         except Exception as problem:
             self.world.report(self, problem, getattr(call, "__qualname__", repr(call)))
         now = real_time.process_time()
         if now - self.world.cpu > STUCK:
-            self.world.report(self, Stuck(f"{call!r} did not yield"), repr(call))
+            self.world.report(self, SimulationStuckError(f"{call!r} did not yield"), repr(call))
         self.world.cpu = now
 
     # Tasks and futures.
--- a/peatlead/lab/wheel.py
+++ b/peatlead/lab/timer_wheel.py
@@ -1,7 +1,7 @@
 """Timers in the order of their time: a hierarchical wheel, and the plain heap beside it.
 
 Both keep `(time, number)` order exactly, number being the order of insertion, so that one seed gives one
-trace whichever is used. `python -m peatlead.measure.wheel` measures them.
+trace whichever is used. `python -m peatlead.benchmarks.wheel` measures them.
 """
 
 import heapq
--- a/peatlead/net/http.py
+++ b/peatlead/net/http.py
@@ -23,7 +23,7 @@
 PHRASES = {one.value: one.phrase for one in HTTPStatus}
 
 
-class Failed(Exception):
+class RequestFailedError(Exception):
     """No answer came. `outcome` is "unreachable", "denied" (this machine had no means to ask), "timed out" or
     "broken"; `sent`: whether bytes of the req may have reached the host."""
 
@@ -32,7 +32,7 @@
         self.outcome, self.sent = outcome, sent
 
 
-class TooMuch(Exception):
+class MessageTooLargeError(Exception):
     """A message passed a bound; `status` is what its sender is told."""
 
     def __init__(self, status):
@@ -74,18 +74,18 @@
         self.grow(len(name) + len(value))
         name = name.decode("latin-1").lower()
         if name in self.headers and name in ("host", "content-length"):
-            raise TooMuch(400)  # two readers could take two messages for one
+            raise MessageTooLargeError(400)  # two readers could take two messages for one
         self.headers[name] = value.decode("latin-1")
 
     def grow(self, more):
         self.head += more
         if self.head > HEAD_MOST:
-            raise TooMuch(431)
+            raise MessageTooLargeError(431)
 
     def on_body(self, data):
         self.size += len(data)
         if self.size > BODY_MOST:
-            raise TooMuch(413)
+            raise MessageTooLargeError(413)
         self.body.append(data)
 
     def on_message_complete(self):
@@ -101,7 +101,7 @@
         parser.feed_data(data)
     except httptools.HttpParserCallbackError as problem:
         cause = problem.__context__
-        if isinstance(cause, TooMuch):
+        if isinstance(cause, MessageTooLargeError):
             return cause.status
         raise
     except (httptools.HttpParserError, httptools.HttpParserUpgrade):
@@ -153,7 +153,7 @@
     def fail(self, outcome):
         self.keep = False
         if self.waiting is not None and not self.waiting.done():
-            self.waiting.set_exception(Failed(outcome, self.sent))
+            self.waiting.set_exception(RequestFailedError(outcome, self.sent))
 
     def received(self, data):
         self.heard += len(data)
@@ -185,9 +185,9 @@
         _, stream = await within(max(0.0, deadline - loop.time()), opening)
         return stream
     except asyncio.TimeoutError:
-        raise Failed("timed out", False) from None
+        raise RequestFailedError("timed out", False) from None
     except OSError as problem:
-        raise Failed("denied" if is_local(problem) else "unreachable", False) from None
+        raise RequestFailedError("denied" if is_local(problem) else "unreachable", False) from None
 
 
 class Req(Message):
@@ -220,11 +220,11 @@
 
     def take(self, req):
         if len(self.ahead) >= AHEAD_MOST:
-            raise TooMuch(429)
+            raise MessageTooLargeError(429)
         if "host" not in req.headers and self.parser.get_http_version() == "1.1":
-            raise TooMuch(400)
+            raise MessageTooLargeError(400)
         if self.parser.should_upgrade():
-            raise TooMuch(501)  # what follows would be another protocol's
+            raise MessageTooLargeError(501)  # what follows would be another protocol's
         method, keep = self.parser.get_method().decode("latin-1"), self.parser.should_keep_alive()
         self.ahead.append(
             (method, req.target.decode("latin-1"), req.headers, b"".join(req.body), keep)
--- a/peatlead/net/nowhere.py
+++ b/peatlead/net/in_memory_transport.py
@@ -1,7 +1,7 @@
 """A transport without a socket: what a protocol writes is kept, for tests and measurements."""
 
 
-class Nowhere:
+class InMemoryTransport:
     """`out` holds all that was written; `closed` whether the protocol has ended it."""
 
     def __init__(self):
--- a/peatlead/net/streams.py
+++ b/peatlead/net/streams.py
@@ -97,7 +97,7 @@
             self.cut("idle")
 
 
-class Held:
+class ConnectionSet:
     """The streams that a listener holds, `most` at most: past that the one idle for longest is cut."""
 
     def __init__(self, most):
--- /dev/null
+++ b/peatlead/planner/__init__.py
@@ -0,0 +1,1 @@
+"""All decisions of one controller: `Planner.decide(now, events) -> orders`."""
--- a/peatlead/choice.py
+++ b/peatlead/planner/planner.py
@@ -24,9 +24,20 @@
 )  # a plain sum of floats differs by Python's version: stewards must not
 from random import Random
 
-from . import interface as our
+from .. import interface
 from .channel_backlog import ChannelBacklog
-from .indexes import Due, Holders, Ranks, by_name, host_word, mass, middle, middles, proxy_key, rank
+from .rendezvous import (
+    DeadlineQueue,
+    RendezvousPool,
+    SubscriberIndex,
+    by_name,
+    host_word,
+    mass,
+    middle,
+    middles,
+    proxy_key,
+    rank,
+)
 
 COVERAGE, LEAST_A_ZONE = (
     25.0,
@@ -122,8 +133,12 @@
     """All that is known of one host."""
 
     def __init__(self, member, now, proved):
-        self.id, self.name, self.proved = member.host, member.name, proved
-        self.zone, self.machine, self.word = member.zone, member.machine, host_word(member.name)
+        self.id, self.name, self.proved = member.id, member.name, proved
+        self.zone, self.machine, self.word = (
+            member.zone,
+            member.machine_type,
+            host_word(member.name),
+        )
         self.told_shut = {}  # proxies that were told it is withdrawn: those that must be told it no longer is
         self.lost_at = now  # when it last stopped being usable
         self.moved, self.withdrawn_at = (
@@ -197,19 +212,19 @@
 
 class Planner:
     def __init__(self, settings, seed):
-        self.facts = settings
+        self.settings = settings
         self.draw, self.shuffle = (rng := Random(seed)).uniform, rng.shuffle
         self.hosts, self.proxies, self.orders, self.group_open = {}, {}, [], self.group_kinds()
         self.here, self.unbound = {}, {}  # joined proxies; those that are on no tables yet
         self.joined = self.here.values()
         self.pools, self.old_pools, self.warm = {}, {}, {}  # by group: open; by the last list; warm
         self.held, self.moves, self.drawn = (
-            Holders(),
+            SubscriberIndex(),
             0,
             0,
         )  # counts of what changed: of one host; of all
         self.due, self.restless, self.probe_every = (
-            Due(),
+            DeadlineQueue(),
             {},
             PROBE_EVERY,
         )  # by next probe; that time changes
@@ -246,22 +261,22 @@
             set(),
         )  # (zone of proxies, of hosts): until when bad and the wait; those now
         self.handlers = {
-            our.Roster: self.on_roster,
-            our.ProxyJoined: self.on_joined,
-            our.ProxyLeft: self.on_left,
-            our.HostSums: self.on_host_sums,
-            our.ProbeResult: self.on_probe,
-            our.TimerFired: self.on_timer,
-            our.ReqSums: self.on_req_sums,
-            our.PeerNote: self.on_peer_note,
-            our.Applied: lambda event: self.waiting.answered(event.proxy, event.mark),
+            interface.EndpointUpdate: self.on_roster,
+            interface.ProxyConnected: self.on_joined,
+            interface.ProxyDisconnected: self.on_left,
+            interface.EndpointStats: self.on_host_sums,
+            interface.HealthCheckResult: self.on_probe,
+            interface.TimerFired: self.on_timer,
+            interface.RequestStats: self.on_req_sums,
+            interface.GossipReceived: self.on_peer_note,
+            interface.Acknowledged: lambda event: self.waiting.answered(event.proxy, event.nonce),
         }
 
     def decide(self, now, events):
         self.now, self.orders = now, []
         self.waiting.advance(now)
         if self.levels is None:
-            self.orders.append(our.SetTimer(0, TICK))
+            self.orders.append(interface.SetTimer(0, TICK))
             self.order_levels()
         for event in events:
             self.handlers.get(type(event), lambda _: None)(event)
@@ -272,27 +287,27 @@
         self.remove_lost()
         self.publish_stage()
         if mark := self.waiting.end_batch():
-            self.orders.append(our.Mark(mark, False))
+            self.orders.append(interface.RequestAcknowledgement(mark, False))
         self.warm = {}
         return self.orders
 
     def status(self, now):
         """What logs and metrics tell of the channel and of the proxies that wait for tables."""
         batches = self.waiting.batches
-        return our.PlannerStatus(
-            queued_lines=self.waiting.lines,
-            oldest_unanswered=now - batches[0].written_at if batches else 0.0,
-            joined_proxies=len(self.here),
-            unbound_proxies=len(self.unbound),
+        return interface.PlannerStatus(
+            queued_entries=self.waiting.lines,
+            oldest_unacknowledged=now - batches[0].written_at if batches else 0.0,
+            connected_proxies=len(self.here),
+            unassigned_proxies=len(self.unbound),
             longest_wait=now
             - min((proxy.joined_at for proxy in self.unbound.values()), default=now),
-            withdrawn_hosts=sum(host.withdrawn for host in self.hosts.values()),
+            withdrawn_endpoints=sum(host.withdrawn for host in self.hosts.values()),
         )
 
     def group_kinds(self):
         """Kinds that are open to the same hosts share a table."""
         groups = {}
-        for at, kind in enumerate(self.facts["req_kinds"]):
+        for at, kind in enumerate(self.settings["req_kinds"]):
             places = (
                 tuple(kind.get("only_zones", ())),
                 tuple(kind.get("only_machines", ())),
@@ -320,7 +335,7 @@
             )
             # One that is the same as by the last list stays, and what was found in it.
             self.pools[group] = {
-                z: old[z] if z in old and old[z].hosts == hosts else Ranks(hosts)
+                z: old[z] if z in old and old[z].hosts == hosts else RendezvousPool(hosts)
                 for z, hosts in named.items()
             }
         found = {z: pool for z, pool in self.pools[group].items() if not own_zone or z == zone}
@@ -334,12 +349,12 @@
             brought[proxy.zone] = brought.get(proxy.zone, 0.0) + max(0.1, proxy.rate)
         mine, hosts = len(self.joined), [h for h in self.hosts.values() if h.usable]
         unseen = [
-            h.zone for h in hosts if h.zone not in brought and self.facts.get("joins_own_zone")
+            h.zone for h in hosts if h.zone not in brought and self.settings.get("joins_own_zone")
         ]
         each = (
             fsum(brought.values())
             / mine
-            * max(0, self.facts["proxies"] - mine)
+            * max(0, self.settings["proxies"] - mine)
             / max(1, len(unseen))
         )
         for zone in unseen:
@@ -377,8 +392,10 @@
         self.plan_at = self.now + PLAN_EVERY
         if (
             len(self.group_open) < 2
-            and self.facts.get("pick") != "lighter of two"
-            and (self.holders < COVERAGE or self.facts.get("price_of_crossing", 0.0) < HOME_WORTH)
+            and self.settings.get("pick") != "lighter of two"
+            and (
+                self.holders < COVERAGE or self.settings.get("price_of_crossing", 0.0) < HOME_WORTH
+            )
         ):
             return
         new = self.plan_zones()
@@ -402,7 +419,9 @@
         size = min(
             fsum(most.values()), total / max([1e-9, *(asked[z] / len(zones[z]) for z in zones)])
         )
-        even = self.facts.get("pick") == "lighter of two"  # such proxies need no large part of home
+        even = (
+            self.settings.get("pick") == "lighter of two"
+        )  # such proxies need no large part of home
         for zone, members in zones.items():
             here = min(round(size * asked[zone] / total), most[zone] if even else len(members))
             many, (pool, known) = max(LEAST_A_ZONE, here), proxy.tops.get((group, zone), (None, ()))
@@ -446,7 +465,7 @@
         """By zone, behind a bad way too; counted once a batch."""
         if group not in self.warm:
             self.warm[group] = {
-                zone: Ranks([h for h in pool if h.usable and h.cold_from is None])
+                zone: RendezvousPool([h for h in pool if h.usable and h.cold_from is None])
                 for zone, pool in self.open_hosts(group, None).items()
             }
         return self.warm[group]
@@ -477,7 +496,7 @@
         if weight:
             proxy.lines[group][host] = weight
             self.held.put(host, proxy.number)
-        self.orders.append(our.SetLine(proxy.first_table + group, host, weight))
+        self.orders.append(interface.SetEntry(proxy.first_table + group, host, weight))
         if proxy.bound:  # what it may shut out is let in with its first line
             self.book(proxy, 1 + (self.hosts[host].shut_once and weight > 0 and not old))
 
@@ -501,18 +520,18 @@
             del self.unbound[proxy.number]
             for group, (_, kinds) in enumerate(self.group_open):
                 self.orders.append(
-                    our.BindTable(proxy.number, proxy.first_table + group, tuple(kinds))
+                    interface.AssignTable(proxy.number, proxy.first_table + group, tuple(kinds))
                 )
                 self.book(
                     proxy,
                     1
                     + len(proxy.lines[group])
-                    + len(self.facts["req_kinds"])
+                    + len(self.settings["req_kinds"])
                     + sum(self.hosts[h].shut_once for h in proxy.lines[group]),
                 )
             self.table_cost += (self.waiting.lines - before - self.table_cost) / 8
         if len(due) > AT_ONCE and self.has_room():
-            self.orders.append(our.SetTimer(MORE, SOON))
+            self.orders.append(interface.SetTimer(MORE, SOON))
 
     def is_held(self, proxy):
         """What it brought stands for a while after a start."""
@@ -521,10 +540,10 @@
     def tables_fit(self):
         """Whether, at the told pace, all that wait have their tables before the first of them must."""
         waited = self.now - min(proxy.joined_at for proxy in self.unbound.values())
-        left = self.facts["drain_grace"] - self.facts["push_delay_most"] - waited
+        left = self.settings["drain_grace"] - self.settings["push_delay_most"] - waited
         return (
             self.waiting.lines + len(self.unbound) * self.table_cost
-            < left * self.facts["channel_rate"]
+            < left * self.settings["channel_rate"]
         )
 
     def tell_withdrawals(self):
@@ -535,12 +554,12 @@
             untold = [p for p in self.unbound.values() if p.told_of < self.withdrawals]
             if untold and self.tables_fit():  # a table is due soon, but for those whose own stands
                 untold = [p for p in untold if self.is_held(p)]
-            self.restate_at = self.now + self.facts["drain_grace"] / 4 if untold else 0.0
+            self.restate_at = self.now + self.settings["drain_grace"] / 4 if untold else 0.0
             spent = 0.0
             for proxy in untold:
                 hosts = self.likely_brought(proxy) - proxy.told
-                spent += len(hosts) + self.facts["message_head"] + 1
-                if not self.fits(spent, len(hosts) + self.facts["message_head"] + 1):
+                spent += len(hosts) + self.settings["message_head"] + 1
+                if not self.fits(spent, len(hosts) + self.settings["message_head"] + 1):
                     break  # their tables come first
                 proxy.told_of = self.withdrawals
                 proxy.told |= hosts
@@ -549,7 +568,9 @@
                 for host in sorted(hosts):
                     self.hosts[host].told_shut[proxy.number] = True
                     told.setdefault(host, []).append(proxy.number)
-        self.orders += [our.Withdraw(host, True, tuple(waiting)) for host, waiting in told.items()]
+        self.orders += [
+            interface.WithdrawEndpoint(host, True, tuple(waiting)) for host, waiting in told.items()
+        ]
 
     def likely_brought(self, proxy):
         """Ids of withdrawn hosts that the table which a waiting proxy brought may name. Every steward ranks
@@ -574,13 +595,13 @@
                 settled = host.withdrawn or host.phase == "ready" and host.cold_from is None
                 if settled and self.is_open(group, host):
                     found.setdefault(host.zone, []).append(host)
-            self.earlier[group] = {at: Ranks(hosts) for at, hosts in sorted(found.items())}
+            self.earlier[group] = {at: RendezvousPool(hosts) for at, hosts in sorted(found.items())}
         return {at: pool for at, pool in self.earlier[group].items() if not own_zone or at == zone}
 
     def fits(self, in_all, lines):
         """Of withdrawals for waiting proxies a few do always; so many that they would fill the queue would
         only hold up the tables that those wait for. `in_all`: lines of this batch with the next `lines`."""
-        most = self.facts["queue_most"]
+        most = self.settings["queue_most"]
         return in_all < RESTATE_FEW * most or self.waiting.lines + lines < RESTATE_MOST * most
 
     def remove_lost(self):
@@ -588,7 +609,7 @@
         if not self.lost:
             return
         # Those that wait for tables came before the news that made the newest removals due.
-        before = self.now - self.starved * YIELD * self.facts["drain_grace"]
+        before = self.now - self.starved * YIELD * self.settings["drain_grace"]
         lost = {h.id for h in self.hosts.values() if not h.usable}
         due = {host for host in lost if self.hosts[host].lost_at <= before}
         self.lost = len(due) < len(lost)
@@ -626,7 +647,7 @@
         some = AT_ONCE if self.sunk else ceil(len(self.here) / STAGES)
         self.sunk = self.sunk and len(waiting) > some
         if self.sunk:
-            self.orders.append(our.SetTimer(MORE, SOON))
+            self.orders.append(interface.SetTimer(MORE, SOON))
         for proxy in waiting:
             if some > 0 and self.may_write(
                 proxy, part
@@ -634,7 +655,7 @@
                 before = len(self.orders)
                 self.write_table(proxy)
                 # One that nothing changes for takes no turn, but where messages are counted their pace stays.
-                some -= self.facts["messages_most"] > 0 or len(self.orders) > before
+                some -= self.settings["messages_most"] > 0 or len(self.orders) > before
         self.stage_at = self.now + self.draw(0.5, 1.5) * STAGE_GAP
 
     def all_dirty(self, host=None):
@@ -650,16 +671,16 @@
         if event.scope == "unavailable":
             self.watch_at = self.now + self.draw(0.5, 1.5)
             return
-        listed = {m.host for m in event.members}
+        listed = {m.id for m in event.endpoints}
         lost = [h for h in self.hosts.values() if h.id not in listed and not self.answers_still(h)]
-        left = any(m.phase == "ready" for m in event.members) or any(
+        left = any(m.phase == "ready" for m in event.endpoints) or any(
             h.phase == "ready" for h in self.hosts.values() if h.id not in listed and h not in lost
         )
         # One that leaves nobody is not believed where it may be wrong: rule 1 is harder than it.
-        believed = event.scope != "changes" and (left or not self.facts.get("gone_is_advice"))
+        believed = event.scope != "changes" and (left or not self.settings.get("gone_is_advice"))
         for host in lost if believed else ():
             host.phase = "gone"
-        for member in event.members:
+        for member in event.endpoints:
             self.take_member(member)
         self.listed = self.lost = True
         self.probe_every = max(PROBE_EVERY, len(self.hosts) / PROBES_MOST)
@@ -684,8 +705,8 @@
             self.restless.pop(host.id, None)
 
     def take_member(self, member):
-        proved = not (self.listed and self.facts.get("probing"))
-        host = self.hosts.setdefault(member.host, Host(member, self.now, proved))
+        proved = not (self.listed and self.settings.get("probing"))
+        host = self.hosts.setdefault(member.id, Host(member, self.now, proved))
         if member.phase == "gone" and self.answers_still(host):
             return
         back = member.phase == "ready" and (
@@ -699,21 +720,21 @@
         host.out_until, host.probe_fails = None, 0
         host.clear_evidence(self.now)
         host.cold_from = (
-            host.started_at if self.now - host.started_at < self.facts["warm_after"] else None
+            host.started_at if self.now - host.started_at < self.settings["warm_after"] else None
         )
         if self.listed or host.cold_from is not None:
             # Past the time that it takes to warm, a ramp would only load the others: a release replaces many.
-            self.start_ramp(host, min(GROW_WAIT, self.facts["warm_after"] / 3))
+            self.start_ramp(host, min(GROW_WAIT, self.settings["warm_after"] / 3))
 
     def answers_still(self, host):
         """A list that may be wrong must not empty tables of hosts that answer; doubt finds the dead. Silence
         counts by the newest news of any host: one that stood still itself has heard of none."""
         return (
-            self.facts.get("gone_is_advice")
+            self.settings.get("gone_is_advice")
             and host.phase == "ready"
             and not host.probe_fails
             and min(self.now, self.news_at) - host.good_at
-            < 2 * (self.cycle + self.facts["sums_every"])
+            < 2 * (self.cycle + self.settings["sums_every"])
         )
 
     def withdraw(self, host, on):
@@ -726,7 +747,7 @@
                 if number in self.here:
                     self.waiting.add(number, 1, False)
             return
-        self.orders.append(our.Withdraw(host.id, False))
+        self.orders.append(interface.WithdrawEndpoint(host.id, False))
         for proxy in self.unbound.values():
             proxy.told.discard(host.id)
         for number in host.told_shut:
@@ -767,22 +788,25 @@
                 spare -= proxy.rate
         self.restless[host.id] = host
         self.all_dirty(host)
-        self.orders.append(our.LogLine(f"host {host.id} reach {reach}"))
+        self.orders.append(interface.LogMessage(f"host {host.id} reach {reach}"))
 
     def cold_share(self, host):
         """A part of what pushes it over by now; none in a tight fleet where proxies shun what fails them:
         in a storm they shun the full ones and send all to the empty one."""
         if host.cold_from is None:
             return host.step
-        if self.tight and self.facts.get("fails_to_shun"):
+        if self.tight and self.settings.get("fails_to_shun"):
             return 0.0
         first, age = (
-            self.facts["cold_share"],
-            (self.now - host.cold_from) / self.facts["warm_after"],
+            self.settings["cold_share"],
+            (self.now - host.cold_from) / self.settings["warm_after"],
         )
-        part = COLD_SHUN if self.facts.get("fails_to_shun") else COLD_PART
+        part = COLD_SHUN if self.settings.get("fails_to_shun") else COLD_PART
         most = (
-            self.spread * part * self.facts["tip_multiple"] * (first + (1 - first) * min(1.0, age))
+            self.spread
+            * part
+            * self.settings["tip_multiple"]
+            * (first + (1 - first) * min(1.0, age))
         )
         return max((s for s in COLD_STEPS if s <= min(host.step, most)), default=0.0)
 
@@ -790,16 +814,16 @@
         groups, self.plan_at = len(self.group_open), self.now
         new = Proxy(event.proxy, groups, groups * len(self.proxies))
         proxy = self.proxies.setdefault(event.proxy, new)
-        proxy.zone, proxy.rate, proxy.joined_at = event.zone, event.rate, self.now
+        proxy.zone, proxy.rate, proxy.joined_at = event.zone, event.request_rate, self.now
         proxy.bound, proxy.told, proxy.told_of = False, set(), 0
         proxy.drawn = -1
         self.here[event.proxy] = self.unbound[event.proxy] = proxy
         proxy.sent.clear()
         # What it brings was laid by one who knew more; but all its lines may be withdrawn by now.
         # Nor may it name hosts that went before this steward started for longer than the grace.
-        bare = max(0.0, self.facts["bare_most"] - self.facts["push_delay_most"])
-        hold = min(bare, self.facts["drain_grace"]) / 2
-        proxy.hold_until = self.now + hold * (not event.standing_only)
+        bare = max(0.0, self.settings["bare_most"] - self.settings["push_delay_most"])
+        hold = min(bare, self.settings["drain_grace"]) / 2
+        proxy.hold_until = self.now + hold * (not event.bootstrap_only)
 
     def on_left(self, event):
         if event.proxy in self.here:
@@ -808,27 +832,30 @@
             self.waiting.left(event.proxy)
 
     def on_host_sums(self, event):
-        host = self.hosts.get(event.host)
+        host = self.hosts.get(event.endpoint)
         self.round_at = min(self.round_at, self.now)
         # Sums from before a start tell of the process that was there before.
         if (
             host is None
             or host.cold_from is not None
-            and self.now - event.span - SUMS_LATE < host.cold_from
+            and self.now - event.window - SUMS_LATE < host.cold_from
         ):
             return
         # Where lines are capped each covers many rounds and comes seldom: what was heard stands as long.
-        self.cycle += (max(event.span, self.facts["sums_every"]) - self.cycle) / 8
-        good, (at, *old) = event.tries - event.bad, host.sums.get(event.zone, (self.now, 0, 0, 0))
+        self.cycle += (max(event.window, self.settings["sums_every"]) - self.cycle) / 8
+        good, (at, *old) = (
+            event.attempts - event.errors,
+            host.sums.get(event.zone, (self.now, 0, 0, 0)),
+        )
         host.good_at = self.now if good else host.good_at
         self.news_at = max(self.news_at, host.good_at)
         keep, news = (
             FADE ** ((self.now - at) / self.cycle),
-            (event.tries, event.bad, event.mean_time * good),
+            (event.attempts, event.errors, event.mean_latency * good),
         )
         host.sums[event.zone] = self.now, *(o * keep + n for o, n in zip(old, news))
-        host.take_report(event.report)
-        if event.bad and self.probe_every > PROBE_EVERY and not host.probe_fails:
+        host.take_report(event.load_report)
+        if event.errors and self.probe_every > PROBE_EVERY and not host.probe_fails:
             self.probe_by(host, self.now)
 
     def end_round(self):
@@ -879,10 +906,10 @@
                     wait = min(LONGEST_WAIT, 2 * wait) if self.now - until < 30 else QUIET_WAIT
                     self.ways[zone, other] = self.now + wait, wait
                     self.orders.append(
-                        our.LogLine(f"way from zone {zone} to {other} is bad, {wait} s")
+                        interface.LogMessage(f"way from zone {zone} to {other} is bad, {wait} s")
                     )
         # Probes go from the steward's own zone: while they fail there is no need to try reqs again.
-        for way in [way for way in sorted(self.far) if way[0] == self.facts["zone"]]:
+        for way in [way for way in sorted(self.far) if way[0] == self.settings["zone"]]:
             if middle([h.probes_bad for h in self.hosts.values() if h.zone == way[1]]) > 0.5:
                 self.ways[way] = (
                     max(self.ways[way][0], self.now + 2 * self.cycle),
@@ -898,14 +925,16 @@
     def tell_peers(self, failing):
         """Each steward hears a part of the few tries that a bad host still gets: no part alone may convict.
         The rounds' own counts are told, never what others told: no news goes round in a circle."""
-        if failing and self.facts.get("peer_notes"):
+        if failing and self.settings.get("peer_notes"):
             notes = [b""]
             for _, name, own in sorted(failing)[:NOTE_HOSTS]:
                 line = b"%s %.1f %.1f %.2f" % (name, *own)
                 if notes[-1] and len(notes[-1]) + 1 + len(line) > NOTE_BYTES:
                     notes.append(b"")
                 notes[-1] += b"\n" * bool(notes[-1]) + line
-            self.orders += [our.SendPeer(None, note) for note in notes if len(note) <= NOTE_BYTES]
+            self.orders += [
+                interface.SendGossip(None, note) for note in notes if len(note) <= NOTE_BYTES
+            ]
 
     def on_peer_note(self, event):
         by_name = {host.name: host for host in self.hosts.values()}
@@ -923,18 +952,20 @@
 
     def on_req_sums(self, event):
         proxy = self.proxies.get(event.proxy)
-        if proxy and event.span and event.kind < len(self.reqs):
+        if proxy and event.window and event.request_class < len(self.reqs):
             # Refused clients come again, once or so: a kind that is cut must not count for more than it asks.
-            self.reqs[event.kind] += event.reqs / (2 - self.levels[event.kind][0])
-            heard = proxy.heard.get(event.kind, event.reqs / event.span)
-            proxy.heard[event.kind] = heard + (event.reqs / event.span - heard) / 3
+            self.reqs[event.request_class] += event.requests / (
+                2 - self.levels[event.request_class][0]
+            )
+            heard = proxy.heard.get(event.request_class, event.requests / event.window)
+            proxy.heard[event.request_class] = heard + (event.requests / event.window - heard) / 3
             proxy.rate = fsum(proxy.heard.values())
 
     def on_probe(self, event):
-        host = self.hosts.get(event.host)
+        host = self.hosts.get(event.endpoint)
         if host is None or event.outcome == "denied":
             return
-        host.take_report(event.report)
+        host.take_report(event.load_report)
         failed = event.outcome != "ok"
         host.probes_bad += (failed - host.probes_bad) / 4
         # A list may name hosts that are none: one that comes late stays out until a probe found it there.
@@ -945,7 +976,7 @@
         host.probe_fails = host.probe_fails + 1 if failed else 0
         if failed:
             self.probe_by(host, self.now + PROBE_AGAIN)
-        if not self.facts.get("tries_told", True):
+        if not self.settings.get("tries_told", True):
             self.round_at = min(
                 self.round_at, self.now
             )  # else no round would ever end, and none be judged
@@ -976,7 +1007,7 @@
         )
         held = fsum(h.share for h in ready if h.usable) / max(1, len(ready))
         self.spread = (
-            held if self.facts.get("fails_to_shun") and (self.room < 1 or load > 0.7) else 1.0
+            held if self.settings.get("fails_to_shun") and (self.room < 1 or load > 0.7) else 1.0
         )
         # A deep probe times out at a busy host: more must fail in a row than chance does at the middle one.
         fails = max(
@@ -984,10 +1015,10 @@
         )
         for host in [h for h in ready if h.usable]:
             quiet = self.now - max(
-                host.good_at, self.ways.get((self.facts["zone"], host.zone), (-1e9,))[0]
+                host.good_at, self.ways.get((self.settings["zone"], host.zone), (-1e9,))[0]
             )
             # Where no proxy tells of its tries, nobody tells of a silent host: probes convict alone.
-            told = host.bad > 0.5 or not self.facts.get("tries_told", True)
+            told = host.bad > 0.5 or not self.settings.get("tries_told", True)
             time, part = host.mean_time, host.bad / max(0.5, host.tries)
             # Sums cover seconds, the good in them may be older: peers that have room do not wait for silence.
             silent = quiet > 1.3 * self.cycle or part > 0.6 and host.bad >= 3 and usual_load < ROOMY
@@ -1014,7 +1045,7 @@
         self.restless[host.id] = host
         host.out_until = self.now + min(LONGEST_WAIT, QUIET_WAIT * 2 ** (host.strikes - 1))
         self.orders.append(
-            our.LogLine(f"host {host.id} dropped: {'probes' if by_probe else 'sums'}")
+            interface.LogMessage(f"host {host.id} dropped: {'probes' if by_probe else 'sums'}")
         )
 
     def tend(self, host):
@@ -1031,17 +1062,17 @@
             self.set_reach(host, min(1.0, host.reach + STEP))
         if host.step < 1.0 and self.now >= host.grow_at:
             host.step, host.grow_at = host.step + STEP, self.now + host.grow_wait
-        if host.cold_from is not None and self.now - host.cold_from > self.facts["warm_after"]:
+        if host.cold_from is not None and self.now - host.cold_from > self.settings["warm_after"]:
             host.cold_from = None
         share = self.cold_share(host)
         if share != host.share:
             self.sunk |= share < host.share
             host.share = share
             self.all_dirty(host)
-        if host.phase == "ready" and self.now >= host.probe_at and self.facts.get("probing"):
+        if host.phase == "ready" and self.now >= host.probe_at and self.settings.get("probing"):
             host.probe_at = self.now + self.probe_every * self.draw(0.9, 1.1)
             self.due.push(host.probe_at, host.id)
-            self.orders.append(our.Probe(host.id))
+            self.orders.append(interface.CheckHealth(host.id))
         if host.out_until is None and host.cold_from is None and host.reach >= 1 and host.step >= 1:
             self.restless.pop(host.id, None)  # only its next probe is due by time
 
@@ -1056,7 +1087,7 @@
         self.level_at = self.now + 0.8
         # What fails or is late while hosts have room is no want of room: answers that get lost, callers in a
         # hurry; or, right after a cut, what was sent before it. Load reports are newer.
-        told = "util" in self.facts["report_fields"]
+        told = "util" in self.settings["report_fields"]
         over = load < 0.6 and (told or self.room <= LEAST_LET_IN)
         whole = (
             late < LATE_MUCH and bad < BAD_MUCH and self.spread > 0.9
@@ -1090,15 +1121,15 @@
 
     def work_of_kinds(self):
         """What a kind's reqs cost is not told: its response target stands in for its work."""
-        return [n * k["response_target"] for n, k in zip(self.reqs, self.facts["req_kinds"])]
+        return [n * k["response_target"] for n, k in zip(self.reqs, self.settings["req_kinds"])]
 
     def mean_target(self):
         return fsum(self.work_of_kinds()) / fsum(self.reqs)
 
     def order_levels(self):
         """The kind that loses least for the work saved goes first, if that beats refusing all alike."""
-        work, worst = self.work_of_kinds(), self.facts.get("value_of_worst_kind", 0.0)
-        gain = [n * k["gain"] for n, k in zip(self.reqs, self.facts["req_kinds"])]
+        work, worst = self.work_of_kinds(), self.settings.get("value_of_worst_kind", 0.0)
+        gain = [n * k["gain"] for n, k in zip(self.reqs, self.settings["req_kinds"])]
         cost = [((1 - worst) * g / fsum(gain) + worst) * fsum(work) / w for g, w in zip(gain, work)]
         first, shed, levels = (
             cost.index(min(cost)),
@@ -1113,9 +1144,9 @@
         retry = "never" if self.tight else "unstarted"
         wanted = [(round(max(LEAST_OF_ONE, level), 2), retry) for level in levels]
         if wanted != self.levels:
-            self.orders.append(our.LogLine(f"levels {[level for level, _ in wanted]}"))
+            self.orders.append(interface.LogMessage(f"levels {[level for level, _ in wanted]}"))
             self.orders += [
-                our.Admit(None, (at,), *new)
+                interface.SetAdmission(None, (at,), *new)
                 for at, new in enumerate(wanted)
                 if not self.levels or new != self.levels[at]
             ]
@@ -1126,10 +1157,10 @@
     def on_timer(self, event):
         if event.token == MORE:
             return  # the rest of those that wait for tables
-        self.orders.append(our.SetTimer(0, TICK))
+        self.orders.append(interface.SetTimer(0, TICK))
         if self.now >= self.watch_at:
             self.watch_at = float("inf")
-            self.orders.append(our.WatchRoster(True))
+            self.orders.append(interface.WatchEndpoints(True))
         if self.now - self.round_at >= ROUND_WAIT:
             self.end_round()
         for at in [
@@ -1141,13 +1172,13 @@
 
     def may_write(self, proxy, part=0.5):
         """For what can be put off: what cannot must always find room in the queue and the proxy's count."""
-        most = self.facts["messages_most"]
-        while proxy.sent and self.now - proxy.sent[0] > self.facts["messages_span"]:
+        most = self.settings["messages_most"]
+        while proxy.sent and self.now - proxy.sent[0] > self.settings["messages_span"]:
             proxy.sent.popleft()
         return self.has_room(0.25) and (not most or len(proxy.sent) < most * part)
 
     def has_room(self, part=0.4):
-        return self.waiting.lines < part * self.facts["queue_most"]
+        return self.waiting.lines < part * self.settings["queue_most"]
 
     def book(self, proxy, lines):
         """One batch makes one message a proxy: its head counts once."""
--- a/peatlead/indexes.py
+++ b/peatlead/planner/rendezvous.py
@@ -4,7 +4,7 @@
 order of them, without memory, so that every steward finds the same and a new list moves few. The whole pool is
 mixed with a proxy's key at once, as lanes of one wide number: a thousand hosts cost a dozen machine loops, not a
 thousand calls, and only the top is sorted. `Holders` tells who holds a host; `Due` what time alone brings next.
-`python -m peatlead.measure.scale` measures the planner on them against its text before.
+`python -m peatlead.benchmarks.scale` measures the planner on them against its text before.
 """
 
 import heapq
@@ -75,7 +75,7 @@
     return sorted(hosts, key=lambda host: host.name)
 
 
-class Ranks:
+class RendezvousPool:
     """The hosts of one pool; `top(key, many)` gives the first of a proxy's order.
 
     Hosts have `name` (bytes) and `word`; two that share a word stand by name, alike at every steward.
@@ -120,7 +120,7 @@
         return sorted(found, key=lambda at: int.from_bytes(data[8 * at : 8 * at + 4], "little"))
 
 
-class Holders:
+class SubscriberIndex:
     """host -> the proxies that hold it, each in a number of tables, in the order in which they came."""
 
     __slots__ = ("by_host",)
@@ -151,7 +151,7 @@
         return found
 
 
-class Due:
+class DeadlineQueue:
     """What is to be looked at when: `push(at, what)`, `take(now)`. One that is pushed again is told twice."""
 
     __slots__ = ("heap",)
--- a/peatlead/platform/__main__.py
+++ b/peatlead/platform/__main__.py
@@ -15,9 +15,9 @@
 import signal  # noqa: E402
 import time  # noqa: E402
 
-from .configuration import BadConfiguration  # noqa: E402
+from .configuration import ConfigurationError  # noqa: E402
+from .controller import START_AGAIN_MOST, START_WITHIN, PlatformController, reader  # noqa: E402
 from .messages import ENCODER  # noqa: E402
-from .node import START_AGAIN_MOST, START_WITHIN, Node, reader  # noqa: E402
 
 
 def log(event, **fields):
@@ -34,12 +34,12 @@
 
 
 async def read_patiently(read, loop):
-    """The configuration; a file that can't be read now is tried again for a while. Raises BadConfiguration."""
+    """The configuration; a file that can't be read now is tried again for a while. Raises ConfigurationError."""
     deadline = loop.time() + START_WITHIN
     while True:
         try:
             return read()
-        except BadConfiguration as problem:
+        except ConfigurationError as problem:
             if not problem.passing or loop.time() > deadline:
                 raise
             log("configuration put off", why=str(problem))
@@ -50,12 +50,12 @@
     read, loop = reader(os.environ, time.time), asyncio.get_running_loop()
     loop.set_exception_handler(at_fault)
     try:
-        node = Node(await read_patiently(read, loop), read, log, time.time)
+        node = PlatformController(await read_patiently(read, loop), read, log, time.time)
         for one in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(one, node.stop)
         loop.add_signal_handler(signal.SIGHUP, node.reload)
         await node.start()
-    except (BadConfiguration, OSError) as problem:
+    except (ConfigurationError, OSError) as problem:
         log("cannot start", why=str(problem))
         return 1
     gc.collect()
--- a/peatlead/platform/configuration.py
+++ b/peatlead/platform/configuration.py
@@ -6,9 +6,9 @@
 from typing import NamedTuple, Optional
 
 from ..net.errors import may_pass
-from ..sources.listing import Listing
+from ..sources.endpoint_list import EndpointList
 from ..wire.names import settings_from
-from .messages import Unreadable, read_document, read_list, read_place
+from .messages import MalformedMessageError, read_document, read_list, read_place
 
 NEEDED = (
     "proxies",
@@ -43,7 +43,7 @@
 )  # those that are told must be numbers
 
 
-class BadConfiguration(Exception):
+class ConfigurationError(Exception):
     """Nothing to start by. `passing`: it may be read a moment later."""
 
     def __init__(self, why, passing=False):
@@ -51,7 +51,7 @@
         self.passing = passing
 
 
-class Told(NamedTuple):
+class Configuration(NamedTuple):
     """`listen`, `discovery`: (address, port); `facts`: the planner's settings; `known`: the list as this steward last
     had it, or None; `sockets`: file descriptors that the process may hold."""
 
@@ -61,19 +61,19 @@
     seed: int
     sockets: int
     facts: dict
-    known: Optional[Listing]
+    known: Optional[EndpointList]
 
 
 def read_configuration(environ, wall):
     """`wall`: Unix seconds at which it is read."""
     path = environ.get("NODE_CONFIG")
     if not path:
-        raise BadConfiguration("NODE_CONFIG: expected the path of a configuration, it is not set")
+        raise ConfigurationError("NODE_CONFIG: expected the path of a configuration, it is not set")
     try:
         with open(path, "rb") as file:
             data = file.read()
     except OSError as problem:
-        raise BadConfiguration(f"{path}: {problem.strerror}", may_pass(problem)) from None
+        raise ConfigurationError(f"{path}: {problem.strerror}", may_pass(problem)) from None
     try:
         said = read_document(data)
         known = (
@@ -84,19 +84,19 @@
             read_place(said.discovery),
             int(said.seed, 16),
         )
-    except (Unreadable, ValueError) as problem:
-        raise BadConfiguration(f"{path}: {problem}") from None
+    except (MalformedMessageError, ValueError) as problem:
+        raise ConfigurationError(f"{path}: {problem}") from None
     try:
         facts = {
             **UNBOUND,
             **{k: v for k, v in settings_from(said.settings).items() if v is not None},
         }
     except (AttributeError, KeyError, TypeError, ValueError) as problem:
-        raise BadConfiguration(f"{path}: settings: {problem!r}") from None
+        raise ConfigurationError(f"{path}: settings: {problem!r}") from None
     wrong = faults(facts)
     if wrong:
-        raise BadConfiguration(f"{path}: settings: {wrong[0]}")
-    return Told(said.name, listen, discovery, seed, said.limits.sockets, facts, known)
+        raise ConfigurationError(f"{path}: settings: {wrong[0]}")
+    return Configuration(said.name, listen, discovery, seed, said.limits.sockets, facts, known)
 
 
 def faults(facts):
--- a/peatlead/platform/node.py
+++ b/peatlead/platform/controller.py
@@ -9,19 +9,26 @@
 import asyncio
 from random import Random
 
-from .. import interface as our
-from ..choice import Planner
+from .. import interface
+from ..controller.batch_loop import BatchLoop
+from ..controller.channel import Publisher
+from ..controller.endpoint_registry import EndpointRegistry
+from ..health.prober import Prober
 from ..net.errors import may_pass
-from ..probes.prober import Prober
-from ..sources.listing import Listing
-from ..steward.channel import Publisher
-from ..steward.core import Core
-from ..steward.door import Door
+from ..planner.planner import Planner
+from ..sources.endpoint_list import EndpointList
 from .clock import WallClock
-from .configuration import NEEDED, BadConfiguration, read_configuration
-from .discovery import Watch
-from .front import Front
-from .messages import HostMet, MarkMet, ReqsMet, Table, read_report, write_message
+from .configuration import NEEDED, ConfigurationError, read_configuration
+from .endpoint_watch import EndpointWatch
+from .messages import (
+    Acknowledgement,
+    EndpointOutcomes,
+    RequestDemand,
+    Table,
+    read_report,
+    write_message,
+)
+from .sessions import SessionListener
 from .telemetry import Telemetry
 
 PROBES_AT_ONCE, PROBES_WAITING, PROBE_PATH = 24, 1000, "/status/load"
@@ -43,7 +50,7 @@
 OUTCOMES = {200: "ok", 503: "errored"}
 
 
-class Node(Core):
+class PlatformController(BatchLoop):
     """`told`: a configuration; `reread()` gives it anew; `log(event, **fields)`; `wall()` Unix seconds, which only
     hosts' ages go by: all times are the loop's. `await start()` opens sockets (OSError)."""
 
@@ -55,7 +62,7 @@
         self.reload_again, self.reload_wait = None, RELOAD_AGAIN
         self.kinds = [kind["name"] for kind in self.facts["req_kinds"]]
         self.kind_at = {name: at for at, name in enumerate(self.kinds)}
-        self.door = Door(
+        self.registry = EndpointRegistry(
             self.facts["zones"],
             log,
             self.facts.get("machines", ()),
@@ -63,8 +70,8 @@
             age_of=self.clock.age,
         )
         probes = min(PROBES_AT_ONCE, max(1, told.sockets // A_PROBE_OF))
-        self.front = Front(self, told.sockets, probes)
-        self.watch = Watch(
+        self.front = SessionListener(self, told.sockets, probes)
+        self.watch = EndpointWatch(
             told.discovery, self.on_listing, log, self.clock.now, Random(told.seed ^ 1)
         )
         self.prober = Prober(
@@ -77,7 +84,7 @@
             self.on_probe,
             read_answer,
         )
-        self.carriers[our.Probe] = self.send_probe
+        self.carriers[interface.CheckHealth] = self.send_probe
         self.streams, self.ready = {}, False
         self.telemetry = Telemetry(log)
         self.changed, self.gone = (
@@ -168,11 +175,13 @@
         self.planner = self.make_planner(self.facts, self.told.seed + len(self.failures))
         self.publisher = Publisher()
         self.hear(
-            self.door.roster(Listing("remembered", 0, 0.0, tuple(self.door.entries.values())), now)
+            self.registry.roster(
+                EndpointList("remembered", 0, 0.0, tuple(self.registry.entries.values())), now
+            )
         )
-        for proxy, caller in self.streams.items():
+        for proxy, session in self.streams.items():
             self.publisher.join(proxy, levelled=True)
-            self.hear(our.ProxyJoined(proxy, caller.zone, caller.rate, False))
+            self.hear(interface.ProxyConnected(proxy, session.zone, session.rate, False))
 
     def get_ready(self):
         if not self.ready:
@@ -194,7 +203,7 @@
             return
         try:
             told = self.reread()
-        except BadConfiguration as problem:
+        except ConfigurationError as problem:
             if self.reload_wait == RELOAD_AGAIN:
                 self.log("new configuration not taken", why=str(problem))
             if self.reload_wait <= RELOAD_AGAIN_MOST:
@@ -224,12 +233,12 @@
     def on_listing(self, listing):
         now, listing = self.loop.time(), self.readable(listing)
         before = {entry.name: self.phase_of(entry.name) for entry in listing.hosts}
-        first, roster = not self.door.listed, self.door.roster(listing, now)
+        first, roster = not self.registry.listed, self.registry.roster(listing, now)
         if listing.scope != "changes":
-            listed = {member.host for member in roster.members}
-            self.changed.update(at for at in self.door.entries if at not in listed)
+            listed = {member.id for member in roster.endpoints}
+            self.changed.update(at for at in self.registry.entries if at not in listed)
         for entry in listing.hosts:
-            at, old = self.door.index.get(entry.name), before[entry.name]
+            at, old = self.registry.index.get(entry.name), before[entry.name]
             # Nobody shuts out what is listed for the first time; news of a host may sum up several.
             again = first or old is not None or entry.name in self.gone
             if (
@@ -256,12 +265,14 @@
     def readable(self, listing):
         """A whole list takes out what it doesn't name: a host whose entry can't be used stays as it was known, and
         where not even its name can be read nothing is taken out."""
-        strange = [entry for entry in listing.hosts if entry.zone not in self.door.zones]
+        strange = [entry for entry in listing.hosts if entry.zone not in self.registry.zones]
         unread = [*listing.unread, *(entry.name for entry in strange)]
         if listing.scope != "whole" or not unread:
             return listing
         kept = [
-            self.door.entries[self.door.index[name]] for name in unread if name in self.door.index
+            self.registry.entries[self.registry.index[name]]
+            for name in unread
+            if name in self.registry.index
         ]
         return listing._replace(
             scope="changes" if None in unread else "whole",
@@ -272,75 +283,79 @@
         )
 
     def phase_of(self, name):
-        at = self.door.index.get(name)
-        return None if at is None else self.door.entries[at].phase
+        at = self.registry.index.get(name)
+        return None if at is None else self.registry.entries[at].phase
 
     def sweep(self):
         """The planner has forgotten hosts that went; so do we, or names of successors would add up."""
         self.loop.call_later(SWEEP, self.sweep)
         for at in [
-            at for at in self.door.entries if at not in self.planner.hosts and not self.inbox
+            at for at in self.registry.entries if at not in self.planner.hosts and not self.inbox
         ]:
-            self.gone.pop(name := self.door.entries[at].name, None)
+            self.gone.pop(name := self.registry.entries[at].name, None)
             self.gone[name] = True
-            self.door.forget(at)
+            self.registry.forget(at)
             self.publisher.forget(at)
             self.changed.discard(at)
-            for caller in self.streams.values():
-                caller.opened.discard(at)
+            for session in self.streams.values():
+                session.opened.discard(at)
         while len(self.gone) > GONE_MOST:
             del self.gone[next(iter(self.gone))]
 
     # Probes.
 
     def send_probe(self, order):
-        entry = self.door.entries[order.host]
-        self.prober.probe(order.host, (entry.address, entry.port))
+        entry = self.registry.entries[order.endpoint]
+        self.prober.probe(order.endpoint, (entry.address, entry.port))
 
     def on_probe(self, host, outcome, took, report, _):
-        self.hear(our.ProbeResult(host, outcome, took, report))
+        self.hear(interface.HealthCheckResult(host, outcome, took, report))
 
     # What the front asks and tells.
 
-    def accept(self, caller, here):
-        same = caller.proxy is None or caller.proxy == here.proxy
-        if not same or here.proxy >= self.facts["proxies"] or here.zone not in self.door.zones:
+    def accept(self, session, here):
+        same = session.proxy is None or session.proxy == here.proxy
+        if not same or here.proxy >= self.facts["proxies"] or here.zone not in self.registry.zones:
             return None
-        caller.zone, caller.rate, caller.standing_only = (
-            self.door.zones[here.zone],
+        session.zone, session.rate, session.standing_only = (
+            self.registry.zones[here.zone],
             here.rate,
             here.standing_only,
         )
         return here.proxy
 
     def collects(self, here):
-        return here.zone in self.door.zones
+        return here.zone in self.registry.zones
 
-    def joined(self, caller):
+    def joined(self, session):
         """A new stream may come before the old one is seen to end."""
-        old = self.streams.get(caller.proxy)
+        old = self.streams.get(session.proxy)
         if old is not None:
             self.left(old, JOINED_ANEW)
             old.cut(JOINED_ANEW)
-        self.streams[caller.proxy] = caller
-        caller.opened = set()  # hosts that it was told of on this stream and shuts out no longer
-        self.publisher.join(caller.proxy, levelled=True)
-        self.telemetry.proxy_joined(caller.proxy, not caller.standing_only)
-        self.hear(our.ProxyJoined(caller.proxy, caller.zone, caller.rate, caller.standing_only))
-
-    def left(self, caller, reason):
-        if self.streams.get(caller.proxy) is caller:
-            del self.streams[caller.proxy]
-            self.telemetry.proxy_left(caller.proxy, reason)
-            self.publisher.leave(caller.proxy)
-            self.hear(our.ProxyLeft(caller.proxy))
-
-    def said(self, caller, message):
+        self.streams[session.proxy] = session
+        session.opened = set()  # hosts that it was told of on this stream and shuts out no longer
+        self.publisher.join(session.proxy, levelled=True)
+        self.telemetry.proxy_joined(session.proxy, not session.standing_only)
+        self.hear(
+            interface.ProxyConnected(
+                session.proxy, session.zone, session.rate, session.standing_only
+            )
+        )
+
+    def left(self, session, reason):
+        if self.streams.get(session.proxy) is session:
+            del self.streams[session.proxy]
+            self.telemetry.proxy_left(session.proxy, reason)
+            self.publisher.leave(session.proxy)
+            self.hear(interface.ProxyDisconnected(session.proxy))
+
+    def said(self, session, message):
         """A report or a mark's answer; one that names what is not there is passed over."""
-        event = READ[type(message)](self, caller, message)
+        event = READ[type(message)](self, session, message)
         if event is None:
             self.front.count("names nothing")
-        elif type(event) is our.Applied:
+        elif type(event) is interface.Acknowledged:
             self.note(
                 event
             )  # one for each message that was written: a batch for each would be most of the work
@@ -348,64 +363,64 @@
             self.hear(event)
 
     def host_sums(self, _, met):
-        host, zone = self.door.index.get(met.host), self.door.zones.get(met.zone)
+        host, zone = self.registry.index.get(met.host), self.registry.zones.get(met.zone)
         if host is not None and zone is not None:
-            return our.HostSums(
+            return interface.EndpointStats(
                 host, zone, int(met.tries), int(met.bad), met.span, met.mean_time, met.report
             )
 
-    def req_sums(self, caller, met):
+    def req_sums(self, session, met):
         """Any collector may tell of any proxy, a proxy of itself."""
         kind = self.kind_at.get(met.kind)
         if (
             kind is not None
             and met.proxy < self.facts["proxies"]
-            and caller.proxy in (None, met.proxy)
+            and session.proxy in (None, met.proxy)
         ):
-            return our.ReqSums(met.proxy, kind, int(met.tries), int(met.bad), met.span)
+            return interface.RequestStats(met.proxy, kind, int(met.tries), int(met.bad), met.span)
 
-    def applied(self, caller, met):
-        if met.proxy == caller.proxy:
+    def applied(self, session, met):
+        if met.proxy == session.proxy:
             self.telemetry.applied(met.took)
-            return our.Applied(met.proxy, met.mark, met.took)
+            return interface.Acknowledged(met.proxy, met.mark, met.took)
 
     # Orders.
 
     def offer(self, now, orders, messages, marks):
         for proxy, ops in messages.items():
-            caller = self.streams.get(proxy)
-            if caller is None:
+            session = self.streams.get(proxy)
+            if session is None:
                 continue
             try:
-                shut, opened = self.turned(caller, ops)
+                shut, opened = self.turned(session, ops)
                 mark = marks[proxy][-1] if proxy in marks else None
                 data = write_message(self.tables(proxy, ops), shut, opened, mark)
             except (
                 Exception
             ) as problem:  # it would miss what the planner takes it to hold: it comes anew for all
                 self.log("message not written", proxy=proxy, error=repr(problem))
-                caller.cut("message not written")
+                session.cut("message not written")
                 continue
             if data:
-                caller.send(data)
+                session.send(data)
                 self.telemetry.message_written(proxy, ops)
 
     def after(self, now, events):
         self.telemetry.end_batch(now, self.planner)
 
-    def turned(self, caller, ops):
+    def turned(self, session, ops):
         """Names of hosts that the proxy must shut out from now on, and of those that it must let in: a line that
         names one it may still shut out would bring nothing."""
         shut, opened = [], []
         for op, value in ops.items():
             host = op[1] if op[0] == "withdrawn" else op[2] if op[0] == "line" and value else None
             if op[0] == "withdrawn" and value:
-                shut.append(self.door.entries[host].name)
-                caller.opened.discard(host)
-            elif host is not None and host not in caller.opened:
+                shut.append(self.registry.entries[host].name)
+                session.opened.discard(host)
+            elif host is not None and host not in session.opened:
                 if op[0] == "withdrawn" or host in self.changed:
-                    opened.append(self.door.entries[host].name)
-                caller.opened.add(host)
+                    opened.append(self.registry.entries[host].name)
+                session.opened.add(host)
         return shut, opened
 
     def tables(self, proxy, ops):
@@ -424,7 +439,7 @@
         lines, users, alike = {table: [] for table in sorted(whole)}, {}, {}
         for op, value in ops.items():
             if op[0] == "line" and (value or op[1] not in whole):
-                lines.setdefault(op[1], []).append((self.door.entries[op[2]].name, value))
+                lines.setdefault(op[1], []).append((self.registry.entries[op[2]].name, value))
         for kind, table in sorted(bound.items()):
             users.setdefault(table, []).append(kind)
         for kind, level in sorted(levels.items()):
@@ -440,7 +455,11 @@
         return None if len(kinds) == len(self.kinds) else tuple(self.kinds[at] for at in kinds)
 
 
-READ = {HostMet: Node.host_sums, ReqsMet: Node.req_sums, MarkMet: Node.applied}
+READ = {
+    EndpointOutcomes: PlatformController.host_sums,
+    RequestDemand: PlatformController.req_sums,
+    Acknowledgement: PlatformController.applied,
+}
 
 
 def read_answer(answer):
--- a/peatlead/platform/discovery.py
+++ b/peatlead/platform/endpoint_watch.py
@@ -6,8 +6,8 @@
 
 import asyncio
 
-from ..net.http import Failed, connect
-from .messages import Unreadable, read_list
+from ..net.http import RequestFailedError, connect
+from .messages import MalformedMessageError, read_list
 
 WAIT, SLACK, CONNECT = 2.0, 0.75, 0.5  # seconds: of a call; until its answer is overdue; to connect
 AGAIN, AGAIN_MOST = (
@@ -17,7 +17,7 @@
 PATH = "/v1/endpoints"
 
 
-class Watch:
+class EndpointWatch:
     """`tell(Listing)` gets each news, whole lists and changes, in order; `log(event, **fields)`, `wall()` Unix
     seconds, `chance` a Random for the waits between tries.
 
@@ -34,7 +34,7 @@
         return self.now.failures
 
     def start(self):
-        self.now = Calls(self, self.place)
+        self.now = WatchCalls(self, self.place)
 
     def stop(self):
         for calls in (self.now, self.before):
@@ -75,7 +75,7 @@
             self.tell(listing)
 
 
-class Calls:
+class WatchCalls:
     """One call after the other to one address, until it is stopped; the address before the newest one, until it
     fails."""
 
@@ -107,7 +107,7 @@
                 if self.failures:
                     self.watch.log("discovery answers", failures=self.failures)
                 self.failures, self.answered = 0, True
-            except (Failed, Unreadable) as problem:
+            except (RequestFailedError, MalformedMessageError) as problem:
                 if self is not self.watch.now:
                     return self.hang_up()
                 await self.fail(str(problem))
@@ -143,5 +143,5 @@
             "GET", path, [("host", f"{self.place[0]}:{self.place[1]}")], b"", deadline
         )
         if answer.status != 200:
-            raise Unreadable(f"expected 200, got {answer.status}")
+            raise MalformedMessageError(f"expected 200, got {answer.status}")
         return read_list(answer.body, self.watch.wall())
--- a/peatlead/platform/messages.py
+++ b/peatlead/platform/messages.py
@@ -10,7 +10,7 @@
 import msgspec
 from msgspec import Meta, Struct, field, json
 
-from ..sources.listing import HOSTS_MOST, Entry, Listing
+from ..sources.endpoint_list import HOSTS_MOST, EndpointList, ListedEndpoint
 from ..wire import names
 
 LINE_MOST = 1 << 20  # bytes of one line, either way
@@ -39,15 +39,15 @@
 Report = dict[str, Optional[Annotated[float, Meta(ge=0, le=1e9)]]]
 
 
-class Unreadable(ValueError):
+class MalformedMessageError(ValueError):
     """No message: not a JSON object. What follows on that stream is lost too."""
 
 
-class Spoilt(ValueError):
+class InvalidFieldError(ValueError):
     """A message with a field that can't be used, its kind among them; those around it are good."""
 
 
-class ProxyHere(Struct, tag="hello", tag_field="msg"):
+class ProxyHello(Struct, tag="hello", tag_field="msg"):
     """A proxy's stream begins. `rate`: its usual reqs a second; `standing_only`: it holds no ordered table."""
 
     proxy: Number = field(name="node")
@@ -56,13 +56,13 @@
     standing_only: bool = field(name="cold", default=True)
 
 
-class CollectorHere(Struct, tag="agent", tag_field="msg"):
+class CollectorHello(Struct, tag="agent", tag_field="msg"):
     """A collector's connection begins."""
 
     zone: Name = field(name="locality")
 
 
-class HostMet(Struct, tag="outcomes", tag_field="msg"):
+class EndpointOutcomes(Struct, tag="outcomes", tag_field="msg"):
     """What the proxies of a zone met at a host. `span`, `mean_time` of the good ones: seconds."""
 
     zone: Name = field(name="locality")
@@ -86,7 +86,7 @@
         return our_report(self.metrics)
 
 
-class ReqsMet(Struct, tag="demand", tag_field="msg"):
+class RequestDemand(Struct, tag="demand", tag_field="msg"):
     """Reqs of one kind that came to a proxy, over `span` seconds."""
 
     proxy: Number = field(name="node")
@@ -100,7 +100,7 @@
         return self.interval / 1000
 
 
-class MarkMet(Struct, tag="ack", tag_field="msg"):
+class Acknowledgement(Struct, tag="ack", tag_field="msg"):
     """A proxy has applied all up to a mark, `took` seconds after the order."""
 
     proxy: Number = field(name="node")
@@ -112,12 +112,14 @@
         return self.latency / 1000
 
 
-class LifeAsked(Struct, tag="probe", tag_field="msg"):
+class LivenessCheck(Struct, tag="probe", tag_field="msg"):
     """Anyone asks for a sign of life."""
 
 
-Heard = Union[ProxyHere, CollectorHere, HostMet, ReqsMet, MarkMet, LifeAsked]
-LINE = json.Decoder(Heard)
+InboundMessage = Union[
+    ProxyHello, CollectorHello, EndpointOutcomes, RequestDemand, Acknowledgement, LivenessCheck
+]
+LINE = json.Decoder(InboundMessage)
 ENCODER = json.Encoder()
 ALIVE = b'{"msg":"alive"}\n'
 
@@ -127,11 +129,13 @@
     try:
         found = LINE.decode(data)
     except msgspec.ValidationError as problem:
-        raise (Spoilt if is_object(data) else Unreadable)(str(problem)) from None
+        raise (InvalidFieldError if is_object(data) else MalformedMessageError)(
+            str(problem)
+        ) from None
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as problem:
-        raise Unreadable(str(problem)) from None
-    if type(found) in (HostMet, ReqsMet) and found.bad > found.tries:
-        raise Spoilt("expected at most as many errors as there were tries")
+        raise MalformedMessageError(str(problem)) from None
+    if type(found) in (EndpointOutcomes, RequestDemand) and found.bad > found.tries:
+        raise InvalidFieldError("expected at most as many errors as there were tries")
     return found
 
 
@@ -244,9 +248,11 @@
     try:
         said = LIST.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as problem:
-        raise Unreadable(f"not a list: {problem}") from None
+        raise MalformedMessageError(f"not a list: {problem}") from None
     if len(said.instances) > HOSTS_MOST:
-        raise Unreadable(f"expected at most {HOSTS_MOST} hosts, got {len(said.instances)}")
+        raise MalformedMessageError(
+            f"expected at most {HOSTS_MOST} hosts, got {len(said.instances)}"
+        )
     hosts, bad, unread = {}, [], []
     for at, raw in enumerate(said.instances):
         try:
@@ -255,7 +261,7 @@
         except (msgspec.MsgspecError, ValueError) as problem:
             bad.append(f"host {at}: {problem}")
             unread.append(name_of(raw))
-    return Listing(
+    return EndpointList(
         "whole" if said.reset else "changes",
         said.generation,
         written,
@@ -275,7 +281,7 @@
 
 def entry_of(one):
     address, port = read_place(one.hostPort)
-    return Entry(
+    return ListedEndpoint(
         name=one.instanceId,
         zone=one.zone,
         phase=PHASES[one.lifecycle],
@@ -318,4 +324,4 @@
     try:
         return json.decode(data, type=Document)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as problem:
-        raise Unreadable(f"not a configuration: {problem}") from None
+        raise MalformedMessageError(f"not a configuration: {problem}") from None
--- a/peatlead/platform/front.py
+++ b/peatlead/platform/sessions.py
@@ -19,11 +19,11 @@
 from .messages import (
     ALIVE,
     LINE_MOST,
-    CollectorHere,
-    LifeAsked,
-    ProxyHere,
-    Spoilt,
-    Unreadable,
+    CollectorHello,
+    InvalidFieldError,
+    LivenessCheck,
+    MalformedMessageError,
+    ProxyHello,
     read_line,
     write_error,
 )
@@ -39,7 +39,7 @@
 SPARE = 14  # descriptors for the listener, the loop, discovery and files
 
 
-class Caller(Lines):
+class Session(Lines):
     """One connection. `proxy`: the number of the proxy that joined on it, None for all others."""
 
     def __init__(self, front):
@@ -62,21 +62,21 @@
             return
         try:
             message = read_line(data)
-        except Spoilt as problem:
+        except InvalidFieldError as problem:
             self.front.count("spoilt")
             if not self.joined:
                 self.refuse(str(problem))
             return
-        except Unreadable as problem:
+        except MalformedMessageError as problem:
             self.refuse(str(problem))  # the end of this one: nothing on it can be trusted any more
             return
         self.take(message)
 
     def take(self, message):
         kind = type(message)
-        if kind is LifeAsked:
+        if kind is LivenessCheck:
             self.answer()
-        elif kind is ProxyHere or kind is CollectorHere:
+        elif kind is ProxyHello or kind is CollectorHello:
             self.join(message)
         elif not self.joined:
             self.refuse("expected a message that joins first")
@@ -91,7 +91,7 @@
 
     def join(self, message):
         owner, first = self.front.owner, not self.joined
-        if type(message) is CollectorHere:
+        if type(message) is CollectorHello:
             if self.proxy is not None or not owner.collects(message):
                 self.refuse("expected a collector's zone")
                 return
@@ -140,7 +140,7 @@
         self.front.remove(self, reason)
 
 
-class Front:
+class SessionListener:
     """All connections of the address, `most` at once: past that the one that waits longest without having joined is
     cut, and where all have joined the new one."""
 
@@ -160,7 +160,7 @@
             listener.listen(
                 BACKLOG
             )  # a herd waits there; it is taken `AT_ONCE` at a time, or it would pass `most`
-            self.server = Listener(listener, lambda: Caller(self), AT_ONCE, self.owner.log)
+            self.server = Listener(listener, lambda: Session(self), AT_ONCE, self.owner.log)
         except OSError:
             listener.close()
             raise
@@ -170,49 +170,49 @@
         self.closed = True
         if self.server is not None:
             self.server.close()
-        for caller in list(self.callers):
-            caller.leave()
+        for session in list(self.callers):
+            session.leave()
         if not self.callers:
             self.owner.emptied()
 
     def cut(self):
-        for caller in list(self.callers):
-            caller.cut("the steward ends")
+        for session in list(self.callers):
+            session.cut("the steward ends")
 
-    def collector(self, caller):
+    def collector(self, session):
         """Its zone's others that have fallen silent go: a machine that vanished never ends its connection."""
-        before = caller.loop.time() - QUIET_MOST
+        before = session.loop.time() - QUIET_MOST
         for other in [
-            one for one in self.callers if one.collects == caller.collects and one is not caller
+            one for one in self.callers if one.collects == session.collects and one is not session
         ]:
             if other.touched < before:
                 other.cut("silent")
 
-    def add(self, caller):
+    def add(self, session):
         if self.closed:
-            caller.cut("the steward ends")
+            session.cut("the steward ends")
         if len(self.callers) >= self.most:
-            oldest = next(iter(self.unjoined), caller)
+            oldest = next(iter(self.unjoined), session)
             self.unjoined.pop(oldest, None)
             self.count("evicted")
             oldest.cut("too many connections")
-        self.callers[caller] = self.unjoined[caller] = True
+        self.callers[session] = self.unjoined[session] = True
 
-    def remove(self, caller, reason):
-        self.callers.pop(caller, None)
-        self.unjoined.pop(caller, None)
-        if caller.proxy is not None:
+    def remove(self, session, reason):
+        self.callers.pop(session, None)
+        self.unjoined.pop(session, None)
+        if session.proxy is not None:
             self.count(f"proxy: {reason}")
-            self.owner.left(caller, reason)
+            self.owner.left(session, reason)
         if self.closed and not self.callers:
             self.owner.emptied()
 
     def alive(self):
         """The steward is ready: those that have asked are answered."""
-        for caller in list(self.callers):
-            if caller.asked:
-                caller.send(ALIVE * caller.asked)
-                caller.asked = 0
+        for session in list(self.callers):
+            if session.asked:
+                session.send(ALIVE * session.asked)
+                session.asked = 0
 
     def count(self, what):
         """Kinds of ends are few: reasons of ours and names of errors."""
--- a/peatlead/platform/telemetry.py
+++ b/peatlead/platform/telemetry.py
@@ -61,7 +61,7 @@
             self.tell_status(planner.status(now))
 
     def tell_status(self, status):
-        if not (status.unbound_proxies or status.queued_lines or self.counts):
+        if not (status.unassigned_proxies or status.queued_entries or self.counts):
             return
         fields = {name: round(value, 3) for name, value in status._asdict().items()}
         self.log("channel", **fields, since=self.counts)
--- a/peatlead/day/kinds.py
+++ b/peatlead/scenario/kinds.py
@@ -3,8 +3,8 @@
 import asyncio
 import json
 
-from ..rules.show import as_data
-from .play import Day
+from ..invariants.report import as_data
+from .runner import Day
 from .script import load_day
 
 LENGTH = 30
--- a/peatlead/day/play.py
+++ b/peatlead/scenario/runner.py
@@ -11,11 +11,11 @@
 
 import msgspec
 
-from ..rules.check import check
-from ..rules.record import Recorder, read_folder
+from ..controller.control_socket import Asking, ask_once
+from ..invariants.checker import check
+from ..invariants.record import Recorder, read_folder
 from ..settings.script import load_settings
 from ..standin.process import Teller
-from ..steward.control import Asking, ask_once
 from .fleet import Fleet
 from .nodelist import NodeList
 
