--- a/peatlead/settings/__init__.py
+++ b/peatlead/settings/__init__.py
@@ -1,5 +1,5 @@
 """Settings: a Starlark script that calls a few builtins; checked whole before anything is used."""
 
-from .script import BadSettings, load_settings, read_settings
+from .script import SettingsError, load_settings, read_settings
 
-__all__ = ["BadSettings", "load_settings", "read_settings"]
+__all__ = ["SettingsError", "load_settings", "read_settings"]
--- a/peatlead/settings/script.py
+++ b/peatlead/settings/script.py
@@ -12,7 +12,7 @@
 LARGEST = 4_000_000  # bytes of a script; a larger one is a mistake
 
 
-class BadSettings(Exception):
+class SettingsError(Exception):
     """The script cannot be used; the text has a line `FILE:LINE: what was expected` for each complaint."""
 
 
@@ -21,12 +21,12 @@
     try:
         data = Path(path).read_bytes()
         if len(data) > LARGEST:
-            raise BadSettings(f"{path}:1: expected at most {LARGEST} bytes, got {len(data)}")
+            raise SettingsError(f"{path}:1: expected at most {LARGEST} bytes, got {len(data)}")
         return load_settings(str(path), data.decode("utf-8"))
     except OSError as problem:
-        raise BadSettings(f"{path}:1: expected a readable file: {problem.strerror}") from None
+        raise SettingsError(f"{path}:1: expected a readable file: {problem.strerror}") from None
     except UnicodeDecodeError as problem:
-        raise BadSettings(f"{path}:1: expected UTF-8, byte {problem.start} is not") from None
+        raise SettingsError(f"{path}:1: expected UTF-8, byte {problem.start} is not") from None
 
 
 def load_settings(name, source):
@@ -36,10 +36,10 @@
     for kind, fields in ONCE.items():
         calls = [values for called, values in said if called == kind]
         if len(calls) > 1:
-            raise BadSettings(f"{name}:1: expected one call of {kind}(), got {len(calls)}")
+            raise SettingsError(f"{name}:1: expected one call of {kind}(), got {len(calls)}")
         needed = [field for field, spec in fields.items() if spec.default is REQUIRED]
         if not calls and needed:
-            raise BadSettings(
+            raise SettingsError(
                 f"{name}:1: expected a call of {kind}({', '.join(f + ' = ...' for f in needed)})"
             )
         made[kind] = calls[0] if calls else {field: spec.default for field, spec in fields.items()}
@@ -66,7 +66,7 @@
             starlark.Globals.standard(),
         )
     except starlark.StarlarkError as problem:
-        raise BadSettings(where(name, str(problem))) from None
+        raise SettingsError(where(name, str(problem))) from None
     return said
 
 
@@ -138,7 +138,7 @@
             raise ValueError("fleet.keys: expected at least one key: members' messages are sealed")
         check_lifetime(made)
     except ValueError as problem:
-        raise BadSettings(f"{name}:1: {problem}") from None
+        raise SettingsError(f"{name}:1: {problem}") from None
 
 
 def check_lifetime(made):
--- a/peatlead/sources/memory.py
+++ b/peatlead/sources/endpoint_cache.py
@@ -7,12 +7,12 @@
 import msgspec
 from blake3 import blake3
 
-from .listing import BadListing, read_document
+from .endpoint_list import EndpointListError, read_document
 
 FORMAT = 1
 
 
-class Memory:
+class EndpointCache:
     """The last whole list on disk: a steward that starts while the list is away answers from it.
 
     One file: a line `peatlead-list FORMAT CHECKSUM`, then the document. Written beside and renamed, so that
@@ -58,5 +58,5 @@
             return None, "the checksum does not fit: torn or changed"
         try:
             return read_document(body)._replace(scope="remembered"), ""
-        except BadListing as problem:
+        except EndpointListError as problem:
             return None, str(problem)
--- a/peatlead/sources/listing.py
+++ b/peatlead/sources/endpoint_list.py
@@ -12,7 +12,7 @@
 HOSTS_MOST = 20_000
 
 
-class Entry(msgspec.Struct, frozen=True):
+class ListedEndpoint(msgspec.Struct, frozen=True):
     """One host as a list names it; `started` is by the list's own clock, seconds."""
 
     name: str
@@ -27,7 +27,7 @@
     port: int = 0  # where the list tells one a host
 
 
-class Listing(NamedTuple):
+class EndpointList(NamedTuple):
     """`scope`: "whole", "changes", "remembered" or "unavailable"; `written` by the list's own clock; `unread`: names
     of hosts whose entries can't be used, None for each whose name can't be read either."""
 
@@ -46,32 +46,32 @@
     scope: str = "whole"
 
 
-class BadListing(Exception):
+class EndpointListError(Exception):
     """Not a list at all: torn, empty or something else."""
 
 
 def read_document(data):
     """A Listing of a JSON document. One bad entry does not cost the others; no list at all raises."""
     if not data.strip():
-        raise BadListing("the file is empty")
+        raise EndpointListError("the file is empty")
     try:
         said = msgspec.json.decode(data, type=Document)
     except msgspec.MsgspecError as problem:
-        raise BadListing(str(problem)) from None
+        raise EndpointListError(str(problem)) from None
     if said.scope not in ("whole", "changes"):
-        raise BadListing(f"expected scope whole or changes, got {said.scope!r}")
+        raise EndpointListError(f"expected scope whole or changes, got {said.scope!r}")
     if len(said.hosts) > HOSTS_MOST:
-        raise BadListing(f"expected at most {HOSTS_MOST} hosts, got {len(said.hosts)}")
+        raise EndpointListError(f"expected at most {HOSTS_MOST} hosts, got {len(said.hosts)}")
     hosts, bad = {}, []
     for at, one in enumerate(said.hosts):
         try:
-            entry = check_entry(msgspec.convert(one, Entry))
+            entry = check_entry(msgspec.convert(one, ListedEndpoint))
             if entry.name in hosts:
                 raise ValueError(f"{entry.name} is listed twice")
             hosts[entry.name] = entry
         except (msgspec.ValidationError, ValueError) as problem:
             bad.append(f"host {at}: {problem}")
-    return Listing(said.scope, said.version, said.written, tuple(hosts.values()), tuple(bad))
+    return EndpointList(said.scope, said.version, said.written, tuple(hosts.values()), tuple(bad))
 
 
 def check_entry(entry):
--- a/peatlead/sources/file.py
+++ b/peatlead/sources/file_watch.py
@@ -8,7 +8,7 @@
 import asyncio
 from pathlib import Path
 
-from .listing import BadListing, Listing, read_document
+from .endpoint_list import EndpointList, EndpointListError, read_document
 
 
 class FileSource:
@@ -49,7 +49,7 @@
             if stamp == self.seen:
                 return
             listing = read_document(self.path.read_bytes())
-        except (OSError, BadListing) as problem:
+        except (OSError, EndpointListError) as problem:
             self.fail(now, problem)
             return
         self.seen, self.bad_since, self.told_bad = stamp, None, False
@@ -80,4 +80,4 @@
             self.log("list not readable", path=str(self.path), why=str(problem))
         elif now - self.bad_since >= self.patience and not self.told_bad:
             self.told_bad = True
-            self.tell(Listing("unavailable", self.version or 0, 0.0, ()))
+            self.tell(EndpointList("unavailable", self.version or 0, 0.0, ()))
--- a/peatlead/standin/desks.py
+++ b/peatlead/standin/dns_clients.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from ..net.http import Failed, connect
+from ..net.http import RequestFailedError, connect
 from ..net.streams import within
 from .resolvers import Resolver
 
@@ -180,7 +180,7 @@
             outcome = {200: "done", 429: "shed", 503: "denied"}.get(answer.status, "errored")
             client.last = address
             client.keep(address, stream)
-        except Failed as problem:
+        except RequestFailedError as problem:
             outcome = problem.outcome
         self.note(req, kind, client, address, number, outcome, sent)
         return outcome, address, self.may_repeat(kind, outcome, sent)
--- a/peatlead/standin/platform_fleet.py
+++ b/peatlead/standin/platform_fleet.py
@@ -19,7 +19,7 @@
 
 from ..net.http import Server
 from ..net.streams import Lines
-from .platform_agents import PacedChannel, ProxyState
+from .platform_proxies import PacedChannel, ProxyState
 
 LOOK_EVERY = 0.05  # seconds between two looks at channels and at what proxies hold
 ANSWER_AFTER = 0.05  # seconds that a proxy takes to apply a message and answer its mark
--- a/peatlead/standin/process.py
+++ b/peatlead/standin/process.py
@@ -11,10 +11,10 @@
 
 import msgspec
 
-from ..rules.record import Recorder
-from . import agents, desks, hosts
+from ..invariants.record import Recorder
+from . import dns_clients, hosts, xds_proxies
 
-HALLS = {"hosts": hosts.Hall, "desks": desks.Hall, "agents": agents.Hall}
+HALLS = {"hosts": hosts.Hall, "desks": dns_clients.Hall, "agents": xds_proxies.Hall}
 FLUSH = 0.5
 
 
--- a/peatlead/tables/causes.py
+++ b/peatlead/tables/change_causes.py
@@ -7,7 +7,7 @@
 CAUSES_MOST = 6  # told of one version
 
 
-class Causes:
+class ChangeCauses:
     """`name_of(host)`, `listed_of(host)`: its name and whole weight."""
 
     def __init__(self, name_of, listed_of):
--- a/peatlead/tables/guard.py
+++ b/peatlead/tables/guard.py
@@ -20,7 +20,7 @@
 RAMPED = 0.999  # of the listed weight: at this a host has done with its ramp
 
 
-class Facts(NamedTuple):
+class GuardContext(NamedTuple):
     """`phases`: {host: phase as listed}; `shut`: withdrawn hosts; `parts`: {host: greatest part of its listed
     weight that any of the planner's tables gives it}, none for a host that it names nowhere."""
 
@@ -29,7 +29,7 @@
     parts: dict
 
 
-class Guarded(NamedTuple):
+class GuardedTable(NamedTuple):
     """`lines`: {host: weight}; `taken`: {host: why it is not as wished}; `filled`: hosts that were put in."""
 
     lines: dict
@@ -71,9 +71,9 @@
         lines.update((host, wanted[host]) for host in filled)
     warm = {host for host in lines if facts.parts.get(host, 1.0) >= RAMPED}
     if not warm:
-        return Guarded(dict(wanted), taken, tuple(host for host in wanted if host not in wish))
+        return GuardedTable(dict(wanted), taken, tuple(host for host in wanted if host not in wish))
     cap_cold(lines, [*cold, *(host for host in lines if host not in warm)], wanted)
-    return Guarded(lines, taken, filled)
+    return GuardedTable(lines, taken, filled)
 
 
 def cap_cold(lines, cold, wanted):
--- a/peatlead/tables/history.py
+++ b/peatlead/tables/history.py
@@ -2,7 +2,7 @@
 
 A version keeps what it changed: each item's value before and after. The newest state stands whole; an older
 one is found by going back from it. So a version costs its own changes, nothing has to be kept for the oldest,
-and dropping the oldest is dropping it. Tables are a dozen lines and changes one or two: `peatlead.measure.tables`
+and dropping the oldest is dropping it. Tables are a dozen lines and changes one or two: `peatlead.benchmarks.tables`
 holds this against plain copies.
 
 Bounded by count for each proxy and in all, by age and by bytes. What is dropped first: the oldest version of all
@@ -19,7 +19,7 @@
 ENTRY_BYTES, CHANGE_BYTES = 260, 88  # of memory, about: a version's own, and each change of it
 
 
-class Entry(NamedTuple):
+class HistoryEntry(NamedTuple):
     """One version: `at` by the wall clock, for operators alone; `moved` is ((key, before, after), ...)."""
 
     version: Version
@@ -33,7 +33,7 @@
         return ENTRY_BYTES + CHANGE_BYTES * len(self.moved)
 
 
-class Unknown(Exception):
+class UnknownVersionError(Exception):
     """A version that is not kept: it never was, or it has been dropped."""
 
 
@@ -62,7 +62,7 @@
                 del self.items[key]
             else:
                 self.items[key] = new
-        entry = Entry(version, at, tuple(causes), tuple(real), str(self.digest))
+        entry = HistoryEntry(version, at, tuple(causes), tuple(real), str(self.digest))
         self.entries.append(entry)
         self.last = version
         return entry
@@ -77,7 +77,7 @@
         if version == self.last:
             return dict(self.items)
         if version != self.base and all(entry.version != version for entry in self.entries):
-            raise Unknown(str(version))
+            raise UnknownVersionError(str(version))
         found = dict(self.items)
         for entry in reversed(self.entries):
             if entry.version == version:
@@ -93,7 +93,7 @@
             if entry.at <= when:
                 return entry.version, found
             undo(found, entry)
-        raise Unknown(f"nothing of {when:.3f} is kept")
+        raise UnknownVersionError(f"nothing of {when:.3f} is kept")
 
     def diff(self, one, other):
         """({key: (value, value)}) of what differs between two versions. Raises Unknown."""
--- a/peatlead/tables/records.py
+++ b/peatlead/tables/log_records.py
@@ -23,7 +23,7 @@
 INFLATED_MOST = 256 << 20
 
 
-class Published(msgspec.Struct, array_like=True, tag="p"):
+class PublishedRecord(msgspec.Struct, array_like=True, tag="p"):
     """One version; `moved`: {key: value, or None where it went}."""
 
     name: str
@@ -34,7 +34,7 @@
     moved: dict[str, Union[int, str, None]]
 
 
-class Whole(msgspec.Struct, array_like=True, tag="w"):
+class SnapshotRecord(msgspec.Struct, array_like=True, tag="w"):
     """A proxy's newest state, at the start of a segment."""
 
     name: str
@@ -43,22 +43,24 @@
     items: dict[str, Union[int, str]]
 
 
-class Gone(msgspec.Struct, array_like=True, tag="g"):
+class RemovedRecord(msgspec.Struct, array_like=True, tag="g"):
     name: str
 
 
-class Noted(msgspec.Struct, array_like=True, tag="n"):
+class NoteRecord(msgspec.Struct, array_like=True, tag="n"):
     """Anything small that must outlive a restart, by a key: the newest counts. `value` None: no more."""
 
     key: str
     value: Optional[bytes]
 
 
-RECORDS = msgspec.msgpack.Decoder(list[Union[Published, Whole, Gone, Noted]])
+RECORDS = msgspec.msgpack.Decoder(
+    list[Union[PublishedRecord, SnapshotRecord, RemovedRecord, NoteRecord]]
+)
 ENCODER = msgspec.msgpack.Encoder()
 
 
-class Framer:
+class RecordFramer:
     """Records to bytes, one segment."""
 
     def __init__(self):
--- a/peatlead/tables/pins.py
+++ b/peatlead/tables/pins.py
@@ -26,7 +26,7 @@
 LENGTH_MOST = 7 * 86_400.0
 
 
-class BadPin(Exception):
+class PinError(Exception):
     """What an operator asked for and cannot be had, in words."""
 
 
@@ -56,17 +56,17 @@
 
 
 def check(pin):
-    """Raises BadPin."""
+    """Raises PinError."""
     if pin.whom not in ("all", "zone", "share", "proxy"):
-        raise BadPin(f"expected all, a zone, a share or a proxy, got {pin.whom!r}")
+        raise PinError(f"expected all, a zone, a share or a proxy, got {pin.whom!r}")
     if pin.whom == "share" and not 0 < share_of(pin) <= 1:
-        raise BadPin(f"expected a share above 0 and up to 1, got {pin.which!r}")
+        raise PinError(f"expected a share above 0 and up to 1, got {pin.which!r}")
     if pin.target not in ("held", "back", "version"):
-        raise BadPin(f"expected held, back or version, got {pin.target!r}")
+        raise PinError(f"expected held, back or version, got {pin.target!r}")
     if pin.target == "version" and pin.whom != "proxy":
-        raise BadPin("expected one proxy: a version is one proxy's")
+        raise PinError("expected one proxy: a version is one proxy's")
     if not 0 <= pin.over <= 3600 or not 0 < pin.left <= LENGTH_MOST:
-        raise BadPin(
+        raise PinError(
             f"expected stages of up to an hour and an end within a week, got {pin.over} s and {pin.left} s"
         )
 
@@ -78,7 +78,7 @@
         return 0.0
 
 
-class Held:
+class ActivePin:
     """A pin as this steward has it; `base` is the moment that its age counts from."""
 
     __slots__ = ("pin", "base", "until", "ended_at")
@@ -130,21 +130,21 @@
         self.me, self.start, self.held, self.number = me, start, {}, 0
 
     def make(self, now, whom, which="", target="held", to="", over=10.0, length=3600.0, by=""):
-        """A new Pin. Raises BadPin."""
+        """A new Pin. Raises PinError."""
         if sum(one.ended_at is None for one in self.held.values()) >= PINS_MOST:
-            raise BadPin(f"expected at most {PINS_MOST} pins at a time: resume one first")
+            raise PinError(f"expected at most {PINS_MOST} pins at a time: resume one first")
         self.number = 1 + max([self.number, *(one.pin.stamp for one in self.held.values())])
         name = f"{self.me}-{self.number}{self.start}"
         pin = Pin(name, self.number, 1, whom, which, target, to, over, 0.0, length, None, by)
         check(pin)
-        self.held[pin.id] = Held(pin, now)
+        self.held[pin.id] = ActivePin(pin, now)
         return pin
 
     def resume(self, now, name, over=None):
-        """Ends a pin. Raises BadPin."""
+        """Ends a pin. Raises PinError."""
         one = self.held.get(name)
         if one is None:
-            raise BadPin(
+            raise PinError(
                 f"expected one of {', '.join(sorted(self.standing())) or 'no pin at all'}, got {name!r}"
             )
         if one.ended_at is None:
@@ -163,13 +163,13 @@
         for pin in pins:
             try:
                 check(msgspec.structs.replace(pin, left=max(pin.left, 0.001)))
-            except BadPin:
+            except PinError:
                 continue
             mine = self.held.get(pin.id)
             if mine is None and len(self.held) >= 4 * PINS_MOST:
                 continue
             if mine is None or self.order(pin) > self.order(mine.pin):
-                self.held[pin.id] = Held(pin, now)
+                self.held[pin.id] = ActivePin(pin, now)
                 changed = True
         return changed
 
--- a/peatlead/tables/holder.py
+++ b/peatlead/tables/replica.py
@@ -9,7 +9,7 @@
 APPLIED, OLD, BASE, DIGEST = "applied", "old", "base differs", "digest differs"
 
 
-class Holder:
+class Replica:
     """`parts`: {part: {key: value}}; `newest`: the newest version seen. Fences like `fleet.owners.Fence`."""
 
     def __init__(self):
--- a/peatlead/tables/disk.py
+++ b/peatlead/tables/table_log.py
@@ -9,7 +9,14 @@
 import os
 from pathlib import Path
 
-from .records import Framer, Gone, Noted, Published, Whole, read_segment
+from .log_records import (
+    NoteRecord,
+    PublishedRecord,
+    RecordFramer,
+    RemovedRecord,
+    SnapshotRecord,
+    read_segment,
+)
 from .version import Version, changes
 
 SEGMENT_MOST = 2 << 20  # bytes
@@ -65,18 +72,18 @@
     def take(self, record, number):
         """One record of a sound frame; says what could not be joined to what came before."""
         store = self.store
-        if type(record) is Noted:
+        if type(record) is NoteRecord:
             if record.value is None:
                 self.noted.pop(record.key, None)
             else:
                 self.noted[record.key] = record.value
             return None
-        if type(record) is Gone:
+        if type(record) is RemovedRecord:
             store.left(record.name)
             return None
         version = Version(record.epoch, record.serial)
         history = store.history(record.name)
-        if type(record) is Whole:
+        if type(record) is SnapshotRecord:
             return self.take_whole(record, history, version)
         self.contents[number][record.name] = version
         if version <= history.last:
@@ -110,7 +117,7 @@
     def publish(self, name, entry):
         if self.folder is not None:
             self.waiting.append(
-                Published(
+                PublishedRecord(
                     name,
                     *entry.version,
                     entry.at,
@@ -121,7 +128,7 @@
 
     def left(self, name):
         if self.folder is not None:
-            self.waiting.append(Gone(name))
+            self.waiting.append(RemovedRecord(name))
 
     def note(self, key, value):
         if self.noted.get(key) != value:
@@ -130,7 +137,7 @@
             else:
                 self.noted[key] = value
             if self.folder is not None:
-                self.waiting.append(Noted(key, value))
+                self.waiting.append(NoteRecord(key, value))
 
     def start(self, now):
         """After `recall()`, before anything is published: a new segment. What fails is told as by `flush`."""
@@ -154,7 +161,7 @@
             if self.waiting:
                 self.write(self.waiting)
                 for record in self.waiting:
-                    if type(record) is Published:
+                    if type(record) is PublishedRecord:
                         self.contents[self.number][record.name] = Version(
                             record.epoch, record.serial
                         )
@@ -182,7 +189,7 @@
 
     def lose(self):
         """Not kept one by one any more: the snapshot that begins a segment has their sum."""
-        self.lost += sum(type(one) is Published for one in self.waiting)
+        self.lost += sum(type(one) is PublishedRecord for one in self.waiting)
         self.waiting = []
 
     def begin(self):
@@ -190,7 +197,7 @@
         self.folder.mkdir(parents=True, exist_ok=True)
         number = self.number + 1
         path = self.folder / f"{number:08d}.log"
-        self.framer = Framer()
+        self.framer = RecordFramer()
         self.file = open(path, "xb", buffering=0)
         self.number, self.segments[number], self.contents[number] = number, 0, {}
         self.put(self.framer.head())
@@ -199,14 +206,16 @@
         for at in range(0, len(names), SNAPSHOT_PART):
             self.write(
                 [
-                    Whole(name, *self.store.histories[name].last, self.store.histories[name].items)
+                    SnapshotRecord(
+                        name, *self.store.histories[name].last, self.store.histories[name].items
+                    )
                     for name in names[at : at + SNAPSHOT_PART]
                 ]
             )
         self.write(
             [
-                *(Noted(key, value) for key, value in sorted(self.noted.items())),
-                *(Gone(name) for name in self.store.gone),
+                *(NoteRecord(key, value) for key, value in sorted(self.noted.items())),
+                *(RemovedRecord(name) for name in self.store.gone),
             ]
         )
         if self.broken is not None:
--- a/peatlead/wire/codec.py
+++ b/peatlead/wire/codec.py
@@ -107,7 +107,7 @@
 }
 
 
-class BadInput(Exception):
+class WireFormatError(Exception):
     """The stream holds something that is not the wire; the text says what and where."""
 
 
@@ -119,7 +119,7 @@
     while len(data) < size:
         more = stream.read(size - len(data))
         if not more:
-            raise BadInput(f"truncated {what}: {len(data)} of {size} bytes")
+            raise WireFormatError(f"truncated {what}: {len(data)} of {size} bytes")
         data += more
     return data
 
@@ -132,13 +132,15 @@
     count, length, clock = BATCH_HEADER.unpack(header)
     body = read_exactly(stream, length, "batch")
     if body is None:
-        raise BadInput(f"truncated batch: 0 of {length} bytes")
+        raise WireFormatError(f"truncated batch: 0 of {length} bytes")
     at, records = 0, []
     for number in range(count):
         name, record, at = read_record(body, at, number)
         records.append((name, record))
     if at != len(body):
-        raise BadInput(f"{len(body) - at} bytes left over at byte {at} after {count} records")
+        raise WireFormatError(
+            f"{len(body) - at} bytes left over at byte {at} after {count} records"
+        )
     return clock, records
 
 
@@ -148,7 +150,9 @@
     def take(layout):
         nonlocal at
         if at + layout.size > len(body):
-            raise BadInput(f"record {number} at byte {start} overruns its batch at byte {at}")
+            raise WireFormatError(
+                f"record {number} at byte {start} overruns its batch at byte {at}"
+            )
         values = layout.unpack_from(body, at)
         at += layout.size
         return values
@@ -156,7 +160,7 @@
     def take_bytes(size):
         nonlocal at
         if at + size > len(body):
-            raise BadInput(
+            raise WireFormatError(
                 f"record {number} at byte {start}: a count of {size} overruns the batch at {at}"
             )
         at += size
@@ -164,7 +168,7 @@
 
     code = take(NUMBERS["u16"])[0]
     if code not in EVENTS:
-        raise BadInput(f"record {number} at byte {start}: unknown code {code}")
+        raise WireFormatError(f"record {number} at byte {start}: unknown code {code}")
     name, fields = EVENTS[code]
     record = {}
     for field, kind in fields:
@@ -187,11 +191,11 @@
     try:
         value = json.loads(data.decode("utf-8"))
     except ValueError as problem:
-        raise BadInput(
+        raise WireFormatError(
             f"record {number} at byte {start}: settings are not JSON: {problem}"
         ) from None
     if not isinstance(value, dict):
-        raise BadInput(f"record {number} at byte {start}: settings are not a JSON object")
+        raise WireFormatError(f"record {number} at byte {start}: settings are not a JSON object")
     return value
 
 
--- a/peatlead/wire/names.py
+++ b/peatlead/wire/names.py
@@ -1,6 +1,6 @@
 """Between the wire's records and the interface's types: names, units, ids. Nothing is decided here."""
 
-from .. import interface as our
+from .. import interface
 from .codec import MICRO
 
 SCOPES = {0: "changes", 1: "whole", 2: "remembered", 3: "unavailable"}
@@ -146,7 +146,7 @@
     return found
 
 
-class Door:
+class WireTranslator:
     """One steward's ids: hosts by address on the wire, by small index inside."""
 
     def __init__(self, env):
@@ -166,7 +166,7 @@
 
     def member(self, entry):
         address, zone, machine, cell, phase, weight, since = entry
-        return our.Member(
+        return interface.Endpoint(
             self.host(address),
             address,
             zone,
@@ -195,70 +195,90 @@
 
 
 FROM_WIRE = {
-    "TALLY": lambda door, r: our.HostSums(
-        door.host(r["host"]),
+    "TALLY": lambda translator, r: interface.EndpointStats(
+        translator.host(r["host"]),
         r["locality"],
         r["many"],
         r["failed"],
         seconds(r, "coversUs"),
         seconds(r, "timeTakenUs"),
-        door.report(r["feedback"]),
+        translator.report(r["feedback"]),
     ),
-    "INTAKE": lambda door, r: our.ReqSums(
+    "INTAKE": lambda translator, r: interface.RequestStats(
         r["px"], r["category"], r["many"], r["failed"], seconds(r, "coversUs")
     ),
-    "WAKE": lambda door, r: our.TimerFired(r["token"]),
-    "CHECK_RESULT": lambda door, r: our.ProbeResult(
-        door.host(r["host"]),
+    "WAKE": lambda translator, r: interface.TimerFired(r["token"]),
+    "CHECK_RESULT": lambda translator, r: interface.HealthCheckResult(
+        translator.host(r["host"]),
         OUTCOMES.get(r["how"], "errored"),
         seconds(r, "timeTakenUs"),
-        door.report(r["feedback"]),
+        translator.report(r["feedback"]),
     ),
-    "TOPOLOGY": lambda door, r: our.Roster(
-        SCOPES.get(r["mode"], "unavailable"), r["version"], tuple(map(door.member, r["members"]))
+    "TOPOLOGY": lambda translator, r: interface.EndpointUpdate(
+        SCOPES.get(r["mode"], "unavailable"),
+        r["version"],
+        tuple(map(translator.member, r["members"])),
     ),
-    "CHECKED_IN": lambda door, r: our.ProxyJoined(r["px"], r["locality"], r["size"], bool(r["on"])),
-    "LEFT": lambda door, r: our.ProxyLeft(r["px"]),
-    "CAUGHT_UP": lambda door, r: our.Applied(r["px"], r["version"], seconds(r, "timeTakenUs")),
-    "INBOX": lambda door, r: our.PeerNote(r["who"], r["bytes"]),
-    "GIVEN": lambda door, r: our.SliceGiven(r["routeTable"], bool(r["on"])),
-    "IN_STORE": lambda door, r: our.SliceLine(r["routeTable"], door.host(r["host"]), r["size"]),
-    "WEIGHT_SEEN": lambda door, r: our.SliceSums(
+    "CHECKED_IN": lambda translator, r: interface.ProxyConnected(
+        r["px"], r["locality"], r["size"], bool(r["on"])
+    ),
+    "LEFT": lambda translator, r: interface.ProxyDisconnected(r["px"]),
+    "CAUGHT_UP": lambda translator, r: interface.Acknowledged(
+        r["px"], r["version"], seconds(r, "timeTakenUs")
+    ),
+    "INBOX": lambda translator, r: interface.GossipReceived(r["who"], r["bytes"]),
+    "GIVEN": lambda translator, r: interface.KeyRangeAssigned(r["routeTable"], bool(r["on"])),
+    "IN_STORE": lambda translator, r: interface.KeyRangeEntry(
+        r["routeTable"], translator.host(r["host"]), r["size"]
+    ),
+    "WEIGHT_SEEN": lambda translator, r: interface.KeyRangeStats(
         r["routeTable"], r["category"], r["many"], r["failed"], seconds(r, "coversUs")
     ),
 }
 
 TO_WIRE = {
-    our.SetLine: lambda door, o: (
+    interface.SetEntry: lambda translator, o: (
         "UPSERT",
-        {"routeTable": o.table, "host": door.addresses[o.host], "size": o.weight},
+        {"routeTable": o.table, "host": translator.addresses[o.endpoint], "size": o.weight},
     ),
-    our.ClearTable: lambda door, o: ("BLANK", {"routeTable": o.table}),
-    our.BindTable: lambda door, o: (
+    interface.ClearTable: lambda translator, o: ("BLANK", {"routeTable": o.table}),
+    interface.AssignTable: lambda translator, o: (
         "ATTACH_TABLE",
-        {"lanes": mask(o.kinds), "px": o.proxy, "routeTable": o.table},
+        {"lanes": mask(o.request_classes), "px": o.proxy, "routeTable": o.table},
+    ),
+    interface.WithdrawEndpoint: lambda translator, o: (
+        "CORDON",
+        {"host": translator.addresses[o.endpoint], "on": int(o.withdrawn)},
     ),
-    our.Withdraw: lambda door, o: ("CORDON", {"host": door.addresses[o.host], "on": int(o.on)}),
-    our.Admit: lambda door, o: (
+    interface.SetAdmission: lambda translator, o: (
         "GATE_CLASS",
         {
-            "lanes": mask(o.kinds),
+            "lanes": mask(o.request_classes),
             "routeTable": EVERY_TABLE if o.table is None else o.table,
-            "amount": o.level,
-            "secondTry": RETRIES[o.retry],
+            "amount": o.fraction,
+            "secondTry": RETRIES[o.retry_policy],
         },
     ),
-    our.Mark: lambda door, o: ("NONCE", {"version": o.number % 65536, "on": int(o.everyone)}),
-    our.Probe: lambda door, o: ("TEST", {"host": door.addresses[o.host]}),
-    our.FetchRoster: lambda door, o: ("GET_LIST", {}),
-    our.WatchRoster: lambda door, o: ("OBSERVE", {"on": int(o.on)}),
-    our.SendPeer: lambda door, o: (
+    interface.RequestAcknowledgement: lambda translator, o: (
+        "NONCE",
+        {"version": o.nonce % 65536, "on": int(o.all_proxies)},
+    ),
+    interface.CheckHealth: lambda translator, o: (
+        "TEST",
+        {"host": translator.addresses[o.endpoint]},
+    ),
+    interface.FetchEndpoints: lambda translator, o: ("GET_LIST", {}),
+    interface.WatchEndpoints: lambda translator, o: ("OBSERVE", {"on": int(o.enabled)}),
+    interface.SendGossip: lambda translator, o: (
         "WRITE_PEER",
         {"whom": EVERY_PEER if o.peer is None else o.peer, "bytes": o.payload},
     ),
-    our.SetTimer: lambda door, o: (
+    interface.SetTimer: lambda translator, o: (
         "WAKE_ME",
         {"token": o.token, "offsetUs": max(1, min(LONGEST_TIMER, round(o.delay * MICRO)))},
     ),
-    our.LogLine: lambda door, o: ("JOURNAL_LINE", {"reasonText": o.text.encode("utf-8")[:2000]}),
+    interface.LogMessage: lambda translator, o: (
+        "JOURNAL_LINE",
+        {"reasonText": o.text.encode("utf-8")[:2000]},
+    ),
 }
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -10,8 +10,8 @@
 from click.testing import CliRunner
 
 from peatlead import cli
-from peatlead.day.play import free_port
-from peatlead.rules.record import read_folder
+from peatlead.invariants.record import read_folder
+from peatlead.scenario.runner import free_port
 
 from .places import SCRIPT, play, until
 
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -5,7 +5,7 @@
 import tempfile
 import unittest
 
-from peatlead.day.play import free_port
+from peatlead.scenario.runner import free_port
 from peatlead.standin.platform_fleet import Fleet, FleetPlan
 
 from .places import run, until
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -2,8 +2,8 @@
 import unittest
 from pathlib import Path
 
-from peatlead.rules.check import check
-from peatlead.rules.record import ROWS, Read, Recorder, Row, read_folder
+from peatlead.invariants.checker import check
+from peatlead.invariants.record import ROWS, Read, Recorder, Row, read_folder
 
 LIMITS = {
     "drain_grace": 3.0,
--- a/tests/test_steward.py
+++ b/tests/test_steward.py
@@ -5,11 +5,11 @@
 import dns.message
 import dns.rcode
 
+from peatlead.controller.control_socket import ask_once
 from peatlead.net.http import connect
 from peatlead.net.streams import Stream
-from peatlead.standin.desks import Client
+from peatlead.standin.dns_clients import Client
 from peatlead.standin.resolvers import Resolver
-from peatlead.steward.control import ask_once
 
 from .places import Quiet, play, until
 
