--- /dev/null
+++ b/peatlead/cli/__init__.py
@@ -0,0 +1,6 @@
+"""The command line, `peatlead`: one module for each group of commands."""
+
+from . import controller, fleet, lab, queries, scenarios, tables
+from .main import main
+
+__all__ = ["controller", "fleet", "lab", "main", "queries", "scenarios", "tables"]
--- /dev/null
+++ b/peatlead/cli/controller.py
@@ -0,0 +1,99 @@
+"""Commands `run` and `check`: start a controller, check its settings file."""
+
+import asyncio
+import logging
+import os
+import signal
+import sys
+import time
+from typing import Optional
+
+import click
+import structlog
+
+from ..settings.shapes import reference
+from .common import PLANNERS, Settings, controller_settings, settings_or_exit
+from .main import main
+
+EXIT_STOPPED = 0
+EXIT_CANNOT_START = 1
+EXIT_FAILED = 3  # a decide raised
+
+
+def configure_log(form: str) -> None:
+    """One event a line on standard error: JSON for machines, or text."""
+    renderer: structlog.typing.Processor = structlog.dev.ConsoleRenderer(colors=False)
+    if form == "json":
+        renderer = structlog.processors.JSONRenderer()
+    structlog.configure(
+        processors=[
+            structlog.processors.add_log_level,
+            structlog.processors.TimeStamper(fmt="iso"),
+            renderer,
+        ],
+        wrapper_class=structlog.make_filtering_bound_logger(logging.INFO),
+        logger_factory=structlog.PrintLoggerFactory(sys.stderr),
+    )
+
+
+@main.command()
+@click.argument("file", type=click.Path())
+@click.option("--name", help="which steward of FILE this is")
+@click.option(
+    "--state", type=click.Path(file_okay=False), help="folder for what outlives a restart"
+)
+@click.option(
+    "--planner",
+    type=click.Choice(PLANNERS),
+    default="shards",
+    help="plain: the baseline for comparison",
+)
+@click.option("--log", type=click.Choice(("json", "text")), default="json")
+def run(file: str, name: Optional[str], state: Optional[str], planner: str, log: str) -> None:
+    """Runs a steward until SIGTERM or SIGINT."""
+    settings = settings_or_exit(file)
+    controller = controller_settings(settings, name)
+    configure_log(log)
+    sys.exit(asyncio.run(serve(settings, controller["name"], state, planner)))
+
+
+async def serve(settings: Settings, name: str, state: Optional[str], planner: str) -> int:
+    """Run the controller until it ends; the process's exit code."""
+    from ..controller.controller import Controller
+    from ..planner.planner import Planner
+    from ..scenario.plain import PlainPlanner
+
+    logger = structlog.get_logger().bind(steward=name)
+    make_planner = {"shards": Planner, "plain": PlainPlanner}[planner]
+    controller = Controller(
+        settings, name, logger.info, make_planner, state, boot=os.urandom(8), wall=time.time
+    )
+    loop = asyncio.get_running_loop()
+    for number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(number, controller.stop)
+    try:
+        await controller.start()
+    except OSError as problem:
+        logger.error("cannot start", why=str(problem))
+        return EXIT_CANNOT_START
+    return EXIT_STOPPED if await controller.ended == "stopped" else EXIT_FAILED
+
+
+@main.command()
+@click.argument("file", type=click.Path(), required=False)
+@click.option(
+    "--reference", "show_reference", is_flag=True, help="print every setting and what it means"
+)
+def check(file: Optional[str], show_reference: bool) -> None:
+    """Checks a settings script; an error names file, line and what was expected."""
+    if show_reference:
+        click.echo(reference())
+        return
+    if file is None:
+        raise click.UsageError("expected FILE or --reference")
+    settings = settings_or_exit(file)
+    click.echo(
+        f"{file}: {len(settings['steward'])} stewards, {len(settings['view'])} views and "
+        f"{settings['dns']['open_views']} open ones, "
+        f"{len(settings['request_kind'])} request kinds: usable"
+    )
