--- a/peatlead/invariants/__init__.py
+++ b/peatlead/invariants/__init__.py
@@ -1,1 +1,1 @@
-"""The record of what crossed the sockets, and the checker of the five rules that reads nothing else."""
+"""Recordings of what crossed the sockets, and the check of the five rules on them."""
--- a/peatlead/invariants/record.py
+++ b/peatlead/invariants/record.py
@@ -1,56 +1,66 @@
-"""The record: what the stand-ins sent and got, one row an event, as msgpack in a zstandard stream.
+"""Recordings of what stand-ins sent and got: one row an event, msgpack in a zstandard stream.
 
-A file is a stream of rows `[kind, at, *fields]`; `ROWS` names the fields. Times are the machine's one
-monotonic clock, so rows of several processes can be laid side by side. A killed writer leaves a torn
-tail: the reader takes what is whole and counts the rest.
+A file is a stream of rows `[kind, at, *fields]`; `ROWS` names the fields. Times are the machine's
+one monotonic clock, so rows of several processes can be laid side by side. A killed writer leaves a
+torn tail: the reader takes what is whole and counts the rest. Kinds and fields are the stored form
+and keep their names: `steward` is a controller, `agent` a proxy, `host` an endpoint, `req` a
+request.
 """
 
 import struct
 from pathlib import Path
-from typing import NamedTuple
+from typing import Any, NamedTuple, Union
 
 import msgspec
 import zstandard
 
 ROWS = {
-    # What a resolver was told: `rcode` as a text; "none" where no steward answered in time.
+    # An answer to a resolver: `rcode` as a text; "none" where no controller answered in time.
     "answer": ("view", "resolver", "steward", "rcode", "addresses", "lifetime", "took"),
-    # A try as the desk made it: `sent` False where no byte of the req left.
+    # An attempt as the client made it: `sent` False where no byte of the request left.
     "try": ("req", "kind", "view", "resolver", "habit", "address", "number", "outcome", "sent"),
-    # A req at its end: `at` is the end, `due` when it should have begun; outcome of the last try.
+    # A request at its end: `at` is the end, `due` when it should have begun.
     "req": ("req", "kind", "view", "resolver", "habit", "outcome", "due", "tries", "gain"),
-    # At a host: a req that took effect; `repeat` is its kind's repeat class.
+    # At an endpoint: a request that took effect; `repeat` is its class's repeat semantics.
     "effect": ("host", "req", "kind", "repeat"),
-    # At a host: work offered to it while cold, as a part of what tips it.
+    # At an endpoint: work offered to it while cold, as a part of what overloads it.
     "cold": ("host", "part", "since"),
     "tipped": ("host", "since"),
-    # What the node list said from then on: {name: [address, phase, started]}.
+    # The endpoint list from then on: {name: [address, phase, started]}.
     "list": ("version", "hosts", "told"),
-    # From a steward's feed: one message that left its channel; `held`: lines that the view then holds, a service.
+    # From a controller's feed: one message that left its channel; `held`: entries that the view
+    # then holds, by service.
     "message": ("steward", "view", "lines", "waiting", "most", "held"),
-    # What the day did to whom.
+    # A fault that the scenario made, and to whom.
     "trouble": ("name", "whom", "until"),
     "steward": ("steward", "what"),
-    # At an agent: its stream to a controller began ("joined") or ended ("lost").
+    # At a proxy: its stream to a controller began ("joined") or ended ("lost").
     "stream": ("agent", "steward", "what"),
-    # At an agent: an order that came; `done`: "applied", "old" (not acted on) or "refused"; `least`: the fewest
-    # lines of any request kind that it then held.
+    # At a proxy: an assignment that came; `done`: "applied", "old" (not acted on) or "refused";
+    # `least`: the fewest entries of any request class that it then held.
     "order": ("agent", "steward", "epoch", "serial", "done", "least"),
-    # At an agent that checks deltas: what it then held, by digest; whether its memory still fits that; the addresses.
+    # At a proxy that checks deltas: the digest of what it then held, whether its memory still fits
+    # that, the addresses.
     "held": ("agent", "steward", "epoch", "serial", "digest", "sound", "addresses"),
-    # At a steward, by its control: what a proxy was last published, by digest; told at a day's end.
+    # At a controller, at the end: the digest of what a proxy was last published.
     "published": ("steward", "agent", "epoch", "serial", "digest", "age"),
     # An operator's pin: "pinned" or "resumed".
     "pin": ("steward", "pin", "what"),
 }
 
 
+LENGTH = struct.Struct(">I")  # before each row
+COMPRESSION = 3  # zstandard's level
+
+
 class Row(NamedTuple):
+    """One event; its fields are attributes too, but for those that the tuple's own names hide."""
+
     kind: str
-    at: float
-    fields: dict
+    at: float  # seconds on the machine's monotonic clock
+    fields: dict[str, Any]
 
-    def __getattr__(self, name):
+    def __getattr__(self, name: str) -> Any:
         try:
             return self.fields[name]
         except KeyError:
@@ -60,56 +70,71 @@
 class Recorder:
     """Writes rows; `flush` makes all so far readable."""
 
-    def __init__(self, path):
-        self.file = open(path, "wb")
-        self.zip = zstandard.ZstdCompressor(level=3).stream_writer(self.file)
-        self.encode, self.rows = msgspec.msgpack.Encoder().encode, 0
+    def __init__(self, path: Union[str, Path]) -> None:
+        self.file = open(path, "wb")  # noqa: SIM115 (closed by `close`)
+        self.compressor = zstandard.ZstdCompressor(level=COMPRESSION).stream_writer(self.file)
+        self.encode = msgspec.msgpack.Encoder().encode
+        self.rows = 0
 
-    def row(self, kind, at, *fields):
+    def row(self, kind: str, at: float, *fields: Any) -> None:
+        """Write a row. Raises ValueError where the number of fields is wrong."""
         if len(fields) != len(ROWS[kind]):
             raise ValueError(f"a row {kind} has {len(ROWS[kind])} fields, got {len(fields)}")
         data = self.encode((kind, at, *fields))
-        self.zip.write(struct.pack(">I", len(data)) + data)
+        self.compressor.write(LENGTH.pack(len(data)) + data)
         self.rows += 1
 
-    def flush(self):
-        self.zip.flush(zstandard.FLUSH_BLOCK)
+    def flush(self) -> None:
+        """Make all rows so far readable."""
+        self.compressor.flush(zstandard.FLUSH_BLOCK)
         self.file.flush()
 
-    def close(self):
-        self.zip.close()
+    def close(self) -> None:
+        """End the file."""
+        self.compressor.close()
         if not self.file.closed:
             self.file.close()
 
 
 class Read(NamedTuple):
-    rows: list
+    """Rows of one or more files."""
+
+    rows: list[Row]
     torn: int  # bytes at the end of files that held no whole row
 
 
-def read_file(path):
-    """(rows, bytes left over)."""
-    held, rows, at = bytearray(), [], 0
-    try:
-        with open(path, "rb") as file:
-            for part in zstandard.ZstdDecompressor().read_to_iter(file):
-                held += part
-    except zstandard.ZstdError:
-        pass  # killed while it wrote: what was whole stands
-    decode = msgspec.msgpack.decode
-    while len(held) - at >= 4:
-        size = int.from_bytes(held[at : at + 4], "big")
-        if len(held) - at - 4 < size:
+def read_file(path: Union[str, Path]) -> tuple[list[Row], int]:
+    """The whole rows of a file, and the bytes left over."""
+    data = decompress(path)
+    rows = []
+    position = 0
+    while len(data) - position >= LENGTH.size:
+        start = position + LENGTH.size
+        (size,) = LENGTH.unpack_from(data, position)
+        if len(data) - start < size:
             break
-        kind, when, *fields = decode(held[at + 4 : at + 4 + size])
-        rows.append(Row(kind, when, dict(zip(ROWS[kind], fields))))
-        at += 4 + size
-    return rows, len(held) - at
+        kind, at, *fields = msgspec.msgpack.decode(data[start : start + size])
+        rows.append(Row(kind, at, dict(zip(ROWS[kind], fields))))
+        position = start + size
+    return rows, len(data) - position
+
+
+def decompress(path: Union[str, Path]) -> bytearray:
+    """A file's content, as far as it is whole: its writer may have been killed."""
+    data = bytearray()
+    with open(path, "rb") as file:
+        try:
+            for part in zstandard.ZstdDecompressor().read_to_iter(file):
+                data += part
+        except zstandard.ZstdError:
+            pass
+    return data
 
 
-def read_folder(folder):
+def read_folder(folder: Union[str, Path]) -> Read:
     """All rows of a folder's *.rec files, by time."""
-    rows, torn = [], 0
+    rows: list[Row] = []
+    torn = 0
     for path in sorted(Path(folder).glob("*.rec")):
         found, left = read_file(path)
         rows += found
--- a/peatlead/invariants/report.py
+++ b/peatlead/invariants/report.py
@@ -1,83 +1,114 @@
 """A report as tables for people (rich) and as plain data."""
 
+from collections.abc import Iterable, Sequence
+from typing import Any, Optional
+
 from rich.console import Console
 from rich.table import Table
 
+from .findings import FailedEndpoint, Report, Takeover
+
+WIDTH = 118  # columns
 LOST = ("late", "errored", "denied", "shed", "timed out", "unreachable", "broken", "unresolved")
+QUANTILES = (0.5, 0.99, 1.0)
+
+
+def show(report: Report, title: str, console: Optional[Console] = None) -> None:
+    """Print a report's tables; those of takeovers and failed endpoints only where there are any."""
+    console = console or Console(width=WIDTH)
+    console.print(rules_table(report, title))
+    console.print(service_table(report))
+    console.print(late_sends_table(report))
+    if report.takeovers:
+        console.print(takeovers_table(report.takeovers))
+    if report.named:
+        console.print(failed_endpoints_table(report.named))
+
 
+def make_table(title: str, columns: Iterable[str], justify_right: bool) -> Table:
+    """An empty table."""
+    table = Table(title=title, title_justify="left")
+    for column in columns:
+        table.add_column(column, justify="right" if justify_right else "left")
+    return table
 
-def show(report, title, console=None):
-    console = console or Console(width=118)
-    table = Table(
-        title=f"{title}: the five rules, from {report.rows} rows of the sockets",
-        title_justify="left",
+
+def rules_table(report: Report, title: str) -> Table:
+    """Each rule with its nearest approach."""
+    table = make_table(
+        f"{title}: the five rules, from {report.rows} rows of the sockets",
+        ("rule", "nearest", "kept", "what was seen"),
+        justify_right=False,
     )
-    for name in ("rule", "nearest", "kept", "what was seen"):
-        table.add_column(name)
     for rule, nearest, breaches, said in report.findings:
-        table.add_row(rule, f"{nearest:.2f}", "yes" if not breaches else f"NO ({breaches})", said)
-    console.print(table)
-    table = Table(
-        title="service: gain earned within the response target over gain asked for",
-        title_justify="left",
+        kept = f"NO ({breaches})" if breaches else "yes"
+        table.add_row(rule, f"{nearest:.2f}", kept, said)
+    return table
+
+
+def service_table(report: Report) -> Table:
+    """Gain by request class, and what became of requests that were lost."""
+    table = make_table(
+        "service: gain earned within the response target over gain asked for",
+        ("request kind", "reqs", "service", *LOST),
+        justify_right=True,
     )
-    for name in ("request kind", "reqs", "service", *LOST):
-        table.add_column(name, justify="right")
-    for kind, found in report.service.items():
-        outcomes = found["outcomes"]
-        table.add_row(
-            kind,
-            str(found["reqs"]),
-            f"{found['part']:.4f}",
-            *(str(outcomes.get(name, 0)) for name in LOST),
-        )
-    console.print(table)
-    table = Table(
-        title="sends to hosts past their drain's grace, by kind of resolver", title_justify="left"
+    for request_class, found in report.service.items():
+        lost = [str(found["outcomes"].get(outcome, 0)) for outcome in LOST]
+        table.add_row(request_class, str(found["reqs"]), f"{found['part']:.4f}", *lost)
+    return table
+
+
+def late_sends_table(report: Report) -> Table:
+    """Sends past a drain's grace by kind of resolver."""
+    table = make_table(
+        "sends to hosts past their drain's grace, by kind of resolver",
+        ("resolver", "answers", "sends", "after the grace", "worst past it"),
+        justify_right=True,
     )
-    for name in ("resolver", "answers", "sends", "after the grace", "worst past it"):
-        table.add_column(name, justify="right")
-    for kind, found in sorted(report.late_sends.items()):
+    for resolver, found in sorted(report.late_sends.items()):
         table.add_row(
-            kind,
-            str(report.answers.get(kind, 0)),
+            resolver,
+            str(report.answers.get(resolver, 0)),
             str(found["sends"]),
             str(found["after grace"]),
             f"{max(0.0, found['worst']):.2f} s",
         )
-    console.print(table)
-    if report.takeovers:
-        table = Table(
-            title="agents of a struck controller: seconds until joined again", title_justify="left"
-        )
-        for name in ("what", "agents", "median", "99th", "worst"):
-            table.add_column(name, justify="right")
-        for what in sorted({one[0] for one in report.takeovers}):
-            spans = sorted(one[1] for one in report.takeovers if one[0] == what)
-            parts = [spans[int((len(spans) - 1) * part)] for part in (0.5, 0.99, 1.0)]
-            table.add_row(what, str(len(spans)), *(f"{one:.2f}" for one in parts))
-        console.print(table)
-    if report.named:
-        table = Table(title="hosts that failed without a word: seconds until", title_justify="left")
-        for name in (
-            "trouble",
-            "hosts",
-            "the last answer: middle, worst",
-            "the last send: middle, worst",
-        ):
-            table.add_column(name, justify="right")
-        for trouble in sorted({one[0] for one in report.named}):
-            mine = [one for one in report.named if one[0] == trouble]
-            ends = [sorted(one[at] for one in mine) for at in (2, 3)]
-            table.add_row(
-                trouble,
-                str(len(mine)),
-                *(f"{end[len(end) // 2]:.1f}, {end[-1]:.1f}" for end in ends),
-            )
-        console.print(table)
-
-
-def as_data(report):
+    return table
+
+
+def takeovers_table(takeovers: Sequence[Takeover]) -> Table:
+    """How long proxies were without a controller, by cause."""
+    table = make_table(
+        "agents of a struck controller: seconds until joined again",
+        ("what", "agents", "median", "99th", "worst"),
+        justify_right=True,
+    )
+    for cause in sorted({takeover.cause for takeover in takeovers}):
+        spans = sorted(takeover.duration for takeover in takeovers if takeover.cause == cause)
+        quantiles = [spans[int((len(spans) - 1) * part)] for part in QUANTILES]
+        table.add_row(cause, str(len(spans)), *(f"{span:.2f}" for span in quantiles))
+    return table
+
+
+def failed_endpoints_table(failed: Sequence[FailedEndpoint]) -> Table:
+    """How long failed endpoints were still named and used, by fault."""
+    table = make_table(
+        "hosts that failed without a word: seconds until",
+        ("trouble", "hosts", "the last answer: middle, worst", "the last send: middle, worst"),
+        justify_right=True,
+    )
+    for fault in sorted({endpoint.fault for endpoint in failed}):
+        mine = [endpoint for endpoint in failed if endpoint.fault == fault]
+        answers = sorted(endpoint.until_last_answer for endpoint in mine)
+        attempts = sorted(endpoint.until_last_attempt for endpoint in mine)
+        spans = [f"{ends[len(ends) // 2]:.1f}, {ends[-1]:.1f}" for ends in (answers, attempts)]
+        table.add_row(fault, str(len(mine)), *spans)
+    return table
+
+
+def as_data(report: Report) -> dict[str, Any]:
+    """A report as plain values, the form of `report.json`."""
     return {
         "kept": report.kept,
         "rows": report.rows,
@@ -88,7 +119,11 @@
         "named": report.named,
         "takeovers": report.takeovers,
         "rules": {
-            f.rule: {"nearest": f.nearest, "breaches": f.breaches, "said": f.said}
-            for f in report.findings
+            finding.rule: {
+                "nearest": finding.nearest,
+                "breaches": finding.breaches,
+                "said": finding.said,
+            }
+            for finding in report.findings
         },
     }
--- a/tests/test_rules.py
+++ b/tests/invariants/test_checker.py
@@ -1,3 +1,5 @@
+"""The checks of the five rules, on recordings with planted faults."""
+
 import tempfile
 import unittest
 from pathlib import Path
@@ -39,18 +41,18 @@
     return check(Read(sorted(rows, key=lambda one: one.at), 0), LIMITS, {"look": 2.0})
 
 
-class Planted(unittest.TestCase):
+class RuleTest(unittest.TestCase):
     """A checker that cannot find a breach proves nothing: each rule is broken here on purpose."""
 
     def broken(self, *rows):
         return [finding.rule[0] for finding in found(*rows).findings if finding.breaches]
 
-    def test_a_clean_record_keeps_all(self):
+    def test_clean_recording_breaks_no_rule(self):
         self.assertEqual(
             self.broken(answer(1, ["a1"]), message(1), listed(0, "ready"), sent(2, "a1")), []
         )
 
-    def test_1_a_view_without_a_line(self):
+    def test_availability_view_without_entry_is_found(self):
         self.assertEqual(self.broken(message(1, held=0), message(5.1, held=2)), ["1"])
         self.assertEqual(self.broken(message(1, held=0), message(4.9, held=2)), [])
         self.assertEqual(self.broken(message(1, held=0), answer(9, ["a1"], steward="s2")), ["1"])
@@ -61,26 +63,26 @@
             self.broken(answer(1, [], rcode="SERVFAIL"), answer(2, ["a1"]), answer(6, [])), []
         )
 
-    def test_1_a_killed_stewards_duty_ends(self):
+    def test_availability_killed_controller_owes_nothing(self):
         killed = row("steward", 2, "s1", "killed")
         self.assertEqual(
             self.broken(message(1, held=0), killed, answer(9, ["a1"], steward="s2")), []
         )
 
-    def test_2_an_effect_twice(self):
+    def test_effect_that_happens_twice_is_found(self):
         effects = [row("effect", at, "h1", "r1", "look", "uniqued") for at in (1, 2)]
         self.assertEqual(self.broken(*effects), ["2"])
         self.assertEqual(
             self.broken(*(row("effect", at, "h1", "r1", "look", "replayable") for at in (1, 2))), []
         )
 
-    def test_3_a_send_after_the_grace(self):
+    def test_drain_send_after_grace_is_found(self):
         drained = [listed(0, "ready"), listed(10, "draining")]
         self.assertEqual(self.broken(*drained, sent(12.9, "a1")), [])
         self.assertEqual(self.broken(*drained, sent(13.1, "a1")), ["3"])
         self.assertEqual(self.broken(*drained, listed(11, "ready"), sent(14, "a1")), [])
 
-    def test_3_resolvers_that_keep_answers_too_long_are_counted_apart(self):
+    def test_drain_stale_resolvers_are_counted_apart(self):
         report = found(
             listed(0, "ready"),
             listed(10, "gone"),
@@ -90,13 +92,13 @@
         self.assertTrue(report.kept)
         self.assertEqual(report.late_sends["tenfold"], {"sends": 2, "after grace": 1, "worst": 2.0})
 
-    def test_3_a_list_that_was_torn_before_anybody_read_it_binds_nobody(self):
+    def test_drain_list_replaced_before_it_was_read_binds_nobody(self):
         torn = listed(10.1, "draining", told=False)
         self.assertEqual(
             self.broken(listed(0, "ready"), listed(10, "draining"), torn, sent(14, "a1")), []
         )
 
-    def test_3_a_wrong_list_that_names_it_ready_again_is_news_too_but_an_old_one_is_not(self):
+    def test_drain_wrong_list_restores_an_endpoint_but_an_older_list_does_not(self):
         wrong = row("list", 11, 1, {"h1": ["a1", "ready", 1.0]}, False)
         self.assertEqual(
             self.broken(listed(0, "ready"), listed(10, "draining"), wrong, sent(14, "a1")), []
@@ -106,19 +108,19 @@
             self.broken(listed(0, "ready"), listed(10, "draining"), old, sent(14, "a1")), ["3"]
         )
 
-    def test_3_a_list_that_is_wrong_binds_nobody(self):
+    def test_drain_wrong_list_binds_nobody(self):
         self.assertEqual(
             self.broken(listed(0, "ready"), listed(1, "gone", told=False), sent(9, "a1")), []
         )
 
-    def test_4_a_cold_host_pushed_over(self):
+    def test_slow_start_overloaded_endpoint_is_found(self):
         told = listed(0, "ready")
         self.assertEqual(
             self.broken(told, row("cold", 4, "h1", 1.2, 0.9), row("tipped", 4, "h1", 0.9)), ["4"]
         )
         self.assertEqual(found(told, row("cold", 4, "h1", 0.4, 0.9)).findings[3].nearest, 0.4)
 
-    def test_4_one_pushed_over_before_its_start_could_be_known_is_counted_apart(self):
+    def test_slow_start_overload_before_the_start_was_listed_is_counted_apart(self):
         again = listed(0, "ready"), listed(10, "ready", started=9.0)
         self.assertEqual(self.broken(*again, row("tipped", 13.5, "h1", 9.0)), ["4"])
         self.assertEqual(
@@ -131,12 +133,12 @@
             self.broken(again[0], row("tipped", 20, "h1", 15.0)), []
         )  # a start that no list told
 
-    def test_5_the_queue_and_the_messages(self):
+    def test_channel_queue_and_message_limits(self):
         self.assertEqual(self.broken(message(1, waiting=1001.0)), ["5"])
         self.assertEqual(self.broken(*(message(at) for at in range(6))), ["5"])
         self.assertEqual(self.broken(*(message(at * 4) for at in range(6))), [])
 
-    def test_service_counts_gain_by_request_kind(self):
+    def test_service_counts_gain_by_request_class(self):
         reqs = [
             row("req", 1, f"r{at}", "look", "desk0", "keeps", "first", outcome, 0.5, 1, gain)
             for at, (outcome, gain) in enumerate((("done", 2.0), ("late", 0.2), ("timed out", 0.0)))
@@ -144,8 +146,8 @@
         self.assertAlmostEqual(found(*reqs).service["look"]["part"], 2.2 / 6)
 
 
-class Records(unittest.TestCase):
-    def test_a_torn_tail_costs_only_itself(self):
+class RecordingTest(unittest.TestCase):
+    def test_torn_tail_costs_only_itself(self):
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "a.rec"
             recorder = Recorder(path)
@@ -159,7 +161,7 @@
             path.write_bytes(path.read_bytes()[: len(whole) + 3])
             self.assertEqual(len(read_folder(folder).rows), 50)
 
-    def test_a_row_of_the_wrong_shape_is_refused(self):
+    def test_row_of_the_wrong_shape_is_refused(self):
         with tempfile.TemporaryDirectory() as folder, self.assertRaises(ValueError):
             recorder = Recorder(Path(folder) / "a.rec")
             try:
@@ -168,8 +170,8 @@
                 recorder.close()
 
 
-class Tables(unittest.TestCase):
-    """What agents hold against what stewards published."""
+class PublishedTablesTest(unittest.TestCase):
+    """What proxies hold against what controllers published."""
 
     def broken(self, *rows):
         return [finding.rule[0] for finding in found(*rows).findings if finding.breaches]
@@ -185,7 +187,7 @@
     def order(self, at):
         return row("order", at, "agent0", "s1", 1, 1, "applied", 1)
 
-    def test_an_agent_that_ends_on_something_else_is_found(self):
+    def test_proxy_that_ends_on_another_table_is_found(self):
         start = [
             self.joined(0),
             self.order(0),
@@ -204,7 +206,7 @@
             self.broken(self.joined(0), self.order(0), self.held(1, sound=False)), ["7"]
         )
 
-    def test_a_host_that_is_given_past_the_grace_is_found_unless_nobody_could_know(self):
+    def test_endpoint_revived_past_the_grace_is_found_unless_nobody_could_know(self):
         drained = [self.joined(0), self.order(0), listed(0, "ready"), listed(10, "draining")]
         self.assertEqual(self.broken(*drained, self.held(12)), [])
         self.assertEqual(self.broken(*drained, self.held(14)), ["7"])
