--- a/peatlead/platform/configuration.py
+++ b/peatlead/platform/configuration.py
@@ -8,7 +8,12 @@
 from ..net.errors import may_pass
 from ..sources.endpoint_list import EndpointList
 from ..wire.names import settings_from
-from .messages import MalformedMessageError, read_document, read_list, read_place
+from .messages import (
+    MalformedMessageError,
+    read_address,
+    read_configuration_document,
+    read_endpoint_list,
+)
 
 NEEDED = (
     "proxies",
@@ -75,13 +80,15 @@
     except OSError as problem:
         raise ConfigurationError(f"{path}: {problem.strerror}", may_pass(problem)) from None
     try:
-        said = read_document(data)
+        said = read_configuration_document(data)
         known = (
-            read_list(said.known, wall)._replace(scope="remembered") if bytes(said.known) else None
+            read_endpoint_list(said.remembered_list, wall)._replace(scope="remembered")
+            if bytes(said.remembered_list)
+            else None
         )
         listen, discovery, seed = (
-            read_place(said.listen),
-            read_place(said.discovery),
+            read_address(said.listen),
+            read_address(said.discovery),
             int(said.seed, 16),
         )
     except (MalformedMessageError, ValueError) as problem:
--- a/peatlead/platform/controller.py
+++ b/peatlead/platform/controller.py
@@ -24,9 +24,9 @@
     Acknowledgement,
     EndpointOutcomes,
     RequestDemand,
-    Table,
-    read_report,
-    write_message,
+    TableUpdate,
+    read_load_report,
+    write_push,
 )
 from .sessions import SessionListener
 from .telemetry import Telemetry
@@ -319,8 +319,8 @@
             return None
         session.zone, session.rate, session.standing_only = (
             self.registry.zones[here.zone],
-            here.rate,
-            here.standing_only,
+            here.request_rate,
+            here.bootstrap_only,
         )
         return here.proxy
 
@@ -363,26 +363,34 @@
             self.hear(event)
 
     def host_sums(self, _, met):
-        host, zone = self.registry.index.get(met.host), self.registry.zones.get(met.zone)
+        host, zone = self.registry.index.get(met.endpoint), self.registry.zones.get(met.zone)
         if host is not None and zone is not None:
             return interface.EndpointStats(
-                host, zone, int(met.tries), int(met.bad), met.span, met.mean_time, met.report
+                host,
+                zone,
+                int(met.attempts),
+                int(met.errors),
+                met.window,
+                met.mean_latency,
+                met.load_report,
             )
 
     def req_sums(self, session, met):
         """Any collector may tell of any proxy, a proxy of itself."""
-        kind = self.kind_at.get(met.kind)
+        kind = self.kind_at.get(met.request_class)
         if (
             kind is not None
             and met.proxy < self.facts["proxies"]
             and session.proxy in (None, met.proxy)
         ):
-            return interface.RequestStats(met.proxy, kind, int(met.tries), int(met.bad), met.span)
+            return interface.RequestStats(
+                met.proxy, kind, int(met.requests), int(met.unanswered), met.window
+            )
 
     def applied(self, session, met):
         if met.proxy == session.proxy:
-            self.telemetry.applied(met.took)
-            return interface.Acknowledged(met.proxy, met.mark, met.took)
+            self.telemetry.applied(met.duration)
+            return interface.Acknowledged(met.proxy, met.nonce, met.duration)
 
     # Orders.
 
@@ -394,7 +402,7 @@
             try:
                 shut, opened = self.turned(session, ops)
                 mark = marks[proxy][-1] if proxy in marks else None
-                data = write_message(self.tables(proxy, ops), shut, opened, mark)
+                data = write_push(self.tables(proxy, ops), shut, opened, mark)
             except (
                 Exception
             ) as problem:  # it would miss what the planner takes it to hold: it comes anew for all
@@ -424,7 +432,7 @@
         return shut, opened
 
     def tables(self, proxy, ops):
-        """[Table] of a message's lines and levels. Lines of tables that it is bound to now are whole; the levels that
+        """[TableUpdate] of a message's lines and levels. Lines of tables that it is bound to now are whole; the levels that
         a whole table makes it forget go with it."""
         bound, levels = (
             self.publisher.bound.get(proxy, {}),
@@ -445,10 +453,10 @@
         for kind, level in sorted(levels.items()):
             alike.setdefault(level, []).append(kind)
         return [
-            Table(self.names_of(users[table]), table in whole, found, None)
+            TableUpdate(self.names_of(users[table]), table in whole, found, None)
             for table, found in lines.items()
             if table in users
-        ] + [Table(self.names_of(kinds), False, [], level) for level, kinds in alike.items()]
+        ] + [TableUpdate(self.names_of(kinds), False, [], level) for level, kinds in alike.items()]
 
     def names_of(self, kinds):
         """None, for all of them, is shorter."""
@@ -464,7 +472,7 @@
 
 def read_answer(answer):
     """(outcome, load report or None, None) of an answer to a probe."""
-    return OUTCOMES.get(answer.status, "errored"), read_report(answer.body), None
+    return OUTCOMES.get(answer.status, "errored"), read_load_report(answer.body), None
 
 
 def reader(environ, wall):
--- a/peatlead/platform/endpoint_watch.py
+++ b/peatlead/platform/endpoint_watch.py
@@ -7,7 +7,7 @@
 import asyncio
 
 from ..net.http import RequestFailedError, connect
-from .messages import MalformedMessageError, read_list
+from .messages import MalformedMessageError, read_endpoint_list
 
 WAIT, SLACK, CONNECT = 2.0, 0.75, 0.5  # seconds: of a call; until its answer is overdue; to connect
 AGAIN, AGAIN_MOST = (
@@ -144,4 +144,4 @@
         )
         if answer.status != 200:
             raise MalformedMessageError(f"expected 200, got {answer.status}")
-        return read_list(answer.body, self.watch.wall())
+        return read_endpoint_list(answer.body, self.watch.wall())
--- a/peatlead/platform/sessions.py
+++ b/peatlead/platform/sessions.py
@@ -18,13 +18,13 @@
 from ..net.streams import Lines
 from .messages import (
     ALIVE,
-    LINE_MOST,
+    LINE_LIMIT,
     CollectorHello,
     InvalidFieldError,
     LivenessCheck,
     MalformedMessageError,
     ProxyHello,
-    read_line,
+    read_message,
     write_error,
 )
 
@@ -33,7 +33,7 @@
 QUIET_MOST = (
     15.0  # seconds of silence after which a zone's collector makes room for another of that zone
 )
-FIRST_MOST = 4096  # bytes of a line before joining: ours are some hundred; after it a message may be LINE_MOST
+FIRST_MOST = 4096  # bytes of a line before joining: ours are some hundred; after it a message may be LINE_LIMIT
 UNREAD_MOST = 128 << 10  # bytes that a party may leave unread
 AT_ONCE, BACKLOG = 8, 1024  # connections taken in one turn of the loop; that may wait meanwhile
 SPARE = 14  # descriptors for the listener, the loop, discovery and files
@@ -61,7 +61,7 @@
         if self.over or not data.strip():
             return
         try:
-            message = read_line(data)
+            message = read_message(data)
         except InvalidFieldError as problem:
             self.front.count("spoilt")
             if not self.joined:
@@ -103,7 +103,7 @@
             return  # it is said twice
         else:
             self.proxy = number
-        self.joined, self.longest = True, LINE_MOST
+        self.joined, self.longest = True, LINE_LIMIT
         self.deadline.cancel()
         self.front.unjoined.pop(self, None)
         if self.proxy is not None:
--- a/tests/platforms.py
+++ b/tests/platforms.py
@@ -7,7 +7,7 @@
 from peatlead.net.streams import Lines
 from peatlead.platform.configuration import Configuration
 from peatlead.platform.controller import PlatformController
-from peatlead.platform.messages import read_list
+from peatlead.platform.messages import read_endpoint_list
 from peatlead.scenario.runner import free_port
 
 from .helpers import FACTS
@@ -94,7 +94,7 @@
 def listing(version, *instances, whole=False):
     """As the steward reads what discovery writes."""
     body = {"generation": version, "reset": whole, "instances": instances}
-    return read_list(json.dumps(body).encode(), 2e9)
+    return read_endpoint_list(json.dumps(body).encode(), 2e9)
 
 
 class Place:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -215,7 +215,7 @@
             for byte in b"}\n":
                 agent.send(bytes((byte,)))
             await until(lambda: any(type(event) is interface.EndpointStats for event in heard))
-            agent.send(b" " * (messages.LINE_MOST + 2))
+            agent.send(b" " * (messages.LINE_LIMIT + 2))
             await until(lambda: agent.over)
 
         play(case)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -16,10 +16,10 @@
 from peatlead.platform.messages import (
     InvalidFieldError,
     MalformedMessageError,
-    Table,
-    read_line,
-    read_list,
-    write_message,
+    TableUpdate,
+    read_endpoint_list,
+    read_message,
+    write_push,
 )
 from peatlead.standin.platform_proxies import ProxyState
 
@@ -42,15 +42,15 @@
 class Codec(unittest.TestCase):
     def test_load_reports_come_under_the_settings_names(self):
         # They were looked for under the pages' own names: every host's load was believed to be 0.
-        said = read_line(json.dumps(OUTCOMES).encode())
+        said = read_message(json.dumps(OUTCOMES).encode())
         self.assertEqual(
-            messages.our_report(said.metrics), {"util": 0.5, "holding": 3.0, "service_ms": 31.0}
+            messages.to_load_report(said.metrics), {"util": 0.5, "holding": 3.0, "service_ms": 31.0}
         )
         self.assertEqual(
-            messages.read_report(b'{"inflight":7,"queue":2,"util":0.61}'),
+            messages.read_load_report(b'{"inflight":7,"queue":2,"util":0.61}'),
             {"holding": 7.0, "waiting": 2.0, "util": 0.61},
         )
-        self.assertIsNone(messages.read_report(b""))
+        self.assertIsNone(messages.read_load_report(b""))
 
     def test_a_spoilt_message_is_told_from_the_end_of_all_sense(self):
         for change in (
@@ -67,10 +67,10 @@
             {"msg": None},
         ):
             with self.assertRaises(InvalidFieldError, msg=change):
-                read_line(json.dumps({**OUTCOMES, **change}).encode())
+                read_message(json.dumps({**OUTCOMES, **change}).encode())
         for field in ("msg", "locality", "endpoint", "total", "interval"):
             with self.assertRaises(InvalidFieldError, msg=field):
-                read_line(json.dumps({k: v for k, v in OUTCOMES.items() if k != field}).encode())
+                read_message(json.dumps({k: v for k, v in OUTCOMES.items() if k != field}).encode())
         for data in (
             b"GET / HTTP/1.1",
             b"\xff\xfe",
@@ -80,7 +80,7 @@
             b"[" * 100_000,
         ):
             with self.assertRaises(MalformedMessageError, msg=data[:20]):
-                read_line(data)
+                read_message(data)
 
     @given(
         some.binary(max_size=60)
@@ -92,14 +92,17 @@
     )
     def test_whatever_comes_is_a_message_or_one_of_two_errors(self, data):
         try:
-            read_line(data)
+            read_message(data)
         except (InvalidFieldError, MalformedMessageError):
             pass
 
     def test_a_long_table_goes_in_parts_that_all_but_the_last_announce(self):
         lines = [(f"s-{at}", 1.0) for at in range(25_000)]
-        tables = [Table(None, True, lines, None), Table(("look",), False, [], (0.5, "once"))]
-        parts = [json.loads(one) for one in write_message(tables, ["s-1"], [], 9).splitlines()]
+        tables = [
+            TableUpdate(None, True, lines, None),
+            TableUpdate(("look",), False, [], (0.5, "once")),
+        ]
+        parts = [json.loads(one) for one in write_push(tables, ["s-1"], [], 9).splitlines()]
         self.assertEqual(
             [len(part.get("endpoints", ())) for part in parts], [10_000, 10_000, 5_000, 0]
         )
@@ -131,7 +134,7 @@
                 ],
             }
         )
-        listing = read_list(body.encode(), 9.0)
+        listing = read_endpoint_list(body.encode(), 9.0)
         self.assertEqual(
             [(e.name, e.address, e.port, e.started) for e in listing.hosts],
             [("s-0", "127.3.1.1", 9, 5.0)],
@@ -139,7 +142,7 @@
         self.assertEqual(len(listing.bad), 2)
         for bad in (b"", b"{}", b"[]", b'{"generation":1}', b'{"generation":"x","instances":[]}'):
             with self.assertRaises(MalformedMessageError):
-                read_list(bad, 9.0)
+                read_endpoint_list(bad, 9.0)
 
 
 class Streams(unittest.TestCase):
--- a/tests/transcripts/test_platform_transcripts.py
+++ b/tests/transcripts/test_platform_transcripts.py
@@ -22,11 +22,11 @@
 from peatlead.platform.messages import (
     InvalidFieldError,
     MalformedMessageError,
-    Table,
-    read_line,
-    read_list,
-    read_report,
-    write_message,
+    TableUpdate,
+    read_endpoint_list,
+    read_load_report,
+    read_message,
+    write_push,
 )
 from peatlead.wire import names
 
@@ -52,20 +52,27 @@
     "bad_rate": "fail_rate",
 }
 LINES = {
-    messages.ProxyHello: ("hello", "proxy", "zone", "rate", "standing_only"),
+    messages.ProxyHello: ("hello", "proxy", "zone", "request_rate", "bootstrap_only"),
     messages.CollectorHello: ("agent", "zone"),
     messages.EndpointOutcomes: (
         "outcomes",
         "zone",
-        "host",
-        "tries",
-        "bad",
-        "span",
-        "mean_time",
-        "report",
+        "endpoint",
+        "attempts",
+        "errors",
+        "window",
+        "mean_latency",
+        "load_report",
     ),
-    messages.RequestDemand: ("demand", "proxy", "kind", "tries", "bad", "span"),
-    messages.Acknowledgement: ("ack", "proxy", "mark", "took"),
+    messages.RequestDemand: (
+        "demand",
+        "proxy",
+        "request_class",
+        "requests",
+        "unanswered",
+        "window",
+    ),
+    messages.Acknowledgement: ("ack", "proxy", "nonce", "duration"),
     messages.LivenessCheck: ("probe",),
 }
 LISTING = ("scope", "version", "written", "unread")
@@ -82,7 +89,7 @@
 
 def plain_line(data):
     try:
-        found = read_line(data)
+        found = read_message(data)
     except (InvalidFieldError, MalformedMessageError) as problem:
         return ["spoilt" if isinstance(problem, InvalidFieldError) else "unreadable", str(problem)]
     tag, *wanted = LINES[type(found)]
@@ -99,13 +106,13 @@
 
 def plain_list(data):
     try:
-        return plain_listing(read_list(data, 1800000000.5))
+        return plain_listing(read_endpoint_list(data, 1800000000.5))
     except MalformedMessageError:
         return "unreadable"
 
 
 def plain_report(data):
-    return pairs(read_report(data))
+    return pairs(read_load_report(data))
 
 
 def plain_configuration(path):
@@ -137,20 +144,22 @@
     tables, *rest = given
     tables = [[None, False, 1, None]] * tables if isinstance(tables, int) else tables
     tables = [
-        Table(
+        TableUpdate(
             kinds and tuple(kinds),
             whole,
             [tuple(line) for line in lines_of(lines)],
             level
             and (
                 level[0],
-                next(ours for ours, wire in messages.RETRIES.items() if wire == level[1]),
+                next(
+                    ours for ours, wire in messages.RETRY_POLICY_CODES.items() if wire == level[1]
+                ),
             ),
         )
         for kinds, whole, lines, level in tables
     ]
     try:
-        return text_or_digest(write_message(tables, *rest))
+        return text_or_digest(write_push(tables, *rest))
     except ValueError:
         return "refused"
 
