--- a/peatlead/platform/__init__.py
+++ b/peatlead/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's protocol: one more way in and out of the same steward (docs/operators/platform.md)."""
+"""The controller on the platform's protocol (docs/operators/platform.md)."""
--- a/peatlead/platform/__main__.py
+++ b/peatlead/platform/__main__.py
@@ -40,7 +40,7 @@
         try:
             return read()
         except ConfigurationError as problem:
-            if not problem.passing or loop.time() > deadline:
+            if not problem.transient or loop.time() > deadline:
                 raise
             log("configuration put off", why=str(problem))
         await asyncio.sleep(START_AGAIN_MOST)
--- a/peatlead/platform/configuration.py
+++ b/peatlead/platform/configuration.py
@@ -1,148 +1,108 @@
-"""What a steward is told at its start, and again at SIGHUP: the file that NODE_CONFIG names.
+"""The configuration of a controller on the platform: the file that NODE_CONFIG names.
 
-Every field is checked before anything is opened; `BadConfiguration` says which one and what was expected.
+It is read at the start and again at SIGHUP. Every field is checked before anything is opened;
+`ConfigurationError` says which one is wrong and what was expected.
 """
 
+from collections.abc import Mapping
 from typing import NamedTuple, Optional
 
+from ..interface import ListScope
 from ..net.errors import may_pass
 from ..sources.endpoint_list import EndpointList
 from ..wire.names import settings_from
 from .messages import (
-    MalformedMessageError,
+    Address,
+    ConfigurationDocument,
     read_address,
     read_configuration_document,
     read_endpoint_list,
 )
+from .settings_validation import DEFAULT_SETTINGS, settings_errors
+from .shared_types import Settings
 
-NEEDED = (
-    "proxies",
-    "zones",
-    "zone",
-    "channel_rate",
-    "message_head",
-    "queue_most",
-    "bare_most",
-    "drain_grace",
-    "warm_after",
-    "push_delay_most",
-)  # that the planner can't do without
-
-
-# Where a deployment has no such rule its settings may leave these out: then it binds nothing.
-UNBOUND = {
-    "messages_most": 0,
-    "messages_span": 0.0,
-    "cold_share": 1.0,
-    "tip_multiple": 1e9,
-    "sums_every": 1.0,
-}
-NUMBERS = (
-    *NEEDED,
-    *UNBOUND,
-    "stewards",
-    "connect_timeout",
-    "price_of_crossing",
-    "value_of_worst_kind",
-    "fails_to_shun",
-)  # those that are told must be numbers
+PATH_VARIABLE = "NODE_CONFIG"
 
 
 class ConfigurationError(Exception):
-    """Nothing to start by. `passing`: it may be read a moment later."""
+    """There is no valid configuration; `transient`: the file may be readable a moment later."""
 
-    def __init__(self, why, passing=False):
-        super().__init__(why)
-        self.passing = passing
+    def __init__(self, reason: str, transient: bool = False) -> None:
+        super().__init__(reason)
+        self.transient = transient
 
 
 class Configuration(NamedTuple):
-    """`listen`, `discovery`: (address, port); `facts`: the planner's settings; `known`: the list as this steward last
-    had it, or None; `sockets`: file descriptors that the process may hold."""
+    """A valid configuration.
+
+    `sockets`: file descriptors that the process may hold; `settings`: the planner's;
+    `remembered_list`: the endpoint list as this controller last had it.
+    """
 
     name: str
-    listen: tuple
-    discovery: tuple
+    listen: Address
+    discovery: Address
     seed: int
     sockets: int
-    facts: dict
-    known: Optional[EndpointList]
+    settings: Settings
+    remembered_list: Optional[EndpointList]
 
 
-def read_configuration(environ, wall):
-    """`wall`: Unix seconds at which it is read."""
-    path = environ.get("NODE_CONFIG")
+def read_configuration(environ: Mapping[str, str], unix_time: float) -> Configuration:
+    """Read and check the file. Raises ConfigurationError."""
+    path = environ.get(PATH_VARIABLE)
     if not path:
-        raise ConfigurationError("NODE_CONFIG: expected the path of a configuration, it is not set")
+        raise ConfigurationError(
+            f"{PATH_VARIABLE}: expected the path of a configuration, it is not set"
+        )
+    data = read_file(path)
+    try:
+        document = read_configuration_document(data)
+        remembered_list = remembered_list_of(document, unix_time)
+        listen = read_address(document.listen)
+        discovery = read_address(document.discovery)
+        seed = int(document.seed, 16)
+    except ValueError as problem:  # malformed messages among them
+        raise ConfigurationError(f"{path}: {problem}") from None
+    return Configuration(
+        name=document.name,
+        listen=listen,
+        discovery=discovery,
+        seed=seed,
+        sockets=document.limits.sockets,
+        settings=settings_of(document, path),
+        remembered_list=remembered_list,
+    )
+
+
+def read_file(path: str) -> bytes:
+    """Return the file's bytes. Raises ConfigurationError."""
     try:
         with open(path, "rb") as file:
-            data = file.read()
+            return file.read()
     except OSError as problem:
         raise ConfigurationError(f"{path}: {problem.strerror}", may_pass(problem)) from None
+
+
+def remembered_list_of(document: ConfigurationDocument, unix_time: float) -> Optional[EndpointList]:
+    """Return the stored endpoint list, if there is one. Raises MalformedMessageError."""
+    if not bytes(document.remembered_list):
+        return None
+    endpoint_list = read_endpoint_list(bytes(document.remembered_list), unix_time)
+    return endpoint_list._replace(scope=ListScope.REMEMBERED)
+
+
+def settings_of(document: ConfigurationDocument, path: str) -> Settings:
+    """Return the planner's settings, with defaults. Raises ConfigurationError."""
     try:
-        said = read_configuration_document(data)
-        known = (
-            read_endpoint_list(said.remembered_list, wall)._replace(scope="remembered")
-            if bytes(said.remembered_list)
-            else None
-        )
-        listen, discovery, seed = (
-            read_address(said.listen),
-            read_address(said.discovery),
-            int(said.seed, 16),
-        )
-    except (MalformedMessageError, ValueError) as problem:
-        raise ConfigurationError(f"{path}: {problem}") from None
-    try:
-        facts = {
-            **UNBOUND,
-            **{k: v for k, v in settings_from(said.settings).items() if v is not None},
+        given = settings_from(document.settings)
+        settings: Settings = {
+            **DEFAULT_SETTINGS,
+            **{name: value for name, value in given.items() if value is not None},
         }
     except (AttributeError, KeyError, TypeError, ValueError) as problem:
         raise ConfigurationError(f"{path}: settings: {problem!r}") from None
-    wrong = faults(facts)
-    if wrong:
-        raise ConfigurationError(f"{path}: settings: {wrong[0]}")
-    return Configuration(said.name, listen, discovery, seed, said.limits.sockets, facts, known)
-
-
-def faults(facts):
-    """What is wrong with the settings, a sentence each: the planner takes them to be right."""
-    found = [f"{name}: expected it, not there" for name in NEEDED if name not in facts]
-    found += [
-        f"{name}: expected a number from 0 up, got {facts[name]!r}"
-        for name in NUMBERS
-        if name in facts and name != "zones" and not is_number(facts[name])
-    ]
-    zones, kinds = facts.get("zones"), facts["req_kinds"]
-    if not (isinstance(zones, list) and zones and all(isinstance(zone, str) for zone in zones)):
-        found.append(f"zones: expected names, got {zones!r}")
-    elif not found and not (isinstance(facts["zone"], int) and facts["zone"] < len(zones)):
-        found.append(f"zone: expected one of {len(zones)}, got {facts['zone']!r}")
-    found += [
-        f"{name}: expected more than 0, got {facts[name]!r}"
-        for name in ("channel_rate", "proxies")
-        if not found and not facts[name] > 0
-    ]
-    if not kinds:
-        found.append("req_kinds: expected at least one, got none")
-    names = [kind.get("name") for kind in kinds]
-    found += [
-        f"request kind {at}: expected a name of its own, got {name!r}"
-        for at, name in enumerate(names)
-        if not isinstance(name, str) or not name or names.index(name) < at
-    ]
-    found += [
-        f"request kind {kind.get('name')!r}: {name}: expected {what}, got {kind.get(name)!r}"
-        for kind in kinds
-        for name, what, least in (
-            ("response_target", "seconds", 0.0),
-            ("gain", "a number from 0 up", -1.0),
-        )
-        if not is_number(kind.get(name)) or kind[name] <= least
-    ]
-    return found
-
-
-def is_number(value):
-    return isinstance(value, (int, float)) and 0 <= value < float("inf")
+    errors = settings_errors(settings)
+    if errors:
+        raise ConfigurationError(f"{path}: settings: {errors[0]}")
+    return settings
--- a/peatlead/platform/controller.py
+++ b/peatlead/platform/controller.py
@@ -18,7 +18,7 @@
 from ..planner.planner import Planner
 from ..sources.endpoint_list import EndpointList
 from .clock import WallClock
-from .configuration import NEEDED, ConfigurationError, read_configuration
+from .configuration import ConfigurationError, read_configuration
 from .endpoint_watch import EndpointWatch
 from .messages import (
     Acknowledgement,
@@ -29,6 +29,7 @@
     write_push,
 )
 from .sessions import SessionListener
+from .settings_validation import REQUIRED_SETTINGS
 from .telemetry import Telemetry
 
 PROBES_AT_ONCE, PROBES_WAITING, PROBE_PATH = 24, 1000, "/status/load"
@@ -55,8 +56,8 @@
     hosts' ages go by: all times are the loop's. `await start()` opens sockets (OSError)."""
 
     def __init__(self, told, reread, log, wall, planner=Planner):
-        super().__init__(planner(told.facts, told.seed), log)
-        self.told, self.reread, self.facts, self.make_planner = told, reread, told.facts, planner
+        super().__init__(planner(told.settings, told.seed), log)
+        self.told, self.reread, self.facts, self.make_planner = told, reread, told.settings, planner
         self.stopping, self.failures = False, []
         self.clock = WallClock(wall, self.loop.time, log)
         self.reload_again, self.reload_wait = None, RELOAD_AGAIN
@@ -99,9 +100,9 @@
         if self.stopping:
             self.front.close()
             return
-        if self.told.known is not None:
-            self.on_listing(self.told.known)
-            if any(entry.phase == "ready" for entry in self.told.known.hosts):
+        if self.told.remembered_list is not None:
+            self.on_listing(self.told.remembered_list)
+            if any(entry.phase == "ready" for entry in self.told.remembered_list.hosts):
                 self.get_ready()
         self.watch.start()
         self.loop.call_later(FIRST_LIST, self.get_ready)
@@ -112,7 +113,11 @@
             listen=f"{self.told.listen[0]}:{self.told.listen[1]}",
             proxies=self.facts["proxies"],
             kinds=self.kinds,
-            limits={name: self.facts[name] for name in NEEDED if name not in ("zones", "proxies")},
+            limits={
+                name: self.facts[name]
+                for name in REQUIRED_SETTINGS
+                if name not in ("zones", "proxies")
+            },
         )
 
     async def open_front(self):
@@ -217,8 +222,8 @@
         ]
         others += sorted(
             name
-            for name in {**told.facts, **self.facts}
-            if told.facts.get(name) != self.facts.get(name)
+            for name in {**told.settings, **self.facts}
+            if told.settings.get(name) != self.facts.get(name)
         )
         if others:
             self.log(
@@ -389,7 +394,7 @@
 
     def applied(self, session, met):
         if met.proxy == session.proxy:
-            self.telemetry.applied(met.duration)
+            self.telemetry.acknowledged(met.duration)
             return interface.Acknowledged(met.proxy, met.nonce, met.duration)
 
     # Orders.
--- a/peatlead/platform/telemetry.py
+++ b/peatlead/platform/telemetry.py
@@ -1,68 +1,103 @@
-"""Logs of what happens to proxies and to the channel, so that one proxy can be followed through every steward.
+"""Log events of proxies and of the channel.
+
+They allow to follow a proxy through all controllers.
 
     telemetry = Telemetry(log)
-    telemetry.proxy_joined(7, brought_table=True)
-    telemetry.message_written(7, ops)
+    telemetry.proxy_joined(7, has_table=True)
+    telemetry.message_written(7, operations)
     telemetry.end_batch(now, planner)
 
-Two events are written. `proxies`: one for each batch in which proxies joined, left or were sent a whole table, with
-their numbers. `channel`: once every `STATUS_EVERY` seconds while proxies wait for tables or lines in the channel,
-with the planner's status and the counts since the event before. docs/on-call.md tells how to read them.
+Two events are written. `proxies`: one for each batch in which proxies joined, left or were sent a
+whole table, with their numbers. `channel`: once every `STATUS_INTERVAL` seconds while proxies wait
+for tables or entries wait in the channel, with the planner's status and the counts since the
+previous such event. docs/on-call.md describes how to read them.
 """
 
-STATUS_EVERY = 1.0  # seconds between two `channel` events
+from collections.abc import Mapping
+from typing import Any, Protocol
+
+from ..interface import PlannerStatus
+from .shared_types import Log
+
+STATUS_INTERVAL = 1.0  # seconds between two `channel` events
+DIGITS = 3  # decimal places of the numbers in an event
+
+# What one message tells one proxy, as controller/channel.py gives it: {(operation, ...): value}.
+Operations = Mapping[tuple[Any, ...], Any]
+
+
+class HasStatus(Protocol):
+    """A planner, as far as telemetry needs it."""
+
+    def status(self, now: float) -> PlannerStatus:
+        """Return the planner's state at a time of the loop's clock."""
+        ...
 
 
 class Telemetry:
-    """`log(event, **fields)` takes what is told. All times are seconds on the loop's clock."""
+    """Collects what happens in a batch and logs it; all times are seconds on the loop's clock."""
 
-    def __init__(self, log):
+    def __init__(self, log: Log) -> None:
         self.log = log
-        self.joined, self.left, self.tables = [], {}, []
-        self.counts, self.status_due = {}, 0.0
+        self.joined: list[int] = []  # proxies, since the last `proxies` event, as the next two
+        self.left: dict[str, list[int]] = {}  # by reason
+        self.tables: list[int] = []  # proxies that were sent a whole table
+        self.counts: dict[str, float] = {}  # since the last `channel` event
+        self.next_status_at = 0.0
 
-    def count(self, name, many=1):
-        self.counts[name] = self.counts.get(name, 0) + many
+    def count(self, name: str, amount: int = 1) -> None:
+        """Add to a count of the next `channel` event."""
+        self.counts[name] = self.counts.get(name, 0) + amount
 
-    def proxy_joined(self, proxy, brought_table):
+    def proxy_joined(self, proxy: int, has_table: bool) -> None:
+        """Record that a proxy's stream has begun."""
         self.joined.append(proxy)
-        self.count("joined_with_table" if brought_table else "joined_without_table")
+        self.count("joined_with_table" if has_table else "joined_without_table")
 
-    def proxy_left(self, proxy, reason):
+    def proxy_left(self, proxy: int, reason: str) -> None:
+        """Record that a proxy's stream has ended."""
         self.left.setdefault(reason, []).append(proxy)
         self.count("left")
 
-    def message_written(self, proxy, ops):
-        """`ops`: what one message tells one proxy, as steward/channel.py gives it."""
-        kinds = [op[0] for op in ops]
-        removed = sum(op[0] == "line" and not value for op, value in ops.items())
-        shut_out = sum(op[0] == "withdrawn" and bool(value) for op, value in ops.items())
+    def message_written(self, proxy: int, operations: Operations) -> None:
+        """Record a push message."""
+        names = [operation[0] for operation in operations]
+        items = operations.items()
+        removed = sum(operation[0] == "line" and not value for operation, value in items)
+        ejected = sum(operation[0] == "withdrawn" and bool(value) for operation, value in items)
         self.count("messages")
-        self.count("lines", kinds.count("line"))
+        self.count("lines", names.count("line"))
         self.count("removed_lines", removed)
-        self.count("shut_out", shut_out)
-        self.count("levels", kinds.count("level"))
-        if "bind" in kinds:
+        self.count("shut_out", ejected)
+        self.count("levels", names.count("level"))
+        if "bind" in names:
             self.tables.append(proxy)
             self.count("tables")
 
-    def applied(self, took):
-        """A proxy answered a mark, `took` seconds after the order."""
+    def acknowledged(self, duration: float) -> None:
+        """Record that a proxy acknowledged a nonce `duration` seconds after it was written."""
         self.count("answers")
-        self.counts["slowest_answer"] = max(took, self.counts.get("slowest_answer", 0.0))
+        self.counts["slowest_answer"] = max(duration, self.counts.get("slowest_answer", 0.0))
 
-    def end_batch(self, now, planner):
-        """A batch's orders have been written."""
+    def end_batch(self, now: float, planner: HasStatus) -> None:
+        """Log what is due once all messages of a batch have been written."""
         if self.joined or self.left or self.tables:
-            self.log("proxies", joined=self.joined, left=self.left, tables=self.tables)
-            self.joined, self.left, self.tables = [], {}, []
-        if now >= self.status_due:
-            self.status_due = now + STATUS_EVERY
-            self.tell_status(planner.status(now))
+            self.log_proxies()
+        if now >= self.next_status_at:
+            self.next_status_at = now + STATUS_INTERVAL
+            self.log_status(planner.status(now))
+
+    def log_proxies(self) -> None:
+        """Log the proxies that joined, left or were sent a whole table."""
+        self.log("proxies", joined=self.joined, left=self.left, tables=self.tables)
+        self.joined = []
+        self.left = {}
+        self.tables = []
 
-    def tell_status(self, status):
+    def log_status(self, status: PlannerStatus) -> None:
+        """Log the planner's status, except while nothing happens."""
         if not (status.unassigned_proxies or status.queued_entries or self.counts):
             return
-        fields = {name: round(value, 3) for name, value in status._asdict().items()}
+        fields = {name: round(value, DIGITS) for name, value in status._asdict().items()}
         self.log("channel", **fields, since=self.counts)
         self.counts = {}
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -20,8 +20,8 @@
 from peatlead.net.streams import Lines
 from peatlead.planner.planner import Planner
 from peatlead.platform import messages, sessions
-from peatlead.platform.configuration import faults
 from peatlead.platform.controller import ANEW_MOST, PlatformController
+from peatlead.platform.settings_validation import settings_errors
 from peatlead.scenario.runner import free_port
 from peatlead.standin.platform_proxies import ProxyState
 
@@ -403,7 +403,7 @@
         play(case)
 
     def test_each_setting_that_cant_be_used_is_named(self):
-        self.assertEqual(faults(FACTS), [])
+        self.assertEqual(settings_errors(FACTS), [])
         for name, value, said in (
             ("channel_rate", "fast", "channel_rate"),
             ("zone", 2, "zone"),
@@ -412,15 +412,15 @@
             ("drain_grace", float("nan"), "drain_grace"),
             ("req_kinds", [], "req_kinds"),
         ):
-            self.assertIn(said, faults({**FACTS, name: value})[0])
+            self.assertIn(said, settings_errors({**FACTS, name: value})[0])
         kind = FACTS["req_kinds"][0]
         for change, said in (
             ({"gain": -1.0}, "gain"),
             ({"response_target": 0.0}, "response_target"),
             ({"name": 7}, "7"),
         ):
-            self.assertIn(said, faults({**FACTS, "req_kinds": [{**kind, **change}]})[0])
-        self.assertIn("a name of its own", faults({**FACTS, "req_kinds": [kind, kind]})[0])
+            self.assertIn(said, settings_errors({**FACTS, "req_kinds": [{**kind, **change}]})[0])
+        self.assertIn("a name of its own", settings_errors({**FACTS, "req_kinds": [kind, kind]})[0])
 
 
 SETTINGS = {
--- a/tests/test_shortages.py
+++ b/tests/test_shortages.py
@@ -175,7 +175,7 @@
             with mock.patch("builtins.open", side_effect=OSError(number, "planted")):
                 with self.assertRaises(ConfigurationError) as raised:
                     read_configuration({"NODE_CONFIG": "/config.json"}, 0.0)
-            self.assertEqual(raised.exception.passing, passing)
+            self.assertEqual(raised.exception.transient, passing)
 
     def test_a_reload_that_could_not_read_its_file_is_made_up_for(self):
         # It was told once and forgotten: the old address closes, and discovery was silent from then on.
--- a/tests/test_telemetry.py
+++ b/tests/test_telemetry.py
@@ -1,7 +1,7 @@
 import unittest
 
 from peatlead import interface
-from peatlead.platform.telemetry import STATUS_EVERY, Telemetry
+from peatlead.platform.telemetry import STATUS_INTERVAL, Telemetry
 
 from .helpers import planner
 from .places import until
@@ -38,7 +38,7 @@
         self.assertEqual(self.events, [])
         for part in range(4):
             self.telemetry.count("messages")
-            self.telemetry.end_batch(200.0 + STATUS_EVERY * (1 + part / 4), idle)
+            self.telemetry.end_batch(200.0 + STATUS_INTERVAL * (1 + part / 4), idle)
         self.assertEqual([event for event, _ in self.events], ["channel"])
 
     def test_the_status_tells_of_proxies_that_wait(self):
--- a/tests/transcripts/test_platform_transcripts.py
+++ b/tests/transcripts/test_platform_transcripts.py
@@ -119,7 +119,7 @@
     try:
         told = read_configuration({"NODE_CONFIG": path} if path else {}, 1800000000.5)
     except ConfigurationError as problem:
-        return ["refused", problem.passing]
+        return ["refused", problem.transient]
     kinds = [
         [
             pairs({wire: kind[ours] for wire, ours in OF_KIND.items() if ours in kind}),
@@ -127,14 +127,16 @@
             kind[WRITES],
             len(kind),
         ]
-        for kind in told.facts[KINDS]
+        for kind in told.settings[KINDS]
     ]
-    settings = {wire: told.facts[ours] for wire, ours in SETTINGS.items() if ours in told.facts}
-    beside = set(told.facts) - set(SETTINGS.values()) - {KINDS}
-    assert not beside and not NOT_STORED & set(told.facts), (
+    settings = {
+        wire: told.settings[ours] for wire, ours in SETTINGS.items() if ours in told.settings
+    }
+    beside = set(told.settings) - set(SETTINGS.values()) - {KINDS}
+    assert not beside and not NOT_STORED & set(told.settings), (
         f"settings that are not compared: {beside}"
     )
-    known = told.known and plain_listing(told.known)
+    known = told.remembered_list and plain_listing(told.remembered_list)
     return [*fields_of(told, CONFIGURATION), pairs(settings), kinds, known]
 
 
