--- a/peatlead/platform/__main__.py
+++ b/peatlead/platform/__main__.py
@@ -1,41 +1,57 @@
-"""`python -m peatlead.platform`: one steward on the platform, as NODE_CONFIG tells it, until SIGTERM.
+"""`python -m peatlead.platform`: one controller on the platform, until SIGTERM.
 
-Exit 0 after SIGTERM or SIGINT, 1 where it can't start, 3 where a decide raised.
+NODE_CONFIG names its configuration file. Exits with 0 after SIGTERM or SIGINT, with 1 where it
+can't start, and with 3 where the planner failed too often.
 """
 
 import sys
 
-# Nothing here speaks TLS or hashes by OpenSSL: asyncio and hashlib do without where it is missing. It would take
-# 5 of the 32 MB that a steward may have.
-sys.modules["ssl"] = sys.modules["_hashlib"] = None
+# Nothing here uses TLS or OpenSSL's hashes, and asyncio and hashlib do without these modules. They
+# would take 5 of the 32 MB that a controller may use, so they are blocked before any other import
+# (hence the exceptions from E402, imports at the top, below).
+sys.modules["ssl"] = None  # type: ignore[assignment]
+sys.modules["_hashlib"] = None  # type: ignore[assignment]
 
 import asyncio  # noqa: E402
+import contextlib  # noqa: E402
 import gc  # noqa: E402
 import os  # noqa: E402
 import signal  # noqa: E402
 import time  # noqa: E402
+from collections.abc import Callable  # noqa: E402
+from typing import Any  # noqa: E402
 
-from .configuration import ConfigurationError  # noqa: E402
-from .controller import START_AGAIN_MOST, START_WITHIN, PlatformController, reader  # noqa: E402
+from .configuration import Configuration, ConfigurationError, read_configuration  # noqa: E402
+from .controller import (  # noqa: E402
+    LISTEN_RETRY_DELAY_LIMIT,
+    LISTEN_TIMEOUT,
+    STOPPED,
+    PlatformController,
+)
 from .messages import ENCODER  # noqa: E402
 
+STANDARD_ERROR = 2  # file descriptor
+EXIT_OK = 0
+EXIT_CANNOT_START = 1
+EXIT_PLANNER_FAILED = 3
 
-def log(event, **fields):
-    """One JSON object a line on standard error; a reader that is gone does not end the steward."""
-    try:
-        os.write(2, ENCODER.encode({"at": round(time.time(), 3), "event": event, **fields}) + b"\n")
-    except OSError:
-        pass
+
+def log(event: str, /, **fields: Any) -> None:
+    """Write one JSON object a line to standard error; a reader that is gone is no error."""
+    record = {"at": round(time.time(), 3), "event": event, **fields}
+    with contextlib.suppress(OSError):
+        os.write(STANDARD_ERROR, ENCODER.encode(record) + b"\n")
 
 
-def at_fault(_, context):
-    """A callback raised: one line, and the steward goes on; what the callback served has its deadlines."""
+def log_callback_error(_: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+    """Log a callback that raised; the controller goes on, and deadlines clean up after it."""
     log("callback failed", why=context.get("message"), error=repr(context.get("exception")))
 
 
-async def read_patiently(read, loop):
-    """The configuration; a file that can't be read now is tried again for a while. Raises ConfigurationError."""
-    deadline = loop.time() + START_WITHIN
+async def read_with_retries(read: Callable[[], Configuration]) -> Configuration:
+    """Read the configuration, trying again after a transient error. Raises ConfigurationError."""
+    loop = asyncio.get_running_loop()
+    deadline = loop.time() + LISTEN_TIMEOUT
     while True:
         try:
             return read()
@@ -43,28 +59,36 @@
             if not problem.transient or loop.time() > deadline:
                 raise
             log("configuration put off", why=str(problem))
-        await asyncio.sleep(START_AGAIN_MOST)
+        await asyncio.sleep(LISTEN_RETRY_DELAY_LIMIT)
+
+
+async def serve() -> int:
+    """Run the controller and return the exit code."""
 
+    def read() -> Configuration:
+        return read_configuration(os.environ, time.time())
 
-async def serve():
-    read, loop = reader(os.environ, time.time), asyncio.get_running_loop()
-    loop.set_exception_handler(at_fault)
+    loop = asyncio.get_running_loop()
+    loop.set_exception_handler(log_callback_error)
     try:
-        node = PlatformController(await read_patiently(read, loop), read, log, time.time)
-        for one in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(one, node.stop)
-        loop.add_signal_handler(signal.SIGHUP, node.reload)
-        await node.start()
+        configuration = await read_with_retries(read)
+        controller = PlatformController(configuration, read, log, time.time)
+        for number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(number, controller.stop)
+        loop.add_signal_handler(signal.SIGHUP, controller.reload)
+        await controller.start()
     except (ConfigurationError, OSError) as problem:
         log("cannot start", why=str(problem))
-        return 1
+        return EXIT_CANNOT_START
     gc.collect()
     gc.freeze()
-    return 0 if await node.ended == "stopped" else 3
+    reason = await controller.ended
+    return EXIT_OK if reason == STOPPED else EXIT_PLANNER_FAILED
 
 
 if __name__ == "__main__":
-    # Until the loop hears them, SIGTERM finds nothing that is owed, and SIGHUP a file that is yet to be read.
-    signal.signal(signal.SIGTERM, lambda *_: os._exit(0))
+    # Until the event loop handles signals, SIGTERM ends a process that owes nothing yet, and SIGHUP
+    # concerns a file that is yet to be read.
+    signal.signal(signal.SIGTERM, lambda *_: os._exit(EXIT_OK))
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     sys.exit(asyncio.run(serve()))
--- a/peatlead/platform/telemetry.py
+++ b/peatlead/platform/telemetry.py
@@ -13,18 +13,15 @@
 previous such event. docs/on-call.md describes how to read them.
 """
 
-from collections.abc import Mapping
-from typing import Any, Protocol
+from typing import Protocol
 
 from ..interface import PlannerStatus
+from .operations import ADMISSION, ASSIGNMENT, ENTRY, WITHDRAWN, Operations
 from .shared_types import Log
 
 STATUS_INTERVAL = 1.0  # seconds between two `channel` events
 DIGITS = 3  # decimal places of the numbers in an event
 
-# What one message tells one proxy, as controller/channel.py gives it: {(operation, ...): value}.
-Operations = Mapping[tuple[Any, ...], Any]
-
 
 class HasStatus(Protocol):
     """A planner, as far as telemetry needs it."""
@@ -61,16 +58,16 @@
 
     def message_written(self, proxy: int, operations: Operations) -> None:
         """Record a push message."""
-        names = [operation[0] for operation in operations]
+        kinds = [key[0] for key in operations]
         items = operations.items()
-        removed = sum(operation[0] == "line" and not value for operation, value in items)
-        ejected = sum(operation[0] == "withdrawn" and bool(value) for operation, value in items)
+        removed = sum(key[0] == ENTRY and not value for key, value in items)
+        ejected = sum(key[0] == WITHDRAWN and bool(value) for key, value in items)
         self.count("messages")
-        self.count("lines", names.count("line"))
+        self.count("lines", kinds.count(ENTRY))
         self.count("removed_lines", removed)
         self.count("shut_out", ejected)
-        self.count("levels", names.count("level"))
-        if "bind" in names:
+        self.count("levels", kinds.count(ADMISSION))
+        if ASSIGNMENT in kinds:
             self.tables.append(proxy)
             self.count("tables")
 
--- a/tests/platforms.py
+++ b/tests/platforms.py
@@ -7,7 +7,7 @@
 from peatlead.net.streams import Lines
 from peatlead.platform.configuration import Configuration
 from peatlead.platform.controller import PlatformController
-from peatlead.platform.messages import read_endpoint_list
+from peatlead.platform.messages import Address, read_endpoint_list
 from peatlead.scenario.runner import free_port
 
 from .helpers import FACTS
@@ -105,8 +105,8 @@
         self.desk = Desk([instance(at, f"z{at % 2}") for at in range(hosts)])
         self.told = Configuration(
             "n0",
-            (STEWARD, self.port),
-            ("127.3.0.9", self.port),
+            Address(STEWARD, self.port),
+            Address("127.3.0.9", self.port),
             7,
             sockets,
             {**FACTS, "probing": False, "connect_timeout": 0.2, **facts},
@@ -124,7 +124,7 @@
 
     def moved(self, step):
         """The configuration names discovery's address that lies `step` ports on."""
-        self.told = self.told._replace(discovery=("127.3.0.9", self.port + step))
+        self.told = self.told._replace(discovery=Address("127.3.0.9", self.port + step))
         self.node.reload()
 
     async def collector(self, zone="z0"):
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -20,7 +20,9 @@
 from peatlead.net.streams import Lines
 from peatlead.planner.planner import Planner
 from peatlead.platform import messages, sessions
-from peatlead.platform.controller import ANEW_MOST, PlatformController
+from peatlead.platform.controller import PlatformController
+from peatlead.platform.messages import Address
+from peatlead.platform.restart_budget import RESTARTS_LIMIT
 from peatlead.platform.settings_validation import settings_errors
 from peatlead.scenario.runner import free_port
 from peatlead.standin.platform_proxies import ProxyState
@@ -53,7 +55,7 @@
     def test_what_was_heard_before_the_end_is_decided_on_and_written(self):
         async def case(place):
             proxy = await joined(place)
-            place.node.on_listing(
+            place.node.on_endpoint_list(
                 listing(2, instance(1, "z1", "leaving"))
             )  # in the inbox, undecided
             place.node.stop()
@@ -66,9 +68,9 @@
         async def case(place):
             proxy, deaf = await joined(place, 0), await joined(place, 1)
             deaf.transport.pause_reading()
-            for session in place.node.streams.values():
+            for session in place.node.proxy_sessions.values():
                 session.transport.write(b'{"pad":"' + b" " * 100_000 + b'"}\n')
-            place.node.on_listing(listing(2, instance(0, lifecycle="leaving")))
+            place.node.on_endpoint_list(listing(2, instance(0, lifecycle="leaving")))
             place.node.stop()
             await until(lambda: proxy.over and place.node.ended.done())
             self.assertEqual(taken_out(proxy), {"s-0"})
@@ -81,10 +83,10 @@
             place.node.stop()
             decided = place.node.decided
             place.node.stop("again")
-            place.told = place.told._replace(discovery=("127.3.0.9", 1))
+            place.told = place.told._replace(discovery=Address("127.3.0.9", 1))
             place.node.reload()
             place.node.fire_of(place.node.planner, 0, 0.0)
-            place.node.on_probe(0, "ok", 0.1, None, None)
+            place.node.on_health_check(0, "ok", 0.1, None, None)
             await until(lambda: proxy.over and place.node.ended.done())
             self.assertEqual((place.node.ended.result(), place.node.decided), ("stopped", decided))
 
@@ -92,7 +94,7 @@
 
     def test_an_end_before_the_start_is_through_leaves_no_listener(self):
         async def case(place):
-            told = place.told._replace(listen=("127.3.0.2", place.port))
+            told = place.told._replace(listen=Address("127.3.0.2", place.port))
             other = PlatformController(told, None, lambda *_, **__: None, lambda: 0)
             other.stop()
             await other.start()
@@ -137,18 +139,20 @@
                 place.node.hear(interface.ProxyDisconnected(3))
                 await until(place.node.ended.done)
             self.assertIn("planted", place.node.ended.result())
-            self.assertEqual(len(place.node.failures), ANEW_MOST + 1)
+            self.assertEqual(place.node.failures.count, RESTARTS_LIMIT + 1)
 
         play(case)
 
     def test_a_message_that_cant_be_written_costs_its_stream_and_no_timer(self):
         async def case(place):
             proxy, other = await joined(place, 0), await joined(place, 1)
-            tables = place.node.tables
-            place.node.tables = lambda number, ops: 1 / 0 if number == 0 else tables(number, ops)
+            tables = place.node.push.table_updates
+            place.node.push.table_updates = lambda publisher, number, ops: (
+                1 / 0 if number == 0 else tables(publisher, number, ops)
+            )
             place.desk.change(instance(1, "z1", "leaving"))
             await until(lambda: proxy.over and "s-1" in taken_out(other))
-            place.node.tables = tables
+            place.node.push.table_updates = tables
             again = await joined(place, 0)
             before = place.node.decided
             await until(lambda: place.node.decided > before + 3)
@@ -179,13 +183,13 @@
         async def case(place):
             await until(lambda: place.node.watch.version == 1)
             place.desk.change(instance(7, started=1.9e12))
-            await until(lambda: "s-7" in place.node.registry.index)
-            self.assertEqual(place.node.changed, set())
+            await until(lambda: "s-7" in place.node.endpoints.registry.index)
+            self.assertEqual(place.node.endpoints.possibly_ejected, set())
             place.desk.change(instance(1, "z1"))  # it went and came back between two news
-            await until(lambda: place.node.changed)
-            place.node.gone["s-8"] = True
+            await until(lambda: place.node.endpoints.possibly_ejected)
+            place.node.endpoints.forgotten["s-8"] = True
             place.desk.change(instance(8))
-            await until(lambda: len(place.node.changed) == 2)
+            await until(lambda: len(place.node.endpoints.possibly_ejected) == 2)
             proxy = await joined(place, 2)
             self.assertEqual(
                 {name for part in proxy.got for name in part.get("restore", ())}, {"s-1", "s-8"}
@@ -210,7 +214,7 @@
             ).encode()
             agent.send(said[:-1] + b" " * 300_000)
             await until(
-                lambda: any(len(session.part) > 300_000 for session in place.node.front.callers)
+                lambda: any(len(session.part) > 300_000 for session in place.node.listener.sessions)
             )
             for byte in b"}\n":
                 agent.send(bytes((byte,)))
@@ -231,7 +235,9 @@
                 one.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 one.close()  # a reset, whatever had been taken of it
             proxy = await joined(place)
-            await until(lambda: list(place.node.front.callers) == [place.node.streams[0]])
+            await until(
+                lambda: list(place.node.listener.sessions) == [place.node.proxy_sessions[0]]
+            )
             self.assertEqual((list(place.node.planner.here), proxy.over), ([0], None))
 
         play(case)
@@ -239,19 +245,19 @@
     def test_one_that_is_refused_and_does_not_read_is_no_joined_proxy_for_long(self):
         async def case(place):
             await joined(place)
-            session = place.node.streams[0]
+            session = place.node.proxy_sessions[0]
             with mock.patch.object(session, "close"):  # as while bytes wait that nobody reads
                 session.line(b"no sense")
                 await until(lambda: not place.node.planner.here)
 
-        with mock.patch.object(sessions, "REFUSED_WITHIN", 0.05):
+        with mock.patch.object(sessions, "REFUSAL_TIMEOUT", 0.05):
             play(case)
 
     def test_a_collector_that_fell_silent_makes_room_for_the_next_of_its_zone(self):
         async def case(place):
             silent, other, live = [await place.collector(zone) for zone in ("z0", "z1", "z0")]
-            await until(lambda: sum(one.joined for one in place.node.front.callers) == 3)
-            for session in list(place.node.front.callers)[:2]:
+            await until(lambda: sum(one.joined for one in place.node.listener.sessions) == 3)
+            for session in list(place.node.listener.sessions)[:2]:
                 session.touched -= 60.0
             late = await place.collector()
             await until(lambda: silent.over)
@@ -273,7 +279,7 @@
             await until(lambda: place.node.planner.hosts[0].phase == "draining")
             later.silent, later.version, later.news = False, 3, [instance(1, "z1", "leaving")]
             await until(lambda: place.node.planner.hosts[1].phase == "draining", 20)
-            await until(lambda: place.node.watch.before is None)
+            await until(lambda: place.node.watch.previous is None)
             for conn in later.conns:
                 conn.cut("over")
             later.servers[0].close()
@@ -288,7 +294,7 @@
             place.desk.change(instance(0, lifecycle="leaving"))
             await until(lambda: place.node.planner.hosts[0].phase == "draining")
             place.moved(0)
-            await until(lambda: place.node.watch.before is None)
+            await until(lambda: place.node.watch.previous is None)
             place.desk.change(instance(1, "z1", "leaving"))
             await until(lambda: place.node.planner.hosts[1].phase == "draining")
 
@@ -347,7 +353,7 @@
                 ({"zone": "z1"}, "ready"),
                 (None, "gone"),
             ):
-                place.node.on_listing(
+                place.node.on_endpoint_list(
                     listing(
                         9,
                         *[one for at, one in enumerate(good) if at != 1],
@@ -363,12 +369,13 @@
     def test_a_probe_of_a_host_that_was_forgotten_meanwhile_is_no_news(self):
         async def case(place):
             await until(lambda: place.node.watch.version == 1)
-            place.node.registry.forget(3)
+            place.node.endpoints.registry.forget(3)
             del place.node.planner.hosts[3]
-            place.node.on_probe(3, "timed out", 0.2, None, None)
-            place.node.on_listing(listing(2, instance(3, "z1")))
+            place.node.on_health_check(3, "timed out", 0.2, None, None)
+            place.node.on_endpoint_list(listing(2, instance(3, "z1")))
             await until(
-                lambda: place.node.registry.index["s-3"] == 4 and 4 in place.node.planner.hosts
+                lambda: place.node.endpoints.registry.index["s-3"] == 4
+                and 4 in place.node.planner.hosts
             )
 
         play(case)
@@ -394,10 +401,12 @@
             first, second = await joined(place, 3, cold=False), await other.proxy(8, zone="z1")
             await until(lambda: whole_tables(second))
             self.assertIsNone(first.over)
-            self.assertEqual((place.node.kinds, other.node.kinds), (["read", "pay"], ["quote"]))
-            self.assertEqual(other.node.streams[8].zone, 0)
+            self.assertEqual(
+                (place.node.class_names, other.node.class_names), (["read", "pay"], ["quote"])
+            )
+            self.assertEqual(other.node.proxy_sessions[8].zone, 0)
             second.say(msg="demand", node=8, route="pay", total=1, errors=0, interval=1000)
-            await until(lambda: other.node.front.counts.get("names nothing"))
+            await until(lambda: other.node.listener.counts.get("names nothing"))
             other.end()
 
         play(case)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -14,6 +14,7 @@
 from peatlead.platform import messages
 from peatlead.platform.configuration import ConfigurationError, read_configuration
 from peatlead.platform.messages import (
+    Address,
     InvalidFieldError,
     MalformedMessageError,
     TableUpdate,
@@ -218,7 +219,7 @@
         async def case(place):
             await (await place.proxy(1)).loop.create_task(asyncio.sleep(0.05))
             place.desk.change(instance(1, "z1", "leaving"))
-            await until(lambda: place.node.changed)
+            await until(lambda: place.node.endpoints.possibly_ejected)
             place.desk.change(instance(1, "z1", started=1.9e12))
             late = await place.proxy(0, cold=False)
             await until(lambda: any("endpoints" in part for part in late.got), 20)
@@ -233,7 +234,7 @@
             await until(lambda: old.got)
             new = await place.proxy()
             await until(lambda: new.got and old.over)
-            self.assertEqual((len(place.node.streams), len(place.node.planner.here)), (1, 1))
+            self.assertEqual((len(place.node.proxy_sessions), len(place.node.planner.here)), (1, 1))
             new.cut("gone")
             await until(lambda: not place.node.planner.here)
 
@@ -273,7 +274,7 @@
             )
             agent.send(b"no sense at all\n")
             await until(lambda: agent.over)
-            self.assertEqual(place.node.front.counts["spoilt"], 2)
+            self.assertEqual(place.node.listener.counts["spoilt"], 2)
 
         play(case)
 
@@ -300,7 +301,7 @@
             proxy = await place.proxy()
             await until(lambda: proxy.got)
             await until(lambda: all(stranger.over for stranger in strangers))
-            self.assertEqual(list(place.node.front.callers), [place.node.streams[0]])
+            self.assertEqual(list(place.node.listener.sessions), [place.node.proxy_sessions[0]])
 
         play(case)
 
@@ -308,14 +309,14 @@
         async def case(place):
             proxy = await place.proxy()
             await until(lambda: proxy.got)
-            front = place.node.front
-            for _ in range(front.most + 28):
+            listener = place.node.listener
+            for _ in range(listener.limit + 28):
                 await place.dial()
             late = await place.proxy(1)
             await until(lambda: late.got)
-            self.assertLessEqual(len(front.callers), front.most + 1)
+            self.assertLessEqual(len(listener.sessions), listener.limit + 1)
             self.assertIsNone(proxy.over)
-            self.assertGreater(front.counts["evicted"], 0)
+            self.assertGreater(listener.counts["evicted"], 0)
 
         play(case, sockets=96)
 
@@ -334,7 +335,7 @@
         async def case(place):
             await until(lambda: place.node.watch.version == 1)
             await place.desk.open(place.port + 1)
-            place.told = place.told._replace(discovery=("127.3.0.9", place.port + 1))
+            place.told = place.told._replace(discovery=Address("127.3.0.9", place.port + 1))
             before = len(place.desk.conns)
             place.node.reload()
             await until(lambda: len(place.desk.conns) > before)
@@ -350,7 +351,7 @@
                 raise ConfigurationError("torn")
 
             await until(lambda: place.node.watch.version == 1)
-            place.node.reread = worse
+            place.node.reloader.read = worse
             place.node.reload()
             self.assertEqual(place.log[-1], ("new configuration not taken", {"why": "torn"}))
             place.desk.change(instance(0, lifecycle="leaving"))
@@ -361,11 +362,11 @@
     def test_news_that_could_not_be_taken_are_asked_for_whole_again(self):
         async def case(place):
             await until(lambda: place.node.watch.version == 1)
-            tell, place.node.watch.tell = place.node.watch.tell, lambda listing: 1 / 0
+            tell, place.node.watch.on_list = place.node.watch.on_list, lambda listing: 1 / 0
             place.desk.change(instance(0, lifecycle="leaving"))
             await until(lambda: place.node.watch.failures)
             place.desk.hosts[0] = instance(0, lifecycle="leaving")
-            place.node.watch.tell = tell
+            place.node.watch.on_list = tell
             await until(lambda: place.node.planner.hosts[0].phase == "draining")
 
         play(case)
--- a/tests/test_shortages.py
+++ b/tests/test_shortages.py
@@ -11,6 +11,7 @@
 from peatlead.net.listener import PAUSE, Listener
 from peatlead.platform.clock import OFFSETS_KEPT, WallClock
 from peatlead.platform.configuration import ConfigurationError, read_configuration
+from peatlead.platform.messages import Address
 from peatlead.platform.sessions import SessionListener
 
 from .helpers import planner
@@ -181,10 +182,10 @@
         # It was told once and forgotten: the old address closes, and discovery was silent from then on.
         async def case(place):
             await until(lambda: place.node.watch.version == 1)
-            told = place.told._replace(discovery=("127.3.0.9", place.port + 1))
+            told = place.told._replace(discovery=Address("127.3.0.9", place.port + 1))
             with mock.patch.object(
-                place.node,
-                "reread",
+                place.node.reloader,
+                "read",
                 side_effect=[
                     ConfigurationError("half written"),
                     ConfigurationError("half written"),
@@ -192,7 +193,7 @@
                 ],
             ):
                 place.node.reload()
-                await until(lambda: place.node.watch.place == told.discovery)
+                await until(lambda: place.node.watch.address == told.discovery)
             refused = [
                 fields for event, fields in place.log if event == "new configuration not taken"
             ]
