--- /dev/null
+++ b/tests/net/test_connect_errors.py
@@ -0,0 +1,39 @@
+"""Outcomes of connections that can't be opened."""
+
+import asyncio
+import errno
+import unittest
+from unittest import mock
+
+from peatlead.net.http import RequestFailedError, connect
+
+from ..places import run
+
+
+class ConnectErrors(unittest.TestCase):
+    def outcome(self, number):
+        async def case():
+            loop = asyncio.get_running_loop()
+            with mock.patch.object(
+                loop, "create_connection", side_effect=OSError(number, "planted")
+            ):
+                with self.assertRaises(RequestFailedError) as raised:
+                    await connect(loop, ("127.0.0.1", 9), loop.time() + 1.0)
+            return raised.exception.outcome
+
+        return run(case())
+
+    def test_a_local_shortage_is_no_outcome_of_the_peer(self):
+        for name in (
+            "EMFILE",
+            "ENFILE",
+            "ENOBUFS",
+            "ENOMEM",
+            "EADDRNOTAVAIL",
+            "ENETUNREACH",
+            "EINTR",
+        ):
+            self.assertEqual(self.outcome(getattr(errno, name)), "denied", name)
+        for name in ("ECONNREFUSED", "EHOSTUNREACH", "ECONNRESET"):
+            self.assertEqual(self.outcome(getattr(errno, name)), "unreachable", name)
+        self.assertEqual(self.outcome(errno.ETIMEDOUT), "timed out")
--- /dev/null
+++ b/tests/platform/test_configuration.py
@@ -0,0 +1,94 @@
+"""Reading and validation of the configuration."""
+
+import errno
+import tempfile
+import unittest
+from pathlib import Path
+from unittest import mock
+
+from peatlead.platform.configuration import ConfigurationError, read_configuration
+from peatlead.platform.settings_validation import settings_errors
+
+from ..helpers import FACTS
+from ..places import until
+from ..platforms import (
+    PlatformFixture,
+    run_with_platform,
+    whole_tables,
+)
+
+
+class ConfigurationFile(unittest.TestCase):
+    def test_an_incomplete_configuration_is_refused_with_what_is_missing(self):
+        with tempfile.TemporaryDirectory() as folder:
+            path = f"{folder}/config.json"
+            for text, expected in (
+                ("{", "not a configuration"),
+                ('{"name":"n"}', "listen"),
+                ('{"name":"n","listen":"x","discovery":"y:1","settings":{}}', "ADDRESS:PORT"),
+                ('{"name":"n","listen":"x:1","discovery":"y:1","settings":{}}', "proxies"),
+            ):
+                Path(path).write_text(text)
+                with self.assertRaisesRegex(ConfigurationError, expected):
+                    read_configuration({"NODE_CONFIG": path}, 0.0)
+        with self.assertRaisesRegex(ConfigurationError, "NODE_CONFIG"):
+            read_configuration({}, 0.0)
+
+    def test_a_transient_read_error_is_distinguished_from_a_missing_file(self):
+        expected = {errno.EIO: True, errno.EMFILE: True, errno.ENOENT: False, errno.EACCES: False}
+        for number, transient in expected.items():
+            with mock.patch("builtins.open", side_effect=OSError(number, "planted")):
+                with self.assertRaises(ConfigurationError) as raised:
+                    read_configuration({"NODE_CONFIG": "/config.json"}, 0.0)
+            self.assertEqual(raised.exception.transient, transient)
+
+
+class PlannerSettings(unittest.TestCase):
+    def test_each_invalid_setting_is_named(self):
+        self.assertEqual(settings_errors(FACTS), [])
+        for name, value, expected in (
+            ("channel_rate", "fast", "channel_rate"),
+            ("zone", 2, "zone"),
+            ("zones", [], "zones"),
+            ("proxies", 0, "proxies"),
+            ("drain_grace", float("nan"), "drain_grace"),
+            ("req_kinds", [], "req_kinds"),
+        ):
+            self.assertIn(expected, settings_errors({**FACTS, name: value})[0])
+        request_class = FACTS["req_kinds"][0]
+        for change, expected in (
+            ({"gain": -1.0}, "gain"),
+            ({"response_target": 0.0}, "response_target"),
+            ({"name": 7}, "7"),
+        ):
+            self.assertIn(
+                expected, settings_errors({**FACTS, "req_kinds": [{**request_class, **change}]})[0]
+            )
+        self.assertIn(
+            "a name of its own",
+            settings_errors({**FACTS, "req_kinds": [request_class, request_class]})[0],
+        )
+
+    def test_two_controllers_in_one_process_have_separate_settings(self):
+        request_classes = [{**FACTS["req_kinds"][0], "name": "quote"}]
+
+        async def case(platform):
+            other = await PlatformFixture(
+                endpoints=2, req_kinds=request_classes, zones=["z1", "z0"], proxies=9
+            ).start()
+            first, second = (
+                await platform.proxy_with_table(3, cold=False),
+                await other.connect_proxy(8, zone="z1"),
+            )
+            await until(lambda: whole_tables(second))
+            self.assertIsNone(first.end_reason)
+            self.assertEqual(
+                (platform.controller.class_names, other.controller.class_names),
+                (["read", "pay"], ["quote"]),
+            )
+            self.assertEqual(other.controller.proxy_sessions[8].zone, 0)
+            second.send_message(msg="demand", node=8, route="pay", total=1, errors=0, interval=1000)
+            await until(lambda: other.controller.listener.counts.get("names nothing"))
+            other.stop()
+
+        run_with_platform(case)
--- a/tests/test_drains.py
+++ b/tests/platform/test_drains.py
@@ -1,5 +1,5 @@
-"""Rule 3 on real processes: a host that drains leaves every proxy's table within the grace, whatever happens to
-stewards meanwhile (docs/incidents/2026-12-02-drains-after-a-herd.md)."""
+"""Drains on real processes: a draining endpoint leaves every proxy's table within the grace period,
+whatever happens to controllers meanwhile (docs/incidents/2026-12-02-drains-after-a-herd.md)."""
 
 import asyncio
 import tempfile
@@ -8,10 +8,14 @@
 from peatlead.scenario.runner import free_port
 from peatlead.standin.platform_fleet import Fleet, FleetPlan
 
-from .places import run, until
+from ..places import run, until
+
+GRACE = 3.0  # seconds
+GRACE_EXTENSION = 0.3  # seconds that the platform's pages grant besides
+# Entries a second: the tables of 240 proxies that join at once take 0.6 of the grace period.
+CHANNEL_RATE = 3200.0
+
 
-GRACE, SLACK = 3.0, 0.3  # seconds; the platform's pages extend the grace by so much
-PACE = 3200.0  # lines a second: all tables of 240 proxies that join at once take about six tenths of the grace
 SETTINGS = {
     "balancers": 4,
     "rank": 0,
@@ -30,7 +34,7 @@
     ],
     "familyInfo": {
         "dataPlaneSize": 320,
-        "channelRate": PACE,
+        "channelRate": CHANNEL_RATE,
         "perMessage": 6.0,
         "pendingMax": 8800.0,
         "emptyForUs": 4400000,
@@ -40,10 +44,10 @@
 }
 
 
-def play(case, **plan):
-    """`case(fleet)` once all proxies hold tables; gives the report on drains."""
+def run_with_fleet(case, **plan):
+    """Run `case(fleet)` once all proxies hold tables, and return the report on drains."""
 
-    async def whole():
+    async def run_case():
         with tempfile.TemporaryDirectory() as folder:
             fleet = Fleet(SETTINGS, FleetPlan(4, 320, 40, free_port(), **plan), folder)
             try:
@@ -52,28 +56,28 @@
                 await case(fleet)
                 await until(lambda: not fleet.still_held(), 30.0)
                 await asyncio.sleep(0.5)
-                return fleet.drain_report(GRACE + SLACK)
+                return fleet.drain_report(GRACE + GRACE_EXTENSION)
             finally:
                 fleet.stop()
                 await asyncio.sleep(0.05)
 
-    return run(whole(), 180.0)
+    return run(run_case(), 180.0)
 
 
-def drain(fleet, hosts):
-    fleet.list_hosts([fleet.host(at, "leaving") for at in hosts])
+def drain(fleet, endpoints):
+    fleet.list_hosts([fleet.host(number, "leaving") for number in endpoints])
 
 
-class Herds(unittest.TestCase):
-    def assert_kept(self, report):
+class Releases(unittest.TestCase):
+    def assert_grace_kept(self, report):
         self.assertEqual(report.late, [])
         self.assertLessEqual(report.most_waiting, SETTINGS["familyInfo"]["pendingMax"])
 
-    def test_a_steward_that_takes_all_proxies_in_a_release_takes_drained_hosts_out_within_the_grace(
+    def test_a_controller_that_takes_over_all_proxies_removes_drained_endpoints_within_the_grace(
         self,
     ):
-        # Three of four stewards are killed while hosts drain in steps: as in the incident, the last one writes whole
-        # tables to three quarters of the fleet and removals to the rest.
+        # Three of four controllers are killed while endpoints drain in steps: as in the incident,
+        # the last one writes whole tables to three quarters of the fleet and removals to the rest.
         async def case(fleet):
             drain(fleet, range(6))
             await asyncio.sleep(0.2)
@@ -84,10 +88,10 @@
             await asyncio.sleep(1.2)
             drain(fleet, range(12, 18))
 
-        self.assert_kept(play(case))
+        self.assert_grace_kept(run_with_fleet(case))
 
-    def test_a_steward_that_restarts_in_a_release_takes_out_what_went_while_it_was_away(self):
-        # Its proxies go to the others, come home with tables of theirs, and hosts go on draining.
+    def test_a_restarted_controller_removes_what_drained_while_it_was_away(self):
+        # Its proxies connect to the others and return with their tables; endpoints go on draining.
         async def case(fleet):
             drain(fleet, range(6))
             await asyncio.sleep(0.3)
@@ -100,9 +104,9 @@
             await asyncio.sleep(1.0)
             drain(fleet, range(10, 14))
 
-        self.assert_kept(play(case, rehome=1.0))
+        self.assert_grace_kept(run_with_fleet(case, rehome=1.0))
 
-    def test_all_stewards_started_anew_at_once_in_a_release_take_out_what_went_meanwhile(self):
+    def test_controllers_restarted_at_once_remove_what_drained_meanwhile(self):
         async def case(fleet):
             drain(fleet, range(6))
             await asyncio.sleep(0.3)
@@ -114,4 +118,4 @@
             await asyncio.sleep(1.0)
             drain(fleet, range(10, 14))
 
-        self.assert_kept(play(case))
+        self.assert_grace_kept(run_with_fleet(case))
--- /dev/null
+++ b/tests/platform/test_planner_restart.py
@@ -0,0 +1,55 @@
+"""Planners that raise."""
+
+import unittest
+from unittest import mock
+
+from peatlead import interface
+from peatlead.planner.planner import Planner
+from peatlead.platform.restart_budget import RESTARTS_LIMIT
+
+from ..places import until
+from ..platforms import (
+    instance,
+    removed_endpoints,
+    run_with_platform,
+    whole_tables,
+)
+
+
+class PlannerRestart(unittest.TestCase):
+    def test_a_planner_that_raises_is_replaced_and_the_streams_are_served(self):
+        async def case(platform):
+            proxy, planner = await platform.proxy_with_table(), platform.controller.planner
+            with mock.patch.object(planner, "decide", side_effect=KeyError("planted")):
+                platform.controller.hear(interface.ProxyDisconnected(3))
+                await until(lambda: platform.controller.planner is not planner)
+            await until(lambda: whole_tables(proxy) == 2, 20)
+            before = platform.controller.decided
+            platform.discovery.publish(instance(1, "z1", "leaving"))
+            await until(lambda: "s-1" in removed_endpoints(proxy))
+            await until(lambda: platform.controller.decided > before + 5)  # its timers go on
+            self.assertIsNone(proxy.end_reason)
+
+        run_with_platform(case)
+
+    def test_timers_of_a_replaced_planner_are_ignored(self):
+        async def case(platform):
+            events = []
+            platform.controller.hear = events.append
+            platform.controller.fire_of(object(), 0, 0.0)
+            self.assertEqual(events, [])
+            platform.controller.fire_of(platform.controller.planner, 0, 0.0)
+            self.assertEqual(events, [interface.TimerFired(0)])
+
+        run_with_platform(case)
+
+    def test_a_planner_that_fails_repeatedly_stops_the_controller(self):
+        async def case(platform):
+            await until(lambda: platform.controller.watch.version)
+            with mock.patch.object(Planner, "decide", side_effect=KeyError("planted")):
+                platform.controller.hear(interface.ProxyDisconnected(3))
+                await until(platform.controller.ended.done)
+            self.assertIn("planted", platform.controller.ended.result())
+            self.assertEqual(platform.controller.failures.count, RESTARTS_LIMIT + 1)
+
+        run_with_platform(case)
--- /dev/null
+++ b/tests/platform/test_program.py
@@ -0,0 +1,182 @@
+"""The program as the platform starts it."""
+
+import json
+import os
+import resource
+import signal
+import socket
+import subprocess
+import sys
+import tempfile
+import unittest
+from pathlib import Path
+
+from peatlead.scenario.runner import free_port
+
+from ..platforms import (
+    instance,
+)
+
+SETTINGS = {
+    "balancers": 1,
+    "rank": 0,
+    "locality": 0,
+    "zones": ["z0"],
+    "kinds": ["m"],
+    "classes": [
+        {
+            "name": "read",
+            "targetUs": 800000,
+            "deadlineUs": 2500000,
+            "repeat": "repeatable",
+            "worth": 2.0,
+        }
+    ],
+    "familyInfo": {
+        "dataPlaneSize": 4,
+        "channelRate": 1000.0,
+        "perMessage": 6.0,
+        "pendingMax": 2000.0,
+        "emptyForUs": 3000000,
+        "lateMostUs": 1000000,
+    },
+    "obligations": {"drainGraceUs": 2000000, "warmAfterUs": 15000000},
+}
+
+
+class Imports(unittest.TestCase):
+    def test_packages_that_the_platform_does_not_use_are_not_imported(self):
+        code = "import peatlead.platform.__main__, sys; print(*[m for m in sys.modules if sys.modules[m]])"
+        finished = subprocess.run(
+            [sys.executable, "-c", code], capture_output=True, text=True, timeout=60
+        )
+        loaded = set(finished.stdout.split())
+        self.assertIn("peatlead.platform.controller", loaded)
+        self.assertEqual(
+            loaded
+            & {
+                "dns",
+                "h2",
+                "blake3",
+                "click",
+                "structlog",
+                "google",
+                "ssl",
+                "zstandard",
+                "starlark",
+                "peatlead.dns",
+                "peatlead.grpc",
+                "peatlead.fleet",
+                "peatlead.tables",
+                "peatlead.controller.controller",
+            },
+            set(),
+        )
+
+
+class Program(unittest.TestCase):
+    """Started with settings that leave out all that they may."""
+
+    def start(self, **limits):
+        folder = tempfile.TemporaryDirectory()
+        self.addCleanup(folder.cleanup)
+        self.port, self.path = free_port(), Path(folder.name, "config.json")
+        self.document = {
+            "name": "n0",
+            "listen": f"127.3.0.3:{self.port}",
+            "discovery": "127.3.0.4:9",
+            "seed": "1f",
+            "known": {"generation": 0, "reset": True, "instances": [instance(0)]},
+            "settings": SETTINGS,
+        }
+        self.path.write_text(json.dumps(self.document))
+        program = subprocess.Popen(
+            [sys.executable, "-m", "peatlead.platform"],
+            stderr=subprocess.PIPE,
+            text=True,
+            env={**os.environ, "NODE_CONFIG": str(self.path)},
+            **limits,
+        )
+        self.addCleanup(program.stderr.close)
+        self.addCleanup(program.kill)
+        self.read(program, "steward started")
+        return program
+
+    def read(self, program, event):
+        for line in program.stderr:
+            if json.loads(line)["event"] == event:
+                return json.loads(line)
+        self.fail(f"it ended without logging {event!r}")
+
+    def check_liveness(self):
+        with socket.create_connection(("127.3.0.3", self.port), 30) as connection:
+            connection.sendall(b'{"msg":"probe"}\n')
+            return connection.makefile().readline()
+
+    def test_without_a_configuration_it_logs_one_line_and_exits_with_1(self):
+        finished = subprocess.run(
+            [sys.executable, "-m", "peatlead.platform"],
+            capture_output=True,
+            text=True,
+            timeout=60,
+            env={key: value for key, value in os.environ.items() if key != "NODE_CONFIG"},
+        )
+        self.assertEqual(
+            (finished.returncode, json.loads(finished.stderr)["event"]), (1, "cannot start")
+        )
+
+    def test_an_invalid_file_at_a_reload_is_logged_and_the_program_goes_on(self):
+        program = self.start()
+        self.path.write_text('{"name":')
+        program.send_signal(signal.SIGHUP)
+        self.assertIn(
+            "not a configuration", self.read(program, "new configuration not taken")["why"]
+        )
+        self.document["settings"] = {**SETTINGS, "locality": 9}
+        self.path.write_text(json.dumps(self.document))
+        program.send_signal(signal.SIGHUP)
+        self.assertIn(
+            "zone: expected one of 1", self.read(program, "new configuration not taken")["why"]
+        )
+        self.document["settings"] = {
+            **SETTINGS,
+            "obligations": {"drainGraceUs": 1000000, "warmAfterUs": 15000000},
+        }
+        self.path.write_text(json.dumps(self.document))
+        program.send_signal(signal.SIGHUP)
+        record = self.read(
+            program, "new configuration: all but discovery's address is for the next start"
+        )
+        self.assertEqual(record["differs"], ["drain_grace"])
+        self.assertEqual(self.check_liveness(), '{"msg":"alive"}\n')
+        program.terminate()
+        self.assertEqual(self.read(program, "steward stopped")["why"], "stopped")
+        self.assertEqual(program.wait(60), 0)
+
+    def test_sigterm_before_the_loop_runs_exits_with_0_and_sighup_is_ignored(self):
+        with tempfile.TemporaryDirectory() as folder:
+            path = f"{folder}/config.json"
+            os.mkfifo(path)
+            program = subprocess.Popen(
+                [sys.executable, "-m", "peatlead.platform"],
+                stderr=subprocess.PIPE,
+                env={**os.environ, "NODE_CONFIG": path},
+            )
+            self.addCleanup(program.stderr.close)
+            self.addCleanup(program.kill)
+            with open(path, "wb"):  # it reads its configuration now
+                program.send_signal(signal.SIGHUP)
+                program.terminate()
+                self.assertEqual(program.wait(60), 0)
+
+    def test_exhausted_descriptors_are_survived_and_later_peers_served(self):
+        program = self.start(
+            preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (40, 40))
+        )
+        herd = [socket.create_connection(("127.3.0.3", self.port), 30) for _ in range(80)]
+        self.read(program, "accept put off")
+        for connection in herd:
+            connection.close()
+        self.assertEqual(self.check_liveness(), '{"msg":"alive"}\n')
+        program.terminate()
+        self.assertEqual(program.wait(60), 0)
--- /dev/null
+++ b/tests/platform/test_push.py
@@ -0,0 +1,172 @@
+"""What proxies are sent: tables, admissions, ejections and restorations."""
+
+import asyncio
+import unittest
+
+from peatlead import interface
+from peatlead.controller.channel import Publisher
+from peatlead.standin.platform_proxies import ProxyState
+
+from ..helpers import FACTS
+from ..places import until
+from ..platforms import (
+    instance,
+    removed_endpoints,
+    run_with_platform,
+)
+
+
+class Tables(unittest.TestCase):
+    def test_a_proxy_that_joins_is_sent_one_whole_table_and_its_admission(self):
+        async def case(platform):
+            proxy = await platform.connect_proxy()
+            await until(
+                lambda: any(part.get("full") for part in proxy.messages)
+                and not proxy.messages[-1].get("continued")
+            )
+            return proxy.messages[[part.get("full") for part in proxy.messages].index(True) :]
+
+        first, *rest = run_with_platform(case)
+        self.assertEqual(
+            sorted(name for name, _ in first["endpoints"]), ["s-0", "s-1", "s-2", "s-3"]
+        )
+        self.assertNotIn("restore", {key for part in (first, *rest) for key in part})
+        self.assertEqual([part["admit"] for part in (first, *rest) if "admit" in part], [1.0])
+
+    def test_request_classes_that_stay_in_their_zone_have_a_table_of_their_own(self):
+        async def case(platform):
+            proxy = await platform.connect_proxy()
+            await until(lambda: sum(part.get("full", False) for part in proxy.messages) == 2)
+            return [part for part in proxy.messages if part.get("full")]
+
+        request_classes = [{**one, "own_zone": one["name"] == "pay"} for one in FACTS["req_kinds"]]
+        tables = run_with_platform(case, req_kinds=request_classes)
+        endpoints_by_class = {
+            tuple(part["routes"]): {name for name, _ in part["endpoints"]} for part in tables
+        }
+        self.assertEqual(
+            (set(endpoints_by_class), endpoints_by_class["pay",]),
+            ({("read",), ("pay",)}, {"s-0", "s-2"}),
+        )
+        self.assertTrue(endpoints_by_class["read",] & {"s-1", "s-3"})
+
+
+class Ejections(unittest.TestCase):
+    def test_a_proxy_with_a_table_is_sent_a_removal_for_a_drain_and_an_entry_for_the_return(self):
+        # An ejection besides would be one more entry in the channel for each proxy and endpoint.
+        async def case(platform):
+            proxy = await platform.connect_proxy()
+            state = ProxyState(0, "z0", [kind["name"] for kind in FACTS["req_kinds"]])
+            await until(lambda: proxy.messages)
+            platform.discovery.publish(instance(2, lifecycle="leaving"))
+            await until(
+                lambda: ["s-2", 0.0]
+                in [entry for part in proxy.messages for entry in part.get("endpoints", ())]
+            )
+            state.apply(proxy.messages)
+            self.assertEqual(state.reachable(), {"s-0", "s-1", "s-3"})
+            platform.discovery.publish(instance(2, started=1.9e12))
+
+            def reachable():
+                state.apply(proxy.messages)
+                return "s-2" in state.reachable()
+
+            await until(reachable)
+
+        run_with_platform(case)
+
+    def test_a_proxy_that_waits_for_its_table_is_sent_an_ejection_for_a_drain(self):
+        async def case(platform):
+            platform.controller.planner.settings = {
+                **platform.controller.planner.settings,
+                "queue_most": 0.0,
+            }  # no room for any table
+            proxy, cold = (
+                await platform.connect_proxy(0, cold=False),
+                await platform.connect_proxy(1, "z1"),
+            )
+            await until(lambda: len(platform.controller.planner.unbound) == 2)
+            platform.controller.planner.settings = {
+                **platform.controller.planner.settings,
+                "queue_most": 1000.0,
+            }
+            platform.controller.planner.waiting.unanswered = 410.0
+            platform.discovery.publish(instance(2, lifecycle="leaving"))
+            await until(lambda: any(part.get("eject") == ["s-2"] for part in proxy.messages))
+            self.assertFalse(any(part.get("full") for part in proxy.messages + cold.messages))
+
+        run_with_platform(case)
+
+    def test_an_endpoint_that_another_controller_ejected_is_restored_with_its_entry(self):
+        # A proxy's ejections outlive its streams: one that another controller sent must be undone.
+        async def case(platform):
+            await (await platform.connect_proxy(1)).loop.create_task(asyncio.sleep(0.05))
+            platform.discovery.publish(instance(1, "z1", "leaving"))
+            await until(lambda: platform.controller.endpoints.possibly_ejected)
+            platform.discovery.publish(instance(1, "z1", started=1.9e12))
+            late = await platform.connect_proxy(0, cold=False)
+            await until(lambda: any("endpoints" in part for part in late.messages), 20)
+            await until(lambda: any(part.get("restore") == ["s-1"] for part in late.messages), 20)
+            self.assertNotIn(
+                "s-0", {name for part in late.messages for name in part.get("restore", ())}
+            )
+
+        run_with_platform(case)
+
+    def test_only_endpoints_that_were_listed_before_are_restored(self):
+        async def case(platform):
+            await until(lambda: platform.controller.watch.version == 1)
+            platform.discovery.publish(instance(7, started=1.9e12))
+            await until(lambda: "s-7" in platform.controller.endpoints.registry.index)
+            self.assertEqual(platform.controller.endpoints.possibly_ejected, set())
+            platform.discovery.publish(
+                instance(1, "z1")
+            )  # it may have gone and come back meanwhile
+            await until(lambda: platform.controller.endpoints.possibly_ejected)
+            platform.controller.endpoints.forgotten["s-8"] = True
+            platform.discovery.publish(instance(8))
+            await until(lambda: len(platform.controller.endpoints.possibly_ejected) == 2)
+            proxy = await platform.proxy_with_table(2)
+            self.assertEqual(
+                {name for part in proxy.messages for name in part.get("restore", ())},
+                {"s-1", "s-8"},
+            )
+
+        run_with_platform(case, probing=False)
+
+    def test_a_withdrawal_is_sent_once_per_stream(self):
+        publisher = Publisher()
+        publisher.join(5, levelled=True)
+        sent = [publisher.take([interface.WithdrawEndpoint(1, True)])[0] for _ in range(2)]
+        publisher.leave(5)
+        publisher.join(5, levelled=True)
+        self.assertEqual(
+            [*sent, publisher.take([interface.WithdrawEndpoint(1, True)])[0]],
+            [{5: {("withdrawn", 1): True}}, {}, {5: {("withdrawn", 1): True}}],
+        )
+        self.assertEqual(
+            publisher.take([interface.WithdrawEndpoint(1, False)])[0],
+            {5: {("withdrawn", 1): False}},
+        )
+        self.assertEqual(
+            publisher.take([interface.WithdrawEndpoint(1, True)])[0], {5: {("withdrawn", 1): True}}
+        )
+
+
+class Failures(unittest.TestCase):
+    def test_a_message_that_cannot_be_written_ends_its_stream_but_no_timer(self):
+        async def case(platform):
+            proxy, other = await platform.proxy_with_table(0), await platform.proxy_with_table(1)
+            tables = platform.controller.push.table_updates
+            platform.controller.push.table_updates = lambda publisher, number, ops: (
+                1 / 0 if number == 0 else tables(publisher, number, ops)
+            )
+            platform.discovery.publish(instance(1, "z1", "leaving"))
+            await until(lambda: proxy.end_reason and "s-1" in removed_endpoints(other))
+            platform.controller.push.table_updates = tables
+            again = await platform.proxy_with_table(0)
+            before = platform.controller.decided
+            await until(lambda: platform.controller.decided > before + 3)
+            self.assertIsNone(again.end_reason)
+
+        run_with_platform(case)
--- /dev/null
+++ b/tests/platform/test_reports.py
@@ -0,0 +1,57 @@
+"""Reports of proxies and collectors."""
+
+import unittest
+
+from peatlead import interface
+
+from ..places import until
+from ..platforms import (
+    OUTCOMES,
+    run_with_platform,
+)
+
+
+class Reports(unittest.TestCase):
+    def test_reports_reach_the_planner_and_invalid_ones_are_ignored(self):
+        async def case(platform):
+            events, submit_event = [], platform.controller.hear
+            platform.controller.hear = lambda event: (events.append(event), submit_event(event))
+            await platform.connect_proxy(3)
+            collector = await platform.connect()
+            collector.send_message(msg="agent", locality="z1")
+            for change in (
+                {"total": -1},
+                {"endpoint": "s-99"},
+                {"locality": "nowhere"},
+                {"msg": "push"},
+                {},
+            ):
+                collector.send_message(**{**OUTCOMES, **change})
+            collector.send_message(
+                msg="demand", node=99, route="read", total=1, errors=0, interval=1000
+            )
+            collector.send_message(
+                msg="demand", node=3, route="nothing", total=1, errors=0, interval=1000
+            )
+            collector.send_message(
+                msg="demand", node=3, route="pay", total=8, errors=1, interval=500
+            )
+            await until(lambda: any(type(event) is interface.RequestStats for event in events))
+            self.assertEqual(
+                [
+                    event
+                    for event in events
+                    if type(event) in (interface.EndpointStats, interface.RequestStats)
+                ],
+                [
+                    interface.EndpointStats(
+                        1, 0, 12, 3, 1.0, 0.0415, {"util": 0.5, "holding": 3.0, "service_ms": 31.0}
+                    ),
+                    interface.RequestStats(3, 1, 8, 1, 0.5),
+                ],
+            )
+            collector.send(b"no sense at all\n")
+            await until(lambda: collector.end_reason)
+            self.assertEqual(platform.controller.listener.counts["spoilt"], 2)
+
+        run_with_platform(case)
--- /dev/null
+++ b/tests/platform/test_resource_shortages.py
@@ -0,0 +1,60 @@
+"""Shortages of the controller's own machine."""
+
+import errno
+import unittest
+from unittest import mock
+
+from peatlead import interface
+from peatlead.platform.sessions import SessionListener
+
+from ..helpers import planner
+from ..places import run, until
+from ..platforms import (
+    PlatformFixture,
+    run_with_platform,
+)
+
+
+class HealthChecks(unittest.TestCase):
+    def test_checks_that_could_not_be_sent_eject_no_endpoint(self):
+        planner_under_test = planner(tries_told=False, report_fields=[])
+        for tick in range(100):
+            results = [
+                interface.HealthCheckResult(
+                    endpoint, "denied" if endpoint == 3 else "ok", 0.0, None
+                )
+                for endpoint in planner_under_test.hosts
+            ]
+            planner_under_test.decide(101.0 + tick / 10, [interface.TimerFired(0), *results])
+        self.assertTrue(planner_under_test.hosts[3].usable)
+
+
+class Listening(unittest.TestCase):
+    def test_a_listener_that_cannot_be_opened_yet_is_retried(self):
+        real, attempts = SessionListener.open, []
+
+        async def fail_twice(listener, address):
+            attempts.append(address)
+            if len(attempts) < 3:
+                raise OSError(errno.ENOBUFS, "no buffers")
+            await real(listener, address)
+
+        async def case(platform):
+            proxy = await platform.connect_proxy()
+            await until(lambda: proxy.messages)
+            self.assertEqual(sum(event == "listener put off" for event, _ in platform.log), 2)
+
+        with mock.patch.object(SessionListener, "open", fail_twice):
+            run_with_platform(case)
+
+    def test_a_listener_that_may_not_be_opened_fails_the_start_at_once(self):
+        async def case():
+            platform = PlatformFixture()
+            with mock.patch.object(
+                SessionListener, "open", side_effect=OSError(errno.EACCES, "not permitted")
+            ):
+                with self.assertRaises(OSError):
+                    await platform.start()
+            platform.stop()
+
+        run(case())
--- /dev/null
+++ b/tests/platform/test_sessions.py
@@ -0,0 +1,169 @@
+"""Connections: joining, bounds, and peers that misbehave."""
+
+import json
+import socket
+import struct
+import unittest
+from unittest import mock
+
+from peatlead import interface
+from peatlead.platform import messages, sessions
+
+from ..places import until
+from ..platforms import (
+    CONTROLLER_HOST,
+    OUTCOMES,
+    run_with_platform,
+)
+
+
+class Joining(unittest.TestCase):
+    def test_a_new_stream_of_a_proxy_replaces_the_old_one(self):
+        async def case(platform):
+            old = await platform.connect_proxy()
+            await until(lambda: old.messages)
+            new = await platform.connect_proxy()
+            await until(lambda: new.messages and old.end_reason)
+            self.assertEqual(
+                (len(platform.controller.proxy_sessions), len(platform.controller.planner.here)),
+                (1, 1),
+            )
+            new.cut("gone")
+            await until(lambda: not platform.controller.planner.here)
+
+        run_with_platform(case)
+
+    def test_a_liveness_check_waits_for_the_first_list(self):
+        async def case(platform):
+            peer = await platform.connect()
+            peer.send_message(msg="probe")
+            await until(lambda: peer.messages)
+            self.assertEqual(
+                (peer.messages, len(platform.controller.planner.hosts)), ([{"msg": "alive"}], 4)
+            )
+
+        run_with_platform(case)
+
+    def test_a_silent_collector_is_cut_when_another_of_its_zone_joins(self):
+        async def case(platform):
+            silent, other, live = [
+                await platform.connect_collector(zone) for zone in ("z0", "z1", "z0")
+            ]
+            await until(
+                lambda: sum(session.joined for session in platform.controller.listener.sessions)
+                == 3
+            )
+            for session in list(platform.controller.listener.sessions)[:2]:
+                session.touched -= 60.0
+            late = await platform.connect_collector()
+            await until(lambda: silent.end_reason)
+            self.assertEqual(
+                (other.end_reason, live.end_reason, late.end_reason), (None, None, None)
+            )
+
+        run_with_platform(case)
+
+
+class MisbehavingPeers(unittest.TestCase):
+    def test_each_bad_peer_is_refused_or_cut_while_a_proxy_is_served(self):
+        openings = [
+            b"GET / HTTP/1.1\r\nhost: x\r\n\r\n",
+            b"\x16\x03\x01" * 30 + b"\n",
+            b'{"msg":"hello","node":99,"locality":"z0"}\n',
+            b'{"msg":"hello","node":0,"locality":"nowhere"}\n',
+            b'{"msg":"agent","locality":"nowhere"}\n',
+            json.dumps(OUTCOMES).encode() + b"\n",
+            b'{"msg":"push","full":true}\n',
+            b"x" * 5000,
+            b'{"msg":"hel',
+            b"",
+        ]
+
+        async def case(platform):
+            peers = [await platform.connect() for _ in openings]
+            for peer, data in zip(peers, openings):
+                peer.send(data)
+            proxy = await platform.connect_proxy()
+            await until(lambda: proxy.messages)
+            await until(lambda: all(peer.end_reason for peer in peers))
+            self.assertEqual(
+                list(platform.controller.listener.sessions), [platform.controller.proxy_sessions[0]]
+            )
+
+        run_with_platform(case)
+
+    def test_many_silent_connections_cost_no_proxy_its_stream(self):
+        async def case(platform):
+            proxy = await platform.connect_proxy()
+            await until(lambda: proxy.messages)
+            listener = platform.controller.listener
+            for _ in range(listener.limit + 28):
+                await platform.connect()
+            late = await platform.connect_proxy(1)
+            await until(lambda: late.messages)
+            self.assertLessEqual(len(listener.sessions), listener.limit + 1)
+            self.assertIsNone(proxy.end_reason)
+            self.assertGreater(listener.counts["evicted"], 0)
+
+        run_with_platform(case, sockets=96)
+
+    def test_a_long_message_may_arrive_byte_by_byte(self):
+        async def case(platform):
+            events, submit_event = [], platform.controller.hear
+            platform.controller.hear = lambda event: (events.append(event), submit_event(event))
+            collector = await platform.connect_collector()
+            report = json.dumps(
+                {
+                    "msg": "outcomes",
+                    "locality": "z0",
+                    "endpoint": "s-1",
+                    "total": 4,
+                    "errors": 0,
+                    "interval": 1000,
+                }
+            ).encode()
+            collector.send(report[:-1] + b" " * 300_000)
+            await until(
+                lambda: any(
+                    len(session.part) > 300_000 for session in platform.controller.listener.sessions
+                )
+            )
+            for byte in b"}\n":
+                collector.send(bytes((byte,)))
+            await until(lambda: any(type(event) is interface.EndpointStats for event in events))
+            collector.send(b" " * (messages.LINE_LIMIT + 2))
+            await until(lambda: collector.end_reason)
+
+        run_with_platform(case)
+
+    def test_a_reset_after_accept_or_within_a_line_leaves_nothing_behind(self):
+        async def case(platform):
+            for data in [b""] * 20 + [
+                b'{"msg":"hel',
+                b'{"msg":"hello","node":1,"locality":"z0"}\n{"msg":',
+            ] * 5:
+                connection = socket.create_connection((CONTROLLER_HOST, platform.port))
+                connection.sendall(data)
+                connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+                connection.close()  # a reset, whatever had been read of it
+            proxy = await platform.proxy_with_table()
+            await until(
+                lambda: list(platform.controller.listener.sessions)
+                == [platform.controller.proxy_sessions[0]]
+            )
+            self.assertEqual(
+                (list(platform.controller.planner.here), proxy.end_reason), ([0], None)
+            )
+
+        run_with_platform(case)
+
+    def test_a_refused_peer_that_does_not_read_is_cut(self):
+        async def case(platform):
+            await platform.proxy_with_table()
+            session = platform.controller.proxy_sessions[0]
+            with mock.patch.object(session, "close"):  # as while bytes wait that nobody reads
+                session.line(b"no sense")
+                await until(lambda: not platform.controller.planner.here)
+
+        with mock.patch.object(sessions, "REFUSAL_TIMEOUT", 0.05):
+            run_with_platform(case)
--- /dev/null
+++ b/tests/platform/test_shutdown.py
@@ -0,0 +1,84 @@
+"""The end of a controller (docs/endings.md)."""
+
+import asyncio
+import unittest
+
+from peatlead.net.streams import Lines
+from peatlead.platform.controller import PlatformController
+from peatlead.platform.messages import (
+    Address,
+)
+
+from ..places import until
+from ..platforms import (
+    DISCOVERY_HOST,
+    endpoint_list,
+    instance,
+    removed_endpoints,
+    run_with_platform,
+)
+
+
+class Shutdown(unittest.TestCase):
+    def test_events_received_before_the_end_are_decided_on_and_written(self):
+        async def case(platform):
+            proxy = await platform.proxy_with_table()
+            platform.controller.on_endpoint_list(
+                endpoint_list(2, instance(1, "z1", "leaving"))
+            )  # in the inbox, undecided
+            platform.controller.stop()
+            await until(lambda: proxy.end_reason)
+            self.assertEqual(
+                (removed_endpoints(proxy), platform.controller.ended.result()), ({"s-1"}, "stopped")
+            )
+
+        run_with_platform(case)
+
+    def test_buffered_bytes_are_sent_and_a_peer_that_does_not_read_delays_nobody(self):
+        async def case(platform):
+            proxy, deaf = await platform.proxy_with_table(0), await platform.proxy_with_table(1)
+            deaf.transport.pause_reading()
+            for session in platform.controller.proxy_sessions.values():
+                session.transport.write(b'{"pad":"' + b" " * 100_000 + b'"}\n')
+            platform.controller.on_endpoint_list(endpoint_list(2, instance(0, lifecycle="leaving")))
+            platform.controller.stop()
+            await until(lambda: proxy.end_reason and platform.controller.ended.done())
+            self.assertEqual(removed_endpoints(proxy), {"s-0"})
+
+        run_with_platform(case)
+
+    def test_a_second_end_a_reload_and_late_timers_change_nothing(self):
+        async def case(platform):
+            proxy = await platform.proxy_with_table()
+            platform.controller.stop()
+            decided = platform.controller.decided
+            platform.controller.stop("again")
+            platform.configuration = platform.configuration._replace(
+                discovery=Address(DISCOVERY_HOST, 1)
+            )
+            platform.controller.reload()
+            platform.controller.fire_of(platform.controller.planner, 0, 0.0)
+            platform.controller.on_health_check(0, "ok", 0.1, None, None)
+            await until(lambda: proxy.end_reason and platform.controller.ended.done())
+            self.assertEqual(
+                (platform.controller.ended.result(), platform.controller.decided),
+                ("stopped", decided),
+            )
+
+        run_with_platform(case)
+
+    def test_an_end_before_the_start_is_complete_leaves_no_listener(self):
+        async def case(platform):
+            configuration = platform.configuration._replace(
+                listen=Address("127.3.0.2", platform.port)
+            )
+            other = PlatformController(configuration, None, lambda *_, **__: None, lambda: 0)
+            other.stop()
+            await other.start()
+            await until(other.ended.done)
+            with self.assertRaises(OSError):
+                await asyncio.get_running_loop().create_connection(
+                    Lines, "127.3.0.2", platform.port
+                )
+
+        run_with_platform(case)
--- a/tests/test_telemetry.py
+++ b/tests/platform/test_telemetry.py
@@ -1,11 +1,16 @@
+"""Log events of proxies and of the channel."""
+
 import unittest
 
 from peatlead import interface
 from peatlead.platform.telemetry import STATUS_INTERVAL, Telemetry
 
-from .helpers import planner
-from .places import until
-from .platforms import instance, play
+from ..helpers import planner
+from ..places import until
+from ..platforms import (
+    instance,
+    run_with_platform,
+)
 
 
 class Events(unittest.TestCase):
@@ -31,7 +36,7 @@
             {"tables": 1, "lines": 2, "removed_lines": 1},
         )
 
-    def test_the_status_comes_once_a_second_and_not_while_nothing_happens(self):
+    def test_the_status_is_logged_once_a_second_and_not_while_nothing_happens(self):
         idle = planner()
         idle.decide(200.0, [])
         self.telemetry.end_batch(200.0, idle)
@@ -41,30 +46,30 @@
             self.telemetry.end_batch(200.0 + STATUS_INTERVAL * (1 + part / 4), idle)
         self.assertEqual([event for event, _ in self.events], ["channel"])
 
-    def test_the_status_tells_of_proxies_that_wait(self):
-        made = planner(queue_most=10.0)
-        made.decide(101.0, [interface.ProxyConnected(2, 0, 5.0, False)])
-        status = made.status(102.5)
+    def test_the_status_counts_proxies_that_wait(self):
+        waiting = planner(queue_most=10.0)
+        waiting.decide(101.0, [interface.ProxyConnected(2, 0, 5.0, False)])
+        status = waiting.status(102.5)
         self.assertEqual(
             (status.connected_proxies, status.unassigned_proxies, status.longest_wait), (4, 2, 2.5)
         )
         self.assertGreater(status.queued_entries, 0)
 
-    def test_a_steward_tells_of_joins_tables_and_ends_of_its_streams(self):
-        async def case(place):
-            proxy = await place.proxy(3)
-            await until(lambda: proxy.got)
-            place.desk.change(instance(2, lifecycle="leaving"))
+    def test_a_controller_logs_joins_tables_and_ends_of_its_streams(self):
+        async def case(platform):
+            proxy = await platform.connect_proxy(3)
+            await until(lambda: proxy.messages)
+            platform.discovery.publish(instance(2, lifecycle="leaving"))
             await until(
-                lambda: any(["s-2", 0.0] in part.get("endpoints", ()) for part in proxy.got)
+                lambda: any(["s-2", 0.0] in part.get("endpoints", ()) for part in proxy.messages)
             )
             proxy.cut("over")
             await until(
-                lambda: any(event == "proxies" and fields["left"] for event, fields in place.log)
+                lambda: any(event == "proxies" and fields["left"] for event, fields in platform.log)
             )
-            return [fields for event, fields in place.log if event == "proxies"]
+            return [fields for event, fields in platform.log if event == "proxies"]
 
-        told = play(case)
+        events = run_with_platform(case)
         for name in ("joined", "tables"):
-            self.assertEqual([number for fields in told for number in fields[name]], [3], name)
-        self.assertEqual(list(told[-1]["left"].values()), [[3]])
+            self.assertEqual([number for fields in events for number in fields[name]], [3], name)
+        self.assertEqual(list(events[-1]["left"].values()), [[3]])
--- a/tests/platforms.py
+++ b/tests/platforms.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the platform that tests play against: discovery, a proxy's stream, a steward between them."""
+"""Set-up of tests of the platform's controller: discovery, peers, and a controller between them."""
 
 import asyncio
 import json
@@ -9,16 +9,32 @@
 from peatlead.platform.controller import PlatformController
 from peatlead.platform.messages import Address, read_endpoint_list
 from peatlead.scenario.runner import free_port
+from peatlead.standin.platform_proxies import ProxyState
 
 from .helpers import FACTS
-
-STEWARD = "127.3.0.1"
-
-
-def instance(at, zone="z0", lifecycle="active", started=0.0):
+from .places import run, until
+
+CONTROLLER_HOST = "127.3.0.1"
+DISCOVERY_HOST = "127.3.0.9"
+WALL_TIME = 2e9  # Unix seconds
+# A valid report of a collector.
+OUTCOMES = {
+    "msg": "outcomes",
+    "locality": "z0",
+    "endpoint": "s-1",
+    "total": 12,
+    "errors": 3,
+    "rtt": 41.5,
+    "interval": 1000.0,
+    "metrics": {"busy": 0.5, "rif": 3.0, "lat_ms": 31.0},
+}
+
+
+def instance(number, zone="z0", lifecycle="active", started=0.0):
+    """One endpoint as discovery writes it; `started` in Unix milliseconds."""
     return {
-        "instanceId": f"s-{at}",
-        "hostPort": f"127.3.1.{at + 1}:9",
+        "instanceId": f"s-{number}",
+        "hostPort": f"127.3.1.{number + 1}:9",
         "zone": zone,
         "machineType": "m",
         "cell": 0,
@@ -28,138 +44,182 @@
     }
 
 
-class Discovery(Server):
-    """One connection to the list's agent. `desk` is shared by all; a call that may wait is held until news come."""
+def endpoint_list(version, *instances, whole=False):
+    """A list as the controller reads it."""
+    body = {"generation": version, "reset": whole, "instances": instances}
+    return read_endpoint_list(json.dumps(body).encode(), WALL_TIME)
+
 
-    def __init__(self, desk):
+class DiscoveryConnection(Server):
+    """One connection to a FakeDiscovery."""
+
+    def __init__(self, discovery):
         super().__init__(0.0)
-        self.desk = desk
+        self.discovery = discovery
 
     def opened(self):
-        self.desk.conns.append(self)
+        self.discovery.connections.append(self)
 
     def serve(self, method, path, headers, body):
-        self.desk.paths.append(path)
-        if self.desk.silent:
+        self.discovery.request_paths.append(path)
+        if self.discovery.silent:
             return
-        self.desk.held.append((self, path))
-        self.desk.tell()
+        self.discovery.held_requests.append((self, path))
+        self.discovery.answer_requests()
+
 
+class FakeDiscovery:
+    """The platform's discovery service: a request that may wait is held until there is a change."""
 
-class Desk:
-    def __init__(self, hosts):
-        self.version, self.hosts, self.news = 1, hosts, []
-        self.paths, self.held, self.conns, self.servers, self.silent = [], [], [], [], False
+    def __init__(self, instances):
+        self.version = 1
+        self.instances = instances  # the whole list
+        self.changes = []  # since the version before
+        self.silent = False  # requests are read and not answered
+        self.request_paths = []
+        self.held_requests = []  # (connection, path)
+        self.connections = []
+        self.servers = []
 
     async def open(self, port):
         loop = asyncio.get_running_loop()
-        self.servers.append(await loop.create_server(lambda: Discovery(self), "127.3.0.9", port))
-
-    def change(self, *instances):
-        self.version, self.news = self.version + 1, list(instances)
-        self.tell()
-
-    def tell(self):
-        for one in list(self.held):
-            conn, path = one
-            if "after=" not in path:
-                answer = {"generation": self.version, "reset": True, "instances": self.hosts}
-            elif f"after={self.version}&wait_ms=0" in path:
-                answer = {"generation": self.version, "reset": False, "instances": []}
-            elif f"after={self.version}&" in path:
-                continue
-            else:
-                answer = {"generation": self.version, "reset": False, "instances": self.news}
-            self.held.remove(one)
-            conn.answer(200, [], json.dumps(answer).encode())
-
-
-class Peer(Lines):
-    """A proxy, a collector or anybody else at the steward's address."""
+        server = await loop.create_server(lambda: DiscoveryConnection(self), DISCOVERY_HOST, port)
+        self.servers.append(server)
+
+    def publish(self, *changes):
+        self.version += 1
+        self.changes = list(changes)
+        self.answer_requests()
+
+    def answer_requests(self):
+        for request in list(self.held_requests):
+            connection, path = request
+            answer = self.answer(path)
+            if answer is not None:
+                self.held_requests.remove(request)
+                connection.answer(200, [], json.dumps(answer).encode())
+
+    def answer(self, path):
+        """The answer to a request, or None while it has to wait."""
+        if "after=" not in path:
+            return {"generation": self.version, "reset": True, "instances": self.instances}
+        if f"after={self.version}&wait_ms=0" in path:
+            return {"generation": self.version, "reset": False, "instances": []}
+        if f"after={self.version}&" in path:
+            return None
+        return {"generation": self.version, "reset": False, "instances": self.changes}
+
+
+class FakePeer(Lines):
+    """A proxy, a collector or another peer of the controller."""
 
     def __init__(self):
         super().__init__()
-        self.got, self.over = [], None
+        self.messages = []  # that the controller sent, decoded
+        self.end_reason = None
 
     def line(self, data):
-        self.got.append(json.loads(data))
+        self.messages.append(json.loads(data))
 
     def ended(self, reason):
-        self.over = reason
+        self.end_reason = reason
 
-    def say(self, **fields):
+    def send_message(self, **fields):
         self.send(json.dumps(fields).encode() + b"\n")
 
 
-def listing(version, *instances, whole=False):
-    """As the steward reads what discovery writes."""
-    body = {"generation": version, "reset": whole, "instances": instances}
-    return read_endpoint_list(json.dumps(body).encode(), 2e9)
-
-
-class Place:
-    """A steward, its desk, and whoever dials it."""
-
-    def __init__(self, hosts=4, sockets=256, known=None, silent=False, **facts):
-        self.port, self.log, self.peers = free_port(), [], []
-        self.desk = Desk([instance(at, f"z{at % 2}") for at in range(hosts)])
-        self.told = Configuration(
-            "n0",
-            Address(STEWARD, self.port),
-            Address("127.3.0.9", self.port),
-            7,
-            sockets,
-            {**FACTS, "probing": False, "connect_timeout": 0.2, **facts},
-            known,
+class PlatformFixture:
+    """A controller, its discovery service and its peers; `settings` change those of helpers.py."""
+
+    def __init__(self, endpoints=4, sockets=256, remembered_list=None, silent=False, **settings):
+        self.port = free_port()
+        self.log = []  # (event, fields)
+        self.peers = []
+        instances = [instance(number, f"z{number % 2}") for number in range(endpoints)]
+        self.discovery = FakeDiscovery(instances)
+        self.discovery.silent = silent
+        self.configuration = Configuration(
+            name="n0",
+            listen=Address(CONTROLLER_HOST, self.port),
+            discovery=Address(DISCOVERY_HOST, self.port),
+            seed=7,
+            sockets=sockets,
+            settings={**FACTS, "probing": False, "connect_timeout": 0.2, **settings},
+            remembered_list=remembered_list,
         )
-        self.desk.silent = silent
 
-    async def begin(self, wall=lambda: 2e9):
-        await self.desk.open(self.port)
-        self.node = PlatformController(
-            self.told, lambda: self.told, lambda event, **more: self.log.append((event, more)), wall
+    async def start(self, wall=lambda: WALL_TIME):
+        await self.discovery.open(self.port)
+        self.controller = PlatformController(
+            self.configuration,
+            lambda: self.configuration,
+            lambda event, **fields: self.log.append((event, fields)),
+            wall,
         )
-        await self.node.start()
+        await self.controller.start()
         return self
 
-    def moved(self, step):
-        """The configuration names discovery's address that lies `step` ports on."""
-        self.told = self.told._replace(discovery=Address("127.3.0.9", self.port + step))
-        self.node.reload()
+    def stop(self):
+        self.controller.stop()
+        for server in self.discovery.servers:
+            server.close()
+        for stream in [*self.peers, *self.discovery.connections]:
+            stream.cut("over")
+
+    def move_discovery(self, port_offset):
+        """Reload a configuration whose discovery address is `port_offset` ports on."""
+        address = Address(DISCOVERY_HOST, self.port + port_offset)
+        self.configuration = self.configuration._replace(discovery=address)
+        self.controller.reload()
 
-    async def collector(self, zone="z0"):
-        peer = await self.dial()
-        peer.say(msg="agent", locality=zone)
+    async def connect(self):
+        loop = asyncio.get_running_loop()
+        _, peer = await loop.create_connection(FakePeer, CONTROLLER_HOST, self.port)
+        self.peers.append(peer)
         return peer
 
-    async def dial(self):
-        _, peer = await asyncio.get_running_loop().create_connection(Peer, STEWARD, self.port)
-        self.peers.append(peer)
+    async def connect_proxy(self, number=0, zone="z0", cold=True):
+        peer = await self.connect()
+        peer.send_message(msg="hello", node=number, locality=zone, w=5.0, cold=cold)
         return peer
 
-    async def proxy(self, node=0, zone="z0", cold=True):
-        peer = await self.dial()
-        peer.say(msg="hello", node=node, locality=zone, w=5.0, cold=cold)
+    async def connect_collector(self, zone="z0"):
+        peer = await self.connect()
+        peer.send_message(msg="agent", locality=zone)
         return peer
 
-    def end(self):
-        self.node.stop()
-        for server in self.desk.servers:
-            server.close()
-        for one in [*self.peers, *self.desk.conns]:
-            one.cut("over")
+    async def proxy_with_table(self, number=0, **more):
+        """A proxy that has been sent a whole table."""
+        proxy = await self.connect_proxy(number, **more)
+        await until(lambda: whole_tables(proxy))
+        return proxy
+
+
+def whole_tables(peer):
+    """How many whole tables a peer was sent."""
+    return sum(message.get("full", False) for message in peer.messages)
+
+
+def removed_endpoints(peer):
+    """Names of endpoints that a proxy which was sent all this could once reach and no longer can."""
+    names = [request_class["name"] for request_class in FACTS["req_kinds"]]
+    state = ProxyState(0, "z0", names)
+    reached = set()
+    for message in peer.messages:
+        state.apply([message])
+        reached |= state.reachable()
+    return reached - state.reachable()
 
 
-def play(case, **more):
-    """`case(place)` on a loop of its own."""
-    from .places import run
+def run_with_platform(case, **more):
+    """Run `case(platform)` with a started fixture, on a loop of its own."""
 
-    async def whole():
-        place = await Place(**more).begin()
+    async def run_case():
+        platform = await PlatformFixture(**more).start()
         try:
-            return await case(place)
+            return await case(platform)
         finally:
-            place.end()
+            platform.stop()
             await asyncio.sleep(0.02)
 
-    return run(whole())
+    return run(run_case())
