--- a/peatlead/platform/controller.py
+++ b/peatlead/platform/controller.py
@@ -7,7 +7,7 @@
 import asyncio
 from collections.abc import Callable, Mapping, Sequence
 from random import Random
-from typing import Any, Optional
+from typing import Optional
 
 from .. import interface
 from ..controller.batch_loop import BatchLoop
@@ -43,7 +43,7 @@
 LISTEN_RETRY_DELAY_LIMIT = 0.5
 DIFFERENCES_LOGGED = 20  # of a new configuration
 
-MakePlanner = Callable[[Settings, int], Any]  # of the settings and a seed
+MakePlanner = Callable[[Settings, int], Planner]  # of the settings and a seed
 
 
 class PlatformController(BatchLoop):
@@ -53,6 +53,8 @@
     gives Unix seconds, by which only endpoints' ages go: all other times are the event loop's.
     """
 
+    planner: Planner
+
     def __init__(
         self,
         configuration: Configuration,
--- a/peatlead/platform/health_checks.py
+++ b/peatlead/platform/health_checks.py
@@ -23,8 +23,15 @@
 class HttpAnswer(Protocol):
     """What of an HTTP answer matters here."""
 
-    status: int
-    body: bytes
+    @property
+    def status(self) -> int:
+        """The status code."""
+        ...
+
+    @property
+    def body(self) -> bytes:
+        """The whole body."""
+        ...
 
 
 def concurrent_checks(sockets: int) -> int:
