--- a/peatlead/platform/__main__.py
+++ b/peatlead/platform/__main__.py
@@ -18,17 +18,12 @@
 import os  # noqa: E402
 import signal  # noqa: E402
 import time  # noqa: E402
-from collections.abc import Callable  # noqa: E402
 from typing import Any  # noqa: E402
 
 from .configuration import Configuration, ConfigurationError, read_configuration  # noqa: E402
-from .controller import (  # noqa: E402
-    LISTEN_RETRY_DELAY_LIMIT,
-    LISTEN_TIMEOUT,
-    STOPPED,
-    PlatformController,
-)
+from .controller import STOPPED, PlatformController  # noqa: E402
 from .messages import ENCODER  # noqa: E402
+from .startup import read_with_retries  # noqa: E402
 
 STANDARD_ERROR = 2  # file descriptor
 EXIT_OK = 0
@@ -48,20 +43,6 @@
     log("callback failed", why=context.get("message"), error=repr(context.get("exception")))
 
 
-async def read_with_retries(read: Callable[[], Configuration]) -> Configuration:
-    """Read the configuration, trying again after a transient error. Raises ConfigurationError."""
-    loop = asyncio.get_running_loop()
-    deadline = loop.time() + LISTEN_TIMEOUT
-    while True:
-        try:
-            return read()
-        except ConfigurationError as problem:
-            if not problem.transient or loop.time() > deadline:
-                raise
-            log("configuration put off", why=str(problem))
-        await asyncio.sleep(LISTEN_RETRY_DELAY_LIMIT)
-
-
 async def serve() -> int:
     """Run the controller and return the exit code."""
 
@@ -71,7 +52,7 @@
     loop = asyncio.get_running_loop()
     loop.set_exception_handler(log_callback_error)
     try:
-        configuration = await read_with_retries(read)
+        configuration = await read_with_retries(read, log)
         controller = PlatformController(configuration, read, log, time.time)
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, controller.stop)
--- a/peatlead/platform/controller.py
+++ b/peatlead/platform/controller.py
@@ -4,7 +4,6 @@
 the platform's channel paces them, and the planner counts what waits there.
 """
 
-import asyncio
 from collections.abc import Callable, Mapping, Sequence
 from random import Random
 from typing import Optional
@@ -12,7 +11,6 @@
 from .. import interface
 from ..controller.batch_loop import BatchLoop
 from ..controller.channel import Publisher
-from ..net.errors import may_pass
 from ..planner.planner import Planner
 from ..sources.endpoint_list import EndpointList
 from .clock import WallClock
@@ -29,6 +27,7 @@
 from .sessions import EndReason, Incident, Report, Session, SessionListener
 from .settings_validation import REQUIRED_SETTINGS
 from .shared_types import Log, Settings
+from .startup import open_with_retries
 from .telemetry import Telemetry
 
 STOPPED = "stopped"  # the reason of an end that was asked for
@@ -37,10 +36,6 @@
 # Seconds that peers have to read what was written before the end; the platform grants 0.7.
 STOP_TIMEOUT = 0.4
 SWEEP_INTERVAL = 5.0  # seconds between searches for endpoints that the planner has forgotten
-LISTEN_TIMEOUT = 20.0  # seconds for which a listener that can't be opened is tried again
-# Seconds until the next attempt, doubled each time, up to the limit.
-LISTEN_RETRY_DELAY = 0.05
-LISTEN_RETRY_DELAY_LIMIT = 0.5
 DIFFERENCES_LOGGED = 20  # of a new configuration
 
 MakePlanner = Callable[[Settings, int], Planner]  # of the settings and a seed
@@ -103,7 +98,9 @@
 
     async def start(self) -> None:
         """Open the sockets and begin to serve. Raises OSError."""
-        await self.open_listener()
+        await open_with_retries(
+            self.listener, self.configuration.listen, lambda: self.stopping, self.log
+        )
         if self.stopping:
             self.listener.close()
             return
@@ -130,21 +127,6 @@
             limits={name: self.settings[name] for name in shown},
         )
 
-    async def open_listener(self) -> None:
-        """Open the listener, trying again after a transient error. Raises OSError."""
-        deadline = self.loop.time() + LISTEN_TIMEOUT
-        delay = LISTEN_RETRY_DELAY
-        while not self.stopping:
-            try:
-                await self.listener.open(self.configuration.listen)
-                return
-            except OSError as problem:
-                if not may_pass(problem) or self.loop.time() > deadline:
-                    raise
-                self.log("listener put off", why=problem.strerror, wait=delay)
-            await asyncio.sleep(delay)
-            delay = min(LISTEN_RETRY_DELAY_LIMIT, 2 * delay)
-
     def become_ready(self) -> None:
         """Answer liveness checks from now on."""
         if not self.ready:
