--- a/peatlead/platform/controller.py
+++ b/peatlead/platform/controller.py
@@ -24,7 +24,9 @@
 from .reload import ConfigurationReload, differences
 from .reports import ReportTranslator
 from .restart_budget import RestartBudget
-from .sessions import EndReason, Incident, Report, Session, SessionListener
+from .session_listener import SessionListener
+from .session_owner import EndReason, Incident, Report
+from .sessions import Session
 from .settings_validation import REQUIRED_SETTINGS
 from .shared_types import Log, Settings
 from .startup import open_with_retries
--- a/peatlead/platform/reports.py
+++ b/peatlead/platform/reports.py
@@ -5,7 +5,7 @@
 from .. import interface
 from ..controller.endpoint_registry import EndpointRegistry
 from .messages import Acknowledgement, EndpointOutcomes, RequestDemand
-from .sessions import Report
+from .session_owner import Report
 
 ReportEvent = Union[interface.EndpointStats, interface.RequestStats, interface.Acknowledged]
 
--- a/peatlead/platform/startup.py
+++ b/peatlead/platform/startup.py
@@ -10,7 +10,7 @@
 from ..net.errors import may_pass
 from .configuration import Configuration, ConfigurationError
 from .messages import Address
-from .sessions import SessionListener
+from .session_listener import SessionListener
 from .shared_types import Log
 
 START_TIMEOUT = 20.0  # seconds after which an error is final
--- a/tests/platform/test_resource_shortages.py
+++ b/tests/platform/test_resource_shortages.py
@@ -5,7 +5,7 @@
 from unittest import mock
 
 from peatlead import interface
-from peatlead.platform.sessions import SessionListener
+from peatlead.platform.session_listener import SessionListener
 
 from ..helpers import planner
 from ..places import run, until
