--- a/peatlead/planner/channel_backlog.py
+++ b/peatlead/planner/channel_backlog.py
@@ -1,95 +1,124 @@
-"""How many lines wait in a steward's channel, by what was written and which marks were answered. Pure, untuned.
+"""How many entries wait in a controller's channel, judged by acknowledgements alone.
 
-The channel sends in the order of writing, so an answered mark covers all that was written before it, and of its own
-batch the message of the proxy that answered. What no answer covers may still wait, however long the told pace says it
-takes: a channel may be far slower than told. What was written to a proxy that has left waits no longer.
+The channel sends in the order of writing, so an acknowledged nonce covers all that was written
+before it and, of its own batch, the message of the proxy that answered. What no acknowledgement
+covers may still wait, however long the configured rate says it takes: a channel may be far slower
+than configured. What was written to a proxy that has disconnected waits no longer.
 
-No pace comes into it. A steward that went by half the told one left its channel idle while proxies waited for tables
-(docs/incidents/2026-12-02-drains-after-a-herd.md); by the whole of it, a slow channel would fill.
+No rate is part of it. A controller that went by half the configured one left its channel idle while
+proxies waited for tables (docs/incidents/2026-12-02-drains-after-a-herd.md); by the whole of it, a
+slow channel would fill.
 """
 
 from collections import deque
 
-LARGEST_MARK = 65535  # numbers of marks come round again
+LARGEST_NONCE = 65535  # nonces start again at 1 after it: they have 16 bits on the wire
 
 
 class Batch:
-    """What one batch wrote: `lines` by proxy, under one mark."""
+    """What one batch wrote under one nonce."""
 
-    __slots__ = ("mark", "written_at", "lines")
+    __slots__ = ("nonce", "written_at", "entries")
 
-    def __init__(self, mark, written_at, lines):
-        self.mark, self.written_at, self.lines = mark, written_at, lines
+    def __init__(self, nonce: int, written_at: float, entries: dict[int, float]) -> None:
+        self.nonce = nonce
+        self.written_at = written_at  # seconds
+        self.entries = entries  # by proxy; only those that may still wait
 
 
 class ChannelBacklog:
-    """`head`: what a message counts beside its lines; `longest`: seconds after which an unanswered batch counts no
-    longer, since who got it may have fallen silent."""
+    """The entries that were written and may not have been sent.
+
+    `message_overhead` is what a message counts beside its entries. After `expiry` seconds an
+    unacknowledged batch counts no longer, since the proxies that got it may have stopped answering.
+    """
 
     __slots__ = (
-        "head",
-        "longest",
+        "message_overhead",
+        "expiry",
         "unanswered",
         "batches",
         "now",
-        "mark",
+        "nonce",
         "open_batch",
-        "open_lines",
+        "open_entries",
     )
 
-    def __init__(self, head, longest):
-        self.head, self.longest = head, longest
-        self.unanswered, self.batches = 0.0, deque()  # lines of batches that are written
-        self.now, self.mark = 0.0, 0
-        self.open_batch, self.open_lines = {}, 0.0  # of the batch that is being made
+    def __init__(self, message_overhead: float, expiry: float) -> None:
+        self.message_overhead = message_overhead
+        self.expiry = expiry
+        self.unanswered = 0.0  # entries of the batches that are written
+        self.batches: deque[Batch] = deque()  # the oldest first
+        self.now = 0.0
+        self.nonce = 0  # of the last batch that wrote anything
+        self.open_batch: dict[int, float] = {}  # entries by proxy of the batch that is being made
+        self.open_entries = 0.0  # their sum
 
     @property
-    def lines(self):
-        return self.unanswered + self.open_lines
+    def entries(self) -> float:
+        """All entries that are taken to wait, those of the open batch among them."""
+        return self.unanswered + self.open_entries
 
-    def advance(self, now):
-        """A batch begins."""
+    def advance(self, now: float) -> None:
+        """Begin a batch at `now`, in seconds; batches that are past the expiry are dropped."""
         self.now = now
-        while self.batches and self.batches[0].written_at < now - self.longest:
-            self.drop_oldest()
+        while self.batches and self.batches[0].written_at < now - self.expiry:
+            self._drop_oldest()
+
+    def add(self, proxy: int, entries: float, new_message: bool) -> None:
+        """Count entries for a proxy.
 
-    def add(self, proxy, lines, new):
-        """Lines for a proxy; with `new`, they begin its message of this batch, with a head and a mark."""
-        lines += (self.head + 1) * new
-        self.open_batch[proxy] = self.open_batch.get(proxy, 0.0) + lines
-        self.open_lines += lines
+        With `new_message`, they begin the proxy's message of this batch, which adds its overhead
+        and one for the nonce.
+        """
+        entries += (self.message_overhead + 1) * new_message
+        self.open_batch[proxy] = self.open_batch.get(proxy, 0.0) + entries
+        self.open_entries += entries
 
-    def end_batch(self):
-        """The mark that the batch's messages carry, 0 where there are none."""
+    def end_batch(self) -> int:
+        """Close the batch.
+
+        Returns the nonce that its messages carry, 0 where there are no messages.
+        """
         if not self.open_batch:
             return 0
-        self.mark = self.mark % LARGEST_MARK + 1
-        self.batches.append(Batch(self.mark, self.now, self.open_batch))
-        self.unanswered += self.open_lines
-        self.open_batch, self.open_lines = {}, 0.0
-        return self.mark
-
-    def answered(self, proxy, mark):
-        batch = next((batch for batch in self.batches if batch.mark == mark), None)
+        self.nonce = self.nonce % LARGEST_NONCE + 1
+        self.batches.append(Batch(self.nonce, self.now, self.open_batch))
+        self.unanswered += self.open_entries
+        self.open_batch = {}
+        self.open_entries = 0.0
+        return self.nonce
+
+    def acknowledge(self, proxy: int, nonce: int) -> None:
+        """Take out what a proxy's acknowledgement covers.
+
+        A nonce of no waiting batch covers nothing.
+        """
+        batch = next((batch for batch in self.batches if batch.nonce == nonce), None)
         if batch is None:
             return
         while self.batches[0] is not batch:
-            self.drop_oldest()
-        self.unanswered -= batch.lines.pop(proxy, 0.0)
-        self.drop_empty()
+            self._drop_oldest()
+        self.unanswered -= batch.entries.pop(proxy, 0.0)
+        self._drop_empty()
 
-    def left(self, proxy):
-        """What was written to it can reach nobody and is not sent."""
-        self.open_lines -= self.open_batch.pop(proxy, 0.0)
+    def disconnect(self, proxy: int) -> None:
+        """Take out all that was written to a proxy whose stream has ended: it isn't sent."""
+        self.open_entries -= self.open_batch.pop(proxy, 0.0)
         for batch in self.batches:
-            self.unanswered -= batch.lines.pop(proxy, 0.0)
-        self.drop_empty()
+            self.unanswered -= batch.entries.pop(proxy, 0.0)
+        self._drop_empty()
 
-    def drop_empty(self):
-        while self.batches and not self.batches[0].lines:
-            self.drop_oldest()
+    def _drop_empty(self) -> None:
+        while self.batches and not self.batches[0].entries:
+            self._drop_oldest()
 
-    def drop_oldest(self):
-        self.unanswered -= sum(self.batches.popleft().lines.values())
+    def _drop_oldest(self) -> None:
+        self.unanswered -= sum(self.batches.popleft().entries.values())
         if not self.batches:
-            self.unanswered = 0.0  # no sum of roundings
+            self.unanswered = 0.0  # what rounding has left
+
+    # The former names, until all callers use the new ones.
+    lines = entries
+    answered = acknowledge
+    left = disconnect
--- /dev/null
+++ b/peatlead/planner/deadline_queue.py
@@ -0,0 +1,26 @@
+"""What is to be checked at which time, where nothing but time brings the change."""
+
+import heapq
+
+
+class DeadlineQueue:
+    """Items by deadline, in seconds of the planner's clock.
+
+    An item may be pushed several times; each of its deadlines counts.
+    """
+
+    __slots__ = ("heap",)
+
+    def __init__(self) -> None:
+        self.heap: list[tuple[float, int]] = []
+
+    def push(self, deadline: float, item: int) -> None:
+        """Add an item that is due at `deadline`."""
+        heapq.heappush(self.heap, (deadline, item))
+
+    def take(self, now: float) -> list[int]:
+        """Remove and return the items that are due, each once, by their earliest deadline."""
+        due: dict[int, bool] = {}
+        while self.heap and self.heap[0][0] <= now:
+            due[heapq.heappop(self.heap)[1]] = True
+        return list(due)
--- a/peatlead/planner/rendezvous.py
+++ b/peatlead/planner/rendezvous.py
@@ -1,170 +1,165 @@
-"""Structures that the planner finds its hosts and proxies by. They decide nothing and hold no tuned value.
+"""Rendezvous hashing (Thaler and Ravishankar, 1998) of a pool's endpoints for each proxy.
 
-`Ranks` is rendezvous order (Thaler and Ravishankar, 1998) over the hosts of one pool: each proxy has its own random
-order of them, without memory, so that every steward finds the same and a new list moves few. The whole pool is
-mixed with a proxy's key at once, as lanes of one wide number: a thousand hosts cost a dozen machine loops, not a
-thousand calls, and only the top is sorted. `Holders` tells who holds a host; `Due` what time alone brings next.
-`python -m peatlead.benchmarks.scale` measures the planner on them against its text before.
+Each proxy has its own random order of the endpoints, which needs no memory: every controller
+computes the same one, and a change of the list moves few entries.
+
+The whole pool is mixed with a proxy's key at once, as lanes of one wide integer: a thousand
+endpoints cost a dozen big-integer operations instead of a thousand calls, and only the candidates
+for the top are sorted. `python -m peatlead.benchmarks.scale` measures the planner on it;
+docs/scale.md compares the alternatives.
 """
 
-import heapq
 import re
 import struct
+from collections.abc import Iterable, Iterator
 from functools import lru_cache
 from hashlib import blake2b
-from math import fsum
-
-SALT = b"turf"  # one order of many alike (docs/results/scale.md): days on the bench are compared under the same
-LANE, LOW, SHIFT = (
-    64,
-    0xFFFFFFFF,
-    15,
-)  # bits of a lane; the part of it that holds a word; of the mixing
-FEW = 32  # hosts: up to here sorting all is as quick as looking for the top
-BELOW = [re.compile(b"[\\x00-\\x%02x]" % top, re.DOTALL) for top in range(256)]
-
-
-def middle(values):
-    return sorted(values)[len(values) // 2] if values else 0.0  # a few bad hosts do not move it
-
-
-def middles(counted):
-    """The same of values that count so many times each."""
-    left = sum(many for _, many in counted) // 2
-    for value, many in sorted(counted):
-        left -= many
-        if left < 0:
-            return value
-    return 0.0
-
-
-def mass(hosts):
-    """What the cold ones weigh, and the warm."""
-    return [
-        fsum(h.weight * h.share for h in hosts if (h.cold_from is None) == warm) for warm in (0, 1)
-    ]
-
-
-def host_word(name):
-    """A host's 32 bits, odd, so that a product with it loses none of the other's."""
+from typing import Generic, Optional, Protocol, TypeVar
+
+from .deadline_queue import DeadlineQueue
+from .statistics import cold_and_warm_weight as mass
+from .statistics import median as middle
+from .statistics import weighted_median as middles
+from .subscriber_index import SubscriberIndex
+
+__all__ = [
+    "DeadlineQueue",
+    "RendezvousPool",
+    "SubscriberIndex",
+    "by_name",
+    "endpoint_hash",
+    "host_word",
+    "mass",
+    "middle",
+    "middles",
+    "proxy_key",
+    "rank",
+    "sort_by_name",
+]
+
+# Picks one order out of many that are alike, so that simulated days can be compared
+# (docs/results/scale.md).
+SALT = b"turf"
+LANE_BITS = 64  # of the wide integer that each endpoint has for itself
+WORD_MASK = 0xFFFFFFFF  # the lower half of a lane holds the endpoint's hash
+MIX_SHIFT = 15  # bits, between the two multiplications
+SMALL_POOL = 32  # endpoints; up to here sorting all is as fast as selecting candidates first
+# A filter on the highest byte passes about 256 * part of all values; beyond a half it isn't worth
+# its cost.
+HIGHEST_FILTER = 128
+# By byte value: matches every byte up to it.
+BYTE_FILTERS = [re.compile(b"[\\x00-\\x%02x]" % top, re.DOTALL) for top in range(256)]
+
+ProxyKey = tuple[int, int]  # two odd 32-bit multipliers
+
+
+class HashedEndpoint(Protocol):
+    """What a pool reads of an endpoint."""
+
+    name: bytes
+    word: int  # its `endpoint_hash`
+
+
+EndpointT = TypeVar("EndpointT", bound=HashedEndpoint)
+
+
+def endpoint_hash(name: bytes) -> int:
+    """32 bits that stand for an endpoint's name.
+
+    They are odd, since a product with an odd number loses no bit of the other factor.
+    """
     return int.from_bytes(blake2b(name, digest_size=4, person=SALT).digest(), "little") | 1
 
 
-def proxy_key(number):
-    """A proxy's two odd words; any number up to 2^64 - 1, since long names are hashed to numbers."""
-    made = blake2b(number.to_bytes(8, "little"), digest_size=8, person=b"proxy").digest()
-    return int.from_bytes(made[:4], "little") | 1, int.from_bytes(made[4:], "little") | 1
+def proxy_key(number: int) -> ProxyKey:
+    """A proxy's two odd multipliers.
+
+    `number` may be up to 2^64 - 1, since long proxy names are hashed to numbers.
+    """
+    digest = blake2b(number.to_bytes(8, "little"), digest_size=8, person=b"proxy").digest()
+    return int.from_bytes(digest[:4], "little") | 1, int.from_bytes(digest[4:], "little") | 1
 
 
-def rank(key, word):
-    """One host's place in a proxy's order: the lowest comes first."""
-    mixed = word * key[0] & LOW
-    mixed ^= mixed >> SHIFT
-    return mixed * key[1] & LOW
+def rank(key: ProxyKey, word: int) -> int:
+    """The place of one endpoint, by its hash, in a proxy's order: the lowest comes first."""
+    mixed = word * key[0] & WORD_MASK
+    mixed ^= mixed >> MIX_SHIFT
+    return mixed * key[1] & WORD_MASK
 
 
 @lru_cache(maxsize=4096)
-def masks(many):
-    """For so many lanes: the words' bits, and those that a shift leaves within its lane."""
-    ones = ((1 << LANE * many) - 1) // ((1 << LANE) - 1)
-    return ones * LOW, ones * (LOW >> SHIFT)
+def lane_masks(lanes: int) -> tuple[int, int]:
+    """Masks of a pool with so many lanes.
+
+    The first selects the lanes' words, the second the bits that the mixing shift leaves within
+    their own lane.
+    """
+    ones = ((1 << LANE_BITS * lanes) - 1) // ((1 << LANE_BITS) - 1)
+    return ones * WORD_MASK, ones * (WORD_MASK >> MIX_SHIFT)
 
 
-def by_name(hosts):
-    """In an order that is the same at every steward, whatever their ids."""
-    return sorted(hosts, key=lambda host: host.name)
+def sort_by_name(endpoints: Iterable[EndpointT]) -> list[EndpointT]:
+    """The endpoints in an order that is the same at every controller, whatever ids it gave them."""
+    return sorted(endpoints, key=lambda endpoint: endpoint.name)
 
 
-class RendezvousPool:
-    """The hosts of one pool; `top(key, many)` gives the first of a proxy's order.
+class RendezvousPool(Generic[EndpointT]):
+    """The endpoints of one pool, to be ranked for any proxy.
 
-    Hosts have `name` (bytes) and `word`; two that share a word stand by name, alike at every steward.
+    Two endpoints whose hashes are equal rank by name, at every controller alike.
     """
 
-    __slots__ = ("hosts", "packed", "words", "low", "many")
+    __slots__ = ("endpoints", "packed", "word_mask", "shift_mask", "size")
 
-    def __init__(self, hosts):
-        self.hosts = by_name(hosts)
-        self.many = len(self.hosts)
+    def __init__(self, endpoints: Iterable[EndpointT]) -> None:
+        self.endpoints = sort_by_name(endpoints)
+        self.size = len(self.endpoints)
+        # All hashes, one in each lane of a wide integer.
         self.packed = int.from_bytes(
-            struct.pack(f"<{self.many}Q", *[host.word for host in self.hosts]), "little"
+            struct.pack(f"<{self.size}Q", *[endpoint.word for endpoint in self.endpoints]), "little"
         )
-        self.words, self.low = masks(self.many)
-
-    def __len__(self):
-        return self.many
-
-    def __iter__(self):
-        return iter(self.hosts)
-
-    def top(self, key, many):
-        """[host], best first, `many` or all there are."""
-        mixed = self.packed * key[0] & self.words
-        mixed ^= mixed >> SHIFT & self.low
-        data = (mixed * key[1] & self.words).to_bytes(8 * self.many, "little")
-        found = self.likely(data, many) if self.many > FEW else None
-        if found is None:
-            values = struct.unpack(f"<{self.many}Q", data)
-            found = sorted(range(self.many), key=values.__getitem__)
-        return [self.hosts[at] for at in found[:many]]
-
-    def likely(self, data, many):
-        """Sorted places of all whose highest byte is low enough that as many as are needed should be among them;
-        None where they are not, or where that would be most."""
-        below = 256 * (many + 4 * many**0.5 + 4) / self.many
-        if below > 128:
+        self.word_mask, self.shift_mask = lane_masks(self.size)
+
+    def __len__(self) -> int:
+        return self.size
+
+    def __iter__(self) -> Iterator[EndpointT]:
+        return iter(self.endpoints)
+
+    def top(self, key: ProxyKey, count: int) -> list[EndpointT]:
+        """The first `count` endpoints (or all there are) of the proxy's order, best first."""
+        mixed = self.packed * key[0] & self.word_mask
+        mixed ^= mixed >> MIX_SHIFT & self.shift_mask
+        lanes = (mixed * key[1] & self.word_mask).to_bytes(8 * self.size, "little")
+        order = self._top_candidates(lanes, count) if self.size > SMALL_POOL else None
+        if order is None:
+            ranks = struct.unpack(f"<{self.size}Q", lanes)
+            order = sorted(range(self.size), key=ranks.__getitem__)
+        return [self.endpoints[index] for index in order[:count]]
+
+    @property
+    def hosts(self) -> list[EndpointT]:
+        """The former name of `endpoints`."""
+        return self.endpoints
+
+    def _top_candidates(self, lanes: bytes, count: int) -> Optional[list[int]]:
+        """Indices of the endpoints with a low highest byte of their rank, in order.
+
+        The limit is set so that they should be `count` and a margin of four standard deviations.
+        None where they are fewer than `count`, or where most of the pool would pass the limit.
+        """
+        limit = 256 * (count + 4 * count**0.5 + 4) / self.size
+        if limit > HIGHEST_FILTER:
             return None
-        found = [one.start() for one in BELOW[int(below)].finditer(data[3::8])]
-        if len(found) < many:
+        indices = [match.start() for match in BYTE_FILTERS[int(limit)].finditer(lanes[3::8])]
+        if len(indices) < count:
             return None
-        return sorted(found, key=lambda at: int.from_bytes(data[8 * at : 8 * at + 4], "little"))
-
-
-class SubscriberIndex:
-    """host -> the proxies that hold it, each in a number of tables, in the order in which they came."""
-
-    __slots__ = ("by_host",)
-
-    def __init__(self):
-        self.by_host = {}
-
-    def put(self, host, proxy):
-        held = self.by_host.setdefault(host, {})
-        held[proxy] = held.get(proxy, 0) + 1
-
-    def take(self, host, proxy):
-        held = self.by_host[host]
-        held[proxy] -= 1
-        if not held[proxy]:
-            del held[proxy]
-            if not held:
-                del self.by_host[host]
-
-    def of(self, host):
-        return self.by_host.get(host, {})
-
-    def of_all(self, hosts):
-        """{proxy: True} of those that hold any of them."""
-        found = {}
-        for host in hosts:
-            found.update(self.by_host.get(host, {}))
-        return found
-
-
-class DeadlineQueue:
-    """What is to be looked at when: `push(at, what)`, `take(now)`. One that is pushed again is told twice."""
-
-    __slots__ = ("heap",)
-
-    def __init__(self):
-        self.heap = []
+        return sorted(
+            indices,
+            key=lambda index: int.from_bytes(lanes[8 * index : 8 * index + 4], "little"),
+        )
 
-    def push(self, at, what):
-        heapq.heappush(self.heap, (at, what))
 
-    def take(self, now):
-        """[what] that is due, each once, by its time."""
-        found = {}
-        while self.heap and self.heap[0][0] <= now:
-            found[heapq.heappop(self.heap)[1]] = True
-        return list(found)
+# The former names, until all callers use the new ones.
+by_name = sort_by_name
+host_word = endpoint_hash
