--- a/peatlead/interface.py
+++ b/peatlead/interface.py
@@ -1,10 +1,10 @@
 """Events that the planner takes and commands that it returns: types only, no logic and no tuning.
 
-Times are float seconds on the controller's own monotonic clock. `endpoint`, `proxy`, `zone`, `machine_type`, `cell`,
-`table` and `request_class` are small non-negative integers that the controller assigns; `Endpoint.name` is the
-endpoint's stable name, the same at every controller.
+Times are float seconds on the controller's own monotonic clock. `endpoint`, `proxy`, `zone`,
+`machine_type`, `cell`, `table` and `request_class` are small non-negative integers that the
+controller assigns; `Endpoint.name` is the endpoint's stable name, the same at every controller.
 
-The enumerations are `StrEnum`s: their values are what settings, stored lists and the wire call them.
+The enumerations are `StrEnum`s: their values are what settings and stored lists call them.
 """
 
 from enum import StrEnum
@@ -54,7 +54,11 @@
 
 
 class Endpoint(NamedTuple):
-    """One endpoint as the list has it; `weight` is relative to the others', `started_at` its process's start."""
+    """One endpoint as the list has it.
+
+    `weight` is relative to the other endpoints'; `started_at` is its process's start; `phase` is an
+    `EndpointPhase`.
+    """
 
     id: int
     name: bytes
@@ -75,8 +79,11 @@
 
 
 class ProxyConnected(NamedTuple):
-    """A proxy has opened its stream; `request_rate` is in requests a second, and `bootstrap_only` is true where it
-    holds no table of any controller yet."""
+    """A proxy has opened its stream.
+
+    `request_rate` is in requests a second. `bootstrap_only` is true where the proxy holds no table
+    of any controller yet.
+    """
 
     proxy: int
     zone: int
@@ -91,7 +98,10 @@
 
 
 class EndpointStats(NamedTuple):
-    """What the connected proxies of one zone met at an endpoint over `window` seconds, reported late (as in LRS)."""
+    """What the connected proxies of one zone met at an endpoint over `window` seconds.
+
+    It is reported late, as in Envoy's load reporting service (LRS).
+    """
 
     endpoint: int
     zone: int
@@ -122,7 +132,7 @@
 
 
 class Acknowledged(NamedTuple):
-    """A proxy has applied the message that carried the nonce, `duration` seconds after the command."""
+    """A proxy has applied the message with the nonce, `duration` seconds after the command."""
 
     proxy: int
     nonce: int
@@ -143,7 +153,10 @@
 
 
 class KeyRangeAssigned(NamedTuple):
-    """A table of a key range was given to this controller or taken from it. Not used by the planner."""
+    """A table of a key range was given to this controller or taken from it.
+
+    Not used by the planner.
+    """
 
     table: int
     assigned: bool
@@ -209,11 +222,12 @@
 
 
 class WithdrawEndpoint(NamedTuple):
-    """Eject an endpoint from the tables that connected proxies hold, whoever wrote them, or restore it.
+    """Eject an endpoint from the tables that connected proxies hold, or restore it.
 
-    `notify` names the proxies on no table of this controller that must be told, None for all of them; a channel that
-    knows itself who holds the endpoint needs no such list. Proxies on this controller's tables lose the endpoint's
-    entry by a `SetEntry` of their own.
+    This covers tables of other controllers too. `notify` names the proxies on no table of this
+    controller that must be notified, None for all of them; a channel that knows itself who holds
+    the endpoint needs no such list. Proxies on this controller's tables lose the endpoint's entry
+    by a `SetEntry` of their own.
     """
 
     endpoint: int
@@ -222,8 +236,10 @@
 
 
 class SetAdmission(NamedTuple):
-    """Admit a fraction (0 to 1) of the requests of these classes; `retry_policy` is a `RetryPolicy`. Table None
-    means every proxy."""
+    """Admit a fraction (0 to 1) of the requests of these classes.
+
+    `retry_policy` is a `RetryPolicy`. Table None means every proxy.
+    """
 
     table: Optional[int]
     request_classes: tuple[int, ...]
@@ -232,7 +248,10 @@
 
 
 class RequestAcknowledgement(NamedTuple):
-    """Ask the proxies that this batch writes to, or all of them, to acknowledge a nonce once they have applied it."""
+    """Ask the proxies that this batch writes to, or all of them, for an acknowledgement.
+
+    They send it, with the nonce, once they have applied their messages.
+    """
 
     nonce: int
     all_proxies: bool
