--- a/peatlead/wire/__init__.py
+++ b/peatlead/wire/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's wire: a binary codec, and the translation between its names and the interface's."""
+"""The simulator's wire: its binary codec, and its records' translation to the interface."""
--- /dev/null
+++ b/peatlead/wire/event_records.py
@@ -0,0 +1,163 @@
+"""The records that the simulator sends, in the order of their fields on the wire.
+
+Classes bear the wire's names for the records, so that they are found in its documentation; fields
+bear the names that the rest of this program uses. Times that end in `_us` are microseconds.
+"""
+
+from typing import Any, NamedTuple, Union
+
+
+class Attach(NamedTuple):
+    """An instance starts, with its settings and the seed of its random draws."""
+
+    instance: int
+    seed: int
+    environment: dict[str, Any]
+
+
+class Shutdown(NamedTuple):
+    """An instance ends."""
+
+    instance: int
+
+
+class TopologyEntry(NamedTuple):
+    """One endpoint of a `Topology`."""
+
+    address: bytes
+    zone: int
+    machine_type: int
+    cell: int
+    phase: int
+    weight: float
+    started_us: int
+
+
+class Topology(NamedTuple):
+    """The endpoint list, or a part of it."""
+
+    instance: int
+    scope: int
+    version: int
+    entries: list[TopologyEntry]
+
+
+class Tally(NamedTuple):
+    """What the proxies of one zone met at an endpoint."""
+
+    instance: int
+    address: bytes
+    errors: int
+    window_us: int
+    mean_latency_us: int
+    attempts: int
+    zone: int
+    load_report: tuple[float, ...]
+
+
+class Intake(NamedTuple):
+    """Requests of one class that reached a proxy."""
+
+    instance: int
+    requests: int
+    proxy: int
+    request_class: int
+    window_us: int
+    unanswered: int
+
+
+class CheckResult(NamedTuple):
+    """A health check has ended."""
+
+    instance: int
+    outcome: int
+    address: bytes
+    duration_us: int
+    load_report: tuple[float, ...]
+
+
+class CheckedIn(NamedTuple):
+    """A proxy has connected."""
+
+    instance: int
+    proxy: int
+    zone: int
+    request_rate: float
+    bootstrap_only: int
+
+
+class Left(NamedTuple):
+    """A proxy has disconnected."""
+
+    instance: int
+    proxy: int
+
+
+class CaughtUp(NamedTuple):
+    """A proxy acknowledges a nonce."""
+
+    instance: int
+    nonce: int
+    duration_us: int
+    proxy: int
+
+
+class Wake(NamedTuple):
+    """A timer is due."""
+
+    instance: int
+    token: int
+
+
+class Inbox(NamedTuple):
+    """A note from another instance."""
+
+    instance: int
+    sender: int
+    payload: bytes
+
+
+class Given(NamedTuple):
+    """A key range's table was given to the instance or taken from it."""
+
+    instance: int
+    table: int
+    assigned: int
+
+
+class InStore(NamedTuple):
+    """A stored entry of a key range's table."""
+
+    instance: int
+    table: int
+    address: bytes
+    weight: float
+
+
+class WeightSeen(NamedTuple):
+    """Requests of one class to a key range."""
+
+    instance: int
+    request_class: int
+    table: int
+    requests: int
+    window_us: int
+    unanswered: int
+
+
+EventRecord = Union[
+    Attach,
+    Shutdown,
+    Topology,
+    Tally,
+    Intake,
+    CheckResult,
+    CheckedIn,
+    Left,
+    CaughtUp,
+    Wake,
+    Inbox,
+    Given,
+    InStore,
+    WeightSeen,
+]
--- /dev/null
+++ b/peatlead/wire/event_translator.py
@@ -0,0 +1,159 @@
+"""From the wire's records to the planner's events: ids, units and the values of enumerations."""
+
+from collections.abc import Callable, Sequence
+from typing import Any, Optional
+
+from .. import interface
+from ..interface import EndpointPhase, HealthCheckOutcome, ListScope, LoadReport
+from . import event_records
+from .endpoint_ids import EndpointIds
+from .units import MICROSECONDS
+
+SCOPES = {
+    0: ListScope.CHANGES,
+    1: ListScope.WHOLE,
+    2: ListScope.REMEMBERED,
+    3: ListScope.UNAVAILABLE,
+}
+PHASES = {
+    0: EndpointPhase.GONE,
+    1: EndpointPhase.READY,
+    2: EndpointPhase.DRAINING,
+}
+OUTCOMES = {
+    100: HealthCheckOutcome.OK,
+    301: HealthCheckOutcome.ERRORED,
+    302: HealthCheckOutcome.DENIED,
+    303: HealthCheckOutcome.TIMED_OUT,
+    304: HealthCheckOutcome.UNREACHABLE,
+    305: HealthCheckOutcome.BROKEN,
+}
+
+
+class EventTranslator:
+    """Translates the records of one instance.
+
+    `report_fields` are the metrics of a load report, in the order in which the wire has them.
+    """
+
+    def __init__(self, endpoint_ids: EndpointIds, report_fields: Sequence[str]) -> None:
+        self.endpoint_ids = endpoint_ids
+        self.report_fields = report_fields
+
+    def translate(self, record: event_records.EventRecord) -> interface.Event:
+        """The event of a record; KeyError for `Attach` and `Shutdown`, which are none."""
+        return TRANSLATIONS[type(record)](self, record)
+
+    def load_report(self, values: tuple[float, ...]) -> Optional[LoadReport]:
+        """The metrics by name; None where the record has no report."""
+        return dict(zip(self.report_fields, values)) if values else None
+
+    def endpoint(self, entry: event_records.TopologyEntry) -> interface.Endpoint:
+        """One endpoint of the list; one in an unknown phase is taken for gone."""
+        return interface.Endpoint(
+            self.endpoint_ids.id_of(entry.address),
+            entry.address,
+            entry.zone,
+            entry.machine_type,
+            entry.cell,
+            PHASES.get(entry.phase, EndpointPhase.GONE),
+            entry.weight,
+            entry.started_us / MICROSECONDS,
+        )
+
+    def endpoint_update(self, record: event_records.Topology) -> interface.EndpointUpdate:
+        """The endpoint list; one of an unknown scope is taken for unavailable."""
+        return interface.EndpointUpdate(
+            SCOPES.get(record.scope, ListScope.UNAVAILABLE),
+            record.version,
+            tuple(map(self.endpoint, record.entries)),
+        )
+
+    def endpoint_stats(self, record: event_records.Tally) -> interface.EndpointStats:
+        """What proxies met at an endpoint."""
+        return interface.EndpointStats(
+            self.endpoint_ids.id_of(record.address),
+            record.zone,
+            record.attempts,
+            record.errors,
+            record.window_us / MICROSECONDS,
+            record.mean_latency_us / MICROSECONDS,
+            self.load_report(record.load_report),
+        )
+
+    def request_stats(self, record: event_records.Intake) -> interface.RequestStats:
+        """Requests that reached a proxy."""
+        return interface.RequestStats(
+            record.proxy,
+            record.request_class,
+            record.requests,
+            record.unanswered,
+            record.window_us / MICROSECONDS,
+        )
+
+    def health_check_result(self, record: event_records.CheckResult) -> interface.HealthCheckResult:
+        """The end of a health check; an unknown outcome is taken for an error."""
+        return interface.HealthCheckResult(
+            self.endpoint_ids.id_of(record.address),
+            OUTCOMES.get(record.outcome, HealthCheckOutcome.ERRORED),
+            record.duration_us / MICROSECONDS,
+            self.load_report(record.load_report),
+        )
+
+    def proxy_connected(self, record: event_records.CheckedIn) -> interface.ProxyConnected:
+        """A proxy's connect."""
+        return interface.ProxyConnected(
+            record.proxy, record.zone, record.request_rate, bool(record.bootstrap_only)
+        )
+
+    def proxy_disconnected(self, record: event_records.Left) -> interface.ProxyDisconnected:
+        """A proxy's disconnect."""
+        return interface.ProxyDisconnected(record.proxy)
+
+    def acknowledged(self, record: event_records.CaughtUp) -> interface.Acknowledged:
+        """A proxy's acknowledgement."""
+        return interface.Acknowledged(record.proxy, record.nonce, record.duration_us / MICROSECONDS)
+
+    def timer_fired(self, record: event_records.Wake) -> interface.TimerFired:
+        """A timer that is due."""
+        return interface.TimerFired(record.token)
+
+    def gossip_received(self, record: event_records.Inbox) -> interface.GossipReceived:
+        """A note from another instance."""
+        return interface.GossipReceived(record.sender, record.payload)
+
+    def key_range_assigned(self, record: event_records.Given) -> interface.KeyRangeAssigned:
+        """A key range's table, given or taken."""
+        return interface.KeyRangeAssigned(record.table, bool(record.assigned))
+
+    def key_range_entry(self, record: event_records.InStore) -> interface.KeyRangeEntry:
+        """A stored entry of a key range's table."""
+        return interface.KeyRangeEntry(
+            record.table, self.endpoint_ids.id_of(record.address), record.weight
+        )
+
+    def key_range_stats(self, record: event_records.WeightSeen) -> interface.KeyRangeStats:
+        """Requests to a key range."""
+        return interface.KeyRangeStats(
+            record.table,
+            record.request_class,
+            record.requests,
+            record.unanswered,
+            record.window_us / MICROSECONDS,
+        )
+
+
+TRANSLATIONS: dict[type[Any], Callable[[EventTranslator, Any], interface.Event]] = {
+    event_records.Topology: EventTranslator.endpoint_update,
+    event_records.Tally: EventTranslator.endpoint_stats,
+    event_records.Intake: EventTranslator.request_stats,
+    event_records.CheckResult: EventTranslator.health_check_result,
+    event_records.CheckedIn: EventTranslator.proxy_connected,
+    event_records.Left: EventTranslator.proxy_disconnected,
+    event_records.CaughtUp: EventTranslator.acknowledged,
+    event_records.Wake: EventTranslator.timer_fired,
+    event_records.Inbox: EventTranslator.gossip_received,
+    event_records.Given: EventTranslator.key_range_assigned,
+    event_records.InStore: EventTranslator.key_range_entry,
+    event_records.WeightSeen: EventTranslator.key_range_stats,
+}
--- /dev/null
+++ b/peatlead/wire/settings.py
@@ -0,0 +1,159 @@
+"""The planner's settings, out of the environment that the wire gives an instance.
+
+The environment is a JSON object whose keys are the wire's; `settings_from` gives one flat map under
+this program's names. A key of the environment that ends in `Us` is a time in microseconds; here all
+times are seconds.
+"""
+
+from collections.abc import Mapping
+from typing import Any
+
+from .units import MICROSECONDS
+
+Settings = dict[str, Any]
+
+# Where a setting stands in the environment, and what it is called here.
+SETTING_NAMES = {
+    "balancers": "stewards",
+    "rank": "rank",
+    "locality": "zone",
+    "zones": "zones",
+    "kinds": "machines",
+    "weightSource": "weight_source",
+    "registryMode": "roster_mode",
+    "countedBy": "counted_by",
+    "roundUs": "tick",
+    "familyInfo.channelRate": "channel_rate",
+    "familyInfo.perMessage": "message_head",
+    "familyInfo.pendingMax": "queue_most",
+    "familyInfo.messagesMost": "messages_most",
+    "familyInfo.countedOverUs": "messages_span",
+    "familyInfo.pushDelayUs": "push_delay",
+    "familyInfo.lateMostUs": "push_delay_most",
+    "familyInfo.emptyForUs": "bare_most",
+    "familyInfo.reportEveryUs": "sums_every",
+    "familyInfo.hearsPerS": "sums_rate",
+    "familyInfo.dataPlaneSize": "proxies",
+    "familyInfo.choice": "pick",
+    "familyInfo.standing": "standing",
+    "familyInfo.failsToEject": "fails_to_shun",
+    "familyInfo.tryFactor": "try_targets",
+    "familyInfo.usualHow": "usual_retry",
+    "familyInfo.throttleBy": "level_unit",
+    "familyInfo.ranges": "slices",
+    "familyInfo.exclusive": "exclusive",
+    "familyInfo.localFirst": "joins_own_zone",
+    "familyInfo.smallestConnTable": "connections_least",
+    "familyInfo.costPerLine": "price_of_lines",
+    "familyInfo.movePrice": "price_of_moves",
+    "familyInfo.leaseUs": "lease",
+    "familyInfo.settleUs": "settle",
+    "familyInfo.parkUs": "park",
+    "familyInfo.homeOnly": "own_zone_only",
+    "familyInfo.mutating": "writes",
+    "familyInfo.warmKeys": "warm_keys",
+    "limits.connIdleUs": "connection_idle",
+    "limits.connectTimeoutUs": "connect_timeout",
+    "limits.cpuUsPerS": "cpu_share",
+    "limits.peers": "peer_notes",
+    "limits.probing": "probing",
+    "limits.streamsPerConn": "streams",
+    "obligations.askWithinUs": "ask_within",
+    "obligations.coldFrom": "cold_share",
+    "obligations.warmAfterUs": "warm_after",
+    "obligations.drainGraceUs": "drain_grace",
+    "obligations.tipMultiple": "tip_multiple",
+    "obligations.fallUs": "tip_span",
+    "obligations.goneIsAdvice": "gone_is_advice",
+    "prices.crossZone": "price_of_crossing",
+    "prices.handshake": "price_of_handshakes",
+    "prices.connection": "price_of_connections",
+    "prices.probe": "price_of_probes",
+    "prices.waste": "price_of_waste",
+    "prices.lateFail": "price_of_late_failure",
+    "prices.peer": "price_of_notes",
+    "scoringMix.whole": "value_of_whole",
+    "scoringMix.worstClass": "value_of_worst_kind",
+    "scoringMix.worstWindow": "value_of_worst_span",
+    "stats.how": "reports_come",
+    "stats.fields": "report_fields",
+}
+
+# The same for the settings of one request class.
+REQUEST_CLASS_SETTING_NAMES = {
+    "name": "name",
+    "targetUs": "response_target",
+    "deadlineUs": "client_timeout",
+    "aimStretch": "target_stretch",
+    "repeat": "repeat",
+    "group": "drops_repeats_in",
+    "windowUs": "repeat_window",
+    "worth": "gain",
+    "lateWorth": "late_gain",
+    "onlyZones": "only_zones",
+    "onlyKinds": "only_machines",
+}
+# What endpoints report, by the environment's names for the metrics.
+REPORT_METRICS = {
+    "rif": "holding",
+    "q": "waiting",
+    "busy": "util",
+    "lat_ms": "service_ms",
+    "rate": "done_rate",
+    "fail_rate": "bad_rate",
+}
+PICK_POLICIES = {"random": "random", "rotate": "even", "p2c": "lighter of two"}
+REPEAT_POLICIES = {"repeatable": "replayable", "by_key": "uniqued", "once": "non-replayable"}
+DEDUPLICATION_SCOPES = {"cell": "cell", "zone": "zone"}
+
+
+def settings_from(environment: Mapping[str, Any]) -> Settings:
+    """The settings as one flat map; keys of the environment that are not known are skipped.
+
+    Raises AttributeError, KeyError, TypeError or ValueError where a value has a wrong type.
+    """
+    settings: Settings = {}
+    for path, name in SETTING_NAMES.items():
+        group, _, key = path.rpartition(".")
+        values = environment.get(group, {}) if group else environment
+        if key in values:
+            settings[name] = _in_seconds(key, values[key])
+    settings["report_fields"] = [
+        REPORT_METRICS.get(metric, metric) for metric in settings.get("report_fields", ())
+    ]
+    pick: Any = settings.get("pick")
+    settings["pick"] = PICK_POLICIES.get(pick, pick)
+    own_zone = settings.pop("own_zone_only", ())
+    writes = settings.pop("writes", ())
+    settings["req_kinds"] = []
+    for index, values in enumerate(environment.get("classes", ())):
+        request_class = _request_class_settings(values)
+        request_class["own_zone"] = bool(own_zone[index]) if index < len(own_zone) else False
+        request_class["write"] = bool(writes[index]) if index < len(writes) else True
+        settings["req_kinds"].append(request_class)
+    return settings
+
+
+def _request_class_settings(values: Mapping[str, Any]) -> Settings:
+    """The settings of one request class, with the values of those that are not given."""
+    settings: Settings = {
+        name: _in_seconds(key, values[key])
+        for key, name in REQUEST_CLASS_SETTING_NAMES.items()
+        if key in values
+    }
+    # A class without a response target has its deadline for one.
+    settings.setdefault("response_target", settings.get("client_timeout"))
+    settings.setdefault("gain", 1.0)
+    settings["repeat"] = REPEAT_POLICIES.get(settings.get("repeat", ""), "non-replayable")
+    settings["drops_repeats_in"] = DEDUPLICATION_SCOPES.get(
+        settings.get("drops_repeats_in", ""), "all"
+    )
+    return settings
+
+
+def _in_seconds(key: str, value: Any) -> Any:
+    if not key.endswith("Us"):
+        return value
+    if not isinstance(value, (int, float)):
+        raise ValueError(f"{key}: expected a time, got {value!r}")
+    return value / MICROSECONDS
--- /dev/null
+++ b/tests/wire/test_adapter.py
@@ -0,0 +1,25 @@
+import unittest
+
+from peatlead import adapter
+from peatlead.wire import event_records, reply_records
+from peatlead.wire.errors import WireFormatError
+
+WAKE = event_records.Wake(instance=3, token=1)
+
+
+class ProcessBatchTest(unittest.TestCase):
+    def test_an_event_for_an_instance_that_was_never_started_is_a_format_error(self):
+        with self.assertRaisesRegex(WireFormatError, "record 0: WAKE for instance 3"):
+            adapter.process_batch({}, 0, [WAKE])
+
+    def test_an_error_of_a_planner_is_reported_for_its_instance_alone(self):
+        instance = adapter.Instance(event_records.Attach(instance=3, seed=1, environment={}))
+        instance.planner.decide = lambda now, events: 1 // 0
+        [record] = adapter.process_batch({3: instance}, 0, [WAKE])
+        self.assertIsInstance(record, reply_records.Broken)
+        self.assertEqual(
+            record,
+            reply_records.Broken(
+                instance=3, text=b"ZeroDivisionError: integer division or modulo by zero"
+            ),
+        )
