--- a/tests/planner/test_planner_at_scale.py
+++ b/tests/planner/test_planner_at_scale.py
@@ -17,54 +17,67 @@
 
     def drive(self, planner, rng, steps=250):
         """Take a planner through list changes, errors and recoveries; returns the time of the last batch."""
-        now, phases, bad = 100.0, {host: ("ready", 0.0) for host in range(12)}, set()
+        now = 100.0
+        phases = {endpoint: ("ready", 0.0) for endpoint in range(12)}
+        failing = set()
         for step in range(steps):
             now += 0.1
-            events, drawn = [interface.TimerFired(0)], rng.random()
-            host = rng.randrange(12)
-            if drawn < 0.08:
-                ready = (
-                    phases[host][0] == "ready"
+            events = [interface.TimerFired(0)]
+            draw = rng.random()
+            endpoint = rng.randrange(12)
+            if draw < 0.08:
+                may_drain = (
+                    phases[endpoint][0] == "ready"
                     and sum(phase == "ready" for phase, _ in phases.values()) > 6
                 )
-                phases[host] = ("draining", phases[host][1]) if ready else ("ready", now)
+                phases[endpoint] = (
+                    ("draining", phases[endpoint][1]) if may_drain else ("ready", now)
+                )
                 events.append(
-                    interface.EndpointUpdate("changes", 2, (member(host, host % 2, *phases[host]),))
+                    interface.EndpointUpdate(
+                        "changes", 2, (member(endpoint, endpoint % 2, *phases[endpoint]),)
+                    )
                 )
-            elif drawn < 0.12:
-                bad ^= {host}
+            elif draw < 0.12:
+                failing ^= {endpoint}
             if step % 10 == 5:
                 events += [
                     interface.EndpointStats(
-                        h, z, 9, 8 if h in bad else 0, 1.0, 0.1, {"util": rng.uniform(0.2, 0.9)}
+                        each,
+                        zone,
+                        9,
+                        8 if each in failing else 0,
+                        1.0,
+                        0.1,
+                        {"util": rng.uniform(0.2, 0.9)},
                     )
-                    for h, (phase, _) in phases.items()
+                    for each, (phase, _) in phases.items()
                     if phase == "ready"
-                    for z in (0, 1)
+                    for zone in (0, 1)
                 ]
             planner.decide(now, events)
         return now
 
     def test_tables_that_were_not_redrawn_equal_newly_drawn_ones(self):
-        seen = 0
+        compared = 0
         for seed in range(6):
             planner = new_planner(hosts=12, proxies=24)
             now = self.drive(planner, Random(seed))
             for _ in range(400):  # until all are warm, and all stages are through
                 now += 0.1
                 planner.decide(now, [interface.TimerFired(0)])
-            alone = [
-                p
-                for p in planner.joined
-                if p.drawn == planner.drawn
-                and not p.wide
-                and all(host.moved <= p.wrote for host in p.around.values())
+            unchanged = [
+                proxy
+                for proxy in planner.joined
+                if proxy.drawn == planner.drawn
+                and not proxy.wide
+                and all(endpoint.moved <= proxy.wrote for endpoint in proxy.around.values())
             ]
-            seen += len(alone)
-            for proxy in alone:
+            compared += len(unchanged)
+            for proxy in unchanged:
                 for group, lines in enumerate(proxy.lines):
                     self.assertEqual(lines, planner.table(proxy, group))
-        self.assertGreater(seen, 24)
+        self.assertGreater(compared, 24)
 
     def test_the_subscriber_index_follows_the_tables(self):
         for seed in range(4):
@@ -97,8 +110,8 @@
         for _ in range(100):
             now += 0.1
             probes.update(
-                order.endpoint
-                for order in of_type(
+                command.endpoint
+                for command in of_type(
                     planner.decide(now, [interface.TimerFired(0)]), interface.CheckHealth
                 )
             )
@@ -111,8 +124,8 @@
         for _ in range(300):
             now += 0.1
             probes.update(
-                order.endpoint
-                for order in of_type(
+                command.endpoint
+                for command in of_type(
                     planner.decide(now, [interface.TimerFired(0)]), interface.CheckHealth
                 )
             )
@@ -122,14 +135,14 @@
             <= 1.2 * planner_module.PROBES_MOST * 30
         )
         self.assertTrue(min(probes.values()) >= 7, probes.most_common()[-3:])
-        later = next(h.id for h in planner.hosts.values() if h.probe_at > now + 1)
-        planner.decide(now, [interface.EndpointStats(later, 0, 5, 2, 1.0, 0.1, None)])
-        orders = planner.decide(now + 0.1, [interface.TimerFired(0)])
-        self.assertIn(interface.CheckHealth(later), orders)
-
-    def planner_for(self, many):
-        facts = {**FACTS, "proxies": many, "channel_rate": 1e6, "queue_most": 1e6}
-        planner = Planner(facts, 1)
+        unchecked = next(h.id for h in planner.hosts.values() if h.probe_at > now + 1)
+        planner.decide(now, [interface.EndpointStats(unchecked, 0, 5, 2, 1.0, 0.1, None)])
+        commands = planner.decide(now + 0.1, [interface.TimerFired(0)])
+        self.assertIn(interface.CheckHealth(unchecked), commands)
+
+    def planner_for(self, proxies):
+        settings = {**FACTS, "proxies": proxies, "channel_rate": 1e6, "queue_most": 1e6}
+        planner = Planner(settings, 1)
         planner.decide(
             100.0,
             [interface.EndpointUpdate("remembered", 1, tuple(member(h, h % 2) for h in range(40)))],
@@ -138,22 +151,23 @@
 
     def test_many_connects_are_spread_over_batches_and_a_withdrawal_goes_between(self):
         # All 3,000 in one batch took 5 to 13 s, in which no withdrawal could go out.
-        planner, many = self.planner_for(450), 450
-        now, bound, waited = 100.0, [], 0
-        orders = planner.decide(
-            now, [interface.ProxyConnected(p, p % 2, 1.0, True) for p in range(many)]
+        proxies = 450
+        planner = self.planner_for(proxies)
+        now, assigned, batches = 100.0, [], 0
+        commands = planner.decide(
+            now, [interface.ProxyConnected(p, p % 2, 1.0, True) for p in range(proxies)]
         )
-        while len(bound) < many:
-            new = [order.proxy for order in of_type(orders, interface.AssignTable)]
+        while len(assigned) < proxies:
+            new = [command.proxy for command in of_type(commands, interface.AssignTable)]
             self.assertLessEqual(len(new), planner_module.AT_ONCE)
-            bound += new
-            if len(bound) == 200:
-                orders = planner.decide(
+            assigned += new
+            if len(assigned) == 200:
+                commands = planner.decide(
                     now, [interface.EndpointUpdate("changes", 2, (member(5, 1, "draining"),))]
                 )
-                [told] = of_type(orders, interface.WithdrawEndpoint)
-                self.assertEqual((told.endpoint, told.withdrawn), (5, True))
-                self.assertTrue(set(told.notify) <= set(planner.unbound))
+                [withdrawal] = of_type(commands, interface.WithdrawEndpoint)
+                self.assertEqual((withdrawal.endpoint, withdrawal.withdrawn), (5, True))
+                self.assertTrue(set(withdrawal.notify) <= set(planner.unbound))
                 held = {
                     p.number
                     for p in planner.joined
@@ -161,17 +175,17 @@
                 }
                 self.assertEqual(held, set())
                 continue
-            again = [
-                order
-                for order in of_type(orders, interface.SetTimer)
-                if order.token == planner_module.MORE
+            timers = [
+                command
+                for command in of_type(commands, interface.SetTimer)
+                if command.token == planner_module.MORE
             ]
-            self.assertEqual(bool(again), len(bound) < many)
+            self.assertEqual(bool(timers), len(assigned) < proxies)
             now += planner_module.SOON
-            orders = planner.decide(now, [interface.TimerFired(planner_module.MORE)])
-            waited += 1
-            self.assertLess(waited, 10)
-        self.assertEqual(sorted(bound), list(range(many)))
+            commands = planner.decide(now, [interface.TimerFired(planner_module.MORE)])
+            batches += 1
+            self.assertLess(batches, 10)
+        self.assertEqual(sorted(assigned), list(range(proxies)))
 
     def test_the_timer_for_waiting_proxies_is_no_tick(self):
         planner = self.planner_for(4)
@@ -182,14 +196,15 @@
 
     def test_a_lowered_cold_share_reaches_all_proxies_within_a_few_batches(self):
         planner, now = self.planner_for(450), 100.0
-        orders = planner.decide(
+        commands = planner.decide(
             now, [interface.ProxyConnected(p, p % 2, 1.0, True) for p in range(450)]
         )
         while any(
-            order.token == planner_module.MORE for order in of_type(orders, interface.SetTimer)
+            command.token == planner_module.MORE
+            for command in of_type(commands, interface.SetTimer)
         ):
             now += planner_module.SOON
-            orders = planner.decide(now, [interface.TimerFired(planner_module.MORE)])
+            commands = planner.decide(now, [interface.TimerFired(planner_module.MORE)])
         now += 60
         planner.decide(now, [interface.TimerFired(0)])
         planner.hosts[3].share = 0.5
@@ -209,20 +224,20 @@
         run.join()
         run.ticks(100)
         run.channel.deepest = 0.0
-        told = run.replace()
-        self.assertEqual(told["proxies without a line"], 0)
-        self.assertLess(told["cold host, most of what tips it"], 0.5)
-        self.assertLess(told["queue, deepest part"], 1.0)
-        self.assertLessEqual(told["messages a proxy in 10 s, most"], 30)
+        figures = run.replace()
+        self.assertEqual(figures["proxies without a line"], 0)
+        self.assertLess(figures["cold host, most of what tips it"], 0.5)
+        self.assertLess(figures["queue, deepest part"], 1.0)
+        self.assertLessEqual(figures["messages a proxy in 10 s, most"], 30)
         run.ticks(100)
         self.assertEqual({host.share for host in run.planner.hosts.values()}, {1.0})
 
     def test_proxy_numbers_may_have_64_bits(self):
         planner = self.planner_for(3)
-        orders = planner.decide(
+        commands = planner.decide(
             101.0, [interface.ProxyConnected(n, 0, 1.0, True) for n in (2**16, 2**32, 2**64 - 1)]
         )
-        self.assertEqual(len(of_type(orders, interface.AssignTable)), 3 * len(planner.group_open))
+        self.assertEqual(len(of_type(commands, interface.AssignTable)), 3 * len(planner.group_open))
 
     def test_a_table_with_too_many_cold_endpoints_gets_some_warm_ones_not_a_whole_zone(self):
         planner = Planner({**FACTS, "proxies": 3000, "channel_rate": 1e6, "queue_most": 1e6}, 1)
