--- a/peatlead/controller/controller.py
+++ b/peatlead/controller/controller.py
@@ -152,7 +152,7 @@
                 len(names),
                 self.published.zone_serial(),
                 Random(self.me["seed"] + 7),
-                self.published.keep_serial,
+                self.published.store_zone_serial,
             )
             await self.secondaries.open(self.me["listen"][0])
         listing, why = self.memory.recall()
@@ -245,7 +245,7 @@
                 if told:
                     self.propagation.note(now, *told)
             elif type(order) is interface.WithdrawEndpoint:
-                self.published.withdrew(order.endpoint, order.withdrawn)
+                self.published.endpoint_withdrawn(order.endpoint, order.withdrawn)
                 self.propagation.note(
                     now, order.endpoint, "withdrawn" if order.withdrawn else "let in again"
                 )
@@ -297,7 +297,7 @@
             self.states[view.index].apply(message.ops)
             self.propagation.applied(now, number)
             tables = self.tables_of(view)
-            self.published.view(
+            self.published.record_view(
                 f"view:{view.name}", self.items_of_tables(tables), tuple(message.causes)
             )
             changed.update({(view.index, at): table for at, table in enumerate(tables)})
@@ -326,7 +326,7 @@
     def items_of_tables(self, tables):
         found = {}
         for service, table in zip(self.settings["service"], tables):
-            found.update(self.published.as_items(service["label"], table))
+            found.update(self.published.items_of_lines(service["label"], table))
         return found
 
     def everyone(self):
@@ -399,7 +399,7 @@
         for member in roster.endpoints:
             entry = self.registry.entries[member.id]
             self.listed[member.id] = entry.weight
-            turned = self.published.know(member.id, entry)
+            turned = self.published.endpoint_listed(member.id, entry)
             if turned:
                 self.published.causes.phases({member.id: turned}, listing.version)
                 self.propagation.note(now, member.id, self.published.causes.news[member.id])
--- /dev/null
+++ b/peatlead/controller/pin_commands.py
@@ -0,0 +1,171 @@
+"""Operators' orders on pins: make one, try one without making it, end one."""
+
+from collections.abc import Mapping
+from typing import TYPE_CHECKING, Any, NamedTuple
+
+from ..tables.guard import GuardedTable
+from ..tables.history import Store
+from ..tables.pins import ActivePin, Pin, check
+from .pin_control import PinControl
+from .pin_targets import PinTargets
+from .pinned_tables import PinnedTables
+from .published_items import ItemFormatter, LineWeights, line_items
+
+if TYPE_CHECKING:
+    from .controller import Controller
+
+Answer = dict[str, Any]
+"""An answer to an operator: encoded as JSON."""
+
+Arguments = Mapping[str, Any]
+"""The arguments of an operator's question."""
+
+DEFAULT_STAGES = 10.0  # seconds from the first proxy under a pin to the last
+DEFAULT_LENGTH = 3600.0  # seconds that a pin stands
+AUTHOR_LENGTH = 200  # characters kept of who asked
+TRIAL_PROXIES_SHOWN = 500  # proxies that the answer to a trial lists
+
+
+class PinRequest(NamedTuple):
+    """What an operator asks of a pin; the meaning of the fields is that of `tables.pins.Pin`."""
+
+    whom: str
+    which: str
+    target: str
+    to: str
+    over: float
+    length: float
+    by: str
+
+
+def author(arguments: Arguments) -> str:
+    """Return who asked."""
+    return str(arguments.get("by", ""))[:AUTHOR_LENGTH]
+
+
+def read_pin_request(arguments: Arguments) -> PinRequest:
+    """Read the arguments of a `pin` order. Raises KeyError, TypeError or ValueError."""
+    which = str(arguments.get("which", ""))
+    target = arguments.get("target", "held")
+    to = str(arguments.get("to", ""))
+    over = float(arguments.get("over", DEFAULT_STAGES))
+    length = float(arguments.get("length", DEFAULT_LENGTH))
+    if target == "back":
+        float(to)  # seconds
+    whom = arguments["whom"]
+    return PinRequest(whom, which, target, to, over, length, author(arguments))
+
+
+class PinCommands:
+    """Carries out operators' orders on the pins of this controller."""
+
+    def __init__(
+        self,
+        controller: "Controller",
+        control: PinControl,
+        targets: PinTargets,
+        tables: PinnedTables,
+        store: Store,
+        formatter: ItemFormatter,
+    ) -> None:
+        self._controller = controller
+        self._control = control
+        self._targets = targets
+        self._tables = tables
+        self._store = store
+        self._formatter = formatter
+
+    def pin(self, arguments: Arguments) -> Answer:
+        """Make a pin, or with `dry` only say what it would change.
+
+        Raises PinError, and what `read_pin_request` raises.
+        """
+        now = self._controller.loop.time()
+        request = read_pin_request(arguments)
+        if arguments.get("dry"):
+            return self._try(now, request)
+        pin = self._control.pins.make(now, **request._asdict())
+        self._targets.announce_known()
+        self._control.commit_change(now)
+        self._controller.log(
+            "tables pinned",
+            pin=pin.id,
+            whom=pin.whom,
+            which=pin.which,
+            target=pin.target,
+            to=pin.to,
+            by=pin.by,
+        )
+        return {"pin": pin.id}
+
+    def resume(self, arguments: Arguments) -> Answer:
+        """End a pin. Raises PinError."""
+        now = self._controller.loop.time()
+        over = None if arguments.get("over") is None else float(arguments["over"])
+        pin = self._control.pins.resume(now, arguments["pin"], over)
+        self._control.commit_change(now)
+        self._controller.log("pin ended by hand", pin=pin.id, by=author(arguments))
+        return {"pin": pin.id, "over": pin.over}
+
+    def _try(self, now: float, request: PinRequest) -> Answer:
+        """Say what a pin would change once it has reached all, and what the guard takes out."""
+        active = ActivePin(trial_pin(request), now)
+        proxies = [
+            self._try_on(active, number, name)
+            for number, name, zone in self._controller.everyone()
+            if active.covers(now, name, zone)
+        ]
+        affected = [
+            proxy for proxy in proxies if proxy["changes"] or proxy["taken"] or not proxy["known"]
+        ]
+        return {
+            "proxies": len(proxies),
+            "would change": sum(bool(proxy["changes"]) for proxy in proxies),
+            "not known": sum(not proxy["known"] for proxy in proxies),
+            "each": affected[:TRIAL_PROXIES_SHOWN],
+        }
+
+    def _try_on(self, active: ActivePin, number: int, name: str) -> Answer:
+        past = self._targets.find(active, name)
+        answer: Answer = {
+            "proxy": name,
+            "known": past is not None,
+            "changes": [],
+            "taken": {},
+            "filled": [],
+        }
+        if past is None:
+            return answer
+        after: LineWeights = {}
+        for request_class, planned in self._controller.wanted_of(number):
+            table = self._tables.guarded(line_items(past.items), request_class, planned)
+            after.update(self._tables.items_of_lines(request_class, table.lines))
+            self._add_guard_result(answer, table)
+        published = line_items(self._store.histories[name].items)
+        answer["changes"] = self._formatter.difference(published, after)
+        return answer
+
+    def _add_guard_result(self, answer: Answer, table: GuardedTable) -> None:
+        name_of = self._controller.published.name_of
+        for endpoint, reason in table.taken.items():
+            name = name_of(endpoint) if endpoint >= 0 else "an unknown address"
+            answer["taken"][name] = reason
+        answer["filled"] += [name_of(endpoint) for endpoint in table.filled]
+
+
+def trial_pin(request: PinRequest) -> Pin:
+    """Return a pin that is checked but never in force. Raises PinError."""
+    pin = Pin(
+        id="dry",
+        stamp=0,
+        rev=1,
+        whom=request.whom,
+        which=request.which,
+        target=request.target,
+        to=request.to,
+        over=0.0,
+        age=0.0,
+        left=request.length,
+    )
+    check(pin)
+    return pin
--- /dev/null
+++ b/peatlead/controller/pin_control.py
@@ -0,0 +1,96 @@
+"""The pins in force on this controller: stored on disk, sent to other controllers, expired on time.
+
+What a pin does to a proxy's tables is decided in `pinned_tables`; which past table it names in
+`pin_targets`.
+"""
+
+from collections.abc import Mapping
+from typing import TYPE_CHECKING
+
+from blake3 import blake3
+
+from ..tables.pins import ActivePin, Pins, read_pins, write_pins
+from ..tables.table_log import TableLog
+
+if TYPE_CHECKING:
+    from .controller import Controller
+
+STORE_INTERVAL = 10.0  # seconds between writes of the pins, whose ages advance, to disk
+GOSSIP_INTERVAL = 2.0  # seconds between announcements of all pins to the other controllers
+PINS_EACH_DATAGRAM = 6  # pins in one gossip message: it has to fit into a datagram
+NOTE_KEY = "pins"  # of the table log
+NO_PINS = b"\x90"  # an empty list in MessagePack
+
+
+class PinControl:
+    """The pins in force here, and their way to the disk and to other controllers.
+
+    `boot` is a byte string that no other start of this controller has had.
+    """
+
+    def __init__(self, controller: "Controller", log: TableLog, boot: bytes) -> None:
+        self._controller = controller
+        self._log = log
+        in_fleet = controller.me["peer"] is not None
+        suffix = "-" + blake3(boot).hexdigest()[:4] if in_fleet else ""
+        self.pins = Pins(controller.me["name"], suffix)
+        self._stored_at = 0.0
+        self._announced_at = 0.0
+
+    def recall(self, now: float, notes: Mapping[str, bytes]) -> None:
+        """Take up the pins of an earlier start. Raises ValueError where they are not readable."""
+        self.pins.hear(now, read_pins(notes.get(NOTE_KEY, NO_PINS)))
+
+    def log_standing(self, now: float) -> None:
+        """Log each pin in force with its remaining seconds."""
+        for active in self.pins.standing().values():
+            left = round(active.until - now, 1)
+            self._controller.log("tables pinned", pin=active.pin.id, left=left)
+
+    def expire(self, now: float) -> None:
+        """End the pins whose time is over."""
+        for pin_id in self.pins.tick(now):
+            self._controller.log("pin ran out", pin=pin_id)
+            self.store(now)
+
+    def refresh(self, now: float) -> None:
+        """Store and announce the pins again when that is due."""
+        if self.pins.held and now - self._stored_at >= STORE_INTERVAL:
+            self.store(now)
+        if self.pins.held and now - self._announced_at >= GOSSIP_INTERVAL:
+            self.announce(now)
+
+    def store(self, now: float) -> None:
+        """Append the pins, with their present ages, to the table log."""
+        self._stored_at = now
+        self._log.note(NOTE_KEY, write_pins(self.pins.told(now)))
+
+    def announce(self, now: float) -> None:
+        """Send all pins to the other controllers."""
+        self._announced_at = now
+        if not self._controller.fleet:
+            return
+        pins = self.pins.told(now)
+        for start in range(0, len(pins), PINS_EACH_DATAGRAM):
+            payload = write_pins(pins[start : start + PINS_EACH_DATAGRAM])
+            self._controller.fleet.tell_pins(payload)
+
+    def commit_change(self, now: float) -> None:
+        """Write an operator's change to disk and send it before the operator gets an answer."""
+        self.store(now)
+        self.announce(now)
+        self._log.flush(now)
+
+    def receive(self, now: float, payload: bytes) -> bool:
+        """Merge another controller's pins. Return whether any changed; raises ValueError."""
+        if not self.pins.hear(now, read_pins(payload)):
+            return False
+        self.store(now)
+        return True
+
+    def pin_of(self, name: str, zone: str) -> ActivePin | None:
+        """Return the pin that holds a proxy or view now."""
+        if not self.pins.held:
+            return None
+        active: ActivePin | None = self.pins.of(self._controller.loop.time(), name, zone)
+        return active
--- a/peatlead/controller/proxies.py
+++ b/peatlead/controller/proxies.py
@@ -97,7 +97,7 @@
             for one in many
             if one.weight > 0
         }
-        steward.published.joined(node.name, session.epoch, lines, len(lines))
+        steward.published.record_join(node.name, session.epoch, lines)
         steward.proxy_joined(session.number, session.zone, node.rate, not held)
 
     def take_held(self, session):
@@ -120,7 +120,7 @@
             self.steward.channel.forget(session.number)
             self.steward.publisher.leave(session.number)
             self.gathered.forget(session.number)
-            self.steward.published.left(session.node.name)
+            self.steward.published.record_leave(session.node.name)
             if self.ownership is not None:
                 self.ownership.left(session.node.name)
             self.steward.proxy_left(session.number)
@@ -158,7 +158,7 @@
             items = {}
             for part in parts:
                 items.update(session.items(part))
-            self.steward.published.sent(
+            self.steward.published.record_sent(
                 session.node.name, version, parts, items, tuple(session.causes)
             )
 
@@ -217,7 +217,7 @@
 
     def behind(self, session):
         """Whether its last version is not what it is to hold: a pin that came or went since."""
-        return bool(self.steward.published.due(session.node.name, session.number))
+        return bool(self.steward.published.pending_changes(session.node.name, session.number))
 
     @staticmethod
     def concerns(session, op, value):
--- /dev/null
+++ b/peatlead/controller/published_items.py
@@ -0,0 +1,79 @@
+"""Items of published tables, and how operators read them.
+
+Keys and values are those of `tables.version`: `line/KIND/ZONE/ADDRESS:PORT`, `level/KIND` and
+`retry/KIND`, where KIND is a request class.
+"""
+
+from collections.abc import Callable, Mapping
+from typing import Any
+
+from ..tables.version import SCALE, changes, read_line_key
+
+LINE_PREFIX = "line/"
+
+TableItems = dict[str, Any]
+"""All items of one proxy: weights and admitted fractions are whole numbers, retry policies text."""
+
+LineWeights = dict[str, int]
+"""The endpoint lines among a proxy's items: key to weight in thousandths."""
+
+EndpointWeights = dict[int, float]
+"""One table of the planner: endpoint to weight."""
+
+
+def line_items(items: Mapping[str, Any]) -> LineWeights:
+    """Return the endpoint lines among `items`."""
+    return {key: value for key, value in items.items() if key.startswith(LINE_PREFIX)}
+
+
+def weight_fractions(items: Mapping[str, Any]) -> dict[str, float]:
+    """Return for each endpoint line its fraction of the total weight of its request class."""
+    request_classes = {key: read_line_key(key)[0] for key in items if key.startswith(LINE_PREFIX)}
+    totals: dict[str, int] = {}
+    for key, request_class in request_classes.items():
+        totals[request_class] = totals.get(request_class, 0) + items[key]
+    return {
+        key: items[key] / totals[request_class] for key, request_class in request_classes.items()
+    }
+
+
+class ItemFormatter:
+    """Turns items into the maps that operators are shown.
+
+    `endpoint_by_address` is the live index of listed addresses; `name_of` gives an endpoint's name.
+    """
+
+    def __init__(
+        self, endpoint_by_address: Mapping[str, int], name_of: Callable[[int], str]
+    ) -> None:
+        self._endpoint_by_address = endpoint_by_address
+        self._name_of = name_of
+
+    def item(self, key: str, value: Any) -> dict[str, Any]:
+        """Return one item with the endpoint by name and the weight as listed."""
+        if not key.startswith(LINE_PREFIX):
+            return {"item": key, "value": value}
+        request_class, zone, address, _ = read_line_key(key)
+        endpoint = self._endpoint_by_address.get(address)
+        return {
+            "item": f"line/{request_class}",
+            "host": self._name_of(endpoint) if endpoint is not None else address,
+            "zone": zone,
+            "value": None if value is None else value / SCALE,
+        }
+
+    def difference(
+        self, before: Mapping[str, Any], after: Mapping[str, Any]
+    ) -> list[dict[str, Any]]:
+        """Return each item that differs, with a line's fraction of its class on both sides."""
+        fractions_before = weight_fractions(before)
+        fractions_after = weight_fractions(after)
+        return [
+            {
+                **self.item(key, after.get(key)),
+                "before": self.item(key, before.get(key))["value"],
+                "part before": fractions_before.get(key),
+                "part after": fractions_after.get(key),
+            }
+            for key in sorted(changes(before, after))
+        ]
--- /dev/null
+++ b/peatlead/controller/table_queries.py
@@ -0,0 +1,192 @@
+"""Operators' questions about published tables: log, show, diff, ends and status; orders on pins.
+
+Questions come over the control socket as `{"ask": "tables", "do": ..., "args": {...}}`.
+"""
+
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from ..tables.history import History, UnknownVersionError
+from ..tables.pins import ActivePin, PinError
+from ..tables.version import NONE, Digest, read_version
+from .pin_commands import Answer, Arguments, PinCommands
+from .published_items import ItemFormatter, line_items
+
+if TYPE_CHECKING:
+    from .control_socket import Question
+    from .controller import Controller
+    from .publication import Publication
+
+VERSIONS_SHOWN = 500  # versions that one answer lists at most
+VERSIONS_SHOWN_UNASKED = 50  # versions that an answer lists where the question gives no number
+LATEST = 1e12  # seconds: past every wall clock
+VIEW_PREFIX = "view:"  # of a DNS view's name among the names that are published to
+
+
+class TableQueries:
+    """Answers the `tables` questions of the control socket."""
+
+    def __init__(
+        self,
+        controller: "Controller",
+        publication: "Publication",
+        commands: PinCommands,
+        formatter: ItemFormatter,
+        wall: Callable[[], float],
+    ) -> None:
+        self._controller = controller
+        self._publication = publication
+        self._formatter = formatter
+        self._wall = wall
+        self._handlers: dict[str, Callable[[Arguments], Answer]] = {
+            "log": self.log,
+            "show": self.show,
+            "diff": self.diff,
+            "pin": commands.pin,
+            "resume": commands.resume,
+            "status": self.status,
+            "ends": self.ends,
+        }
+
+    def answer(self, question: "Question") -> Answer:
+        """Answer a question; what cannot be answered is said under the key `error`."""
+        handler = self._handlers.get(question.do)
+        if handler is None:
+            return {"error": "expected do to be log, show, diff, pin, resume, status or ends"}
+        try:
+            return handler(question.args)
+        except UnknownVersionError as error:
+            return {"error": f"tables {question.do}: {error.args[0]} is not kept"}
+        except (PinError, ValueError, KeyError, TypeError) as error:
+            return {"error": f"tables {question.do}: {error}"}
+
+    def log(self, arguments: Arguments) -> Answer:
+        """Return the newest published versions of a span of time, of one proxy or of all."""
+        name = arguments.get("proxy") or None
+        if name:
+            name, _ = self._history_of(name)
+        since = float(arguments.get("since") or 0.0)
+        until = float(arguments.get("until") or LATEST)
+        published = self._publication.store.between(since, until, name)
+        limit = min(VERSIONS_SHOWN, int(arguments.get("most") or VERSIONS_SHOWN_UNASKED))
+        shown = published[-limit:]
+        return {
+            "versions": [
+                {
+                    "proxy": proxy,
+                    "version": str(entry.version),
+                    "at": entry.at,
+                    "causes": list(entry.causes),
+                    "changes": len(entry.moved),
+                    "digest": entry.digest,
+                }
+                for proxy, entry in shown
+            ],
+            "more": len(published) - len(shown),
+        }
+
+    def show(self, arguments: Arguments) -> Answer:
+        """Return a proxy's items at a version, by default the newest."""
+        name, history = self._history_of(arguments["proxy"])
+        asked_version = arguments.get("version")
+        version = read_version(asked_version) if asked_version else history.last
+        items = history.at_version(version)
+        active = self._publication.pin_of(name, self._controller.zone_of(name))
+        return {
+            "proxy": name,
+            "version": str(version),
+            "digest": history.digest_at(version) or str(history.digest),
+            "items": [self._formatter.item(key, items[key]) for key in sorted(items)],
+            "pinned by": active.pin.id if active else None,
+        }
+
+    def diff(self, arguments: Arguments) -> Answer:
+        """Return what differs between two versions of a proxy's tables."""
+        name, history = self._history_of(arguments["proxy"])
+        versions = [read_version(arguments[side]) for side in ("one", "other")]
+        if NONE in versions:
+            raise PinError("expected two versions, EPOCH.SERIAL each")
+        before, after = (history.at_version(version) for version in versions)
+        return {"proxy": name, "changes": self._formatter.difference(before, after)}
+
+    def ends(self, _: Arguments) -> Answer:
+        """Return each joined proxy's last sent version, its digest and the seconds since."""
+        now = self._wall()
+        ends = {}
+        for _number, name, _zone in self._controller.everyone():
+            history = self._publication.store.histories.get(name)
+            if history and history.entries and not name.startswith(VIEW_PREFIX):
+                digest = Digest(line_items(history.items))
+                ends[name] = [*history.last, str(digest), now - history.entries[-1].at]
+        return {"steward": self._controller.me["name"], "ends": ends}
+
+    def status(self, arguments: Arguments) -> Answer:
+        """Return the state of the store, the log on disk and the pins."""
+        now = self._controller.loop.time()
+        store = self._publication.store
+        log = self._publication.log
+        pins = self._publication.pins
+        return {
+            "steward": self._controller.me["name"],
+            "proxies": len(self._controller.everyone()),
+            "versions": store.many,
+            "bytes": store.size,
+            "dropped": store.dropped,
+            "kept on disk": log.broken is None,
+            "why not": log.broken,
+            "not kept": log.lost,
+            "disk": sum(log.segments.values()),
+            "pins": [self._pin_status(now, active) for _, active in sorted(pins.held.items())],
+            "holders": self.proxy_versions() if arguments.get("proxies") else [],
+        }
+
+    def proxy_versions(self) -> list[Answer]:
+        """Return for each proxy the version last sent and the one it acknowledged.
+
+        A change that was cut off halfway shows as a difference between the two.
+        """
+        proxies = []
+        for number, name, zone in self._controller.everyone():
+            history = self._publication.store.histories.get(name)
+            session = self._controller.session_of(number)
+            active = self._publication.pin_of(name, zone)
+            sent = history.last if history else NONE
+            proxies.append(
+                {
+                    "proxy": name,
+                    "sent": str(sent),
+                    "held": str(session.held if session else sent),
+                    "pin": active.pin.id if active else None,
+                }
+            )
+        return proxies
+
+    def _history_of(self, name: str) -> tuple[str, History]:
+        histories = self._publication.store.histories
+        for published_name in (name, f"{VIEW_PREFIX}{name}"):
+            if published_name in histories:
+                return published_name, histories[published_name]
+        raise PinError(f"expected a proxy or view that was published to, got {name!r}")
+
+    def _pin_status(self, now: float, active: ActivePin) -> Answer:
+        pin = active.pin
+        everyone = self._controller.everyone()
+        counting = [self._publication.pin_of(name, zone) for _, name, zone in everyone]
+        held_here = sum(found is not None and found.pin.id == pin.id for found in counting)
+        covered = sum(active.covers(now, name, zone) for _, name, zone in everyone)
+        unknown = self._publication.targets.unknown
+        return {
+            "pin": pin.id,
+            "whom": pin.whom,
+            "which": pin.which,
+            "target": pin.target,
+            "to": pin.to,
+            "by": pin.by,
+            "age": now - active.base,
+            "left": max(0.0, active.until - now),
+            "over": pin.over,
+            "ended": None if active.ended_at is None else now - active.ended_at,
+            "holds here": held_here,
+            "covered by a later pin": covered - held_here,
+            "target not known": sorted(name for pin_id, name in unknown if pin_id == pin.id),
+        }
