--- /dev/null
+++ b/peatlead/controller/endpoint_lists.py
@@ -0,0 +1,86 @@
+"""Endpoint lists: read from their source, remembered on disk, handed on to all that need them."""
+
+from collections.abc import Callable
+from typing import TYPE_CHECKING, Any
+
+from .. import interface
+from ..sources.endpoint_cache import EndpointCache
+from ..sources.endpoint_list import EndpointList
+
+if TYPE_CHECKING:
+    from .controller import Controller
+
+SourceFactory = Callable[..., Any]
+"""Creates a source of the settings under `node_list`, a callback for lists and a log function."""
+
+
+class EndpointLists:
+    """The source of endpoint lists and what follows from each list.
+
+    `cache_path` is the file that the last whole list is remembered in, None for nowhere.
+    """
+
+    def __init__(
+        self, controller: "Controller", create_source: SourceFactory, cache_path: str | None
+    ) -> None:
+        self._controller = controller
+        self._cache = EndpointCache(cache_path)
+        self.source = create_source(controller.settings["node_list"], self.receive, controller.log)
+        self.weights: dict[int, float] = {}  # endpoint -> its listed weight
+
+    def recall(self) -> None:
+        """Take the list that was remembered before this start, if any."""
+        remembered, reason = self._cache.recall()
+        if remembered:
+            self.source.remember(remembered.version)
+            self.receive(remembered)
+        else:
+            self._controller.log("no list remembered", why=reason)
+
+    def fetch_soon(self) -> None:
+        """Read the whole list again, in the next turn of the event loop."""
+        loop = self._controller.loop
+        loop.call_soon(lambda: self.source.fetch(loop.time()))
+
+    def receive(self, endpoint_list: EndpointList) -> None:
+        """Take a list from the source."""
+        controller = self._controller
+        now = controller.loop.time()
+        update = controller.registry.roster(endpoint_list, now)
+        for endpoint in update.endpoints:
+            self._update_endpoint(now, endpoint, endpoint_list.version)
+        ready = sum(entry.phase == interface.EndpointPhase.READY for entry in endpoint_list.hosts)
+        controller.log(
+            "list",
+            scope=endpoint_list.scope,
+            version=endpoint_list.version,
+            hosts=len(endpoint_list.hosts),
+            ready=ready,
+        )
+        if endpoint_list.scope == interface.ListScope.WHOLE and endpoint_list.hosts:
+            self._remember(endpoint_list)
+        controller.hear(update)
+
+    def _update_endpoint(self, now: float, endpoint: interface.Endpoint, list_version: int) -> None:
+        controller = self._controller
+        index = endpoint.id
+        entry = controller.registry.entries[index]
+        self.weights[index] = entry.weight
+        change = controller.published.endpoint_listed(index, entry)
+        if change is not None:
+            causes = controller.published.causes
+            causes.phases({index: change}, list_version)
+            controller.propagation.note(now, index, causes.news[index])
+        controller.answers.know(index, entry.name, entry.address, entry.address6)
+        if controller.proxies:
+            controller.proxies.endpoint_listed(index, entry)
+        if endpoint.phase == interface.EndpointPhase.READY:
+            controller.answers.open_hosts.add(index)
+        else:
+            controller.answers.open_hosts.discard(index)
+
+    def _remember(self, endpoint_list: EndpointList) -> None:
+        try:
+            self._cache.keep(endpoint_list)
+        except OSError as error:
+            self._controller.log("list not remembered", why=str(error))
--- /dev/null
+++ b/peatlead/controller/health_checks.py
@@ -0,0 +1,123 @@
+"""Health checks: sent on the planner's orders, and what endpoints report in their answers.
+
+A check also carries the admitted fractions to the endpoint, which enforces them for DNS clients.
+"""
+
+from ipaddress import ip_address
+from typing import TYPE_CHECKING, Any, NamedTuple
+
+from .. import interface
+from ..dns.views import View
+from ..health.load_report_counts import EndpointReport, LoadReportCounts, read_told
+from ..health.prober import Prober
+from ..net.http import Answer
+from ..net.orca import HEADER, read_report
+
+if TYPE_CHECKING:
+    from .controller import Controller
+
+ADMISSION_HEADER = "peatlead-levels"
+NETWORKS_CACHED = 100_000  # client networks whose view is remembered; when full, all go
+
+PASSED = interface.HealthCheckOutcome.OK.value
+OUTCOME_OF_STATUS = {
+    200: PASSED,
+    429: interface.HealthCheckOutcome.DENIED.value,
+    503: interface.HealthCheckOutcome.DENIED.value,
+}
+OUTCOME_OF_OTHER_STATUS = interface.HealthCheckOutcome.ERRORED.value
+
+LoadReport = dict[str, float]
+"""An ORCA load report, by our names of its fields."""
+
+
+class CheckedAnswer(NamedTuple):
+    """What an endpoint's answer to a health check says."""
+
+    outcome: str  # the value of a HealthCheckOutcome
+    load_report: LoadReport | None
+    request_counts: EndpointReport | None  # by client network
+
+
+def read_answer(answer: Answer) -> CheckedAnswer:
+    """Read an endpoint's answer to a health check."""
+    outcome = OUTCOME_OF_STATUS.get(answer.status, OUTCOME_OF_OTHER_STATUS)
+    load_report = read_report(answer.headers.get(HEADER, "")) or None
+    request_counts = read_told(answer.body) if outcome == PASSED else None
+    return CheckedAnswer(outcome, load_report, request_counts)
+
+
+class HealthChecks:
+    """Sends health checks and turns their results into the planner's events."""
+
+    def __init__(self, controller: "Controller") -> None:
+        settings = controller.settings
+        self._controller = controller
+        self._port: int = settings["probes"]["port"]
+        self._view_of_network: dict[str, View | None] = {}  # a cache
+        self.admission: dict[int, float] = {}  # request class -> admitted fraction
+        self._counts = LoadReportCounts(
+            controller.request_classes,
+            self._view_of,
+            controller.zone_names.index(controller.me["zone"]),
+            settings["choices"]["sums_every"],
+        )
+        self.prober = Prober(
+            settings["probes"],
+            self._completed,
+            read_answer,
+            self._headers,
+            controller.me["listen"][0],
+        )
+
+    def check(self, order: interface.CheckHealth) -> None:
+        """Carry out the planner's order of a health check."""
+        entry = self._controller.registry.entries[order.endpoint]
+        self.prober.probe(order.endpoint, (entry.address or entry.address6, self._port))
+
+    def set_admission(self, order: interface.SetAdmission) -> None:
+        """Carry out the planner's order of an admitted fraction: the next checks bear it."""
+        self.admission.update(dict.fromkeys(order.request_classes, order.fraction))
+
+    def admission_text(self) -> str:
+        """Return the admitted fractions as the header has them: `CLASS=FRACTION,...`."""
+        names = self._controller.request_classes
+        return ",".join(
+            f"{names[index]}={fraction}" for index, fraction in sorted(self.admission.items())
+        )
+
+    def stats_due(self, now: float) -> list[Any]:
+        """Return the planner's events from what endpoints have reported, once they are due."""
+        events: list[Any] = self._counts.due(now, self._controller.numbers)
+        return events
+
+    def _headers(self) -> list[tuple[str, str]]:
+        return [(ADMISSION_HEADER, self.admission_text())]
+
+    def _completed(
+        self,
+        endpoint: int,
+        outcome: str,
+        duration: float,
+        load_report: LoadReport | None,
+        request_counts: EndpointReport | None,
+    ) -> None:
+        self._counts.take(endpoint, request_counts, load_report)
+        self._counts.probed(endpoint, outcome == PASSED, duration)
+        self._controller.hear(interface.HealthCheckResult(endpoint, outcome, duration, load_report))
+
+    def _view_of(self, network: str) -> View | None:
+        """Return the view of a client network, cached: endpoints report the same ones each time."""
+        if network not in self._view_of_network:
+            if len(self._view_of_network) > NETWORKS_CACHED:
+                self._view_of_network = {}
+            self._view_of_network[network] = self._find_view(network)
+        return self._view_of_network[network]
+
+    def _find_view(self, network: str) -> View | None:
+        try:
+            address = ip_address(network)
+        except ValueError:
+            return None
+        view: View | None = self._controller.views.of_network(address, address.max_prefixlen).view
+        return view
--- /dev/null
+++ b/peatlead/controller/operator_queries.py
@@ -0,0 +1,230 @@
+"""Operators' questions about endpoints, views, proxies and the fleet.
+
+Questions about published tables are answered by `table_queries`.
+"""
+
+from functools import partial
+from typing import TYPE_CHECKING, Any
+
+from ..fleet.gossip import GossipNode
+from .control_socket import Answer, Handler, Question
+from .joined_session import JoinedSession
+from .proxies import Proxies
+
+if TYPE_CHECKING:
+    from .controller import Controller
+
+
+def describe_endpoint(endpoint: Any, now: float) -> Answer:
+    """Return what the planner knows of an endpoint."""
+    return {
+        "phase": endpoint.phase,
+        "usable": endpoint.usable,
+        "share": endpoint.share,
+        "reach": endpoint.reach,
+        "cold for s": None if endpoint.cold_from is None else round(now - endpoint.cold_from, 1),
+        "out for s more": (
+            None if endpoint.out_until is None else round(endpoint.out_until - now, 1)
+        ),
+        "tries": round(endpoint.tries, 1),
+        "bad": round(endpoint.bad, 1),
+        "load": round(endpoint.load, 2),
+        "probes failed in a row": endpoint.probe_fails,
+    }
+
+
+class OperatorQueries:
+    """Answers questions about the state of one controller."""
+
+    def __init__(self, controller: "Controller") -> None:
+        self._controller = controller
+
+    def handlers(self) -> dict[str, Handler]:
+        """Return for each question that this controller takes who answers it."""
+        handlers: dict[str, Handler] = {
+            "answer": self.answer,
+            "status": self.status,
+            "drained": self.drained,
+            "tables": self._controller.published.answer,
+            "why": self.why,
+        }
+        if self._controller.fleet:
+            handlers["fleet"] = partial(self.fleet, self._controller.fleet)
+        return handlers
+
+    def answer(self, question: Question) -> Answer:
+        """Return what a view would be answered now, and why."""
+        controller = self._controller
+        view = next((view for view in controller.views.views if view.name == question.view), None)
+        label = question.service or controller.settings["service"][0]["label"]
+        service = controller.answers.services.get(label)
+        if view is None or service is None:
+            return {
+                "error": f"expected a view and a service of the settings, got {question.view!r} "
+                f"and {question.service!r}"
+            }
+        seat = controller.answers.seats[view.index][service]
+        return {
+            "view": view.name,
+            "zone": controller.zone_names[view.zone],
+            "lifetime": controller.answers.lifetime if seat.lasting else 0,
+            "lines": [
+                self._describe_line(endpoint, weight, endpoint in seat.lines)
+                for endpoint, weight in sorted(seat.weighed.items())
+            ],
+            "fresh": controller.freshness.fresh,
+        }
+
+    def why(self, question: Question) -> Answer:
+        """Return what is known of an endpoint or proxy, and of its withdrawals."""
+        index = self._controller.registry.index.get(question.host)
+        endpoint = getattr(self._controller.planner, "hosts", {}).get(index)
+        if index is not None and endpoint is not None:
+            return self._why_endpoint(question.host, index, endpoint)
+        proxies = self._controller.proxies
+        session = proxies.front.sessions.get(question.host) if proxies else None
+        if proxies is not None and session is not None:
+            return self._why_proxy(question.host, proxies, session)
+        return {"error": f"expected a host of the list or a joined proxy, got {question.host!r}"}
+
+    def drained(self, question: Question) -> Answer:
+        """Return whether answers still name an endpoint, and until when resolvers may."""
+        controller = self._controller
+        endpoint = controller.registry.index.get(question.host)
+        if endpoint is None:
+            return {"error": f"expected a host of the list, got {question.host!r}"}
+        views = controller.dns.views_naming(endpoint)
+        unnamed = controller.dns.seconds_unnamed(endpoint)
+        remaining = None
+        if not views:
+            remaining = max(0.0, controller.answers.lifetime - (unnamed or 0.0))
+        return {
+            "host": question.host,
+            "phase": controller.registry.entries[endpoint].phase,
+            "named by views": len(views),
+            "seconds since the last answer": unnamed,
+            "seconds until no kept answer names it": remaining,
+        }
+
+    def fleet(self, gossip: GossipNode, question: Question) -> Answer:
+        """Carry out `drain` or `undrain`, and return the fleet as this controller sees it."""
+        controller = self._controller
+        proxies = controller.proxies
+        ownership = gossip.ownership
+        if question.do == "drain":
+            ownership.draining = True
+            controller.log("draining", proxies=controller.count_proxies())
+        elif question.do == "undrain":
+            ownership.draining = False
+        elif question.do == "why" and proxies:
+            return proxies.explain_ownership(question.host)
+        return {
+            "steward": controller.me["name"],
+            "draining": ownership.draining,
+            "members": self._describe_members(gossip),
+            "messages": dict(gossip.counts),
+            **(proxies.status() if proxies else {}),
+            "pins": sorted(controller.published.pins.standing()),
+            "owned": self._owned_proxies(gossip),
+        }
+
+    def status(self, _: Question) -> Answer:
+        """Return counts of all parts of this controller."""
+        controller = self._controller
+        channel = controller.channel
+        status: Answer = {}
+        if controller.proxies:
+            status["proxies"] = controller.proxies.status()
+        if controller.secondaries:
+            serial = controller.secondaries.history.serial
+            status["secondaries"] = {**controller.secondaries.counts, "serial": serial}
+        return {
+            **status,
+            "steward": controller.me["name"],
+            "views": len(controller.numbers),
+            "hosts": len(controller.registry.entries),
+            "decided": controller.decided,
+            "slowest_decide": controller.slowest,
+            "answers": dict(controller.answers.counts),
+            "unanswered": controller.front.unanswered,
+            "prepared": controller.answers.prepared,
+            "channel": {
+                "waiting": channel.waiting,
+                "deepest": channel.deepest,
+                "most": channel.most,
+                "past": channel.past,
+            },
+            "burden": controller.overload.told(),
+            "probes_dropped": controller.health_checks.prober.dropped,
+            "levels": controller.health_checks.admission_text(),
+            "fresh": controller.freshness.fresh,
+        }
+
+    def _describe_line(self, endpoint: int, weight: float, named: bool) -> Answer:
+        entry = self._controller.registry.entries[endpoint]
+        return {
+            "host": entry.name,
+            "address": entry.address,
+            "zone": entry.zone,
+            "weight": weight,
+            "listed": entry.weight,
+            "named": named,
+        }
+
+    def _why_endpoint(self, name: str, index: int, endpoint: Any) -> Answer:
+        controller = self._controller
+        now = controller.loop.time()
+        subscribers = getattr(controller.planner, "held", None)
+        return {
+            "host": name,
+            "steward": controller.me["name"],
+            **describe_endpoint(endpoint, now),
+            "holders": len(subscribers.of(index)) if subscribers is not None else 0,
+            **controller.propagation.tell(now, index),
+        }
+
+    def _why_proxy(self, name: str, proxies: Proxies, session: JoinedSession) -> Answer:
+        controller = self._controller
+        name_of = controller.published.name_of
+        withdrawals = controller.propagation.holding.get(session.number, ())
+        return {
+            "proxy": name,
+            "steward": controller.me["name"],
+            "zone": session.node.zone,
+            "joined seconds ago": round(controller.loop.time() - session.since, 1),
+            "epoch": session.epoch,
+            "says it holds": str(proxies.acknowledged_version(session.number)),
+            "waits for its window": not session.call.idle,
+            "losses under way": [name_of(endpoint) for endpoint in withdrawals],
+            "lines": {
+                request_class: {
+                    name_of(endpoint): weight
+                    for endpoint, weight in sorted(proxies.lines_of(session, index).items())
+                }
+                for request_class, index in proxies.front.kinds.items()
+            },
+        }
+
+    def _describe_members(self, gossip: GossipNode) -> Answer:
+        now = self._controller.loop.time()
+        return {
+            member.about.name: {
+                "state": member.about.state,
+                "since": now - member.since,
+                "proxies": member.about.load,
+                "draining": member.about.draining,
+                "incarnation": member.about.incarnation,
+            }
+            for member in gossip.members.members.values()
+        }
+
+    def _owned_proxies(self, gossip: GossipNode) -> Answer:
+        """Return each proxy that has joined here, with its epoch and the seconds since."""
+        now = self._controller.loop.time()
+        proxies = self._controller.proxies
+        sessions = proxies.front.sessions if proxies else {}
+        return {
+            name: [epoch, now - sessions[name].since]
+            for name, epoch in sorted(gossip.ownership.epochs.items())
+            if name in sessions
+        }
--- a/peatlead/controller/pin_commands.py
+++ b/peatlead/controller/pin_commands.py
@@ -6,6 +6,7 @@
 from ..tables.guard import GuardedTable
 from ..tables.history import Store
 from ..tables.pins import ActivePin, Pin, check
+from .control_socket import Answer
 from .pin_control import PinControl
 from .pin_targets import PinTargets
 from .pinned_tables import PinnedTables
@@ -14,9 +15,6 @@
 if TYPE_CHECKING:
     from .controller import Controller
 
-Answer = dict[str, Any]
-"""An answer to an operator: encoded as JSON."""
-
 Arguments = Mapping[str, Any]
 """The arguments of an operator's question."""
 
@@ -112,7 +110,7 @@
         active = ActivePin(trial_pin(request), now)
         proxies = [
             self._try_on(active, number, name)
-            for number, name, zone in self._controller.everyone()
+            for number, name, zone in self._controller.recipients.everyone()
             if active.covers(now, name, zone)
         ]
         affected = [
@@ -137,7 +135,7 @@
         if past is None:
             return answer
         after: LineWeights = {}
-        for request_class, planned in self._controller.wanted_of(number):
+        for request_class, planned in self._controller.recipients.planned_tables(number):
             table = self._tables.guarded(line_items(past.items), request_class, planned)
             after.update(self._tables.items_of_lines(request_class, table.lines))
             self._add_guard_result(answer, table)
--- a/peatlead/controller/pin_targets.py
+++ b/peatlead/controller/pin_targets.py
@@ -127,7 +127,7 @@
         """
         if not self._controller.fleet:
             return
-        joined = {name for _, name, _ in self._controller.everyone()}
+        joined = {name for _, name, _ in self._controller.recipients.everyone()}
         for active in self._pins.standing().values():
             if active.pin.target != "back":
                 continue
@@ -136,6 +136,9 @@
 
     def send_announcements(self) -> None:
         """Send some of the scheduled targets to the other controllers."""
+        gossip = self._controller.fleet
+        if gossip is None:
+            return
         due = [key for key, sent in self._announced.items() if not sent]
         for key in due[:ANNOUNCEMENTS_EACH_ROUND]:
             self._announced[key] = True
@@ -146,7 +149,7 @@
                 continue
             payload = write_announcement(key, past)
             if len(payload) < ANNOUNCEMENT_BYTES:
-                self._controller.fleet.tell_wish(payload)
+                gossip.tell_wish(payload)
 
     def receive(self, payload: bytes) -> None:
         """Take another controller's target; the highest version of a proxy's counts."""
--- a/peatlead/controller/pinned_tables.py
+++ b/peatlead/controller/pinned_tables.py
@@ -80,7 +80,7 @@
         return GuardContext(self._phases, self._withdrawn, self._fractions)
 
     def _compute_fractions(self) -> dict[int, float]:
-        listed = self._controller.listed
+        listed = self._controller.endpoint_lists.weights
         return {
             endpoint: max(tables.values()) / max(LEAST_WEIGHT, listed.get(endpoint, 1.0))
             for endpoint, tables in self._controller.publisher.holders.items()
@@ -147,7 +147,7 @@
 
     def pending_changes(self, name: str, number: int) -> ItemChanges:
         """Return how a proxy's lines differ from what it was last sent."""
-        items: TableItems | None = self._controller.items_of(number)
+        items: TableItems | None = self._controller.recipients.items_of(number)
         if items is None:
             return {}
         history = self._store.histories.get(name)
@@ -163,13 +163,13 @@
         urgent = self._endpoint_sets_changed()
         if not urgent and self._channel_is_busy():
             return
-        for number, name, zone in self._controller.everyone():
+        for number, name, zone in self._controller.recipients.everyone():
             active = self._control.pin_of(name, zone)
             if active is not None or name in self.covered:
                 self._enforce_on(now, number, name, active)
             if not urgent and self._channel_is_busy():
                 break
-        self._controller.pump()
+        self._controller.messages.send_due()
 
     def _endpoint_sets_changed(self) -> bool:
         fractions = self._endpoints.context().parts
--- a/peatlead/controller/proxies.py
+++ b/peatlead/controller/proxies.py
@@ -1,261 +1,329 @@
-"""The steward's side of the gRPC front: proxies that join, and a fleet's say in it."""
+"""The joined gRPC proxies: what each is to hold, and what it has acknowledged.
+
+`Proxies` is what `grpc.server.GrpcFront` calls its core: the methods under "Calls of the gRPC
+server" are that interface.
+"""
+
+from collections.abc import Callable, Collection, Iterable, Mapping
+from dataclasses import dataclass, field
+from typing import TYPE_CHECKING, Any
 
 from ..dns.views import number_of
-from ..fleet.ownership import ranked, why
-from ..grpc.framing import UNAVAILABLE
+from ..fleet.membership import MemberInfo
+from ..fleet.ownership import Ownership
+from ..grpc.discovery import Refused
 from ..grpc.load_aggregation import LoadAggregator
-from ..grpc.server import GrpcFront
-from ..tables.version import NONE, PARTS, line_key, whole_weight
-from .channel import ViewState
+from ..grpc.resources import Line
+from ..grpc.server import GrpcFront, ProxyNode
+from ..sources.endpoint_list import ListedEndpoint
+from ..tables.version import NONE, PARTS, Version, line_key, whole_weight
+from .channel import Message, ViewState
+from .joined_session import JoinedSession
 from .overload import Did
+from .proxy_admission import Admission, Metadata, ProxyAdmission
+from .published_items import EndpointWeights, LineWeights, TableItems
+from .recipients import Recipient
 
+if TYPE_CHECKING:
+    from .controller import Controller
 
-def concerned_parts(ops):
-    """Which parts of a proxy's tables these kinds of orders change."""
-    return {part for op in ops for part in (("level", "retry") if op == "level" else ("line",))}
+NUMBER_PREFIX = "proxy:"  # of the text whose hash is a proxy's number
+BROUGHT_TABLE = "held"  # first part of the names of tables that proxies bring when they join
+REPORT_PHASES = 997  # proxies' reporting intervals differ by their number modulo this
+MEAN_PHASE = 0.5  # of a proxy that has not joined
 
+AddressAndPort = tuple[str, int]
+
+
+@dataclass(slots=True)
+class ProxyProgress:
+    """How far a session has come with what it was sent."""
+
+    acknowledged: Version = NONE  # the newest version that the proxy has applied
+    causes: dict[str, None] = field(default_factory=dict)  # of what was not sent yet, in order
+
+
+def changed_parts(operations: Iterable[str]) -> set[str]:
+    """Return which parts of a proxy's tables these operations change."""
+    parts: set[str] = set()
+    for operation in operations:
+        parts.update(("level", "retry") if operation == "level" else ("line",))
+    return parts
 
-class Proxies:
-    """`steward` is asked to hear events and to publish; `owners` (or None) decides whose a proxy is."""
 
-    def __init__(self, steward, ownership, about):
-        self.steward, self.ownership, self.about = steward, ownership, about
-        settings = steward.settings
-        self.port = settings["dns"]["port"]
-        self.gathered, self.overload = LoadAggregator(), steward.overload
+def concerns(session: JoinedSession, operation: tuple[Any, ...]) -> bool:
+    """Return whether an operation changes anything for a proxy.
+
+    The withdrawal of an endpoint that is in none of its tables does not.
+    """
+    return operation[0] != "withdrawn" or any(
+        operation[1] in table for table in session.state.tables.values()
+    )
+
+
+def all_items(session: JoinedSession) -> list[Mapping[str, Any]]:
+    """Return what a proxy is to hold now, by part."""
+    return [session.items(part) for part in PARTS]
+
+
+class Proxies:
+    """The gRPC side of a controller.
+
+    `ownership` and `member_info` are those of the fleet, None for a controller that stands alone.
+    """
+
+    def __init__(
+        self,
+        controller: "Controller",
+        ownership: Ownership | None,
+        member_info: Callable[[str], MemberInfo | None] | None,
+    ) -> None:
+        settings = controller.settings
+        self._controller = controller
+        self._port: int = settings["dns"]["port"]  # that endpoints listen on
+        self.gathered = LoadAggregator()
+        self.admission = ProxyAdmission(controller, ownership, member_info)
         self.front = GrpcFront(
             self,
-            steward.me["name"],
-            steward.kinds,
+            controller.me["name"],
+            controller.request_classes,
             settings["grpc"]["connections_most"],
-            [zone["name"] for zone in settings["zone"]],
+            controller.zone_names,
         )
-        self.by_number, self.places, self.refusals, self.acks = {}, {}, 0, 0
-        self.moved = self.sent_on = self.paced = 0
-
-    # What the front asks.
-
-    def admit(self, node):
-        """The epoch that a proxy is taken in with, or how it is sent on."""
-        # One that has forgotten its epoch, and a steward that has forgotten its own: the greater counts.
-        seen = max(node.epoch, self.steward.published.newest_epoch(node.name))
-        now = self.steward.loop.time()
-        wait = self.overload.takes_join(now, not any(node.held.values()))
-        if wait:
-            self.paced += 1
-            return 0, (UNAVAILABLE, "paced: more to do than time", {"peatlead_wait": f"{wait:.3f}"})
-        if self.ownership is None:
-            return seen + 1, None
-        verdict = self.ownership.admit(now, node.name, seen, node.hops, node.avoid)
-        if verdict.take:
-            return self.ownership.epochs[node.name], None
-        if verdict.wait:
-            self.paced += 1
-            return 0, (UNAVAILABLE, verdict.why, {"peatlead_wait": f"{verdict.wait:.3f}"})
-        self.sent_on += 1
-        return 0, (UNAVAILABLE, verdict.why, self.place(verdict.owner))
-
-    def place(self, owner):
-        about = self.about(owner)
-        return (
-            {"peatlead_owner": f"{about.orders[0]}:{about.orders[1]}"}
-            if about and about.orders
-            else {}
-        )
-
-    def hints(self, node):
-        """Where to dial, best first, when this controller ends."""
-        if self.ownership is None:
-            return {}
-        abouts = [self.about(name) for name in ranked(node.name, self.ownership.live)]
-        return {
-            "peatlead_controllers": ",".join(
-                f"{one.name}={one.orders[0]}:{one.orders[1]}"
-                for one in abouts
-                if one and one.orders
-            )
-        }
-
-    def joined(self, session):
-        node, steward = session.node, self.steward
-        session.number, session.state = number_of("proxy:" + node.name), ViewState()
-        session.zone = steward.registry.zones.get(node.zone, 0)
+        self.by_number: dict[int, JoinedSession] = {}
+        self._progress: dict[JoinedSession, ProxyProgress] = {}
+        self._endpoint_by_address: dict[str, int] = {}
+        self.refusals = 0  # versions that proxies have refused
+        self.acks = 0  # versions that proxies have applied
+
+    # Calls of the gRPC server.
+
+    def admit(self, node: ProxyNode) -> Admission:
+        """Decide on a proxy that has dialled."""
+        return self.admission.admit(node)
+
+    def hints(self, node: ProxyNode) -> Metadata:
+        """Return where a proxy that is taken in should dial when this controller ends."""
+        return self.admission.hints(node)
+
+    def joined(self, session: JoinedSession) -> None:
+        """Take in a proxy that was admitted."""
+        controller = self._controller
+        node = session.node
+        session.number = number_of(NUMBER_PREFIX + node.name)
+        session.state = ViewState()
+        session.zone = controller.registry.zones.get(node.zone, 0)
         self.front.add(session)
         self.by_number[session.number] = session
-        publisher = steward.publisher
-        steward.channel.forget(session.number)
-        publisher.leave(session.number)
-        publisher.join(session.number, levelled=True)
-        session.state.levels.update(publisher.levels)
-        session.causes, session.held = {}, NONE
-        held = self.take_held(session)
-        self.show(session)
-        lines = {
-            line_key(kind, one.zone, one.address, one.port): whole_weight(one.weight)
-            for kind, many in node.held.items()
-            if kind in self.front.kinds
-            for one in many
-            if one.weight > 0
-        }
-        steward.published.record_join(node.name, session.epoch, lines)
-        steward.proxy_joined(session.number, session.zone, node.rate, not held)
-
-    def take_held(self, session):
-        """What it brought stands, line by line, until the planner says otherwise; a withdrawal shuts hosts out
-        of it like out of any table. Lines of hosts that no list has named are left out of what we know."""
-        for kind, lines in session.node.held.items():
-            at = self.front.kinds.get(kind)
-            known = {
-                self.host_of((one.address, one.port)): one.weight for one in lines if one.weight > 0
-            }
-            known.pop(None, None)
-            if at is not None and known:
-                session.state.tables["held", kind] = known
-                session.state.bound[at] = "held", kind
-        return len(session.state.bound) == len(self.front.kinds)
-
-    def left(self, session):
-        if self.front.drop(session):
-            self.by_number.pop(session.number, None)
-            self.steward.channel.forget(session.number)
-            self.steward.publisher.leave(session.number)
-            self.gathered.forget(session.number)
-            self.steward.published.record_leave(session.node.name)
-            if self.ownership is not None:
-                self.ownership.left(session.node.name)
-            self.steward.proxy_left(session.number)
-
-    # Load reports.
-
-    def takes_report(self, session, now):
-        taken = self.overload.takes_report(now, session.report_at, session.reports)
+        self._progress[session] = ProxyProgress()
+        self._reset_orders(session)
+        has_all_tables = self._take_brought_tables(session)
+        self._copy_admission(session)
+        lines = self._brought_lines(node)
+        controller.published.record_join(node.name, session.epoch, lines)
+        controller.proxy_joined(session.number, session.zone, node.rate, not has_all_tables)
+
+    def left(self, session: JoinedSession) -> None:
+        """Take that a session has ended; one that a newer session replaced changes nothing."""
+        self._progress.pop(session, None)
+        if not self.front.drop(session):
+            return
+        controller = self._controller
+        self.by_number.pop(session.number, None)
+        controller.channel.forget(session.number)
+        controller.publisher.leave(session.number)
+        self.gathered.forget(session.number)
+        controller.published.record_leave(session.node.name)
+        self.admission.left(session.node.name)
+        controller.proxy_left(session.number)
+
+    def takes_report(self, session: JoinedSession, now: float) -> bool:
+        """Return whether there is time to read a load report that has come."""
+        taken: bool = self._controller.overload.takes_report(
+            now, session.report_at, session.reports
+        )
         session.reports += 1
         return taken
 
-    def reported(self, session, started):
+    def reported(self, session: JoinedSession, started: float) -> None:
+        """Take that a load report was read, and what that cost."""
         session.report_at = started
-        self.overload.decide(started, [Did(1, self.steward.loop.time() - started)])
+        duration = self._controller.loop.time() - started
+        self._controller.overload.decide(started, [Did(1, duration)])
 
-    def report_every(self, session):
-        return self.overload.interval_of(0.5 if session is None else session.number % 997 / 996)
+    def report_every(self, session: JoinedSession | None) -> float:
+        """Return the seconds between a proxy's load reports."""
+        phase = MEAN_PHASE
+        if session is not None:
+            phase = session.number % REPORT_PHASES / (REPORT_PHASES - 1)
+        interval: float = self._controller.overload.interval_of(phase)
+        return interval
 
-    def refused(self, session, refusal):
+    def refused(self, session: JoinedSession, refusal: Refused) -> None:
+        """Take that a proxy has refused a version."""
         self.refusals += 1
-        self.steward.log(
+        self._controller.log(
             "assignment refused", proxy=session.node.name, version=refusal.version, why=refusal.text
         )
 
-    def applied(self, session, type_url, version):
+    def applied(self, session: JoinedSession, _type_url: str, version: Version) -> None:
+        """Take that a proxy has applied a version."""
         self.acks += 1
-        self.steward.propagation.applied(self.steward.loop.time(), session.number, version)
-        session.held = max(session.held, version)
-
-    def published(self, session, version, parts):
-        """A version was sent: into the store, with what led to it."""
+        now = self._controller.loop.time()
+        self._controller.propagation.applied(now, session.number, version)
+        progress = self._progress.get(session)
+        if progress is not None:
+            progress.acknowledged = max(progress.acknowledged, version)
+
+    def published(self, session: JoinedSession, version: Version, parts: Collection[str]) -> None:
+        """Commit a version of some parts of a proxy's tables that was sent, with its causes."""
         if "line" in parts:
-            self.steward.propagation.sent(session.number, version)
-        if self.front.sessions.get(session.node.name) is session:
-            items = {}
-            for part in parts:
-                items.update(session.items(part))
-            self.steward.published.record_sent(
-                session.node.name, version, parts, items, tuple(session.causes)
-            )
-
-    def lines_of(self, session, kind):
-        names = list(self.front.kinds)
-        return self.steward.published.lines(
-            session.node.name, session.node.zone, names[kind], session.state.lines(kind)
-        )
-
-    def everyone(self):
-        return [
-            (session.number, name, session.node.zone)
-            for name, session in sorted(self.front.sessions.items())
-            if session.number is not None
-        ]
-
-    def host_of(self, place):
+            self._controller.propagation.sent(session.number, version)
+        name = session.node.name
+        if self.front.sessions.get(name) is not session:
+            return
+        items: TableItems = {}
+        for part in parts:
+            items.update(session.items(part))
+        causes = tuple(self._progress[session].causes)
+        self._controller.published.record_sent(name, version, parts, items, causes)
+
+    def lines_of(self, session: JoinedSession, request_class: int) -> EndpointWeights:
+        """Return the lines that a proxy is to hold now."""
+        name = list(self.front.kinds)[request_class]
+        planned = session.state.lines(request_class)
+        node = session.node
+        return self._controller.published.lines(node.name, node.zone, name, planned)
+
+    def host_of(self, place: AddressAndPort) -> int | None:
+        """Return the endpoint at an address and port, None where no list has named one."""
         address, port = place
-        return self.places.get(address) if port == self.port else None
+        return self._endpoint_by_address.get(address) if port == self._port else None
 
-    def place_of(self, host):
-        entry = self.steward.registry.entries[host]
-        return entry.address or entry.address6, self.port, entry.zone
+    def place_of(self, endpoint: int) -> tuple[str, int, str]:
+        """Return an endpoint's address, port and zone."""
+        entry = self._controller.registry.entries[endpoint]
+        return entry.address or entry.address6, self._port, entry.zone
 
-    # What the steward tells.
+    # Calls of the controller.
 
-    def know(self, host, entry):
+    def endpoint_listed(self, endpoint: int, entry: ListedEndpoint) -> None:
+        """Take a list's entry."""
         for address in (entry.address, entry.address6):
             if address:
-                self.places[address] = host
+                self._endpoint_by_address[address] = endpoint
+
+    def apply(self, number: int, message: Message) -> JoinedSession | None:
+        """Take a message that has left the channel.
 
-    def apply(self, number, message):
-        """A message has left the channel. Returns the session, or None where the proxy has gone, or is pinned and
-        gets nothing of it."""
+        Return the session that it goes to, or None where the proxy has gone, or where a pin leaves
+        nothing of it.
+        """
         session = self.by_number.get(number)
-        if session is not None:
-            pinned = self.steward.published.pin_of(session.node.name, session.node.zone)
-            before = pinned and session.ready and [session.items(part) for part in PARTS]
-            session.state.apply(message.ops)
-            self.show(session)
-            if (
-                before
-                and before == [session.items(part) for part in PARTS]
-                and not self.behind(session)
-            ):
-                return None
-            if not session.stale:
-                session.causes = {}  # all that was caused before has been sent
-            session.causes.update(dict.fromkeys(message.causes))
-            concerned = [
-                op[0] for op, value in message.ops.items() if self.concerns(session, op, value)
-            ]
-            if pinned or concerned:
-                session.changed(PARTS if pinned else concerned_parts(concerned))
+        if session is None:
+            return None
+        pinned = self._controller.published.pin_of(session.node.name, session.node.zone) is not None
+        before = all_items(session) if pinned and session.ready else None
+        session.state.apply(message.ops)
+        self._copy_admission(session)
+        unchanged = before is not None and before == all_items(session)
+        if unchanged and not self._has_pending_changes(session):
+            return None
+        self._add_causes(session, message)
+        operations = [op[0] for op in message.ops if concerns(session, op)]
+        if pinned or operations:
+            session.changed(PARTS if pinned else changed_parts(operations))
         return session
 
-    def behind(self, session):
-        """Whether its last version is not what it is to hold: a pin that came or went since."""
-        return bool(self.steward.published.pending_changes(session.node.name, session.number))
-
-    @staticmethod
-    def concerns(session, op, value):
-        """A withdrawal of a host that it holds nowhere is no news for it."""
-        return op[0] != "withdrawn" or any(
-            op[1] in table for table in session.state.tables.values()
-        )
-
-    def show(self, session):
-        names = list(self.front.kinds)
-        session.levels = {names[at]: level for at, (level, _) in session.state.levels.items()}
-        session.retries = {names[at]: retry for at, (_, retry) in session.state.levels.items()}
+    def everyone(self) -> list[Recipient]:
+        """Return all joined proxies, by name."""
+        return [
+            Recipient(session.number, name, session.node.zone)
+            for name, session in sorted(self.front.sessions.items())
+            if session.number is not None
+        ]
 
-    def held_lines(self, session):
-        return [len(self.lines_of(session, at)) for at in self.front.kinds.values()]
+    def acknowledged_version(self, number: int) -> Version | None:
+        """Return the newest version that a joined proxy has applied."""
+        session = self.by_number.get(number)
+        return self._progress[session].acknowledged if session is not None else None
 
-    # The fleet.
+    def line_counts(self, session: JoinedSession) -> list[int]:
+        """Return how many lines a proxy is to hold, by request class."""
+        return [len(self.lines_of(session, index)) for index in self.front.kinds.values()]
 
-    def move(self, now):
-        """Sends on what another should own."""
-        for name, owner in self.ownership.moves(now) if self.ownership is not None else ():
-            session = self.front.sessions.get(name)
-            place = self.place(owner)
-            if session is not None and place:
-                self.moved += 1
-                session.move("another's by rank", **place)
+    def move_on(self, now: float) -> None:
+        """Send some proxies that another controller should own to that one."""
+        self.admission.move_on(now, self.front)
 
-    def tell_why(self, name):
+    def explain_ownership(self, name: str) -> dict[str, Any]:
+        """Return for operators why a proxy is, or is not, this controller's."""
         session = self.front.sessions.get(name)
-        return why(self.ownership, name, session and session.since, self.steward.loop.time())
+        return self.admission.explain(name, session.since if session else None)
 
-    def status(self):
+    def status(self) -> dict[str, int]:
+        """Return counts for operators."""
         return {
             "joined": len(self.front.sessions),
             "acks": self.acks,
             "refusals": self.refusals,
-            "moved": self.moved,
-            "sent on": self.sent_on,
-            "paced": self.paced,
+            "moved": self.admission.moved,
+            "sent on": self.admission.sent_on,
+            "paced": self.admission.paced,
             "connections": len(self.front.held.streams),
         }
+
+    def _reset_orders(self, session: JoinedSession) -> None:
+        """Drop what was under way to an earlier session of this proxy."""
+        publisher = self._controller.publisher
+        self._controller.channel.forget(session.number)
+        publisher.leave(session.number)
+        publisher.join(session.number, levelled=True)
+        session.state.levels.update(publisher.levels)
+
+    def _take_brought_tables(self, session: JoinedSession) -> bool:
+        """Let the tables that a proxy brought stand until the planner assigns others.
+
+        A withdrawal takes an endpoint out of them as out of any table. Lines of endpoints that no
+        list has named are left out. Return whether there is a table for every request class.
+        """
+        for request_class, lines in session.node.held.items():
+            index = self.front.kinds.get(request_class)
+            table = self._known_weights(lines)
+            if index is not None and table:
+                session.state.tables[BROUGHT_TABLE, request_class] = table
+                session.state.bound[index] = BROUGHT_TABLE, request_class
+        return len(session.state.bound) == len(self.front.kinds)
+
+    def _known_weights(self, lines: Iterable[Line]) -> EndpointWeights:
+        weights: EndpointWeights = {}
+        for line in lines:
+            endpoint = self.host_of((line.address, line.port))
+            if line.weight > 0 and endpoint is not None:
+                weights[endpoint] = line.weight
+        return weights
+
+    def _brought_lines(self, node: ProxyNode) -> LineWeights:
+        return {
+            line_key(request_class, line.zone, line.address, line.port): whole_weight(line.weight)
+            for request_class, lines in node.held.items()
+            if request_class in self.front.kinds
+            for line in lines
+            if line.weight > 0
+        }
+
+    def _add_causes(self, session: JoinedSession, message: Message) -> None:
+        progress = self._progress[session]
+        if not session.stale:
+            progress.causes = {}  # all that was caused before has been sent
+        progress.causes.update(dict.fromkeys(message.causes))
+
+    def _has_pending_changes(self, session: JoinedSession) -> bool:
+        """Return whether a proxy's last version is not what it is to hold: a pin came or went."""
+        return bool(self._controller.published.pending_changes(session.node.name, session.number))
+
+    def _copy_admission(self, session: JoinedSession) -> None:
+        names = list(self.front.kinds)
+        admission = session.state.levels.items()
+        session.levels = {names[index]: fraction for index, (fraction, _) in admission}
+        session.retries = {names[index]: retry for index, (_, retry) in admission}
--- a/peatlead/controller/publication.py
+++ b/peatlead/controller/publication.py
@@ -19,7 +19,8 @@
 from ..tables.pins import ActivePin, Pins
 from ..tables.table_log import TableLog
 from ..tables.version import Version, changes, part_of
-from .pin_commands import Answer, PinCommands
+from .control_socket import Answer, Question
+from .pin_commands import PinCommands
 from .pin_control import PinControl
 from .pin_targets import PastTable, PinTargets, TargetKey
 from .pinned_tables import EndpointFacts, ItemChanges, PhaseChange, PinnedTables
@@ -27,7 +28,6 @@
 from .table_queries import TableQueries
 
 if TYPE_CHECKING:
-    from .control_socket import Question
     from .controller import Controller
 
 BOOTS_NOTE = "boots"  # the table log's key for the number of starts
@@ -151,7 +151,7 @@
 
     # Other controllers.
 
-    def hear_pins(self, payload: bytes) -> None:
+    def receive_pins(self, payload: bytes) -> None:
         """Take another controller's pins."""
         try:
             changed = self._pin_control.receive(self._controller.loop.time(), payload)
@@ -234,7 +234,7 @@
 
     # Operators.
 
-    def answer(self, question: "Question") -> Answer:
+    def answer(self, question: Question) -> Answer:
         """Answer a `tables` question."""
         return self._queries.answer(question)
 
@@ -247,7 +247,7 @@
         self.log.publish(name, entry)
 
     def _listed_weight_of(self, endpoint: int) -> float:
-        weight: float = self._controller.listed.get(endpoint, 0.0)
+        weight: float = self._controller.endpoint_lists.weights.get(endpoint, 0.0)
         return weight
 
 
--- a/peatlead/controller/table_queries.py
+++ b/peatlead/controller/table_queries.py
@@ -8,19 +8,19 @@
 
 from ..tables.history import History, UnknownVersionError
 from ..tables.pins import ActivePin, PinError
-from ..tables.version import NONE, Digest, read_version
-from .pin_commands import Answer, Arguments, PinCommands
+from ..tables.version import NONE, Digest, Version, read_version
+from .control_socket import Answer, Question
+from .pin_commands import Arguments, PinCommands
 from .published_items import ItemFormatter, line_items
+from .recipients import VIEW_PREFIX
 
 if TYPE_CHECKING:
-    from .control_socket import Question
     from .controller import Controller
     from .publication import Publication
 
 VERSIONS_SHOWN = 500  # versions that one answer lists at most
 VERSIONS_SHOWN_UNASKED = 50  # versions that an answer lists where the question gives no number
 LATEST = 1e12  # seconds: past every wall clock
-VIEW_PREFIX = "view:"  # of a DNS view's name among the names that are published to
 
 
 class TableQueries:
@@ -48,7 +48,7 @@
             "ends": self.ends,
         }
 
-    def answer(self, question: "Question") -> Answer:
+    def answer(self, question: Question) -> Answer:
         """Answer a question; what cannot be answered is said under the key `error`."""
         handler = self._handlers.get(question.do)
         if handler is None:
@@ -91,7 +91,7 @@
         asked_version = arguments.get("version")
         version = read_version(asked_version) if asked_version else history.last
         items = history.at_version(version)
-        active = self._publication.pin_of(name, self._controller.zone_of(name))
+        active = self._publication.pin_of(name, self._controller.recipients.zone_of(name))
         return {
             "proxy": name,
             "version": str(version),
@@ -113,7 +113,7 @@
         """Return each joined proxy's last sent version, its digest and the seconds since."""
         now = self._wall()
         ends = {}
-        for _number, name, _zone in self._controller.everyone():
+        for _number, name, _zone in self._controller.recipients.everyone():
             history = self._publication.store.histories.get(name)
             if history and history.entries and not name.startswith(VIEW_PREFIX):
                 digest = Digest(line_items(history.items))
@@ -128,7 +128,7 @@
         pins = self._publication.pins
         return {
             "steward": self._controller.me["name"],
-            "proxies": len(self._controller.everyone()),
+            "proxies": len(self._controller.recipients.everyone()),
             "versions": store.many,
             "bytes": store.size,
             "dropped": store.dropped,
@@ -146,21 +146,26 @@
         A change that was cut off halfway shows as a difference between the two.
         """
         proxies = []
-        for number, name, zone in self._controller.everyone():
+        for number, name, zone in self._controller.recipients.everyone():
             history = self._publication.store.histories.get(name)
-            session = self._controller.session_of(number)
             active = self._publication.pin_of(name, zone)
             sent = history.last if history else NONE
             proxies.append(
                 {
                     "proxy": name,
                     "sent": str(sent),
-                    "held": str(session.held if session else sent),
+                    "held": str(self._acknowledged(number, sent)),
                     "pin": active.pin.id if active else None,
                 }
             )
         return proxies
 
+    def _acknowledged(self, number: int, sent: Version) -> Version:
+        """Return a proxy's acknowledged version; a view has what was last sent at once."""
+        proxies = self._controller.proxies
+        acknowledged = proxies.acknowledged_version(number) if proxies else None
+        return sent if acknowledged is None else acknowledged
+
     def _history_of(self, name: str) -> tuple[str, History]:
         histories = self._publication.store.histories
         for published_name in (name, f"{VIEW_PREFIX}{name}"):
@@ -170,7 +175,7 @@
 
     def _pin_status(self, now: float, active: ActivePin) -> Answer:
         pin = active.pin
-        everyone = self._controller.everyone()
+        everyone = self._controller.recipients.everyone()
         counting = [self._publication.pin_of(name, zone) for _, name, zone in everyone]
         held_here = sum(found is not None and found.pin.id == pin.id for found in counting)
         covered = sum(active.covers(now, name, zone) for _, name, zone in everyone)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -74,13 +74,14 @@
             steward = await world.steward()
             await until(lambda: len(world.named(steward)) == 4)
             ask = type("Q", (), {"host": "h2"})
-            before = steward.tell_drained(ask)
+            before = steward.queries.drained(ask)
             world.phases["h2"] = "draining"
             world.write()
             await until(
-                lambda: steward.tell_drained(ask)["seconds until no kept answer names it"] == 0, 5.0
+                lambda: steward.queries.drained(ask)["seconds until no kept answer names it"] == 0,
+                5.0,
             )
-            return before["named by views"] > 0, steward.tell_drained(ask)["phase"]
+            return before["named by views"] > 0, steward.queries.drained(ask)["phase"]
 
         self.assertEqual(play(case), (True, "draining"))
 
--- a/tests/test_steward.py
+++ b/tests/test_steward.py
@@ -135,7 +135,7 @@
             kept, world.phases = world.phases, {}
             world.extra, world.version = [], 200
             world.write()
-            await until(lambda: steward.source.version == 201)
+            await until(lambda: steward.endpoint_lists.source.version == 201)
             await asyncio.sleep(0.5)
             world.phases = kept
             return world.named(steward)
@@ -190,7 +190,7 @@
             asked = await resolver(world)
             self.assertTrue(await asked.lookup("desk0.api.example.org", "", "desk0"))
             # It freezes: the list changes, a query waits in its socket, then all of its timers are due at once.
-            steward.source.stop()
+            steward.endpoint_lists.source.stop()
             world.phases["h0"] = "draining"
             world.write()
             steward.front.fresh_until = loop.time() - 5.0
@@ -209,7 +209,7 @@
         async def case(world):
             both = [await world.steward("ns1"), await world.steward("ns2")]
             await until(lambda: all(world.named(one) for one in both))
-            both[0].refresh = lambda now: None
+            both[0].freshness.renew = lambda now: None
             both[0].front.fresh_until = 0.1
             asked = await resolver(world, servers=("127.1.0.1", "127.1.0.2"))
             return [
@@ -307,7 +307,7 @@
         async def case(world):
             steward = await world.steward()
             await until(lambda: world.named(steward))
-            steward.levels = {0: 0.4, 1: 1.0}
+            steward.health_checks.admission = {0: 0.4, 1: 1.0}
             now = asyncio.get_running_loop().time
             await until(lambda: all(host.level("look", now()) == 0.4 for host in world.hosts))
             world.hosts[0].levels["look", "other"] = 0.2, now()
@@ -323,7 +323,7 @@
     def test_probes_are_bounded_in_flight_and_in_waiting(self):
         async def case(world):
             steward = await world.steward()
-            prober = steward.prober
+            prober = steward.health_checks.prober
             await until(lambda: not prober.tasks)
             prober.settings = {**prober.settings, "at_once": 2, "waiting_most": 3}
             for host in range(100, 110):
