--- /dev/null
+++ b/tests/controller/connections.py
@@ -0,0 +1,49 @@
+"""Connections and resolvers that tests of the DNS controller use."""
+
+import asyncio
+
+import dns.message
+
+from peatlead.net.streams import Stream
+from peatlead.standin.resolvers import Resolver
+
+from ..places import Quiet
+
+
+class ReceivedBytes(Stream):
+    """A connection that collects what it receives in `received_bytes`; `over` completes at its end."""
+
+    def __init__(self):
+        super().__init__()
+        self.received_bytes = b""
+        self.over = asyncio.get_running_loop().create_future()
+
+    def received(self, data):
+        self.received_bytes += data
+
+    def ended(self, reason):
+        self.over.set_result(reason)
+
+
+def framed(name="api.example.org"):
+    """An A query for a name as DNS over TCP frames it (RFC 1035 section 4.2.2)."""
+    wire = dns.message.make_query(name, "A").to_wire()
+    return len(wire).to_bytes(2, "big") + wire
+
+
+async def dial(world, name="ns1"):
+    """A TCP connection to a controller's DNS port."""
+    address = {"ns1": "127.1.0.1", "ns2": "127.1.0.2"}[name]
+    _, stream = await asyncio.get_running_loop().create_connection(
+        ReceivedBytes, address, world.port, local_addr=("127.0.0.1", 0)
+    )
+    return stream
+
+
+async def start_resolver(world, kind="keeps", servers=("127.1.0.1",)):
+    """A stand-in resolver of a kind that asks these servers; it ends with the world."""
+    addresses = [(server, world.port) for server in servers]
+    resolver = Resolver(kind, "127.20.9.1", addresses, world.chance, Quiet())
+    await resolver.begin()
+    world.closing.append(resolver.close)
+    return resolver
--- /dev/null
+++ b/tests/controller/test_dns_over_tcp.py
@@ -0,0 +1,55 @@
+"""DNS over TCP against a running controller."""
+
+import asyncio
+import unittest
+
+import dns.message
+import dns.rcode
+
+from ..places import play, until
+from .connections import dial, framed
+
+
+class DnsOverTcpTest(unittest.TestCase):
+    def test_pipelined_queries_in_pieces_are_answered_in_order(self):
+        async def case(world):
+            controller = await world.steward()
+            await until(lambda: world.named(controller))
+            stream = await dial(world)
+            names = ["desk0.api.example.org", "example.com", "desk1.api.example.org"]
+            data = b"".join(map(framed, names))
+            for at in range(0, len(data), 7):
+                stream.send(data[at : at + 7])
+                await asyncio.sleep(0)
+            answers, at = [], 0
+            await until(lambda: len(stream.received_bytes) > 130)
+            while at < len(stream.received_bytes):
+                size = int.from_bytes(stream.received_bytes[at : at + 2], "big")
+                answers.append(dns.message.from_wire(stream.received_bytes[at + 2 : at + 2 + size]))
+                at += 2 + size
+            stream.close()
+            return [(one.question[0].name.to_text(), one.rcode()) for one in answers]
+
+        self.assertEqual(
+            play(case),
+            [
+                ("desk0.api.example.org.", 0),
+                ("example.com.", dns.rcode.REFUSED),
+                ("desk1.api.example.org.", 0),
+            ],
+        )
+
+    def test_idle_and_malformed_peers_are_cut_and_the_idlest_is_evicted(self):
+        async def case(world):
+            world.settings["dns"]["tcp_idle"], world.settings["dns"]["tcp_most"] = 0.3, 3
+            controller = await world.steward()
+            await until(lambda: world.named(controller))
+            streams = [await dial(world) for _ in range(4)]
+            await until(lambda: controller.front.held.evicted == 1)
+            await until(lambda: streams[0].over.done())
+            streams[1].send(b"\x00\x05abcde")
+            await until(lambda: streams[1].over.done())
+            await until(lambda: streams[2].over.done() and streams[3].over.done())
+            return len(controller.front.held.streams)
+
+        self.assertEqual(play(case), 0)
--- /dev/null
+++ b/tests/controller/test_many_proxies.py
@@ -0,0 +1,290 @@
+"""The gRPC server under mass reconnection, slow readers and hostile peers.
+
+Small here; at full size in `peatlead.benchmarks.herd`.
+"""
+
+import asyncio
+import random
+import unittest
+
+import h2.config
+import h2.connection
+import h2.settings
+from envoy.service.discovery.v3 import discovery_pb2
+from envoy.service.load_stats.v3 import lrs_pb2
+from hyperframe.frame import (
+    ContinuationFrame,
+    DataFrame,
+    GoAwayFrame,
+    HeadersFrame,
+    SettingsFrame,
+    WindowUpdateFrame,
+)
+
+from peatlead import interface
+from peatlead.benchmarks.herd import Agent
+from peatlead.grpc.framing import frame
+from peatlead.grpc.http2 import HEADERS_MOST, WAITING_MOST, Connection
+from peatlead.grpc.resources import ENDPOINTS
+from peatlead.grpc.server import DISCOVERY, LOADS
+from peatlead.net.in_memory_transport import InMemoryTransport
+
+from ..places import GRPC_SCRIPT, play, until
+
+
+def client_connection():
+    """The client's side of an HTTP/2 connection, with its first bytes waiting."""
+    client = h2.connection.H2Connection(h2.config.H2Configuration(header_encoding="utf-8"))
+    client.initiate_connection()
+    return client
+
+
+HEADERS = [
+    (":method", "POST"),
+    (":scheme", "http"),
+    (":path", DISCOVERY),
+    (":authority", "x"),
+    ("content-type", "application/grpc"),
+]
+
+
+class HostilePeersTest(unittest.IsolatedAsyncioTestCase):
+    """Each attack ends the peer's connection after a bounded number of bytes and leaves no state."""
+
+    def start(self):
+        """A server's connection and the transport that it writes to."""
+        self.calls = []
+        transport = InMemoryTransport()
+        connection = Connection(False, self.calls.append, ping_every=0.0)
+        connection.connection_made(transport)
+        return connection, transport
+
+    def feed(self, connection, data):
+        for start in range(0, len(data), 16384):
+            if connection.transport.is_closing():
+                return start
+            connection.received(data[start : start + 16384])
+        return len(data)
+
+    def repetitions_until_closed(self, first, repeated, limit=3000):
+        """How many times `repeated(number)` was taken after `first`."""
+        connection, transport = self.start()
+        self.feed(connection, first)
+        for number in range(limit):
+            if transport.closed:
+                connection.connection_lost(None)
+                self.assertEqual(connection.calls, {})
+                return number
+            self.feed(connection, repeated(number))
+        self.fail("the connection was never closed")
+
+    async def test_a_header_block_without_end_is_cut(self):
+        first = HeadersFrame(1, b"\x00" * 10)
+        data = client_connection().data_to_send() + first.serialize()
+        self.assertLess(
+            self.repetitions_until_closed(
+                data, lambda at: ContinuationFrame(1, b"\x00" * 100).serialize()
+            ),
+            100,
+        )
+
+    async def test_headers_that_expand_far_beyond_their_size_are_cut(self):
+        client = client_connection()
+        client.send_headers(1, HEADERS)
+        whole = client.data_to_send()
+        # One long value goes into the table, then a byte each names it again: 4 KB unfold to megabytes.
+        value = b"\x40\x01a" + b"\x7f\xa1\x1e" + b"x" * 4000
+        block = value + b"\xbe" * 8000
+        connection, transport = self.start()
+        self.feed(connection, whole)
+        self.assertEqual((len(self.calls), transport.closed), (1, False))
+        self.feed(connection, HeadersFrame(3, block, flags=["END_HEADERS"]).serialize())
+        self.assertEqual((len(self.calls), transport.closed), (1, True))
+        self.assertLess(HEADERS_MOST, 65536)
+
+    async def test_empty_frames_are_cut(self):
+        client = client_connection()
+        client.send_headers(1, HEADERS)
+        self.assertLess(
+            self.repetitions_until_closed(
+                client.data_to_send(), lambda at: DataFrame(1, b"").serialize()
+            ),
+            300,
+        )
+
+    async def test_needless_window_updates_are_cut(self):
+        client = client_connection()
+        client.send_headers(1, HEADERS)
+        whole = client.data_to_send()
+        self.assertLess(
+            self.repetitions_until_closed(
+                whole, lambda at: WindowUpdateFrame(0, window_increment=1).serialize()
+            ),
+            300,
+        )
+
+    async def test_settings_that_change_the_window_back_and_forth_are_cut(self):
+        self.assertLess(
+            self.repetitions_until_closed(
+                client_connection().data_to_send(),
+                lambda at: SettingsFrame(
+                    0, settings={SettingsFrame.INITIAL_WINDOW_SIZE: at % 2}
+                ).serialize(),
+            ),
+            300,
+        )
+
+    async def test_streams_that_are_opened_and_reset_at_once_are_cut(self):
+        client = client_connection()
+        self.repetitions_until_closed(
+            client.data_to_send(), lambda at: self.opened_and_reset(client, 2 * at + 1)
+        )
+
+    def opened_and_reset(self, client, number):
+        client.send_headers(number, HEADERS)
+        client.reset_stream(number)
+        return client.data_to_send()
+
+    async def test_a_window_that_never_opens_bounds_the_waiting_output(self):
+        client = client_connection()
+        client.update_settings({h2.settings.SettingCodes.INITIAL_WINDOW_SIZE: 1})
+        client.send_headers(1, HEADERS)
+        connection, transport = self.start()
+        self.feed(connection, client.data_to_send())
+        (call,) = self.calls
+        sent = 0
+        while call.send(b"x" * 100_000):
+            sent += 1
+            self.assertLessEqual(call.waiting, WAITING_MOST)
+        self.assertTrue(call.over and sent <= WAITING_MOST // 100_000)
+        self.assertLess(len(transport.out), 1000)
+
+    async def test_output_to_a_closing_connection_is_dropped_without_error(self):
+        client = client_connection()
+        client.send_headers(1, HEADERS)
+        connection, transport = self.start()
+        self.feed(connection, client.data_to_send())
+        (call,) = self.calls
+        self.feed(connection, GoAwayFrame(0).serialize())
+        self.assertTrue(transport.closed and not call.over)
+        call.send(b"an order")
+        call.finish(14, "moved")
+        connection.ping()
+        connection.accept(call)
+        connection.connection_lost(None)
+        self.assertEqual((connection.calls, call.over), ({}, True))
+
+    async def test_random_changes_of_the_bytes_raise_nothing(self):
+        rng = random.Random(8)
+        client = client_connection()
+        client.send_headers(1, HEADERS)
+        client.send_data(
+            1, frame(discovery_pb2.DiscoveryRequest(type_url=ENDPOINTS).SerializeToString())
+        )
+        whole = client.data_to_send()
+        for _ in range(400):
+            connection, _ = self.start()
+            data = bytearray(whole)
+            for _ in range(rng.randrange(1, 8)):
+                at = rng.randrange(len(data))
+                data[at : at + rng.randrange(3)] = rng.randbytes(rng.randrange(3))
+            self.feed(connection, bytes(data))
+            connection.connection_lost(None)
+            self.assertEqual(connection.calls, {})
+
+
+class MassReconnectionTest(unittest.TestCase):
+    def test_all_rejoin_at_once_while_a_zone_drains_a_third_does_not_read_and_one_floods(self):
+        async def case(world):
+            controller = await world.steward()
+            received = []
+            real = controller.planner.handlers[interface.EndpointStats]
+            controller.planner.handlers[interface.EndpointStats] = lambda event: (
+                received.append(event),
+                real(event),
+            )
+            grpc_address = "127.1.0.1", world.port + 2
+            first = [Agent(number, grpc_address) for number in range(36)]
+            await asyncio.gather(*(agent.begin() for agent in first))
+            await until(lambda: all(agent.seen for agent in first))
+            for agent in first:  # every one of them dials anew
+                agent.connection.cut("herd")
+            again = [Agent(number, grpc_address) for number in range(36)]
+            world.phases.update(
+                {plan.name: "draining" for plan in world.plans if plan.zone == "south"}
+            )
+            world.write()
+            await asyncio.gather(*(agent.begin() for agent in again))
+            slow, reading = again[::3], [agent for number, agent in enumerate(again) if number % 3]
+            for agent in slow:
+                agent.connection.transport.pause_reading()
+            drained = {plan.address for plan in world.plans if plan.zone == "south"}
+            await until(lambda: all(agent.seen and not drained & agent.hosts for agent in reading))
+            self.assertTrue(all(agent.hosts for agent in reading))
+            loads = reading[0].connection.call(LOADS, "peatlead")
+            request = self.report(reading[0])
+            loads.send(request)
+            for _ in range(300):
+                loads.send(request)
+            await until(lambda: controller.overload.shed["reports early"] > 250)
+            await until(lambda: received)
+            read = sum(event.attempts for event in received)
+            self.assertLess(read, 20 * 7)
+            # One that reads nothing holds its newest state and no more, however often the list changes.
+            for at in range(20):
+                world.phases["h0"] = "draining" if at % 2 else "ready"
+                world.write()
+                await asyncio.sleep(0.03)
+            calls = [
+                call for one in controller.proxies.front.held.streams for call in one.calls.values()
+            ]
+            self.assertTrue(calls and all(call.waiting < 10_000 for call in calls))
+            self.assertEqual(len(controller.proxies.front.sessions), 36)
+            for agent in slow:
+                agent.connection.transport.resume_reading()
+            world.phases["h0"] = "ready"
+            world.write()
+            await until(lambda: all(agent.hosts and not drained & agent.hosts for agent in again))
+            for agent in again:
+                agent.connection.cut("over")
+
+        play(case, script=GRPC_SCRIPT)
+
+    def report(self, agent):
+        """A load report with an unlisted endpoint, overflowing counts and a negative interval too."""
+        request = lrs_pb2.LoadStatsRequest()
+        request.node.id = f"agent{agent.at}"
+        cluster = request.cluster_stats.add(cluster_name="look")
+        cluster.load_report_interval.FromMilliseconds(1000)
+        place = cluster.upstream_locality_stats.add()
+        for address, good in ((min(agent.hosts), 7), ("203.0.113.9", 7), ("127.10.9.2", 2**62)):
+            one = place.upstream_endpoint_stats.add(total_successful_requests=good)
+            one.address.socket_address.address = address
+            one.address.socket_address.port_value = agent.controller[1] - 2
+        back = request.cluster_stats.add(cluster_name="file", total_dropped_requests=2**63)
+        back.load_report_interval.FromNanoseconds(-5_000_000_000)
+        return request.SerializeToString()
+
+    def test_a_batch_longer_than_a_timer_round_brings_no_burst_of_rounds(self):
+        async def case(world):
+            controller, fired = await world.steward(), []
+            loop, real = asyncio.get_running_loop(), controller.planner.decide
+
+            def decide(now, events):
+                ticks = sum(type(event) is interface.TimerFired for event in events)
+                if ticks:
+                    fired.append((loop.time(), ticks))
+                    if len(fired) == 3:
+                        until_then = loop.time() + 0.55
+                        while loop.time() < until_then:
+                            pass
+                return real(now, events)
+
+            controller.planner.decide = decide
+            await until(lambda: len(fired) >= 12)
+            self.assertEqual({ticks for _, ticks in fired}, {1})
+            gaps = [after - before for (before, _), (after, _) in zip(fired, fired[1:])]
+            self.assertGreater(min(gaps), 0.09)  # of the timer's own: never two in a row
+            self.assertGreater(controller.overload.late, 0.0)
+
+        play(case, script=GRPC_SCRIPT)
--- /dev/null
+++ b/tests/controller/test_operator_queries.py
@@ -0,0 +1,47 @@
+"""Operators' questions over the control socket."""
+
+import unittest
+
+from peatlead.controller.control_socket import Question, ask_once
+
+from ..places import play, until
+
+
+class OperatorQueriesTest(unittest.TestCase):
+    def test_answer_status_and_malformed_questions(self):
+        async def case(world):
+            controller = await world.steward()
+            await until(lambda: len(world.named(controller)) == 4)
+            address = "127.1.0.1", world.port + 1
+            answer = await ask_once(address, {"ask": "answer", "view": "desk0"})
+            self.assertEqual({line["host"] for line in answer["lines"]}, {"h0", "h1", "h2", "h3"})
+            self.assertIn(
+                "expected a view",
+                (await ask_once(address, {"ask": "answer", "view": "no"}))["error"],
+            )
+            self.assertIn(
+                "expected ask to be one of", (await ask_once(address, {"ask": "fly"}))["error"]
+            )
+            self.assertIn("expected a question", (await ask_once(address, ["junk"]))["error"])
+            return (await ask_once(address, {"ask": "status"}))["channel"]["past"]
+
+        self.assertEqual(play(case), 0)
+
+    def test_drained_says_until_when_answers_may_name_an_endpoint(self):
+        async def case(world):
+            controller = await world.steward()
+            await until(lambda: len(world.named(controller)) == 4)
+            question = Question("drained", host="h2")
+            before = controller.queries.drained(question)
+            world.phases["h2"] = "draining"
+            world.write()
+            await until(
+                lambda: controller.queries.drained(question)[
+                    "seconds until no kept answer names it"
+                ]
+                == 0,
+                5.0,
+            )
+            return before["named by views"] > 0, controller.queries.drained(question)["phase"]
+
+        self.assertEqual(play(case), (True, "draining"))
--- a/tests/places.py
+++ b/tests/places.py
@@ -1,4 +1,4 @@
-"""Settings and small worlds that tests build on."""
+"""Settings, and a small world of stand-in endpoints and controllers, that tests build on."""
 
 import asyncio
 import json
@@ -36,25 +36,33 @@
 view(name = "desk1", zone = "south", networks = ["10.2.0.0/24", "2001:db8:2::/48"])
 """
 
+CONTROL = 'control = "127.1.0.1:{control}"'
+GRPC_SCRIPT = (
+    SCRIPT.replace(CONTROL, CONTROL + ', grpc = "127.1.0.1:{grpc}"') + "\ngrpc(proxies = 40)\n"
+)
+
+ZONES = ("north", "south")
+CLIENT_OF_VIEW = {"desk0": "10.1.0.1", "desk1": "10.2.0.1"}
+
 
 def settings(port=5300, path="/nowhere/nodes.json", script=SCRIPT, more=""):
-    return load_settings(
-        "test.star", script.format(port=port, control=port + 1, grpc=port + 2, path=path) + more
-    )
+    """The settings of a script whose ports and list file are filled in."""
+    text = script.format(port=port, control=port + 1, grpc=port + 2, path=path)
+    return load_settings("test.star", text + more)
 
 
 def run(case, deadline=90.0):
     """Runs a coroutine on a loop of its own; an exception in any callback fails the test."""
-    wrong = []
+    errors = []
 
     async def whole():
-        asyncio.get_running_loop().set_exception_handler(lambda _, context: wrong.append(context))
+        asyncio.get_running_loop().set_exception_handler(lambda _, context: errors.append(context))
         return await asyncio.wait_for(case, deadline)
 
-    found = asyncio.run(whole())
-    if wrong:
-        raise AssertionError(wrong)
-    return found
+    result = asyncio.run(whole())
+    if errors:
+        raise AssertionError(errors)
+    return result
 
 
 async def until(true, deadline=8.0):
@@ -77,39 +85,48 @@
         self.rows.append((kind, at, *fields))
 
     def of(self, kind):
-        return [one for one in self.rows if one[0] == kind]
+        return [row for row in self.rows if row[0] == kind]
 
 
 class World:
-    """Stand-in hosts, a list file and stewards in one loop, on a port of their own."""
+    """Stand-in endpoints, a list file and controllers in one loop, on a port of their own."""
 
     def __init__(self, folder, hosts=4, deep=True, cold=False, script=SCRIPT):
-        self.folder, self.port, self.record = Path(folder), free_port(), Quiet()
+        self.folder = Path(folder)
+        self.port = free_port()
+        self.record = Quiet()
         self.settings = settings(self.port, f"{folder}/nodes.json", script)
-        self.chance, self.pods, self.hosts, self.stewards, self.log = Random(4), Pods(), [], [], []
-        self.closing = []
-        self.plans = [
-            Plan(
-                name=f"h{at}",
-                zone=("north", "south")[at % 2],
-                pod=0,
-                address=f"127.10.9.{at + 1}",
-                port=self.port,
-                cores=2,
-                work={"look": 0.01, "file": 0.01},
-                repeat={"look": "replayable", "file": "non-replayable"},
-                cold_share=0.25,
-                warm_after=12.0,
-                tip_multiple=3.0,
-                tip_span=1.5,
-                deep=deep,
-                cold=cold,
-            )
-            for at in range(hosts)
-        ]
-        self.phases, self.version, self.extra = {plan.name: "ready" for plan in self.plans}, 0, []
+        self.chance = Random(4)
+        self.pods = Pods()
+        self.hosts = []  # the stand-in endpoints
+        self.stewards = []  # the controllers
+        self.log = []  # (event, fields) of all controllers
+        self.closing = []  # called at the end
+        self.plans = [self._plan(number, deep, cold) for number in range(hosts)]
+        self.phases = {plan.name: "ready" for plan in self.plans}  # as the list has them
+        self.version = 0  # of the list
+        self.extra = []  # more entries of the list
+
+    def _plan(self, number, deep, cold):
+        return Plan(
+            name=f"h{number}",
+            zone=ZONES[number % 2],
+            pod=0,
+            address=f"127.10.9.{number + 1}",
+            port=self.port,
+            cores=2,
+            work={"look": 0.01, "file": 0.01},
+            repeat={"look": "replayable", "file": "non-replayable"},
+            cold_share=0.25,
+            warm_after=12.0,
+            tip_multiple=3.0,
+            tip_span=1.5,
+            deep=deep,
+            cold=cold,
+        )
 
     async def begin(self):
+        """Starts the endpoints and writes the first list."""
         for plan in self.plans:
             self.hosts.append(Host(plan, self.chance, self.record, self.pods))
             await self.hosts[-1].begin()
@@ -117,6 +134,7 @@
         return self
 
     def write(self, data=None):
+        """Writes the list as `phases` and `extra` have it, or `data` in its place."""
         self.version += 1
         hosts = [
             {
@@ -128,15 +146,16 @@
             for plan in self.plans
             if plan.name in self.phases
         ]
-        said = {"version": self.version, "written": 50.0, "hosts": hosts + self.extra}
+        document = {"version": self.version, "written": 50.0, "hosts": hosts + self.extra}
         path = self.folder / "nodes.json"
-        path.with_suffix(".new").write_bytes(json.dumps(said).encode() if data is None else data)
-        path.with_suffix(".new").replace(path)
+        new_path = path.with_suffix(".new")
+        new_path.write_bytes(json.dumps(document).encode() if data is None else data)
+        new_path.replace(path)
 
     async def shake(self, many, every):
         """The list changes again and again; h1 drains in the end, all others are ready."""
-        for at in range(many):
-            name = f"h{at % 3 + 1}"
+        for number in range(many):
+            name = f"h{number % 3 + 1}"
             self.phases[name] = "draining" if self.phases[name] == "ready" else "ready"
             self.write()
             await asyncio.sleep(every)
@@ -144,34 +163,33 @@
         self.write()
 
     async def steward(self, name="ns1", planner=Planner):
-        made = Controller(
+        """Starts a controller of the settings."""
+        controller = Controller(
             self.settings,
             name,
-            lambda event, **more: self.log.append((event, more)),
+            lambda event, **fields: self.log.append((event, fields)),
             planner,
             str(self.folder / "state"),
         )
-        self.stewards.append(made)
-        await made.start()
-        return made
+        self.stewards.append(controller)
+        await controller.start()
+        return controller
 
     def named(self, steward, view="desk0", many=24):
-        """Hosts' addresses in answers to a view's resolver."""
-        peer = {"desk0": "10.1.0.1", "desk1": "10.2.0.1"}[view]
-        found = set()
+        """The names of the endpoints in many answers to a view; addresses of no endpoint as they are."""
+        client = CLIENT_OF_VIEW[view]
+        addresses = set()
         for _ in range(many):
-            data = steward.answers.respond(
-                dns.message.make_query("api.example.org", "A").to_wire(), peer
-            )
-            answer = dns.message.from_wire(data)
-            found |= {str(one) for rrset in answer.answer for one in rrset}
-        return {plan.name for plan in self.plans if plan.address in found} | (
-            found - {plan.address for plan in self.plans}
-        )
+            query = dns.message.make_query("api.example.org", "A").to_wire()
+            answer = dns.message.from_wire(steward.answers.respond(query, client))
+            addresses |= {str(record) for rrset in answer.answer for record in rrset}
+        name_of = {plan.address: plan.name for plan in self.plans}
+        return {name_of.get(address, address) for address in addresses}
 
     def end(self):
-        for steward in self.stewards:
-            steward.stop()
+        """Stops all that was started."""
+        for controller in self.stewards:
+            controller.stop()
         for host in self.hosts:
             host.stop()
         for close in self.closing:
