--- a/tests/plants.py
+++ b/tests/plants.py
@@ -1,6 +1,7 @@
-"""Bugs planted on purpose, for the hunt to find: switches of the tests alone.
+"""Seeded faults: patches that break the software on purpose, for the lab's search to find.
 
-`python -m tests.plants [SEEDS]` plays each until it is found, and prints how many seeds that took.
+`python -m tests.plants [SEEDS]` plays random days until each fault is found, and prints how many
+seeds that took.
 """
 
 import contextlib
@@ -12,26 +13,15 @@
 from peatlead.controller.channel import Publisher, ViewState
 from peatlead.controller.controller import Controller
 from peatlead.dns import warmup_thinning
-from peatlead.fleet.ownership import Fence, Ownership
+from peatlead.fleet.ownership import Fence
 from peatlead.lab.day import play_day
 from peatlead.lab.random_scenario import draw
 from peatlead.standin.xds_proxies import Agent
 
 
-def every_epoch_alike():
-    real = Ownership.admit
-
-    def admit(self, now, proxy, seen, hops=0, avoid=()):
-        verdict = real(self, now, proxy, seen, hops, avoid)
-        if verdict.take:
-            self.epochs[proxy] = 1
-        return verdict
-
-    return mock.patch.object(Ownership, "admit", admit)
-
-
 @contextlib.contextmanager
 def fence_not_checked():
+    """Proxies apply orders of earlier owners."""
     real = Agent.take
 
     def take(self, call, steward, data):
@@ -45,27 +35,25 @@
         yield
 
 
+def takes_endpoint_away(order):
+    """Whether an order takes an endpoint out of tables."""
+    if type(order) is interface.SetEntry:
+        return not order.weight
+    return type(order) is interface.WithdrawEndpoint
+
+
 def withdrawals_forgotten():
+    """Orders that take endpoints away are not published."""
     real = Publisher.take
-    return mock.patch.object(
-        Publisher,
-        "take",
-        lambda self, orders: real(
-            self,
-            [
-                one
-                for one in orders
-                if not (
-                    type(one) is interface.WithdrawEndpoint
-                    or type(one) is interface.SetEntry
-                    and not one.weight
-                )
-            ],
-        ),
-    )
+
+    def take(self, orders):
+        return real(self, [order for order in orders if not takes_endpoint_away(order)])
+
+    return mock.patch.object(Publisher, "take", take)
 
 
 def cold_bound_ignored():
+    """Endpoints that warm up get many times their weight."""
     real = warmup_thinning.WarmupThinning.decide
 
     def decide(self, changed, listed, heard=()):
@@ -79,6 +67,7 @@
 
 
 def lifetime_too_long():
+    """Answers may be cached for much longer than the settings say."""
     real = Controller.start
 
     async def start(self):
@@ -89,6 +78,7 @@
 
 
 def retried_after_any_failure():
+    """Proxies retry requests that must not be sent twice."""
     real = Publisher.admit
 
     def admit(self, out, order):
@@ -97,7 +87,8 @@
     return mock.patch.object(Publisher, "admit", admit)
 
 
-def an_error_when_a_host_leaves():
+def error_when_an_endpoint_leaves():
+    """An exception is raised where a withdrawal is applied."""
     real = ViewState.apply
 
     def apply(self, ops):
@@ -109,6 +100,7 @@
 
 
 def tables_emptied_by_a_drain():
+    """One withdrawal takes all endpoints out of a table."""
     real = ViewState.lines
     return mock.patch.object(
         ViewState, "lines", lambda self, kind: {} if self.withdrawn else real(self, kind)
@@ -116,7 +108,7 @@
 
 
 def channel_without_pace():
-    """Every table goes out again with each tick: the planner's room is not looked at."""
+    """Every table is published again each round, whatever the channel's capacity."""
     from peatlead.planner.planner import Planner
 
     real = Planner.on_timer
@@ -133,30 +125,31 @@
     return mock.patch.object(Planner, "on_timer", on_timer)
 
 
-PLANTS = {  # name: (how, the kind of day that it shows on)
+PLANTS = {  # name: (patch, kind of day that shows it)
     "the fence of an agent is not checked": (fence_not_checked, "fleet"),
     "withdrawals are forgotten": (withdrawals_forgotten, "fleet"),
     "the cold bound is ignored": (cold_bound_ignored, "dns"),
     "lifetimes are too long": (lifetime_too_long, "dns"),
     "non-replayable reqs are tried again": (retried_after_any_failure, "fleet"),
-    "an error when a host leaves": (an_error_when_a_host_leaves, "dns"),
+    "an error when a host leaves": (error_when_an_endpoint_leaves, "dns"),
     "a drain empties tables": (tables_emptied_by_a_drain, "dns"),
     "the channel's pace is not looked at": (channel_without_pace, "fleet"),
 }
 
 
 def seeds_until_found(name, most=200, length=16.0):
-    """(seeds it took, what was found), or (None, []) where `most` did not do."""
-    plant, kind = PLANTS[name]
+    """(seeds needed, findings), or (None, []) where `most` seeds were not enough."""
+    patch, kind = PLANTS[name]
     for seed in range(most):
-        with plant():
-            finds = play_day(draw(seed, kind, length), seed).finds
-        if finds:
-            return seed + 1, finds
+        with patch():
+            findings = play_day(draw(seed, kind, length), seed).finds
+        if findings:
+            return seed + 1, findings
     return None, []
 
 
 if __name__ == "__main__":
-    for plant in PLANTS:
-        took, found = seeds_until_found(plant, int(sys.argv[1]) if len(sys.argv) > 1 else 200)
-        print(json.dumps({"planted": plant, "seeds": took, "found": found[:1]}), flush=True)
+    most_seeds = int(sys.argv[1]) if len(sys.argv) > 1 else 200
+    for fault in PLANTS:
+        seeds, findings = seeds_until_found(fault, most_seeds)
+        print(json.dumps({"planted": fault, "seeds": seeds, "found": findings[:1]}), flush=True)
