--- a/tests/plants.py
+++ b/tests/plants.py
@@ -82,7 +82,7 @@
     real = Publisher.admit
 
     def admit(self, out, order):
-        real(self, out, order._replace(retry="once"))
+        real(self, out, order._replace(retry_policy="once"))
 
     return mock.patch.object(Publisher, "admit", admit)
 
