--- a/peatlead/controller/controller.py
+++ b/peatlead/controller/controller.py
@@ -65,22 +65,14 @@
         boot: bytes = DEFAULT_BOOT,
         wall: Callable[[], float] = lambda: 0.0,
     ) -> None:
-        self.settings = settings
-        self.me: dict[str, Any] = next(
-            entry for entry in settings["steward"] if entry["name"] == name
-        )
-        self.zone_names: list[str] = [entry["name"] for entry in settings["zone"]]
-        self.request_classes: list[str] = [entry["name"] for entry in settings["request_kind"]]
-        self.port: int = settings["dns"]["port"]  # that endpoints listen on
-        self.views = Views(settings)
-        self.numbers: list[int] = [view.number for view in self.views.views]
+        self._read_settings(settings, name)
         seed: int = self.me["seed"]
         super().__init__(planner(planner_settings(settings, self.me, len(self.numbers)), seed), log)
-        rng = Random(seed)
         self._create_channel(seed)
         self.published = Publication(
             self, folder and f"{folder}/tables-{name}", wall, settings["tables"], boot
         )
+        rng = Random(seed)
         self._create_dns(rng)
         self.endpoint_lists = EndpointLists(self, source, folder and f"{folder}/list-{name}")
         self.health_checks = HealthChecks(self)
@@ -88,6 +80,24 @@
         self.proxies = self._create_proxies()
         self.queries = OperatorQueries(self)
         self.control = ControlSocket(self._has_time, self.queries.handlers())
+        self._register_order_handlers()
+
+    def _read_settings(self, settings: dict[str, Any], name: str) -> None:
+        """Take what the parts need of the settings."""
+        self.settings = settings
+        # This controller's own entry.
+        self.me: dict[str, Any] = next(
+            entry for entry in settings["steward"] if entry["name"] == name
+        )
+        self.zone_names: list[str] = [entry["name"] for entry in settings["zone"]]
+        self.request_classes: list[str] = [entry["name"] for entry in settings["request_kind"]]
+        self.port: int = settings["dns"]["port"]  # that endpoints listen on
+        self.views = Views(settings)
+        # The planner's numbers of the views, by index.
+        self.numbers: list[int] = [view.number for view in self.views.views]
+
+    def _register_order_handlers(self) -> None:
+        """Say who carries out the planner's orders that are not for recipients."""
         self.carriers.update(
             {
                 interface.CheckHealth: self.health_checks.check,
--- a/peatlead/controller/operator_queries.py
+++ b/peatlead/controller/operator_queries.py
@@ -131,7 +131,6 @@
     def status(self, _: Question) -> Answer:
         """Return counts of all parts of this controller."""
         controller = self._controller
-        channel = controller.channel
         status: Answer = {}
         if controller.proxies:
             status["proxies"] = controller.proxies.status()
@@ -148,18 +147,22 @@
             "answers": dict(controller.answers.counts),
             "unanswered": controller.front.unanswered,
             "prepared": controller.answers.prepared,
-            "channel": {
-                "waiting": channel.waiting,
-                "deepest": channel.deepest,
-                "most": channel.most,
-                "past": channel.past,
-            },
+            "channel": self._describe_channel(),
             "burden": controller.overload.told(),
             "probes_dropped": controller.health_checks.prober.dropped,
             "levels": controller.health_checks.admission_text(),
             "fresh": controller.freshness.fresh,
         }
 
+    def _describe_channel(self) -> Answer:
+        channel = self._controller.channel
+        return {
+            "waiting": channel.waiting,
+            "deepest": channel.deepest,
+            "most": channel.most,
+            "past": channel.past,
+        }
+
     def _describe_line(self, endpoint: int, weight: float, named: bool) -> Answer:
         entry = self._controller.registry.entries[endpoint]
         return {
--- a/peatlead/controller/publication.py
+++ b/peatlead/controller/publication.py
@@ -70,16 +70,20 @@
         self._pinned_tables = PinnedTables(
             controller, self._pin_control, self.targets, self.store, self._endpoints
         )
+        self._queries = self._create_queries()
+
+    def _create_queries(self) -> TableQueries:
+        """Create the answers to operators' questions and orders."""
         formatter = ItemFormatter(self._endpoints.by_address, self.name_of)
         commands = PinCommands(
-            controller,
+            self._controller,
             self._pin_control,
             self.targets,
             self._pinned_tables,
             self.store,
             formatter,
         )
-        self._queries = TableQueries(controller, self, commands, formatter, wall)
+        return TableQueries(self._controller, self, commands, formatter, self._wall)
 
     @property
     def pins(self) -> Pins:
