--- a/peatlead/net/errors.py
+++ b/peatlead/net/errors.py
@@ -1,12 +1,12 @@
-"""Which errors of system calls tell of this machine and not of the peer.
+"""Classification of operating system errors: caused by this machine, or by the peer.
 
-Source: socket(2), connect(2), accept(2), open(2) of the Linux manual pages.
+Source: socket(2), connect(2), accept(2) and open(2) of the Linux manual pages.
 """
 
 import errno
 
-# No descriptor, buffer, memory, port or route here: nothing was asked of the peer.
-LOCAL_SHORTAGE = frozenset(
+# This machine lacks a descriptor, buffer, memory, port or route: the peer was not asked at all.
+LOCAL_SHORTAGE_ERRNOS = frozenset(
     {
         errno.EMFILE,
         errno.ENFILE,
@@ -19,15 +19,15 @@
         errno.EINTR,
     }
 )
-# Those with which a call that opens a listener or a file may succeed a moment later.
-PASSING = LOCAL_SHORTAGE | {errno.EADDRINUSE, errno.EIO, errno.ESTALE}
+# A call that opens a listener or a file may succeed a moment after one of these.
+TRANSIENT_ERRNOS = LOCAL_SHORTAGE_ERRNOS | {errno.EADDRINUSE, errno.EIO, errno.ESTALE}
 
 
-def is_local(problem):
-    """Whether an OSError tells nothing of the peer."""
-    return problem.errno in LOCAL_SHORTAGE
+def is_local_shortage(error: OSError) -> bool:
+    """Return whether the error was caused by this machine and says nothing about the peer."""
+    return error.errno in LOCAL_SHORTAGE_ERRNOS
 
 
-def may_pass(problem):
-    """Whether the same call may succeed a moment later."""
-    return problem.errno in PASSING
+def may_pass(error: OSError) -> bool:
+    """Return whether the error is transient: the same call may succeed a moment later."""
+    return error.errno in TRANSIENT_ERRNOS
--- /dev/null
+++ b/peatlead/net/http/client.py
@@ -0,0 +1,158 @@
+"""The client's side of HTTP/1.1: one request at a time on a connection that may be reused."""
+
+import asyncio
+from collections.abc import Sequence
+from enum import StrEnum
+from typing import NamedTuple
+
+import httptools
+
+from ..errors import is_local_shortage
+from ..streams import Stream, within
+from .message import MAX_BODY_BYTES, MAX_HEAD_BYTES, Header, HttpError, Message, feed, write_message
+
+FIRST_FINAL_STATUS = 200  # responses below are informational (RFC 9110 section 15.2)
+
+
+class RequestOutcome(StrEnum):
+    """Why a request got no response."""
+
+    UNREACHABLE = "unreachable"  # the connection was refused or has no route
+    DENIED = "denied"  # this machine had no means to connect: nothing is known about the server
+    TIMED_OUT = "timed out"
+    BROKEN = "broken"  # the connection ended, or the peer did not speak HTTP
+
+
+class RequestFailedError(HttpError):
+    """A request got no response. `sent`: whether some of its bytes may have reached the server."""
+
+    def __init__(self, outcome: RequestOutcome, sent: bool) -> None:
+        super().__init__(outcome.value)
+        self.outcome: str = outcome.value  # a plain string: it is recorded and sent on as it stands
+        self.sent = sent
+
+
+class Response(NamedTuple):
+    """A complete response."""
+
+    status: int
+    headers: dict[str, str]  # by lower-case name
+    body: bytes
+    keep_alive: bool  # whether the connection can be used again
+
+
+class ResponseMessage(Message):
+    """The response that an exchange is receiving."""
+
+    def __init__(self, exchange: "Exchange") -> None:
+        super().__init__()
+        self.exchange = exchange
+
+    def on_message_complete(self) -> None:
+        """Hand the response to the exchange."""
+        self.exchange.finish()
+
+
+class Exchange(Stream):
+    """A client's connection; `await ask(...)` sends one request and returns its response."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.response = ResponseMessage(self)
+        self.parser = httptools.HttpResponseParser(self.response)
+        self.pending: asyncio.Future[Response] | None = None
+        self.sent = False  # whether the current request was given to the transport
+        self.keep_alive = True
+        self.received_bytes = 0  # since the current request
+
+    @property
+    def usable(self) -> bool:
+        """Whether another request can be sent on this connection."""
+        return self.keep_alive and self.transport is not None and not self.transport.is_closing()
+
+    async def ask(
+        self, method: str, path: str, headers: Sequence[Header], body: bytes, deadline: float
+    ) -> Response:
+        """Send a request and return its response; raises RequestFailedError.
+
+        `deadline` is a time of the event loop's clock.
+        """
+        loop = asyncio.get_running_loop()
+        self.sent = False
+        self.received_bytes = 0
+        self.pending = loop.create_future()
+        if body:
+            headers = [*headers, ("content-length", str(len(body)))]
+        self.sent = self.send(write_message(f"{method} {path} HTTP/1.1", headers, body))
+        timer = loop.call_at(deadline, self.time_out)
+        try:
+            return await self.pending
+        finally:
+            timer.cancel()
+            self.pending = None
+
+    def time_out(self) -> None:
+        """Fail the request at its deadline."""
+        self.fail(RequestOutcome.TIMED_OUT)
+        self.cut("late")
+
+    def fail(self, outcome: RequestOutcome) -> None:
+        """Fail the pending request, if any; the connection is not used again."""
+        self.keep_alive = False
+        if self.pending is not None and not self.pending.done():
+            self.pending.set_exception(RequestFailedError(outcome, self.sent))
+
+    def received(self, data: bytes) -> None:
+        """Parse the response.
+
+        An unsolicited response ends the connection: it would be taken for the next request's.
+        """
+        self.received_bytes += len(data)
+        if (
+            self.pending is None
+            or self.received_bytes > MAX_BODY_BYTES + MAX_HEAD_BYTES
+            or feed(self.parser, data) is not None
+        ):
+            self.fail(RequestOutcome.BROKEN)
+            self.cut("not HTTP")
+
+    def finish(self) -> None:
+        """Complete the pending request with the response that was parsed."""
+        status = self.parser.get_status_code()
+        if status < FIRST_FINAL_STATUS:
+            return
+        self.keep_alive = self.keep_alive and self.parser.should_keep_alive()
+        if self.pending is not None and not self.pending.done():
+            body = b"".join(self.response.body)
+            self.pending.set_result(Response(status, self.response.headers, body, self.keep_alive))
+        if not self.keep_alive:
+            self.close()
+
+    def ended(self, reason: str) -> None:
+        """Fail the pending request when the connection ends."""
+        self.fail(RequestOutcome.BROKEN)
+
+
+async def connect(
+    loop: asyncio.AbstractEventLoop,
+    address: tuple[str, int],
+    deadline: float,
+    local: str | None = None,
+) -> Exchange:
+    """Open a connection to (host, port), from the address `local` if given.
+
+    `deadline` is a time of the event loop's clock. Raises RequestFailedError.
+    """
+    try:
+        opening = loop.create_connection(
+            Exchange, *address, local_addr=(local, 0) if local else None
+        )
+        _, stream = await within(max(0.0, deadline - loop.time()), opening)
+        return stream
+    except TimeoutError:
+        raise RequestFailedError(RequestOutcome.TIMED_OUT, False) from None
+    except OSError as error:
+        outcome = RequestOutcome.UNREACHABLE
+        if is_local_shortage(error):
+            outcome = RequestOutcome.DENIED
+        raise RequestFailedError(outcome, False) from None
--- a/peatlead/net/in_memory_transport.py
+++ b/peatlead/net/in_memory_transport.py
@@ -1,25 +1,37 @@
-"""A transport without a socket: what a protocol writes is kept, for tests and measurements."""
+"""A transport without a socket, for tests and benchmarks."""
 
+import asyncio
+from typing import Any
 
-class InMemoryTransport:
-    """`out` holds all that was written; `closed` whether the protocol has ended it."""
+PEER_ADDRESS = ("127.0.0.1", 1)  # reported as the peer's name
 
-    def __init__(self):
-        self.out, self.closed = bytearray(), False
 
-    def write(self, data):
+class InMemoryTransport(asyncio.Transport):
+    """Collects everything that a protocol writes."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.out = bytearray()  # all bytes written so far
+        self.closed = False
+
+    def write(self, data: bytes | bytearray | memoryview) -> None:
+        """Append the data to `out`."""
         self.out += data
 
-    def get_extra_info(self, name, default=None):
-        return "127.0.0.1", 1
+    def get_extra_info(self, name: str, default: Any = None) -> Any:
+        """Return the peer's address, whatever is asked for."""
+        return PEER_ADDRESS
 
-    def get_write_buffer_size(self):
+    def get_write_buffer_size(self) -> int:
+        """Return 0: everything is written at once."""
         return 0
 
-    def is_closing(self):
+    def is_closing(self) -> bool:
+        """Return whether the protocol has closed or aborted the transport."""
         return self.closed
 
-    def close(self):
+    def close(self) -> None:
+        """Mark the transport as closed."""
         self.closed = True
 
     abort = close
--- a/peatlead/net/streams.py
+++ b/peatlead/net/streams.py
@@ -1,47 +1,61 @@
-"""Streams: asyncio's BufferedProtocol with bounded buffers both ways and deadlines by the loop's clock."""
+"""Stream connections: a BufferedProtocol with bounded buffers both ways and an idle timeout."""
 
 import asyncio
+from collections.abc import Awaitable
+from typing import TypeVar, cast
 
-# Bytes read at a time. One buffer serves all streams: asyncio reads into it and hands it over within one
-# callback, and what is kept is copied. A buffer a stream would be 200 MB at 3,000 proxies.
-ROOM = bytearray(65536)
-WINDOW = memoryview(ROOM)
+Result = TypeVar("Result")
 
+READ_BUFFER_BYTES = 64 << 10  # read at a time
+MAX_UNSENT_BYTES = 1 << 20  # default bound of what a peer leaves unread
+MAX_LINE_BYTES = 1 << 20  # default bound of a line's length
 
-async def within(seconds, waited):
-    """What is awaited, or asyncio.TimeoutError. `asyncio.wait_for` takes other steps in 3.11 than in later Pythons:
-    the same day in the lab would differ by version."""
+# All streams share one read buffer: asyncio fills it and hands it over within one callback, and
+# what is stored is copied. A buffer for each stream would take 200 MB with 3,000 proxies.
+READ_BUFFER = bytearray(READ_BUFFER_BYTES)
+READ_VIEW = memoryview(READ_BUFFER)
+
+
+async def within(seconds: float, awaitable: Awaitable[Result]) -> Result:
+    """Await with a timeout; raises asyncio.TimeoutError.
+
+    `asyncio.wait_for` schedules differently in Python 3.11 than in later versions, which would make
+    the same simulated day differ between them.
+    """
     async with asyncio.timeout(seconds):
-        return await waited
+        return await awaitable
 
 
 class Stream(asyncio.BufferedProtocol):
-    """One connection. Subclasses fill in `opened`, `received(data)` and `ended(reason)`.
+    """One connection. Subclasses override `opened`, `received` and `ended`.
 
-    `idle` seconds without a byte either way cut it; so does a peer that leaves more than `waiting_most`
-    bytes unread: a slow reader costs its own connection, never memory without end.
+    The connection is cut after `idle` seconds without a byte in either direction (0: never), and
+    when the peer leaves more than `waiting_most` bytes unread, so that a slow reader costs its own
+    connection and no unbounded memory.
     """
 
-    def __init__(self, idle=0.0, waiting_most=1 << 20):
-        self.idle, self.waiting_most = idle, waiting_most
-        self.transport, self.peer, self.loop = None, None, None
-        self.touched, self.timer, self.why = 0.0, None, None
-
-    # For subclasses.
+    loop: asyncio.AbstractEventLoop  # set when the connection is made
 
-    def opened(self):
-        pass
+    def __init__(self, idle: float = 0.0, waiting_most: int = MAX_UNSENT_BYTES) -> None:
+        self.idle = idle
+        self.waiting_most = waiting_most
+        self.transport: asyncio.Transport | None = None  # None before and after the connection
+        self.peer: tuple[str, int] | None = None
+        self.touched = 0.0  # loop time of the last activity
+        self.timer: asyncio.TimerHandle | None = None  # checks for idleness
+        self.why: str | None = None  # why this side ended the connection
 
-    def received(self, data):
-        pass
+    def opened(self) -> None:
+        """Handle the start of the connection."""
 
-    def ended(self, reason):
-        pass
+    def received(self, data: bytes) -> None:
+        """Handle bytes from the peer."""
 
-    # What they may call.
+    def ended(self, reason: str) -> None:
+        """Handle the end of the connection."""
 
-    def send(self, data):
-        """False where the stream has ended or the peer does not read."""
+    def send(self, data: bytes) -> bool:
+        """Write the data; return False if the stream has ended or the peer reads too slowly."""
         if self.transport is None or self.transport.is_closing():
             return False
         self.touched = self.loop.time()
@@ -51,92 +65,116 @@
             return False
         return True
 
-    def close(self):
-        """After what waits has been sent."""
+    def close(self) -> None:
+        """End the connection once buffered data has been sent."""
         if self.transport is not None:
             self.transport.close()
 
-    def cut(self, reason):
-        """Now; what waits is lost."""
+    def cut(self, reason: str) -> None:
+        """End the connection immediately; buffered data is lost."""
         self.why = self.why or reason
         if self.transport is not None:
             self.transport.abort()
 
-    # asyncio's side.
-
-    def connection_made(self, transport):
-        self.loop, self.transport = asyncio.get_running_loop(), transport
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Start the idle timer and call `opened` (asyncio callback)."""
+        self.loop = asyncio.get_running_loop()
+        self.transport = cast(asyncio.Transport, transport)
         self.peer = transport.get_extra_info("peername")
         self.touched = self.loop.time()
         if self.idle:
-            self.timer = self.loop.call_later(self.idle, self.look)
+            self.timer = self.loop.call_later(self.idle, self.check_idle)
         self.opened()
 
-    def get_buffer(self, sizehint):
-        return ROOM
+    def get_buffer(self, sizehint: int) -> bytearray:
+        """Return the shared read buffer (asyncio callback)."""
+        return READ_BUFFER
 
-    def buffer_updated(self, size):
+    def buffer_updated(self, size: int) -> None:
+        """Hand a copy of the bytes read to `received` (asyncio callback)."""
         self.touched = self.loop.time()
-        self.received(bytes(WINDOW[:size]))
+        self.received(bytes(READ_VIEW[:size]))
 
-    def eof_received(self):
+    def eof_received(self) -> bool:
+        """Close the connection when the peer has closed its side (asyncio callback)."""
         return False
 
-    def connection_lost(self, problem):
+    def connection_lost(self, error: Exception | None) -> None:
+        """Call `ended` with the reason (asyncio callback)."""
         if self.timer is not None:
             self.timer.cancel()
         self.transport = None
-        self.ended(self.why or (type(problem).__name__ if problem else "closed"))
+        self.ended(self.why or (type(error).__name__ if error else "closed"))
+
+    def check_idle(self) -> None:
+        """Cut an idle connection, or check again when it could next be idle.
 
-    def look(self):
-        """One timer a stream, set again only when due: a byte costs no timer."""
-        left = self.touched + self.idle - self.loop.time()
-        if left > 0:
-            self.timer = self.loop.call_later(left, self.look)
+        There is one timer per stream, and activity does not reset it.
+        """
+        remaining = self.touched + self.idle - self.loop.time()
+        if remaining > 0:
+            self.timer = self.loop.call_later(remaining, self.check_idle)
         else:
             self.cut("idle")
 
 
 class ConnectionSet:
-    """The streams that a listener holds, `most` at most: past that the one idle for longest is cut."""
+    """The open streams of a listener, bounded: past the bound, the longest idle one is cut."""
 
-    def __init__(self, most):
-        self.most, self.streams, self.evicted = most, {}, 0
+    def __init__(self, most: int) -> None:
+        self.most = most
+        self.streams: dict[Stream, bool] = {}  # used as an ordered set
+        self.evicted = 0  # streams cut to make room
 
-    def add(self, stream):
+    def add(self, stream: Stream) -> None:
+        """Add a stream, evicting the longest idle one if the set is full."""
         if len(self.streams) >= self.most:
-            oldest = min(self.streams, key=lambda one: one.touched)
-            del self.streams[oldest]
-            oldest.cut("evicted")
+            longest_idle = min(self.streams, key=lambda other: other.touched)
+            del self.streams[longest_idle]
+            longest_idle.cut("evicted")
             self.evicted += 1
         self.streams[stream] = True
 
-    def drop(self, stream):
+    def drop(self, stream: Stream) -> None:
+        """Remove a stream that has ended."""
         self.streams.pop(stream, None)
 
-    def close(self):
+    def close(self) -> None:
+        """Close all streams."""
         for stream in list(self.streams):
             stream.close()
 
 
 class Lines(Stream):
-    """A stream of lines that end in a newline, `longest` bytes at most; `line(data)` gets each."""
+    """A stream of newline-terminated lines of at most `longest` bytes.
 
-    def __init__(self, idle=0.0, longest=1 << 20, waiting_most=1 << 20):
+    Subclasses override `line`.
+    """
+
+    def __init__(
+        self,
+        idle: float = 0.0,
+        longest: int = MAX_LINE_BYTES,
+        waiting_most: int = MAX_UNSENT_BYTES,
+    ) -> None:
         super().__init__(idle, waiting_most)
-        self.longest, self.part = longest, bytearray()  # of a line whose end has not come
+        self.longest = longest
+        self.part = bytearray()  # the start of a line whose end has not arrived
+
+    def line(self, data: bytes) -> None:
+        """Handle one line, without its newline."""
 
-    def line(self, data):
-        pass
+    def received(self, data: bytes) -> None:
+        """Split the data into lines; a line that is too long cuts the connection.
 
-    def received(self, data):
+        Earlier bytes of a partial line are not scanned again: a long line may come byte by byte.
+        """
         first, *rest = data.split(b"\n")
-        self.part += (
-            first  # what came before it is not read again: a long line may come byte by byte
-        )
+        self.part += first
         if rest:
-            whole, self.part = [bytes(self.part), *rest[:-1]], bytearray(rest[-1])
-            for one in whole:
-                self.line(one)
+            complete = [bytes(self.part), *rest[:-1]]
+            self.part = bytearray(rest[-1])
+            for line in complete:
+                self.line(line)
         if len(self.part) > self.longest:
             self.cut("line too long")
--- /dev/null
+++ b/tests/net/test_http.py
@@ -0,0 +1,145 @@
+"""HTTP/1.1: requests as a server receives them, responses as a client does."""
+
+import asyncio
+import unittest
+
+from peatlead.net import http
+from peatlead.net.http import Exchange, RequestFailedError, Server, write_message
+from peatlead.net.in_memory_transport import InMemoryTransport
+
+
+class RecordingServer(Server):
+    """Records the requests; a test answers them."""
+
+    def __init__(self):
+        super().__init__(0.0)
+        self.served = []
+
+    def serve(self, *request):
+        self.served.append(request)
+
+
+class ServerTest(unittest.IsolatedAsyncioTestCase):
+    def start(self):
+        server, transport = RecordingServer(), InMemoryTransport()
+        server.connection_made(transport)
+        return server, transport
+
+    async def test_a_request_received_byte_by_byte_is_one_request(self):
+        server, _ = self.start()
+        request = b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc"
+        for index in range(len(request)):
+            server.received(request[index : index + 1])
+        self.assertEqual(
+            server.served, [("POST", "/a", {"host": "x", "content-length": "3"}, b"abc")]
+        )
+
+    async def test_pipelined_requests_are_served_one_after_the_other(self):
+        server, transport = self.start()
+        server.received(b"GET /1 HTTP/1.1\r\nHost: x\r\n\r\nGET /2 HTTP/1.1\r\nHost: x\r\n\r\n")
+        self.assertEqual([path for _, path, _, _ in server.served], ["/1"])
+        server.answer(200, [], b"one")
+        await asyncio.sleep(0)
+        self.assertEqual([path for _, path, _, _ in server.served], ["/1", "/2"])
+        server.answer(200, [], b"two", last=True)
+        self.assertTrue(transport.closed)
+        self.assertLess(transport.out.index(b"one"), transport.out.index(b"two"))
+
+    async def test_too_many_pipelined_requests_are_rejected_after_those_accepted(self):
+        server, transport = self.start()
+        server.received(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n" * (http.MAX_PIPELINED_REQUESTS + 3))
+        self.assertEqual((len(server.served), transport.out), (1, b""))
+        for _ in range(http.MAX_PIPELINED_REQUESTS):
+            server.answer(200, [], b"")
+            await asyncio.sleep(0)
+        self.assertTrue(transport.closed)
+        self.assertEqual(
+            [transport.out.count(b"HTTP/1.1 %d" % status) for status in (200, 429)],
+            [http.MAX_PIPELINED_REQUESTS, 1],
+        )
+
+    async def test_an_invalid_request_is_rejected_with_the_status_of_its_fault(self):
+        long_header = b"x: " + b"y" * 3000 + b"\r\n"
+        for request, status in (
+            (b"GET / HTTP/1.1\r\n\r\n", 400),
+            (b"nonsense\r\n\r\n", 400),
+            (b"GET / HTTP/1.1\r\nHost: x\r\n" + long_header * 30, 431),
+            (b"GET / HTTP/1.1\r\nHost: x\r\nHost: y\r\n\r\n", 400),
+            (
+                b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nab",
+                400,
+            ),
+            (
+                b"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n"
+                b"0\r\n\r\n",
+                400,
+            ),
+            (b"GET / HTTP/1.1\r\nHost: x\r\nConnection: Upgrade\r\nUpgrade: h2c\r\n\r\n", 501),
+        ):
+            server, transport = self.start()
+            server.received(request)
+            self.assertEqual(transport.out.split(b" ")[1:2], [b"%d" % status], request[:60])
+            self.assertTrue(transport.closed)
+
+    async def test_a_body_past_its_bound_is_rejected_and_not_served(self):
+        server, transport = self.start()
+        server.received(
+            b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n" % (http.MAX_BODY_BYTES + 1)
+        )
+        for _ in range(http.MAX_BODY_BYTES // 65536 + 1):
+            server.received(b"z" * 65536)
+        self.assertTrue(transport.out.startswith(b"HTTP/1.1 413"))
+        self.assertEqual(server.served, [])
+
+
+class ClientTest(unittest.IsolatedAsyncioTestCase):
+    async def ask(self, *chunks, deadline=1.0):
+        """An exchange that received these chunks in response to a request, and the request's task."""
+        exchange, transport = Exchange(), InMemoryTransport()
+        exchange.connection_made(transport)
+        loop = asyncio.get_running_loop()
+        task = loop.create_task(
+            exchange.ask("GET", "/", [("host", "x")], b"", loop.time() + deadline)
+        )
+        await asyncio.sleep(0)
+        for data in chunks:
+            exchange.received(data)
+        return exchange, task
+
+    async def test_a_connection_is_reused_until_the_server_closes_it(self):
+        exchange, task = await self.ask(
+            b"HTTP/1.1 200 OK\r\nA: b\r\nContent-Le", b"ngth: 2\r\n\r\nhi"
+        )
+        response = await task
+        self.assertEqual(
+            (response.status, response.headers["a"], response.body, response.keep_alive),
+            (200, "b", b"hi", True),
+        )
+        loop = asyncio.get_running_loop()
+        task = loop.create_task(exchange.ask("GET", "/", [("host", "x")], b"", loop.time() + 1))
+        await asyncio.sleep(0)
+        exchange.received(b"HTTP/1.1 503 No\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
+        self.assertEqual(((await task).status, exchange.usable), (503, False))
+
+    async def test_an_unsolicited_response_makes_the_connection_unusable(self):
+        exchange, task = await self.ask(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+        await task
+        exchange.received(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate")
+        self.assertFalse(exchange.usable)
+
+    async def test_a_timeout_and_a_peer_that_speaks_no_http_fail_the_request(self):
+        _, task = await self.ask(deadline=0.01)
+        with self.assertRaises(RequestFailedError) as timed_out:
+            await task
+        self.assertEqual(
+            (timed_out.exception.outcome, timed_out.exception.sent), ("timed out", True)
+        )
+        _, task = await self.ask(b"SSH-2.0\r\n")
+        with self.assertRaises(RequestFailedError) as broken:
+            await task
+        self.assertEqual(broken.exception.outcome, "broken")
+
+    async def test_a_header_value_cannot_add_a_line(self):
+        for value in ("a\r\nreq-id: 2", "a\nb", "a\rb"):
+            with self.assertRaises(ValueError):
+                write_message("GET / HTTP/1.1", [("host", value)], b"")
