--- a/peatlead/health/__init__.py
+++ b/peatlead/health/__init__.py
@@ -1,1 +1,1 @@
-"""Probes of hosts, and what hosts tell of the reqs that came to them."""
+"""Endpoint health: active probes, and the request counts that endpoints report."""
--- a/peatlead/health/load_report_counts.py
+++ b/peatlead/health/load_report_counts.py
@@ -1,126 +1,228 @@
-"""From what hosts tell of their reqs to the sums that the planner hears. Pure: no I/O, no clock.
+"""Aggregates the request counts that endpoints report into the planner's stats. No I/O, no clock.
 
-DNS clients report nothing. What can honestly be heard of their tries stands at the hosts: how many reqs
-came from which network, and what became of them: done, errored, denied (full), shed (by the level it was
-told) or abandoned by a client that gave up. A hung host that passes shallow probes still sees its clients
-give up, and says so. A silent host says nothing at all: that is the probes' part.
+DNS clients report nothing. What is known about their attempts is counted by the endpoints: how many
+requests came from which network, and whether they were answered, failed, were denied (the endpoint
+was full), were shed (by the admission level) or were abandoned by a client that gave up. A hung
+endpoint that passes shallow probes still counts abandoned requests. An endpoint that does not
+respond at all is detected by probes.
 
-A host's document: {"boot": text, "kinds": [name], "networks": {"10.1.2.0": [[taken, done, errored, denied,
-abandoned, shed, seconds of the done] for each kind]}}, counts since its start.
+An endpoint's report is a JSON document: {"boot": text, "kinds": [name], "networks": {"10.1.2.0":
+[[taken, done, errored, denied, abandoned, shed, seconds of the done] for each request class]}} with
+counts since its start.
 """
 
-from typing import NamedTuple
+from collections.abc import Callable, Sequence
+from dataclasses import dataclass
+from typing import NamedTuple, Protocol
 
 import msgspec
 
 from .. import interface
 
-FIELDS = 7
-NETWORKS_MOST = 20_000  # in one document
+FIELDS = 7  # counters for each network and request class
+MAX_NETWORKS = 20_000  # in one report
+
+Counters = list[float]
 
 
 class EndpointReport(msgspec.Struct):
+    """The document of an endpoint; field names are those of the document."""
+
+    boot: str  # differs after each start of the endpoint
+    kinds: list[str]  # names of request classes
+    networks: dict[str, list[Counters]]  # by client network, in the order of `kinds`
+
+
+class ClientView(Protocol):
+    """The view that a client network belongs to, as far as needed here."""
+
+    @property
+    def index(self) -> int:
+        """Position in the controller's list of views."""
+
+    @property
+    def zone(self) -> int:
+        """The planner's index of the view's zone."""
+
+
+class ReportedCounts(NamedTuple):
+    """The last counts of an endpoint."""
+
     boot: str
-    kinds: list[str]
-    networks: dict[str, list[list[float]]]
+    networks: dict[str, list[Counters]]
+
+
+@dataclass(slots=True)
+class EndpointTotals:
+    """Attempts at an endpoint from one zone."""
+
+    attempts: float = 0.0
+    errors: float = 0.0
+    seconds: float = 0.0  # response times of the successful attempts, summed
+
+
+@dataclass(slots=True)
+class RequestTotals:
+    """Requests of one class from one view."""
+
+    requests: float = 0.0
+    unanswered: float = 0.0
 
 
-def read_told(body):
-    """The document, or None where it is not one."""
+def read_told(body: bytes) -> EndpointReport | None:
+    """Parse an endpoint's report; return None if it is invalid or too large."""
     try:
-        told = msgspec.json.decode(body, type=EndpointReport)
+        report = msgspec.json.decode(body, type=EndpointReport)
     except msgspec.MsgspecError:
         return None
-    if len(told.networks) > NETWORKS_MOST or not told.kinds:
+    if len(report.networks) > MAX_NETWORKS or not report.kinds:
         return None
-    return told
-
-
-class Counts(NamedTuple):
-    boot: str
-    networks: dict
+    return report
 
 
 class LoadReportCounts:
-    """Differences of what hosts told, gathered until the next round of sums.
+    """Collects the increments of reported counts until the next round of stats.
 
-    `kinds`: names in the planner's order; `view_of(network text)` gives the view, or None; `zone` is where
-    the steward's own probes come from.
+    `kinds` holds the request classes' names in the planner's order. `view_of(network)` returns the
+    view of a client network given as text, or None. `zone` is the zone of this controller's probes,
+    `every` the seconds of a round.
     """
 
-    def __init__(self, kinds, view_of, zone, every):
-        self.kinds, self.view_of, self.zone, self.every = (
-            {k: at for at, k in enumerate(kinds)},
-            view_of,
-            zone,
-            every,
-        )
-        self.last, self.hosts, self.views, self.reports = {}, {}, {}, {}
-        self.begun = None
-
-    def take(self, host, told, report):
-        """One host's document (or None) and load report (or None) as a probe brought them."""
-        if report is not None:
-            self.reports[host] = report
-        if told is None:
+    def __init__(
+        self,
+        kinds: Sequence[str],
+        view_of: Callable[[str], ClientView | None],
+        zone: int,
+        every: float,
+    ) -> None:
+        self.request_classes = {name: index for index, name in enumerate(kinds)}
+        self.view_of = view_of
+        self.zone = zone
+        self.every = every
+        self.last_counts: dict[int, ReportedCounts] = {}  # by endpoint
+        self.endpoint_totals: dict[tuple[int, int], EndpointTotals] = {}  # by endpoint and zone
+        self.request_totals: dict[tuple[int, int], RequestTotals] = {}  # by view index and class
+        self.load_reports: dict[int, interface.LoadReport] = {}  # by endpoint
+        self.round_start: float | None = None
+
+    def take(
+        self,
+        endpoint: int,
+        report: EndpointReport | None,
+        load_report: interface.LoadReport | None,
+    ) -> None:
+        """Add an endpoint's report and load report, as far as a probe returned them.
+
+        The first report is only a baseline: its counts go back to the endpoint's start.
+        """
+        if load_report is not None:
+            self.load_reports[endpoint] = load_report
+        if report is None:
+            return
+        last = self.last_counts.get(endpoint)
+        self.last_counts[endpoint] = ReportedCounts(report.boot, report.networks)
+        if last is None:
             return
-        before = self.last.get(host)
-        self.last[host] = Counts(told.boot, told.networks)
-        if before is None:
-            return  # its whole past is no news
-        same = before.boot == told.boot
-        for network, rows in told.networks.items():
-            old = before.networks.get(network) if same else None
-            self.add(host, told.kinds, network, rows, old)
-
-    def add(self, host, kinds, network, rows, old):
+        baseline = last.networks if last.boot == report.boot else {}
+        for network, rows in report.networks.items():
+            self.add_network(endpoint, report.kinds, network, rows, baseline.get(network))
+
+    def add_network(
+        self,
+        endpoint: int,
+        kinds: Sequence[str],
+        network: str,
+        rows: list[Counters],
+        baseline_rows: list[Counters] | None,
+    ) -> None:
+        """Add one network's increments; invalid rows and unknown classes are ignored."""
         view = self.view_of(network)
-        for at, name in enumerate(kinds[: len(rows)]):
-            kind, row = self.kinds.get(name), rows[at]
-            if kind is None or view is None or len(row) != FIELDS:
+        if view is None:
+            return
+        for index, name in enumerate(kinds[: len(rows)]):
+            request_class = self.request_classes.get(name)
+            if request_class is None or len(rows[index]) != FIELDS:
                 continue
-            base = old[at] if old and at < len(old) and len(old[at]) == FIELDS else [0.0] * FIELDS
-            new = [
-                max(0.0, n - b) for n, b in zip(row, base)
-            ]  # counters that went back tell nothing
-            taken, done, errored, denied, abandoned, _, seconds = new
-            if done + errored + denied + abandoned:
-                sums = self.hosts.setdefault((host, view.zone), [0.0, 0.0, 0.0])
-                sums[0] += done + errored + denied + abandoned
-                sums[1] += errored + denied + abandoned
-                sums[2] += seconds
-            if taken:
-                reqs = self.views.setdefault((view.index, kind), [0.0, 0.0])
-                reqs[0] += taken
-                reqs[1] += max(0.0, taken - done)
-
-    def probed(self, host, passed, took):
-        """A probe is a try too, where nothing else was heard of the host: an idle host is not a silent one."""
-        if passed and not any(at == host for at, _ in self.hosts):
-            self.hosts[host, self.zone] = [1.0, 0.0, took]
-
-    def due(self, now, numbers):
-        """The round's events if it is time, else none. `numbers` maps view index to the planner's number."""
-        if self.begun is None:
-            self.begun = now
-        span = now - self.begun
-        if span < self.every or not (self.hosts or self.views):
+            baseline = [0.0] * FIELDS
+            if baseline_rows and index < len(baseline_rows) and len(baseline_rows[index]) == FIELDS:
+                baseline = baseline_rows[index]
+            # A counter that went back counts as unchanged.
+            increments = [max(0.0, new - old) for new, old in zip(rows[index], baseline)]
+            self.add_increments(endpoint, view, request_class, increments)
+
+    def add_increments(
+        self, endpoint: int, view: ClientView, request_class: int, increments: Counters
+    ) -> None:
+        """Add the increments of one network and request class to the totals."""
+        taken, done, errored, denied, abandoned, _, seconds = increments
+        if done + errored + denied + abandoned:
+            attempts = self.endpoint_totals.setdefault((endpoint, view.zone), EndpointTotals())
+            attempts.attempts += done + errored + denied + abandoned
+            attempts.errors += errored + denied + abandoned
+            attempts.seconds += seconds
+        if taken:
+            requests = self.request_totals.setdefault((view.index, request_class), RequestTotals())
+            requests.requests += taken
+            requests.unanswered += max(0.0, taken - done)
+
+    def probed(self, endpoint: int, passed: bool, duration: float) -> None:
+        """Count a passed probe as an attempt if the endpoint had no other in this round.
+
+        An idle endpoint would otherwise look as if nothing were known about it.
+        """
+        if passed and not any(endpoint == other for other, _ in self.endpoint_totals):
+            self.endpoint_totals[endpoint, self.zone] = EndpointTotals(1.0, 0.0, duration)
+
+    def due(
+        self, now: float, numbers: Sequence[int]
+    ) -> list[interface.RequestStats | interface.EndpointStats]:
+        """Return the events of the round if it has ended and there are any.
+
+        `numbers` holds the planner's proxy number of each view index.
+        """
+        if self.round_start is None:
+            self.round_start = now
+        window = now - self.round_start
+        if window < self.every or not (self.endpoint_totals or self.request_totals):
             return []
-        events = [
-            interface.RequestStats(numbers[view], kind, int(reqs), int(unanswered), span)
-            for (view, kind), (reqs, unanswered) in sorted(self.views.items())
+        events: list[interface.RequestStats | interface.EndpointStats] = [
+            *self.request_stats(window, numbers),
+            *self.endpoint_stats(window),
         ]
-        for (host, zone), (tries, bad, seconds) in sorted(self.hosts.items()):
-            events.append(
-                interface.EndpointStats(
-                    host,
-                    zone,
-                    int(tries),
-                    int(bad),
-                    span,
-                    seconds / max(1.0, tries - bad),
-                    self.reports.get(host),
-                )
-            )
-        self.hosts, self.views, self.reports, self.begun = {}, {}, {}, now
+        self.endpoint_totals = {}
+        self.request_totals = {}
+        self.load_reports = {}
+        self.round_start = now
         return events
+
+    def request_stats(self, window: float, numbers: Sequence[int]) -> list[interface.RequestStats]:
+        """Return the stats of requests by view and class."""
+        return [
+            interface.RequestStats(
+                proxy=numbers[view],
+                request_class=request_class,
+                requests=int(totals.requests),
+                unanswered=int(totals.unanswered),
+                window=window,
+            )
+            for (view, request_class), totals in sorted(
+                self.request_totals.items(), key=lambda item: item[0]
+            )
+        ]
+
+    def endpoint_stats(self, window: float) -> list[interface.EndpointStats]:
+        """Return the stats of attempts by endpoint and zone."""
+        return [
+            interface.EndpointStats(
+                endpoint=endpoint,
+                zone=zone,
+                attempts=int(totals.attempts),
+                errors=int(totals.errors),
+                window=window,
+                mean_latency=totals.seconds / max(1.0, totals.attempts - totals.errors),
+                load_report=self.load_reports.get(endpoint),
+            )
+            for (endpoint, zone), totals in sorted(
+                self.endpoint_totals.items(), key=lambda item: item[0]
+            )
+        ]
--- a/peatlead/sources/__init__.py
+++ b/peatlead/sources/__init__.py
@@ -1,1 +1,1 @@
-"""Node lists: where the hosts' names, places and phases come from."""
+"""Endpoint lists: the names, zones and phases of endpoints, and where they come from."""
--- a/peatlead/sources/endpoint_cache.py
+++ b/peatlead/sources/endpoint_cache.py
@@ -1,62 +1,67 @@
-"""The last whole list, on disk."""
+"""The last whole endpoint list, cached on disk."""
 
 import os
 from pathlib import Path
-from typing import Optional
 
 import msgspec
 from blake3 import blake3
 
-from .endpoint_list import EndpointListError, read_document
+from .endpoint_list import EndpointList, EndpointListError, read_document
 
-FORMAT = 1
+MAGIC = b"peatlead-list"
+FORMAT = 1  # version of the file form
 
 
 class EndpointCache:
-    """The last whole list on disk: a steward that starts while the list is away answers from it.
+    """Caches the last whole list, so that a controller can start while its source is unavailable.
 
-    One file: a line `peatlead-list FORMAT CHECKSUM`, then the document. Written beside and renamed, so that
-    a crash leaves the old one; anything that does not check out is as if it were not there.
+    The file is a line `peatlead-list FORMAT CHECKSUM` followed by the document. It is replaced by
+    renaming, so that a crash leaves the previous file. A file that fails its check is ignored.
     """
 
-    def __init__(self, path: Optional[str]):
-        self.path = Path(path) if path else None
+    def __init__(self, path: str | None) -> None:
+        self.path = Path(path) if path else None  # None: nothing is cached
 
-    def keep(self, listing):
-        """Raises OSError; the caller says so and goes on."""
+    def keep(self, endpoint_list: EndpointList) -> None:
+        """Replace the cached list; raises OSError."""
         if self.path is None:
             return
         body = msgspec.json.encode(
             {
-                "version": listing.version,
-                "written": listing.written,
+                "version": endpoint_list.version,
+                "written": endpoint_list.written,
                 "scope": "whole",
-                "hosts": listing.hosts,
+                "hosts": endpoint_list.hosts,
             }
         )
-        head = b"peatlead-list %d %s\n" % (FORMAT, blake3(body).hexdigest().encode())
-        beside = self.path.with_name(self.path.name + ".new")
+        head = b"%s %d %s\n" % (MAGIC, FORMAT, checksum(body))
+        temporary_path = self.path.with_name(self.path.name + ".new")
         self.path.parent.mkdir(parents=True, exist_ok=True)
-        with open(beside, "wb") as file:
+        with open(temporary_path, "wb") as file:
             file.write(head + body)
             file.flush()
             os.fsync(file.fileno())
-        os.replace(beside, self.path)
+        os.replace(temporary_path, self.path)
 
-    def recall(self):
-        """(Listing or None, why not)."""
+    def recall(self) -> tuple[EndpointList | None, str]:
+        """Return the cached list and "", or None and the reason why there is none."""
         if self.path is None:
             return None, "no folder is set"
         try:
             head, _, body = self.path.read_bytes().partition(b"\n")
-        except OSError as problem:
-            return None, problem.strerror
+        except OSError as error:
+            return None, error.strerror or str(error)
         words = head.split(b" ")
-        if len(words) != 3 or words[0] != b"peatlead-list" or words[1] != b"%d" % FORMAT:
+        if len(words) != 3 or words[:2] != [MAGIC, b"%d" % FORMAT]:
             return None, "not a list of this format"
-        if words[2] != blake3(body).hexdigest().encode():
+        if words[2] != checksum(body):
             return None, "the checksum does not fit: torn or changed"
         try:
             return read_document(body)._replace(scope="remembered"), ""
-        except EndpointListError as problem:
-            return None, str(problem)
+        except EndpointListError as error:
+            return None, str(error)
+
+
+def checksum(body: bytes) -> bytes:
+    """Return a document's BLAKE3 digest in hexadecimal."""
+    return blake3(body).hexdigest().encode()
--- a/peatlead/sources/endpoint_list.py
+++ b/peatlead/sources/endpoint_list.py
@@ -1,86 +1,111 @@
-"""What every source tells, in one form. Pure.
+"""Endpoint lists in the one form that every source delivers. No I/O.
 
-A source calls its `tell(Listing)`. Ids, clocks and events are the steward's matter.
+A source calls its `tell` with an `EndpointList`. Endpoint ids, clocks and events are up to the
+controller.
 """
 
 from ipaddress import ip_address
-from typing import NamedTuple
+from typing import Any, Literal, NamedTuple, cast
 
 import msgspec
 
 PHASES = ("ready", "draining", "gone")
-HOSTS_MOST = 20_000
+DOCUMENT_SCOPES = ("whole", "changes")
+HOSTS_MOST = 20_000  # endpoints in one list
+MAX_LABEL_LENGTH = 63  # of a name (RFC 1035 section 2.3.4)
+WEIGHT_LIMIT = 1e6  # weights are below
+
+# "whole": all endpoints; "changes": those that changed; "remembered": a whole list from the cache;
+# "unavailable": no list could be read.
+Scope = Literal["whole", "changes", "remembered", "unavailable"]
 
 
 class ListedEndpoint(msgspec.Struct, frozen=True):
-    """One host as a list names it; `started` is by the list's own clock, seconds."""
+    """One endpoint as a list describes it. Field names are those of the stored and file forms."""
 
-    name: str
+    name: str  # one DNS label, lower case
     zone: str
-    phase: str
-    address: str = ""
-    address6: str = ""
+    phase: str  # one of PHASES
+    address: str = ""  # IPv4
+    address6: str = ""  # IPv6
     machine: str = ""
     pod: int = 0
     weight: float = 1.0
-    started: float = 0.0
-    port: int = 0  # where the list tells one a host
+    started: float = 0.0  # seconds on the list's own clock
+    port: int = 0  # 0: the list gives no port for each endpoint
 
 
 class EndpointList(NamedTuple):
-    """`scope`: "whole", "changes", "remembered" or "unavailable"; `written` by the list's own clock; `unread`: names
-    of hosts whose entries can't be used, None for each whose name can't be read either."""
+    """A list, or the news that there is none."""
 
-    scope: str
+    scope: Scope
     version: int
-    written: float
-    hosts: tuple
-    bad: tuple = ()  # why entries were left out
-    unread: tuple = ()
+    written: float  # seconds on the list's own clock
+    hosts: tuple[ListedEndpoint, ...]
+    bad: tuple[str, ...] = ()  # why entries were left out, one text each
+    unread: tuple[str | None, ...] = ()  # names of unusable entries; None: the name is unusable too
 
 
 class Document(msgspec.Struct):
+    """A list's file form. Entries are checked one by one."""
+
     version: int
-    hosts: list
+    hosts: list[Any]
     written: float = 0.0
     scope: str = "whole"
 
 
 class EndpointListError(Exception):
-    """Not a list at all: torn, empty or something else."""
+    """The data is not a list: truncated, empty or something else."""
+
 
+def read_document(data: bytes) -> EndpointList:
+    """Parse a JSON document; raises EndpointListError.
 
-def read_document(data):
-    """A Listing of a JSON document. One bad entry does not cost the others; no list at all raises."""
+    An invalid entry is left out and reported in `bad`; the others are used.
+    """
+    document = decode_document(data)
+    endpoints: dict[str, ListedEndpoint] = {}
+    errors = []
+    for index, raw_entry in enumerate(document.hosts):
+        try:
+            entry = check_entry(msgspec.convert(raw_entry, ListedEndpoint))
+            if entry.name in endpoints:
+                raise ValueError(f"{entry.name} is listed twice")
+            endpoints[entry.name] = entry
+        except (msgspec.ValidationError, ValueError) as error:
+            errors.append(f"host {index}: {error}")
+    return EndpointList(
+        scope=cast(Scope, document.scope),
+        version=document.version,
+        written=document.written,
+        hosts=tuple(endpoints.values()),
+        bad=tuple(errors),
+    )
+
+
+def decode_document(data: bytes) -> Document:
+    """Decode a document and check everything but its entries; raises EndpointListError."""
     if not data.strip():
         raise EndpointListError("the file is empty")
     try:
-        said = msgspec.json.decode(data, type=Document)
-    except msgspec.MsgspecError as problem:
-        raise EndpointListError(str(problem)) from None
-    if said.scope not in ("whole", "changes"):
-        raise EndpointListError(f"expected scope whole or changes, got {said.scope!r}")
-    if len(said.hosts) > HOSTS_MOST:
-        raise EndpointListError(f"expected at most {HOSTS_MOST} hosts, got {len(said.hosts)}")
-    hosts, bad = {}, []
-    for at, one in enumerate(said.hosts):
-        try:
-            entry = check_entry(msgspec.convert(one, ListedEndpoint))
-            if entry.name in hosts:
-                raise ValueError(f"{entry.name} is listed twice")
-            hosts[entry.name] = entry
-        except (msgspec.ValidationError, ValueError) as problem:
-            bad.append(f"host {at}: {problem}")
-    return EndpointList(said.scope, said.version, said.written, tuple(hosts.values()), tuple(bad))
-
-
-def check_entry(entry):
+        document = msgspec.json.decode(data, type=Document)
+    except msgspec.MsgspecError as error:
+        raise EndpointListError(str(error)) from None
+    if document.scope not in DOCUMENT_SCOPES:
+        raise EndpointListError(f"expected scope whole or changes, got {document.scope!r}")
+    if len(document.hosts) > HOSTS_MOST:
+        raise EndpointListError(f"expected at most {HOSTS_MOST} hosts, got {len(document.hosts)}")
+    return document
+
+
+def check_entry(entry: ListedEndpoint) -> ListedEndpoint:
+    """Return a valid entry with its name in lower case; raises ValueError."""
     if entry.phase not in PHASES:
         raise ValueError(f"expected a phase of {', '.join(PHASES)}, got {entry.phase!r}")
-    label = entry.name.replace("-", "")
-    if not (0 < len(entry.name) < 64 and label.isalnum() and label.isascii()):
+    if not is_label(entry.name):
         raise ValueError(f"expected a name of one label, got {entry.name!r}")
-    if not 0 < entry.weight < 1e6:
+    if not 0 < entry.weight < WEIGHT_LIMIT:
         raise ValueError(f"expected a weight above 0, got {entry.weight!r}")
     if not (entry.address or entry.address6):
         raise ValueError(f"{entry.name}: expected an address")
@@ -88,3 +113,13 @@
         if address and ip_address(address).version != version:
             raise ValueError(f"{entry.name}: expected an IPv{version} address, got {address}")
     return msgspec.structs.replace(entry, name=entry.name.lower())
+
+
+def is_label(name: str) -> bool:
+    """Return whether a name is one DNS label of ASCII letters, digits and hyphens."""
+    without_hyphens = name.replace("-", "")
+    return (
+        0 < len(name) <= MAX_LABEL_LENGTH
+        and without_hyphens.isalnum()
+        and without_hyphens.isascii()
+    )
