--- a/peatlead/dns/__init__.py
+++ b/peatlead/dns/__init__.py
@@ -1,1 +1,1 @@
-"""The DNS front: which view asks, which hosts its answer names, and the bytes that say so."""
+"""The DNS server: views of clients, which endpoints an answer names, and zone transfers."""
--- a/peatlead/dns/answer_order.py
+++ b/peatlead/dns/answer_order.py
@@ -1,72 +1,98 @@
-"""In what order an answer names hosts. Pure: no I/O, no clock; chance is handed in.
+"""The order in which answers name endpoints. No I/O, no clock; randomness is passed in.
 
-First places follow the weights within every short run of answers, not only in the long mean: smooth
-weighted round robin keeps each host's count within one of its share of the answers so far, where
-independent draws stray by the square root of their number. Caches make that matter: few answers leave a
-steward in a lifetime, and each one carries a desk.
+The first addresses follow the weights within every short run of answers, not only on average:
+smooth weighted round robin keeps each endpoint's count within one of its share of the answers so
+far, while independent draws deviate by the square root of their number. Caches make that matter:
+few answers leave a controller in a lifetime, and each one carries all of a resolver's clients.
 """
 
+from collections.abc import Mapping
 from math import fsum
 
+MAX_SRV_WEIGHT = 1000  # of the heaviest endpoint; SRV weights have 16 bits
+
 
 class AnswerRotation:
-    """An endless order of picks over weighted lines.
+    """Smooth weighted round robin: an endless order of picks over weighted endpoints.
 
-    `lines` maps host index to weight above 0; `start` (0 to 1, drawn) sets the first credits, so that many
-    views with one table do not all begin with the same host.
+    `weights` maps endpoints to weights above 0. `start` (0 to 1, random) sets the initial credits,
+    so that views with the same table do not all begin with the same endpoint.
     """
 
-    def __init__(self, lines, start):
-        self.hosts = sorted(lines)
-        self.weights = [lines[host] for host in self.hosts]
+    def __init__(self, weights: Mapping[int, float], start: float) -> None:
+        self.endpoints = sorted(weights)
+        self.weights = [weights[endpoint] for endpoint in self.endpoints]
         self.total = fsum(self.weights)
-        offset = start * self.total
-        self.credits, before = [], 0.0
-        for weight in self.weights:  # in turn: a host's credit says how long ago it was last picked
-            self.credits.append(((before + weight / 2 + offset) % self.total) / self.total * weight)
+        self.credits = self.initial_credits(start * self.total)
+
+    def initial_credits(self, offset: float) -> list[float]:
+        """Return credits as if the endpoints had last been picked one after the other."""
+        initial = []
+        before = 0.0  # weights of the endpoints before this one
+        for weight in self.weights:
+            position = (before + weight / 2 + offset) % self.total
+            initial.append(position / self.total * weight)
             before += weight
+        return initial
 
-    def pick(self):
-        """The next host: it has waited longest for its share."""
-        credits, best = self.credits, 0
-        for at, weight in enumerate(self.weights):
-            credits[at] += weight
-            if credits[at] > credits[best]:
-                best = at
+    def pick(self) -> int:
+        """Return the endpoint that has waited longest for its share."""
+        credits = self.credits
+        best = 0
+        for index, weight in enumerate(self.weights):
+            credits[index] += weight
+            if credits[index] > credits[best]:
+                best = index
         credits[best] -= self.total
-        return self.hosts[best]
+        return self.endpoints[best]
 
 
-def orders(lines, places, length, start):
-    """`length` answers, each a tuple of up to `places` hosts, none twice.
+def draw_orders(
+    weights: Mapping[int, float], max_endpoints: int, length: int, start: float
+) -> list[tuple[int, ...]]:
+    """Return `length` answers, each a tuple of up to `max_endpoints` different endpoints.
 
-    The first place is the rota's next pick; behind it stand the picks that follow, so that a desk which
-    goes on to its second address spreads by weight as well.
+    The first endpoint is the rotation's next pick, followed by the picks after it, so that clients
+    that go on to their second address are spread by weight as well.
     """
-    if not lines:
+    if not weights:
         return []
-    rota, places = AnswerRotation(lines, start), min(places, len(lines))
-    picks = [rota.pick() for _ in range(length)]
-    found = []
-    for at in range(length):
-        chosen = [picks[at]]
-        ahead = at + 1
-        while len(chosen) < places and ahead < at + length:
-            host = picks[ahead % length]
-            if host not in chosen:
-                chosen.append(host)
-            ahead += 1
-        for host in rota.hosts if len(chosen) < places else ():  # lines too light to be near
-            if host not in chosen and len(chosen) < places:
-                chosen.append(host)
-        found.append(tuple(chosen))
-    return found
-
-
-def srv_weights(lines):
-    """host -> 16-bit weight (RFC 2782), the heaviest 1,000: in proportion, and none 0, since a 0 would make a
-    line that is meant to be light one that is hardly ever met."""
-    top = max(lines.values(), default=0.0)
-    return (
-        {host: max(1, round(weight / top * 1000)) for host, weight in lines.items()} if top else {}
-    )
+    rotation = AnswerRotation(weights, start)
+    size = min(max_endpoints, len(weights))
+    picks = [rotation.pick() for _ in range(length)]
+    return [draw_order(rotation, picks, first, size) for first in range(length)]
+
+
+def draw_order(
+    rotation: AnswerRotation, picks: list[int], first: int, size: int
+) -> tuple[int, ...]:
+    """Return the different endpoints among the picks from `first` on, `size` of them.
+
+    Endpoints too light to be among the picks fill up what is missing.
+    """
+    length = len(picks)
+    chosen = [picks[first]]
+    index = first + 1
+    while len(chosen) < size and index < first + length:
+        endpoint = picks[index % length]
+        if endpoint not in chosen:
+            chosen.append(endpoint)
+        index += 1
+    for endpoint in rotation.endpoints if len(chosen) < size else ():
+        if endpoint not in chosen and len(chosen) < size:
+            chosen.append(endpoint)
+    return tuple(chosen)
+
+
+def srv_weights(weights: Mapping[int, float]) -> dict[int, int]:
+    """Return 16-bit SRV weights (RFC 2782), in proportion to the weights.
+
+    None is 0: clients hardly ever choose a target of weight 0 at all.
+    """
+    top = max(weights.values(), default=0.0)
+    if not top:
+        return {}
+    return {
+        endpoint: max(1, round(weight / top * MAX_SRV_WEIGHT))
+        for endpoint, weight in weights.items()
+    }
--- a/peatlead/dns/transfer.py
+++ b/peatlead/dns/transfer.py
@@ -1,75 +1,97 @@
-"""Zone transfer out, whole (AXFR, RFC 5936) and by differences (IXFR, RFC 1995). Queries in, messages out: no I/O."""
+"""Outgoing zone transfers: AXFR (RFC 5936) and IXFR (RFC 1995). No I/O."""
 
 import struct
+from collections.abc import Sequence
 
 import dns.flags
 import dns.message
 import dns.rcode
 import dns.rdatatype
 
-from .zone import SOA
+from .message_format import question_bytes
+from .zone import Difference, ZoneHistory, ZoneRecord
 
-EACH = 90  # records a message: under its 65,535 bytes, however long their names
+RECORDS_PER_MESSAGE = 90  # stays under 65,535 bytes, however long the names are
 
 
-def refused(query):
-    answer = dns.message.make_response(query)
-    answer.set_rcode(dns.rcode.REFUSED)
-    return [answer.to_wire()]
+def refused(query: dns.message.Message) -> list[bytes]:
+    """Return the messages that refuse a transfer."""
+    return [error_response(query, dns.rcode.REFUSED)]
 
 
-def respond(query, history, tcp):
-    """The messages that answer an AXFR or IXFR query."""
-    asked = query.question[0]
-    head = next(record for record in history.records if record[2] == SOA)
-    if asked.rdtype == dns.rdatatype.AXFR:
-        return messages(query, history, whole(history, head)) if tcp else refused(query)
+def error_response(query: dns.message.Message, rcode: dns.rcode.Rcode) -> bytes:
+    """Return a response without records."""
+    response = dns.message.make_response(query)
+    response.set_rcode(rcode)
+    return response.to_wire()
+
+
+def respond(query: dns.message.Message, history: ZoneHistory, tcp: bool) -> list[bytes]:
+    """Return the messages that answer an AXFR or IXFR query."""
+    if query.question[0].rdtype == dns.rdatatype.AXFR:
+        return messages(query, history, whole_zone(history)) if tcp else refused(query)
     serial = held_serial(query)
     if serial is None:
-        answer = dns.message.make_response(query)
-        answer.set_rcode(dns.rcode.FORMERR)
-        return [answer.to_wire()]
+        return [error_response(query, dns.rcode.FORMERR)]
+    return messages(query, history, incremental(history, serial, tcp))
+
+
+def incremental(history: ZoneHistory, serial: int, tcp: bool) -> list[ZoneRecord]:
+    """Return the records that answer an IXFR query, in order."""
+    soa = history.soa_record(history.serial)
     if not tcp or serial == history.serial:
-        return messages(
-            query, history, [head]
-        )  # up to date; or by UDP: come again by TCP (RFC 1995 section 2)
-    moved = history.since(serial)
-    if moved is None:
-        return messages(query, history, whole(history, head))
-    gone, come = moved
-    if len(gone) + len(come) > len(history.records):
-        return messages(query, history, whole(history, head))  # the whole is shorter
-    old = next(record for record in gone if record[2] == SOA)
-    return messages(
-        query, history, [head, old, *sorted(gone - {old}), head, *sorted(come - {head}), head]
-    )
-
-
-def held_serial(query):
-    """The serial that an IXFR query says its sender holds (RFC 1995 section 3), or None."""
+        return [soa]  # up to date; or over UDP: retry over TCP (RFC 1995 section 2)
+    difference = history.since(serial)
+    if difference is None or is_longer_than_zone(difference, history):
+        return whole_zone(history)
+    old_soa = history.soa_record(serial)
+    return [
+        soa,
+        old_soa,
+        *sorted(difference.removed - {old_soa}),
+        soa,
+        *sorted(difference.added - {soa}),
+        soa,
+    ]
+
+
+def is_longer_than_zone(difference: Difference, history: ZoneHistory) -> bool:
+    """Return whether a difference has more records than the whole zone."""
+    return len(difference.removed) + len(difference.added) > len(history.records)
+
+
+def held_serial(query: dns.message.Message) -> int | None:
+    """Return the serial that an IXFR query's sender holds (RFC 1995 section 3), if given."""
     for rrset in query.authority:
         if rrset.rdtype == dns.rdatatype.SOA:
-            return rrset[0].serial
+            serial: int = rrset[0].serial
+            return serial
     return None
 
 
-def whole(history, head):
-    return [head, *sorted(history.records - {head}), head]
-
-
-def messages(query, history, records):
-    """Records go as the ready bytes that the digest is made of: names whole, longer but ready."""
-    answer = dns.message.make_response(query)
-    answer.flags |= dns.flags.AA
-    wire = answer.to_wire()
-    question = wire[12 : wire.index(b"\0", 12) + 5]
-    found = []
-    for at in range(0, len(records), EACH):
-        some = records[at : at + EACH]
-        found.append(
-            wire[:4]
-            + struct.pack(">HHHH", 1, len(some), 0, 0)
-            + question
-            + b"".join(history.canonical.row(record)[1] for record in some)
-        )
-    return found
+def whole_zone(history: ZoneHistory) -> list[ZoneRecord]:
+    """Return all records in the order of a whole transfer: the SOA first and last."""
+    soa = history.soa_record(history.serial)
+    return [soa, *sorted(history.records - {soa}), soa]
+
+
+def messages(
+    query: dns.message.Message, history: ZoneHistory, records: Sequence[ZoneRecord]
+) -> list[bytes]:
+    """Return the records in as many messages as needed.
+
+    Records are sent in the canonical form that the digest is made of: their names are not
+    compressed, which is longer, but the bytes are ready.
+    """
+    response = dns.message.make_response(query)
+    response.flags |= dns.flags.AA
+    wire = response.to_wire()
+    id_and_flags = wire[:4]
+    question = question_bytes(wire)
+    parts = []
+    for start in range(0, len(records), RECORDS_PER_MESSAGE):
+        part = records[start : start + RECORDS_PER_MESSAGE]
+        counts = struct.pack(">HHHH", 1, len(part), 0, 0)
+        body = b"".join(history.canonical.row(record).wire for record in part)
+        parts.append(id_and_flags + counts + question + body)
+    return parts
--- a/peatlead/dns/views.py
+++ b/peatlead/dns/views.py
@@ -1,121 +1,158 @@
-"""Which view a query comes from. Pure: no I/O, no clock, no chance.
+"""Which view a query belongs to. No I/O, clock or randomness.
 
-A view is a proxy to the planner. Named views are settings; all other networks share a fixed number of
-open views by hash, so that a flood of made-up subnets can make neither views nor state: it only shares
-the open views' tables, and every steward gives a network the same view with no memory.
+A view is a proxy to the planner. Named views are configured; all other networks share a fixed
+number of open views by hash, so that a flood of invented subnets creates neither views nor state:
+it only shares the open views' tables, and every controller gives a network the same view without
+memory.
 """
 
-from ipaddress import IPv4Address, IPv6Address, ip_address, ip_network
-from typing import NamedTuple, Optional
+from collections.abc import Mapping
+from ipaddress import IPv4Address, IPv4Network, IPv6Address, IPv6Network, ip_address, ip_network
+from typing import Any, Generic, NamedTuple, TypeVar
 
 from blake3 import blake3
 
-OPEN_PREFIX = {4: 24, 6: 56}  # networks that share an open view, by prefix (RFC 7871 section 11.1)
+IPV4 = 4
+IPV6 = 6
+OPEN_PREFIX = {IPV4: 24, IPV6: 56}  # networks that share an open view (RFC 7871 section 11.1)
+NUMBER_BYTES = 6  # of a view's number
+
+IPAddress = IPv4Address | IPv6Address
+IPNetwork = IPv4Network | IPv6Network
+Value = TypeVar("Value")
 
 
 class View(NamedTuple):
-    """`number` is the planner's id: a hash of the name, the same at every steward; `rate` reqs a second."""
+    """A group of clients that share a table."""
 
-    index: int
+    index: int  # type: ignore[assignment]  # in `Views.views`; hides tuple.index
     name: str
-    number: int
-    zone: int
-    rate: float
+    number: int  # the planner's proxy number, the same at every controller
+    zone: int  # index in the settings
+    rate: float  # expected requests per second
+
+
+class ViewMatch(NamedTuple):
+    """The view of a query."""
+
+    view: View | None
+    scope: int  # prefix length that the answer holds for (RFC 7871 section 7.2.1)
+
 
+class PrefixMatch(NamedTuple, Generic[Value]):
+    """The longest network that holds an address."""
 
-class Found(NamedTuple):
-    """`scope` is the prefix length that the answer holds for (RFC 7871 section 7.2.1)."""
+    value: Value
+    length: int  # of the prefix
 
-    view: Optional[View]
-    scope: int
 
+class PrefixTable(NamedTuple, Generic[Value]):
+    """All networks of one prefix length."""
 
-def number_of(name):
-    return int.from_bytes(blake3(b"view:" + name.encode()).digest(6), "big")
+    length: int
+    mask: int
+    values: dict[int, Value]  # by network address
 
 
-class PrefixMap:
-    """Longest prefix match over networks: one dict for each prefix length in use, longest first.
+def number_of(name: str) -> int:
+    """Return the planner's proxy number of a view or a proxy: a hash of its name."""
+    return int.from_bytes(blake3(b"view:" + name.encode()).digest(NUMBER_BYTES), "big")
 
-    A look-up costs one dict look-up a length, whatever the number of networks.
+
+class PrefixMap(Generic[Value]):
+    """Longest prefix match over networks: one dict for each prefix length in use.
+
+    A look-up costs one dict look-up for each length, whatever the number of networks.
     """
 
-    def __init__(self):
-        self.levels = {4: {}, 6: {}}
-        self.order = {4: (), 6: ()}
+    def __init__(self) -> None:
+        self.values: dict[int, dict[int, dict[int, Value]]] = {IPV4: {}, IPV6: {}}
+        self.tables: dict[int, tuple[PrefixTable[Value], ...]] = {IPV4: (), IPV6: ()}
 
-    def add(self, network, value):
+    def add(self, network: IPNetwork | str, value: Value) -> None:
+        """Set a network's value."""
         network = ip_network(network)
-        level = self.levels[network.version]
-        level.setdefault(network.prefixlen, {})[int(network.network_address)] = value
+        by_length = self.values[network.version]
+        by_length.setdefault(network.prefixlen, {})[int(network.network_address)] = value
         bits = network.max_prefixlen
-        self.order[network.version] = tuple(
-            (length, ((1 << length) - 1) << (bits - length), level[length])
-            for length in sorted(level, reverse=True)
+        self.tables[network.version] = tuple(
+            PrefixTable(length, ((1 << length) - 1) << (bits - length), by_length[length])
+            for length in sorted(by_length, reverse=True)
         )
 
-    def find(self, address, most=128):
-        """(value, prefix length) of the longest network no longer than `most` that holds the address, or None."""
-        at = int(address)
-        for length, mask, found in self.order[address.version]:
-            if length <= most and (at & mask) in found:
-                return found[at & mask], length
+    def find(self, address: IPAddress, max_length: int = 128) -> PrefixMatch[Value] | None:
+        """Return the longest network of at most `max_length` that holds the address."""
+        number = int(address)
+        for length, mask, values in self.tables[address.version]:
+            if length <= max_length and (number & mask) in values:
+                return PrefixMatch(values[number & mask], length)
         return None
 
 
 class Views:
-    """All views of a settings map, and the rule that finds one."""
-
-    def __init__(self, settings):
-        zones = {zone["name"]: at for at, zone in enumerate(settings["zone"])}
-        self.views, self.by_name, self.by_network, self.by_resolver = [], {}, PrefixMap(), {}
+    """All views of the settings, and the rules that find the view of a query."""
+
+    def __init__(self, settings: Mapping[str, Any]) -> None:
+        self.views: list[View] = []
+        self.by_name: dict[str, View] = {}
+        self.by_network: PrefixMap[View] = PrefixMap()
+        self.by_resolver: dict[IPAddress, View] = {}
+        self.trusted_resolvers: PrefixMap[bool] = PrefixMap()
+        zones = {zone["name"]: index for index, zone in enumerate(settings["zone"])}
         for entry in settings["view"]:
-            view = self.add(entry["name"], zones[entry["zone"]], entry["rate"])
-            self.by_name[view.name] = view
-            for network in entry["networks"]:
-                self.by_network.add(network, view)
-            for resolver in entry["resolvers"]:
-                self.by_resolver[ip_address(resolver)] = view
-        self.open = [
-            self.add(f"open:{at}", at % len(zones), 1.0)
-            for at in range(settings["dns"]["open_views"])
+            self.add_named_view(entry, zones[entry["zone"]])
+        self.open_views = [
+            self.add_view(f"open:{index}", index % len(zones), 1.0)
+            for index in range(settings["dns"]["open_views"])
         ]
         self.by_number = {view.number: view for view in self.views}
         if len(self.by_number) != len(self.views):
             raise ValueError("two views hash to one number: rename one")
-        self.trusted = PrefixMap()
         for network in settings["dns"]["trusted_resolvers"]:
-            self.trusted.add(network, True)
-
-    def add(self, name, zone, rate):
+            self.trusted_resolvers.add(network, True)
+
+    def add_named_view(self, entry: Mapping[str, Any], zone: int) -> None:
+        """Add a view of the settings with its networks and resolvers."""
+        view = self.add_view(entry["name"], zone, entry["rate"])
+        self.by_name[view.name] = view
+        for network in entry["networks"]:
+            self.by_network.add(network, view)
+        for resolver in entry["resolvers"]:
+            self.by_resolver[ip_address(resolver)] = view
+
+    def add_view(self, name: str, zone: int, rate: float) -> View:
+        """Add a view and return it."""
         view = View(len(self.views), name, number_of(name), zone, rate)
         self.views.append(view)
         return view
 
-    def of_peer(self, peer):
-        """The view of a resolver that says nothing of its clients."""
-        peer = plain(ip_address(peer))
-        view = self.by_resolver.get(peer)
-        return Found(view, 0) if view else self.of_network(peer, peer.max_prefixlen)
-
-    def believes(self, peer):
-        return self.trusted.find(plain(ip_address(peer))) is not None
-
-    def of_network(self, address, length):
-        """The view of clients in address/length; a network shorter than any listed one is an open view's."""
-        found = self.by_network.find(address, length)
-        if found:
-            return Found(*found)
-        if not self.open:
-            return Found(None, 0)
+    def of_peer(self, peer: str) -> ViewMatch:
+        """Return the view of a resolver that sends no client subnet."""
+        address = unmap_ipv4(ip_address(peer))
+        view = self.by_resolver.get(address)
+        return ViewMatch(view, 0) if view else self.of_network(address, address.max_prefixlen)
+
+    def trusts_subnets_of(self, peer: str) -> bool:
+        """Return whether the client subnets that a resolver sends are used (RFC 7871)."""
+        return self.trusted_resolvers.find(unmap_ipv4(ip_address(peer))) is not None
+
+    def of_network(self, address: IPAddress, length: int) -> ViewMatch:
+        """Return the view of the clients in address/length.
+
+        A network shorter than any that is configured belongs to an open view.
+        """
+        match = self.by_network.find(address, length)
+        if match:
+            return ViewMatch(match.value, match.length)
+        if not self.open_views:
+            return ViewMatch(None, 0)
         prefix = min(length, OPEN_PREFIX[address.version])
         shift = address.max_prefixlen - prefix
         key = b"%d/%d/%d" % (address.version, prefix, int(address) >> shift)
-        return Found(
-            self.open[int.from_bytes(blake3(key).digest(8), "big") % len(self.open)], prefix
-        )
+        index = int.from_bytes(blake3(key).digest(8), "big") % len(self.open_views)
+        return ViewMatch(self.open_views[index], prefix)
 
 
-def plain(address: IPv4Address | IPv6Address):
-    """An IPv4 address that came over an IPv6 socket is the IPv4 address (RFC 4291 section 2.5.5.2)."""
+def unmap_ipv4(address: IPAddress) -> IPAddress:
+    """Return the IPv4 address of an IPv4-mapped IPv6 address (RFC 4291 section 2.5.5.2)."""
     return getattr(address, "ipv4_mapped", None) or address
--- a/peatlead/dns/warmup_thinning.py
+++ b/peatlead/dns/warmup_thinning.py
@@ -1,121 +1,190 @@
-"""Which of a view's lines its answers may name while hosts ramp. Pure: no I/O, no clock, no chance.
+"""Which endpoints a view's answers may name while endpoints ramp up. No I/O, clock or randomness.
 
-A table's small weight means a small part of a view's reqs. An answer can't say that: whoever caches it
-gives the hosts that it names the whole of a desk for a lifetime. A cold host at a tenth of its weight, in
-a tenth of a busy view's answers, gets all of that view one lifetime in ten, and is pushed over though the
-mean is right. So the small part is made of *views*, not of *answers*: a host that ramps is named, at its
-full weight, by just so many small views that they bring on average what the planner meant it to have, and
-none of them, whole, more than that; the others name it not at all. As its weight grows, more views name it.
+A small weight in a table means a small part of a view's requests. A DNS answer cannot express
+that: whoever caches it sends all requests of a resolver to the endpoints that it names, for a
+lifetime. A cold endpoint at a tenth of its weight, in a tenth of a busy view's answers, gets all
+of that view in one lifetime out of ten, and is overloaded although the average is right. So the
+small part is made of views instead of answers: a ramping endpoint is named, at its full weight,
+by as many small views as bring on average what the planner meant it to have; none of them alone
+brings more than that. The other views do not name it. As its weight grows, more views name it.
 
-A view with nothing but ramping hosts names them all: it must name some (rule 1). Its answers then get no
-lifetime (RFC 1035 section 3.2.1: for this transaction only), so that each resolution is a draw of its own.
+A view that has only ramping endpoints names them all: it must name some. Its answers get a
+lifetime of 0 (RFC 1035 section 3.2.1: for this transaction only), so that each resolution is a
+new draw.
 
-The same coarseness heats warm hosts: a view that brings a tenth of all reqs gives its two addresses a
-twentieth each for a lifetime. So a busy view's answers name more hosts, and those of one that brings more
-than a host's fair part get no lifetime either, since many clients only ever take the first address.
+The same coarseness affects warm endpoints: a view that brings a tenth of all requests gives its
+two addresses a twentieth each for a lifetime. So a busy view's answers name more endpoints, and
+those of a view that brings more than an endpoint's fair part get no lifetime either, because many
+clients only use the first address.
 """
 
+from collections.abc import Collection, Iterable, Mapping
 from math import ceil, fsum, sqrt
-from typing import NamedTuple
+from typing import Any, Generic, NamedTuple, Protocol, TypeVar
 
-RAMPING = 0.999  # of the listed weight: below, the planner holds a host back
-LEAST_RATE = 0.05  # reqs a second that any view is counted with, however silent: it may wake
-SIGMAS, SURGE = 3.0, 2.5  # a draw this bad must stay under this multiple of what was meant
-FAIR = 0.25  # of a host's fair part: more should not hang on one address of one answer
-WHOLE = 1.0  # of a host's fair part: a view that brings more gets answers that nobody may keep
-CALMS = 0.9  # what is left of a view's rate after a round that told less: it falls slowly, rises at once
+RAMPING_BELOW = 0.999  # of the listed weight: below, the planner holds an endpoint back
+MIN_RATE = 0.05  # requests per second that any view counts with, however silent: it may wake up
+MAX_SIGMAS = 3.0  # a draw this many standard deviations above the mean ...
+MAX_SURGE = 2.5  # ... must stay below this multiple of the planned rate
+FAIR_PART_PER_ADDRESS = 0.25  # of an endpoint's fair part: the most that one address should carry
+MAX_CACHEABLE_PART = 1.0  # of an endpoint's fair part: answers of busier views are not cacheable
+RATE_DECAY = 0.9  # a rate falls to this part of itself at most per round, but rises at once
+MIN_FAIR_RATE = 1e-9  # requests per second; avoids a division by 0
+
+
+class SortableKey(Protocol):
+    """A view's key: it is hashable and sorts."""
+
+    def __hash__(self) -> int: ...
+
+    def __lt__(self, other: Any, /) -> bool: ...
+
+
+ViewKey = TypeVar("ViewKey", bound=SortableKey)
+
+Weights = dict[int, float]  # by endpoint
 
 
 class Named(NamedTuple):
-    """`lines`: host -> weight that answers are drawn by; `lasting`: whether they may be kept; `places`: how
-    many addresses an answer should have at least."""
+    """The endpoints that a view's answers are drawn from."""
 
-    lines: dict
-    lasting: bool
-    places: int = 1
+    weights: Weights
+    lasting: bool  # whether answers may be cached
+    min_addresses: int = 1  # that an answer should have
 
 
-class WarmupThinning:
-    """Remembers which views hold which host, so that a change costs the views it touches.
+class Candidate(NamedTuple):
+    """A view that could name a ramping endpoint. Candidates sort by rate."""
 
-    One entry point: `decide(changed, listed, heard)` returns {view: Named} for all views whose named lines
-    are not what they were. `rates` holds the reqs a second that each view is counted with; a view is any
-    key that sorts.
+    rate: float  # requests per second of the view
+    view: Any
+    part: float  # of the view's requests that the endpoint would get at its full weight
+
+
+class WarmupThinning(Generic[ViewKey]):
+    """Decides which endpoints each view's answers name.
+
+    It remembers which views hold which endpoint, so that a change costs only the views affected.
+    `rates` holds the requests per second that each view is counted with.
     """
 
-    def __init__(self, rates):
+    def __init__(self, rates: Mapping[ViewKey, float]) -> None:
         self.rates = dict(rates)
-        self.tables = {}  # view -> host -> weight as the planner ordered
-        self.holders = {}  # host -> views whose table holds it
-        self.named = {}  # view -> Named
-        self.ramping = set()  # hosts that some table holds at less than their listed weight
-
-    def decide(self, changed, listed, heard=()):
-        """`changed`: {view: {host: weight}}, whole tables; `listed`: {host: its whole weight};
-        `heard`: [(view, reqs a second)], as the last round told."""
-        touched, self.listed = set(changed), listed
-        for view, rate in heard:
-            self.rates[view] = max(LEAST_RATE, rate, self.rates.get(view, 0.0) * CALMS)
-            touched |= {view} & self.tables.keys()
-        self.fair = fsum(self.rates.values()) / max(
-            1, sum(1 for views in self.holders.values() if views)
-        )
+        self.tables: dict[ViewKey, Weights] = {}  # as the planner ordered them
+        self.holders: dict[int, set[ViewKey]] = {}  # views whose table holds an endpoint
+        self.named: dict[ViewKey, Named] = {}  # as last decided
+        self.ramping: set[int] = set()  # endpoints that a table holds below their listed weight
+        self.listed: Mapping[int, float] = {}  # full weights of endpoints
+        self.fair_rate = 0.0  # requests per second of an endpoint's fair part
+
+    def decide(
+        self,
+        changed: Mapping[ViewKey, Mapping[int, float]],
+        listed: Mapping[int, float],
+        heard: Iterable[tuple[ViewKey, float]] = (),
+    ) -> dict[ViewKey, Named]:
+        """Return the new pools of all views whose pool has changed.
+
+        `changed` holds whole tables, `listed` the full weights of endpoints, `heard` the views'
+        requests per second in the last round.
+        """
+        self.listed = listed
+        touched = set(changed) | self.update_rates(heard)
+        self.fair_rate = self.compute_fair_rate()
         for view, table in changed.items():
-            for host in self.tables.get(view, {}).keys() - table.keys():
-                self.holders[host].discard(view)
-            for host in table:
-                self.holders.setdefault(host, set()).add(view)
-            self.tables[view] = dict(table)
-        doubtful = self.ramping.union(*(self.tables[view] for view in touched))
-        ramping = {
-            host
-            for host in doubtful
-            if any(
-                self.tables[view][host] < RAMPING * listed.get(host, 0.0)
-                for view in self.holders.get(host, ())
-            )
-        }
-        takers = {host: self.takers(host) for host in sorted(ramping)}
-        for host in ramping | self.ramping:
-            touched |= self.holders.get(host, set())
-        self.ramping, news = ramping, {}
+            self.update_table(view, table)
+        ramping = self.find_ramping(touched)
+        namers = {endpoint: self.choose_namers(endpoint) for endpoint in sorted(ramping)}
+        for endpoint in ramping | self.ramping:
+            touched |= self.holders.get(endpoint, set())
+        self.ramping = ramping
+        updates = {}
         for view in sorted(touched):
-            now = self.name(view, takers)
-            if now != self.named.get(view):
-                news[view] = self.named[view] = now
-        return news
-
-    def takers(self, host):
-        """The views that name a ramping host, the smallest first: no one of them brings more, whole, than the
-        host was meant to have; on average all of them bring that; and a bad draw stays well under what tips
-        it, which the planner keeps at over three times what it means the host to have."""
-        planned, views = 0.0, []
-        for view in self.holders[host]:
-            table, rate = self.tables[view], self.rates.get(view, 1.0)
+            pool = self.make_pool(view, namers)
+            if pool != self.named.get(view):
+                self.named[view] = pool
+                updates[view] = pool
+        return updates
+
+    def update_rates(self, rates: Iterable[tuple[ViewKey, float]]) -> set[ViewKey]:
+        """Set the views' rates; return the views among them that have a table."""
+        touched = set()
+        for view, rate in rates:
+            self.rates[view] = max(MIN_RATE, rate, self.rates.get(view, 0.0) * RATE_DECAY)
+            if view in self.tables:
+                touched.add(view)
+        return touched
+
+    def compute_fair_rate(self) -> float:
+        """Return an endpoint's fair part of all requests, per second."""
+        endpoint_count = sum(1 for views in self.holders.values() if views)
+        return fsum(self.rates.values()) / max(1, endpoint_count)
+
+    def update_table(self, view: ViewKey, table: Mapping[int, float]) -> None:
+        """Replace a view's table."""
+        for endpoint in self.tables.get(view, {}).keys() - table.keys():
+            self.holders[endpoint].discard(view)
+        for endpoint in table:
+            self.holders.setdefault(endpoint, set()).add(view)
+        self.tables[view] = dict(table)
+
+    def find_ramping(self, touched: Iterable[ViewKey]) -> set[int]:
+        """Return the endpoints that some table holds below their listed weight."""
+        doubtful = self.ramping.union(*(self.tables[view] for view in touched))
+        return {endpoint for endpoint in doubtful if self.is_ramping(endpoint)}
+
+    def is_ramping(self, endpoint: int) -> bool:
+        """Return whether some table holds the endpoint below its listed weight."""
+        full_weight = RAMPING_BELOW * self.listed.get(endpoint, 0.0)
+        return any(
+            self.tables[view][endpoint] < full_weight for view in self.holders.get(endpoint, ())
+        )
+
+    def choose_namers(self, endpoint: int) -> set[ViewKey]:
+        """Return the views that name a ramping endpoint, the smallest first.
+
+        No one of them brings more than the endpoint was meant to have; on average all of them
+        together bring that; and a bad draw stays well below what overloads it. The planner keeps
+        that at over three times what it means the endpoint to have.
+        """
+        planned_rate = 0.0
+        candidates = []
+        for view in self.holders[endpoint]:
+            table = self.tables[view]
+            rate = self.rates.get(view, 1.0)
             total = fsum(table.values())
-            planned += rate * table[host] / total
-            whole = self.listed.get(host, table[host])
-            views.append((rate, view, whole / (total - table[host] + whole)))
-        chosen, mean, spread = set(), 0.0, 0.0
-        for rate, view, part in sorted(views):
-            mean, spread = mean + rate * part, spread + rate * rate * part * (1 - part)
-            if rate > planned or mean > planned or mean + SIGMAS * sqrt(spread) > SURGE * planned:
-                break
-            chosen.add(view)
-        return chosen
-
-    def name(self, view, takers):
-        table, lines = self.tables[view], {}
-        parts = self.rates.get(view, 1.0) / max(
-            1e-9, self.fair
-        )  # of a host's fair part of all reqs
-        for host, weight in table.items():
-            if host not in takers:
-                lines[host] = weight
-            elif view in takers[host]:
-                lines[host] = self.listed.get(host, weight)
-        whole = [host for host in table if host not in takers]
-        places = min(len(table), ceil(parts / FAIR))
-        if whole:
-            return Named(lines, parts <= WHOLE, places)
-        return Named(dict(table), False, places)
+            planned_rate += rate * table[endpoint] / total
+            full_weight = self.listed.get(endpoint, table[endpoint])
+            part = full_weight / (total - table[endpoint] + full_weight)
+            candidates.append(Candidate(rate, view, part))
+        return choose_within(planned_rate, sorted(candidates))
+
+    def make_pool(self, view: ViewKey, namers: Mapping[int, Collection[ViewKey]]) -> Named:
+        """Return the endpoints that a view's answers are drawn from."""
+        table = self.tables[view]
+        fair_parts = self.rates.get(view, 1.0) / max(MIN_FAIR_RATE, self.fair_rate)
+        min_addresses = min(len(table), ceil(fair_parts / FAIR_PART_PER_ADDRESS))
+        if all(endpoint in namers for endpoint in table):
+            return Named(dict(table), False, min_addresses)
+        weights = {}
+        for endpoint, weight in table.items():
+            if endpoint not in namers:
+                weights[endpoint] = weight
+            elif view in namers[endpoint]:
+                weights[endpoint] = self.listed.get(endpoint, weight)
+        return Named(weights, fair_parts <= MAX_CACHEABLE_PART, min_addresses)
+
+
+def choose_within(planned_rate: float, candidates: Iterable[Candidate]) -> set[Any]:
+    """Return the first candidates' views whose requests stay within the planned rate."""
+    chosen = set()
+    mean = 0.0
+    variance = 0.0
+    for rate, view, part in candidates:
+        mean += rate * part
+        variance += rate * rate * part * (1 - part)
+        bad_draw = mean + MAX_SIGMAS * sqrt(variance)
+        if rate > planned_rate or mean > planned_rate or bad_draw > MAX_SURGE * planned_rate:
+            break
+        chosen.add(view)
+    return chosen
--- a/peatlead/dns/zone.py
+++ b/peatlead/dns/zone.py
@@ -1,160 +1,251 @@
-"""The zone as plain secondaries hold it, version by version. Pure: no I/O, no clock.
-
-A secondary can't weigh answers by who asks. So the zone has names of their own for each view: the addresses that it
-is told, and SRV records with weights. A version is a serial (RFC 1982), the records by which it differs from the one
-before, and a digest of the whole as a ZONEMD record (RFC 8976, SIMPLE scheme, SHA-384), so that what arrives can be
-checked by anybody.
-
-Serials tell stewards apart: each takes only its own remainder by a power of two, so that no two ever give one serial
-to two zones, and a difference is never laid on a base that another made. A secondary that is ahead of us (we were
-set back, or it followed another steward) is passed: the next serial is the first of ours past it.
+"""The zone as secondaries hold it, version by version. No I/O, no clock.
+
+A secondary cannot choose answers by who asks. So the zone has separate names for each view, with
+the addresses that it is given and SRV records with weights. A version is a serial (RFC 1982), the
+records that differ from the version before, and a digest of the whole as a ZONEMD record (RFC
+8976, SIMPLE scheme, SHA-384), so that a receiver can check what it got.
+
+Each controller issues only serials with a remainder of its own, modulo a power of two, so that no
+two controllers ever give one serial to different zones, and a difference is never applied to a
+base that another controller made. When a secondary is ahead (this controller was restored from a
+backup, or the secondary followed another one), the next serial is the first own one after the
+secondary's.
 """
 
 import struct
 from bisect import bisect_left, insort
 from collections import deque
+from collections.abc import Callable, Iterable
 from hashlib import sha384
+from typing import NamedTuple
 
 import dns.name
 import dns.rdata
+import dns.rdataclass
 import dns.rdatatype
 
-WRAP = 1 << 32
-KEPT_MOST, RECORDS_MOST = (
-    500,
-    50_000,
-)  # differences kept; records in them: past either the oldest go
-SOA, ZONEMD = "SOA", "ZONEMD"
+SERIAL_MODULUS = 1 << 32
+MAX_DELTAS = 500  # stored: past this, the oldest is dropped
+MAX_DELTA_RECORDS = 50_000  # in all stored deltas together: past this, the oldest is dropped
+MAX_CACHED_ROWS = 4 * MAX_DELTA_RECORDS
+APEX = "@"
+APEX_LIFETIME = 60  # seconds that the SOA and ZONEMD records may be cached
+ZONEMD_PARAMETERS = "1 1"  # scheme SIMPLE, hash SHA-384 (RFC 8976 section 5)
+SOA = "SOA"
+ZONEMD = "ZONEMD"
+
+
+class ZoneRecord(NamedTuple):
+    """One resource record in text form."""
+
+    name: str  # relative to the zone's origin
+    lifetime: int  # seconds
+    rtype: str
+    text: str
+
+
+class Delta(NamedTuple):
+    """What the version after `serial` changed."""
+
+    serial: int
+    removed: tuple[ZoneRecord, ...]
+    added: tuple[ZoneRecord, ...]
+
+
+class Difference(NamedTuple):
+    """What changed between two versions."""
+
+    removed: set[ZoneRecord]
+    added: set[ZoneRecord]
+
+
+class SortKey(NamedTuple):
+    """Sorts records in canonical order (RFC 4034 section 6)."""
 
+    labels: tuple[bytes, ...]  # lower case, from the right
+    rtype: int
+    rdata: bytes
 
-def newer(one, other):
-    """Whether a serial is past another (RFC 1982 section 3.2); at a distance of 2^31 neither is."""
-    return 0 < (one - other) % WRAP < WRAP // 2
+
+class CanonicalRow(NamedTuple):
+    """A record in canonical form."""
+
+    key: SortKey
+    wire: bytes
+
+
+def newer(serial: int, other: int) -> bool:
+    """Return whether a serial is past another (RFC 1982 section 3.2).
+
+    At a distance of 2^31 neither is.
+    """
+    return 0 < (serial - other) % SERIAL_MODULUS < SERIAL_MODULUS // 2
 
 
 class Serials:
-    """`index` of `many` stewards; serials that are `index` modulo the next power of two, and never 0."""
+    """The serials that controller number `index` of `many` may issue.
+
+    They are `index` modulo the next power of two, and never 0.
+    """
 
-    def __init__(self, index, many):
+    def __init__(self, index: int, many: int) -> None:
         self.step = 1
         while self.step < many:
             self.step *= 2
         self.index = index
 
-    def after(self, serial):
-        """The first of ours past a serial."""
-        found = (serial - (serial - self.index) % self.step + self.step) % WRAP
-        return found or self.after(found)
+    def next_after(self, serial: int) -> int:
+        """Return the first own serial past another."""
+        distance = self.step - (serial - self.index) % self.step
+        following = (serial + distance) % SERIAL_MODULUS
+        return following or self.next_after(following)
 
-    def ours(self, serial):
+    def is_own(self, serial: int) -> bool:
+        """Return whether this controller may have issued a serial."""
         return serial % self.step == self.index
 
 
 class ZoneHistory:
-    """`origin`: a dns.name.Name; `soa(serial)`: the SOA's text. A record is (name, lifetime, type, text), the name
-    relative to the origin."""
-
-    def __init__(self, origin, soa, serials, serial=0):
-        self.origin, self.soa, self.serials = origin, soa, serials
-        self.serial = serials.after(serial)
-        self.records, self.deltas, self.kept, self.digest = frozenset(), deque(), 0, None
-        self.canonical = Canonical(origin)
-
-    def update(self, records):
-        """Takes the zone as it should be. True where that makes a new version."""
-        bare = frozenset(records)
-        old = self.records
-        if bare == old - self.marks():
+    """The zone's current version, and the differences from earlier ones.
+
+    `soa(serial)` returns the SOA record's text.
+    """
+
+    def __init__(
+        self,
+        origin: dns.name.Name,
+        soa: Callable[[int], str],
+        serials: Serials,
+        serial: int = 0,
+    ) -> None:
+        self.origin = origin
+        self.soa = soa
+        self.serials = serials
+        self.serial = serials.next_after(serial)
+        self.records: frozenset[ZoneRecord] = frozenset()  # empty before the first version
+        self.content: frozenset[ZoneRecord] = frozenset()  # all but the SOA and ZONEMD records
+        self.digested: frozenset[ZoneRecord] = frozenset()  # all but the ZONEMD record
+        self.deltas: deque[Delta] = deque()  # oldest first
+        self.delta_record_count = 0
+        self.digest: str | None = None  # text of the ZONEMD record
+        self.canonical = CanonicalZone(origin)
+
+    def update(self, records: Iterable[ZoneRecord]) -> bool:
+        """Set the zone's content; return whether that made a new version."""
+        content = frozenset(records)
+        if content == self.content:
             return False
-        before = self.serial
-        serial = self.serials.after(before) if old else before
-        self.replace(bare, serial)
-        if old:
-            gone, come = tuple(sorted(old - self.records)), tuple(sorted(self.records - old))
-            self.deltas.append((before, gone, come))
-            self.kept += len(gone) + len(come)
-            self.bound()
+        old_records = self.records
+        old_serial = self.serial
+        if not old_records:
+            self.replace(content, old_serial)
+            return True
+        self.replace(content, self.serials.next_after(old_serial))
+        removed = tuple(sorted(old_records - self.records))
+        added = tuple(sorted(self.records - old_records))
+        self.deltas.append(Delta(old_serial, removed, added))
+        self.delta_record_count += len(removed) + len(added)
+        self.drop_old_deltas()
         return True
 
-    def replace(self, bare, serial):
+    def replace(self, content: frozenset[ZoneRecord], serial: int) -> None:
+        """Make the content the version with this serial."""
         self.serial = serial
-        head, old = (
-            ("@", 60, SOA, self.soa(serial)),
-            {one for one in self.records if one[2] != ZONEMD},
-        )
-        new = bare | {head}
-        self.canonical.change(old - new, new - old)
-        self.digest = f"{serial} 1 1 {self.canonical.digest()}"  # scheme SIMPLE, SHA-384
-        self.records = new | {("@", 60, ZONEMD, self.digest)}
-
-    def marks(self):
-        return {record for record in self.records if record[2] in (SOA, ZONEMD)}
-
-    def bound(self):
-        while len(self.deltas) > KEPT_MOST or self.kept > RECORDS_MOST and self.deltas:
-            _, gone, come = self.deltas.popleft()
-            self.kept -= len(gone) + len(come)
-
-    def since(self, serial):
-        """(gone, come) from a serial to now, condensed (RFC 1995 section 5); None where the way is not known."""
-        if not self.serials.ours(serial):
+        digested = content | {self.soa_record(serial)}
+        self.canonical.change(self.digested - digested, digested - self.digested)
+        self.digest = f"{serial} {ZONEMD_PARAMETERS} {self.canonical.digest()}"
+        zonemd = ZoneRecord(APEX, APEX_LIFETIME, ZONEMD, self.digest)
+        self.content = content
+        self.digested = digested
+        self.records = digested | {zonemd}
+
+    def soa_record(self, serial: int) -> ZoneRecord:
+        """Return the SOA record of a version."""
+        return ZoneRecord(APEX, APEX_LIFETIME, SOA, self.soa(serial))
+
+    def drop_old_deltas(self) -> None:
+        """Drop the oldest differences past the bounds."""
+        while len(self.deltas) > MAX_DELTAS or (
+            self.deltas and self.delta_record_count > MAX_DELTA_RECORDS
+        ):
+            oldest = self.deltas.popleft()
+            self.delta_record_count -= len(oldest.removed) + len(oldest.added)
+
+    def since(self, serial: int) -> Difference | None:
+        """Return the condensed difference from a version to now (RFC 1995 section 5).
+
+        Return None if the version is not known.
+        """
+        if not self.serials.is_own(serial):
             return None
-        gone, come, found = set(), set(), False
-        for start, left, entered in self.deltas:
-            found = found or start == serial
-            if found:
-                come -= (lost := set(left) & come)
-                gone |= set(left) - lost
-                gone -= (back := set(entered) & gone)
-                come |= set(entered) - back
-        return (gone, come) if found else None
-
-    def pass_by(self, serial):
-        """A secondary holds this serial, past ours: ours must come after it, or it would never take another."""
-        if newer(serial, self.serial):
-            bare = self.records - self.marks()
-            self.deltas.clear()
-            self.kept = 0
-            self.replace(bare, self.serials.after(serial))
-            return True
-        return False
-
-
-class Canonical:
-    """A zone's records in canonical order and form (RFC 4034 section 6), kept as they change, so that a version costs
-    its own records and one pass of the hash over ready bytes. dnspython's own took 0.1 ms a record, each time."""
-
-    def __init__(self, origin):
-        self.origin, self.rows, self.made = origin, [], {}
-
-    def row(self, record):
-        """((labels from the right, type, rdata), wire) of a record: compared, it stands where it belongs."""
-        found = self.made.get(record)
-        if found is None:
-            if len(self.made) > 4 * RECORDS_MOST:
-                self.made.clear()
-            name, lifetime, rtype, text = record
-            owner = self.origin if name == "@" else dns.name.from_text(name, self.origin)
-            kind = dns.rdatatype.from_text(rtype)
-            rdata = dns.rdata.from_text("IN", kind, text, self.origin, False).to_digestable(
-                self.origin
-            )
-            wire = (
-                owner.to_digestable() + struct.pack(">HHIH", kind, 1, lifetime, len(rdata)) + rdata
-            )
-            found = self.made[record] = (
-                (tuple(label.lower() for label in reversed(owner.labels)), kind, rdata),
-                wire,
-            )
-        return found
-
-    def change(self, gone, come):
-        for record in gone:
-            at = bisect_left(self.rows, self.row(record))
-            del self.rows[at]
-        for record in come:
+        known = False
+        removed: set[ZoneRecord] = set()
+        added: set[ZoneRecord] = set()
+        for delta in self.deltas:
+            known = known or delta.serial == serial
+            if not known:
+                continue
+            removed_again = added.intersection(delta.removed)
+            added -= removed_again
+            removed |= set(delta.removed) - removed_again
+            added_again = removed.intersection(delta.added)
+            removed -= added_again
+            added |= set(delta.added) - added_again
+        return Difference(removed, added) if known else None
+
+    def pass_by(self, serial: int) -> bool:
+        """Move past a secondary's serial if it is ahead; return whether it was.
+
+        Otherwise the secondary would never take another version from here.
+        """
+        if not newer(serial, self.serial):
+            return False
+        self.deltas.clear()
+        self.delta_record_count = 0
+        self.replace(self.content, self.serials.next_after(serial))
+        return True
+
+
+class CanonicalZone:
+    """A zone's records in canonical order and form (RFC 4034 section 6), updated incrementally.
+
+    A version costs its own records and one pass of the hash over ready bytes; dnspython's own
+    digest takes 0.1 ms for each record each time.
+    """
+
+    def __init__(self, origin: dns.name.Name) -> None:
+        self.origin = origin
+        self.rows: list[CanonicalRow] = []  # sorted
+        self.cached_rows: dict[ZoneRecord, CanonicalRow] = {}
+
+    def row(self, record: ZoneRecord) -> CanonicalRow:
+        """Return a record in canonical form."""
+        row = self.cached_rows.get(record)
+        if row is None:
+            if len(self.cached_rows) > MAX_CACHED_ROWS:
+                self.cached_rows.clear()
+            row = self.cached_rows[record] = self.make_row(record)
+        return row
+
+    def make_row(self, record: ZoneRecord) -> CanonicalRow:
+        """Convert a record to canonical form."""
+        name, lifetime, rtype_text, text = record
+        owner = self.origin if name == APEX else dns.name.from_text(name, self.origin)
+        rtype = dns.rdatatype.from_text(rtype_text)
+        rdata = dns.rdata.from_text("IN", rtype, text, self.origin, False)
+        data = rdata.to_digestable(self.origin)
+        fixed_fields = struct.pack(">HHIH", rtype, dns.rdataclass.IN, lifetime, len(data))
+        labels = tuple(label.lower() for label in reversed(owner.labels))
+        wire = owner.to_digestable() + fixed_fields + data
+        return CanonicalRow(SortKey(labels, rtype, data), wire)
+
+    def change(self, removed: Iterable[ZoneRecord], added: Iterable[ZoneRecord]) -> None:
+        """Remove and add records."""
+        for record in removed:
+            del self.rows[bisect_left(self.rows, self.row(record))]
+        for record in added:
             insort(self.rows, self.row(record))
 
-    def digest(self):
-        """SHA-384 over all (RFC 8976 section 3.3.1), hex."""
-        return sha384(b"".join(wire for _, wire in self.rows)).hexdigest()
+    def digest(self) -> str:
+        """Return SHA-384 over all records (RFC 8976 section 3.3.1) in hexadecimal."""
+        return sha384(b"".join(row.wire for row in self.rows)).hexdigest()
--- a/peatlead/net/streams.py
+++ b/peatlead/net/streams.py
@@ -2,7 +2,7 @@
 
 import asyncio
 from collections.abc import Awaitable
-from typing import TypeVar, cast
+from typing import Any, TypeVar, cast
 
 Result = TypeVar("Result")
 
@@ -40,7 +40,7 @@
         self.idle = idle
         self.waiting_most = waiting_most
         self.transport: asyncio.Transport | None = None  # None before and after the connection
-        self.peer: tuple[str, int] | None = None
+        self.peer: Any = None  # the peer's address: (host, port), or longer for IPv6
         self.touched = 0.0  # loop time of the last activity
         self.timer: asyncio.TimerHandle | None = None  # checks for idleness
         self.why: str | None = None  # why this side ended the connection
--- /dev/null
+++ b/tests/dns/test_views.py
@@ -0,0 +1,47 @@
+"""Which view a query belongs to."""
+
+import unittest
+from ipaddress import ip_address, ip_network
+
+from hypothesis import given, strategies
+
+from peatlead.dns.views import PrefixMap, Views, number_of
+
+from ..places import settings
+
+DESK0_NUMBER = 261398713923410  # the same at every controller, in every version
+
+
+class PrefixMapTest(unittest.TestCase):
+    @given(
+        strategies.lists(
+            strategies.tuples(strategies.integers(0, 2**32 - 1), strategies.integers(0, 32)),
+            max_size=30,
+        ),
+        strategies.integers(0, 2**32 - 1),
+        strategies.integers(0, 32),
+    )
+    def test_the_longest_prefix_is_the_one_that_a_scan_finds(self, networks, address, max_length):
+        prefixes, scanned = PrefixMap(), {}
+        for value, (base, length) in enumerate(networks):
+            network = ip_network((base, length), strict=False)
+            prefixes.add(network, value)
+            scanned[network] = value
+        address = ip_address(address)
+        matching = [n for n in scanned if address in n and n.prefixlen <= max_length]
+        longest = max(matching, key=lambda n: n.prefixlen, default=None)
+        self.assertEqual(
+            prefixes.find(address, max_length), longest and (scanned[longest], longest.prefixlen)
+        )
+
+
+class ViewsTest(unittest.TestCase):
+    def test_invented_subnets_create_no_views(self):
+        views = Views(settings())
+        for index in range(20000):
+            views.of_network(ip_address(index * 70000 % 2**32), 24)
+        self.assertEqual(len(views.views), 2 + 4)
+
+    def test_a_name_has_the_same_number_at_every_controller_and_start(self):
+        self.assertEqual(Views(settings()).by_name["desk0"].number, number_of("desk0"))
+        self.assertEqual(number_of("desk0"), DESK0_NUMBER)
--- /dev/null
+++ b/tests/dns/test_warmup_thinning.py
@@ -0,0 +1,59 @@
+"""Which endpoints answers name while endpoints ramp up."""
+
+import unittest
+
+from hypothesis import given, strategies
+
+from peatlead.dns.warmup_thinning import WarmupThinning
+
+
+class WarmupThinningTest(unittest.TestCase):
+    def test_a_busy_view_never_names_a_cold_endpoint_and_small_views_make_up_its_part(self):
+        # Half of all requests come through one resolver: a small weight in its answers would send
+        # all of them to the cold endpoint for a lifetime.
+        thinning = WarmupThinning({view: 100.0 if view == 0 else 2.0 for view in range(50)})
+        table = {0: 0.25, 1: 1.0, 2: 1.0, 3: 1.0}
+        pools = thinning.decide({view: table for view in range(50)}, dict.fromkeys(range(4), 1.0))
+        naming = [view for view in pools if 0 in pools[view].weights]
+        self.assertNotIn(0, naming)
+        self.assertTrue(naming)
+        planned = (100 + 49 * 2) * 0.25 / 3.25
+        self.assertLessEqual(sum(2.0 / 4 for _ in naming), planned)
+
+    @given(
+        strategies.lists(strategies.floats(0.1, 60.0), min_size=3, max_size=40),
+        strategies.floats(0.05, 0.9),
+    )
+    def test_naming_views_bring_at_most_the_planned_rate_together_and_each_alone(
+        self, rates, share
+    ):
+        thinning = WarmupThinning(dict(enumerate(rates)))
+        table = {0: share, 1: 1.0, 2: 1.0}
+        pools = thinning.decide(
+            {view: table for view in range(len(rates))}, dict.fromkeys(range(3), 1.0)
+        )
+        planned = sum(rates) * share / (share + 2)
+        naming = [rates[view] for view in pools if 0 in pools[view].weights]
+        self.assertLessEqual(sum(naming) / 3, planned + 1e-9)
+        self.assertLessEqual(max(naming, default=0.0), planned + 1e-9)
+
+    def test_a_view_with_only_ramping_endpoints_names_all_and_is_not_cacheable(self):
+        thinning = WarmupThinning({0: 10.0})
+        pools = thinning.decide({0: {1: 0.5, 2: 0.5}}, {1: 2.0, 2: 2.0})
+        self.assertEqual(pools[0].weights, {1: 0.5, 2: 0.5})
+        self.assertFalse(pools[0].lasting)
+
+    def test_a_warm_endpoint_is_named_by_all_views_again(self):
+        thinning, full = WarmupThinning({view: 5.0 for view in range(8)}), {1: 1.0, 2: 1.0}
+        thinning.decide({view: {1: 0.1, 2: 1.0} for view in range(8)}, full)
+        pools = thinning.decide({view: {1: 1.0, 2: 1.0} for view in range(8)}, full)
+        self.assertTrue(all(1 in thinning.named[view].weights for view in range(8)))
+        self.assertTrue(pools)
+
+    def test_a_busy_views_answers_name_more_endpoints_and_are_not_cacheable(self):
+        thinning = WarmupThinning({view: 1.0 for view in range(30)})
+        table = dict.fromkeys(range(10), 1.0)
+        thinning.decide({view: table for view in range(30)}, table)
+        pools = thinning.decide({}, table, [(3, 80.0)])
+        self.assertEqual((pools[3].lasting, pools[3].min_addresses), (False, 10))
+        self.assertTrue(thinning.named[4].lasting)
