--- a/peatlead/dns/answer_cache.py
+++ b/peatlead/dns/answer_cache.py
@@ -2,6 +2,7 @@
 
 import struct
 from collections.abc import Mapping
+from dataclasses import dataclass, field
 from typing import Protocol
 
 from .message_format import ID_BYTES
@@ -25,18 +26,16 @@
         self.index = 0  # of the next order
 
 
+@dataclass(slots=True, eq=False)
 class AnswerSource:
     """One view of one service: the endpoints that its answers are drawn from."""
 
-    __slots__ = ("cycles", "lasting", "lines", "min_addresses", "version", "weighed")
-
-    def __init__(self) -> None:
-        self.lines: Mapping[int, float] = {}  # weights that answers are drawn by
-        self.weighed: Mapping[int, float] = {}  # weights that SRV records show: the whole table
-        self.lasting = True  # whether answers may be cached
-        self.min_addresses = 1  # that an answer should have
-        self.version = 0  # counts changes
-        self.cycles: dict[int, AnswerCycle] = {}  # by address family
+    lines: Mapping[int, float] = field(default_factory=dict)  # weights that answers are drawn by
+    weighed: Mapping[int, float] = field(default_factory=dict)  # the table, as SRV records show it
+    lasting: bool = True  # whether answers may be cached
+    min_addresses: int = 1  # that an answer should have
+    version: int = 0  # counts changes
+    cycles: dict[int, AnswerCycle] = field(default_factory=dict)  # by address family
 
 
 class AnswerContext(Protocol):
--- a/peatlead/dns/server.py
+++ b/peatlead/dns/server.py
@@ -23,6 +23,34 @@
         """Stop listening."""
 
 
+class DnsFront:
+    """The UDP and TCP sockets of one controller.
+
+    The controller moves `fresh_until`, in loop time, on as it goes on deciding.
+    """
+
+    def __init__(self, settings: Mapping[str, Any], answers: Answers) -> None:
+        self.settings = settings
+        self.answers = answers
+        self.held = ConnectionSet(settings["tcp_most"])
+        self.fresh_until = 0.0
+        self.unanswered = 0  # queries that came while the controller was not fresh
+        self.closers: list[Closer] = []
+
+    async def open(self, address: tuple[str, int]) -> None:
+        """Listen on an address; raises OSError."""
+        loop = asyncio.get_running_loop()
+        udp, _ = await loop.create_datagram_endpoint(lambda: UdpProtocol(self), local_addr=address)
+        self.closers.append(udp)
+        self.closers.append(await loop.create_server(lambda: TcpConnection(self), *address))
+
+    def close(self) -> None:
+        """Close the sockets and all connections."""
+        for closer in self.closers:
+            closer.close()
+        self.held.close()
+
+
 class UdpProtocol(asyncio.DatagramProtocol):
     """Answers datagrams, while the controller is fresh.
 
@@ -30,7 +58,7 @@
     waited in its socket; resolvers have another controller to ask.
     """
 
-    def __init__(self, server: "DnsFront") -> None:
+    def __init__(self, server: DnsFront) -> None:
         self.server = server
         # Over UDP there is never more than one message.
         self.respond = cast(Callable[[bytes, str], bytes | None], server.answers.respond)
@@ -56,7 +84,7 @@
 class TcpConnection(Stream):
     """A resolver's connection."""
 
-    def __init__(self, server: "DnsFront") -> None:
+    def __init__(self, server: DnsFront) -> None:
         super().__init__(server.settings["tcp_idle"], MAX_UNSENT_BYTES)
         self.server = server
         self.part = b""  # of a message that has not arrived completely: less than 64 KiB
@@ -94,31 +122,3 @@
             return
         for message in answer if isinstance(answer, list) else (answer,):
             self.send(len(message).to_bytes(TCP_LENGTH_BYTES, "big") + message)
-
-
-class DnsFront:
-    """The UDP and TCP sockets of one controller.
-
-    The controller moves `fresh_until`, in loop time, on as it goes on deciding.
-    """
-
-    def __init__(self, settings: Mapping[str, Any], answers: Answers) -> None:
-        self.settings = settings
-        self.answers = answers
-        self.held = ConnectionSet(settings["tcp_most"])
-        self.fresh_until = 0.0
-        self.unanswered = 0  # queries that came while the controller was not fresh
-        self.closers: list[Closer] = []
-
-    async def open(self, address: tuple[str, int]) -> None:
-        """Listen on an address; raises OSError."""
-        loop = asyncio.get_running_loop()
-        udp, _ = await loop.create_datagram_endpoint(lambda: UdpProtocol(self), local_addr=address)
-        self.closers.append(udp)
-        self.closers.append(await loop.create_server(lambda: TcpConnection(self), *address))
-
-    def close(self) -> None:
-        """Close the sockets and all connections."""
-        for closer in self.closers:
-            closer.close()
-        self.held.close()
