--- a/peatlead/dns/answers.py
+++ b/peatlead/dns/answers.py
@@ -101,7 +101,7 @@
         self.seats = [[AnswerSource() for _ in self.services] for _ in views.views]
         self.cache = AnswerCache()
         self.records: dict[tuple[int, int, int], bytes] = {}  # by endpoint, family and lifetime
-        self.placed = 0  # counts all changes of what answers say
+        self.change_count = 0  # counts all changes of what answers say
         self.serial = 1
         self.transfer: Transfer | None = None  # set where there are secondaries
         self.counts = dict.fromkeys(COUNTERS, 0)
@@ -120,7 +120,7 @@
                 return
             self.by_label.pop(old.name, None)
         self.endpoints[endpoint] = new
-        self.placed += 1
+        self.change_count += 1
         self.by_label[name] = endpoint
         self.records = {key: value for key, value in self.records.items() if key[0] != endpoint}
         self.flush()
@@ -134,7 +134,7 @@
         source.weighed = weighed
         source.version += 1
         source.cycles = {}
-        self.placed += 1
+        self.change_count += 1
         if self.transfer is None:
             self.serial = self.serial % MAX_SERIAL + 1
 
--- a/peatlead/dns/notify.py
+++ b/peatlead/dns/notify.py
@@ -42,9 +42,9 @@
     """Makes versions of the zone, notifies the secondaries and serves their transfers.
 
     `places` holds the secondaries' addresses. `index` and `many` number the controllers, whose
-    serials differ. `kept(serial)` is called with each version's serial, to store it for a restart.
-    At a time there is one pending NOTIFY for each secondary; a secondary that never acknowledges is
-    given up until the next version.
+    serials differ. `store_serial(serial)` is called with each version's serial, to store it for a
+    restart. At a time there is one pending NOTIFY for each secondary; a secondary that never
+    acknowledges is given up until the next version.
     """
 
     def __init__(
@@ -54,20 +54,20 @@
         index: int,
         many: int,
         serial: int,
-        chance: Random,
-        kept: Callable[[int], object],
+        rng: Random,
+        store_serial: Callable[[int], object],
     ) -> None:
         self.answers = answers
         self.places: list[Address] = [(host, port) for host, port in places]
-        self.rng = chance
-        self.store_serial = kept
+        self.rng = rng
+        self.store_serial = store_serial
         self.peers = {address for address, _ in self.places}
         self.history = ZoneHistory(answers.zone, answers.soa, Serials(index, many), serial)
         self.loop: asyncio.AbstractEventLoop | None = None
         self.transport: asyncio.DatagramTransport | None = None
         self.made_at = -1e9  # loop time of the last version
         self.waiting: dict[Address, PendingNotify] = {}
-        self.placed = -1  # the answers' count of changes at the last version
+        self.published_change_count = -1  # the answers' count of changes at the last version
         self.counts = {
             "versions": 0,
             "notified": 0,
@@ -87,12 +87,15 @@
 
     def tick(self, now: float) -> None:
         """Make a new version if anything has changed, at most one per interval."""
-        if now - self.made_at < VERSION_INTERVAL or self.answers.placed == self.placed:
+        if (
+            now - self.made_at < VERSION_INTERVAL
+            or self.answers.change_count == self.published_change_count
+        ):
             return
         if not self.answers.has_table():
             return
         self.made_at = now
-        self.placed = self.answers.placed
+        self.published_change_count = self.answers.change_count
         if self.history.update(self.answers.zone_records()):
             self.publish()
 
--- a/peatlead/dns/warmup_thinning.py
+++ b/peatlead/dns/warmup_thinning.py
@@ -81,15 +81,15 @@
         self,
         changed: Mapping[ViewKey, Mapping[int, float]],
         listed: Mapping[int, float],
-        heard: Iterable[tuple[ViewKey, float]] = (),
+        rates: Iterable[tuple[ViewKey, float]] = (),
     ) -> dict[ViewKey, Named]:
         """Return the new pools of all views whose pool has changed.
 
-        `changed` holds whole tables, `listed` the full weights of endpoints, `heard` the views'
+        `changed` holds whole tables, `listed` the full weights of endpoints, `rates` the views'
         requests per second in the last round.
         """
         self.listed = listed
-        touched = set(changed) | self.update_rates(heard)
+        touched = set(changed) | self.update_rates(rates)
         self.fair_rate = self.compute_fair_rate()
         for view, table in changed.items():
             self.update_table(view, table)
--- a/peatlead/net/__init__.py
+++ b/peatlead/net/__init__.py
@@ -1,1 +1,1 @@
-"""Transports: streams on BufferedProtocol, datagrams, and HTTP/1.1 exchanges on the streams."""
+"""Network transports: streams, a listener, HTTP/1.1 and ORCA load reports."""
--- a/tests/dns/test_zone_transfer.py
+++ b/tests/dns/test_zone_transfer.py
@@ -169,7 +169,8 @@
             await until(
                 lambda: secondary.serial == controller.secondaries.history.serial
                 and secondary.zone.get_node("h1.hosts") is None
-                and controller.answers.placed == controller.secondaries.placed,
+                and controller.answers.change_count
+                == controller.secondaries.published_change_count,
                 30.0,
             )
             self.assertTrue(secondary.sound())
