--- a/peatlead/dns/answers.py
+++ b/peatlead/dns/answers.py
@@ -7,9 +7,7 @@
 """
 
 from collections.abc import Callable, Mapping
-from dataclasses import dataclass
-from ipaddress import ip_address
-from typing import Any, NamedTuple
+from typing import Any
 
 import dns.edns
 import dns.flags
@@ -21,25 +19,20 @@
 import dns.rrset
 
 from .answer_cache import AnswerCache, AnswerCycle, AnswerSource, PreparedAnswer
-from .answer_order import draw_orders, srv_weights
-from .message_format import (
-    HEADER_BYTES,
-    ID_BYTES,
-    MAX_MESSAGE_BYTES,
-    OPCODE_AND_RD_BITS,
-    OPCODE_BITS,
-    PLAIN_UDP_BYTES,
-    RESPONSE_FLAG,
-    question_bytes,
-)
+from .answer_order import draw_orders
+from .client_subnet import find_view
+from .message_format import HEADER_BYTES, ID_BYTES, OPCODE_BITS, RESPONSE_FLAG, question_bytes
+from .query import Query, header_only, max_response_size
 from .records import FAMILIES, EndpointAddresses, add_record
-from .views import View, ViewMatch, Views, unmap_ipv4
+from .service_names import ServiceNames, Target
+from .views import View, Views
 from .warmup_thinning import Named
 from .zone import ZoneRecord
 from .zone_contents import (
     NEGATIVE_LIFETIME,
     add_apex_records,
     add_fixed_records,
+    add_srv_records,
     name_servers,
     soa_text,
     zone_records,
@@ -48,7 +41,6 @@
 ORDERS_AHEAD = 64  # orders of answers that are drawn at a time
 MAX_SERIAL = 0xFFFFFFFF
 ANY_LIFETIME = 3789  # seconds, of the record that answers ANY (RFC 8482 section 4.2)
-SRV_PREFIX_LABELS = 2  # the service and the protocol (RFC 2782)
 TRANSFER_TYPES = (dns.rdatatype.AXFR, dns.rdatatype.IXFR)
 COUNTERS = ("asked", "malformed", "refused", "unknown", "empty", "truncated", "flushed")
 
@@ -56,26 +48,6 @@
 Transfer = Callable[[dns.message.Message, str, bool], list[bytes]]
 
 
-@dataclass(slots=True)
-class Query:
-    """A parsed query and the response in progress."""
-
-    data: bytes
-    peer: str
-    tcp: bool
-    question: dns.rrset.RRset
-    response: dns.message.Message
-    max_size: int  # bytes of the response
-
-
-class Target(NamedTuple):
-    """What a service's name asks for."""
-
-    service: int
-    view: View | None  # None: the asker belongs to no view
-    is_srv: bool
-
-
 class Answers:
     """Answers DNS queries, without sockets.
 
@@ -95,6 +67,9 @@
         self.services: dict[str, int] = {
             service["label"]: index for index, service in enumerate(settings["service"])
         }
+        self.service_names = ServiceNames(
+            self.settings["service_label"], self.services, views.by_name
+        )
         self.endpoints: dict[int, EndpointAddresses] = {}
         self.by_label: dict[str, int] = {}  # endpoints by name
         self.open_hosts: set[int] = set()  # endpoints whose own names exist
@@ -211,13 +186,13 @@
         response = dns.message.make_response(message, our_payload=self.settings["udp_most"])
         response.flags |= dns.flags.AA
         response.flags &= ~dns.flags.RA
-        max_size = self.max_size(message, tcp)
+        max_size = max_response_size(message, tcp, self.settings["udp_most"])
         query = Query(data, peer, tcp, message.question[0], response, max_size)
         if message.edns > 0:
             response.use_edns(0, payload=self.settings["udp_most"])
             response.set_rcode(dns.rcode.BADVERS)
             return self.finish(query)
-        match, subnet_option = self.find_view(message, peer)
+        match, subnet_option = find_view(self.views, message, peer)
         if message.edns == 0:
             options: list[dns.edns.Option] = [subnet_option] if subnet_option else []
             response.use_edns(0, payload=self.settings["udp_most"], options=options)
@@ -230,55 +205,20 @@
             return messages if tcp else messages[0]
         return self.answer_name(query, match.view)
 
-    def max_size(self, message: dns.message.Message, tcp: bool) -> int:
-        """Return the bound of a response's bytes."""
-        if tcp:
-            return MAX_MESSAGE_BYTES
-        if message.edns < 0:
-            return PLAIN_UDP_BYTES
-        max_payload: int = self.settings["udp_most"]
-        return max(PLAIN_UDP_BYTES, min(message.payload, max_payload))
-
     def is_in_zone(self, question: dns.rrset.RRset) -> bool:
         """Return whether a question is about the zone."""
         return question.rdclass == dns.rdataclass.IN and question.name.is_subdomain(self.zone)
 
-    def find_view(
-        self, message: dns.message.Message, peer: str
-    ) -> tuple[ViewMatch, dns.edns.ECSOption | None]:
-        """Return the asker's view, and the client subnet option to return if one was used.
-
-        See RFC 7871 section 7.2.1. A prefix length of 0 asks not to be told apart (section 7.1.2).
-        """
-        if message.edns == 0 and self.views.trusts_subnets_of(peer):
-            for option in message.options:
-                if isinstance(option, dns.edns.ECSOption):
-                    return self.find_subnet_view(option, peer)
-        return self.views.of_peer(peer), None
-
-    def find_subnet_view(
-        self, option: dns.edns.ECSOption, peer: str
-    ) -> tuple[ViewMatch, dns.edns.ECSOption]:
-        """Return the view of a client subnet, and the option to return."""
-        if option.srclen == 0:
-            match = ViewMatch(self.views.of_peer(peer).view, 0)
-            return match, dns.edns.ECSOption(option.address, 0, 0)
-        address = unmap_ipv4(ip_address(option.address))
-        match = self.views.of_network(address, option.srclen)
-        return match, dns.edns.ECSOption(option.address, option.srclen, match.scope)
-
     def answer_name(self, query: Query, view: View | None) -> bytes:
         """Answer a query about a name of the zone."""
-        name = query.question.name
-        labels = [
-            label.decode("ascii", "replace").lower() for label in name.relativize(self.zone).labels
-        ]
-        target = self.find_target(labels, view)
+        labels = query.labels_below(self.zone)
+        target = self.service_names.find(labels, view)
         if target is None and not self.exists(labels):
             self.counts["unknown"] += 1
             query.response.set_rcode(dns.rcode.NXDOMAIN)
             return self.negative(query)
         if query.question.rdtype == dns.rdatatype.ANY:  # one small record in place of all
+            name = query.question.name
             add_record(query.response.answer, name, ANY_LIFETIME, "HINFO", '"RFC8482" ""')
             return self.finish(query)
         if target is not None:
@@ -286,29 +226,8 @@
         self.answer_fixed(query, labels)
         return self.finish(query) if query.response.answer else self.negative(query)
 
-    def find_target(self, labels: list[str], view: View | None) -> Target | None:
-        """Return the service and view that a name below the apex means, if it is a service's.
-
-        Such a name is SERVICE or VIEW.SERVICE, for SRV records after the labels of RFC 2782.
-        """
-        srv_prefix = [self.settings["service_label"], "_tcp"]
-        is_srv = len(labels) > SRV_PREFIX_LABELS and labels[:SRV_PREFIX_LABELS] == srv_prefix
-        if is_srv:
-            labels = labels[SRV_PREFIX_LABELS:]
-        if not labels or labels[-1] not in self.services:
-            return None
-        service = self.services[labels[-1]]
-        if len(labels) == 1:
-            return Target(service, view, is_srv)
-        if len(labels) == 2 and labels[0] in self.views.by_name:
-            return Target(service, self.views.by_name[labels[0]], is_srv)
-        return None
-
     def exists(self, labels: list[str]) -> bool:
-        """Return whether a name below the apex exists, other than a service's.
-
-        Names between the apex and an SRV name exist without records (RFC 8020): `_tcp.SERVICE`.
-        """
+        """Return whether a name below the apex exists, other than a service's."""
         hosts_label = self.settings["hosts_label"]
         if not labels or labels == [hosts_label]:
             return True
@@ -316,9 +235,7 @@
             return any(labels[0] == server.name for server in self.name_servers)
         if len(labels) == 2 and labels[1] == hosts_label:
             return self.by_label.get(labels[0]) in self.open_hosts
-        if labels[0] != "_tcp" or labels[-1] not in self.services:
-            return False
-        return len(labels) == 2 or (len(labels) == 3 and labels[1] in self.views.by_name)
+        return self.service_names.is_empty_non_terminal(labels)
 
     def answer_service(self, query: Query, target: Target) -> bytes:
         """Answer a query about a service's name."""
@@ -344,8 +261,7 @@
         Another controller may know more; an empty answer would be cached.
         """
         self.counts["empty"] += 1
-        query.response.flags &= ~dns.flags.AA
-        query.response.set_rcode(dns.rcode.SERVFAIL)
+        query.fail(dns.rcode.SERVFAIL)
         return self.finish(query)
 
     def prepare(self, query: Query, source: AnswerSource, family: int) -> PreparedAnswer:
@@ -369,23 +285,11 @@
         The addresses are optional (RFC 2782): leaving them out is no truncation.
         """
         response = query.response
-        addresses = []
-        for endpoint, weight in sorted(srv_weights(source.weighed).items()):
-            target = self.endpoint_name(endpoint)
-            value = f"0 {weight} {self.settings['port']} {target}"
-            add_record(response.answer, query.question.name, self.lifetime, "SRV", value)
-            addresses += [(target, *text) for text in self.endpoints[endpoint].texts()]
-        for target, rtype, address in addresses:
-            add_record(response.additional, target, self.lifetime, rtype, address)
-        if len(response.to_wire(max_size=MAX_MESSAGE_BYTES)) > query.max_size:
+        add_srv_records(self, source, response.answer, response.additional, query.question.name)
+        if len(query.response_bytes()) > query.max_size:
             response.additional = []
         return self.finish(query)
 
-    def endpoint_name(self, endpoint: int) -> dns.name.Name:
-        """Return an endpoint's own name in the zone."""
-        label = self.endpoints[endpoint].name.encode()
-        return dns.name.Name((label, self.settings["hosts_label"].encode(), *self.zone.labels))
-
     def answer_fixed(self, query: Query, labels: list[str]) -> None:
         """Add the records of the apex, a name server or an endpoint's own name."""
         response = query.response
@@ -407,8 +311,7 @@
     def refuse(self, query: Query) -> bytes:
         """Refuse a query."""
         self.counts["refused"] += 1
-        query.response.flags &= ~dns.flags.AA
-        query.response.set_rcode(dns.rcode.REFUSED)
+        query.fail(dns.rcode.REFUSED)
         return self.finish(query)
 
     def negative(self, query: Query) -> bytes:
@@ -417,23 +320,10 @@
         return self.finish(query)
 
     def finish(self, query: Query) -> bytes:
-        """Return the response's bytes, truncated if they do not fit.
-
-        A truncated response has no records: none may be used (RFC 2181 section 9).
-        """
-        response = query.response
-        wire = response.to_wire(max_size=MAX_MESSAGE_BYTES)
+        """Return the response's bytes, truncated if they do not fit."""
+        wire = query.response_bytes()
         if len(wire) <= query.max_size:
             return wire
         self.counts["truncated"] += 1
-        response.answer = []
-        response.authority = []
-        response.additional = []
-        response.flags |= dns.flags.TC
-        return response.to_wire(max_size=MAX_MESSAGE_BYTES)
-
-
-def header_only(data: bytes, rcode: dns.rcode.Rcode) -> bytes:
-    """Return a response that is a header: the rest of such a query is not to be trusted."""
-    flags = bytes((RESPONSE_FLAG | data[2] & OPCODE_AND_RD_BITS, rcode))
-    return data[:ID_BYTES] + flags + bytes(8)
+        query.truncate()
+        return query.response_bytes()
--- a/peatlead/dns/notify.py
+++ b/peatlead/dns/notify.py
@@ -19,6 +19,7 @@
 VERSION_INTERVAL = 1.0  # seconds at least between two versions of the zone
 NOTIFY_ATTEMPTS = 6  # messages to one secondary for one version
 FIRST_NOTIFY_WAIT = 1.0  # seconds for the first acknowledgement, doubled with each attempt
+COUNTERS = ("versions", "notified", "answered", "given up", "transfers", "passed")
 
 Address = tuple[str, int]
 
@@ -68,14 +69,7 @@
         self.made_at = -1e9  # loop time of the last version
         self.waiting: dict[Address, PendingNotify] = {}
         self.published_change_count = -1  # the answers' count of changes at the last version
-        self.counts = {
-            "versions": 0,
-            "notified": 0,
-            "answered": 0,
-            "given up": 0,
-            "transfers": 0,
-            "passed": 0,
-        }
+        self.counts = dict.fromkeys(COUNTERS, 0)
         answers.transfer = self.transfer
 
     async def open(self, address: str) -> None:
--- a/peatlead/dns/zone.py
+++ b/peatlead/dns/zone.py
@@ -5,45 +5,29 @@
 records that differ from the version before, and a digest of the whole as a ZONEMD record (RFC
 8976, SIMPLE scheme, SHA-384), so that a receiver can check what it got.
 
-Each controller issues only serials with a remainder of its own, modulo a power of two, so that no
-two controllers ever give one serial to different zones, and a difference is never applied to a
-base that another controller made. When a secondary is ahead (this controller was restored from a
-backup, or the secondary followed another one), the next serial is the first own one after the
-secondary's.
+When a secondary is ahead (this controller was restored from a backup, or the secondary followed
+another one), the next serial is the first own one after the secondary's.
 """
 
-import struct
-from bisect import bisect_left, insort
 from collections import deque
 from collections.abc import Callable, Iterable
-from hashlib import sha384
 from typing import NamedTuple
 
 import dns.name
-import dns.rdata
-import dns.rdataclass
-import dns.rdatatype
 
-SERIAL_MODULUS = 1 << 32
+from .canonical_zone import APEX, CanonicalZone, ZoneRecord
+from .serials import Serials, newer
+
+__all__ = ["APEX", "Delta", "Difference", "Serials", "ZoneHistory", "ZoneRecord", "newer"]
+
 MAX_DELTAS = 500  # stored: past this, the oldest is dropped
 MAX_DELTA_RECORDS = 50_000  # in all stored deltas together: past this, the oldest is dropped
-MAX_CACHED_ROWS = 4 * MAX_DELTA_RECORDS
-APEX = "@"
 APEX_LIFETIME = 60  # seconds that the SOA and ZONEMD records may be cached
 ZONEMD_PARAMETERS = "1 1"  # scheme SIMPLE, hash SHA-384 (RFC 8976 section 5)
 SOA = "SOA"
 ZONEMD = "ZONEMD"
 
 
-class ZoneRecord(NamedTuple):
-    """One resource record in text form."""
-
-    name: str  # relative to the zone's origin
-    lifetime: int  # seconds
-    rtype: str
-    text: str
-
-
 class Delta(NamedTuple):
     """What the version after `serial` changed."""
 
@@ -59,52 +43,6 @@
     added: set[ZoneRecord]
 
 
-class SortKey(NamedTuple):
-    """Sorts records in canonical order (RFC 4034 section 6)."""
-
-    labels: tuple[bytes, ...]  # lower case, from the right
-    rtype: int
-    rdata: bytes
-
-
-class CanonicalRow(NamedTuple):
-    """A record in canonical form."""
-
-    key: SortKey
-    wire: bytes
-
-
-def newer(serial: int, other: int) -> bool:
-    """Return whether a serial is past another (RFC 1982 section 3.2).
-
-    At a distance of 2^31 neither is.
-    """
-    return 0 < (serial - other) % SERIAL_MODULUS < SERIAL_MODULUS // 2
-
-
-class Serials:
-    """The serials that controller number `index` of `many` may issue.
-
-    They are `index` modulo the next power of two, and never 0.
-    """
-
-    def __init__(self, index: int, many: int) -> None:
-        self.step = 1
-        while self.step < many:
-            self.step *= 2
-        self.index = index
-
-    def next_after(self, serial: int) -> int:
-        """Return the first own serial past another."""
-        distance = self.step - (serial - self.index) % self.step
-        following = (serial + distance) % SERIAL_MODULUS
-        return following or self.next_after(following)
-
-    def is_own(self, serial: int) -> bool:
-        """Return whether this controller may have issued a serial."""
-        return serial % self.step == self.index
-
-
 class ZoneHistory:
     """The zone's current version, and the differences from earlier ones.
 
@@ -204,48 +142,3 @@
         self.delta_record_count = 0
         self.replace(self.content, self.serials.next_after(serial))
         return True
-
-
-class CanonicalZone:
-    """A zone's records in canonical order and form (RFC 4034 section 6), updated incrementally.
-
-    A version costs its own records and one pass of the hash over ready bytes; dnspython's own
-    digest takes 0.1 ms for each record each time.
-    """
-
-    def __init__(self, origin: dns.name.Name) -> None:
-        self.origin = origin
-        self.rows: list[CanonicalRow] = []  # sorted
-        self.cached_rows: dict[ZoneRecord, CanonicalRow] = {}
-
-    def row(self, record: ZoneRecord) -> CanonicalRow:
-        """Return a record in canonical form."""
-        row = self.cached_rows.get(record)
-        if row is None:
-            if len(self.cached_rows) > MAX_CACHED_ROWS:
-                self.cached_rows.clear()
-            row = self.cached_rows[record] = self.make_row(record)
-        return row
-
-    def make_row(self, record: ZoneRecord) -> CanonicalRow:
-        """Convert a record to canonical form."""
-        name, lifetime, rtype_text, text = record
-        owner = self.origin if name == APEX else dns.name.from_text(name, self.origin)
-        rtype = dns.rdatatype.from_text(rtype_text)
-        rdata = dns.rdata.from_text("IN", rtype, text, self.origin, False)
-        data = rdata.to_digestable(self.origin)
-        fixed_fields = struct.pack(">HHIH", rtype, dns.rdataclass.IN, lifetime, len(data))
-        labels = tuple(label.lower() for label in reversed(owner.labels))
-        wire = owner.to_digestable() + fixed_fields + data
-        return CanonicalRow(SortKey(labels, rtype, data), wire)
-
-    def change(self, removed: Iterable[ZoneRecord], added: Iterable[ZoneRecord]) -> None:
-        """Remove and add records."""
-        for record in removed:
-            del self.rows[bisect_left(self.rows, self.row(record))]
-        for record in added:
-            insort(self.rows, self.row(record))
-
-    def digest(self) -> str:
-        """Return SHA-384 over all records (RFC 8976 section 3.3.1) in hexadecimal."""
-        return sha384(b"".join(row.wire for row in self.rows)).hexdigest()
--- a/peatlead/dns/zone_contents.py
+++ b/peatlead/dns/zone_contents.py
@@ -8,6 +8,7 @@
 
 from .answer_order import srv_weights
 from .records import FAMILIES, Section, add_record, address_rtype
+from .service_names import PROTOCOL_LABEL
 from .zone import APEX, ZoneRecord
 
 if TYPE_CHECKING:
@@ -81,6 +82,26 @@
             add_record(answer, name, answers.lifetime, rtype, endpoint_address)
 
 
+def add_srv_records(
+    answers: "Answers",
+    source: "AnswerSource",
+    answer: Section,
+    additional: Section,
+    name: dns.name.Name,
+) -> None:
+    """Add an SRV record for each endpoint of a table, and the endpoints' addresses."""
+    addresses = []
+    hosts_label = answers.settings["hosts_label"].encode()
+    for endpoint, weight in sorted(srv_weights(source.weighed).items()):
+        endpoint_label = answers.endpoints[endpoint].name.encode()
+        target = dns.name.Name((endpoint_label, hosts_label, *answers.zone.labels))
+        value = f"0 {weight} {answers.settings['port']} {target}"
+        add_record(answer, name, answers.lifetime, "SRV", value)
+        addresses += [(target, *text) for text in answers.endpoints[endpoint].texts()]
+    for target, rtype, address in addresses:
+        add_record(additional, target, answers.lifetime, rtype, address)
+
+
 def zone_records(answers: "Answers") -> set[ZoneRecord]:
     """Return all that a secondary can hold: the views' names, and the endpoints'."""
     zone = answers.zone.to_text()
@@ -113,7 +134,7 @@
     for endpoint in source.lines:
         for text in answers.endpoints[endpoint].texts():
             yield ZoneRecord(name, lifetime, *text)
-    srv_name = f"{answers.settings['service_label']}._tcp.{name}"
+    srv_name = f"{answers.settings['service_label']}.{PROTOCOL_LABEL}.{name}"
     port = answers.settings["port"]
     domain = f"{answers.settings['hosts_label']}.{answers.zone.to_text()}"
     for endpoint, weight in srv_weights(source.weighed).items():
