--- a/peatlead/tables/__init__.py
+++ b/peatlead/tables/__init__.py
@@ -1,1 +1,1 @@
-"""Versioned tables: what was published to whom, why, and the way back."""
+"""Versioned tables: what each proxy was published, on disk too, and pins to past versions."""
--- a/peatlead/tables/change_causes.py
+++ b/peatlead/tables/change_causes.py
@@ -1,7 +1,8 @@
 """Why a version is as it is, in operators' words. Pure.
 
-A planner's orders say what, not why; what happened to a host lately says why. So each host's last news is kept: from
-the list, from the planner's own log lines, from the steps of its ramp. A line that changes bears that news.
+A planner's orders say what, not why; what happened to a host lately says why. So each host's last
+news is kept: from the list, from the planner's own log lines, from the steps of its ramp. A line
+that changes bears that news.
 """
 
 CAUSES_MOST = 6  # told of one version
--- a/peatlead/tables/guard.py
+++ b/peatlead/tables/guard.py
@@ -1,14 +1,14 @@
 """What a pinned table may be now. Pure: facts in, lines out.
 
-A table of the past is a wish: hosts that drain, went, were dropped or started since are as they are now. Beside
-what it takes out, the guard only fills, from the table that the planner wants now:
-
- 1. shut    a host that is withdrawn, not listed ready, or that the planner names in no table at all, is not revived
- 2. cold    a host that still ramps keeps what the planner's own table for this proxy gives it, and never a greater
-            part of the table than there: the sum over proxies is then no more than was planned
- 3. fill    less than KEEP_LEAST of the wished weight left would press a whole proxy's reqs on few hosts: the
-            planner's lines come in beside
- 4. bare    nothing left: the planner's table, whole
+A table of the past is a wish: hosts that drain, went, were dropped or started since are as they
+are now. Beside what it takes out, the guard only fills, from the table that the planner wants now:
+
+1. shut    a host that is withdrawn, not listed ready, or that the planner names in no table at
+all, is not revived 2. cold    a host that still ramps keeps what the planner's own table for this
+proxy gives it, and never a greater part of the table than there: the sum over proxies is then no
+more than was planned 3. fill    less than KEEP_LEAST of the wished weight left would press a whole
+proxy's reqs on few hosts: the planner's lines come in beside 4. bare    nothing left: the
+planner's table, whole
 
 One entry point: `guard(wish, wanted, facts) -> Guarded`.
 """
--- a/peatlead/tables/history.py
+++ b/peatlead/tables/history.py
@@ -1,236 +1,187 @@
-"""What each proxy was published, version by version. Pure: time is handed in.
+"""All proxies' histories, within bounds. Time is an argument; nothing is read or written.
 
-A version keeps what it changed: each item's value before and after. The newest state stands whole; an older
-one is found by going back from it. So a version costs its own changes, nothing has to be kept for the oldest,
-and dropping the oldest is dropping it. Tables are a dozen lines and changes one or two: `peatlead.benchmarks.tables`
-holds this against plain copies.
-
-Bounded by count for each proxy and in all, by age and by bytes. What is dropped first: the oldest version of all
-proxies alike; never a proxy's newest state while the proxy counts; of proxies that have gone, the ones gone for
-longest, once there are more than `names_most`.
+Entries are bounded by number for each proxy and in all, by age and by memory. The oldest entry of
+all proxies is dropped first, never a connected proxy's newest state. Of disconnected proxies the
+one that left first is forgotten first, once there are more than `proxies_max` in all.
 """
 
 from collections import OrderedDict, deque
+from collections.abc import Iterable, Iterator, Mapping
 from itertools import chain
-from typing import NamedTuple
-
-from .version import NONE, Digest, Version, changes
-
-ENTRY_BYTES, CHANGE_BYTES = 260, 88  # of memory, about: a version's own, and each change of it
-
-
-class HistoryEntry(NamedTuple):
-    """One version: `at` by the wall clock, for operators alone; `moved` is ((key, before, after), ...)."""
-
-    version: Version
-    at: float
-    causes: tuple
-    moved: tuple
-    digest: str
-
-    @property
-    def size(self):
-        return ENTRY_BYTES + CHANGE_BYTES * len(self.moved)
+from typing import NamedTuple, Optional
 
+from .digest import Digest
+from .errors import UnknownVersionError
+from .items import ItemValue
+from .proxy_history import History, HistoryEntry
+from .version import Version
 
-class UnknownVersionError(Exception):
-    """A version that is not kept: it never was, or it has been dropped."""
+__all__ = ["History", "HistoryEntry", "Store", "StoredEntry", "UnknownVersionError"]
 
+COMPACTION_SLACK = 1000  # references to dropped entries that never trigger a compaction
 
-class History:
-    """One proxy's versions, newest last."""
 
-    __slots__ = ("items", "entries", "digest", "last", "base")
-
-    def __init__(self):
-        self.items, self.entries, self.digest = {}, deque(), Digest()
-        self.last = NONE  # the newest version, kept or not
-        self.base = NONE  # the version before the oldest that is kept: the farthest way back
-
-    def commit(self, version, at, causes, moved):
-        """`moved`: {key: value or None}. Returns the Entry. A version never goes back: raises ValueError."""
-        if version <= self.last:
-            raise ValueError(f"expected a version past {self.last}, got {version}")
-        real = []
-        for key, new in moved.items():
-            old = self.items.get(key)
-            if old == new:
-                continue
-            real.append((key, old, new))
-            self.digest.moved(key, old, new)
-            if new is None:
-                del self.items[key]
-            else:
-                self.items[key] = new
-        entry = HistoryEntry(version, at, tuple(causes), tuple(real), str(self.digest))
-        self.entries.append(entry)
-        self.last = version
-        return entry
-
-    def drop_oldest(self):
-        entry = self.entries.popleft()
-        self.base = entry.version
-        return entry
+class StoredEntry(NamedTuple):
+    """An entry and whose it is."""
 
-    def at_version(self, version):
-        """{key: value} as it stood then. Raises Unknown."""
-        if version == self.last:
-            return dict(self.items)
-        if version != self.base and all(entry.version != version for entry in self.entries):
-            raise UnknownVersionError(str(version))
-        found = dict(self.items)
-        for entry in reversed(self.entries):
-            if entry.version == version:
-                break
-            undo(found, entry)
-        return found
-
-    def at_time(self, when):
-        """(Version, items) of what stood at `when`, by the stamps that versions bear; where clocks stepped, the
-        last version that bears no later stamp. Raises Unknown where that is not kept any more."""
-        found = dict(self.items)
-        for entry in reversed(self.entries):
-            if entry.at <= when:
-                return entry.version, found
-            undo(found, entry)
-        raise UnknownVersionError(f"nothing of {when:.3f} is kept")
-
-    def diff(self, one, other):
-        """({key: (value, value)}) of what differs between two versions. Raises Unknown."""
-        before, after = self.at_version(one), self.at_version(other)
-        return {key: (before.get(key), after.get(key)) for key in sorted(changes(before, after))}
-
-    def digest_at(self, version):
-        """The digest as hex, told of a version that is kept; None of others."""
-        return next((entry.digest for entry in self.entries if entry.version == version), None)
-
-
-def undo(items, entry):
-    for key, before, _ in entry.moved:
-        if before is None:
-            items.pop(key, None)
-        else:
-            items[key] = before
+    name: str
+    entry: HistoryEntry
 
 
 class Store:
-    """All proxies' histories, and the bounds. `each_most` versions of one proxy, `most` of all, `bytes_most` about,
-    `age_most` seconds, `names_most` proxies."""
+    """The histories of all proxies by name, with their bounds.
+
+    Bounds: `versions_per_proxy` and `versions_max` entries, `bytes_max` of memory approximately,
+    `age_most` seconds, `proxies_max` histories.
+    """
 
     def __init__(
-        self, each_most=256, most=100_000, bytes_most=64 << 20, age_most=86_400.0, names_most=5000
-    ):
-        self.each_most, self.most, self.bytes_most = each_most, most, bytes_most
-        self.age_most, self.names_most = age_most, names_most
-        self.histories, self.gone = {}, OrderedDict()
-        self.order = (
-            deque()
-        )  # (name, version), oldest first; what was dropped out of turn is skipped
-        self.many, self.size, self.dropped = 0, 0, 0
-
-    def history(self, name):
+        self,
+        versions_per_proxy: int = 256,
+        versions_max: int = 100_000,
+        bytes_max: int = 64 << 20,
+        age_most: float = 86_400.0,
+        proxies_max: int = 5000,
+    ) -> None:
+        self.versions_per_proxy = versions_per_proxy
+        self.versions_max = versions_max
+        self.bytes_max = bytes_max
+        self.age_most = age_most
+        self.proxies_max = proxies_max
+        self.histories: dict[str, History] = {}
+        self.gone: OrderedDict[str, bool] = OrderedDict()  # disconnected proxies, first left first
+        # (name, version) of all entries, oldest first; also of those that were dropped out of turn.
+        self.order: deque[tuple[str, Version]] = deque()
+        self.many = 0  # entries
+        self.size = 0  # bytes of memory, approximately
+        self.dropped = 0  # entries dropped since the start
+
+    def history(self, name: str) -> History:
+        """Return a connected proxy's history, new where there is none."""
         self.gone.pop(name, None)
-        made = self.histories.get(name)
-        if made is None:
-            made = self.histories[name] = History()
-            self.bound_names()
-        return made
-
-    def left(self, name):
-        """A proxy has gone: its history stays for a while."""
+        history = self.histories.get(name)
+        if history is None:
+            history = self.histories[name] = History()
+            self._bound_proxies()
+        return history
+
+    def left(self, name: str) -> None:
+        """Mark a proxy as disconnected: its history stays until others need the place."""
         if name in self.histories:
             self.gone[name] = True
             self.gone.move_to_end(name)
 
-    def commit(self, name, version, at, causes, moved):
+    def commit(
+        self,
+        name: str,
+        version: Version,
+        at: float,
+        causes: Iterable[str],
+        moved: Mapping[str, Optional[ItemValue]],
+    ) -> HistoryEntry:
+        """Add a proxy's version and drop what exceeds the bounds. Raises VersionOrderError."""
         history = self.history(name)
         entry = history.commit(version, at, causes, moved)
         self.order.append((name, version))
         self.many += 1
         self.size += entry.size
-        if len(history.entries) > self.each_most:
-            self.forget(history)
-        self.bound(at)
-        self.compact()
+        if len(history.entries) > self.versions_per_proxy:
+            self._drop_oldest(history)
+        self._bound_entries(at)
+        self._compact()
         return entry
 
-    def restart(self, name, version, items):
-        """A history that begins at a state: what led to it is not known."""
+    def restart(self, name: str, version: Version, items: Mapping[str, ItemValue]) -> None:
+        """Begin a proxy's history anew at a state whose previous versions are not known."""
         history = self.history(name)
         while history.entries:
-            self.forget(history)
-        history.items, history.digest = dict(items), Digest(items)
-        history.last = history.base = version
-
-    def reaches(self, name, version):
-        """Whether a version is kept, or anything of that proxy from before it."""
+            self._drop_oldest(history)
+        history.items = dict(items)
+        history.digest = Digest(items)
+        history.last = version
+        history.base = version
+
+    def reaches(self, name: str, version: Version) -> bool:
+        """Return whether an entry of that version, or of an older one of that proxy, is stored."""
         history = self.histories.get(name)
         return bool(history and history.entries and history.entries[0].version <= version)
 
-    def drop_up_to(self, name, version):
+    def drop_up_to(self, name: str, version: Version) -> None:
+        """Drop a proxy's entries up to a version."""
         history = self.histories.get(name)
         while history and history.entries and history.entries[0].version <= version:
-            self.forget(history)
+            self._drop_oldest(history)
+
+    def between(
+        self, since: float = 0.0, until: float = float("inf"), name: Optional[str] = None
+    ) -> list[StoredEntry]:
+        """Return entries of a span of wall-clock time, in order of publication."""
+        remaining: dict[str, Iterator[HistoryEntry]] = {
+            proxy: iter(history.entries) for proxy, history in self.histories.items()
+        }
+        selected = []
+        for proxy, version in self.order:
+            if proxy not in remaining or name not in (None, proxy):
+                continue
+            entry = next((one for one in remaining[proxy] if one.version >= version), None)
+            if entry is not None and entry.version > version:  # this one was dropped out of turn
+                remaining[proxy] = chain((entry,), remaining[proxy])
+            elif entry is not None and since <= entry.at <= until:
+                selected.append(StoredEntry(proxy, entry))
+        return selected
 
-    def forget(self, history):
+    def _drop_oldest(self, history: History) -> None:
         entry = history.drop_oldest()
         self.many -= 1
         self.size -= entry.size
         self.dropped += 1
 
-    def bound(self, now):
-        """A clock that was set back makes nothing old; the other bounds go on holding."""
-        while self.order and (
-            self.stale()
-            or self.many > self.most
-            or self.size > self.bytes_most
-            or self.oldest().at < now - self.age_most
-        ):
+    def _bound_entries(self, now: float) -> None:
+        """Drop entries past the bounds.
+
+        With a clock that was set back no entry is too old; the other bounds still hold.
+        """
+        while self.order and self._oldest_is_due(now):
             name, version = self.order.popleft()
             history = self.histories.get(name)
             if history and history.entries and history.entries[0].version == version:
-                self.forget(history)
-
-    def stale(self):
-        """Whether the oldest in turn has been dropped already."""
-        return self.oldest() is None
-
-    def oldest(self):
+                self._drop_oldest(history)
+
+    def _oldest_is_due(self, now: float) -> bool:
+        """Return whether the oldest reference should go: past the bounds, or dropped before."""
+        oldest = self._oldest()
+        return (
+            oldest is None
+            or self.many > self.versions_max
+            or self.size > self.bytes_max
+            or oldest.at < now - self.age_most
+        )
+
+    def _oldest(self) -> Optional[HistoryEntry]:
         name, version = self.order[0]
         history = self.histories.get(name)
         if history and history.entries and history.entries[0].version == version:
             return history.entries[0]
         return None
 
-    def bound_names(self):
-        while len(self.histories) > self.names_most and self.gone:
+    def _bound_proxies(self) -> None:
+        while len(self.histories) > self.proxies_max and self.gone:
             name, _ = self.gone.popitem(last=False)
             history = self.histories.pop(name)
             while history.entries:
-                self.forget(history)
-
-    def compact(self):
-        """What was dropped out of turn must not pile up behind one old version that still stands."""
-        if len(self.order) > 2 * self.many + 1000:
-            kept = {
-                name: {entry.version for entry in one.entries}
-                for name, one in self.histories.items()
-            }
-            self.order = deque(
-                (name, version) for name, version in self.order if version in kept.get(name, ())
-            )
-
-    def between(self, since=0.0, until=float("inf"), name=None):
-        """[(name, Entry)] in order of publishing, for the operators' log."""
-        found, ahead = [], {one: iter(history.entries) for one, history in self.histories.items()}
-        for one, version in self.order:
-            if one not in ahead or name not in (None, one):
-                continue
-            entry = next(ahead[one], None)
-            while entry is not None and entry.version < version:
-                entry = next(ahead[one], None)
-            if entry is not None and entry.version > version:  # this one was dropped out of turn
-                ahead[one] = chain((entry,), ahead[one])
-            elif entry is not None and since <= entry.at <= until:
-                found.append((one, entry))
-        return found
+                self._drop_oldest(history)
+
+    def _compact(self) -> None:
+        """Remove references to dropped entries.
+
+        They would pile up behind one old entry that is still stored.
+        """
+        if len(self.order) <= 2 * self.many + COMPACTION_SLACK:
+            return
+        stored = {
+            name: {entry.version for entry in history.entries}
+            for name, history in self.histories.items()
+        }
+        self.order = deque(
+            (name, version) for name, version in self.order if version in stored.get(name, ())
+        )
--- /dev/null
+++ b/peatlead/tables/log_reader.py
@@ -0,0 +1,60 @@
+"""Reads the segments of a tables' log from its folder."""
+
+from pathlib import Path
+from typing import NamedTuple
+
+from .history import Store
+from .log_records import Segment, read_segment
+from .log_recovery import LogRecovery
+from .version import Version
+
+
+class ReadProblem(NamedTuple):
+    """What was wrong in a file of the log."""
+
+    file: str
+    reason: str
+
+
+class LogReader:
+    """Reads all segments into a store and a map of notes, oldest first."""
+
+    def __init__(self, folder: Path, store: Store, notes: dict[str, bytes]) -> None:
+        self.newest = 0  # number of the newest segment, 0 for none
+        self.sizes: dict[int, int] = {}  # number -> intact bytes
+        self.published: dict[int, dict[str, Version]] = {}  # number -> newest versions in it
+        self.problems: list[ReadProblem] = []
+        self._folder = folder
+        self._recovery = LogRecovery(store, notes)
+
+    def read(self) -> None:
+        """Read what can be read; everything else goes into `problems`."""
+        try:
+            paths = sorted(self._folder.glob("*.log"))
+        except OSError as error:
+            self.problems.append(ReadProblem(str(self._folder), str(error)))
+            return
+        for path in paths:
+            if path.stem.isdigit():
+                self._read_file(path)
+
+    def _read_file(self, path: Path) -> None:
+        try:
+            segment = read_segment(path.read_bytes())
+        except OSError as error:
+            self.problems.append(ReadProblem(path.name, str(error)))
+            return
+        number = int(path.stem)
+        self.newest = max(self.newest, number)
+        if segment.damage:
+            self.problems.append(ReadProblem(path.name, segment.damage))
+        if segment.intact_bytes:  # else another format or release: the file is not touched
+            self._apply(path.name, number, segment)
+
+    def _apply(self, file: str, number: int, segment: Segment) -> None:
+        self.sizes[number] = segment.intact_bytes
+        published = self.published[number] = {}
+        for record in segment.records:
+            problem = self._recovery.apply(record, published)
+            if problem:
+                self.problems.append(ReadProblem(file, problem))
--- a/peatlead/tables/log_records.py
+++ b/peatlead/tables/log_records.py
@@ -1,37 +1,45 @@
-"""The records of the tables' log, and their framing. Pure: bytes in, records out.
+"""The records of the tables' log and their framing. Bytes in, records out; no I/O.
 
-A segment is a line `peatlead-tables FORMAT`, then frames: 4 bytes of length, 8 bytes of hash, and that many bytes
-of one zstandard stream (flushed at each frame), which holds msgpack lists of records. A frame's hash covers the
-frame before it too: none can be lost, doubled, or moved here from elsewhere unseen. What does not check out ends
-the segment: a reader takes all before it and says where and why.
+A segment is a line `peatlead-tables FORMAT` and then frames: 4 bytes of length (big-endian), 8
+bytes of checksum and that many bytes of one zstandard stream, flushed at each frame, which holds
+msgpack lists of records. A frame's checksum also covers the checksum before it, so that frames
+that are missing, repeated or from another segment are detected. Reading ends at the first frame
+that is not intact.
 
-Each segment begins with a snapshot of every proxy, so that it can be read with no other; those before it hold the
-way back.
+Each segment begins with a snapshot of every proxy and can be read without the others; older
+segments hold the previous versions.
 """
 
 import struct
+from collections.abc import Sequence
 from typing import NamedTuple, Optional, Union
 
 import msgspec
 import zstandard
 from blake3 import blake3
 
+from .errors import SegmentError
+
 FORMAT = 1
 HEAD = b"peatlead-tables %d\n"
-FRAME = struct.Struct(">I8s")
-FRAME_MOST = 16 << 20  # bytes: a longer one is a length that was flipped
-INFLATED_MOST = 256 << 20
+HEAD_WORD = HEAD.split()[0]
+HEAD_BYTES_MAX = 64  # a first line that is longer is none of ours
+FRAME = struct.Struct(">I8s")  # length, checksum
+CHECKSUM_BYTES = 8
+FRAME_BYTES_MAX = 16 << 20  # a longer frame is a damaged length
+INFLATED_BYTES_MAX = 256 << 20  # of a whole segment
+COMPRESSION_LEVEL = 3
 
 
 class PublishedRecord(msgspec.Struct, array_like=True, tag="p"):
-    """One version; `moved`: {key: value, or None where it went}."""
+    """One version: `changes` maps keys to new values, or to None where the item was removed."""
 
     name: str
     epoch: int
     serial: int
     at: float
     causes: list[str]
-    moved: dict[str, Union[int, str, None]]
+    changes: dict[str, Union[int, str, None]]
 
 
 class SnapshotRecord(msgspec.Struct, array_like=True, tag="w"):
@@ -44,85 +52,122 @@
 
 
 class RemovedRecord(msgspec.Struct, array_like=True, tag="g"):
+    """A proxy that has disconnected."""
+
     name: str
 
 
 class NoteRecord(msgspec.Struct, array_like=True, tag="n"):
-    """Anything small that must outlive a restart, by a key: the newest counts. `value` None: no more."""
+    """A small value that must survive a restart: the newest of a key counts, None removes it."""
 
     key: str
     value: Optional[bytes]
 
 
-RECORDS = msgspec.msgpack.Decoder(
-    list[Union[PublishedRecord, SnapshotRecord, RemovedRecord, NoteRecord]]
-)
+Record = Union[PublishedRecord, SnapshotRecord, RemovedRecord, NoteRecord]
+RECORDS = msgspec.msgpack.Decoder(list[Record])
 ENCODER = msgspec.msgpack.Encoder()
 
 
 class RecordFramer:
-    """Records to bytes, one segment."""
+    """Turns the records of one segment into bytes."""
 
-    def __init__(self):
-        self.zip, self.chain = zstandard.ZstdCompressor(level=3).compressobj(), b""
+    def __init__(self) -> None:
+        self._compressor = zstandard.ZstdCompressor(level=COMPRESSION_LEVEL).compressobj()
+        self._checksum = b""  # of the previous frame
 
-    def head(self):
+    def head(self) -> bytes:
+        """Return the segment's first line."""
         return HEAD % FORMAT
 
-    def frame(self, records):
-        body = self.zip.compress(ENCODER.encode(records)) + self.zip.flush(
-            zstandard.COMPRESSOBJ_FLUSH_BLOCK
-        )
-        self.chain = blake3(self.chain + body).digest(8)
-        return FRAME.pack(len(body), self.chain) + body
+    def frame(self, records: Sequence[Record]) -> bytes:
+        """Return the next frame, which holds these records."""
+        body = self._compressor.compress(ENCODER.encode(records))
+        body += self._compressor.flush(zstandard.COMPRESSOBJ_FLUSH_BLOCK)
+        self._checksum = blake3(self._checksum + body).digest(CHECKSUM_BYTES)
+        return FRAME.pack(len(body), self._checksum) + body
 
 
 class Segment(NamedTuple):
-    """`sound`: bytes up to the end of the last frame that checks out; `why`: what ended it, or ""."""
-
-    records: list
-    sound: int
-    why: str
-
-
-def read_segment(data):
-    """A Segment of a file's bytes, whatever they are."""
-    end = data.find(b"\n", 0, 64)
-    head = data[: end + 1]
-    if head != HEAD % FORMAT:
-        words = head.split()
-        if len(words) == 2 and words[0] == b"peatlead-tables" and words[1].isdigit():
-            return Segment([], 0, f"format {int(words[1])}: expected {FORMAT}")
-        return Segment([], 0, "not a log of tables")
-    unzip, chain, records, at = zstandard.ZstdDecompressor().decompressobj(), b"", [], len(head)
-    inflated = 0
-    while at < len(data):
-        if len(data) - at < FRAME.size:
-            return Segment(records, at, f"torn in a frame's head at byte {at}")
-        size, told = FRAME.unpack_from(data, at)
-        body = data[at + FRAME.size : at + FRAME.size + size]
-        if size > FRAME_MOST:
-            return Segment(
-                records,
-                at,
-                f"a frame of {size} bytes at byte {at}: the length is not to be believed",
-            )
+    """The intact records of a segment.
+
+    `intact_bytes` is the end of its last intact frame; `damage` says what ended the reading, "" at
+    the end of data.
+    """
+
+    records: list[Record]
+    intact_bytes: int
+    damage: str
+
+
+def read_segment(data: bytes) -> Segment:
+    """Read a segment from arbitrary bytes."""
+    try:
+        start = _check_head(data)
+    except SegmentError as error:
+        return Segment([], 0, str(error))
+    reader = _FrameReader(data, start)
+    records: list[Record] = []
+    try:
+        while reader.position < len(data):
+            records += reader.read_frame()
+    except SegmentError as error:
+        return Segment(records, reader.position, str(error))
+    return Segment(records, reader.position, "")
+
+
+def _check_head(data: bytes) -> int:
+    """Return where the frames begin. Raises SegmentError where the first line is not ours."""
+    head = data[: data.find(b"\n", 0, HEAD_BYTES_MAX) + 1]
+    if head == HEAD % FORMAT:
+        return len(head)
+    words = head.split()
+    if len(words) == 2 and words[0] == HEAD_WORD and words[1].isdigit():
+        raise SegmentError(f"format {int(words[1])}: expected {FORMAT}")
+    raise SegmentError("not a log of tables")
+
+
+class _FrameReader:
+    """Reads frame after frame; `position` is the end of the last intact one."""
+
+    def __init__(self, data: bytes, position: int) -> None:
+        self.position = position
+        self._data = data
+        self._decompressor = zstandard.ZstdDecompressor().decompressobj()
+        self._checksum = b""  # of the previous frame
+        self._inflated = 0  # bytes so far
+
+    def read_frame(self) -> list[Record]:
+        """Return the next frame's records. Raises SegmentError where it is not intact."""
+        body = self._read_body()
+        records = self._decode(body)
+        self.position += FRAME.size + len(body)
+        return records
+
+    def _read_body(self) -> bytes:
+        at = self.position
+        if len(self._data) - at < FRAME.size:
+            raise SegmentError(f"torn in a frame's head at byte {at}")
+        size, expected = FRAME.unpack_from(self._data, at)
+        if size > FRAME_BYTES_MAX:
+            frame = f"a frame of {size} bytes at byte {at}"
+            raise SegmentError(f"{frame}: the length is not to be believed")
+        body = self._data[at + FRAME.size : at + FRAME.size + size]
         if len(body) < size:
-            return Segment(
-                records, at, f"torn in a frame at byte {at}: {len(body)} of {size} bytes"
-            )
-        chain = blake3(chain + body).digest(8)
-        if chain != told:
-            return Segment(
-                records, at, f"the checksum does not fit at byte {at}: changed, or out of its place"
-            )
+            raise SegmentError(f"torn in a frame at byte {at}: {len(body)} of {size} bytes")
+        self._checksum = blake3(self._checksum + body).digest(CHECKSUM_BYTES)
+        if self._checksum != expected:
+            problem = f"the checksum does not fit at byte {at}"
+            raise SegmentError(f"{problem}: changed, or out of its place")
+        return body
+
+    def _decode(self, body: bytes) -> list[Record]:
+        at = self.position
         try:
-            plain = unzip.decompress(body)
-            inflated += len(plain)
-            if inflated > INFLATED_MOST:
-                return Segment(records, at, f"over {INFLATED_MOST} bytes unpacked at byte {at}")
-            records += RECORDS.decode(plain)
-        except (zstandard.ZstdError, msgspec.MsgspecError) as problem:
-            return Segment(records, at, f"a frame that cannot be read at byte {at}: {problem}")
-        at += FRAME.size + size
-    return Segment(records, at, "")
+            plain = self._decompressor.decompress(body)
+            self._inflated += len(plain)
+            if self._inflated > INFLATED_BYTES_MAX:
+                raise SegmentError(f"over {INFLATED_BYTES_MAX} bytes unpacked at byte {at}")
+            return RECORDS.decode(plain)
+        except (zstandard.ZstdError, msgspec.MsgspecError) as error:
+            raise SegmentError(f"a frame that cannot be read at byte {at}: {error}") from None
--- /dev/null
+++ b/peatlead/tables/log_recovery.py
@@ -0,0 +1,72 @@
+"""Applies the records of a tables' log to a store of histories, oldest first. No I/O."""
+
+from typing import Optional
+
+from .history import Store
+from .items import changes
+from .log_records import NoteRecord, PublishedRecord, Record, RemovedRecord, SnapshotRecord
+from .proxy_history import History
+from .version import Version
+
+GAP_CAUSE = "what led to it was not kept"
+
+
+class LogRecovery:
+    """Applies records to a store and a map of notes."""
+
+    def __init__(self, store: Store, notes: dict[str, bytes]) -> None:
+        self._store = store
+        self._notes = notes
+
+    def apply(self, record: Record, published: dict[str, Version]) -> Optional[str]:
+        """Apply one record; return what about it contradicts the records before, if anything.
+
+        The newest published version of each proxy goes into `published`, which describes the
+        record's segment.
+        """
+        if isinstance(record, NoteRecord):
+            set_note(self._notes, record.key, record.value)
+            return None
+        if isinstance(record, RemovedRecord):
+            self._store.left(record.name)
+            return None
+        version = Version(record.epoch, record.serial)
+        history = self._store.history(record.name)
+        if isinstance(record, SnapshotRecord):
+            return self._apply_snapshot(record, history, version)
+        published[record.name] = version
+        return self._apply_published(record, history, version)
+
+    def _apply_published(
+        self, record: PublishedRecord, history: History, version: Version
+    ) -> Optional[str]:
+        if version <= history.last:
+            return f"{record.name}: {version} after {history.last}"
+        self._store.commit(record.name, version, record.at, record.causes, record.changes)
+        return None
+
+    def _apply_snapshot(
+        self, record: SnapshotRecord, history: History, version: Version
+    ) -> Optional[str]:
+        """Apply a snapshot; one version stands for all that are missing before it."""
+        if version == history.last:
+            if history.items == record.items:
+                return None
+            return f"{record.name}: two states of {version}"
+        if version < history.last:
+            return f"{record.name}: a state of {version} after {history.last}"
+        if not history.last.epoch:
+            self._store.restart(record.name, version, record.items)
+            return None
+        at = history.entries[-1].at if history.entries else 0.0
+        missing = changes(history.items, record.items)
+        self._store.commit(record.name, version, at, (GAP_CAUSE,), missing)
+        return f"{record.name}: what led to {version} was not kept"
+
+
+def set_note(notes: dict[str, bytes], key: str, value: Optional[bytes]) -> None:
+    """Set a note, or remove it where the value is None."""
+    if value is None:
+        notes.pop(key, None)
+    else:
+        notes[key] = value
--- a/peatlead/tables/pins.py
+++ b/peatlead/tables/pins.py
@@ -1,16 +1,19 @@
 """Who is held to a table of the past, since when and until when. Pure: no I/O, no clock.
 
-A pin is an operator's order. It names proxies (one, a zone's, a share of all, all), what they are held to (what they
-hold; what stood some seconds before it was made; one version), and for how long. It reaches them by stages: each
-proxy has its place between 0 and 1 by a hash of pin and name, and the pin has come as far as its age over `over`
-seconds; going back to the planner's tables is staged alike. So the stage needs no memory: after a restart or a
-takeover the same proxies are in.
-
-Pins are told among stewards. Each has a revision that only rises; where two have the same one (two operators at
-once, on two stewards), the one whose text is greater wins, everywhere the same. Of two pins on one proxy the later
-made counts (by stamp, then by id), and the other is shown as covered.
-
-Age is counted by each steward's own clock from what it was told, and the time left likewise: no clocks are compared.
+A pin is an operator's order. It names proxies (one, a zone's, a share of all, all), what they are
+held to (what they hold; what stood some seconds before it was made; one version), and for how
+long. It reaches them by stages: each proxy has its place between 0 and 1 by a hash of pin and
+name, and the pin has come as far as its age over `over` seconds; going back to the planner's
+tables is staged alike. So the stage needs no memory: after a restart or a takeover the same
+proxies are in.
+
+Pins are told among stewards. Each has a revision that only rises; where two have the same one (two
+operators at once, on two stewards), the one whose text is greater wins, everywhere the same. Of
+two pins on one proxy the later made counts (by stamp, then by id), and the other is shown as
+covered.
+
+Age is counted by each steward's own clock from what it was told, and the time left likewise: no
+clocks are compared.
 """
 
 from typing import Optional
@@ -32,8 +35,9 @@
 
 class Pin(msgspec.Struct, frozen=True):
     """`id`: maker and number; `stamp`: later made is greater; `rev`: of this pin; `whom`: "all", "zone", "share" or
-    "proxy" with `which`; `target`: "held", "back" (seconds before it was made) or "version", with `to`;
-    `age`, `left`: seconds, when it was written down; `over`: seconds from first to last proxy; `ended`: seconds since
+    "proxy" with `which`; `target`: "held", "back" (seconds before it was made) or "version", with
+    `to`; `age`, `left`: seconds, when it was written down; `over`: seconds from first to last
+    proxy; `ended`: seconds since
     it ended, or None; `by`: who asked, for others to read."""
 
     id: str
@@ -123,7 +127,8 @@
 
 class Pins:
     """`me`: this steward's name; `start`: a text that no other start of it has had, so that a pin of one that has
-    forgotten its pins is not taken for one that ended (others remember those). `make`, `resume` and `hear` are what
+    forgotten its pins is not taken for one that ended (others remember those). `make`, `resume`
+    and `hear` are what
     may happen; `of(now, name, zone)` is the Held that counts for a proxy, or None."""
 
     def __init__(self, me, start=""):
--- a/peatlead/tables/replica.py
+++ b/peatlead/tables/replica.py
@@ -1,7 +1,8 @@
 """The receiving end of versioned tables: what a proxy holds, and whether a delta may be applied. Pure.
 
-All of a delta or nothing of it: it is laid on a copy, the copy's digest is compared, and only then does it count.
-What does not fit is answered with why, and the sender starts again from what the proxy has or with the whole.
+All of a delta or nothing of it: it is laid on a copy, the copy's digest is compared, and only then
+does it count. What does not fit is answered with why, and the sender starts again from what the
+proxy has or with the whole.
 """
 
 from .version import NONE, PARTS, WHOLE, Digest
--- a/peatlead/tables/table_log.py
+++ b/peatlead/tables/table_log.py
@@ -1,265 +1,237 @@
-"""The tables' log on disk: segments in a folder, written at their ends, read warily.
+"""The tables' log on disk: numbered segments in a folder, read back after a restart.
 
-A process that is killed loses nothing that was written; a machine that dies loses at most what was written since
-the last sync (`sync_every`). A file is never written on after a start: what a crash left at its end is cut off by
-reading, reported, and a new segment begun with all that is known. Where the disk is full or read-only the log says
-so and tries anew every `again` seconds; publishing goes on, and versions say that they are not kept.
+A process that is killed loses nothing that was written; a machine that fails loses at most what
+was written since the last sync (`sync_every` seconds). A file is never appended to after a
+restart: reading cuts off and reports what a crash left at its end, and a new segment begins with a
+snapshot of all that is known. Where the disk is full or read-only the log reports it and retries
+every `again` seconds; publishing goes on, and versions of that time are counted in `lost`.
 """
 
-import os
+import contextlib
+from collections.abc import Iterator
 from pathlib import Path
+from typing import Optional, Protocol, Union
 
+from .history import Store
+from .items import ItemChanges
+from .log_reader import LogReader, ReadProblem
 from .log_records import (
     NoteRecord,
     PublishedRecord,
-    RecordFramer,
+    Record,
     RemovedRecord,
     SnapshotRecord,
-    read_segment,
 )
-from .version import Version, changes
+from .log_recovery import set_note
+from .proxy_history import HistoryEntry
+from .segment_file import SegmentFile
+from .version import Version
 
-SEGMENT_MOST = 2 << 20  # bytes
-SNAPSHOT_PART = 200  # proxies a frame
+SEGMENT_BYTES_MAX = 2 << 20  # past this size a new segment begins
+SNAPSHOTS_PER_FRAME = 200  # proxies
+NO_FOLDER = "no folder is set"
+
+
+class EventLogger(Protocol):
+    """Where operators' log lines go."""
+
+    def __call__(self, event: str, /, **fields: object) -> None:
+        """Log an event with its fields."""
 
 
 class TableLog:
-    """`folder` None keeps nothing. `store`: a Store, filled by `recall()`; `noted`: {key: bytes}."""
-
-    def __init__(self, folder, store, log, sync_every=1.0, again=5.0, disk_most=64 << 20):
-        self.folder, self.store, self.log = folder and Path(folder), store, log
-        self.sync_every, self.again, self.disk_most = sync_every, again, disk_most
-        self.noted, self.waiting, self.file, self.framer = {}, [], None, None
-        self.number, self.written, self.synced_at, self.unsynced = 0, 0, 0.0, False
-        self.segments, self.contents = (
-            {},
-            {},
-        )  # number -> bytes; number -> {name: newest version in it}
-        self.broken, self.retry_at, self.lost = None if folder else "no folder is set", 0.0, 0
-
-    # Reading.
-
-    def recall(self):
-        """Reads all segments, oldest first. Returns [(file, what was wrong)]."""
-        wrong = []
+    """The log of a store's versions and of a few notes.
+
+    The life of one: `recall()`, `start()`, then `publish()`, `left()` and `note()` with a
+    `flush()` at every step, and `close()`. Without a folder nothing is stored.
+    """
+
+    def __init__(
+        self,
+        folder: Union[str, Path, None],
+        store: Store,
+        log: Optional[EventLogger],
+        sync_every: float = 1.0,
+        again: float = 5.0,
+        disk_most: int = 64 << 20,
+    ) -> None:
+        self.folder = Path(folder) if folder else None
+        self.store = store
+        self.sync_every = sync_every  # seconds between syncs
+        self.again = again  # seconds between attempts after a failure
+        self.disk_most = disk_most  # bytes of all segments together
+        self.noted: dict[str, bytes] = {}  # notes that survive restarts
+        self.segment: Optional[SegmentFile] = None
+        self.number = 0  # of the newest segment
+        self.segments: dict[int, int] = {}  # number -> bytes
+        self.broken = None if folder else NO_FOLDER  # why nothing is stored now
+        self.lost = 0  # versions that were not stored one by one
+        self._log_event = log or _discard_event
+        self._waiting: list[Record] = []  # not yet written
+        self._published: dict[int, dict[str, Version]] = {}  # number -> newest versions in it
+        self._synced_at = 0.0
+        self._retry_at = 0.0
+
+    def recall(self) -> list[ReadProblem]:
+        """Read all segments into the store and the notes; return what was wrong in them."""
         if self.folder is None:
-            return wrong
-        try:
-            files = sorted(self.folder.glob("*.log"))
-        except OSError as problem:
-            return [(str(self.folder), str(problem))]
-        for path in files:
-            if not path.stem.isdigit():
-                continue
-            try:
-                segment = read_segment(path.read_bytes())
-            except OSError as problem:
-                wrong.append((path.name, str(problem)))
-                continue
-            number = int(path.stem)
-            self.number = max(self.number, number)
-            if segment.why:
-                wrong.append((path.name, segment.why))
-            if not segment.sound:
-                continue  # not ours, or another release's: left where it is
-            self.segments[number], self.contents[number] = segment.sound, {}
-            for record in segment.records:
-                problem = self.take(record, number)
-                if problem:
-                    wrong.append((path.name, problem))
-        return wrong
-
-    def take(self, record, number):
-        """One record of a sound frame; says what could not be joined to what came before."""
-        store = self.store
-        if type(record) is NoteRecord:
-            if record.value is None:
-                self.noted.pop(record.key, None)
-            else:
-                self.noted[record.key] = record.value
-            return None
-        if type(record) is RemovedRecord:
-            store.left(record.name)
-            return None
-        version = Version(record.epoch, record.serial)
-        history = store.history(record.name)
-        if type(record) is SnapshotRecord:
-            return self.take_whole(record, history, version)
-        self.contents[number][record.name] = version
-        if version <= history.last:
-            return f"{record.name}: {version} after {history.last}"
-        store.commit(record.name, version, record.at, record.causes, record.moved)
-        return None
-
-    def take_whole(self, record, history, version):
-        """Where versions before a snapshot were not kept, one that sums them up bridges the gap."""
-        if history.last == version:
-            return (
-                None if history.items == record.items else f"{record.name}: two states of {version}"
-            )
-        if version < history.last:
-            return f"{record.name}: a state of {version} after {history.last}"
-        if not history.last.epoch:
-            self.store.restart(record.name, version, record.items)
-            return None
-        at = history.entries[-1].at if history.entries else 0.0
-        self.store.commit(
-            record.name,
-            version,
-            at,
-            ("what led to it was not kept",),
-            changes(history.items, record.items),
-        )
-        return f"{record.name}: what led to {version} was not kept"
-
-    # Writing.
+            return []
+        reader = LogReader(self.folder, self.store, self.noted)
+        reader.read()
+        self.number = reader.newest
+        self.segments = reader.sizes
+        self._published = reader.published
+        return reader.problems
+
+    def publish(self, name: str, entry: HistoryEntry) -> None:
+        """Record a version that was committed to the store."""
+        if self.folder is None:
+            return
+        changed: ItemChanges = {key: after for key, _, after in entry.moved}
+        self._record(PublishedRecord(name, *entry.version, entry.at, list(entry.causes), changed))
 
-    def publish(self, name, entry):
-        if self.folder is not None:
-            self.waiting.append(
-                PublishedRecord(
-                    name,
-                    *entry.version,
-                    entry.at,
-                    list(entry.causes),
-                    {key: new for key, _, new in entry.moved},
-                )
-            )
-
-    def left(self, name):
-        if self.folder is not None:
-            self.waiting.append(RemovedRecord(name))
+    def left(self, name: str) -> None:
+        """Record that a proxy has disconnected."""
+        self._record(RemovedRecord(name))
 
-    def note(self, key, value):
+    def note(self, key: str, value: Optional[bytes]) -> None:
+        """Record a note; None removes it."""
         if self.noted.get(key) != value:
-            if value is None:
-                self.noted.pop(key, None)
-            else:
-                self.noted[key] = value
-            if self.folder is not None:
-                self.waiting.append(NoteRecord(key, value))
-
-    def start(self, now):
-        """After `recall()`, before anything is published: a new segment. What fails is told as by `flush`."""
-        if self.folder is not None:
-            try:
-                self.begin()
-                self.prune()
-            except OSError as problem:
-                self.fail(now, problem)
+            set_note(self.noted, key, value)
+            self._record(NoteRecord(key, value))
+
+    def start(self, now: float) -> None:
+        """Begin a new segment, after `recall()` and before anything is published."""
+        if self.folder is None:
+            return
+        try:
+            self._begin_segment(self.folder)
+            self._prune(self.folder)
+        except OSError as error:
+            self._fail(now, error)
 
-    def flush(self, now):
-        """Writes what waits. Called at every step of the steward: never waits, but for the disk itself."""
+    def flush(self, now: float) -> None:
+        """Write what waits. Called at every step of the controller; waits for the disk alone."""
         if self.folder is None:
             return
-        if self.broken is not None and now < self.retry_at:
-            self.lose()
+        if self.broken is not None and now < self._retry_at:
+            self._drop_waiting()
             return
         try:
-            if self.file is None:
-                self.begin()
-            if self.waiting:
-                self.write(self.waiting)
-                for record in self.waiting:
-                    if type(record) is PublishedRecord:
-                        self.contents[self.number][record.name] = Version(
-                            record.epoch, record.serial
-                        )
-                self.waiting = []
-            if self.unsynced and now - self.synced_at >= self.sync_every:
-                os.fsync(self.file.fileno())
-                self.synced_at, self.unsynced = now, False
-            if self.segments[self.number] > SEGMENT_MOST:
+            segment = self.segment or self._begin_segment(self.folder)
+            self._write_waiting(segment)
+            if segment.unsynced and now - self._synced_at >= self.sync_every:
+                segment.sync()
+                self._synced_at = now
+            if segment.size > SEGMENT_BYTES_MAX:
                 self.close()
-                self.begin()  # now, while nothing waits: the snapshot would swallow what does
-                self.prune()
-        except OSError as problem:
-            self.fail(now, problem)
+                # Now, while nothing waits: the snapshot would replace the single versions.
+                self._begin_segment(self.folder)
+                self._prune(self.folder)
+        except OSError as error:
+            self._fail(now, error)
+
+    def close(self) -> None:
+        """Sync and close the segment. Raises OSError."""
+        segment = self.segment
+        self.segment = None
+        if segment is not None:
+            segment.close()
+
+    def _record(self, record: Record) -> None:
+        if self.folder is not None:
+            self._waiting.append(record)
 
-    def fail(self, now, problem):
-        """What is in memory stays; it is written whole once the disk takes it again."""
+    def _write_waiting(self, segment: SegmentFile) -> None:
+        if not self._waiting:
+            return
+        self._write(segment, self._waiting)
+        published = self._published[self.number]
+        for record in self._waiting:
+            if isinstance(record, PublishedRecord):
+                published[record.name] = Version(record.epoch, record.serial)
+        self._waiting = []
+
+    def _write(self, segment: SegmentFile, records: list[Record]) -> None:
+        segment.write_records(records)
+        self.segments[self.number] = segment.size
+
+    def _fail(self, now: float, error: OSError) -> None:
+        """Memory stays as it is: the next segment that can be begun has a snapshot of it."""
+        reason = error.strerror or str(error)
         if self.broken is None:
-            self.log("tables are not kept", why=problem.strerror or str(problem))
-        self.broken, self.retry_at = problem.strerror or str(problem), now + self.again
-        self.lose()
-        try:
+            self._log_event("tables are not kept", why=reason)
+        self.broken = reason
+        self._retry_at = now + self.again
+        self._drop_waiting()
+        with contextlib.suppress(OSError):  # `broken` has the reason already
             self.close()
-        except OSError:
-            self.file = None
 
-    def lose(self):
-        """Not kept one by one any more: the snapshot that begins a segment has their sum."""
-        self.lost += sum(type(one) is PublishedRecord for one in self.waiting)
-        self.waiting = []
+    def _drop_waiting(self) -> None:
+        """Give up single versions: the snapshot that begins the next segment has their sum."""
+        self.lost += sum(isinstance(record, PublishedRecord) for record in self._waiting)
+        self._waiting = []
 
-    def begin(self):
-        """A new segment: what is in reach of the newest state, whole."""
-        self.folder.mkdir(parents=True, exist_ok=True)
+    def _begin_segment(self, folder: Path) -> SegmentFile:
+        """Begin a new segment with a snapshot of the newest state."""
+        folder.mkdir(parents=True, exist_ok=True)
         number = self.number + 1
-        path = self.folder / f"{number:08d}.log"
-        self.framer = RecordFramer()
-        self.file = open(path, "xb", buffering=0)
-        self.number, self.segments[number], self.contents[number] = number, 0, {}
-        self.put(self.framer.head())
-        self.lose()
-        names = list(self.store.histories)
-        for at in range(0, len(names), SNAPSHOT_PART):
-            self.write(
-                [
-                    SnapshotRecord(
-                        name, *self.store.histories[name].last, self.store.histories[name].items
-                    )
-                    for name in names[at : at + SNAPSHOT_PART]
-                ]
-            )
-        self.write(
-            [
-                *(NoteRecord(key, value) for key, value in sorted(self.noted.items())),
-                *(RemovedRecord(name) for name in self.store.gone),
-            ]
-        )
+        segment = self.segment = SegmentFile(_segment_path(folder, number))
+        self.number = number
+        self.segments[number] = 0
+        self._published[number] = {}
+        segment.write_head()
+        self._drop_waiting()
+        for records in self._snapshot():
+            self._write(segment, records)
         if self.broken is not None:
-            self.log("tables are kept again", lost=self.lost)
+            self._log_event("tables are kept again", lost=self.lost)
             self.broken = None
+        return segment
+
+    def _snapshot(self) -> Iterator[list[Record]]:
+        """Yield the records of each frame: all states, then notes and disconnected proxies."""
+        histories = list(self.store.histories.items())
+        for start in range(0, len(histories), SNAPSHOTS_PER_FRAME):
+            yield [
+                SnapshotRecord(name, *history.last, history.items)
+                for name, history in histories[start : start + SNAPSHOTS_PER_FRAME]
+            ]
+        yield [
+            *(NoteRecord(key, value) for key, value in sorted(self.noted.items())),
+            *(RemovedRecord(name) for name in self.store.gone),
+        ]
 
-    def write(self, records):
-        self.put(self.framer.frame(records))
-
-    def put(self, data):
-        """All of it, or OSError: a short write leaves a torn end, which the reader cuts."""
-        view = memoryview(data)
-        while view:
-            done = self.file.write(view)
-            view = view[done:]
-        self.segments[self.number] += len(data)
-        self.written += len(data)
-        self.unsynced = True
-
-    def close(self):
-        if self.file is not None:
-            file, self.file = self.file, None
-            try:
-                os.fsync(file.fileno())
-                self.unsynced = False
-            finally:
-                file.close()
+    def _prune(self, folder: Path) -> None:
+        """Remove the oldest segments that no stored version needs.
 
-    def prune(self):
-        """Oldest first, those that no version in reach needs; where the disk's bound is passed, versions go first."""
+        Past the disk bound their versions are dropped first.
+        """
         while len(self.segments) > 1:
             oldest = min(self.segments)
-            over = sum(self.segments.values()) > self.disk_most
-            if over:
-                for name, version in self.contents[oldest].items():
+            if sum(self.segments.values()) > self.disk_most:
+                for name, version in self._published[oldest].items():
                     self.store.drop_up_to(name, version)
-            needed = any(
-                self.store.reaches(name, version) for name, version in self.contents[oldest].items()
-            )
-            if needed or oldest == self.number:
+            if oldest == self.number or self._is_needed(oldest):
                 return
             try:
-                (self.folder / f"{oldest:08d}.log").unlink()
-            except OSError as problem:
-                self.log("old tables not removed", why=problem.strerror)
+                _segment_path(folder, oldest).unlink()
+            except OSError as error:
+                self._log_event("old tables not removed", why=error.strerror)
                 return
-            del self.segments[oldest], self.contents[oldest]
+            del self.segments[oldest]
+            del self._published[oldest]
+
+    def _is_needed(self, number: int) -> bool:
+        """Return whether the store still has a version of a segment, or an older one."""
+        return any(
+            self.store.reaches(name, version) for name, version in self._published[number].items()
+        )
+
+
+def _segment_path(folder: Path, number: int) -> Path:
+    return folder / f"{number:08d}.log"
+
+
+def _discard_event(event: str, /, **fields: object) -> None:
+    """Log nothing."""
--- /dev/null
+++ b/tests/tables/test_table_log.py
@@ -0,0 +1,230 @@
+"""The tables' log on disk: restarts, damage, bounds and failing disks."""
+
+import errno
+import os
+import random
+import tempfile
+import unittest
+from pathlib import Path
+
+from peatlead.tables import table_log
+from peatlead.tables.history import Store
+from peatlead.tables.log_records import PublishedRecord, RecordFramer, read_segment
+from peatlead.tables.table_log import TableLog
+from peatlead.tables.version import Version
+
+
+class TableLogTest(unittest.TestCase):
+    def setUp(self):
+        self.temporary = tempfile.TemporaryDirectory()
+        self.addCleanup(self.temporary.cleanup)
+        self.folder, self.events = Path(self.temporary.name) / "tables", []
+
+    def open(self, **bounds):
+        log = TableLog(
+            self.folder, Store(**bounds), lambda event, **more: self.events.append((event, more))
+        )
+        self.addCleanup(log.close)
+        problems = log.recall()
+        log.start(0.0)
+        return log, problems
+
+    def publish(self, log, count, name="p", first=1, at=0.0):
+        for serial in range(first, first + count):
+            log.publish(
+                name,
+                log.store.commit(
+                    name,
+                    Version(1, serial),
+                    at + serial,
+                    (f"cause {serial}",),
+                    {f"line/k/z/h{serial % 7}:1": serial},
+                ),
+            )
+        log.flush(at)
+
+    def assert_same_history(self, first, second, name="p"):
+        mine, theirs = first.store.histories[name], second.store.histories[name]
+        self.assertEqual(
+            (mine.items, mine.last, str(mine.digest)),
+            (theirs.items, theirs.last, str(theirs.digest)),
+        )
+        self.assertEqual(list(mine.entries), list(theirs.entries))
+
+    def test_a_restarted_controller_restores_what_it_published(self):
+        log, _ = self.open()
+        for batch in range(4):
+            self.publish(log, 10, first=batch * 10 + 1)
+        log.note("boots", b"7")
+        log.flush(1.0)
+        restarted, problems = self.open()  # the first was killed: it never closed its file
+        self.assertEqual(problems, [])
+        self.assert_same_history(log, restarted)
+        self.assertEqual(restarted.noted, {"boots": b"7"})
+        third, problems = self.open()
+        self.assertEqual(problems, [])
+        self.assert_same_history(log, third)
+
+    def test_a_segment_torn_anywhere_is_read_up_to_there(self):
+        log, _ = self.open()
+        for batch in range(6):
+            self.publish(log, 3, first=batch * 3 + 1)
+        path = max(self.folder.glob("*.log"))
+        whole = path.read_bytes()
+        full = list(log.store.histories["p"].entries)
+        for size in range(0, len(whole), 7):
+            path.write_bytes(whole[:size])
+            reader = TableLog(self.folder, Store(), None)
+            reader.recall()
+            found = list(reader.store.histories["p"].entries) if reader.store.histories else []
+            self.assertEqual(found, full[: len(found)])
+            self.assertEqual(len(found) % 3, 0)
+
+    def test_any_flipped_bit_is_detected_and_ends_the_reading(self):
+        log, _ = self.open()
+        for batch in range(5):
+            self.publish(log, 3, first=batch * 3 + 1)
+        path = max(self.folder.glob("*.log"))
+        whole, full = path.read_bytes(), list(log.store.histories["p"].entries)
+        rng = random.Random(5)
+        for _ in range(200):
+            at = rng.randrange(len(whole))
+            path.write_bytes(
+                whole[:at] + bytes([whole[at] ^ 1 << rng.randrange(8)]) + whole[at + 1 :]
+            )
+            reader = TableLog(self.folder, Store(), None)
+            problems = reader.recall()
+            self.assertTrue(problems, f"a flip at byte {at} went unseen")
+            found = list(reader.store.histories["p"].entries) if reader.store.histories else []
+            self.assertEqual(found, full[: len(found)])
+
+    def test_repeated_missing_and_foreign_frames_fail_the_checksum(self):
+        framer, other = RecordFramer(), RecordFramer()
+        frames = [
+            framer.frame([PublishedRecord("p", 1, at, 0.0, [], {"level/k": at})])
+            for at in (1, 2, 3)
+        ]
+        foreign = other.frame([PublishedRecord("p", 1, 9, 0.0, [], {"level/k": 9})])
+        head = framer.head()
+        self.assertEqual(len(read_segment(head + b"".join(frames)).records), 3)
+        for frames_read in (
+            [frames[0], frames[0]],
+            [frames[0], frames[2]],
+            [frames[0], foreign],
+            [frames[1]],
+        ):
+            read = read_segment(head + b"".join(frames_read))
+            self.assertLessEqual(len(read.records), 1)
+            self.assertIn("checksum", read.damage)
+
+    def test_files_of_other_formats_are_reported_and_not_touched(self):
+        self.folder.mkdir()
+        for name, data in (
+            ("00000001.log", b"peatlead-tables 0\nwhatever"),
+            ("00000002.log", b"junk"),
+            ("00000003.log", b""),
+            ("notes.txt", b"x"),
+        ):
+            (self.folder / name).write_bytes(data)
+        log, problems = self.open()
+        foreign = "not a log of tables"
+        self.assertEqual(
+            [reason for _, reason in problems], ["format 0: expected 1", foreign, foreign]
+        )
+        self.publish(log, 2)
+        self.assertEqual((self.folder / "00000002.log").read_bytes(), b"junk")
+
+    def test_a_damaged_middle_segment_costs_only_its_own_versions(self):
+        old, table_log.SEGMENT_BYTES_MAX = table_log.SEGMENT_BYTES_MAX, 600
+        self.addCleanup(setattr, table_log, "SEGMENT_BYTES_MAX", old)
+        log, _ = self.open()
+        for batch in range(40):
+            self.publish(log, 3, first=batch * 3 + 1)
+        files = sorted(self.folder.glob("*.log"))
+        self.assertGreater(len(files), 3)
+        data = files[1].read_bytes()
+        files[1].write_bytes(data[: len(data) // 2] + b"\0" + data[len(data) // 2 + 1 :])
+        restarted, problems = self.open()
+        self.assertTrue(any("checksum" in reason for _, reason in problems))
+        mine, theirs = log.store.histories["p"], restarted.store.histories["p"]
+        self.assertEqual((mine.items, mine.last), (theirs.items, theirs.last))
+        known = {entry.version for entry in theirs.entries}
+        self.assertLess(len(known), len(mine.entries))
+        for version in known:
+            self.assertEqual(theirs.at_version(version), mine.at_version(version))
+
+    def test_pruning_keeps_all_segments_that_stored_versions_need(self):
+        old, table_log.SEGMENT_BYTES_MAX = table_log.SEGMENT_BYTES_MAX, 900
+        self.addCleanup(setattr, table_log, "SEGMENT_BYTES_MAX", old)
+        log, _ = self.open(versions_per_proxy=30)
+        for batch in range(100):
+            self.publish(log, 3, first=batch * 3 + 1)
+        self.assertLess(len(list(self.folder.glob("*.log"))), 12)
+        restarted, problems = self.open(versions_per_proxy=30)
+        self.assertEqual(problems, [])
+        self.assert_same_history(log, restarted)
+
+    def test_past_the_disk_bound_the_oldest_versions_and_segments_are_dropped(self):
+        old, table_log.SEGMENT_BYTES_MAX = table_log.SEGMENT_BYTES_MAX, 900
+        self.addCleanup(setattr, table_log, "SEGMENT_BYTES_MAX", old)
+        log, _ = self.open()
+        log.disk_most = 3000
+        for batch in range(200):
+            self.publish(log, 3, first=batch * 3 + 1)
+        self.assertLess(sum(path.stat().st_size for path in self.folder.glob("*.log")), 4500)
+        restarted, _ = self.open()
+        self.assert_same_history(log, restarted)
+
+    def test_a_full_disk_loses_versions_on_disk_and_nothing_in_memory(self):
+        log, _ = self.open()
+        self.publish(log, 5)
+        real = log.segment.file
+
+        class FullDisk:
+            capacity = 30
+
+            def write(self, data):
+                if not self.capacity:
+                    raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
+                data, self.capacity = data[: self.capacity], 0
+                return real.write(data)
+
+            def __getattr__(self, name):
+                return getattr(real, name)
+
+        log.segment.file = FullDisk()
+        self.publish(log, 5, first=6, at=1.0)
+        self.assertIn("No space", log.broken)
+        self.publish(log, 5, first=11, at=2.0)
+        self.assertEqual(log.store.histories["p"].last, Version(1, 15))  # publishing goes on
+        self.publish(log, 2, first=16, at=7.0)
+        self.assertIsNone(log.broken)
+        self.assertEqual(
+            [event for event, _ in self.events], ["tables are not kept", "tables are kept again"]
+        )
+        self.publish(log, 1, first=18, at=8.0)
+        restarted, problems = self.open()
+        self.assertTrue(any("torn" in reason for _, reason in problems))
+        mine, theirs = log.store.histories["p"], restarted.store.histories["p"]
+        self.assertEqual((mine.items, mine.last), (theirs.items, theirs.last))
+        self.assertEqual(theirs.at_version(Version(1, 3)), mine.at_version(Version(1, 3)))
+
+    def test_a_folder_that_cannot_be_created_is_reported_and_publishing_goes_on(self):
+        Path(self.temporary.name, "file").write_text("x")
+        self.folder = Path(self.temporary.name, "file", "tables")
+        log, _ = self.open()
+        self.publish(log, 3)
+        self.assertTrue(log.broken)
+        self.assertEqual(log.store.histories["p"].last, Version(1, 3))
+
+    def test_a_restored_backup_is_read_as_it_is_and_versions_go_on(self):
+        log, _ = self.open()
+        self.publish(log, 5)
+        backup = {path: path.read_bytes() for path in self.folder.glob("*.log")}
+        self.publish(log, 5, first=6)
+        for path, data in backup.items():
+            path.write_bytes(data)
+        restarted, _ = self.open()
+        self.assertEqual(restarted.store.histories["p"].last, Version(1, 5))
+        # The proxy has seen 1.10: it joins with a higher epoch, and versions go on from there.
+        restarted.store.commit("p", Version(2, 1), 3.0, (), {"level/k": 1})
--- /dev/null
+++ b/tests/tables/test_versions.py
@@ -0,0 +1,53 @@
+"""Keys, digests and stamps."""
+
+import unittest
+
+from peatlead.tables.version import Digest, Stamp, Version, line_key, read_line_key, read_stamp
+
+
+class DigestTest(unittest.TestCase):
+    def test_changed_removed_swapped_and_added_items_change_the_digest(self):
+        items = {line_key("k", "z", "10.0.0.1", 1): 1000, line_key("k", "z", "10.0.0.2", 1): 2000}
+        first, second = items
+        others = [
+            {first: 1001, second: 2000},
+            {first: 1000},
+            {first: 2000, second: 1000},
+            {**items, "level/k": 1},
+        ]
+        self.assertNotIn(str(Digest(items)), [str(Digest(other)) for other in others])
+
+
+class LineKeyTest(unittest.TestCase):
+    def test_keys_are_parsed_and_malformed_ones_refused(self):
+        for address in ("10.0.0.1", "2001:db8::7"):
+            self.assertEqual(
+                read_line_key(line_key("k", "a/b", address, 80)), ("k", "a/b", address, 80)
+            )
+        for malformed in (
+            "",
+            "line",
+            "line/k/z/x",
+            "line/k/z/x:0",
+            "line/k/z/x:99999",
+            "level/k",
+            "line//z/x:1",
+        ):
+            with self.assertRaises(ValueError):
+                read_line_key(malformed)
+
+
+class StampTest(unittest.TestCase):
+    def test_stamps_are_parsed_and_malformed_ones_refused(self):
+        stamp = Stamp(Version(3, 4), "a" * 32, "b" * 32)
+        self.assertEqual(read_stamp(str(stamp)), stamp)
+        for malformed in (
+            "",
+            "3.4",
+            "3.4 base=x",
+            "x base=a digest=b",
+            "3.4 digest=a base=b",
+            "0.0 base=a digest=b",
+        ):
+            with self.assertRaises(ValueError):
+                read_stamp(malformed)
