--- a/peatlead/tables/change_causes.py
+++ b/peatlead/tables/change_causes.py
@@ -1,61 +1,107 @@
-"""Why a version is as it is, in operators' words. Pure.
+"""Why a version was published, in operators' words. No I/O.
 
-A planner's orders say what, not why; what happened to a host lately says why. So each host's last
-news is kept: from the list, from the planner's own log lines, from the steps of its ramp. A line
-that changes bears that news.
+The planner's commands say what changes, not why. So the last event of each endpoint is stored:
+from the endpoint list, from the planner's log messages and from its ramp. An entry that changes
+bears its endpoint's last event as its cause.
 """
 
-CAUSES_MOST = 6  # told of one version
+from collections.abc import Callable, Mapping
+from enum import StrEnum
+from typing import Any, NamedTuple, Optional
+
+from ..interface import EndpointPhase
+
+CAUSES_MAX = 6  # of one version; the rest is counted
+RAMP_COMPLETE = 0.999  # of the listed weight: with less an endpoint is ramping
+ASSIGNED_CAUSE = "put on its table"
+PHASE_EVENTS = {
+    EndpointPhase.READY.value: "listed",
+    EndpointPhase.DRAINING.value: "drains",
+    EndpointPhase.GONE.value: "is gone",
+}
+
+Operation = tuple[Any, ...]  # its OperationKind, then what it changes
+Operations = Mapping[Operation, Any]
+
+
+class OperationKind(StrEnum):
+    """The first component of an operation in a channel's message."""
+
+    WITHDRAWN = "withdrawn"  # of an endpoint, for all tables
+    LINE = "line"  # an endpoint's weight in a table
+    LEVEL = "level"  # a request class's admitted fraction and retry policy
+    BIND = "bind"  # a request class's table
+
+
+class EndpointEvent(NamedTuple):
+    """An event of one endpoint, in words."""
+
+    endpoint: int
+    text: str
 
 
 class ChangeCauses:
-    """`name_of(host)`, `listed_of(host)`: its name and whole weight."""
-
-    def __init__(self, name_of, listed_of):
-        self.name_of, self.listed_of, self.news = name_of, listed_of, {}
-        self.whole = {}  # for changes of tables as a whole: text -> when
-
-    def phases(self, members, version):
-        """Hosts whose phase in the list changed: {host: (before, after)}."""
-        for host, (before, after) in members.items():
-            text = {"ready": "listed", "draining": "drains", "gone": "is gone"}[after]
-            self.news[host] = f"{text}, list {version}" + (f" (was {before})" if before else "")
-
-    def planner_said(self, text):
-        """`host 3 dropped: sums`, `host 3 reach 0.75`, `way from zone 0 to 1 is bad, 10 s`. (host, text) where it is
-        about a host."""
-        words = text.split(" ")
-        if words[0] == "host" and len(words) > 2 and words[1].isdigit():
-            self.news[int(words[1])] = " ".join(words[2:])
-            return int(words[1]), " ".join(words[2:])
+    """The last event of each endpoint, and the causes of changes that follow from them.
+
+    `name_of` returns an endpoint's name, `listed_of` its weight as listed.
+    """
+
+    def __init__(self, name_of: Callable[[int], str], listed_of: Callable[[int], float]) -> None:
+        self._name_of = name_of
+        self._listed_weight = listed_of
+        self.news: dict[int, str] = {}  # endpoint -> its last event
+
+    def phases(self, members: Mapping[int, tuple[Optional[str], str]], version: object) -> None:
+        """Store changes of phase in a version of the endpoint list: {endpoint: (before, after)}."""
+        for endpoint, (before, after) in members.items():
+            previous = f" (was {before})" if before else ""
+            self.news[endpoint] = f"{PHASE_EVENTS[after]}, list {version}{previous}"
+
+    def planner_said(self, text: str) -> Optional[EndpointEvent]:
+        """Store a log message of the planner, such as `host 3 dropped: sums`.
+
+        Return the event, or None where the message is not about an endpoint.
+        """
+        subject, *rest = text.split(" ")
+        if subject != "host" or len(rest) < 2 or not rest[0].isdigit():
+            return None
+        event = EndpointEvent(int(rest[0]), " ".join(rest[1:]))
+        self.news[event.endpoint] = event.text
+        return event
+
+    def of_all(self, ops: Operations) -> tuple[str, ...]:
+        """Return the causes of a message's operations, the most frequent first."""
+        if any(operation[0] == OperationKind.BIND for operation in ops):
+            return (ASSIGNED_CAUSE,)  # a whole table: its entries are no changes of their own
+        counts: dict[str, int] = {}
+        for operation, value in ops.items():
+            cause = self._cause_of(operation, value)
+            if cause is not None:
+                counts[cause] = counts.get(cause, 0) + 1
+        ranked = sorted(counts, key=lambda cause: (-counts[cause], cause))
+        surplus = len(ranked) - CAUSES_MAX
+        if surplus > 0:
+            return (*ranked[:CAUSES_MAX], f"and {surplus} more")
+        return tuple(ranked)
+
+    def _cause_of(self, operation: Operation, value: Any) -> Optional[str]:
+        """Return the cause of one operation, or None where it is no change of its own."""
+        kind = operation[0]
+        if kind == OperationKind.WITHDRAWN:
+            endpoint = operation[1]
+            default = "withdrawn" if value else "let in again"
+            return f"{self._name_of(endpoint)} {self.news.get(endpoint, default)}"
+        if kind == OperationKind.LINE:
+            return self._cause_of_weight(operation[2], value)
+        if kind == OperationKind.LEVEL:
+            admitted, retry_policy = value[0], value[1]
+            return f"level {admitted:.2f}, second tries {retry_policy}"
         return None
 
-    def of(self, op, value):
-        """The cause of one op of a message, or None where it is no news of its own."""
-        if op[0] == "withdrawn":
-            return f"{self.name_of(op[1])} {self.news.get(op[1], 'withdrawn' if value else 'let in again')}"
-        if op[0] == "line":
-            return self.of_line(op[2], value)
-        if op[0] == "level":
-            return f"level {value[0]:.2f}, second tries {value[1]}"
-        return "put on its table" if op[0] == "bind" else None
-
-    def of_line(self, host, weight):
-        whole = self.listed_of(host)
-        news = self.news.get(host)
-        if weight and whole and weight < whole * 0.999:
-            return f"{self.name_of(host)} ramps, {weight / whole:.2f} of its weight"
-        return f"{self.name_of(host)} {news or ('in' if weight else 'out')}"
-
-    def of_all(self, ops):
-        """The causes of a message, the commonest kinds first and at most CAUSES_MOST."""
-        found = {}
-        for op, value in ops.items():
-            text = self.of(op, value)
-            if text:
-                found[text] = found.get(text, 0) + 1
-        if any(op[0] == "bind" for op in ops):  # a whole table: its lines are no news one by one
-            return ("put on its table",)
-        ranked = sorted(found, key=lambda text: (-found[text], text))
-        more = len(ranked) - CAUSES_MOST
-        return tuple(ranked[:CAUSES_MOST] + ([f"and {more} more"] if more > 0 else []))
+    def _cause_of_weight(self, endpoint: int, weight: Optional[float]) -> str:
+        name = self._name_of(endpoint)
+        listed = self._listed_weight(endpoint)
+        if weight and listed and weight < listed * RAMP_COMPLETE:
+            return f"{name} ramps, {weight / listed:.2f} of its weight"
+        event = self.news.get(endpoint) or ("in" if weight else "out")
+        return f"{name} {event}"
--- a/peatlead/tables/guard.py
+++ b/peatlead/tables/guard.py
@@ -1,87 +1,135 @@
-"""What a pinned table may be now. Pure: facts in, lines out.
+"""What a pinned proxy may be given now. No I/O: facts in, a table out.
 
-A table of the past is a wish: hosts that drain, went, were dropped or started since are as they
-are now. Beside what it takes out, the guard only fills, from the table that the planner wants now:
+A table of the past is applied only as far as the present allows. In order:
 
-1. shut    a host that is withdrawn, not listed ready, or that the planner names in no table at
-all, is not revived 2. cold    a host that still ramps keeps what the planner's own table for this
-proxy gives it, and never a greater part of the table than there: the sum over proxies is then no
-more than was planned 3. fill    less than KEEP_LEAST of the wished weight left would press a whole
-proxy's reqs on few hosts: the planner's lines come in beside 4. bare    nothing left: the
-planner's table, whole
+1. An endpoint that is withdrawn, not listed as ready, or named in no table of the planner is not
+   revived.
+2. An endpoint that is still ramping gets what the planner's own table for this proxy gives it, and
+   never a greater fraction of the table than there: the sum over all proxies is then no more than
+   planned.
+3. Where less than KEPT_WEIGHT_MIN of the pinned weight is left, too few endpoints would carry a
+   proxy's load: the endpoints of the planner's table are added.
+4. Where no endpoint that has finished its ramp is left, the planner's table applies as a whole.
 
-One entry point: `guard(wish, wanted, facts) -> Guarded`.
+`guard` is the only entry point.
 """
 
+from collections.abc import Collection, Mapping
+from collections.abc import Set as AbstractSet
+from enum import StrEnum
 from math import fsum
-from typing import NamedTuple
+from typing import NamedTuple, Optional
 
-KEEP_LEAST = 0.5  # of the wished table's weight
-RAMPED = 0.999  # of the listed weight: at this a host has done with its ramp
+from ..interface import EndpointPhase
+
+KEPT_WEIGHT_MIN = 0.5  # of the pinned table's weight
+RAMPED = 0.999  # of the listed weight: an endpoint with this has finished its ramp
+
+Table = Mapping[int, float]  # endpoint -> weight
+
+
+class RemovalReason(StrEnum):
+    """Why an endpoint is not as pinned. The values are shown to operators."""
+
+    DRAINING = "drains"
+    GONE = "is gone"
+    UNLISTED = "is not listed"
+    WITHDRAWN = "is withdrawn"
+    DROPPED = "is dropped: the planner names it nowhere"
+    RAMPING_ELSEWHERE = "still ramps: the planner gives it no part here"
+    RAMPING = "still ramps: held to the planner's part"
 
 
 class GuardContext(NamedTuple):
-    """`phases`: {host: phase as listed}; `shut`: withdrawn hosts; `parts`: {host: greatest part of its listed
-    weight that any of the planner's tables gives it}, none for a host that it names nowhere."""
+    """The facts about the present.
+
+    `phases` holds each listed endpoint's phase and `withdrawn` the endpoints that are withdrawn.
+    `parts` holds, for endpoints that the planner names at all, the greatest fraction of the listed
+    weight that any table gives them.
+    """
 
-    phases: dict
-    shut: set
-    parts: dict
+    phases: Mapping[int, str]
+    withdrawn: AbstractSet[int]
+    parts: Mapping[int, float]
 
 
 class GuardedTable(NamedTuple):
-    """`lines`: {host: weight}; `taken`: {host: why it is not as wished}; `filled`: hosts that were put in."""
-
-    lines: dict
-    taken: dict
-    filled: tuple
-
-
-def why_not(host, facts):
-    """Why a host may not come back at all, or None."""
-    phase = facts.phases.get(host, "unlisted")
-    if phase != "ready":
-        return {"draining": "drains", "gone": "is gone"}.get(phase, "is not listed")
-    if host in facts.shut:
-        return "is withdrawn"
-    if host not in facts.parts:
-        return "is dropped: the planner names it nowhere"
-    return None
-
-
-def guard(wish, wanted, facts):
-    """`wish` and `wanted`: {host: weight}, the table of the past and the planner's for now."""
-    lines, taken, cold = {}, {}, []
-    for host, weight in wish.items():
-        why = why_not(host, facts)
-        if why is None and facts.parts[host] < RAMPED:
-            if host not in wanted:
-                why = "still ramps: the planner gives it no part here"
-            else:
-                cold.append(host)
-                taken[host] = "still ramps: held to the planner's part"
-                continue
-        if why is None:
-            lines[host] = weight
-        else:
-            taken[host] = why
-    filled = ()
-    if fsum(lines.values()) < KEEP_LEAST * fsum(wish.values()):
-        filled = tuple(host for host in wanted if host not in lines and host not in cold)
-        lines.update((host, wanted[host]) for host in filled)
-    warm = {host for host in lines if facts.parts.get(host, 1.0) >= RAMPED}
-    if not warm:
-        return GuardedTable(dict(wanted), taken, tuple(host for host in wanted if host not in wish))
-    cap_cold(lines, [*cold, *(host for host in lines if host not in warm)], wanted)
+    """A table to publish: its lines, what is not as pinned and why, and what was added."""
+
+    lines: dict[int, float]
+    taken: dict[int, RemovalReason]
+    filled: tuple[int, ...]
+
+
+class _Restored(NamedTuple):
+    """What of a pinned table may come back."""
+
+    lines: dict[int, float]
+    taken: dict[int, RemovalReason]
+    ramping: list[int]  # endpoints whose weight the planner's table decides
+
+
+def guard(pinned: Table, planned: Table, context: GuardContext) -> GuardedTable:
+    """Return the table to publish, given the pinned table and what the planner wants now."""
+    lines, taken, ramping = _restore(pinned, planned, context)
+    filled: tuple[int, ...] = ()
+    if fsum(lines.values()) < KEPT_WEIGHT_MIN * fsum(pinned.values()):
+        filled = tuple(
+            endpoint for endpoint in planned if endpoint not in lines and endpoint not in ramping
+        )
+        lines.update((endpoint, planned[endpoint]) for endpoint in filled)
+    ramped = {endpoint for endpoint in lines if context.parts.get(endpoint, 1.0) >= RAMPED}
+    if not ramped:
+        added = tuple(endpoint for endpoint in planned if endpoint not in pinned)
+        return GuardedTable(dict(planned), taken, added)
+    ramping += [endpoint for endpoint in lines if endpoint not in ramped]
+    _limit_ramping(lines, ramping, planned)
     return GuardedTable(lines, taken, filled)
 
 
-def cap_cold(lines, cold, wanted):
-    """Each cold host's part of the table no greater than in the planner's own."""
-    warm_now = fsum(weight for host, weight in lines.items() if host not in cold)
-    warm_then = fsum(weight for host, weight in wanted.items() if host not in cold)
-    for host in cold:
-        weight = wanted[host]
-        # In a part of the whole, cold weights count in the whole too: scaling them like the warm sum keeps each part.
-        scale = 1.0 if warm_now >= warm_then or not warm_then else warm_now / warm_then
-        lines[host] = weight * scale
+def _restore(pinned: Table, planned: Table, context: GuardContext) -> _Restored:
+    """Split a pinned table into what comes back as it was, what does not, and what still ramps."""
+    restored = _Restored({}, {}, [])
+    for endpoint, weight in pinned.items():
+        reason = _removal_reason(endpoint, planned, context)
+        if reason is None:
+            restored.lines[endpoint] = weight
+        else:
+            restored.taken[endpoint] = reason
+        if reason is RemovalReason.RAMPING:
+            restored.ramping.append(endpoint)
+    return restored
+
+
+def _removal_reason(
+    endpoint: int, planned: Table, context: GuardContext
+) -> Optional[RemovalReason]:
+    """Return why an endpoint may not come back with its pinned weight, or None."""
+    phase = context.phases.get(endpoint)
+    reason: Optional[RemovalReason] = None
+    if phase == EndpointPhase.DRAINING:
+        reason = RemovalReason.DRAINING
+    elif phase == EndpointPhase.GONE:
+        reason = RemovalReason.GONE
+    elif phase != EndpointPhase.READY:
+        reason = RemovalReason.UNLISTED
+    elif endpoint in context.withdrawn:
+        reason = RemovalReason.WITHDRAWN
+    elif endpoint not in context.parts:
+        reason = RemovalReason.DROPPED
+    elif context.parts[endpoint] < RAMPED:
+        here = endpoint in planned
+        reason = RemovalReason.RAMPING if here else RemovalReason.RAMPING_ELSEWHERE
+    return reason
+
+
+def _limit_ramping(lines: dict[int, float], ramping: Collection[int], planned: Table) -> None:
+    """Give ramping endpoints no greater fraction than the planner's table gives them."""
+    ramped_now = fsum(weight for endpoint, weight in lines.items() if endpoint not in ramping)
+    ramped_planned = fsum(weight for endpoint, weight in planned.items() if endpoint not in ramping)
+    # Ramping weights count in the whole too: scaled like the others' sum they keep their fraction.
+    scale = 1.0
+    if ramped_planned and ramped_now < ramped_planned:
+        scale = ramped_now / ramped_planned
+    for endpoint in ramping:
+        lines[endpoint] = planned[endpoint] * scale
