--- a/peatlead/tables/active_pin.py
+++ b/peatlead/tables/active_pin.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from .pin import Pin, PinScope, place, share_of
+from .pin import Pin, PinScope, rollout_position, share_of
 
 EVERYONE = 2.0  # a rollout's extent that is past every position
 
@@ -50,7 +50,7 @@
         """Return whether the pin holds a proxy now."""
         if not self._names(name, zone):
             return False
-        position = place(self.pin, name)
+        position = rollout_position(self.pin, name)
         if self.pin.whom == PinScope.SHARE:
             share = share_of(self.pin)
             if position >= share:
--- a/peatlead/tables/change_causes.py
+++ b/peatlead/tables/change_causes.py
@@ -10,9 +10,9 @@
 from typing import Any, NamedTuple, Optional
 
 from ..interface import EndpointPhase
+from .guard import RAMPED
 
 CAUSES_MAX = 6  # of one version; the rest is counted
-RAMP_COMPLETE = 0.999  # of the listed weight: with less an endpoint is ramping
 ASSIGNED_CAUSE = "put on its table"
 PHASE_EVENTS = {
     EndpointPhase.READY.value: "listed",
@@ -101,7 +101,7 @@
     def _cause_of_weight(self, endpoint: int, weight: Optional[float]) -> str:
         name = self._name_of(endpoint)
         listed = self._listed_weight(endpoint)
-        if weight and listed and weight < listed * RAMP_COMPLETE:
+        if weight and listed and weight < listed * RAMPED:
             return f"{name} ramps, {weight / listed:.2f} of its weight"
         event = self.news.get(endpoint) or ("in" if weight else "out")
         return f"{name} {event}"
--- a/peatlead/tables/digest.py
+++ b/peatlead/tables/digest.py
@@ -51,9 +51,9 @@
     def __init__(self, items: Optional[Mapping[str, ItemValue]] = None) -> None:
         self.total = 0
         for key, value in (items or {}).items():
-            self.moved(key, None, value)
+            self.update(key, None, value)
 
-    def moved(self, key: str, old: Optional[ItemValue], new: Optional[ItemValue]) -> None:
+    def update(self, key: str, old: Optional[ItemValue], new: Optional[ItemValue]) -> None:
         """Apply the change of one item; None stands for an absent item."""
         if old is not None:
             self.total -= HASHES.hash_of(key, old)
@@ -61,6 +61,8 @@
             self.total += HASHES.hash_of(key, new)
         self.total %= MODULUS
 
+    moved = update  # its former name, until its callers have moved
+
     def copy(self) -> "Digest":
         """Return an independent copy."""
         duplicate = Digest()
--- a/peatlead/tables/history.py
+++ b/peatlead/tables/history.py
@@ -52,10 +52,15 @@
         self.gone: OrderedDict[str, bool] = OrderedDict()  # disconnected proxies, first left first
         # (name, version) of all entries, oldest first; also of those that were dropped out of turn.
         self.order: deque[tuple[str, Version]] = deque()
-        self.many = 0  # entries
+        self.entry_count = 0
         self.size = 0  # bytes of memory, approximately
         self.dropped = 0  # entries dropped since the start
 
+    @property
+    def many(self) -> int:
+        """The former name of `entry_count`, until its callers have moved."""
+        return self.entry_count
+
     def history(self, name: str) -> History:
         """Return a connected proxy's history, new where there is none."""
         self.gone.pop(name, None)
@@ -83,7 +88,7 @@
         history = self.history(name)
         entry = history.commit(version, at, causes, moved)
         self.order.append((name, version))
-        self.many += 1
+        self.entry_count += 1
         self.size += entry.size
         if len(history.entries) > self.versions_per_proxy:
             self._drop_oldest(history)
@@ -132,7 +137,7 @@
 
     def _drop_oldest(self, history: History) -> None:
         entry = history.drop_oldest()
-        self.many -= 1
+        self.entry_count -= 1
         self.size -= entry.size
         self.dropped += 1
 
@@ -152,7 +157,7 @@
         oldest = self._oldest()
         return (
             oldest is None
-            or self.many > self.versions_max
+            or self.entry_count > self.versions_max
             or self.size > self.bytes_max
             or oldest.at < now - self.age_most
         )
@@ -176,7 +181,7 @@
 
         They would pile up behind one old entry that is still stored.
         """
-        if len(self.order) <= 2 * self.many + COMPACTION_SLACK:
+        if len(self.order) <= 2 * self.entry_count + COMPACTION_SLACK:
             return
         stored = {
             name: {entry.version for entry in history.entries}
--- a/peatlead/tables/pin.py
+++ b/peatlead/tables/pin.py
@@ -64,7 +64,7 @@
     by: str = ""  # the operator, for people to read
 
 
-def place(pin: Pin, name: str) -> float:
+def rollout_position(pin: Pin, name: str) -> float:
     """Return a proxy's position in a pin's rollout: 0 to 1, the same at every controller."""
     digest = blake3(f"{pin.id}\0{name}".encode()).digest(POSITION_BYTES)
     return int.from_bytes(digest, "big") / (1 << 8 * POSITION_BYTES)
--- a/peatlead/tables/pins.py
+++ b/peatlead/tables/pins.py
@@ -14,7 +14,7 @@
 
 from .active_pin import ActivePin
 from .errors import PinError
-from .pin import Pin, PinScope, PinTarget, check, place, read_pins, write_pins
+from .pin import Pin, PinScope, PinTarget, check, read_pins, rollout_position, write_pins
 
 __all__ = [
     "LOOK_GAP",
@@ -27,17 +27,18 @@
     "check",
     "place",
     "read_pins",
+    "rollout_position",
     "write_pins",
 ]
 
 PINS_MAX = 32  # pins that have not ended
-KNOWN_PINS_MAX = (
-    4 * PINS_MAX
-)  # with ended ones: a controller that missed an end must not revive a pin
+KNOWN_PINS_MAX = 4 * PINS_MAX  # ended ones too: they are remembered, so that none is revived
 FORGET_AFTER = 600.0  # seconds that an ended pin is remembered after its rollout
 REMAINING_MIN = 0.001  # seconds: an ended pin's remaining time of 0 is valid
 LOOK_GAP = 1.5  # seconds between two updates of a pinned proxy, unless an endpoint must be removed
 
+place = rollout_position  # its former name, until its callers have moved
+
 
 class Pins:
     """One controller's pins by id.
@@ -67,9 +68,7 @@
         """Make a pin that ends after `length` seconds. Raises PinError."""
         if len(self.standing()) >= PINS_MAX:
             raise PinError(f"expected at most {PINS_MAX} pins at a time: resume one first")
-        known = [active.pin.sequence for active in self.held.values()]
-        sequence = 1 + max([self._newest_sequence, *known])
-        self._newest_sequence = sequence
+        sequence = self._next_sequence()
         pin = Pin(
             id=f"{self.me}-{sequence}{self.start}",
             sequence=sequence,
@@ -87,6 +86,11 @@
         self.held[pin.id] = ActivePin(pin, now)
         return pin
 
+    def _next_sequence(self) -> int:
+        known = [active.pin.sequence for active in self.held.values()]
+        self._newest_sequence = 1 + max([self._newest_sequence, *known])
+        return self._newest_sequence
+
     def resume(self, now: float, pin_id: str, over: Optional[float] = None) -> Pin:
         """End a pin, by stages over `over` seconds or as it was rolled out. Raises PinError."""
         active = self.held.get(pin_id)
@@ -137,7 +141,7 @@
         """Return all pins in order of id, as they are to be stored or sent now."""
         return [active.as_pin(now) for _, active in sorted(self.held.items())]
 
-    # Former names that callers outside of this package still use.
+    # Former names, until their callers have moved.
     of = pin_for
     told = snapshot
 
--- a/peatlead/tables/proxy_history.py
+++ b/peatlead/tables/proxy_history.py
@@ -71,7 +71,7 @@
             if old == new:
                 continue
             changed.append((key, old, new))
-            self.digest.moved(key, old, new)
+            self.digest.update(key, old, new)
             if new is None:
                 del items[key]
             else:
--- a/peatlead/tables/replica.py
+++ b/peatlead/tables/replica.py
@@ -74,7 +74,7 @@
 
 def _apply(items: Items, digest: Digest, moved: Mapping[str, Optional[ItemValue]]) -> None:
     for key, value in moved.items():
-        digest.moved(key, items.get(key), value)
+        digest.update(key, items.get(key), value)
         if value is None:
             items.pop(key, None)
         else:
--- a/tests/controller/test_pinned_tables.py
+++ b/tests/controller/test_pinned_tables.py
@@ -114,13 +114,13 @@
             await until(lambda: len(world.named(controller)) == 4)
             pin = ask(controller, "pin", whom="all", over=0.0)["pin"]
             await until(lambda: controller.published.covered)
-            versions = controller.published.store.many
+            versions = controller.published.store.entry_count
             controller.published.log.close = lambda: None  # killed: nothing is closed
             controller.stop()
             await asyncio.sleep(0.05)  # its sockets are closed by the loop
             restarted = await world.steward()
             self.assertIn(pin, restarted.published.pins.standing())
-            self.assertGreaterEqual(restarted.published.store.many, versions)
+            self.assertGreaterEqual(restarted.published.store.entry_count, versions)
             await until(lambda: len(world.named(restarted)) == 4)
             self.assertEqual(ask(restarted, "status")["pins"][0]["target not known"], [])
 
--- a/tests/tables/test_history.py
+++ b/tests/tables/test_history.py
@@ -59,7 +59,7 @@
         store = Store(age_most=50.0)
         for index, wall_time in enumerate((1000.0, 1010.0, 200.0, 210.0, 220.0)):
             store.commit("p", Version(1, index + 1), wall_time, (), {"level/k": index})
-        self.assertEqual(store.many, 5)
+        self.assertEqual(store.entry_count, 5)
         self.assertEqual([entry.version.serial for _, entry in store.between()], [1, 2, 3, 4, 5])
         self.assertEqual(store.histories["p"].at_time(215.0)[0], Version(1, 4))
 
@@ -85,7 +85,7 @@
                 history.at_version(Version(1, 6))
             with self.assertRaises(UnknownVersionError):
                 history.at_time(5.0)
-            self.assertEqual((store.many, store.dropped), (3, 7))
+            self.assertEqual((store.entry_count, store.dropped), (3, 7))
 
     def test_of_disconnected_proxies_the_first_that_left_is_forgotten_first(self):
         store = Store(proxies_max=3)
--- a/tests/tables/test_pins.py
+++ b/tests/tables/test_pins.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from peatlead.tables.pins import PinError, Pins, place, read_pins, write_pins
+from peatlead.tables.pins import PinError, Pins, read_pins, rollout_position, write_pins
 
 
 class PinsTest(unittest.TestCase):
@@ -16,7 +16,7 @@
         names = [f"proxy{number}" for number in range(200)]
         early = {name for name in names if pins.pin_for(13.0, name, "a")}
         self.assertEqual(early, {name for name in names if other.pin_for(500.0, name, "a")})
-        self.assertEqual(early, {name for name in names if place(pin, name) < 0.3})
+        self.assertEqual(early, {name for name in names if rollout_position(pin, name) < 0.3})
         self.assertEqual(len([name for name in names if pins.pin_for(20.0, name, "a")]), 200)
 
     def test_scopes_are_one_proxy_a_zone_and_a_share(self):
