--- a/peatlead/tables/table_log.py
+++ b/peatlead/tables/table_log.py
@@ -4,7 +4,7 @@
 was written since the last sync (`sync_every` seconds). A file is never appended to after a
 restart: reading cuts off and reports what a crash left at its end, and a new segment begins with a
 snapshot of all that is known. Where the disk is full or read-only the log reports it and retries
-every `again` seconds; publishing goes on, and versions of that time are counted in `lost`.
+every `retry_every` seconds; publishing goes on, and versions of that time are counted in `lost`.
 """
 
 import contextlib
@@ -52,13 +52,13 @@
         store: Store,
         log: Optional[EventLogger],
         sync_every: float = 1.0,
-        again: float = 5.0,
+        retry_every: float = 5.0,
         disk_most: int = 64 << 20,
     ) -> None:
         self.folder = Path(folder) if folder else None
         self.store = store
         self.sync_every = sync_every  # seconds between syncs
-        self.again = again  # seconds between attempts after a failure
+        self.retry_every = retry_every  # seconds between attempts after a failure
         self.disk_most = disk_most  # bytes of all segments together
         self.noted: dict[str, bytes] = {}  # notes that survive restarts
         self.segment: Optional[SegmentFile] = None
@@ -162,7 +162,7 @@
         if self.broken is None:
             self._log_event("tables are not kept", why=reason)
         self.broken = reason
-        self._retry_at = now + self.again
+        self._retry_at = now + self.retry_every
         self._drop_waiting()
         with contextlib.suppress(OSError):  # `broken` has the reason already
             self.close()
--- a/tests/tables/test_table_log.py
+++ b/tests/tables/test_table_log.py
@@ -6,6 +6,7 @@
 import tempfile
 import unittest
 from pathlib import Path
+from unittest import mock
 
 from peatlead.tables import table_log
 from peatlead.tables.history import Store
@@ -29,6 +30,11 @@
         log.start(0.0)
         return log, problems
 
+    def limit_segments(self, size):
+        patch = mock.patch.object(table_log, "SEGMENT_BYTES_MAX", size)
+        patch.start()
+        self.addCleanup(patch.stop)
+
     def publish(self, log, count, name="p", first=1, at=0.0):
         for serial in range(first, first + count):
             log.publish(
@@ -135,8 +141,7 @@
         self.assertEqual((self.folder / "00000002.log").read_bytes(), b"junk")
 
     def test_a_damaged_middle_segment_costs_only_its_own_versions(self):
-        old, table_log.SEGMENT_BYTES_MAX = table_log.SEGMENT_BYTES_MAX, 600
-        self.addCleanup(setattr, table_log, "SEGMENT_BYTES_MAX", old)
+        self.limit_segments(600)
         log, _ = self.open()
         for batch in range(40):
             self.publish(log, 3, first=batch * 3 + 1)
@@ -154,8 +159,7 @@
             self.assertEqual(theirs.at_version(version), mine.at_version(version))
 
     def test_pruning_keeps_all_segments_that_stored_versions_need(self):
-        old, table_log.SEGMENT_BYTES_MAX = table_log.SEGMENT_BYTES_MAX, 900
-        self.addCleanup(setattr, table_log, "SEGMENT_BYTES_MAX", old)
+        self.limit_segments(900)
         log, _ = self.open(versions_per_proxy=30)
         for batch in range(100):
             self.publish(log, 3, first=batch * 3 + 1)
@@ -165,8 +169,7 @@
         self.assert_same_history(log, restarted)
 
     def test_past_the_disk_bound_the_oldest_versions_and_segments_are_dropped(self):
-        old, table_log.SEGMENT_BYTES_MAX = table_log.SEGMENT_BYTES_MAX, 900
-        self.addCleanup(setattr, table_log, "SEGMENT_BYTES_MAX", old)
+        self.limit_segments(900)
         log, _ = self.open()
         log.disk_most = 3000
         for batch in range(200):
