--- a/tests/tables/test_pins.py
+++ b/tests/tables/test_pins.py
@@ -7,6 +7,8 @@
 
 from peatlead.tables.pins import PinError, Pins, read_pins, rollout_position, write_pins
 
+from .. import places  # noqa: F401  (it loads the profile of hypothesis)
+
 
 class PinsTest(unittest.TestCase):
     def test_a_rollout_reaches_the_same_proxies_everywhere_and_finally_all(self):
