--- a/peatlead/controller/batch_loop.py
+++ b/peatlead/controller/batch_loop.py
@@ -1,104 +1,161 @@
-"""The batch loop of every steward, whatever its way in and out: inbox, timers, one decide, its orders carried.
+"""The event loop of a controller: collects events into batches, one call of the planner each.
 
-    class Mine(Core): ...
-    mine.hear(event)    # from any callback; all that comes in one turn of the loop is one batch
-
-Subclasses fill in `before`, `offer`, `after` and `stop`, and put what they do with an order of a kind into
-`carriers`. Orders of a kind that is not there are not for this steward and are passed over.
+All events that arrive in one turn of the asyncio loop form one batch. The planner decides on the
+whole batch, and every command that it returns is carried out before the next batch begins.
+`BatchLoop` knows no transport: a subclass feeds it events and overrides the hooks `before`,
+`offer`, `after` and `stop`.
 """
 
 import asyncio
 import traceback
+from collections.abc import Callable, Sequence
+from typing import Any, Protocol
 
 from .. import interface
-from .channel import Publisher
+from .channel import Operations, Publisher
 
+EVENTS_LOGGED = 20  # event types that the log line of a failed decision names
 
-class BatchLoop:
-    """`planner` makes the decisions, `log(event, **fields)` tells of them. `ended` is a future: "stopped", or the
-    error. `decided` counts batches, `slowest` is the longest decide, in seconds."""
+Log = Callable[..., None]  # log(event, **fields)
+CommandHandler = Callable[[Any], None]  # takes a command of the type that it is registered for
 
-    def __init__(self, planner, log):
-        self.planner, self.log = planner, log
-        self.loop = asyncio.get_running_loop()
-        self.ended = self.loop.create_future()
-        self.publisher = Publisher()
-        self.inbox, self.step_due, self.begun, self.decided, self.slowest = [], False, 0.0, 0, 0.0
-        self.carriers = {interface.SetTimer: self.set_timer, interface.LogMessage: self.log_line}
 
-    # For subclasses.
+class DecisionMaker(Protocol):
+    """What the loop needs of a planner."""
 
-    def before(self, now):
-        """What else this batch is to hear goes into the inbox."""
+    def decide(self, now: float, events: Sequence[interface.Event], /) -> list[interface.Command]:
+        """Return the commands that follow from the events; `now` is in the loop's seconds."""
 
-    def offer(self, now, orders, messages, marks):
-        """`messages`: {proxy: {op: value}} of the batch's `orders`; `marks`: {proxy: [number]}."""
 
-    def after(self, now, events):
-        """All of the batch's orders have been carried."""
+class BatchLoop:
+    """Runs a planner on batches of events and carries out its commands.
+
+    `carriers` maps command types to their handlers; a subclass adds its own. Commands that concern
+    proxies or DNS views go through the publisher to `offer`; commands without a handler are
+    ignored.
+    """
 
-    def stop(self, why="stopped"):
+    def __init__(self, planner: DecisionMaker, log: Log) -> None:
+        self.planner = planner
+        self.log = log
+        self.loop = asyncio.get_running_loop()
+        # Its result is the reason: "stopped", or the error.
+        self.ended: asyncio.Future[str] = self.loop.create_future()
+        self.publisher = Publisher()
+        self.inbox: list[interface.Event] = []  # events of the next batch
+        self.step_scheduled = False
+        self.batch_started_at = 0.0  # seconds on the loop's clock
+        self.decided = 0  # batches
+        self.slowest = 0.0  # seconds that the longest decision took
+        self.carriers: dict[type, CommandHandler] = {
+            interface.SetTimer: self.set_timer,
+            interface.LogMessage: self.log_message,
+        }
+
+    # Hooks for subclasses.
+
+    def before(self, now: float) -> None:
+        """Add to the inbox what else belongs to the batch that begins."""
+
+    def offer(
+        self,
+        now: float,
+        orders: list[interface.Command],
+        messages: dict[int, Operations],
+        marks: dict[int, list[int]],
+    ) -> None:
+        """Pass on a batch's messages and the nonces to acknowledge, both by subscriber.
+
+        `orders` are all commands of the batch.
+        """
+
+    def after(self, now: float, events: list[interface.Event]) -> None:
+        """Do what follows a batch whose commands have all been carried out."""
+
+    def stop(self, why: str = "stopped") -> None:
+        """End the controller; `why` becomes the result of `ended`."""
         raise NotImplementedError
 
     # The loop.
 
-    def note(self, event):
-        """It is early enough in the next batch, whenever that is."""
+    def note(self, event: interface.Event) -> None:
+        """Add an event to the next batch without scheduling one."""
         self.inbox.append(event)
 
-    def hear(self, event):
+    def hear(self, event: interface.Event) -> None:
+        """Add an event to the next batch, which runs in the loop's next turn."""
         self.inbox.append(event)
-        if not self.step_due:
-            self.step_due = True
+        if not self.step_scheduled:
+            self.step_scheduled = True
             self.loop.call_soon(self.step)
 
-    def step(self):
-        """One batch: all that came in, one decide, all of its orders."""
-        self.step_due = False
+    def step(self) -> None:
+        """Run one batch: one decision on all collected events, and all of its commands."""
+        self.step_scheduled = False
         if self.ended.done():
             return
-        now = self.begun = self.loop.time()
+        now = self.loop.time()
+        self.batch_started_at = now
         self.before(now)
-        events, self.inbox = self.inbox, []
+        events = self.inbox
+        self.inbox = []
         try:
-            orders = self.planner.decide(now, events)
-        except Exception as problem:  # half decided is worse than dead: another steward answers
-            trace = traceback.extract_tb(problem.__traceback__)[-1]
-            self.log(
-                "decide failed",
-                error=repr(problem),
-                at=f"{trace.filename}:{trace.lineno}",
-                events=[type(event).__name__ for event in events][:20],
-            )
-            self.failed(problem)
+            commands = self.planner.decide(now, events)
+        except Exception as error:
+            self.log_failure(error, events)
+            self.failed(error)
             return
         self.decided += 1
         self.slowest = max(self.slowest, self.loop.time() - now)
-        messages, marks, rest = self.publisher.take(orders)
-        for (
-            order
-        ) in rest:  # before the messages: without its timers a planner would stand still for good
-            carry = self.carriers.get(type(order))
-            if carry is not None:
-                carry(order)
-        self.offer(now, orders, messages, marks)
+        self.carry_out(now, commands)
         self.after(now, events)
 
-    def failed(self, problem):
-        """A decide raised: half decided is worse than dead, another steward answers."""
+    def carry_out(self, now: float, commands: list[interface.Command]) -> None:
+        """Run the handlers of a batch's commands, then offer its messages.
+
+        Handlers come first: a planner whose timers are lost to an error in a message would never
+        run again.
+        """
+        messages, nonces, others = self.publisher.take(commands)
+        for command in others:
+            handler = self.carriers.get(type(command))
+            if handler is not None:
+                handler(command)
+        self.offer(now, commands, messages, nonces)
+
+    def log_failure(self, error: Exception, events: list[interface.Event]) -> None:
+        """Log where a decision failed, and on which events."""
+        frame = traceback.extract_tb(error.__traceback__)[-1]
+        self.log(
+            "decide failed",
+            error=repr(error),
+            at=f"{frame.filename}:{frame.lineno}",
+            events=[type(event).__name__ for event in events][:EVENTS_LOGGED],
+        )
+
+    def failed(self, problem: Exception) -> None:
+        """Stop after a decision that raised.
+
+        The planner's state may be inconsistent, and another controller of the fleet can take over.
+        """
         self.stop(f"decide failed: {problem!r}")
 
-    def set_timer(self, order):
-        self.loop.call_later(
-            order.delay, self.fire_of, self.planner, order.token, self.begun + order.delay
-        )
+    # Handlers of commands.
+
+    def set_timer(self, command: interface.SetTimer) -> None:
+        """Schedule a timer of the current planner, due `delay` seconds after the batch began."""
+        due = self.batch_started_at + command.delay
+        self.loop.call_later(command.delay, self.fire_of, self.planner, command.token, due)
 
-    def fire_of(self, planner, token, due):
-        if planner is self.planner:  # else the planner that asked for it is no more
+    def fire_of(self, planner: object, token: int, due: float) -> None:
+        """Fire a timer unless the planner that set it has been replaced."""
+        if planner is self.planner:
             self.fire(token, due)
 
-    def fire(self, token, due):
+    def fire(self, token: int, due: float) -> None:
+        """Report a timer to the planner that was due at `due`, in seconds on the loop's clock."""
         self.hear(interface.TimerFired(token))
 
-    def log_line(self, order):
-        self.log("planner", text=order.text)
+    def log_message(self, command: interface.LogMessage) -> None:
+        """Write the planner's line to the log."""
+        self.log("planner", text=command.text)
--- /dev/null
+++ b/peatlead/controller/view_state.py
@@ -0,0 +1,41 @@
+"""The tables that one subscriber holds, rebuilt from the messages that were sent to it."""
+
+from .message import ADMISSION, ASSIGNMENT, ENTRY, UNASSIGNED_TABLE, WITHDRAWN, Operations, TableId
+
+
+class ViewState:
+    """What a DNS view or proxy holds; messages must be applied in the order of sending."""
+
+    __slots__ = ("tables", "bound", "withdrawn", "levels")
+
+    def __init__(self) -> None:
+        self.tables: dict[TableId, dict[int, float]] = {}  # weights of endpoints, by table
+        self.bound: dict[int, TableId] = {}  # table of each request class
+        self.withdrawn: set[int] = set()  # ejected endpoints, whatever the tables say
+        self.levels: dict[int, tuple[float, str]] = {}  # (admitted fraction, retry policy) by class
+
+    def apply(self, ops: Operations) -> None:
+        """Apply the operations of one message."""
+        for key, value in ops.items():
+            if key[0] == ENTRY:
+                entries = self.tables.setdefault(key[1], {})
+                entries.pop(key[2], None)
+                if value:
+                    entries[key[2]] = value
+            elif key[0] == ASSIGNMENT:
+                self.bound[key[1]] = value
+            elif key[0] == UNASSIGNED_TABLE:
+                self.tables.pop(key[1], None)
+            elif key[0] == ADMISSION:
+                self.levels[key[1]] = value
+            elif key[0] == WITHDRAWN and value:
+                self.withdrawn.add(key[1])
+            elif key[0] == WITHDRAWN:
+                self.withdrawn.discard(key[1])
+            # PIN_CHECK changes nothing: what a pin makes of the state has changed.
+
+    def lines(self, kind: int) -> dict[int, float]:
+        """Return the weights that route requests of a class, without ejected endpoints."""
+        table = self.bound.get(kind)
+        entries = {} if table is None else self.tables.get(table, {})
+        return {host: weight for host, weight in entries.items() if host not in self.withdrawn}
--- /dev/null
+++ b/tests/controller/test_endpoint_registry.py
@@ -0,0 +1,35 @@
+import unittest
+
+from peatlead.controller.endpoint_registry import EndpointRegistry
+from peatlead.sources.endpoint_list import EndpointList, read_document
+
+from ..places import settings
+from ..sources.documents import HOST, document
+
+
+class EndpointRegistryTest(unittest.TestCase):
+    def test_the_start_time_of_a_process_does_not_change(self):
+        registry = EndpointRegistry(
+            [zone["name"] for zone in settings()["zone"]], lambda *_, **__: None
+        )
+        first = registry.roster(read_document(document(HOST)), 1000.0).endpoints[0]
+        again = registry.roster(
+            read_document(document(HOST, version=2, written=130.0)), 1031.0
+        ).endpoints[0]
+        anew = registry.roster(
+            read_document(document({**HOST, "started": 130.0}, version=3, written=131.0)),
+            1032.0,
+        ).endpoints[0]
+        self.assertEqual(
+            (first.started_at, again.started_at, anew.started_at), (950.0, 950.0, 1031.0)
+        )
+        self.assertEqual((first.id, anew.id), (0, 0))
+
+    def test_endpoints_of_unknown_zones_are_left_out(self):
+        registry = EndpointRegistry(
+            [zone["name"] for zone in settings()["zone"]], lambda *_, **__: None
+        )
+        listing = EndpointList(
+            "whole", 1, 0.0, read_document(document({**HOST, "zone": "mars"})).hosts
+        )
+        self.assertEqual(registry.roster(listing, 0.0).endpoints, ())
--- /dev/null
+++ b/tests/health/test_load_report_counts.py
@@ -0,0 +1,76 @@
+import unittest
+
+from peatlead import interface
+from peatlead.dns.views import View
+from peatlead.health.load_report_counts import EndpointReport, LoadReportCounts, read_told
+
+
+class LoadReportCountsTest(unittest.TestCase):
+    def make_counts(self):
+        views = {"10.1.0.0": View(0, "desk0", 70, 0, 1.0), "10.2.0.0": View(1, "desk1", 71, 1, 1.0)}
+        counts = LoadReportCounts(["look", "file"], views.get, 0, 1.0)
+        self.assertEqual(counts.due(0.0, [70, 71]), [])
+        return counts
+
+    def report(self, boot="b", **rows):
+        return EndpointReport(
+            boot, ["look"], {network.replace("_", "."): [row] for network, row in rows.items()}
+        )
+
+    def test_stats_are_the_difference_of_counters_by_zone_of_the_view(self):
+        counts = self.make_counts()
+        counts.take(3, self.report(**{"10_1_0_0": [10, 9, 1, 0, 0, 0, 4.5]}), {"util": 0.4})
+        counts.take(
+            3,
+            self.report(
+                **{"10_1_0_0": [16, 13, 1, 0, 2, 0, 6.5], "10_2_0_0": [1, 1, 0, 0, 0, 0, 0.1]}
+            ),
+            None,
+        )
+        events = counts.due(2.0, [70, 71])
+        self.assertEqual(
+            events,
+            [
+                interface.RequestStats(70, 0, 6, 2, 2.0),
+                interface.RequestStats(71, 0, 1, 0, 2.0),
+                interface.EndpointStats(3, 0, 6, 2, 2.0, 0.5, {"util": 0.4}),
+                interface.EndpointStats(3, 1, 1, 0, 2.0, 0.1, {"util": 0.4}),
+            ],
+        )
+
+    def test_counters_restart_with_a_new_process_and_decreasing_ones_are_ignored(self):
+        counts = self.make_counts()
+        counts.take(3, self.report(**{"10_1_0_0": [100, 90, 0, 0, 0, 0, 9.0]}), None)
+        counts.take(3, self.report("c", **{"10_1_0_0": [4, 4, 0, 0, 0, 0, 1.0]}), None)
+        counts.take(3, self.report("c", **{"10_1_0_0": [1, 1, 0, 0, 0, 0, 0.5]}), None)
+        (stats,) = [
+            event for event in counts.due(1.0, [70, 71]) if type(event) is interface.EndpointStats
+        ]
+        self.assertEqual((stats.attempts, stats.errors), (4, 0))
+
+    def test_requests_given_up_by_clients_count_as_errors(self):
+        counts = self.make_counts()
+        counts.take(3, self.report(**{"10_1_0_0": [0, 0, 0, 0, 0, 0, 0.0]}), None)
+        counts.take(3, self.report(**{"10_1_0_0": [9, 0, 0, 0, 8, 0, 0.0]}), None)
+        (stats,) = [
+            event for event in counts.due(1.0, [70, 71]) if type(event) is interface.EndpointStats
+        ]
+        self.assertEqual((stats.attempts, stats.errors), (8, 8))
+
+    def test_a_passed_health_check_counts_for_an_idle_endpoint(self):
+        counts = self.make_counts()
+        counts.probed(3, True, 0.01)
+        counts.probed(4, False, 0.8)
+        self.assertEqual(
+            counts.due(1.0, [70, 71]), [interface.EndpointStats(3, 0, 1, 0, 1.0, 0.01, None)]
+        )
+
+    def test_malformed_reports_are_ignored(self):
+        for body in (b"", b"{}", b"[1]", b'{"boot": 1, "kinds": [], "networks": {}}', b"\xff"):
+            self.assertIsNone(read_told(body))
+        counts = self.make_counts()
+        for rows in ([[1, 2]], [["a"]], []):
+            counts.take(
+                3, EndpointReport("b", ["look", "other"], {"10.1.0.0": rows, "junk": rows}), None
+            )
+        self.assertEqual(counts.due(1.0, [70, 71]), [])
--- /dev/null
+++ b/tests/net/test_orca_header.py
@@ -0,0 +1,24 @@
+import unittest
+
+from peatlead.net.orca import read_report, write_report
+
+
+class OrcaHeaderTest(unittest.TestCase):
+    def test_load_reports_are_read_in_all_published_forms(self):
+        self.assertEqual(
+            read_report(write_report({"util": 0.25, "waiting": 3})), {"util": 0.25, "waiting": 3.0}
+        )
+        self.assertEqual(
+            read_report('JSON {"cpu_utilization": 0.5, "named_metrics": {"waiting": 2}}'),
+            {"util": 0.5, "waiting": 2.0},
+        )
+        for value in (
+            "",
+            "TEXT",
+            "TEXT cpu_utilization=nan, eps",
+            "JSON {",
+            "BIN xx",
+            "JSON [1]",
+            "TEXT cpu_utilization=-1",
+        ):
+            self.assertEqual(read_report(value), {})
