--- a/peatlead/controller/batch_loop.py
+++ b/peatlead/controller/batch_loop.py
@@ -78,10 +78,12 @@
 
     # The loop.
 
-    def note(self, event: interface.Event) -> None:
+    def submit_later(self, event: interface.Event) -> None:
         """Add an event to the next batch without scheduling one."""
         self.inbox.append(event)
 
+    note = submit_later  # the callers' name for it
+
     def hear(self, event: interface.Event) -> None:
         """Add an event to the next batch, which runs in the loop's next turn."""
         self.inbox.append(event)
--- a/tests/controller/test_endpoint_registry.py
+++ b/tests/controller/test_endpoint_registry.py
@@ -16,14 +16,14 @@
         again = registry.roster(
             read_document(document(HOST, version=2, written=130.0)), 1031.0
         ).endpoints[0]
-        anew = registry.roster(
+        restarted = registry.roster(
             read_document(document({**HOST, "started": 130.0}, version=3, written=131.0)),
             1032.0,
         ).endpoints[0]
         self.assertEqual(
-            (first.started_at, again.started_at, anew.started_at), (950.0, 950.0, 1031.0)
+            (first.started_at, again.started_at, restarted.started_at), (950.0, 950.0, 1031.0)
         )
-        self.assertEqual((first.id, anew.id), (0, 0))
+        self.assertEqual((first.id, restarted.id), (0, 0))
 
     def test_endpoints_of_unknown_zones_are_left_out(self):
         registry = EndpointRegistry(
@@ -33,3 +33,11 @@
             "whole", 1, 0.0, read_document(document({**HOST, "zone": "mars"})).hosts
         )
         self.assertEqual(registry.roster(listing, 0.0).endpoints, ())
+
+    def test_a_forgotten_endpoint_is_listed_again_under_a_new_number(self):
+        registry = EndpointRegistry(["north"], lambda *_, **__: None)
+        registry.roster(read_document(document(HOST)), 1000.0)
+        registry.forget(0)
+        self.assertEqual((registry.index, registry.entries), ({}, {}))
+        again = registry.roster(read_document(document(HOST, version=2, written=130.0)), 1031.0)
+        self.assertEqual([(one.id, one.started_at) for one in again.endpoints], [(1, 951.0)])
