--- /dev/null
+++ b/peatlead/controller/token_bucket.py
@@ -0,0 +1,22 @@
+"""A token bucket whose rate may change from call to call."""
+
+
+class TokenBucket:
+    """Holds up to one second's worth of tokens and starts full."""
+
+    __slots__ = ("tokens", "filled_at")
+
+    def __init__(self, rate: float) -> None:
+        self.tokens = rate
+        self.filled_at = 0.0  # seconds on the loop's clock
+
+    def take(self, now: float, rate: float, cost: float = 1.0) -> bool:
+        """Refill at `rate` tokens a second, and take `cost` tokens if there are as many."""
+        if now > self.filled_at:
+            refilled = self.tokens + (now - self.filled_at) * rate
+            self.tokens = min(max(rate, cost), refilled)
+            self.filled_at = now
+        if self.tokens < cost:
+            return False
+        self.tokens -= cost
+        return True
