--- a/peatlead/controller/propagation.py
+++ b/peatlead/controller/propagation.py
@@ -1,118 +1,170 @@
-"""What befell hosts lately, and how each loss went out: from its cause to the last holder that was without. Pure.
+"""Traces how the removal of an endpoint propagates to its holders, and keeps recent events.
 
-A loss begins when orders take a host away from somebody (`losing`). Each holder's way is followed: its message has
-left the channel (`left`), a version that has it in was sent (`sent`), that version is in force there (`applied`); a
-DNS view is without it as soon as its message has left. All is bounded: the oldest is forgotten.
+A `Withdrawal` begins when commands take an endpoint away from a holder (a DNS view or proxy). The
+stage of each holder is followed: the message has left the channel (`left`), a version that contains
+it was sent (`sent`), and that version is in force (`applied`). A DNS view is without the endpoint
+as soon as its message has left. Everything is bounded, and the oldest is dropped first.
 """
 
 from collections import OrderedDict, deque
+from collections.abc import Iterator
+from enum import Enum
+from typing import NamedTuple, Optional, Union
 
-NOTES_EACH, HOSTS_MOST = 20, 20_000  # notes of one host; hosts that have any
-LOSSES_MOST, PAST_EACH = (
-    500,
-    3,
-)  # losses that are under way at a time; ended ones that are kept of a host
+from ..tables.version import Version
+
+NOTES_EACH = 20  # events kept of one endpoint
+HOSTS_MOST = 20_000  # endpoints of which events or finished withdrawals are kept
+LOSSES_MOST = 500  # withdrawals under way
+PAST_EACH = 3  # finished withdrawals kept of one endpoint
+
+
+class Stage(Enum):
+    """How far a holder is that no version has been sent to."""
+
+    COMMANDED = "commanded"  # its message waits in the channel
+    DEQUEUED = "dequeued"  # its message has left the channel; the next version contains it
+
+
+Progress = Union[Stage, Version]  # a holder's stage, or the version that was sent to it
+
+
+class Event(NamedTuple):
+    """Something that happened to an endpoint."""
+
+    at: float
+    text: str
 
 
 class Withdrawal:
-    """One host's; `waiting`: holder -> None, LEFT, or the version that was sent."""
+    """The removal of one endpoint from all of its holders."""
 
-    __slots__ = ("at", "waiting", "told", "gone", "last", "delays")
+    __slots__ = ("at", "waiting", "applied", "disconnected", "delays")
 
-    def __init__(self, at):
-        self.at, self.waiting, self.told, self.gone, self.last, self.delays = at, {}, 0, 0, at, []
+    def __init__(self, at: float) -> None:
+        self.at = at  # when it began, in seconds on the loop's clock
+        self.waiting: dict[int, Progress] = {}  # by holder
+        self.applied = 0  # holders that are without the endpoint
+        self.disconnected = 0  # holders that left before
+        self.delays: list[float] = []  # seconds until each holder was without it
 
-    def summary(self, now):
-        found = sorted(self.delays)
+    def summary(self, now: float) -> dict[str, Optional[float]]:
+        """Return the counts and delays that operators see."""
+        delays = sorted(self.delays)
         return {
             "seconds ago": round(now - self.at, 3),
-            "holders": self.told + self.gone + len(self.waiting),
-            "without it": self.told,
-            "left before": self.gone,
+            "holders": self.applied + self.disconnected + len(self.waiting),
+            "without it": self.applied,
+            "left before": self.disconnected,
             "still to go": len(self.waiting),
-            "median s": round(found[len(found) // 2], 4) if found else None,
-            "last s": round(found[-1], 4) if found else None,
+            "median s": round(delays[len(delays) // 2], 4) if delays else None,
+            "last s": round(delays[-1], 4) if delays else None,
         }
 
 
-LEFT = object()  # its message has left the channel; what is sent next has it in
-
-
 class PropagationTrace:
-    def __init__(self):
-        self.notes, self.open, self.past, self.holding = OrderedDict(), OrderedDict(), {}, {}
-        self.forgotten = 0
-
-    def note(self, now, host, text):
-        kept = self.notes.get(host)
-        if kept is None:
+    """Follows withdrawals; endpoints and holders are the numbers that the planner knows."""
+
+    def __init__(self) -> None:
+        self.notes: OrderedDict[int, deque[Event]] = OrderedDict()  # by endpoint
+        self.open: OrderedDict[int, Withdrawal] = OrderedDict()  # under way, by endpoint
+        self.past: dict[int, deque[Withdrawal]] = {}  # finished, by endpoint
+        self.holding: dict[int, dict[int, bool]] = {}  # holder -> endpoints it still has to lose
+        self.forgotten = 0  # withdrawals dropped before they were finished
+
+    def note(self, now: float, host: int, text: str) -> None:
+        """Record an event of an endpoint."""
+        events = self.notes.get(host)
+        if events is None:
             if len(self.notes) >= HOSTS_MOST:
                 self.notes.popitem(last=False)
-            kept = self.notes[host] = deque(maxlen=NOTES_EACH)
-        kept.append((now, text))
+            events = self.notes[host] = deque(maxlen=NOTES_EACH)
+        events.append(Event(now, text))
 
-    def losing(self, now, host, holder):
-        loss = self.open.get(host)
-        if loss is None:
+    def losing(self, now: float, host: int, holder: int) -> None:
+        """Begin to follow a holder that an endpoint is taken away from."""
+        withdrawal = self.open.get(host)
+        if withdrawal is None:
             if len(self.open) >= LOSSES_MOST:
                 self.forget(next(iter(self.open)))
-            loss = self.open[host] = Withdrawal(now)
-        if holder not in loss.waiting:
-            loss.waiting[holder] = None
+            withdrawal = self.open[host] = Withdrawal(now)
+        if holder not in withdrawal.waiting:
+            withdrawal.waiting[holder] = Stage.COMMANDED
             self.holding.setdefault(holder, {})[host] = True
 
-    def forget(self, host):
+    def left(self, holder: int) -> None:
+        """Record that a message has left the channel."""
+        for _, withdrawal in self.waiting_on(holder):
+            if withdrawal.waiting[holder] is Stage.COMMANDED:
+                withdrawal.waiting[holder] = Stage.DEQUEUED
+
+    def sent(self, holder: int, version: Version) -> None:
+        """Record that a version was sent; it contains all messages that have left the channel."""
+        for _, withdrawal in self.waiting_on(holder):
+            if withdrawal.waiting[holder] is Stage.DEQUEUED:
+                withdrawal.waiting[holder] = version
+
+    def applied(self, now: float, holder: int, version: Optional[Version] = None) -> None:
+        """Record that a version is in force, or (None: DNS views) all that has left the channel."""
+        for host, withdrawal in list(self.waiting_on(holder)):
+            if is_in_force(withdrawal.waiting[holder], version):
+                withdrawal.applied += 1
+                withdrawal.delays.append(now - withdrawal.at)
+                self.end(host, holder)
+
+    def ended(self, now: float, holder: int) -> None:
+        """Record that a holder has left; nothing more is expected of it."""
+        for host, withdrawal in list(self.waiting_on(holder)):
+            withdrawal.disconnected += 1
+            self.end(host, holder)
+
+    def tell(self, now: float, host: int) -> dict[str, list[object]]:
+        """Return the recent events and withdrawals of an endpoint as operators see them."""
+        withdrawals = list(self.past.get(host, ()))
+        if host in self.open:
+            withdrawals.append(self.open[host])
+        return {
+            "notes": [[round(now - event.at, 3), event.text] for event in self.notes.get(host, ())],
+            "losses": [withdrawal.summary(now) for withdrawal in withdrawals],
+        }
+
+    def waiting_on(self, holder: int) -> Iterator[tuple[int, Withdrawal]]:
+        """Yield the endpoints that a holder still has to lose, with their withdrawals."""
+        for host in self.holding.get(holder, ()):
+            yield host, self.open[host]
+
+    def end(self, host: int, holder: int) -> None:
+        """Stop to follow one holder, and finish the withdrawal with the last one."""
+        withdrawal = self.open[host]
+        del withdrawal.waiting[holder]
+        self.drop(host, holder)
+        if not withdrawal.waiting:
+            del self.open[host]
+            if len(self.past) >= HOSTS_MOST and host not in self.past:
+                self.past.pop(next(iter(self.past)))
+            self.past.setdefault(host, deque(maxlen=PAST_EACH)).append(withdrawal)
+
+    def forget(self, host: int) -> None:
+        """Drop a withdrawal that is under way."""
         self.forgotten += 1
         for holder in self.open.pop(host).waiting:
-            self.drop(holder, host)
+            self.drop(host, holder)
 
-    def drop(self, holder, host):
+    def drop(self, host: int, holder: int) -> None:
+        """Remove an endpoint from those that a holder still has to lose."""
         hosts = self.holding[holder]
         del hosts[host]
         if not hosts:
             del self.holding[holder]
 
-    def left(self, holder):
-        for host in self.holding.get(holder, ()):
-            if self.open[host].waiting[holder] is None:
-                self.open[host].waiting[holder] = LEFT
 
-    def sent(self, holder, version):
-        for host in self.holding.get(holder, ()):
-            if self.open[host].waiting[holder] is LEFT:
-                self.open[host].waiting[holder] = version
-
-    def applied(self, now, holder, version=None):
-        """`version` None: all that has left the channel is in force, as it is with a DNS view."""
-        for host in list(self.holding.get(holder, ())):
-            stands = self.open[host].waiting[holder]
-            if stands is None or version is not None and (stands is LEFT or stands > version):
-                continue
-            self.end(now, host, holder, True)
-
-    def ended(self, now, holder):
-        """It has gone: nothing of it can be without the host any more."""
-        for host in list(self.holding.get(holder, ())):
-            self.end(now, host, holder, False)
-
-    def end(self, now, host, holder, told):
-        loss = self.open[host]
-        del loss.waiting[holder]
-        self.drop(holder, host)
-        if told:
-            loss.told, loss.last = loss.told + 1, now
-            loss.delays.append(now - loss.at)
-        else:
-            loss.gone += 1
-        if not loss.waiting:
-            del self.open[host]
-            if len(self.past) >= HOSTS_MOST and host not in self.past:
-                self.past.pop(next(iter(self.past)))
-            self.past.setdefault(host, deque(maxlen=PAST_EACH)).append(loss)
+def is_in_force(progress: Progress, version: Optional[Version]) -> bool:
+    """Return whether a holder is without the endpoint once `version` is in force.
 
-    def tell(self, now, host):
-        losses = [*self.past.get(host, ()), *([self.open[host]] if host in self.open else [])]
-        return {
-            "notes": [[round(now - at, 3), text] for at, text in self.notes.get(host, ())],
-            "losses": [loss.summary(now) for loss in losses],
-        }
+    With None, all that has left the channel is in force.
+    """
+    if progress is Stage.COMMANDED:
+        return False
+    if version is None:
+        return True
+    return not isinstance(progress, Stage) and progress <= version
