--- a/peatlead/controller/planner_settings.py
+++ b/peatlead/controller/planner_settings.py
@@ -1,58 +1,89 @@
-"""The planner's settings out of the program's. Names and units only: nothing is decided here."""
-
-
-def planner_settings(settings, steward, views):
-    """The plain map that `Planner` takes. All views join every steward; gRPC proxies one of a fleet."""
-    stewards = len(settings["steward"]) if steward["peer"] else 1
-    proxies, shun = settings["grpc"]["proxies"], settings["grpc"]["fails_to_shun"]
-    zones = {zone["name"]: at for at, zone in enumerate(settings["zone"])}
-    limits, choices = settings["limits"], settings["choices"]
-    passed = (
-        "drain_grace",
-        "bare_most",
-        "cold_share",
-        "warm_after",
-        "tip_multiple",
-        "tip_span",
-        "queue_most",
-        "channel_rate",
-        "message_head",
-        "messages_most",
-        "messages_span",
-        "push_delay_most",
-    )
+"""Translates the program's settings into the planner's. Only names and units change."""
+
+from collections.abc import Mapping, Sequence
+from typing import Any
+
+Settings = Mapping[str, Any]
+
+# Limits that the planner takes under the same name.
+SHARED_LIMITS = (
+    "drain_grace",
+    "bare_most",
+    "cold_share",
+    "warm_after",
+    "tip_multiple",
+    "tip_span",
+    "queue_most",
+    "channel_rate",
+    "message_head",
+    "messages_most",
+    "messages_span",
+    "push_delay_most",
+)
+
+
+def planner_settings(settings: Settings, steward: Settings, views: int) -> dict[str, Any]:
+    """Return the settings of one controller's planner.
+
+    `steward` is the controller's own entry in the settings, and `views` the number of DNS views.
+    Every view connects to all controllers of a fleet, a gRPC proxy to one of them.
+    """
+    controllers = len(settings["steward"]) if steward["peer"] else 1
+    zones = {zone["name"]: number for number, zone in enumerate(settings["zone"])}
+    limits = settings["limits"]
     return {
-        **{name: limits[name] for name in passed},
-        "stewards": stewards,
-        "proxies": views * stewards + proxies,
+        **{name: limits[name] for name in SHARED_LIMITS},
+        "stewards": controllers,
         "zone": zones[steward["zone"]],
         "zones": list(zones),
         "machines": [],
         "roster_mode": "pushed",
         "joins_own_zone": False,
-        "pick": settings["grpc"]["pick"] if proxies else "random",
         "standing": 0,
-        "fails_to_shun": shun if proxies and not views else 0,
-        "sums_every": choices["sums_every"],
         "probing": True,
         "report_fields": ["util"],
         "tries_told": not views,
-        "peer_notes": stewards > 1,
+        "peer_notes": controllers > 1,
+        **proxy_settings(settings["grpc"], views, views * controllers),
+        **choice_settings(settings["choices"]),
+        "req_kinds": [
+            request_class_settings(request_class, zones)
+            for request_class in settings["request_kind"]
+        ],
+    }
+
+
+def proxy_settings(grpc: Settings, views: int, view_connections: int) -> dict[str, Any]:
+    """Return what depends on the number of gRPC proxies."""
+    proxies = grpc["proxies"]
+    return {
+        "proxies": view_connections + proxies,
+        "pick": grpc["pick"] if proxies else "random",
+        "fails_to_shun": grpc["fails_to_shun"] if proxies and not views else 0,
+    }
+
+
+def choice_settings(choices: Settings) -> dict[str, Any]:
+    """Return the operators' choices under the planner's names."""
+    return {
+        "sums_every": choices["sums_every"],
         "gone_is_advice": choices["gone_is_advice"],
         "price_of_crossing": choices["crossing_price"],
         "value_of_worst_kind": choices["value_of_worst_kind"],
         "value_of_whole": 1.0 - choices["value_of_worst_kind"],
-        "req_kinds": [
-            {
-                "name": kind["name"],
-                "response_target": kind["response_target"],
-                "client_timeout": kind["client_timeout"],
-                "gain": kind["gain"],
-                "repeat": kind["repeat"],
-                "only_zones": [zones[zone] for zone in kind["only_zones"]],
-                "only_machines": [],
-                "own_zone": False,
-            }
-            for kind in settings["request_kind"]
-        ],
+    }
+
+
+def request_class_settings(request_class: Settings, zones: Mapping[str, int]) -> dict[str, Any]:
+    """Return the settings of one request class, with zones by number."""
+    only_zones: Sequence[str] = request_class["only_zones"]
+    return {
+        "name": request_class["name"],
+        "response_target": request_class["response_target"],
+        "client_timeout": request_class["client_timeout"],
+        "gain": request_class["gain"],
+        "repeat": request_class["repeat"],
+        "only_zones": [zones[zone] for zone in only_zones],
+        "only_machines": [],
+        "own_zone": False,
     }
