--- a/peatlead/controller/batch_loop.py
+++ b/peatlead/controller/batch_loop.py
@@ -12,7 +12,7 @@
 from typing import Any, Protocol
 
 from .. import interface
-from .channel import Operations, Publisher
+from .publisher import Messages, Publisher
 
 EVENTS_LOGGED = 20  # event types that the log line of a failed decision names
 
@@ -60,13 +60,14 @@
     def offer(
         self,
         now: float,
-        orders: list[interface.Command],
-        messages: dict[int, Operations],
-        marks: dict[int, list[int]],
+        commands: list[interface.Command],
+        messages: Messages,
+        nonces: dict[int, list[int]],
+        /,
     ) -> None:
         """Pass on a batch's messages and the nonces to acknowledge, both by subscriber.
 
-        `orders` are all commands of the batch.
+        `commands` are all commands of the batch.
         """
 
     def after(self, now: float, events: list[interface.Event]) -> None:
@@ -135,12 +136,12 @@
             events=[type(event).__name__ for event in events][:EVENTS_LOGGED],
         )
 
-    def failed(self, problem: Exception) -> None:
+    def failed(self, error: Exception, /) -> None:
         """Stop after a decision that raised.
 
         The planner's state may be inconsistent, and another controller of the fleet can take over.
         """
-        self.stop(f"decide failed: {problem!r}")
+        self.stop(f"decide failed: {error!r}")
 
     # Handlers of commands.
 
--- a/peatlead/controller/channel.py
+++ b/peatlead/controller/channel.py
@@ -51,20 +51,20 @@
     def offer(
         self,
         now: float,
-        view: int,
+        subscriber: int,
         ops: Operations,
         marks: Iterable[int] = (),
         causes: Iterable[str] = (),
     ) -> None:
         """Queue operations for a subscriber, with nonces to acknowledge and causes to record."""
-        message = self.queue.get(view)
+        message = self.queue.get(subscriber)
         if message is None:
-            message = self.queue[view] = Message(now)
+            message = self.queue[subscriber] = Message(now)
             self.waiting += self.overhead
         before = len(message.ops)
         for key, value in ops.items():
             put(message.ops, key, value)
-        self.choose_lane(view, message)
+        self.choose_lane(subscriber, message)
         message.marks = list(marks) or message.marks  # the newest nonce acknowledges all before it
         if len(message.causes) < CAUSES_MOST:
             message.causes.update(dict.fromkeys(causes))
@@ -72,18 +72,18 @@
         self.deepest = max(self.deepest, self.waiting)
         self.past += self.waiting > self.most
 
-    def choose_lane(self, view: int, message: Message) -> None:
+    def choose_lane(self, subscriber: int, message: Message) -> None:
         """Put a subscriber into its message's lane; one that is there already keeps its place."""
         urgent = bool(taken_away(message.ops))
         lane, other = (self.urgent, self.calm) if urgent else (self.calm, self.urgent)
-        other.pop(view, None)
-        lane.setdefault(view, True)
+        other.pop(subscriber, None)
+        lane.setdefault(subscriber, True)
 
-    def forget(self, view: int) -> None:
+    def forget(self, subscriber: int) -> None:
         """Drop what waits for a subscriber that has left."""
-        message = self.queue.pop(view, None)
-        self.urgent.pop(view, None)
-        self.calm.pop(view, None)
+        message = self.queue.pop(subscriber, None)
+        self.urgent.pop(subscriber, None)
+        self.calm.pop(subscriber, None)
         if message is not None:
             self.waiting -= self.overhead + len(message.ops)
 
@@ -92,7 +92,7 @@
         """When the next message may leave, None where none waits."""
         return self.free_at if self.queue else None
 
-    def next_view(self) -> int:
+    def next_subscriber(self) -> int:
         """Take the next subscriber off its lane; at least one must wait."""
         if self.urgent and (self.urgent_run < URGENT_RUN or not self.calm):
             self.urgent_run += 1
@@ -104,13 +104,13 @@
         """Dequeue the messages that may leave by now, at most `most`, with their subscribers."""
         leaving: list[tuple[int, Message]] = []
         while self.queue and self.free_at <= now and len(leaving) < most:
-            view = self.next_view()
-            message = self.queue.pop(view)
+            subscriber = self.next_subscriber()
+            message = self.queue.pop(subscriber)
             size = self.overhead + len(message.ops)
             self.waiting -= size
             # An idle channel accumulates no credit for a burst.
             self.free_at = max(self.free_at, message.offered) + size / self.rate
-            leaving.append((view, message))
+            leaving.append((subscriber, message))
         if not self.queue:
             self.waiting = 0.0  # no rounding errors accumulate
         return leaving
--- a/peatlead/controller/endpoint_registry.py
+++ b/peatlead/controller/endpoint_registry.py
@@ -102,8 +102,8 @@
             return max(0.0, written - entry.started)
         return UNKNOWN_AGE if self.unstarted_old or not self.listed else 0.0
 
-    def forget(self, at: int) -> None:
+    def forget(self, number: int) -> None:
         """Drop an endpoint that is in no table any more; listed again, it gets a new number."""
-        entry = self.entries.pop(at)
+        entry = self.entries.pop(number)
         del self.index[entry.name]
         self.starts.pop(entry.name, None)
--- a/peatlead/controller/propagation.py
+++ b/peatlead/controller/propagation.py
@@ -13,9 +13,9 @@
 
 from ..tables.version import Version
 
-NOTES_EACH = 20  # events kept of one endpoint
-HOSTS_MOST = 20_000  # endpoints of which events or finished withdrawals are kept
-LOSSES_MOST = 500  # withdrawals under way
+EVENTS_EACH = 20  # events kept of one endpoint
+ENDPOINTS_MOST = 20_000  # endpoints of which events or finished withdrawals are kept
+WITHDRAWALS_MOST = 500  # withdrawals under way
 PAST_EACH = 3  # finished withdrawals kept of one endpoint
 
 
@@ -72,25 +72,25 @@
         self.holding: dict[int, dict[int, bool]] = {}  # holder -> endpoints it still has to lose
         self.forgotten = 0  # withdrawals dropped before they were finished
 
-    def note(self, now: float, host: int, text: str) -> None:
+    def note(self, now: float, endpoint: int, text: str) -> None:
         """Record an event of an endpoint."""
-        events = self.notes.get(host)
+        events = self.notes.get(endpoint)
         if events is None:
-            if len(self.notes) >= HOSTS_MOST:
+            if len(self.notes) >= ENDPOINTS_MOST:
                 self.notes.popitem(last=False)
-            events = self.notes[host] = deque(maxlen=NOTES_EACH)
+            events = self.notes[endpoint] = deque(maxlen=EVENTS_EACH)
         events.append(Event(now, text))
 
-    def losing(self, now: float, host: int, holder: int) -> None:
+    def losing(self, now: float, endpoint: int, holder: int) -> None:
         """Begin to follow a holder that an endpoint is taken away from."""
-        withdrawal = self.open.get(host)
+        withdrawal = self.open.get(endpoint)
         if withdrawal is None:
-            if len(self.open) >= LOSSES_MOST:
+            if len(self.open) >= WITHDRAWALS_MOST:
                 self.forget(next(iter(self.open)))
-            withdrawal = self.open[host] = Withdrawal(now)
+            withdrawal = self.open[endpoint] = Withdrawal(now)
         if holder not in withdrawal.waiting:
             withdrawal.waiting[holder] = Stage.COMMANDED
-            self.holding.setdefault(holder, {})[host] = True
+            self.holding.setdefault(holder, {})[endpoint] = True
 
     def left(self, holder: int) -> None:
         """Record that a message has left the channel."""
@@ -106,55 +106,57 @@
 
     def applied(self, now: float, holder: int, version: Optional[Version] = None) -> None:
         """Record that a version is in force, or (None: DNS views) all that has left the channel."""
-        for host, withdrawal in list(self.waiting_on(holder)):
+        for endpoint, withdrawal in list(self.waiting_on(holder)):
             if is_in_force(withdrawal.waiting[holder], version):
                 withdrawal.applied += 1
                 withdrawal.delays.append(now - withdrawal.at)
-                self.end(host, holder)
+                self.end(endpoint, holder)
 
     def ended(self, now: float, holder: int) -> None:
         """Record that a holder has left; nothing more is expected of it."""
-        for host, withdrawal in list(self.waiting_on(holder)):
+        for endpoint, withdrawal in list(self.waiting_on(holder)):
             withdrawal.disconnected += 1
-            self.end(host, holder)
+            self.end(endpoint, holder)
 
-    def tell(self, now: float, host: int) -> dict[str, list[object]]:
+    def tell(self, now: float, endpoint: int) -> dict[str, list[object]]:
         """Return the recent events and withdrawals of an endpoint as operators see them."""
-        withdrawals = list(self.past.get(host, ()))
-        if host in self.open:
-            withdrawals.append(self.open[host])
+        withdrawals = list(self.past.get(endpoint, ()))
+        if endpoint in self.open:
+            withdrawals.append(self.open[endpoint])
         return {
-            "notes": [[round(now - event.at, 3), event.text] for event in self.notes.get(host, ())],
+            "notes": [
+                [round(now - event.at, 3), event.text] for event in self.notes.get(endpoint, ())
+            ],
             "losses": [withdrawal.summary(now) for withdrawal in withdrawals],
         }
 
     def waiting_on(self, holder: int) -> Iterator[tuple[int, Withdrawal]]:
         """Yield the endpoints that a holder still has to lose, with their withdrawals."""
-        for host in self.holding.get(holder, ()):
-            yield host, self.open[host]
+        for endpoint in self.holding.get(holder, ()):
+            yield endpoint, self.open[endpoint]
 
-    def end(self, host: int, holder: int) -> None:
+    def end(self, endpoint: int, holder: int) -> None:
         """Stop to follow one holder, and finish the withdrawal with the last one."""
-        withdrawal = self.open[host]
+        withdrawal = self.open[endpoint]
         del withdrawal.waiting[holder]
-        self.drop(host, holder)
+        self.drop(endpoint, holder)
         if not withdrawal.waiting:
-            del self.open[host]
-            if len(self.past) >= HOSTS_MOST and host not in self.past:
+            del self.open[endpoint]
+            if len(self.past) >= ENDPOINTS_MOST and endpoint not in self.past:
                 self.past.pop(next(iter(self.past)))
-            self.past.setdefault(host, deque(maxlen=PAST_EACH)).append(withdrawal)
+            self.past.setdefault(endpoint, deque(maxlen=PAST_EACH)).append(withdrawal)
 
-    def forget(self, host: int) -> None:
+    def forget(self, endpoint: int) -> None:
         """Drop a withdrawal that is under way."""
         self.forgotten += 1
-        for holder in self.open.pop(host).waiting:
-            self.drop(host, holder)
+        for holder in self.open.pop(endpoint).waiting:
+            self.drop(endpoint, holder)
 
-    def drop(self, host: int, holder: int) -> None:
+    def drop(self, endpoint: int, holder: int) -> None:
         """Remove an endpoint from those that a holder still has to lose."""
-        hosts = self.holding[holder]
-        del hosts[host]
-        if not hosts:
+        endpoints = self.holding[holder]
+        del endpoints[endpoint]
+        if not endpoints:
             del self.holding[holder]
 
 
--- a/peatlead/controller/publisher.py
+++ b/peatlead/controller/publisher.py
@@ -38,34 +38,34 @@
         self.ejected: dict[int, set[int]] = {}  # subscriber -> endpoints ejected since it joined
         self.levels: dict[int, tuple[float, str]] = {}  # (admitted fraction, retry policy) by class
 
-    def join(self, view: int, levelled: bool = False) -> None:
+    def join(self, subscriber: int, levelled: bool = False) -> None:
         """Add a subscriber; `levelled` where it enforces admission and retry policies itself."""
-        self.joined.add(view)
-        self.unassigned.add(view)
-        self.ejected[view] = set()
+        self.joined.add(subscriber)
+        self.unassigned.add(subscriber)
+        self.ejected[subscriber] = set()
         if levelled:
-            self.enforcing.add(view)
+            self.enforcing.add(subscriber)
 
-    def leave(self, view: int) -> None:
+    def leave(self, subscriber: int) -> None:
         """Remove a subscriber; one that has not joined is ignored."""
-        self.joined.discard(view)
-        self.enforcing.discard(view)
-        self.unassigned.discard(view)
-        self.ejected.pop(view, None)
-        for table in self.bound.pop(view, {}).values():
-            self.users[table].discard(view)
-
-    def forget(self, host: int) -> None:
+        self.joined.discard(subscriber)
+        self.enforcing.discard(subscriber)
+        self.unassigned.discard(subscriber)
+        self.ejected.pop(subscriber, None)
+        for table in self.bound.pop(subscriber, {}).values():
+            self.users[table].discard(subscriber)
+
+    def forget(self, endpoint: int) -> None:
         """Drop what is kept about an endpoint that is gone and in no table."""
-        self.holders.pop(host, None)
-        for view in self.notified.pop(host, ()):
-            self.ejected.get(view, set()).discard(host)
+        self.holders.pop(endpoint, None)
+        for subscriber in self.notified.pop(endpoint, ()):
+            self.ejected.get(subscriber, set()).discard(endpoint)
 
-    def take(self, orders: Iterable[interface.Command]) -> RoutedCommands:
+    def take(self, commands: Iterable[interface.Command]) -> RoutedCommands:
         """Route a batch's commands, and update the tables by them."""
         routed = RoutedCommands({}, {}, [])
         messages = routed.messages
-        for command in orders:
+        for command in commands:
             if isinstance(command, interface.SetEntry):
                 self.set_entry(messages, command.table, command.endpoint, command.weight)
             elif isinstance(command, interface.ClearTable):
@@ -74,8 +74,10 @@
             elif isinstance(command, interface.AssignTable):
                 self.assign(messages, command)
             elif isinstance(command, interface.WithdrawEndpoint):
-                for view in self.affected_by(command):
-                    messages.setdefault(view, {})[WITHDRAWN, command.endpoint] = command.withdrawn
+                for subscriber in self.affected_by(command):
+                    messages.setdefault(subscriber, {})[WITHDRAWN, command.endpoint] = (
+                        command.withdrawn
+                    )
             elif isinstance(command, interface.RequestAcknowledgement):
                 self.request_acknowledgement(routed, command)
             else:
@@ -88,9 +90,9 @@
         self, routed: RoutedCommands, command: interface.RequestAcknowledgement
     ) -> None:
         """Add a nonce to the messages of the batch so far, or to one for each subscriber."""
-        for view in sorted(self.joined if command.all_proxies else routed.messages):
-            routed.messages.setdefault(view, {})
-            routed.nonces.setdefault(view, []).append(command.nonce)
+        for subscriber in sorted(self.joined if command.all_proxies else routed.messages):
+            routed.messages.setdefault(subscriber, {})
+            routed.nonces.setdefault(subscriber, []).append(command.nonce)
 
     def affected_by(self, command: interface.WithdrawEndpoint) -> set[int]:
         """Return the subscribers that have to be sent a withdrawal or a restoration.
@@ -104,25 +106,29 @@
         endpoint = command.endpoint
         if not command.withdrawn:
             restored = self.notified.pop(endpoint, set()) & self.joined
-            for view in restored:
-                self.ejected[view].discard(endpoint)
+            for subscriber in restored:
+                self.ejected[subscriber].discard(endpoint)
             return restored
         notify = command.notify
         named = self.unassigned if notify is None else self.unassigned.intersection(notify)
         notified = named | (self.joined - self.enforcing)
         self.notified.setdefault(endpoint, set()).update(notified)
-        unaware = {view for view in notified & self.joined if endpoint not in self.ejected[view]}
-        for view in unaware:
-            self.ejected[view].add(endpoint)
+        unaware = {
+            subscriber
+            for subscriber in notified & self.joined
+            if endpoint not in self.ejected[subscriber]
+        }
+        for subscriber in unaware:
+            self.ejected[subscriber].add(endpoint)
         return unaware
 
-    def admit(self, out: Messages, order: interface.SetAdmission) -> None:
+    def admit(self, messages: Messages, command: interface.SetAdmission) -> None:
         """Set the admitted fraction and retry policy of request classes."""
-        admission = (order.fraction, order.retry_policy)
-        for request_class in order.request_classes:
+        admission = (command.fraction, command.retry_policy)
+        for request_class in command.request_classes:
             self.levels[request_class] = admission
-            for view in self.enforcing:
-                put(out.setdefault(view, {}), (ADMISSION, request_class), admission)
+            for subscriber in self.enforcing:
+                put(messages.setdefault(subscriber, {}), (ADMISSION, request_class), admission)
 
     def set_entry(self, messages: Messages, table: int, endpoint: int, weight: float) -> None:
         """Set the weight of an endpoint for all subscribers of a table; 0 removes the entry."""
@@ -134,8 +140,8 @@
         if weight:
             entries[endpoint] = weight
             tables[table] = weight
-        for view in self.users.get(table, ()):
-            put(messages.setdefault(view, {}), (ENTRY, table, endpoint), weight)
+        for subscriber in self.users.get(table, ()):
+            put(messages.setdefault(subscriber, {}), (ENTRY, table, endpoint), weight)
 
     def assign(self, messages: Messages, command: interface.AssignTable) -> None:
         """Route request classes of a proxy by a table, and send it the whole table.
--- a/peatlead/controller/view_state.py
+++ b/peatlead/controller/view_state.py
@@ -34,8 +34,12 @@
                 self.withdrawn.discard(key[1])
             # PIN_CHECK changes nothing: what a pin makes of the state has changed.
 
-    def lines(self, kind: int) -> dict[int, float]:
+    def lines(self, request_class: int) -> dict[int, float]:
         """Return the weights that route requests of a class, without ejected endpoints."""
-        table = self.bound.get(kind)
+        table = self.bound.get(request_class)
         entries = {} if table is None else self.tables.get(table, {})
-        return {host: weight for host, weight in entries.items() if host not in self.withdrawn}
+        return {
+            endpoint: weight
+            for endpoint, weight in entries.items()
+            if endpoint not in self.withdrawn
+        }
--- /dev/null
+++ b/tests/controller/test_batch_loop.py
@@ -0,0 +1,101 @@
+import unittest
+
+from peatlead import interface
+from peatlead.controller.batch_loop import BatchLoop
+
+from ..places import run, until
+
+
+class RecordingPlanner:
+    """Records the events of each batch and returns the commands that it was given for it."""
+
+    def __init__(self, *commands):
+        self.commands, self.batches = list(commands), []
+
+    def decide(self, now, events):
+        self.batches.append(events)
+        commands = self.commands.pop(0) if self.commands else []
+        if isinstance(commands, Exception):
+            raise commands
+        return commands
+
+
+class RecordingLoop(BatchLoop):
+    """Records what the loop does with commands."""
+
+    def __init__(self, planner):
+        self.actions, self.lines = [], []
+        super().__init__(planner, lambda event, **fields: self.lines.append((event, fields)))
+
+    def offer(self, now, commands, messages, nonces):
+        self.actions.append(("offer", messages, nonces))
+
+    def log_message(self, command):
+        self.actions.append(("log", command.text))
+
+    def stop(self, why="stopped"):
+        self.ended.set_result(why)
+
+
+class BatchLoopTest(unittest.TestCase):
+    def test_events_of_one_turn_form_one_batch(self):
+        async def case():
+            planner = RecordingPlanner()
+            loop = RecordingLoop(planner)
+            events = [interface.ProxyDisconnected(proxy) for proxy in range(3)]
+            loop.note(events[0])
+            for event in events[1:]:
+                loop.hear(event)
+            await until(lambda: planner.batches)
+            self.assertEqual((planner.batches, loop.decided), ([events], 1))
+
+        run(case())
+
+    def test_an_event_for_later_schedules_no_batch(self):
+        async def case():
+            planner = RecordingPlanner()
+            loop = RecordingLoop(planner)
+            loop.note(interface.ProxyDisconnected(1))
+            self.assertEqual((loop.step_scheduled, len(loop.inbox)), (False, 1))
+
+        run(case())
+
+    def test_handlers_run_before_messages_are_offered(self):
+        async def case():
+            commands = [
+                interface.SetEntry(0, 5, 1.0),
+                interface.AssignTable(7, 0, (0,)),
+                interface.RequestAcknowledgement(9, False),
+                interface.LogMessage("done"),
+                interface.FetchEndpoints(),  # no handler: ignored
+            ]
+            loop = RecordingLoop(RecordingPlanner(commands))
+            loop.publisher.join(7)
+            loop.hear(interface.ProxyDisconnected(1))
+            await until(lambda: loop.decided)
+            message = {("bind", 0): 0, ("line", 0, 5): 1.0}
+            self.assertEqual(loop.actions, [("log", "done"), ("offer", {7: message}, {7: [9]})])
+
+        run(case())
+
+    def test_a_timer_returns_to_the_planner_that_set_it(self):
+        async def case():
+            planner = RecordingPlanner([interface.SetTimer(4, 0.01)])
+            loop = RecordingLoop(planner)
+            loop.hear(interface.ProxyDisconnected(1))
+            await until(lambda: len(planner.batches) > 1)
+            self.assertEqual(planner.batches[1], [interface.TimerFired(4)])
+
+        run(case())
+
+    def test_a_failed_decision_is_logged_and_ends_the_loop(self):
+        async def case():
+            loop = RecordingLoop(RecordingPlanner(ValueError("planted")))
+            loop.hear(interface.ProxyDisconnected(1))
+            self.assertEqual(await loop.ended, "decide failed: ValueError('planted')")
+            ((event, fields),) = loop.lines
+            self.assertEqual((event, fields["events"]), ("decide failed", ["ProxyDisconnected"]))
+            self.assertIn("test_batch_loop.py:", fields["at"])
+            self.assertEqual((loop.decided, loop.actions), (0, []))
+
+        run(case())
--- a/tests/controller/test_propagation.py
+++ b/tests/controller/test_propagation.py
@@ -80,15 +80,15 @@
 
     def test_the_state_is_bounded(self):
         trace = PropagationTrace()
-        for host in range(propagation.LOSSES_MOST + 50):
+        for host in range(propagation.WITHDRAWALS_MOST + 50):
             trace.losing(0.0, host, 1)
             for at in range(30):
                 trace.note(float(at), host, "again")
         self.assertEqual(
             (len(trace.open), trace.forgotten, len(trace.holding[1])),
-            (propagation.LOSSES_MOST, 50, propagation.LOSSES_MOST),
+            (propagation.WITHDRAWALS_MOST, 50, propagation.WITHDRAWALS_MOST),
         )
-        self.assertEqual(len(trace.tell(99.0, 7)["notes"]), propagation.NOTES_EACH)
+        self.assertEqual(len(trace.tell(99.0, 7)["notes"]), propagation.EVENTS_EACH)
 
 
 class WhyQueryTest(unittest.TestCase):
