--- /dev/null
+++ b/peatlead/planner/load_shedding.py
@@ -0,0 +1,223 @@
+"""Load shedding: admits less of the requests that earn least while the fleet lacks capacity.
+
+The admitted fraction falls by a limited factor while the median attempt fails, is late or meets
+full endpoints, and to the least at once in an overload: full queues hold work whose clients have
+gone, which must be finished first. It comes back fast to what was surely carried before, and slowly
+past it, since reports lag and an overload costs more.
+
+The request class that loses least for the work it saves is cut first, if that beats cutting all
+alike.
+"""
+
+from math import fsum
+from typing import NamedTuple, Optional
+
+from ..interface import RequestStats, RetryPolicy, SetAdmission
+from .channel_budget import ChannelBudget
+from .context import COVERAGE, PlannerContext
+from .fleet_load import HIGH_ERROR_RATE, HIGH_LATENESS, FleetLoad
+from .request_demand import RequestDemand
+
+LEAST_ADMITTED = 0.3  # of all work
+LEAST_ADMITTED_CLASS = 0.05  # of one class
+FULL_UTILIZATION = 0.85  # from which less is admitted
+FULL_UTILIZATION_IN_SHARDS = 0.75  # likewise where shards load endpoints unevenly
+UPDATE_INTERVAL = 0.8  # seconds between two changes
+OVERLOAD_PAUSE = 1.0  # seconds more after a cut to the least
+LEAST_REPORTING = 3  # endpoints with attempts, or nothing is known
+MESSAGES_PART = 0.7  # of every proxy's messages: a change goes to all
+
+LOW_UTILIZATION = 0.6  # below which errors and lateness are no lack of capacity
+WHOLE_SHARE = 0.9  # of the endpoints' weights: none ramps
+OVERLOAD_ERRORS = 3  # times the high error rate
+OVERLOAD_LATENESS = 2  # times the high lateness
+WORST_CUT = 0.85  # what a cut leaves at least
+LEAST_CUT = 0.9  # what a cut leaves at most
+IMPROVED = 0.95  # of the strain at the last cut: below it no further cut is made
+SAFE_PART = 0.85  # of the admitted fraction where an overload began, surely carried
+LOW_LATENESS = 0.7  # of the high lateness, below which more is admitted
+REGAIN_STEP = 0.02  # of all work, past what is surely carried
+REGAIN_ROUNDS = 10  # rounds over which the reported capacity is used up
+LEAST_UTILIZATION = 0.4  # that reported capacity is computed by
+
+
+class Admission(NamedTuple):
+    """What proxies are told for one class."""
+
+    fraction: float
+    retry_policy: str
+
+
+class LoadShedding:
+    """The admitted fraction of all work, and of each request class."""
+
+    def __init__(
+        self,
+        context: PlannerContext,
+        demand: RequestDemand,
+        fleet_load: FleetLoad,
+        budget: ChannelBudget,
+    ) -> None:
+        self.context = context
+        self.demand = demand
+        self.fleet_load = fleet_load
+        self.budget = budget
+        in_shards = context.proxies_expected > COVERAGE
+        self.full = FULL_UTILIZATION_IN_SHARDS if in_shards else FULL_UTILIZATION
+        self.admitted = 1.0  # of all work
+        self.safe = 1.0  # admitted fraction that was surely carried
+        self.cutting = False  # the last change was a cut
+        self.overload_reported = False  # the last round looked like an overload
+        self.strain = 0.0  # lateness and errors at the last cut
+        self.next_at = 0.0  # seconds, when the fraction may change again
+        self.admissions: Optional[list[Admission]] = None  # by class, as published
+
+    def on_request_stats(self, event: RequestStats) -> None:
+        """Count requests that came to a proxy."""
+        proxy = self.context.proxies.get(event.proxy)
+        if proxy and event.window and event.request_class < len(self.demand.requests):
+            assert self.admissions is not None, "published before the first event"
+            self.demand.add(proxy, event, self.admissions[event.request_class].fraction)
+
+    def update(self) -> bool:
+        """Change the admitted fraction as the round has it; false where it isn't looked at."""
+        if not self._is_due():
+            return False
+        self.next_at = self.context.now + UPDATE_INTERVAL
+        load = self.fleet_load
+        has_capacity = self._has_capacity()
+        strained = (
+            load.error_rate > HIGH_ERROR_RATE
+            or load.lateness > HIGH_LATENESS
+            or load.utilization > self.full
+        )
+        if strained and not has_capacity:
+            self._cut()
+        elif (has_capacity and self._may_regain()) or (
+            load.lateness < LOW_LATENESS * HIGH_LATENESS and load.utilization < self.full
+        ):
+            self._regain()
+        return True
+
+    def _is_due(self) -> bool:
+        return (
+            self.context.now >= self.next_at
+            and self.fleet_load.reporting >= LEAST_REPORTING
+            and all(self.budget.may_update(one, MESSAGES_PART) for one in self.context.joined)
+        )
+
+    def _has_utilization(self) -> bool:
+        """Whether endpoints report their utilization."""
+        return "util" in self.context.settings["report_fields"]
+
+    def _has_capacity(self) -> bool:
+        """Errors and lateness while endpoints have capacity are no lack of it.
+
+        They may be lost answers or impatient clients; or, right after a cut, what was sent before
+        it. Load reports are newer.
+        """
+        known = self._has_utilization() or self.admitted <= LEAST_ADMITTED
+        return self.fleet_load.utilization < LOW_UTILIZATION and known
+
+    def _may_regain(self) -> bool:
+        """Whether the whole fleet fares well, none ramping; or no less can be admitted."""
+        load = self.fleet_load
+        whole = (
+            load.lateness < HIGH_LATENESS
+            and load.error_rate < HIGH_ERROR_RATE
+            and load.mean_share > WHOLE_SHARE
+        )
+        return whole or self.admitted <= LEAST_ADMITTED
+
+    def _cut(self) -> None:
+        """Admit less.
+
+        Two rounds must tell of an overload: reports that a stall held back look like one. What was
+        admitted before a cut is still being reported: no further cut is made once it gets better.
+        """
+        load = self.fleet_load
+        overload = (
+            load.error_rate > OVERLOAD_ERRORS * HIGH_ERROR_RATE
+            or load.lateness > OVERLOAD_LATENESS * HIGH_LATENESS
+        )
+        confirmed = overload and self.overload_reported
+        if confirmed or not self.cutting:
+            self.safe = SAFE_PART * (self.safe if self.cutting else self.admitted)
+        strain = load.lateness + load.error_rate
+        worse = strain >= IMPROVED * self.strain
+        by_lateness = HIGH_LATENESS / max(HIGH_LATENESS, load.lateness)
+        factor = max(WORST_CUT, min(LEAST_CUT, by_lateness)) if worse else 1.0
+        if confirmed:
+            self.admitted = LEAST_ADMITTED
+            self.next_at += OVERLOAD_PAUSE
+        else:
+            self.admitted = max(LEAST_ADMITTED, self.admitted * factor)
+        self.cutting = True
+        self.overload_reported = overload
+        self.strain = strain
+
+    def _regain(self) -> None:
+        """Admit more: at once what was surely carried, past it in steps by the free capacity."""
+        free = self.full / max(LEAST_UTILIZATION, self.fleet_load.utilization) - 1
+        reported = self._has_utilization() * self.admitted * free / REGAIN_ROUNDS
+        step = max(REGAIN_STEP, reported)
+        self.admitted = min(1.0, max(self.safe, self.admitted + step))
+        self.cutting = False
+        self.overload_reported = False
+        self.strain = 0.0
+
+    def publish(self) -> None:
+        """Emit the admissions that have changed."""
+        wanted = self._admissions()
+        if wanted == self.admissions:
+            return
+        before = self.admissions
+        self.context.log(f"levels {[admission.fraction for admission in wanted]}")
+        self.context.commands += [
+            SetAdmission(None, (request_class,), *admission)
+            for request_class, admission in enumerate(wanted)
+            if not before or admission != before[request_class]
+        ]
+        self.admissions = wanted
+        for proxy in self.context.joined:
+            self.budget.spend(proxy, len(wanted))
+
+    def _admissions(self) -> list[Admission]:
+        """By class.
+
+        A retry finds an endpoint with capacity while there is one; in an overload it adds to it.
+        """
+        policy = RetryPolicy.NEVER if self.fleet_load.saturated else RetryPolicy.UNSTARTED
+        return [
+            Admission(round(max(LEAST_ADMITTED_CLASS, fraction), 2), policy.value)
+            for fraction in self._fractions()
+        ]
+
+    def _fractions(self) -> list[float]:
+        """By class: the one that earns least for its work is cut first, if that is worth it."""
+        work = self.demand.work()
+        all_work = fsum(work)
+        costs = self._costs(work)
+        cheapest = costs.index(min(costs))
+        if costs[cheapest] >= 1:
+            return [self.admitted] * len(work)
+        excess = all_work * (1 - self.admitted)
+        taken = min(excess, work[cheapest] * (1 - LEAST_ADMITTED_CLASS))
+        others = 1 - (excess - taken) / max(1e-9, all_work - work[cheapest])
+        fractions = [others] * len(work)
+        fractions[cheapest] = 1 - taken / work[cheapest]
+        return fractions
+
+    def _costs(self, work: list[float]) -> list[float]:
+        """By class: what a unit of its work earns, by what a unit of all work does."""
+        settings = self.context.settings
+        worst = settings.get("value_of_worst_kind", 0.0)
+        gains = [
+            requests * request_class["gain"]
+            for requests, request_class in zip(self.demand.requests, settings["req_kinds"])
+        ]
+        all_gain, all_work = fsum(gains), fsum(work)
+        return [
+            ((1 - worst) * gain / all_gain + worst) * all_work / class_work
+            for gain, class_work in zip(gains, work)
+        ]
--- /dev/null
+++ b/peatlead/planner/table_writer.py
@@ -0,0 +1,64 @@
+"""Writes the difference between what a proxy's tables hold and what they should."""
+
+from ..interface import SetEntry
+from .channel_budget import ChannelBudget
+from .context import PlannerContext
+from .proxy_state import ProxyState
+from .shuffle_sharding import ShuffleSharding
+from .table_changes import TableChanges
+
+
+class TableWriter:
+    """The only writer of entries: it keeps the index of holders true and counts what it writes."""
+
+    def __init__(
+        self,
+        context: PlannerContext,
+        changes: TableChanges,
+        sharding: ShuffleSharding,
+        budget: ChannelBudget,
+    ) -> None:
+        self.context = context
+        self.changes = changes
+        self.sharding = sharding
+        self.budget = budget
+
+    def write(self, proxy: ProxyState) -> None:
+        """Bring all tables of a proxy up to date."""
+        changes = self.changes
+        changes.pending.discard(proxy.number)
+        if self._is_current(proxy):
+            return
+        proxy.around = {}
+        proxy.drawn = changes.pool_changes
+        proxy.wrote = changes.count
+        proxy.wide = False
+        for group, entries in enumerate(proxy.lines):
+            table = self.sharding.table(proxy, group)
+            for endpoint in sorted(entries.keys() | table.keys()):
+                if table.get(endpoint) != entries.get(endpoint):
+                    self.set_entry(proxy, group, endpoint, table.get(endpoint, 0.0))
+
+    def _is_current(self, proxy: ProxyState) -> bool:
+        """Whether nothing that the tables were drawn from has changed since."""
+        return (
+            proxy.drawn == self.changes.pool_changes
+            and not proxy.wide
+            and all(endpoint.moved <= proxy.wrote for endpoint in proxy.around.values())
+        )
+
+    def set_entry(self, proxy: ProxyState, group: int, endpoint: int, weight: float) -> None:
+        """Set one entry; weight 0 removes it."""
+        context = self.context
+        entries = proxy.lines[group]
+        old = entries.pop(endpoint, None)
+        if old:
+            context.holders.remove(endpoint, proxy.number)
+        if weight:
+            entries[endpoint] = weight
+            context.holders.add(endpoint, proxy.number)
+        context.commands.append(SetEntry(proxy.first_table + group, endpoint, weight))
+        if proxy.bound:
+            # One that the proxy may avoid since a withdrawal is restored with its first entry.
+            restored = context.endpoints[endpoint].ever_withdrawn and weight > 0 and not old
+            self.budget.spend(proxy, 1 + restored)
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -2,6 +2,8 @@
 
 from peatlead import interface
 from peatlead.controller.channel import Publisher
+from peatlead.planner.endpoint_state import Counts, DatedCounts
+from peatlead.planner.load_statistics import FailingEndpoint
 
 from .helpers import member, of_type, planner
 
@@ -11,12 +13,15 @@
         # During a release 24 warm hosts joined each such table: hosts at 0.37 of their weight got 0.05 of a usual
         # load while the others drowned.
         made = planner(hosts=60, proxies=400, channel_rate=1e6, queue_most=1e6)
-        made.holders = 400.0
+        made.context.proxies_expected = 400.0
         proxy = made.proxies[0]
-        shard = [host for chosen in made.shard(proxy, 0)[0].values() for host in chosen]
+        shard = [
+            host for chosen in made.sharding.shard(proxy, 0).chosen.values() for host in chosen
+        ]
         for host in shard[:2]:
             host.cold_from, host.share = 100.0, 0.37
-        made.drawn, made.warm = made.drawn + 1, {}
+        made.changes.mark_all()
+        made.sharding.end_batch()
         lines = made.table(proxy, 0)
         whole = sum(lines.values())
         cold = sum(weight for at, weight in lines.items() if made.hosts[at].cold_from is not None)
@@ -40,7 +45,8 @@
 
     def heard(self, made, bad=None, load=0.4, mean=0.2, fails=0):
         """One round: each host tells 10 tries; host 0 fails `bad` of them, and `fails` probes in a row."""
-        now, made.cycle = made.now + 1.0, 5.0
+        now = made.now + 1.0
+        made.statistics.cycle = 5.0
         events = [
             interface.EndpointStats(host, 0, 10, 0, 3.0, mean, {"util": load})
             for host in made.hosts
@@ -66,14 +72,15 @@
 
     def room_after(self, share):
         made = planner(report_fields=["util"], fails_to_shun=3)
-        made.room, made.cutting, made.edge = 0.5, True, 0.5
-        made.strain_heard, made.level_at = 1.0, 0.0
+        shedding = made.load_shedding
+        shedding.admitted, shedding.cutting, shedding.safe = 0.5, True, 0.5
+        shedding.strain, shedding.next_at = 1.0, 0.0
         for host in made.hosts.values():
-            host.share, host.step, host.grow_at = share, share, 1e9
-        late = 0.35 * made.mean_target()
+            host.share, host.ramp, host.next_step_at = share, share, 1e9
+        late = 0.35 * made.demand.mean_target()
         for _ in range(4):
             self.heard(made, load=0.45, mean=late)
-        return made.room
+        return made.load_shedding.admitted
 
     def test_levels_regrow_while_a_whole_fleet_has_room_though_slow_hosts_keep_it_late(self):
         self.assertGreater(self.room_after(1.0), 0.5)
@@ -83,18 +90,18 @@
 
     def test_a_proxy_that_nothing_changes_for_takes_no_turn_in_a_stage(self):
         made = planner(hosts=40, proxies=60, channel_rate=1e6, queue_most=1e6)
-        made.holders = 60.0
+        made.context.proxies_expected = 60.0
         made.all_dirty()
         for tick in range(200):
             made.decide(101.0 + tick, [interface.TimerFired(0)])
         one = made.hosts[0]
-        holders = set(made.held.of(0))
+        holders = set(made.held.subscribers(0))
         self.assertLess(len(holders), 40)
         one.share = 0.5
         made.all_dirty(one)
         staged, stages = set(), 0
         while not holders <= staged and stages < 60:
-            made.stage_at, stages = 0.0, stages + 1
+            made.stages.next_at, stages = 0.0, stages + 1
             orders = made.decide(made.now + 0.1, [])
             staged |= {
                 order.table for order in of_type(orders, interface.SetEntry) if order.weight == 0.5
@@ -120,7 +127,7 @@
                 passed = interface.HealthCheckResult(6 + number, "ok", 0.01, None)
                 made.decide(102.0 + number + after / 10, [interface.TimerFired(0), passed])
         self.assertLess(len(made.hosts), 75)
-        self.assertEqual({host for host in made.held.by_host if host not in made.hosts}, set())
+        self.assertEqual({host for host in made.held.by_endpoint if host not in made.hosts}, set())
         self.assertEqual(set(made.restless) - set(made.hosts), set())
         self.assertTrue(made.proxies[0].lines[0])
 
@@ -133,11 +140,15 @@
 
     def test_no_usable_member_means_every_usable_host_of_the_zone(self):
         made = planner()
-        shard = {h.id for members in made.shard(made.proxies[0], 0)[0].values() for h in members}
+        shard = {
+            h.id
+            for members in made.sharding.shard(made.proxies[0], 0).chosen.values()
+            for h in members
+        }
         for host in shard:
             made.hosts[host].phase = "gone"
-        made.take_member(member(50, 0))
-        made.pools.clear()
+        made.endpoint_updates.take(member(50, 0))
+        made.pools.ready.clear()
         self.assertEqual(set(made.table(made.proxies[0], 0)), {50})
 
     def test_a_kind_open_to_some_zones_gets_no_line_elsewhere(self):
@@ -163,7 +174,7 @@
 
     def test_nothing_is_tried_again_that_may_have_run(self):
         made = planner()
-        made.orders, made.levels = [], None
+        made.orders, made.load_shedding.admissions = [], None
         made.order_levels()
         tries = {
             o.request_classes: o.retry_policy for o in of_type(made.orders, interface.SetAdmission)
@@ -172,8 +183,10 @@
 
     def test_where_gone_is_advice_a_host_that_answers_stays_and_one_that_drains_goes(self):
         made = planner(gone_is_advice=True)
-        made.now = made.news_at = made.hosts[3].good_at = 110.0
-        made.on_roster(interface.EndpointUpdate("whole", 2, (member(2, phase="draining"),)))
+        made.now = made.statistics.last_success_at = made.hosts[3].last_success_at = 110.0
+        made.endpoint_updates.on_update(
+            interface.EndpointUpdate("whole", 2, (member(2, phase="draining"),))
+        )
         self.assertEqual({h.id for h in made.hosts.values() if h.phase == "ready"}, {3})
 
     def test_a_steward_that_stood_still_does_not_hold_its_own_silence_against_hosts(self):
@@ -186,7 +199,7 @@
     def test_doubt_alone_never_leaves_a_proxy_without_a_line(self):
         made = planner()
         for host in made.hosts.values():
-            host.out_until = 1e9
+            host.ejected_until = 1e9
         self.assertTrue(made.table(made.proxies[0], 0))
 
     def test_cold_hosts_alone_never_make_a_table(self):
@@ -206,43 +219,47 @@
         hosts = list(made.hosts.values())
         hosts[0].cold_from = 100.0
         hosts[0].share = 0.37
-        self.assertTrue(made.chilly(hosts[:2]))
-        self.assertFalse(made.chilly(hosts[:4]))
+        self.assertTrue(made.sharding.is_cold_heavy(hosts[:2]))
+        self.assertFalse(made.sharding.is_cold_heavy(hosts[:4]))
 
     def test_a_removal_that_leaves_only_cold_hosts_writes_the_table_anew(self):
         made = planner()
         proxy = made.proxies[0]
-        made.orders, made.lost, warm = [], True, [h for h in made.hosts if h > 3]
+        made.orders, made.changes.removals_pending, warm = (
+            [],
+            True,
+            [h for h in made.hosts if h > 3],
+        )
         proxy.lines[0] = {0: 0.06, 1: 1.0}
         made.hosts[0].cold_from, made.hosts[0].share, made.hosts[1].phase = 100.0, 0.06, "gone"
-        made.remove_lost()
+        made.removals.remove_unusable()
         self.assertTrue(set(warm) <= set(proxy.lines[0]))
 
     def test_a_table_that_lost_its_last_line_is_filled_however_full_the_queue(self):
         made = planner()
         proxy = made.proxies[0]
-        proxy.lines[0], made.lost, made.orders = {0: 1.0}, True, []
+        proxy.lines[0], made.changes.removals_pending, made.orders = {0: 1.0}, True, []
         made.hosts[0].phase, made.waiting.unanswered = "gone", made.settings["queue_most"]
-        made.remove_lost()
+        made.removals.remove_unusable()
         self.assertTrue(proxy.lines[0])
 
     def test_a_cold_host_takes_no_more_than_a_part_of_what_tips_it_and_none_when_proxies_shun(self):
         made = planner()
         host = made.hosts[0]
-        made.now, host.cold_from, host.step = 100.0, 100.0, 1.0
-        self.assertLessEqual(made.cold_share(host), 0.3 * 4.0 * 0.2 + 1e-9)
-        whole, made.spread = made.cold_share(host), 0.5
-        self.assertLess(made.cold_share(host), whole)
-        made.settings["fails_to_shun"], made.tight = 3, True
-        self.assertEqual(made.cold_share(host), 0.0)
+        made.now, host.cold_from, host.ramp = 100.0, 100.0, 1.0
+        self.assertLessEqual(made.slow_start.share(host), 0.3 * 4.0 * 0.2 + 1e-9)
+        whole, made.fleet_load.mean_share = made.slow_start.share(host), 0.5
+        self.assertLess(made.slow_start.share(host), whole)
+        made.settings["fails_to_shun"], made.fleet_load.saturated = 3, True
+        self.assertEqual(made.slow_start.share(host), 0.0)
 
     def test_a_host_that_the_list_names_late_stays_out_until_it_passed_a_probe(self):
         made = planner()
         made.decide(101.0, [interface.EndpointUpdate("changes", 2, (member(70),))])
         self.assertNotIn(70, made.table(made.proxies[0], 0))
-        made.on_probe(interface.HealthCheckResult(70, "errored", 0.01, None))
+        made.health_checks.on_result(interface.HealthCheckResult(70, "errored", 0.01, None))
         self.assertFalse(made.hosts[70].usable)
-        made.on_probe(interface.HealthCheckResult(70, "ok", 0.01, None))
+        made.health_checks.on_result(interface.HealthCheckResult(70, "ok", 0.01, None))
         self.assertTrue(made.hosts[70].usable)
 
     def test_binds_wait_for_room_and_a_waiting_proxy_is_told_withdrawals_again(self):
@@ -372,13 +389,13 @@
     def test_what_can_be_put_off_waits_once_a_proxy_had_half_its_messages(self):
         made = planner(messages_most=20)
         proxy = made.proxies[0]
-        self.assertTrue(made.may_write(proxy))
-        proxy.sent.extend([made.now] * 10)
-        self.assertFalse(made.may_write(proxy))
+        self.assertTrue(made.budget.may_update(proxy))
+        proxy.message_times.extend([made.now] * 10)
+        self.assertFalse(made.budget.may_update(proxy))
 
     def test_a_steward_that_starts_again_leaves_standing_tables_but_not_past_the_limit(self):
         made = planner()
-        made.rounds = 0
+        made.reports.count = 0
         made.decide(101.0, [interface.ProxyConnected(9, 0, 10.0, False)])
         self.assertFalse(made.proxies[9].bound)
         made.decide(102.1, [])
@@ -388,62 +405,62 @@
 class Levels(unittest.TestCase):
     def storm(self, made, bad, rounds):
         for _ in range(rounds):
-            made.now = max(made.now, made.level_at) + 1
+            made.now = max(made.now, made.load_shedding.next_at) + 1
             for host in made.hosts.values():
-                host.tries = host.own_tries = 1.0
-                host.bad, host.answer_time, host.load = bad, 0.1, bad
-            made.judge()
-            made.watch_room()
+                host.attempts = host.own_attempts = 1.0
+                host.errors, host.latency, host.utilization = bad, 0.1, bad
+            made.judge_endpoints()
+            made.load_shedding.update()
 
     def test_one_round_that_looks_like_a_storm_cuts_gently_and_two_cut_to_the_least(self):
         made = planner()
         self.storm(made, 0.8, 1)
-        self.assertGreaterEqual(made.room, 0.9)
+        self.assertGreaterEqual(made.load_shedding.admitted, 0.9)
         self.storm(made, 0.8, 1)
-        self.assertEqual(made.room, 0.3)
+        self.assertEqual(made.load_shedding.admitted, 0.3)
 
     def test_few_tries_a_host_are_enough_to_let_in_more_again(self):
         made = planner()
-        made.room, made.edge = 0.2, 0.5
+        made.load_shedding.admitted, made.load_shedding.safe = 0.2, 0.5
         self.storm(made, 0.0, 1)
-        self.assertEqual(made.room, 0.5)
+        self.assertEqual(made.load_shedding.admitted, 0.5)
 
     def test_the_kind_that_loses_least_for_its_work_goes_first(self):
         made = planner()
-        made.reqs, made.room = [60.0, 20.0], 0.5
+        made.demand.requests, made.load_shedding.admitted = [60.0, 20.0], 0.5
         made.order_levels()
-        self.assertLess(made.levels[0][0], 0.6)
-        self.assertEqual(made.levels[1][0], 1.0)
+        self.assertLess(made.load_shedding.admissions[0][0], 0.6)
+        self.assertEqual(made.load_shedding.admissions[1][0], 1.0)
 
     def test_failures_at_hosts_with_room_cut_nothing(self):
         made = planner(report_fields=["util"])
         for host in made.hosts.values():
-            host.tries, host.bad, host.answer_time, host.load = 10.0, 6.0, 9.0, 0.3
-        made.judge()
-        made.watch_room()
-        self.assertEqual(made.room, 1.0)
+            host.attempts, host.errors, host.latency, host.utilization = 10.0, 6.0, 9.0, 0.3
+        made.judge_endpoints()
+        made.load_shedding.update()
+        self.assertEqual(made.load_shedding.admitted, 1.0)
 
 
 class Zones(unittest.TestCase):
     def test_a_zone_without_a_usable_host_is_planned_around(self):
         made = planner(pick="lighter of two")
         for host in made.hosts.values():
-            host.out_until = 1e9 if host.zone else None
-        self.assertTrue(made.plan_zones())
+            host.ejected_until = 1e9 if host.zone else None
+        self.assertTrue(made.zone_capacity.compute())
 
     def test_a_zone_whose_every_host_is_far_later_than_home_is_left_for_a_while(self):
         made = planner()
         for host in made.hosts.values():
-            host.sums[0] = made.now, 10.0, 0.0, 10.0 if host.zone else 1.0
-        made.watch_ways()
+            host.stats[0] = DatedCounts(made.now, 10.0, 0.0, 10.0 if host.zone else 1.0)
+        made.paths.end_round()
         self.assertEqual({made.hosts[h].zone for h in made.table(made.proxies[0], 0)}, {0})
         self.assertEqual({made.hosts[h].zone for h in made.table(made.proxies[1], 0)}, {0, 1})
 
     def test_kinds_open_everywhere_leave_room_in_zones_that_others_depend_on(self):
         kinds = planner().settings["req_kinds"]
         made = planner(pick="lighter of two", req_kinds=[{**kinds[0], "only_zones": [0]}, kinds[1]])
-        made.reqs = [10.0, 16.0]
-        plan = made.plan_zones()
+        made.demand.requests = [10.0, 16.0]
+        plan = made.zone_capacity.compute()
         self.assertGreater(plan[1, 0][1], plan[1, 0][0])
 
 
@@ -453,44 +470,46 @@
         made.decide(
             101.0, [interface.EndpointUpdate("changes", 2, (member(3, 1, started_at=100.9),))]
         )
-        made.on_host_sums(interface.EndpointStats(3, 0, 9, 9, 4.0, 0.0, None))
-        self.assertFalse(made.hosts[3].sums)
+        made.statistics.on_endpoint_stats(interface.EndpointStats(3, 0, 9, 9, 4.0, 0.0, None))
+        self.assertFalse(made.hosts[3].stats)
 
     def test_a_capped_line_stands_as_long_as_the_time_to_the_next(self):
         made = planner()
-        made.cycle = 5.0
-        made.on_host_sums(interface.EndpointStats(2, 0, 10, 0, 5.0, 0.1, None))
+        made.statistics.cycle = 5.0
+        made.statistics.on_endpoint_stats(interface.EndpointStats(2, 0, 10, 0, 5.0, 0.1, None))
         made.now += 2.0
         made.end_round()
-        self.assertGreater(made.hosts[2].tries, 5.0)
+        self.assertGreater(made.hosts[2].attempts, 5.0)
 
     def test_relief_is_drawn_among_a_hosts_holders(self):
         made = planner(proxies=8)
         for number in range(4):
-            made.set_line(made.proxies[number], 0, 1, 0.0)
-        made.set_reach(made.hosts[1], 0.5)
-        self.assertTrue(made.hosts[1].spared and made.hosts[1].spared <= {4, 5, 6, 7})
+            made.writer.set_entry(made.proxies[number], 0, 1, 0.0)
+        made.relief.set_reach(made.hosts[1], 0.5)
+        self.assertTrue(
+            made.hosts[1].excluded_proxies and made.hosts[1].excluded_proxies <= {4, 5, 6, 7}
+        )
 
     def test_a_host_that_fails_against_its_peers_is_dropped_and_a_shared_fault_drops_nobody(self):
         made = planner()
         for host in made.hosts.values():
-            host.tries, host.bad, host.answer_time = 10.0, 6.0, 1.0
-        made.judge()
+            host.attempts, host.errors, host.latency = 10.0, 6.0, 1.0
+        made.judge_endpoints()
         self.assertTrue(all(h.usable for h in made.hosts.values()))
         for host in made.hosts.values():
-            host.tries, host.bad = 10.0, 6.0 if host.id == 5 else 0.0
-            host.answer_time = 0.1 * (host.tries - host.bad)
-        made.judge()
+            host.attempts, host.errors = 10.0, 6.0 if host.id == 5 else 0.0
+            host.latency = 0.1 * (host.attempts - host.errors)
+        made.judge_endpoints()
         self.assertEqual([h.id for h in made.hosts.values() if not h.usable], [5])
 
     def test_a_busy_host_whose_probes_time_out_stays_and_a_silent_one_goes(self):
         made = planner()
         made.now = 110.0
         for host in made.hosts.values():
-            host.good_at = 109.5
-        made.hosts[2].probe_fails = made.hosts[3].probe_fails = made.hosts[3].bad = 4
-        made.hosts[3].good_at = 105.0
-        made.judge()
+            host.last_success_at = 109.5
+        made.hosts[2].failed_checks = made.hosts[3].failed_checks = made.hosts[3].errors = 4
+        made.hosts[3].last_success_at = 105.0
+        made.judge_endpoints()
         self.assertEqual([h.id for h in made.hosts.values() if not h.usable], [3])
 
     def test_where_nobody_tells_of_tries_probes_alone_convict_and_end_rounds(self):
@@ -518,10 +537,13 @@
             made.now += 10
             for host in made.hosts.values():
                 slow = all_slow or host.id == 1
-                host.tries, host.bad, host.answer_time = 10.0, 0.0, 9.0 if slow else 1.0
-            made.judge()
-        self.assertEqual([(h.id, len(h.spared)) for h in made.hosts.values() if h.spared], [(1, 1)])
-        without = made.proxies[next(iter(made.hosts[1].spared))]
+                host.attempts, host.errors, host.latency = 10.0, 0.0, 9.0 if slow else 1.0
+            made.judge_endpoints()
+        self.assertEqual(
+            [(h.id, len(h.excluded_proxies)) for h in made.hosts.values() if h.excluded_proxies],
+            [(1, 1)],
+        )
+        without = made.proxies[next(iter(made.hosts[1].excluded_proxies))]
         self.assertNotIn(1, made.table(without, 0))
 
 
@@ -557,7 +579,7 @@
         self.assertTrue(len(notes) > 1 and all(len(note) <= 250 for note in notes))
         self.assertEqual(sum(len(note.split(b"\n")) for note in notes), 20)
         made.now, made.orders = 101.4, []
-        made.tell_peers([(-5.0, b"n" * 300, [9.0, 5.0, 0.1])])
+        made.gossip.send([FailingEndpoint(b"n" * 300, Counts(9.0, 5.0, 0.1))])
         self.assertEqual(made.orders, [])
 
     def test_failing_hosts_are_told_by_name_with_own_counts_alone(self):
@@ -601,7 +623,7 @@
             b"\xff\xfe 1 1 1",
         ):
             made.decide(100.5, [interface.GossipReceived(1, payload)])
-        self.assertFalse(any(host.told for host in made.hosts.values()))
+        self.assertFalse(any(host.peer_stats for host in made.hosts.values()))
 
     def test_a_note_from_before_a_start_does_not_count(self):
         made = planner(peer_notes=True)
@@ -612,7 +634,7 @@
                 interface.GossipReceived(1, b"host-0 9.0 9.0 0.0"),
             ],
         )
-        self.assertFalse(made.hosts[0].told)
+        self.assertFalse(made.hosts[0].peer_stats)
 
 
 class Lists(unittest.TestCase):
@@ -621,13 +643,13 @@
         for advice, left in ((True, 8), (False, 0)):
             made = planner(gone_is_advice=advice)
             for host in made.hosts.values():
-                host.probe_fails, host.good_at = 5, 0.0  # nobody answers
+                host.failed_checks, host.last_success_at = 5, 0.0  # nobody answers
             made.decide(101.0, [interface.EndpointUpdate("whole", 2, ())])
             self.assertEqual(sum(h.phase == "ready" for h in made.hosts.values()), left)
 
     def test_one_that_leaves_somebody_is_believed(self):
         made = planner(gone_is_advice=True)
         for host in made.hosts.values():
-            host.probe_fails, host.good_at = 5, 0.0
+            host.failed_checks, host.last_success_at = 5, 0.0
         made.decide(101.0, [interface.EndpointUpdate("whole", 2, (member(3, 1),))])
         self.assertEqual([h.id for h in made.hosts.values() if h.phase == "ready"], [3])
