--- a/peatlead/lab/study.py
+++ b/peatlead/lab/study.py
@@ -19,6 +19,7 @@
 from ..settings.script import SettingsError, run_script
 from ..settings.shapes import REQUIRED, Field, expected, many, number, one_of, text
 from .day import POLICIES, play_day
+from .planner_constants import modules_with, replaced
 
 FIGURES = (
     "service",
@@ -101,15 +102,12 @@
 
 
 def changed(made, changes):
-    """(the day with its changes, {module constant: value})."""
+    """(the day with its changes, {constant of the planner: value})."""
     made, module = {**made}, {}
-    from ..planner import planner as planner_module
-
     for name, value in changes.items():
         part, _, field = name.partition(".")
         if part == "module":
-            if not hasattr(planner_module, field):
-                raise ValueError(f"the module has no {field}")
+            modules_with(field)  # raises where there is none
             module[field] = value
         elif part in made and isinstance(made[part], dict) and field in made[part]:
             made[part] = {**made[part], field: value}
@@ -144,19 +142,11 @@
 
 
 def play_cell(job):
-    """One cell in a process of its own: the module's constants are set there and put back."""
+    """One cell in a process of its own: the planner's constants are set there and put back."""
     key, made, changes, policy, seed = job
-    from ..planner import planner as planner_module
-
-    made, module = changed(made, changes)
-    old = {name: getattr(planner_module, name) for name in module}
-    try:
-        for name, value in module.items():
-            setattr(planner_module, name, value)
+    made, constants = changed(made, changes)
+    with replaced(constants):
         played = play_day(made, seed, policy)
-    finally:
-        for name, value in old.items():
-            setattr(planner_module, name, value)
     return key, played.digest, played.finds, figures(played)
 
 
--- a/peatlead/planner/endpoint_state.py
+++ b/peatlead/planner/endpoint_state.py
@@ -9,7 +9,7 @@
 GONE = EndpointPhase.GONE.value
 NEVER = -1e9  # seconds; a moment before every other
 FIRST_RELIEF_WAIT = 10.0  # seconds until a relieved endpoint gets a step back; doubled each time
-LEAST_SUCCESSES = 0.5  # attempts that a mean latency is taken over at least: counts fade below one
+LEAST_COUNT = 0.5  # that a mean or rate is taken over at least: counts fade below one
 
 
 class Counts(NamedTuple):
@@ -104,7 +104,7 @@
     @property
     def mean_latency(self) -> float:
         """Seconds, of the attempts that succeeded."""
-        return self.latency / max(LEAST_SUCCESSES, self.attempts - self.errors)
+        return self.latency / max(LEAST_COUNT, self.attempts - self.errors)
 
     @property
     def error_rate(self) -> float:
@@ -115,3 +115,30 @@
     def usable(self) -> bool:
         """Whether tables may name it."""
         return self.phase == READY and self.ejected_until is None and self.confirmed
+
+    # Former names, until the callers in peatlead/controller use the new ones.
+
+    @property
+    def out_until(self) -> Optional[float]:
+        """`ejected_until`."""
+        return self.ejected_until
+
+    @property
+    def tries(self) -> float:
+        """`attempts`."""
+        return self.attempts
+
+    @property
+    def bad(self) -> float:
+        """`errors`."""
+        return self.errors
+
+    @property
+    def load(self) -> float:
+        """`utilization`."""
+        return self.utilization
+
+    @property
+    def probe_fails(self) -> int:
+        """`failed_checks`."""
+        return self.failed_checks
--- a/peatlead/planner/endpoint_updates.py
+++ b/peatlead/planner/endpoint_updates.py
@@ -16,7 +16,7 @@
 from .withdrawals import Withdrawals
 
 WATCH_RETRY = (0.5, 1.5)  # seconds until a list that failed is watched again
-SILENT_CYCLES = 2  # cycles of reports without a success, after which an endpoint doesn't answer
+STAYING_CYCLES = 2  # cycles of reports without a success, after which an endpoint doesn't answer
 NOT_PLANNED = float("inf")
 
 
@@ -94,7 +94,7 @@
             self.context.settings.get("gone_is_advice")
             and endpoint.phase == READY
             and not endpoint.failed_checks
-            and silence < SILENT_CYCLES * cycle
+            and silence < STAYING_CYCLES * cycle
         )
 
     def take(self, listed: Endpoint) -> None:
--- a/peatlead/planner/fleet_load.py
+++ b/peatlead/planner/fleet_load.py
@@ -17,7 +17,7 @@
 BUSY = 0.7  # utilization, from which the fleet has little capacity left
 SATURATED = 0.9  # utilization that counts as none left
 SATURATION_HYSTERESIS = 0.2  # below it, until a saturated fleet counts as recovered
-LEAST_ATTEMPTS = 0.5  # faded, of an endpoint that speaks for the fleet
+LEAST_REPORTED_ATTEMPTS = 0.5  # faded, of an endpoint that speaks for the fleet
 PEER_ATTEMPTS = 2  # faded, of an endpoint that others are compared with
 
 
@@ -53,7 +53,7 @@
 
     def measure(self, ready: list[EndpointState], admitted: float) -> PeerMedians:
         """Take the round's figures in; `admitted` is the fraction of all work that is admitted."""
-        reporting = [one for one in ready if one.usable and one.attempts >= LEAST_ATTEMPTS]
+        reporting = [one for one in ready if one.usable and one.attempts >= LEAST_REPORTED_ATTEMPTS]
         target = self.demand.mean_target()
         self._measure_attempts(reporting, target)
         lateness, errors = self.lateness / HIGH_LATENESS, self.error_rate / HIGH_ERROR_RATE
--- a/peatlead/planner/load_shedding.py
+++ b/peatlead/planner/load_shedding.py
@@ -17,6 +17,7 @@
 from .context import COVERAGE, PlannerContext
 from .fleet_load import HIGH_ERROR_RATE, HIGH_LATENESS, FleetLoad
 from .request_demand import RequestDemand
+from .zone_capacity import TINY
 
 LEAST_ADMITTED = 0.3  # of all work
 LEAST_ADMITTED_CLASS = 0.05  # of one class
@@ -203,7 +204,7 @@
             return [self.admitted] * len(work)
         excess = all_work * (1 - self.admitted)
         taken = min(excess, work[cheapest] * (1 - LEAST_ADMITTED_CLASS))
-        others = 1 - (excess - taken) / max(1e-9, all_work - work[cheapest])
+        others = 1 - (excess - taken) / max(TINY, all_work - work[cheapest])
         fractions = [others] * len(work)
         fractions[cheapest] = 1 - taken / work[cheapest]
         return fractions
--- a/peatlead/planner/load_statistics.py
+++ b/peatlead/planner/load_statistics.py
@@ -20,7 +20,7 @@
 # outweigh the few successes after it
 REPORT_DELAY = 1.0  # seconds that reports are late, about
 CYCLE_WINDOW = 8  # reports that the measured cycle is averaged over
-LEAST_ERRORS = 0.5  # faded errors, below which an endpoint isn't reported to other controllers
+LEAST_ERRORS_SENT = 0.5  # faded errors, below which an endpoint isn't reported to other controllers
 
 Path = tuple[int, int]  # (zone of proxies, zone of endpoints)
 
@@ -95,7 +95,7 @@
             ]
             own = total(counts)
             endpoint.own_attempts = own.attempts
-            if endpoint.phase == READY and own.errors >= LEAST_ERRORS:
+            if endpoint.phase == READY and own.errors >= LEAST_ERRORS_SENT:
                 failing.append(FailingEndpoint(endpoint.name, own))
             if endpoint.peer_stats:
                 counts += [self._faded(counts) for counts in endpoint.peer_stats.values()]
--- a/peatlead/planner/outlier_detection.py
+++ b/peatlead/planner/outlier_detection.py
@@ -10,7 +10,7 @@
 
 from .context import PlannerContext
 from .endpoint_schedule import EndpointSchedule
-from .endpoint_state import EndpointState
+from .endpoint_state import LEAST_COUNT, EndpointState
 from .fleet_load import PeerMedians
 from .load_relief import LoadRelief
 from .load_statistics import LoadStatistics
@@ -21,7 +21,7 @@
 
 FIRST_EJECTION = 10.0  # seconds, doubled with each ejection that follows soon
 LONGEST_EJECTION = 60.0  # seconds
-REPEAT_SPAN = 30  # seconds after a return, in which an ejection follows soon
+REPEATED_EJECTION_SPAN = 30  # seconds after a return, in which an ejection follows soon
 MAX_EJECTED_PART = (
     0.4  # of the ready endpoints: the rest could not carry the load, whatever the evidence
 )
@@ -37,9 +37,9 @@
 REPORTED_ERRORS = 0.5  # faded errors that count as a report of errors
 
 # Errors and latency against the peers.
-LEAST_ATTEMPTS = 2  # faded, of an endpoint that is judged by them
+LEAST_JUDGED_ATTEMPTS = 2  # faded, of an endpoint that is judged by them
 LEAST_ERRORS = 3  # faded
-HIGH_ERROR_RATE = 0.25
+EJECTION_ERROR_RATE = 0.25
 PEER_ERRORS_FACTOR = 3  # times the peers' error rate
 PEER_ERRORS_MARGIN = 0.1  # and so much more
 SLOW_FACTOR = 1.5  # times the peers' latency
@@ -78,7 +78,7 @@
         for endpoint in [one for one in ready if one.usable]:
             if self._is_silent(endpoint, peers, failed_checks):
                 self.eject(endpoint, ready, by_checks=True)
-            elif endpoint.attempts >= LEAST_ATTEMPTS:
+            elif endpoint.attempts >= LEAST_JUDGED_ATTEMPTS:
                 self._judge_by_reports(endpoint, ready, peers)
 
     def _is_silent(self, endpoint: EndpointState, peers: PeerMedians, failed_checks: float) -> bool:
@@ -113,7 +113,7 @@
         latency = endpoint.mean_latency
         tolerated = PEER_ERRORS_FACTOR * peers.error_rate + PEER_ERRORS_MARGIN
         failing = endpoint.errors >= LEAST_ERRORS and recent_error_rate(endpoint) > max(
-            HIGH_ERROR_RATE, tolerated
+            EJECTION_ERROR_RATE, tolerated
         )
         slow = latency > max(SLOW_FACTOR * peers.latency, SLOW_TARGET * peers.target)
         full = endpoint.utilization > max(FULL, peers.utilization + FULLER_THAN_PEERS)
@@ -132,7 +132,7 @@
             return
         now = self.context.now
         endpoint.unusable_since = now
-        soon = now - endpoint.restored_at <= REPEAT_SPAN
+        soon = now - endpoint.restored_at <= REPEATED_EJECTION_SPAN
         endpoint.consecutive_ejections = endpoint.consecutive_ejections + 1 if soon else 1
         endpoint.ejected_by_checks = by_checks
         endpoint.passed_checks = 0
@@ -165,7 +165,7 @@
 
 def recent_error_rate(endpoint: EndpointState) -> float:
     """Errors by attempts, of an endpoint that may have had none."""
-    return endpoint.errors / max(0.5, endpoint.attempts)
+    return endpoint.errors / max(LEAST_COUNT, endpoint.attempts)
 
 
 def failed_checks_to_convict(ready: list[EndpointState]) -> float:
--- a/peatlead/planner/planner.py
+++ b/peatlead/planner/planner.py
@@ -138,7 +138,7 @@
         self.context.begin(now)
         self.budget.backlog.advance(now)
         if self.load_shedding.admissions is None:
-            self.orders.append(interface.SetTimer(TICK_TIMER, TICK))
+            self.commands.append(interface.SetTimer(TICK_TIMER, TICK))
             self.order_levels()
         for event in events:
             handler = self.handlers.get(type(event))
@@ -151,9 +151,9 @@
         self.stages.publish_stage()
         nonce = self.budget.backlog.end_batch()
         if nonce:
-            self.orders.append(interface.RequestAcknowledgement(nonce, False))
+            self.commands.append(interface.RequestAcknowledgement(nonce, False))
         self.sharding.end_batch()
-        return self.orders
+        return self.commands
 
     def status(self, now: float) -> interface.PlannerStatus:
         """The state of the channel and of waiting proxies, for logs and metrics."""
@@ -173,7 +173,7 @@
         """A tick, unless the timer only continues what one batch was too short for."""
         if event.token == CONTINUE_TIMER:
             return
-        self.orders.append(interface.SetTimer(TICK_TIMER, TICK))
+        self.commands.append(interface.SetTimer(TICK_TIMER, TICK))
         self.endpoint_updates.watch_if_due()
         if self.reports.is_complete():
             self.end_round()
@@ -215,8 +215,6 @@
         if settled and endpoint.reach >= 1 and endpoint.ramp >= 1:
             self.schedule.deactivate(endpoint)  # only its next check is due by time
 
-    # The state that other packages read, under the names they read it by.
-
     @property
     def settings(self) -> Settings:
         """The settings; a change holds from the next batch on."""
@@ -226,6 +224,26 @@
     def settings(self, settings: Settings) -> None:
         self.context.settings = settings
 
+    @property
+    def endpoints(self) -> dict[int, EndpointState]:
+        """All known endpoints by id."""
+        return self.context.endpoints
+
+    @property
+    def proxies(self) -> dict[int, ProxyState]:
+        """All proxies that ever connected, by number."""
+        return self.context.proxies
+
+    @property
+    def connected(self) -> dict[int, ProxyState]:
+        """The connected proxies by number."""
+        return self.context.connected
+
+    @property
+    def unassigned(self) -> dict[int, ProxyState]:
+        """The connected proxies without tables, by number."""
+        return self.context.unassigned
+
     @property
     def now(self) -> float:
         """Seconds, of the last batch."""
@@ -236,82 +254,69 @@
         self.context.now = now
 
     @property
-    def orders(self) -> list[interface.Command]:
-        """The commands of the last batch."""
+    def commands(self) -> list[interface.Command]:
+        """The commands of the last batch, in the order of their emission."""
         return self.context.commands
 
-    @orders.setter
-    def orders(self, commands: list[interface.Command]) -> None:
+    @commands.setter
+    def commands(self, commands: list[interface.Command]) -> None:
         self.context.commands = commands
 
-    @property
-    def hosts(self) -> dict[int, EndpointState]:
-        """The endpoints by id."""
-        return self.context.endpoints
+    # Former names, until the callers in other packages and their tests use the new ones.
 
-    @property
-    def proxies(self) -> dict[int, ProxyState]:
-        """All proxies that ever connected, by number."""
-        return self.context.proxies
-
-    @property
-    def here(self) -> dict[int, ProxyState]:
-        """The connected proxies by number."""
-        return self.context.connected
+    hosts = endpoints
+    here = connected
+    unbound = unassigned
+    orders = commands
 
     @property
     def joined(self) -> ValuesView[ProxyState]:
-        """The connected proxies."""
+        """The connected proxies: `context.joined`."""
         return self.context.joined
 
-    @property
-    def unbound(self) -> dict[int, ProxyState]:
-        """The connected proxies without tables, by number."""
-        return self.context.unassigned
-
     @property
     def held(self) -> SubscriberIndex:
-        """Which proxies' tables name an endpoint."""
+        """Which proxies' tables name an endpoint: `context.holders`."""
         return self.context.holders
 
     @property
     def waiting(self) -> ChannelBacklog:
-        """What may still wait in the channel."""
+        """What may still wait in the channel: `budget.backlog`."""
         return self.budget.backlog
 
     @property
     def rounds(self) -> int:
-        """Rounds of reports so far."""
+        """Rounds of reports so far: `reports.count`."""
         return self.reports.count
 
     @property
     def restless(self) -> dict[int, EndpointState]:
-        """The endpoints that each tick looks at, by id."""
+        """The endpoints that each tick looks at: `schedule.active`."""
         return self.schedule.active
 
     @property
     def group_open(self) -> list[RequestGroup]:
-        """The groups of request classes that share tables."""
+        """The groups of request classes that share tables: `pools.groups`."""
         return self.pools.groups
 
     @property
     def drawn(self) -> int:
-        """Changes so far that concern all tables."""
+        """Changes so far that concern all tables: `changes.pool_changes`."""
         return self.changes.pool_changes
 
     @property
     def dirty(self) -> set[int]:
-        """Proxies whose tables may differ from what they should be."""
+        """Proxies whose tables may differ: `changes.pending`."""
         return self.changes.pending
 
     @property
     def spoiled(self) -> bool:
-        """Whether every proxy's tables may."""
+        """Whether every proxy's tables may: `changes.all_pending`."""
         return self.changes.all_pending
 
     @property
     def sunk(self) -> bool:
-        """Whether a cold endpoint's share that sank isn't published yet."""
+        """Whether a share that sank isn't published yet: `changes.reductions_pending`."""
         return self.changes.reductions_pending
 
     @sunk.setter
@@ -319,16 +324,16 @@
         self.changes.reductions_pending = pending
 
     def all_dirty(self, endpoint: Optional[EndpointState] = None) -> None:
-        """Tables may have changed: all, or those that go by an endpoint."""
+        """Mark tables as changed: `changes.mark_all`, `changes.mark`."""
         if endpoint is None:
             self.changes.mark_all()
         else:
             self.changes.mark(endpoint)
 
     def table(self, proxy: ProxyState, group: int) -> dict[int, float]:
-        """Endpoint id -> weight, as a proxy's table should stand now."""
+        """Compute a table: `sharding.table`."""
         return self.sharding.table(proxy, group)
 
     def shuffle(self, items: MutableSequence[Any]) -> None:
-        """Shuffle by the planner's own random numbers."""
+        """Shuffle by the planner's own random numbers: `context.rng.shuffle`."""
         self.context.rng.shuffle(items)
--- a/peatlead/planner/shuffle_sharding.py
+++ b/peatlead/planner/shuffle_sharding.py
@@ -19,12 +19,11 @@
 from .proxy_state import ProxyState
 from .rendezvous import RendezvousPool
 from .statistics import cold_and_warm_weight
-from .zone_capacity import ZoneCapacity
+from .zone_capacity import TINY, ZoneCapacity
 
 LEAST_A_ZONE = 1  # endpoints of a shard in each zone
 MAX_COLD_PART = 0.2  # of a table's weight, from which warm endpoints join it
 MAX_WARM_JOINING = 24  # warm endpoints that may join a table, or as many as it has if that is more
-TINY = 1e-9  # keeps divisors from zero
 
 
 class Shard(NamedTuple):
--- a/peatlead/planner/zone_paths.py
+++ b/peatlead/planner/zone_paths.py
@@ -19,8 +19,8 @@
     10.0  # seconds for which a bad path is left, doubled each time that it is bad again
 )
 LONGEST_PATH_WAIT = 60.0  # seconds
-REPEAT_SPAN = 30  # seconds after its return, in which a path that is bad counts as bad again
-LEAST_SUCCESSES = 0.5  # faded, of an endpoint whose latency counts
+REPEATED_PATH_SPAN = 30  # seconds after its return, in which a path that is bad counts as bad again
+LEAST_PATH_SUCCESSES = 0.5  # faded, of an endpoint whose latency counts
 FAST_QUANTILE = 4  # the fastest 1/4 of a zone's endpoints speak for the path
 FAILING_CHECKS = 0.5  # of a zone's checks, that keep the path from this controller's zone closed
 
@@ -81,7 +81,7 @@
                 and sorted(found)[len(found) // FAST_QUANTILE] - at_home
                 > FAR_LATENCY * self.demand.mean_target()
             ):
-                again = now - state.bad_until < REPEAT_SPAN
+                again = now - state.bad_until < REPEATED_PATH_SPAN
                 wait = min(LONGEST_PATH_WAIT, 2 * state.wait) if again else FIRST_PATH_WAIT
                 self.states[path] = PathState(now + wait, wait)
                 self.context.log(f"way from zone {zone} to {other} is bad, {wait} s")
@@ -96,7 +96,7 @@
                 counts is not None
                 and endpoint.usable
                 and self.context.now - counts.updated_at < oldest
-                and counts.attempts - counts.errors > LEAST_SUCCESSES
+                and counts.attempts - counts.errors > LEAST_PATH_SUCCESSES
             ):
                 mean = counts.latency / (counts.attempts - counts.errors)
                 latencies.setdefault(endpoint.zone, []).append(mean)
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -22,9 +22,11 @@
             host.cold_from, host.share = 100.0, 0.37
         made.changes.mark_all()
         made.sharding.end_batch()
-        lines = made.table(proxy, 0)
+        lines = made.sharding.table(proxy, 0)
         whole = sum(lines.values())
-        cold = sum(weight for at, weight in lines.items() if made.hosts[at].cold_from is not None)
+        cold = sum(
+            weight for at, weight in lines.items() if made.endpoints[at].cold_from is not None
+        )
         self.assertLessEqual(cold, 0.2 * whole + 1e-9)
         self.assertLess(whole, max(len(shard), 0.74 / 0.2) + 1.0)
         self.assertGreaterEqual(whole, len(shard) - 1e-9)
@@ -37,7 +39,7 @@
         made.decide(200.1, [interface.HealthCheckResult(50, "ok", 0.01, None)])
         for tick in range(2, 14):
             made.decide(200.0 + tick / 10, [interface.TimerFired(0)])
-        self.assertEqual(made.hosts[50].share, 1.0)
+        self.assertEqual(made.endpoints[50].share, 1.0)
 
 
 class FewNews(unittest.TestCase):
@@ -49,7 +51,7 @@
         made.statistics.cycle = 5.0
         events = [
             interface.EndpointStats(host, 0, 10, 0, 3.0, mean, {"util": load})
-            for host in made.hosts
+            for host in made.endpoints
         ]
         if bad is not None:
             events[0] = interface.EndpointStats(0, 0, 10, bad, 3.0, 1.1, {"util": 0.9})
@@ -61,21 +63,21 @@
         # It was known by ten failed probes and 23 of 24 tries, and kept for 1.3 times the cycle of sums: 4 s.
         made = planner(report_fields=["util"])
         self.heard(made, bad=9, fails=4)
-        self.assertFalse(made.hosts[0].usable)
+        self.assertFalse(made.endpoints[0].usable)
 
     def test_it_stays_while_its_peers_are_full(self):
         made = planner(report_fields=["util"])
         for _ in range(3):
             self.heard(made, load=0.85)
         self.heard(made, bad=9, load=0.85, fails=4)
-        self.assertTrue(made.hosts[0].usable)
+        self.assertTrue(made.endpoints[0].usable)
 
     def room_after(self, share):
         made = planner(report_fields=["util"], fails_to_shun=3)
         shedding = made.load_shedding
         shedding.admitted, shedding.cutting, shedding.safe = 0.5, True, 0.5
         shedding.strain, shedding.next_at = 1.0, 0.0
-        for host in made.hosts.values():
+        for host in made.endpoints.values():
             host.share, host.ramp, host.next_step_at = share, share, 1e9
         late = 0.35 * made.demand.mean_target()
         for _ in range(4):
@@ -91,14 +93,14 @@
     def test_a_proxy_that_nothing_changes_for_takes_no_turn_in_a_stage(self):
         made = planner(hosts=40, proxies=60, channel_rate=1e6, queue_most=1e6)
         made.context.proxies_expected = 60.0
-        made.all_dirty()
+        made.changes.mark_all()
         for tick in range(200):
             made.decide(101.0 + tick, [interface.TimerFired(0)])
-        one = made.hosts[0]
-        holders = set(made.held.subscribers(0))
+        one = made.endpoints[0]
+        holders = set(made.context.holders.subscribers(0))
         self.assertLess(len(holders), 40)
         one.share = 0.5
-        made.all_dirty(one)
+        made.changes.mark(one)
         staged, stages = set(), 0
         while not holders <= staged and stages < 60:
             made.stages.next_at, stages = 0.0, stages + 1
@@ -126,9 +128,11 @@
             for after in range(1, 10):
                 passed = interface.HealthCheckResult(6 + number, "ok", 0.01, None)
                 made.decide(102.0 + number + after / 10, [interface.TimerFired(0), passed])
-        self.assertLess(len(made.hosts), 75)
-        self.assertEqual({host for host in made.held.by_endpoint if host not in made.hosts}, set())
-        self.assertEqual(set(made.restless) - set(made.hosts), set())
+        self.assertLess(len(made.endpoints), 75)
+        self.assertEqual(
+            {host for host in made.context.holders.by_endpoint if host not in made.endpoints}, set()
+        )
+        self.assertEqual(set(made.schedule.active) - set(made.endpoints), set())
         self.assertTrue(made.proxies[0].lines[0])
 
 
@@ -146,16 +150,16 @@
             for h in members
         }
         for host in shard:
-            made.hosts[host].phase = "gone"
+            made.endpoints[host].phase = "gone"
         made.endpoint_updates.take(member(50, 0))
         made.pools.ready.clear()
-        self.assertEqual(set(made.table(made.proxies[0], 0)), {50})
+        self.assertEqual(set(made.sharding.table(made.proxies[0], 0)), {50})
 
     def test_a_kind_open_to_some_zones_gets_no_line_elsewhere(self):
         kinds = planner().settings["req_kinds"]
         made = planner(req_kinds=[{**kinds[0], "only_zones": [1]}, kinds[1]])
-        self.assertEqual({made.hosts[h].zone for h in made.proxies[0].lines[0]}, {1})
-        self.assertEqual({made.hosts[h].zone for h in made.proxies[0].lines[1]}, {0, 1})
+        self.assertEqual({made.endpoints[h].zone for h in made.proxies[0].lines[0]}, {1})
+        self.assertEqual({made.endpoints[h].zone for h in made.proxies[0].lines[1]}, {0, 1})
 
 
 class Rules(unittest.TestCase):
@@ -174,49 +178,50 @@
 
     def test_nothing_is_tried_again_that_may_have_run(self):
         made = planner()
-        made.orders, made.load_shedding.admissions = [], None
+        made.commands, made.load_shedding.admissions = [], None
         made.order_levels()
         tries = {
-            o.request_classes: o.retry_policy for o in of_type(made.orders, interface.SetAdmission)
+            o.request_classes: o.retry_policy
+            for o in of_type(made.commands, interface.SetAdmission)
         }
         self.assertEqual(tries, {(0,): "unstarted", (1,): "unstarted"})
 
     def test_where_gone_is_advice_a_host_that_answers_stays_and_one_that_drains_goes(self):
         made = planner(gone_is_advice=True)
-        made.now = made.statistics.last_success_at = made.hosts[3].last_success_at = 110.0
+        made.now = made.statistics.last_success_at = made.endpoints[3].last_success_at = 110.0
         made.endpoint_updates.on_update(
             interface.EndpointUpdate("whole", 2, (member(2, phase="draining"),))
         )
-        self.assertEqual({h.id for h in made.hosts.values() if h.phase == "ready"}, {3})
+        self.assertEqual({h.id for h in made.endpoints.values() if h.phase == "ready"}, {3})
 
     def test_a_steward_that_stood_still_does_not_hold_its_own_silence_against_hosts(self):
         made = planner(gone_is_advice=True)
         made.decide(105.0, [interface.EndpointStats(h, 0, 5, 0, 1.0, 0.1, None) for h in range(8)])
         made.decide(115.0, [interface.EndpointUpdate("whole", 2, ())])
-        self.assertEqual({h.phase for h in made.hosts.values()}, {"ready"})
-        self.assertTrue(all(p.lines[0] for p in made.joined))
+        self.assertEqual({h.phase for h in made.endpoints.values()}, {"ready"})
+        self.assertTrue(all(p.lines[0] for p in made.context.joined))
 
     def test_doubt_alone_never_leaves_a_proxy_without_a_line(self):
         made = planner()
-        for host in made.hosts.values():
+        for host in made.endpoints.values():
             host.ejected_until = 1e9
-        self.assertTrue(made.table(made.proxies[0], 0))
+        self.assertTrue(made.sharding.table(made.proxies[0], 0))
 
     def test_cold_hosts_alone_never_make_a_table(self):
         made = planner()
         proxy = made.proxies[0]
-        for host in made.hosts.values():
+        for host in made.endpoints.values():
             if host.zone == proxy.zone:
                 host.cold_from, host.share = 100.0, 0.06
-        lines = made.table(proxy, 0)
-        self.assertTrue(any(made.hosts[h].cold_from is None for h in lines))
-        for host in made.hosts.values():
+        lines = made.sharding.table(proxy, 0)
+        self.assertTrue(any(made.endpoints[h].cold_from is None for h in lines))
+        for host in made.endpoints.values():
             host.cold_from = 100.0 if host.id else None
-        self.assertIn(0, made.table(proxy, 0))
+        self.assertIn(0, made.sharding.table(proxy, 0))
 
     def test_a_table_is_chilly_once_its_cold_hosts_hold_a_fifth(self):
         made = planner()
-        hosts = list(made.hosts.values())
+        hosts = list(made.endpoints.values())
         hosts[0].cold_from = 100.0
         hosts[0].share = 0.37
         self.assertTrue(made.sharding.is_cold_heavy(hosts[:2]))
@@ -225,27 +230,34 @@
     def test_a_removal_that_leaves_only_cold_hosts_writes_the_table_anew(self):
         made = planner()
         proxy = made.proxies[0]
-        made.orders, made.changes.removals_pending, warm = (
+        made.commands, made.changes.removals_pending, warm = (
             [],
             True,
-            [h for h in made.hosts if h > 3],
+            [h for h in made.endpoints if h > 3],
         )
         proxy.lines[0] = {0: 0.06, 1: 1.0}
-        made.hosts[0].cold_from, made.hosts[0].share, made.hosts[1].phase = 100.0, 0.06, "gone"
+        made.endpoints[0].cold_from, made.endpoints[0].share, made.endpoints[1].phase = (
+            100.0,
+            0.06,
+            "gone",
+        )
         made.removals.remove_unusable()
         self.assertTrue(set(warm) <= set(proxy.lines[0]))
 
     def test_a_table_that_lost_its_last_line_is_filled_however_full_the_queue(self):
         made = planner()
         proxy = made.proxies[0]
-        proxy.lines[0], made.changes.removals_pending, made.orders = {0: 1.0}, True, []
-        made.hosts[0].phase, made.waiting.unanswered = "gone", made.settings["queue_most"]
+        proxy.lines[0], made.changes.removals_pending, made.commands = {0: 1.0}, True, []
+        made.endpoints[0].phase, made.budget.backlog.unanswered = (
+            "gone",
+            made.settings["queue_most"],
+        )
         made.removals.remove_unusable()
         self.assertTrue(proxy.lines[0])
 
     def test_a_cold_host_takes_no_more_than_a_part_of_what_tips_it_and_none_when_proxies_shun(self):
         made = planner()
-        host = made.hosts[0]
+        host = made.endpoints[0]
         made.now, host.cold_from, host.ramp = 100.0, 100.0, 1.0
         self.assertLessEqual(made.slow_start.share(host), 0.3 * 4.0 * 0.2 + 1e-9)
         whole, made.fleet_load.mean_share = made.slow_start.share(host), 0.5
@@ -256,16 +268,16 @@
     def test_a_host_that_the_list_names_late_stays_out_until_it_passed_a_probe(self):
         made = planner()
         made.decide(101.0, [interface.EndpointUpdate("changes", 2, (member(70),))])
-        self.assertNotIn(70, made.table(made.proxies[0], 0))
+        self.assertNotIn(70, made.sharding.table(made.proxies[0], 0))
         made.health_checks.on_result(interface.HealthCheckResult(70, "errored", 0.01, None))
-        self.assertFalse(made.hosts[70].usable)
+        self.assertFalse(made.endpoints[70].usable)
         made.health_checks.on_result(interface.HealthCheckResult(70, "ok", 0.01, None))
-        self.assertTrue(made.hosts[70].usable)
+        self.assertTrue(made.endpoints[70].usable)
 
     def test_binds_wait_for_room_and_a_waiting_proxy_is_told_withdrawals_again(self):
         made = planner()
         made.decide(101.0, [interface.EndpointUpdate("changes", 2, (member(3, 1, "draining"),))])
-        made.waiting.unanswered = made.settings["queue_most"]
+        made.budget.backlog.unanswered = made.settings["queue_most"]
         orders = made.decide(101.0, [interface.ProxyConnected(9, 0, 10.0, True)])
         self.assertFalse(of_type(orders, interface.AssignTable))
         self.assertIn(interface.WithdrawEndpoint(3, True, (9,)), orders)
@@ -329,7 +341,7 @@
     ):
         # One steward with 1,100 waiting proxies and 30 hosts that drain: 45,011 lines where 45,000 may.
         made = planner(hosts=60, channel_rate=100.0, queue_most=400.0)
-        made.waiting.unanswered = 180.0
+        made.budget.backlog.unanswered = 180.0
         made.decide(101.0, [interface.ProxyConnected(n, n % 2, 10.0, False) for n in range(10, 40)])
         orders = made.decide(
             101.1,
@@ -350,8 +362,8 @@
             list(publisher.take([interface.WithdrawEndpoint(3, True, (10, 12))])[0]), [10]
         )
         self.assertEqual(list(publisher.take([interface.WithdrawEndpoint(3, True)])[0]), [11])
-        made.waiting.unanswered = 0.0
-        made.waiting.batches.clear()
+        made.budget.backlog.unanswered = 0.0
+        made.budget.backlog.batches.clear()
         orders = [
             order
             for tick in range(60)
@@ -406,7 +418,7 @@
     def storm(self, made, bad, rounds):
         for _ in range(rounds):
             made.now = max(made.now, made.load_shedding.next_at) + 1
-            for host in made.hosts.values():
+            for host in made.endpoints.values():
                 host.attempts = host.own_attempts = 1.0
                 host.errors, host.latency, host.utilization = bad, 0.1, bad
             made.judge_endpoints()
@@ -434,7 +446,7 @@
 
     def test_failures_at_hosts_with_room_cut_nothing(self):
         made = planner(report_fields=["util"])
-        for host in made.hosts.values():
+        for host in made.endpoints.values():
             host.attempts, host.errors, host.latency, host.utilization = 10.0, 6.0, 9.0, 0.3
         made.judge_endpoints()
         made.load_shedding.update()
@@ -444,17 +456,21 @@
 class Zones(unittest.TestCase):
     def test_a_zone_without_a_usable_host_is_planned_around(self):
         made = planner(pick="lighter of two")
-        for host in made.hosts.values():
+        for host in made.endpoints.values():
             host.ejected_until = 1e9 if host.zone else None
         self.assertTrue(made.zone_capacity.compute())
 
     def test_a_zone_whose_every_host_is_far_later_than_home_is_left_for_a_while(self):
         made = planner()
-        for host in made.hosts.values():
+        for host in made.endpoints.values():
             host.stats[0] = DatedCounts(made.now, 10.0, 0.0, 10.0 if host.zone else 1.0)
         made.paths.end_round()
-        self.assertEqual({made.hosts[h].zone for h in made.table(made.proxies[0], 0)}, {0})
-        self.assertEqual({made.hosts[h].zone for h in made.table(made.proxies[1], 0)}, {0, 1})
+        self.assertEqual(
+            {made.endpoints[h].zone for h in made.sharding.table(made.proxies[0], 0)}, {0}
+        )
+        self.assertEqual(
+            {made.endpoints[h].zone for h in made.sharding.table(made.proxies[1], 0)}, {0, 1}
+        )
 
     def test_kinds_open_everywhere_leave_room_in_zones_that_others_depend_on(self):
         kinds = planner().settings["req_kinds"]
@@ -471,7 +487,7 @@
             101.0, [interface.EndpointUpdate("changes", 2, (member(3, 1, started_at=100.9),))]
         )
         made.statistics.on_endpoint_stats(interface.EndpointStats(3, 0, 9, 9, 4.0, 0.0, None))
-        self.assertFalse(made.hosts[3].stats)
+        self.assertFalse(made.endpoints[3].stats)
 
     def test_a_capped_line_stands_as_long_as_the_time_to_the_next(self):
         made = planner()
@@ -479,38 +495,41 @@
         made.statistics.on_endpoint_stats(interface.EndpointStats(2, 0, 10, 0, 5.0, 0.1, None))
         made.now += 2.0
         made.end_round()
-        self.assertGreater(made.hosts[2].attempts, 5.0)
+        self.assertGreater(made.endpoints[2].attempts, 5.0)
 
     def test_relief_is_drawn_among_a_hosts_holders(self):
         made = planner(proxies=8)
         for number in range(4):
             made.writer.set_entry(made.proxies[number], 0, 1, 0.0)
-        made.relief.set_reach(made.hosts[1], 0.5)
+        made.relief.set_reach(made.endpoints[1], 0.5)
         self.assertTrue(
-            made.hosts[1].excluded_proxies and made.hosts[1].excluded_proxies <= {4, 5, 6, 7}
+            made.endpoints[1].excluded_proxies
+            and made.endpoints[1].excluded_proxies <= {4, 5, 6, 7}
         )
 
     def test_a_host_that_fails_against_its_peers_is_dropped_and_a_shared_fault_drops_nobody(self):
         made = planner()
-        for host in made.hosts.values():
+        for host in made.endpoints.values():
             host.attempts, host.errors, host.latency = 10.0, 6.0, 1.0
         made.judge_endpoints()
-        self.assertTrue(all(h.usable for h in made.hosts.values()))
-        for host in made.hosts.values():
+        self.assertTrue(all(h.usable for h in made.endpoints.values()))
+        for host in made.endpoints.values():
             host.attempts, host.errors = 10.0, 6.0 if host.id == 5 else 0.0
             host.latency = 0.1 * (host.attempts - host.errors)
         made.judge_endpoints()
-        self.assertEqual([h.id for h in made.hosts.values() if not h.usable], [5])
+        self.assertEqual([h.id for h in made.endpoints.values() if not h.usable], [5])
 
     def test_a_busy_host_whose_probes_time_out_stays_and_a_silent_one_goes(self):
         made = planner()
         made.now = 110.0
-        for host in made.hosts.values():
+        for host in made.endpoints.values():
             host.last_success_at = 109.5
-        made.hosts[2].failed_checks = made.hosts[3].failed_checks = made.hosts[3].errors = 4
-        made.hosts[3].last_success_at = 105.0
+        made.endpoints[2].failed_checks = made.endpoints[3].failed_checks = made.endpoints[
+            3
+        ].errors = 4
+        made.endpoints[3].last_success_at = 105.0
         made.judge_endpoints()
-        self.assertEqual([h.id for h in made.hosts.values() if not h.usable], [3])
+        self.assertEqual([h.id for h in made.endpoints.values() if not h.usable], [3])
 
     def test_where_nobody_tells_of_tries_probes_alone_convict_and_end_rounds(self):
         for told, usable in ((True, True), (False, False)):
@@ -523,7 +542,8 @@
                 ]
                 made.decide(now, [*probes, interface.TimerFired(0)])
             self.assertEqual(
-                (made.hosts[3].usable, any(3 in p.lines[0] for p in made.joined)), (usable, usable)
+                (made.endpoints[3].usable, any(3 in p.lines[0] for p in made.context.joined)),
+                (usable, usable),
             )
 
     def test_proxies_whose_numbers_are_hashes_of_names_are_ranked(self):
@@ -535,16 +555,20 @@
         made = planner()
         for all_slow in (True, False):
             made.now += 10
-            for host in made.hosts.values():
+            for host in made.endpoints.values():
                 slow = all_slow or host.id == 1
                 host.attempts, host.errors, host.latency = 10.0, 0.0, 9.0 if slow else 1.0
             made.judge_endpoints()
         self.assertEqual(
-            [(h.id, len(h.excluded_proxies)) for h in made.hosts.values() if h.excluded_proxies],
+            [
+                (h.id, len(h.excluded_proxies))
+                for h in made.endpoints.values()
+                if h.excluded_proxies
+            ],
             [(1, 1)],
         )
-        without = made.proxies[next(iter(made.hosts[1].excluded_proxies))]
-        self.assertNotIn(1, made.table(without, 0))
+        without = made.proxies[next(iter(made.endpoints[1].excluded_proxies))]
+        self.assertNotIn(1, made.sharding.table(without, 0))
 
 
 class Notes(unittest.TestCase):
@@ -578,9 +602,9 @@
         ]
         self.assertTrue(len(notes) > 1 and all(len(note) <= 250 for note in notes))
         self.assertEqual(sum(len(note.split(b"\n")) for note in notes), 20)
-        made.now, made.orders = 101.4, []
+        made.now, made.commands = 101.4, []
         made.gossip.send([FailingEndpoint(b"n" * 300, Counts(9.0, 5.0, 0.1))])
-        self.assertEqual(made.orders, [])
+        self.assertEqual(made.commands, [])
 
     def test_failing_hosts_are_told_by_name_with_own_counts_alone(self):
         made = planner(peer_notes=True)
@@ -623,7 +647,7 @@
             b"\xff\xfe 1 1 1",
         ):
             made.decide(100.5, [interface.GossipReceived(1, payload)])
-        self.assertFalse(any(host.peer_stats for host in made.hosts.values()))
+        self.assertFalse(any(host.peer_stats for host in made.endpoints.values()))
 
     def test_a_note_from_before_a_start_does_not_count(self):
         made = planner(peer_notes=True)
@@ -634,7 +658,7 @@
                 interface.GossipReceived(1, b"host-0 9.0 9.0 0.0"),
             ],
         )
-        self.assertFalse(made.hosts[0].peer_stats)
+        self.assertFalse(made.endpoints[0].peer_stats)
 
 
 class Lists(unittest.TestCase):
@@ -642,14 +666,14 @@
         # The lab's dns seeds 40380, 40555, 40963: an empty list while hosts were silent, hung or cut off.
         for advice, left in ((True, 8), (False, 0)):
             made = planner(gone_is_advice=advice)
-            for host in made.hosts.values():
+            for host in made.endpoints.values():
                 host.failed_checks, host.last_success_at = 5, 0.0  # nobody answers
             made.decide(101.0, [interface.EndpointUpdate("whole", 2, ())])
-            self.assertEqual(sum(h.phase == "ready" for h in made.hosts.values()), left)
+            self.assertEqual(sum(h.phase == "ready" for h in made.endpoints.values()), left)
 
     def test_one_that_leaves_somebody_is_believed(self):
         made = planner(gone_is_advice=True)
-        for host in made.hosts.values():
+        for host in made.endpoints.values():
             host.failed_checks, host.last_success_at = 5, 0.0
         made.decide(101.0, [interface.EndpointUpdate("whole", 2, (member(3, 1),))])
-        self.assertEqual([h.id for h in made.hosts.values() if h.phase == "ready"], [3])
+        self.assertEqual([h.id for h in made.endpoints.values() if h.phase == "ready"], [3])
