--- a/peatlead/planner/endpoint_lifecycle.py
+++ b/peatlead/planner/endpoint_lifecycle.py
@@ -31,7 +31,7 @@
         """
         now = self.context.now
         self.schedule.activate(endpoint)
-        self.schedule.at(endpoint.probe_at, endpoint)
+        self.schedule.at(endpoint.next_check_at, endpoint)
         endpoint.ejected_until = None
         endpoint.failed_checks = 0
         endpoint.clear_evidence(now)
@@ -58,5 +58,5 @@
         proxies = self.context.proxies
         holders = self.context.holders.subscribers(endpoint.id)
         for proxy in [proxies[number] for number in holders]:
-            for group in range(len(proxy.lines)):
+            for group in range(len(proxy.entries)):
                 self.writer.set_entry(proxy, group, endpoint.id, 0.0)
--- a/peatlead/planner/endpoint_state.py
+++ b/peatlead/planner/endpoint_state.py
@@ -46,7 +46,7 @@
         self.confirmed = (
             confirmed  # false: listed while the planner ran, and no health check found it
         )
-        self.moved = 0  # the planner's change count when what tables go by last changed here
+        self.last_change = 0  # the planner's change count when what tables go by last changed here
 
         # Withdrawals.
         self.withdrawn = False
@@ -76,7 +76,7 @@
         self.restored_at = NEVER
 
         # Health checks.
-        self.probe_at = 0.0  # when the next check is due
+        self.next_check_at = 0.0  # when the next check is due
         self.failed_checks = 0  # in a row
         self.passed_checks = 0  # in a row
         self.check_failure_rate = 0.0  # fading
@@ -116,7 +116,7 @@
         """Whether tables may name it."""
         return self.phase == READY and self.ejected_until is None and self.confirmed
 
-    # Former names, until the callers in peatlead/controller use the new ones.
+    # Former names, until the callers in peatlead/controller and tests use the new ones.
 
     @property
     def out_until(self) -> Optional[float]:
@@ -142,3 +142,13 @@
     def probe_fails(self) -> int:
         """`failed_checks`."""
         return self.failed_checks
+
+    @property
+    def moved(self) -> int:
+        """`last_change`."""
+        return self.last_change
+
+    @property
+    def probe_at(self) -> float:
+        """`next_check_at`."""
+        return self.next_check_at
--- a/peatlead/planner/health_checks.py
+++ b/peatlead/planner/health_checks.py
@@ -42,8 +42,8 @@
 
     def check_by(self, endpoint: EndpointState, time: float) -> None:
         """Check it at that time, if no check comes earlier."""
-        if endpoint.probe_at > time:
-            endpoint.probe_at = time
+        if endpoint.next_check_at > time:
+            endpoint.next_check_at = time
             self.schedule.at(time, endpoint)
 
     def check_if_failing(self, endpoint: EndpointState) -> None:
@@ -56,11 +56,13 @@
         context = self.context
         if (
             endpoint.phase == READY
-            and context.now >= endpoint.probe_at
+            and context.now >= endpoint.next_check_at
             and context.settings.get("probing")
         ):
-            endpoint.probe_at = context.now + self.interval * context.rng.uniform(*CHECK_JITTER)
-            self.schedule.at(endpoint.probe_at, endpoint)
+            endpoint.next_check_at = context.now + self.interval * context.rng.uniform(
+                *CHECK_JITTER
+            )
+            self.schedule.at(endpoint.next_check_at, endpoint)
             context.commands.append(CheckHealth(endpoint.id))
 
     def on_result(self, event: HealthCheckResult) -> None:
--- a/peatlead/planner/load_relief.py
+++ b/peatlead/planner/load_relief.py
@@ -62,13 +62,13 @@
         endpoint.reach = reach
         endpoint.reach_restored_at = self.context.now + endpoint.relief_wait
         holders = self._holders(endpoint)
-        excess = (1 - reach) * fsum([proxy.rate for proxy in holders])
+        excess = (1 - reach) * fsum([proxy.request_rate for proxy in holders])
         endpoint.excluded_proxies = set()
         word = endpoint.word
         for proxy in sorted(holders, key=lambda proxy: rank(proxy.key, word), reverse=True):
-            if proxy.rate / 2 < excess:
+            if proxy.request_rate / 2 < excess:
                 endpoint.excluded_proxies.add(proxy.number)
-                excess -= proxy.rate
+                excess -= proxy.request_rate
         self.schedule.activate(endpoint)
         self.changes.mark(endpoint)
         self.context.log(f"host {endpoint.id} reach {reach}")
--- a/peatlead/planner/planner.py
+++ b/peatlead/planner/planner.py
@@ -165,7 +165,7 @@
             oldest_unacknowledged=now - oldest,
             connected_proxies=len(context.connected),
             unassigned_proxies=len(context.unassigned),
-            longest_wait=now - min([proxy.joined_at for proxy in waiting], default=now),
+            longest_wait=now - min([proxy.connected_at for proxy in waiting], default=now),
             withdrawn_endpoints=sum(one.withdrawn for one in context.endpoints.values()),
         )
 
--- a/peatlead/planner/proxy_connections.py
+++ b/peatlead/planner/proxy_connections.py
@@ -35,9 +35,9 @@
             proxy = ProxyState(event.proxy, groups, groups * len(context.proxies))
             context.proxies[event.proxy] = proxy
         proxy.zone = event.zone
-        proxy.rate = event.request_rate
-        proxy.joined_at = context.now
-        proxy.bound = False
+        proxy.request_rate = event.request_rate
+        proxy.connected_at = context.now
+        proxy.assigned = False
         proxy.notified = set()
         proxy.notified_count = 0
         proxy.reset_draw()
@@ -60,6 +60,6 @@
         """What was written to it and not sent yet waits no longer."""
         context = self.context
         if event.proxy in context.connected:
-            context.connected.pop(event.proxy).bound = False
+            context.connected.pop(event.proxy).assigned = False
             context.unassigned.pop(event.proxy, None)
             self.budget.backlog.disconnect(event.proxy)
--- a/peatlead/planner/proxy_state.py
+++ b/peatlead/planner/proxy_state.py
@@ -17,23 +17,23 @@
         self.zone = 0
         self.first_table = first_table  # number of its first group's table; the others' follow
         # By request class group: endpoint id -> weight as published.
-        self.lines: list[dict[int, float]] = [{} for _ in range(groups)]
-        self.bound = False  # whether it was assigned its tables since it connected
+        self.entries: list[dict[int, float]] = [{} for _ in range(groups)]
+        self.assigned = False  # whether it was assigned its tables since it connected
 
         # Connection.
-        self.joined_at = 0.0
+        self.connected_at = 0.0
         self.kept_until = 0.0  # until then the table that it brought may stand
         self.message_times: deque[float] = deque()  # of the messages sent to it lately
 
         # Requests.
-        self.rate = 0.0  # requests a second
+        self.request_rate = 0.0  # requests a second
         self.class_rates: dict[int, float] = {}  # requests a second by request class, as reported
 
         # What its tables were drawn from: one that would come out the same isn't computed again.
-        self.around: dict[int, EndpointState] = {}  # its shards' endpoints
-        self.drawn = NEVER_WRITTEN  # the count of pool changes then
-        self.wrote = NEVER_WRITTEN  # the count of endpoint changes then
-        self.wide = False  # tables that go by endpoints beyond the shards
+        self.drawn_from: dict[int, EndpointState] = {}  # its shards' endpoints
+        self.seen_pool_changes = NEVER_WRITTEN  # the count of pool changes then
+        self.seen_changes = NEVER_WRITTEN  # the count of endpoint changes then
+        self.beyond_shards = False  # tables that go by endpoints beyond the shards
         # By (group, zone): the pool, and the first endpoints of the proxy's order of it.
         self.ranked: dict[
             tuple[int, int], tuple[RendezvousPool[EndpointState], list[EndpointState]]
@@ -45,4 +45,36 @@
 
     def reset_draw(self) -> None:
         """Compute its tables anew with the next write."""
-        self.drawn = NEVER_WRITTEN
+        self.seen_pool_changes = NEVER_WRITTEN
+
+    # Former names, until the callers in tests use the new ones.
+
+    @property
+    def lines(self) -> list[dict[int, float]]:
+        """`entries`."""
+        return self.entries
+
+    @property
+    def bound(self) -> bool:
+        """`assigned`."""
+        return self.assigned
+
+    @property
+    def around(self) -> dict[int, EndpointState]:
+        """`drawn_from`."""
+        return self.drawn_from
+
+    @property
+    def drawn(self) -> int:
+        """`seen_pool_changes`."""
+        return self.seen_pool_changes
+
+    @property
+    def wrote(self) -> int:
+        """`seen_changes`."""
+        return self.seen_changes
+
+    @property
+    def wide(self) -> bool:
+        """`beyond_shards`."""
+        return self.beyond_shards
--- a/peatlead/planner/removals.py
+++ b/peatlead/planner/removals.py
@@ -57,7 +57,7 @@
         connected = self.context.connected
         numbers = self.context.holders.subscribers_of_any(sorted(endpoints))
         found = [connected[number] for number in numbers if number in connected]
-        return [proxy for proxy in found if proxy.bound]
+        return [proxy for proxy in found if proxy.assigned]
 
     def _remove_from(self, proxy: ProxyState, due: set[int]) -> None:
         """Remove from all of a proxy's tables.
@@ -65,7 +65,7 @@
         A table is written anew where nothing is left, or cold endpoints would get the removed ones'
         part.
         """
-        for group, entries in enumerate(proxy.lines):
+        for group, entries in enumerate(proxy.entries):
             removed = [endpoint for endpoint in entries if endpoint in due]
             for endpoint in removed:
                 self.writer.set_entry(proxy, group, endpoint, 0.0)
--- a/peatlead/planner/request_demand.py
+++ b/peatlead/planner/request_demand.py
@@ -29,7 +29,7 @@
         rate = event.requests / event.window
         average = proxy.class_rates.get(request_class, rate)
         proxy.class_rates[request_class] = average + (rate - average) / RATE_WINDOW
-        proxy.rate = fsum(proxy.class_rates.values())
+        proxy.request_rate = fsum(proxy.class_rates.values())
 
     def end_round(self) -> None:
         """Let the counts fade."""
--- a/peatlead/planner/shuffle_sharding.py
+++ b/peatlead/planner/shuffle_sharding.py
@@ -100,16 +100,16 @@
         """Endpoint id -> weight, as the proxy's table should stand now."""
         shard = self.shard(proxy, group)
         in_shard = [endpoint for chosen in shard.chosen.values() for endpoint in chosen]
-        proxy.around.update([(endpoint.id, endpoint) for endpoint in in_shard])
+        proxy.drawn_from.update([(endpoint.id, endpoint) for endpoint in in_shard])
         members = [endpoint for endpoint in in_shard if endpoint.usable]
         kept = [endpoint for endpoint in members if proxy.number not in endpoint.excluded_proxies]
         if len(kept) * 2 >= len(members):
             members = kept
         if self.is_cold_heavy(members):
-            proxy.wide = True
+            proxy.beyond_shards = True
             members = members + self._joining_warm(proxy, group, members, in_shard)
         if not members:  # no evidence may leave a proxy without an entry while endpoints run
-            proxy.wide = True
+            proxy.beyond_shards = True
             members = [endpoint for pool in shard.zones.values() for endpoint in pool]
         weights = {
             endpoint.id: endpoint.weight * endpoint.share for endpoint in members if endpoint.share
--- a/peatlead/planner/staged_updates.py
+++ b/peatlead/planner/staged_updates.py
@@ -41,7 +41,7 @@
         context, changes = self.context, self.changes
         if changes.all_pending:
             changes.pending.update(
-                [number for number, proxy in context.connected.items() if proxy.bound]
+                [number for number, proxy in context.connected.items() if proxy.assigned]
             )
             changes.all_pending = False
         urgent = changes.reductions_pending
@@ -62,7 +62,7 @@
         waiting = [
             proxy
             for proxy in self.context.joined
-            if proxy.number in pending and proxy.bound and self.budget.may_update(proxy, part)
+            if proxy.number in pending and proxy.assigned and self.budget.may_update(proxy, part)
         ]
         self.context.rng.shuffle(waiting)
         return waiting
--- a/peatlead/planner/table_assignment.py
+++ b/peatlead/planner/table_assignment.py
@@ -69,7 +69,7 @@
     def _assign(self, proxy: ProxyState) -> None:
         before = self.budget.backlog.entries
         self.writer.write(proxy)
-        proxy.bound = True
+        proxy.assigned = True
         del self.context.unassigned[proxy.number]
         for number, group in enumerate(self.pools.groups):
             table = proxy.first_table + number
@@ -80,7 +80,7 @@
 
     def _assignment_cost(self, proxy: ProxyState, group: int) -> int:
         """Entries: the assignment, the table, admissions, and endpoints to be restored."""
-        entries, endpoints = proxy.lines[group], self.context.endpoints
+        entries, endpoints = proxy.entries[group], self.context.endpoints
         restored = sum([endpoints[endpoint].ever_withdrawn for endpoint in entries])
         return 1 + len(entries) + len(self.context.settings["req_kinds"]) + restored
 
@@ -92,7 +92,7 @@
     def tables_fit(self) -> bool:
         """Whether, at the configured pace, all that wait have their tables in time."""
         context, settings = self.context, self.context.settings
-        first = min([proxy.joined_at for proxy in context.unassigned.values()])
+        first = min([proxy.connected_at for proxy in context.unassigned.values()])
         waited = context.now - first
         left = settings["drain_grace"] - settings["push_delay_most"] - waited
         entries = self.budget.backlog.entries + len(context.unassigned) * self.mean_cost
--- a/peatlead/planner/table_changes.py
+++ b/peatlead/planner/table_changes.py
@@ -33,4 +33,4 @@
     def touch(self, endpoint: EndpointState) -> None:
         """Tables that go by the endpoint must be computed anew when they are next written."""
         self.count += 1
-        endpoint.moved = self.count
+        endpoint.last_change = self.count
--- a/peatlead/planner/table_writer.py
+++ b/peatlead/planner/table_writer.py
@@ -29,11 +29,11 @@
         changes.pending.discard(proxy.number)
         if self._is_current(proxy):
             return
-        proxy.around = {}
-        proxy.drawn = changes.pool_changes
-        proxy.wrote = changes.count
-        proxy.wide = False
-        for group, entries in enumerate(proxy.lines):
+        proxy.drawn_from = {}
+        proxy.seen_pool_changes = changes.pool_changes
+        proxy.seen_changes = changes.count
+        proxy.beyond_shards = False
+        for group, entries in enumerate(proxy.entries):
             table = self.sharding.table(proxy, group)
             for endpoint in sorted(entries.keys() | table.keys()):
                 if table.get(endpoint) != entries.get(endpoint):
@@ -42,15 +42,17 @@
     def _is_current(self, proxy: ProxyState) -> bool:
         """Whether nothing that the tables were drawn from has changed since."""
         return (
-            proxy.drawn == self.changes.pool_changes
-            and not proxy.wide
-            and all(endpoint.moved <= proxy.wrote for endpoint in proxy.around.values())
+            proxy.seen_pool_changes == self.changes.pool_changes
+            and not proxy.beyond_shards
+            and all(
+                endpoint.last_change <= proxy.seen_changes for endpoint in proxy.drawn_from.values()
+            )
         )
 
     def set_entry(self, proxy: ProxyState, group: int, endpoint: int, weight: float) -> None:
         """Set one entry; weight 0 removes it."""
         context = self.context
-        entries = proxy.lines[group]
+        entries = proxy.entries[group]
         old = entries.pop(endpoint, None)
         if old:
             context.holders.remove(endpoint, proxy.number)
@@ -58,7 +60,7 @@
             entries[endpoint] = weight
             context.holders.add(endpoint, proxy.number)
         context.commands.append(SetEntry(proxy.first_table + group, endpoint, weight))
-        if proxy.bound:
+        if proxy.assigned:
             # One that the proxy may avoid since a withdrawal is restored with its first entry.
             restored = context.endpoints[endpoint].ever_withdrawn and weight > 0 and not old
             self.budget.spend(proxy, 1 + restored)
--- a/peatlead/planner/withdrawals.py
+++ b/peatlead/planner/withdrawals.py
@@ -118,7 +118,7 @@
         endpoints = self.context.endpoints
         found = {
             endpoint
-            for entries in proxy.lines
+            for entries in proxy.entries
             for endpoint in entries
             if endpoints[endpoint].withdrawn
         }
--- a/peatlead/planner/zone_capacity.py
+++ b/peatlead/planner/zone_capacity.py
@@ -106,7 +106,7 @@
         context = self.context
         rates: dict[int, float] = {}
         for proxy in context.joined:
-            rates[proxy.zone] = rates.get(proxy.zone, 0.0) + max(LEAST_RATE, proxy.rate)
+            rates[proxy.zone] = rates.get(proxy.zone, 0.0) + max(LEAST_RATE, proxy.request_rate)
         own = len(context.connected)
         unseen = [
             endpoint.zone
--- a/tests/planner/test_endpoint_updates.py
+++ b/tests/planner/test_endpoint_updates.py
@@ -23,7 +23,7 @@
         known = set(planner.endpoints)
         self.assertEqual(set(planner.context.holders.by_endpoint) - known, set())
         self.assertEqual(set(planner.schedule.active) - known, set())
-        self.assertTrue(planner.proxies[0].lines[0])
+        self.assertTrue(planner.proxies[0].entries[0])
 
     def test_where_gone_is_advice_an_endpoint_that_answers_stays_and_a_draining_one_goes(self):
         planner = make_planner(gone_is_advice=True)
@@ -44,7 +44,7 @@
         )
         planner.decide(115.0, [interface.EndpointUpdate("whole", 2, ())])
         self.assertEqual({endpoint.phase for endpoint in planner.endpoints.values()}, {"ready"})
-        self.assertTrue(all(proxy.lines[0] for proxy in planner.context.joined))
+        self.assertTrue(all(proxy.entries[0] for proxy in planner.context.joined))
 
     def test_a_list_that_leaves_none_removes_none_where_gone_is_advice(self):
         # The lab's dns seeds 40380, 40555, 40963: an empty list while endpoints were silent, hung or cut off.
--- a/tests/planner/test_outlier_detection.py
+++ b/tests/planner/test_outlier_detection.py
@@ -55,5 +55,5 @@
                     for number in range(8)
                 ]
                 planner.decide(now, [*results, interface.TimerFired(0)])
-            listed = any(3 in proxy.lines[0] for proxy in planner.context.joined)
+            listed = any(3 in proxy.entries[0] for proxy in planner.context.joined)
             self.assertEqual((planner.endpoints[3].usable, listed), (usable, usable))
--- a/tests/planner/test_removals.py
+++ b/tests/planner/test_removals.py
@@ -18,21 +18,21 @@
     def test_a_removal_that_leaves_only_cold_endpoints_rewrites_the_table(self):
         planner = make_planner()
         proxy = planner.proxies[0]
-        proxy.lines[0] = {0: 0.06, 1: 1.0}
+        proxy.entries[0] = {0: 0.06, 1: 1.0}
         planner.endpoints[0].cold_from = 100.0
         planner.endpoints[0].share = 0.06
         planner.endpoints[1].phase = "gone"
         planner.changes.removals_pending = True
         planner.removals.remove_unusable()
         warm = {number for number in planner.endpoints if number > 3}
-        self.assertTrue(warm <= set(proxy.lines[0]))
+        self.assertTrue(warm <= set(proxy.entries[0]))
 
     def test_a_table_that_lost_its_last_entry_is_filled_however_full_the_queue(self):
         planner = make_planner()
         proxy = planner.proxies[0]
-        proxy.lines[0] = {0: 1.0}
+        proxy.entries[0] = {0: 1.0}
         planner.endpoints[0].phase = "gone"
         planner.changes.removals_pending = True
         planner.budget.backlog.unanswered = planner.settings["queue_most"]
         planner.removals.remove_unusable()
-        self.assertTrue(proxy.lines[0])
+        self.assertTrue(proxy.entries[0])
--- a/tests/planner/test_shuffle_sharding.py
+++ b/tests/planner/test_shuffle_sharding.py
@@ -35,8 +35,8 @@
     def test_every_controller_gives_a_proxy_the_same_shard(self):
         planner = make_planner()
         other = make_planner()
-        tables = planner.proxies[2].lines
-        self.assertEqual(tables, other.proxies[2].lines)
+        tables = planner.proxies[2].entries
+        self.assertEqual(tables, other.proxies[2].entries)
         self.assertEqual(zones_of(planner, tables[0]), {0, 1})
 
     def test_a_shard_without_usable_members_gives_way_to_every_ready_endpoint(self):
@@ -52,7 +52,7 @@
     def test_a_class_restricted_to_some_zones_has_no_entry_elsewhere(self):
         read, pay = SETTINGS["req_kinds"]
         planner = make_planner(req_kinds=[{**read, "only_zones": [1]}, pay])
-        tables = planner.proxies[0].lines
+        tables = planner.proxies[0].entries
         self.assertEqual(zones_of(planner, tables[0]), {1})
         self.assertEqual(zones_of(planner, tables[1]), {0, 1})
 
--- a/tests/planner/test_table_assignment.py
+++ b/tests/planner/test_table_assignment.py
@@ -9,6 +9,6 @@
         planner = make_planner()
         planner.reports.count = 0
         planner.decide(101.0, [interface.ProxyConnected(9, 0, 10.0, False)])
-        self.assertFalse(planner.proxies[9].bound)
+        self.assertFalse(planner.proxies[9].assigned)
         planner.decide(102.1, [])
-        self.assertTrue(planner.proxies[9].bound)
+        self.assertTrue(planner.proxies[9].assigned)
