--- a/peatlead/planner/endpoint_state.py
+++ b/peatlead/planner/endpoint_state.py
@@ -116,7 +116,7 @@
         """Whether tables may name it."""
         return self.phase == READY and self.ejected_until is None and self.confirmed
 
-    # Former names, until the callers in peatlead/controller and tests use the new ones.
+    # Former names, until peatlead/controller uses the new ones.
 
     @property
     def out_until(self) -> Optional[float]:
@@ -142,13 +142,3 @@
     def probe_fails(self) -> int:
         """`failed_checks`."""
         return self.failed_checks
-
-    @property
-    def moved(self) -> int:
-        """`last_change`."""
-        return self.last_change
-
-    @property
-    def probe_at(self) -> float:
-        """`next_check_at`."""
-        return self.next_check_at
--- a/peatlead/planner/planner.py
+++ b/peatlead/planner/planner.py
@@ -11,20 +11,20 @@
 """
 
 from collections.abc import Callable, Iterable, MutableSequence, ValuesView
-from typing import Any, Optional
+from typing import Any
 
 from .. import interface
 from .channel_backlog import ChannelBacklog
 from .channel_budget import ChannelBudget
-from .context import COVERAGE, PlannerContext, Settings
+from .context import PlannerContext, Settings
 from .endpoint_lifecycle import EndpointLifecycle
-from .endpoint_pools import EndpointPools, RequestGroup
+from .endpoint_pools import EndpointPools
 from .endpoint_schedule import EndpointSchedule
 from .endpoint_state import EndpointState
 from .endpoint_updates import EndpointUpdates
 from .fleet_load import FleetLoad
 from .gossip import Gossip
-from .health_checks import MAX_CHECKS_PER_SECOND, HealthChecks
+from .health_checks import HealthChecks
 from .load_relief import LoadRelief
 from .load_shedding import LoadShedding
 from .load_statistics import LoadStatistics
@@ -34,27 +34,18 @@
 from .removals import Removals
 from .report_round import ReportRound
 from .request_demand import RequestDemand
-from .shuffle_sharding import MAX_WARM_JOINING, ShuffleSharding
+from .shuffle_sharding import ShuffleSharding
 from .slow_start import SlowStart
 from .staged_updates import StagedUpdates
 from .subscriber_index import SubscriberIndex
-from .table_assignment import TABLES_PER_BATCH, TableAssignment
+from .table_assignment import TableAssignment
 from .table_changes import TableChanges
 from .table_writer import TableWriter
-from .timers import CONTINUE_DELAY, CONTINUE_TIMER, TICK, TICK_TIMER
+from .timers import CONTINUE_TIMER, TICK, TICK_TIMER
 from .withdrawals import Withdrawals
 from .zone_capacity import ZoneCapacity
 from .zone_paths import ZonePaths
 
-__all__ = ["COVERAGE", "Planner"]
-
-# Names under which callers find what stands in the mechanisms' modules.
-PROBES_MOST = MAX_CHECKS_PER_SECOND
-AT_ONCE = TABLES_PER_BATCH
-MORE = CONTINUE_TIMER
-SOON = CONTINUE_DELAY
-WARM_MOST = MAX_WARM_JOINING
-
 
 class Planner:
     """All decisions of one controller."""
@@ -178,7 +169,7 @@
         if self.reports.is_complete():
             self.end_round()
         for endpoint in self.schedule.take_due():
-            self.tend(endpoint)
+            self.advance_endpoint(endpoint)
 
     def on_acknowledged(self, event: interface.Acknowledged) -> None:
         """What the acknowledgement covers waits no longer."""
@@ -205,7 +196,7 @@
         """Publish the admitted fractions."""
         self.load_shedding.publish()
 
-    def tend(self, endpoint: EndpointState) -> None:
+    def advance_endpoint(self, endpoint: EndpointState) -> None:
         """Do what time alone brings an endpoint: its return, next step, next health check."""
         self.outliers.restore_if_due(endpoint)
         self.relief.restore_if_due(endpoint)
@@ -289,51 +280,6 @@
         """Rounds of reports so far: `reports.count`."""
         return self.reports.count
 
-    @property
-    def restless(self) -> dict[int, EndpointState]:
-        """The endpoints that each tick looks at: `schedule.active`."""
-        return self.schedule.active
-
-    @property
-    def group_open(self) -> list[RequestGroup]:
-        """The groups of request classes that share tables: `pools.groups`."""
-        return self.pools.groups
-
-    @property
-    def drawn(self) -> int:
-        """Changes so far that concern all tables: `changes.pool_changes`."""
-        return self.changes.pool_changes
-
-    @property
-    def dirty(self) -> set[int]:
-        """Proxies whose tables may differ: `changes.pending`."""
-        return self.changes.pending
-
-    @property
-    def spoiled(self) -> bool:
-        """Whether every proxy's tables may: `changes.all_pending`."""
-        return self.changes.all_pending
-
-    @property
-    def sunk(self) -> bool:
-        """Whether a share that sank isn't published yet: `changes.reductions_pending`."""
-        return self.changes.reductions_pending
-
-    @sunk.setter
-    def sunk(self, pending: bool) -> None:
-        self.changes.reductions_pending = pending
-
-    def all_dirty(self, endpoint: Optional[EndpointState] = None) -> None:
-        """Mark tables as changed: `changes.mark_all`, `changes.mark`."""
-        if endpoint is None:
-            self.changes.mark_all()
-        else:
-            self.changes.mark(endpoint)
-
-    def table(self, proxy: ProxyState, group: int) -> dict[int, float]:
-        """Compute a table: `sharding.table`."""
-        return self.sharding.table(proxy, group)
-
     def shuffle(self, items: MutableSequence[Any]) -> None:
         """Shuffle by the planner's own random numbers: `context.rng.shuffle`."""
         self.context.rng.shuffle(items)
--- a/peatlead/planner/proxy_state.py
+++ b/peatlead/planner/proxy_state.py
@@ -47,7 +47,7 @@
         """Compute its tables anew with the next write."""
         self.seen_pool_changes = NEVER_WRITTEN
 
-    # Former names, until the callers in tests use the new ones.
+    # Former names, until tests/plants.py uses the new ones.
 
     @property
     def lines(self) -> list[dict[int, float]]:
@@ -58,23 +58,3 @@
     def bound(self) -> bool:
         """`assigned`."""
         return self.assigned
-
-    @property
-    def around(self) -> dict[int, EndpointState]:
-        """`drawn_from`."""
-        return self.drawn_from
-
-    @property
-    def drawn(self) -> int:
-        """`seen_pool_changes`."""
-        return self.seen_pool_changes
-
-    @property
-    def wrote(self) -> int:
-        """`seen_changes`."""
-        return self.seen_changes
-
-    @property
-    def wide(self) -> bool:
-        """`beyond_shards`."""
-        return self.beyond_shards
--- a/tests/planner/test_planner_at_scale.py
+++ b/tests/planner/test_planner_at_scale.py
@@ -6,10 +6,13 @@
 from peatlead import interface
 from peatlead.benchmarks.scale import Paced
 from peatlead.planner import planner as planner_module
+from peatlead.planner.health_checks import MAX_CHECKS_PER_SECOND
 from peatlead.planner.planner import Planner
+from peatlead.planner.shuffle_sharding import MAX_WARM_JOINING
+from peatlead.planner.table_assignment import TABLES_PER_BATCH
+from peatlead.planner.timers import CONTINUE_DELAY, CONTINUE_TIMER
 
-from ..helpers import FACTS, member, of_type
-from ..helpers import planner as new_planner
+from ..helpers import SETTINGS, make_endpoint, make_planner, of_type
 
 
 class PlannerAtScaleTest(unittest.TestCase):
@@ -35,7 +38,7 @@
                 )
                 events.append(
                     interface.EndpointUpdate(
-                        "changes", 2, (member(endpoint, endpoint % 2, *phases[endpoint]),)
+                        "changes", 2, (make_endpoint(endpoint, endpoint % 2, *phases[endpoint]),)
                     )
                 )
             elif draw < 0.12:
@@ -61,52 +64,55 @@
     def test_tables_that_were_not_redrawn_equal_newly_drawn_ones(self):
         compared = 0
         for seed in range(6):
-            planner = new_planner(hosts=12, proxies=24)
+            planner = make_planner(endpoints=12, proxies=24)
             now = self.drive(planner, Random(seed))
             for _ in range(400):  # until all are warm, and all stages are through
                 now += 0.1
                 planner.decide(now, [interface.TimerFired(0)])
             unchanged = [
                 proxy
-                for proxy in planner.joined
-                if proxy.drawn == planner.drawn
-                and not proxy.wide
-                and all(endpoint.moved <= proxy.wrote for endpoint in proxy.around.values())
+                for proxy in planner.context.joined
+                if proxy.seen_pool_changes == planner.changes.pool_changes
+                and not proxy.beyond_shards
+                and all(
+                    endpoint.last_change <= proxy.seen_changes
+                    for endpoint in proxy.drawn_from.values()
+                )
             ]
             compared += len(unchanged)
             for proxy in unchanged:
-                for group, lines in enumerate(proxy.lines):
-                    self.assertEqual(lines, planner.table(proxy, group))
+                for group, lines in enumerate(proxy.entries):
+                    self.assertEqual(lines, planner.sharding.table(proxy, group))
         self.assertGreater(compared, 24)
 
     def test_the_subscriber_index_follows_the_tables(self):
         for seed in range(4):
-            planner = new_planner(hosts=12, proxies=24)
+            planner = make_planner(endpoints=12, proxies=24)
             self.drive(planner, Random(seed))
-            for host in planner.hosts:
+            for host in planner.endpoints:
                 self.assertEqual(
-                    set(planner.held.of(host)),
+                    set(planner.context.holders.subscribers(host)),
                     {
                         p.number
                         for p in planner.proxies.values()
-                        if any(host in lines for lines in p.lines)
+                        if any(host in lines for lines in p.entries)
                     },
                 )
 
     def test_a_warming_endpoint_is_checked_until_it_has_its_whole_share(self):
-        planner = new_planner()
+        planner = make_planner()
         planner.decide(
-            101.0, [interface.EndpointUpdate("changes", 2, (member(3, 1, "ready", 100.5),))]
+            101.0, [interface.EndpointUpdate("changes", 2, (make_endpoint(3, 1, "ready", 100.5),))]
         )
-        self.assertIn(3, planner.restless)
+        self.assertIn(3, planner.schedule.active)
         now = 101.0
         while now < 130:
             now += 0.1
             planner.decide(now, [interface.TimerFired(0)])
-        self.assertEqual((planner.hosts[3].share, planner.restless), (1.0, {}))
+        self.assertEqual((planner.endpoints[3].share, planner.schedule.active), (1.0, {}))
 
     def test_each_ready_endpoint_is_probed_about_once_a_second(self):
-        planner, now, probes = new_planner(), 100.0, Counter()
+        planner, now, probes = make_planner(), 100.0, Counter()
         for _ in range(100):
             now += 0.1
             probes.update(
@@ -120,7 +126,7 @@
 
     def test_probes_of_many_endpoints_are_bounded_and_start_at_once_after_errors(self):
         # 1,000 probes a second were half of the work of a controller with 1,000 endpoints.
-        planner, now, probes = new_planner(hosts=900), 100.0, Counter()
+        planner, now, probes = make_planner(endpoints=900), 100.0, Counter()
         for _ in range(300):
             now += 0.1
             probes.update(
@@ -130,22 +136,26 @@
                 )
             )
         self.assertTrue(
-            0.8 * planner_module.PROBES_MOST * 30
+            0.8 * MAX_CHECKS_PER_SECOND * 30
             < sum(probes.values())
-            <= 1.2 * planner_module.PROBES_MOST * 30
+            <= 1.2 * MAX_CHECKS_PER_SECOND * 30
         )
         self.assertTrue(min(probes.values()) >= 7, probes.most_common()[-3:])
-        unchecked = next(h.id for h in planner.hosts.values() if h.probe_at > now + 1)
+        unchecked = next(h.id for h in planner.endpoints.values() if h.next_check_at > now + 1)
         planner.decide(now, [interface.EndpointStats(unchecked, 0, 5, 2, 1.0, 0.1, None)])
         commands = planner.decide(now + 0.1, [interface.TimerFired(0)])
         self.assertIn(interface.CheckHealth(unchecked), commands)
 
     def planner_for(self, proxies):
-        settings = {**FACTS, "proxies": proxies, "channel_rate": 1e6, "queue_most": 1e6}
+        settings = {**SETTINGS, "proxies": proxies, "channel_rate": 1e6, "queue_most": 1e6}
         planner = Planner(settings, 1)
         planner.decide(
             100.0,
-            [interface.EndpointUpdate("remembered", 1, tuple(member(h, h % 2) for h in range(40)))],
+            [
+                interface.EndpointUpdate(
+                    "remembered", 1, tuple(make_endpoint(h, h % 2) for h in range(40))
+                )
+            ],
         )
         return planner
 
@@ -159,30 +169,31 @@
         )
         while len(assigned) < proxies:
             new = [command.proxy for command in of_type(commands, interface.AssignTable)]
-            self.assertLessEqual(len(new), planner_module.AT_ONCE)
+            self.assertLessEqual(len(new), TABLES_PER_BATCH)
             assigned += new
             if len(assigned) == 200:
                 commands = planner.decide(
-                    now, [interface.EndpointUpdate("changes", 2, (member(5, 1, "draining"),))]
+                    now,
+                    [interface.EndpointUpdate("changes", 2, (make_endpoint(5, 1, "draining"),))],
                 )
                 [withdrawal] = of_type(commands, interface.WithdrawEndpoint)
                 self.assertEqual((withdrawal.endpoint, withdrawal.withdrawn), (5, True))
-                self.assertTrue(set(withdrawal.notify) <= set(planner.unbound))
+                self.assertTrue(set(withdrawal.notify) <= set(planner.unassigned))
                 held = {
                     p.number
-                    for p in planner.joined
-                    if p.bound and any(5 in lines for lines in p.lines)
+                    for p in planner.context.joined
+                    if p.assigned and any(5 in lines for lines in p.entries)
                 }
                 self.assertEqual(held, set())
                 continue
             timers = [
                 command
                 for command in of_type(commands, interface.SetTimer)
-                if command.token == planner_module.MORE
+                if command.token == CONTINUE_TIMER
             ]
             self.assertEqual(bool(timers), len(assigned) < proxies)
-            now += planner_module.SOON
-            commands = planner.decide(now, [interface.TimerFired(planner_module.MORE)])
+            now += CONTINUE_DELAY
+            commands = planner.decide(now, [interface.TimerFired(CONTINUE_TIMER)])
             batches += 1
             self.assertLess(batches, 10)
         self.assertEqual(sorted(assigned), list(range(proxies)))
@@ -190,8 +201,8 @@
     def test_the_timer_for_waiting_proxies_is_no_tick(self):
         planner = self.planner_for(4)
         planner.decide(100.0, [interface.ProxyConnected(p, 0, 1.0, True) for p in range(4)])
-        with mock.patch.object(planner, "tend") as tended:
-            self.assertEqual(planner.decide(100.5, [interface.TimerFired(planner_module.MORE)]), [])
+        with mock.patch.object(planner, "advance_endpoint") as tended:
+            self.assertEqual(planner.decide(100.5, [interface.TimerFired(CONTINUE_TIMER)]), [])
         tended.assert_not_called()
 
     def test_a_lowered_cold_share_reaches_all_proxies_within_a_few_batches(self):
@@ -200,23 +211,23 @@
             now, [interface.ProxyConnected(p, p % 2, 1.0, True) for p in range(450)]
         )
         while any(
-            command.token == planner_module.MORE
-            for command in of_type(commands, interface.SetTimer)
+            command.token == CONTINUE_TIMER for command in of_type(commands, interface.SetTimer)
         ):
-            now += planner_module.SOON
-            commands = planner.decide(now, [interface.TimerFired(planner_module.MORE)])
+            now += CONTINUE_DELAY
+            commands = planner.decide(now, [interface.TimerFired(CONTINUE_TIMER)])
         now += 60
         planner.decide(now, [interface.TimerFired(0)])
-        planner.hosts[3].share = 0.5
-        planner.all_dirty(planner.hosts[3])
-        planner.sunk, batches = True, 0
-        while planner.dirty or planner.spoiled:
-            now += planner_module.SOON
-            planner.decide(now, [interface.TimerFired(planner_module.MORE)])
+        planner.endpoints[3].share = 0.5
+        planner.changes.mark(planner.endpoints[3])
+        planner.changes.reductions_pending = True
+        batches = 0
+        while planner.changes.pending or planner.changes.all_pending:
+            now += CONTINUE_DELAY
+            planner.decide(now, [interface.TimerFired(CONTINUE_TIMER)])
             batches += 1
             self.assertLess(batches, 9)
         self.assertEqual(
-            {lines[3] for p in planner.joined for lines in p.lines if 3 in lines}, {0.5}
+            {lines[3] for p in planner.context.joined for lines in p.entries if 3 in lines}, {0.5}
         )
 
     def test_replacing_nearly_all_endpoints_within_half_a_minute_keeps_the_rules(self):
@@ -230,33 +241,37 @@
         self.assertLess(figures["queue, deepest part"], 1.0)
         self.assertLessEqual(figures["messages a proxy in 10 s, most"], 30)
         run.ticks(100)
-        self.assertEqual({host.share for host in run.planner.hosts.values()}, {1.0})
+        self.assertEqual({host.share for host in run.planner.endpoints.values()}, {1.0})
 
     def test_proxy_numbers_may_have_64_bits(self):
         planner = self.planner_for(3)
         commands = planner.decide(
             101.0, [interface.ProxyConnected(n, 0, 1.0, True) for n in (2**16, 2**32, 2**64 - 1)]
         )
-        self.assertEqual(len(of_type(commands, interface.AssignTable)), 3 * len(planner.group_open))
+        self.assertEqual(
+            len(of_type(commands, interface.AssignTable)), 3 * len(planner.pools.groups)
+        )
 
     def test_a_table_with_too_many_cold_endpoints_gets_some_warm_ones_not_a_whole_zone(self):
-        planner = Planner({**FACTS, "proxies": 3000, "channel_rate": 1e6, "queue_most": 1e6}, 1)
+        planner = Planner({**SETTINGS, "proxies": 3000, "channel_rate": 1e6, "queue_most": 1e6}, 1)
         planner.decide(
             100.0,
             [
                 interface.EndpointUpdate(
-                    "remembered", 1, tuple(member(h, h % 2) for h in range(400))
+                    "remembered", 1, tuple(make_endpoint(h, h % 2) for h in range(400))
                 )
             ],
         )
         planner.decide(100.0, [interface.ProxyConnected(0, 0, 1.0, True)])
         proxy = planner.proxies[0]
-        for host in proxy.lines[0]:
-            planner.hosts[host].cold_from, planner.hosts[host].share = 100.0, 0.25
-        lines = planner.table(proxy, 0)
+        for host in proxy.entries[0]:
+            planner.endpoints[host].cold_from, planner.endpoints[host].share = 100.0, 0.25
+        lines = planner.sharding.table(proxy, 0)
         cold = sum(
-            weight for host, weight in lines.items() if planner.hosts[host].cold_from is not None
+            weight
+            for host, weight in lines.items()
+            if planner.endpoints[host].cold_from is not None
         )
-        warm = [host for host in lines if planner.hosts[host].cold_from is None]
-        self.assertTrue(0 < len(warm) <= planner_module.WARM_MOST)
-        self.assertTrue(proxy.wide and cold <= 0.5 * sum(lines.values()))
+        warm = [host for host in lines if planner.endpoints[host].cold_from is None]
+        self.assertTrue(0 < len(warm) <= MAX_WARM_JOINING)
+        self.assertTrue(proxy.beyond_shards and cold <= 0.5 * sum(lines.values()))
