--- a/peatlead/planner/__init__.py
+++ b/peatlead/planner/__init__.py
@@ -1,1 +1,1 @@
-"""All decisions of one controller: `Planner.decide(now, events) -> orders`."""
+"""All decisions of one controller: `planner.Planner.decide(now, events) -> commands`."""
--- a/peatlead/planner/planner.py
+++ b/peatlead/planner/planner.py
@@ -122,9 +122,7 @@
             self.slow_start,
         )
 
-    def decide(
-        self, now: float, events: Iterable[interface.Event]
-    ) -> MutableSequence[interface.Command]:
+    def decide(self, now: float, events: Iterable[interface.Event]) -> list[interface.Command]:
         """The commands that follow from a batch of events, at `now` in seconds."""
         self.context.begin(now)
         self.budget.backlog.advance(now)
