--- a/peatlead/planner/endpoint_pools.py
+++ b/peatlead/planner/endpoint_pools.py
@@ -86,14 +86,14 @@
     def _build_ready(self, group: int) -> Pools:
         """A pool that is the same as before stays, with what proxies have cached of it."""
         admits = self.groups[group].admits
-        found: dict[int, list[EndpointState]] = {}
+        by_zone: dict[int, list[EndpointState]] = {}
         for endpoint in self.context.endpoints.values():
             if endpoint.phase == READY and admits(endpoint):
-                found.setdefault(endpoint.zone, []).append(endpoint)
+                by_zone.setdefault(endpoint.zone, []).append(endpoint)
         before = self.ready_before.get(group, {})
         pools: Pools = {}
-        for zone in sorted(found):
-            endpoints = sort_by_name(found[zone])
+        for zone in sorted(by_zone):
+            endpoints = sort_by_name(by_zone[zone])
             old = before.get(zone)
             if old is not None and old.endpoints == endpoints:
                 pools[zone] = old
@@ -103,9 +103,9 @@
 
     def _build_earlier(self, group: int) -> Pools:
         admits = self.groups[group].admits
-        found: dict[int, list[EndpointState]] = {}
+        by_zone: dict[int, list[EndpointState]] = {}
         for endpoint in self.context.endpoints.values():
             settled = endpoint.withdrawn or (endpoint.phase == READY and endpoint.cold_from is None)
             if settled and admits(endpoint):
-                found.setdefault(endpoint.zone, []).append(endpoint)
-        return {zone: RendezvousPool(endpoints) for zone, endpoints in sorted(found.items())}
+                by_zone.setdefault(endpoint.zone, []).append(endpoint)
+        return {zone: RendezvousPool(endpoints) for zone, endpoints in sorted(by_zone.items())}
--- a/peatlead/planner/endpoint_updates.py
+++ b/peatlead/planner/endpoint_updates.py
@@ -73,7 +73,9 @@
         if event.scope == ListScope.CHANGES:
             return []
         listed = {endpoint.id for endpoint in event.endpoints}
-        missing = [one for one in self.context.endpoints.values() if one.id not in listed]
+        missing = [
+            endpoint for endpoint in self.context.endpoints.values() if endpoint.id not in listed
+        ]
         gone = [endpoint for endpoint in missing if not self._still_answers(endpoint)]
         leaves_some = any(endpoint.phase == READY for endpoint in event.endpoints) or any(
             endpoint.phase == READY for endpoint in missing if endpoint not in gone
--- a/peatlead/planner/fleet_load.py
+++ b/peatlead/planner/fleet_load.py
@@ -53,7 +53,11 @@
 
     def measure(self, ready: list[EndpointState], admitted: float) -> PeerMedians:
         """Take the round's figures in; `admitted` is the fraction of all work that is admitted."""
-        reporting = [one for one in ready if one.usable and one.attempts >= LEAST_REPORTED_ATTEMPTS]
+        reporting = [
+            endpoint
+            for endpoint in ready
+            if endpoint.usable and endpoint.attempts >= LEAST_REPORTED_ATTEMPTS
+        ]
         target = self.demand.mean_target()
         self._measure_attempts(reporting, target)
         lateness, errors = self.lateness / HIGH_LATENESS, self.error_rate / HIGH_ERROR_RATE
--- a/peatlead/planner/gossip.py
+++ b/peatlead/planner/gossip.py
@@ -26,7 +26,7 @@
 
 def format_notes(failing: list[FailingEndpoint]) -> list[bytes]:
     """Notes of the worst endpoints: a line each of name, attempts, errors and seconds."""
-    worst = sorted(failing, key=lambda one: (-one.counts.errors, one.name, one.counts))
+    worst = sorted(failing, key=lambda failed: (-failed.counts.errors, failed.name, failed.counts))
     notes = [b""]
     for name, counts in worst[:MAX_ENDPOINTS]:
         line = b"%s %.1f %.1f %.2f" % (name, *counts)
--- a/peatlead/planner/load_relief.py
+++ b/peatlead/planner/load_relief.py
@@ -38,7 +38,7 @@
         if (
             now - endpoint.relieved_at < RELIEF_GAP
             or endpoint.reach <= 1 - LEAST_STEPS * REACH_STEP
-            or fsum([one.reach for one in ready if one.usable]) < len(ready) * LEAST_MEAN_REACH
+            or self._mean_reach_is_low(ready)
         ):
             return
         calm = now - max(endpoint.relieved_at, endpoint.restored_at) > CALM_SPAN
@@ -47,6 +47,11 @@
         endpoint.relief_wait = FIRST_RELIEF_WAIT if calm else doubled
         self.set_reach(endpoint, endpoint.reach - REACH_STEP)
 
+    def _mean_reach_is_low(self, ready: list[EndpointState]) -> bool:
+        """Whether the others could not take the endpoint's part."""
+        reach = fsum([endpoint.reach for endpoint in ready if endpoint.usable])
+        return reach < len(ready) * LEAST_MEAN_REACH
+
     def restore_now(self, endpoint: EndpointState) -> None:
         """Give a step back at once: its part weighs on the others by now."""
         if self.context.now - endpoint.relieved_at > RELIEF_GAP:
--- a/peatlead/planner/load_shedding.py
+++ b/peatlead/planner/load_shedding.py
@@ -104,7 +104,7 @@
         return (
             self.context.now >= self.next_at
             and self.fleet_load.reporting >= LEAST_REPORTING
-            and all(self.budget.may_update(one, MESSAGES_PART) for one in self.context.joined)
+            and all(self.budget.may_update(proxy, MESSAGES_PART) for proxy in self.context.joined)
         )
 
     def _has_utilization(self) -> bool:
--- a/peatlead/planner/load_statistics.py
+++ b/peatlead/planner/load_statistics.py
@@ -88,19 +88,19 @@
         """Sum up each endpoint's counts, but those over bad paths; returns those that fail."""
         failing = []
         for endpoint in self.context.endpoints.values():
-            counts = [
+            by_zone = [
                 self._faded(counts)
                 for zone, counts in endpoint.stats.items()
                 if (zone, endpoint.zone) not in bad_paths
             ]
-            own = total(counts)
+            own = with_peers = total(by_zone)
             endpoint.own_attempts = own.attempts
             if endpoint.phase == READY and own.errors >= LEAST_ERRORS_SENT:
                 failing.append(FailingEndpoint(endpoint.name, own))
             if endpoint.peer_stats:
-                counts += [self._faded(counts) for counts in endpoint.peer_stats.values()]
-                own = total(counts)
-            endpoint.attempts, endpoint.errors, endpoint.latency = own
+                by_peer = [self._faded(counts) for counts in endpoint.peer_stats.values()]
+                with_peers = total(by_zone + by_peer)
+            endpoint.attempts, endpoint.errors, endpoint.latency = with_peers
         return failing
 
     def _faded(self, counts: DatedCounts) -> Counts:
@@ -108,10 +108,10 @@
         return Counts(left * counts.attempts, left * counts.errors, left * counts.latency)
 
 
-def total(counts: list[Counts]) -> Counts:
+def total(all_counts: list[Counts]) -> Counts:
     """The sum of counts, correctly rounded, so that their order doesn't matter."""
     return Counts(
-        fsum([one.attempts for one in counts]),
-        fsum([one.errors for one in counts]),
-        fsum([one.latency for one in counts]),
+        fsum([counts.attempts for counts in all_counts]),
+        fsum([counts.errors for counts in all_counts]),
+        fsum([counts.latency for counts in all_counts]),
     )
--- a/peatlead/planner/outlier_detection.py
+++ b/peatlead/planner/outlier_detection.py
@@ -75,7 +75,7 @@
     def judge(self, ready: list[EndpointState], peers: PeerMedians) -> None:
         """Eject or relieve what stands out among the ready endpoints."""
         failed_checks = failed_checks_to_convict(ready)
-        for endpoint in [one for one in ready if one.usable]:
+        for endpoint in [endpoint for endpoint in ready if endpoint.usable]:
             if self._is_silent(endpoint, peers, failed_checks):
                 self.eject(endpoint, ready, by_checks=True)
             elif endpoint.attempts >= LEAST_JUDGED_ATTEMPTS:
@@ -127,8 +127,8 @@
 
     def eject(self, endpoint: EndpointState, ready: list[EndpointState], by_checks: bool) -> None:
         """Take it out of all tables for a while, unless too many are out already."""
-        ejected = sum([not one.usable for one in ready])
-        if ejected + 1 > len(ready) * MAX_EJECTED_PART:
+        unusable = sum([not other.usable for other in ready])
+        if unusable + 1 > len(ready) * MAX_EJECTED_PART:
             return
         now = self.context.now
         endpoint.unusable_since = now
--- a/peatlead/planner/planner.py
+++ b/peatlead/planner/planner.py
@@ -155,7 +155,7 @@
             connected_proxies=len(context.connected),
             unassigned_proxies=len(context.unassigned),
             longest_wait=now - min([proxy.connected_at for proxy in waiting], default=now),
-            withdrawn_endpoints=sum(one.withdrawn for one in context.endpoints.values()),
+            withdrawn_endpoints=sum(endpoint.withdrawn for endpoint in context.endpoints.values()),
         )
 
     def on_timer(self, event: interface.TimerFired) -> None:
--- a/peatlead/planner/removals.py
+++ b/peatlead/planner/removals.py
@@ -38,7 +38,7 @@
         changes = self.changes
         if not changes.removals_pending:
             return
-        unusable = [one for one in self.context.endpoints.values() if not one.usable]
+        unusable = [endpoint for endpoint in self.context.endpoints.values() if not endpoint.usable]
         before = self._due_before()
         due = {endpoint.id for endpoint in unusable if endpoint.unusable_since <= before}
         changes.removals_pending = len(due) < len(unusable)
@@ -56,8 +56,8 @@
     def _holders_of(self, endpoints: set[int]) -> list[ProxyState]:
         connected = self.context.connected
         numbers = self.context.holders.subscribers_of_any(sorted(endpoints))
-        found = [connected[number] for number in numbers if number in connected]
-        return [proxy for proxy in found if proxy.assigned]
+        holders = [connected[number] for number in numbers if number in connected]
+        return [proxy for proxy in holders if proxy.assigned]
 
     def _remove_from(self, proxy: ProxyState, due: set[int]) -> None:
         """Remove from all of a proxy's tables.
--- a/peatlead/planner/shuffle_sharding.py
+++ b/peatlead/planner/shuffle_sharding.py
@@ -158,7 +158,13 @@
         """By zone, also behind bad paths; built once a batch."""
         if group not in self.warm_pools:
             self.warm_pools[group] = {
-                zone: RendezvousPool([one for one in pool if one.usable and one.cold_from is None])
+                zone: RendezvousPool(
+                    [
+                        endpoint
+                        for endpoint in pool
+                        if endpoint.usable and endpoint.cold_from is None
+                    ]
+                )
                 for zone, pool in self.pools.open_endpoints(group, None).items()
             }
         return self.warm_pools[group]
--- a/peatlead/planner/withdrawals.py
+++ b/peatlead/planner/withdrawals.py
@@ -116,7 +116,7 @@
         order among those that were open then.
         """
         endpoints = self.context.endpoints
-        found = {
+        brought = {
             endpoint
             for entries in proxy.entries
             for endpoint in entries
@@ -129,5 +129,5 @@
                 chosen = len(shard.chosen.get(zone, ()))
                 then = max(LEAST_A_ZONE, chosen * len(pool) / max(1, open_now))
                 first = pool.top(proxy.key, ceil(BROUGHT_DEPTH * then))
-                found.update([endpoint.id for endpoint in first if endpoint.withdrawn])
-        return found
+                brought.update([endpoint.id for endpoint in first if endpoint.withdrawn])
+        return brought
--- a/peatlead/planner/zone_capacity.py
+++ b/peatlead/planner/zone_capacity.py
@@ -97,7 +97,7 @@
         rates = self._rates_by_zone(usable)
         left = self._even_load(usable, rates)
         plan: Plan = {}
-        for group in sorted(self._group_capacities(), key=lambda one: (one.total, one.group)):
+        for group in sorted(self._group_capacities(), key=lambda group: (group.total, group.group)):
             self._plan_group(plan, group, rates, left)
         return plan
 
@@ -130,17 +130,17 @@
     def _group_capacities(self) -> list[GroupCapacity]:
         """Those of the groups that may cross zones and have usable endpoints."""
         work = self.demand.work()
-        found = []
-        for number, group in enumerate(self.pools.groups):
+        capacities = []
+        for group_number, group in enumerate(self.pools.groups):
             by_zone = {
                 zone: capacity([endpoint for endpoint in pool if endpoint.usable])
-                for zone, pool in self.pools.open_endpoints(number, None).items()
+                for zone, pool in self.pools.open_endpoints(group_number, None).items()
             }
             total = fsum(by_zone.values())
             if total and not group.own_zone:
-                part = fsum([work[one] for one in group.request_classes]) / fsum(work)
-                found.append(GroupCapacity(total, number, by_zone, part))
-        return found
+                part = fsum([work[number] for number in group.request_classes]) / fsum(work)
+                capacities.append(GroupCapacity(total, group_number, by_zone, part))
+        return capacities
 
     def _plan_group(
         self, plan: Plan, group: GroupCapacity, rates: dict[int, float], left: dict[int, float]
--- a/peatlead/planner/zone_paths.py
+++ b/peatlead/planner/zone_paths.py
@@ -71,14 +71,14 @@
         at_home = median(latencies.get(zone, ()))
         if not at_home:
             return
-        for other, found in latencies.items():
+        for other, measured in latencies.items():
             path, now = (zone, other), self.context.now
             state = self.states.get(path, UNKNOWN_PATH)
             if (
                 other != zone
                 and now >= state.bad_until
-                and len(found) > 1
-                and sorted(found)[len(found) // FAST_QUANTILE] - at_home
+                and len(measured) > 1
+                and sorted(measured)[len(measured) // FAST_QUANTILE] - at_home
                 > FAR_LATENCY * self.demand.mean_target()
             ):
                 again = now - state.bad_until < REPEATED_PATH_SPAN
