--- a/peatlead/planner/endpoint_state.py
+++ b/peatlead/planner/endpoint_state.py
@@ -98,7 +98,9 @@
     def add_load_report(self, report: Optional[LoadReport]) -> None:
         """Average a load report in; without a utilization, waiting requests count as full."""
         if report:
-            utilization = report.get("util", report.get("waiting", 0.0))
+            utilization = report.get("util")
+            if utilization is None:
+                utilization = report.get("waiting", 0.0)
             self.utilization += (min(1.0, utilization) - self.utilization) / 2
 
     @property
--- a/peatlead/planner/health_checks.py
+++ b/peatlead/planner/health_checks.py
@@ -12,10 +12,16 @@
 from .report_round import ReportRound
 from .table_changes import TableChanges
 
+# Plain strings: members of an enumeration are slow to look up, and results come by the hundred.
+OK = HealthCheckOutcome.OK.value
+DENIED = HealthCheckOutcome.DENIED.value
+TIMED_OUT = HealthCheckOutcome.TIMED_OUT.value
+
 CHECK_INTERVAL = 1.0  # seconds
 RECHECK_DELAY = 0.3  # seconds, after a failure
 MAX_CHECKS_PER_SECOND = 300  # of all endpoints
-CHECK_JITTER = (0.9, 1.1)  # of the interval
+LEAST_JITTER = 0.9  # of the interval
+MOST_JITTER = 1.1  # of the interval
 FAILURE_RATE_WINDOW = 4  # checks that the fading failure rate is taken over
 
 
@@ -59,31 +65,33 @@
             and context.now >= endpoint.next_check_at
             and context.settings.get("probing")
         ):
-            endpoint.next_check_at = context.now + self.interval * context.rng.uniform(
-                *CHECK_JITTER
-            )
+            jitter = context.rng.uniform(LEAST_JITTER, MOST_JITTER)
+            endpoint.next_check_at = context.now + self.interval * jitter
             self.schedule.at(endpoint.next_check_at, endpoint)
             context.commands.append(CheckHealth(endpoint.id))
 
     def on_result(self, event: HealthCheckResult) -> None:
         """Take in how a check ended; one that couldn't be sent tells nothing of the endpoint."""
         endpoint = self.context.endpoints.get(event.endpoint)
-        if endpoint is None or event.outcome == HealthCheckOutcome.DENIED:
+        if endpoint is None or event.outcome == DENIED:
             return
         endpoint.add_load_report(event.load_report)
-        failed = event.outcome != HealthCheckOutcome.OK
+        failed = event.outcome != OK
         endpoint.check_failure_rate += (failed - endpoint.check_failure_rate) / FAILURE_RATE_WINDOW
-        self._confirm(endpoint, event.outcome)
-        endpoint.passed_checks = 0 if failed else endpoint.passed_checks + 1
-        endpoint.failed_checks = endpoint.failed_checks + 1 if failed else 0
+        if not endpoint.confirmed:
+            self._confirm(endpoint, event.outcome)
         if failed:
+            endpoint.passed_checks = 0
+            endpoint.failed_checks += 1
             self.check_by(endpoint, self.context.now + RECHECK_DELAY)
+        else:
+            endpoint.passed_checks += 1
+            endpoint.failed_checks = 0
         if not self.context.settings.get("tries_told", True):
             self.reports.note_report()  # else no round would ever end, and no endpoint be judged
 
     def _confirm(self, endpoint: EndpointState, outcome: str) -> None:
         """Note that an endpoint exists: a list may name some that don't."""
-        found = outcome in (HealthCheckOutcome.OK, HealthCheckOutcome.TIMED_OUT)
-        if found and not endpoint.confirmed:
+        if outcome in (OK, TIMED_OUT):
             endpoint.confirmed = True
             self.changes.mark(endpoint)
--- a/peatlead/planner/planner.py
+++ b/peatlead/planner/planner.py
@@ -196,12 +196,18 @@
 
     def advance_endpoint(self, endpoint: EndpointState) -> None:
         """Do what time alone brings an endpoint: its return, next step, next health check."""
-        self.outliers.restore_if_due(endpoint)
-        self.relief.restore_if_due(endpoint)
+        if endpoint.ejected_until is not None:
+            self.outliers.restore_if_due(endpoint)
+        if endpoint.reach < 1:
+            self.relief.restore_if_due(endpoint)
         self.slow_start.advance(endpoint)
         self.health_checks.check_if_due(endpoint)
-        settled = endpoint.ejected_until is None and endpoint.cold_from is None
-        if settled and endpoint.reach >= 1 and endpoint.ramp >= 1:
+        if (
+            endpoint.ejected_until is None
+            and endpoint.cold_from is None
+            and endpoint.reach >= 1
+            and endpoint.ramp >= 1
+        ):
             self.schedule.deactivate(endpoint)  # only its next check is due by time
 
     @property
--- a/peatlead/planner/slow_start.py
+++ b/peatlead/planner/slow_start.py
@@ -61,7 +61,7 @@
         cold_from = endpoint.cold_from
         if cold_from is not None and now - cold_from > self.context.settings["warm_after"]:
             endpoint.cold_from = None
-        share = self.share(endpoint)
+        share = endpoint.ramp if endpoint.cold_from is None else self.share(endpoint)
         if share != endpoint.share:
             self.changes.reductions_pending |= share < endpoint.share
             endpoint.share = share
--- a/peatlead/planner/table_assignment.py
+++ b/peatlead/planner/table_assignment.py
@@ -44,6 +44,9 @@
     def assign_waiting(self) -> None:
         """Assign those that wait, first those whose brought tables may lack a class altogether."""
         context = self.context
+        self.starved = False
+        if not context.unassigned:
+            return
         waiting = [
             proxy
             for proxy in context.unassigned.values()
@@ -52,7 +55,6 @@
         covered = {
             zone: self._covers_every_group(zone) for zone in {proxy.zone: 0 for proxy in waiting}
         }
-        self.starved = False
         for proxy in sorted(waiting, key=lambda proxy: covered[proxy.zone])[:TABLES_PER_BATCH]:
             if not self.budget.has_room():
                 self.starved = True
