--- a/peatlead/planner/planner.py
+++ b/peatlead/planner/planner.py
@@ -16,6 +16,7 @@
 from .. import interface
 from .channel_backlog import ChannelBacklog
 from .channel_budget import ChannelBudget
+from .class_admission import ClassAdmission
 from .context import PlannerContext, Settings
 from .endpoint_lifecycle import EndpointLifecycle
 from .endpoint_pools import EndpointPools
@@ -76,7 +77,7 @@
             interface.EndpointStats: self.statistics.on_endpoint_stats,
             interface.HealthCheckResult: self.health_checks.on_result,
             interface.TimerFired: self.on_timer,
-            interface.RequestStats: self.load_shedding.on_request_stats,
+            interface.RequestStats: self.class_admission.on_request_stats,
             interface.GossipReceived: self.gossip.on_note,
             interface.Acknowledged: self.on_acknowledged,
         }
@@ -109,7 +110,10 @@
         """What is concluded from reports."""
         context, changes, schedule = self.context, self.changes, self.schedule
         self.fleet_load = FleetLoad(context, self.demand)
-        self.load_shedding = LoadShedding(context, self.demand, self.fleet_load, self.budget)
+        self.load_shedding = LoadShedding(context, self.fleet_load, self.budget)
+        self.class_admission = ClassAdmission(
+            context, self.demand, self.fleet_load, self.load_shedding, self.budget
+        )
         self.slow_start = SlowStart(context, changes, schedule, self.fleet_load)
         self.relief = LoadRelief(context, changes, schedule)
         self.outliers = OutlierDetection(
@@ -126,7 +130,7 @@
         """The commands that follow from a batch of events, at `now` in seconds."""
         self.context.begin(now)
         self.budget.backlog.advance(now)
-        if self.load_shedding.admissions is None:
+        if self.class_admission.admissions is None:
             self.commands.append(interface.SetTimer(TICK_TIMER, TICK))
             self.order_levels()
         for event in events:
@@ -192,7 +196,7 @@
 
     def order_levels(self) -> None:
         """Publish the admitted fractions."""
-        self.load_shedding.publish()
+        self.class_admission.publish()
 
     def advance_endpoint(self, endpoint: EndpointState) -> None:
         """Do what time alone brings an endpoint: its return, next step, next health check."""
--- /dev/null
+++ b/tests/planner/test_class_admission.py
@@ -0,0 +1,26 @@
+import unittest
+
+from peatlead import interface
+from tests.helpers import make_planner, of_type
+
+
+class ClassAdmissionTest(unittest.TestCase):
+    def test_the_class_that_earns_least_for_its_work_is_cut_first(self):
+        planner = make_planner()
+        planner.demand.requests = [60.0, 20.0]
+        planner.load_shedding.admitted = 0.5
+        planner.order_levels()
+        read, pay = planner.class_admission.admissions
+        self.assertLess(read.fraction, 0.6)
+        self.assertEqual(pay.fraction, 1.0)
+
+    def test_only_attempts_that_had_not_begun_are_retried(self):
+        planner = make_planner()
+        planner.commands = []
+        planner.class_admission.admissions = None
+        planner.order_levels()
+        policies = {
+            command.request_classes: command.retry_policy
+            for command in of_type(planner.commands, interface.SetAdmission)
+        }
+        self.assertEqual(policies, {(0,): "unstarted", (1,): "unstarted"})
--- a/tests/planner/test_load_shedding.py
+++ b/tests/planner/test_load_shedding.py
@@ -1,7 +1,6 @@
 import unittest
 
-from peatlead import interface
-from tests.helpers import make_planner, of_type, report_round
+from tests.helpers import make_planner, report_round
 
 
 class LoadSheddingTest(unittest.TestCase):
@@ -52,15 +51,6 @@
         self.overload(planner, 0.0, 1)
         self.assertEqual(planner.load_shedding.admitted, 0.5)
 
-    def test_the_class_that_earns_least_for_its_work_is_cut_first(self):
-        planner = make_planner()
-        planner.demand.requests = [60.0, 20.0]
-        planner.load_shedding.admitted = 0.5
-        planner.order_levels()
-        read, pay = planner.load_shedding.admissions
-        self.assertLess(read.fraction, 0.6)
-        self.assertEqual(pay.fraction, 1.0)
-
     def test_errors_at_endpoints_with_capacity_cut_nothing(self):
         planner = make_planner(report_fields=["util"])
         for endpoint in planner.endpoints.values():
@@ -71,14 +61,3 @@
         planner.judge_endpoints()
         planner.load_shedding.update()
         self.assertEqual(planner.load_shedding.admitted, 1.0)
-
-    def test_only_attempts_that_had_not_begun_are_retried(self):
-        planner = make_planner()
-        planner.commands = []
-        planner.load_shedding.admissions = None
-        planner.order_levels()
-        policies = {
-            command.request_classes: command.retry_policy
-            for command in of_type(planner.commands, interface.SetAdmission)
-        }
-        self.assertEqual(policies, {(0,): "unstarted", (1,): "unstarted"})
