--- a/peatlead/planner/context.py
+++ b/peatlead/planner/context.py
@@ -11,6 +11,10 @@
 
 Settings = dict[str, Any]  # by name; deploy/ and docs/ describe them, the controller checks them
 
+# Values of the setting `pick`, how proxies choose among a table's endpoints, and of `roster_mode`.
+PICK_LESS_LOADED = "lighter of two"
+LIST_ON_REQUEST = "on_request"
+
 COVERAGE = 25.0  # shards of this controller's proxies that each endpoint should sit in
 
 
--- a/peatlead/planner/endpoint_updates.py
+++ b/peatlead/planner/endpoint_updates.py
@@ -6,7 +6,7 @@
 """
 
 from ..interface import Endpoint, EndpointUpdate, ListScope, WatchEndpoints
-from .context import PlannerContext
+from .context import LIST_ON_REQUEST, PlannerContext
 from .endpoint_lifecycle import EndpointLifecycle
 from .endpoint_pools import EndpointPools
 from .endpoint_state import GONE, READY, EndpointState
@@ -41,7 +41,7 @@
         self.statistics = statistics
         self.withdrawals = withdrawals
         self.listed = False  # whether a list has come since the start
-        on_request = context.settings.get("roster_mode") == "on_request"
+        on_request = context.settings.get("roster_mode") == LIST_ON_REQUEST
         self.watch_at = 0.0 if on_request else NOT_PLANNED  # seconds, when to ask for the list
 
     def watch_if_due(self) -> None:
--- a/peatlead/planner/load_statistics.py
+++ b/peatlead/planner/load_statistics.py
@@ -14,10 +14,9 @@
 from .health_checks import HealthChecks
 from .report_round import ReportRound
 
-FADE = (
-    0.25  # what is left of a count after one cycle: quick, or the many errors of an overload would
-)
-# outweigh the few successes after it
+# What is left of a count after one cycle. Quick: else the many errors of an overload would outweigh
+# the few successes after it.
+FADE = 0.25
 REPORT_DELAY = 1.0  # seconds that reports are late, about
 CYCLE_WINDOW = 8  # reports that the measured cycle is averaged over
 LEAST_ERRORS_SENT = 0.5  # faded errors, below which an endpoint isn't reported to other controllers
--- a/peatlead/planner/outlier_detection.py
+++ b/peatlead/planner/outlier_detection.py
@@ -22,9 +22,7 @@
 FIRST_EJECTION = 10.0  # seconds, doubled with each ejection that follows soon
 LONGEST_EJECTION = 60.0  # seconds
 REPEATED_EJECTION_SPAN = 30  # seconds after a return, in which an ejection follows soon
-MAX_EJECTED_PART = (
-    0.4  # of the ready endpoints: the rest could not carry the load, whatever the evidence
-)
+MAX_EJECTED_PART = 0.4  # of the ready endpoints: the rest could not carry the load
 PASSES_TO_RETURN = 2  # health checks in a row, where checks told of the failure
 
 # Silence: no success for longer than reports take, and health checks that fail.
--- a/peatlead/planner/removals.py
+++ b/peatlead/planner/removals.py
@@ -9,9 +9,8 @@
 from .table_writer import TableWriter
 
 REMOVAL_QUEUE_PART = 0.75  # of the queue: past it removals wait for the next batches
-YIELD_PART = (
-    1 / 3
-)  # of the drain grace, for which removals wait while tables with earlier deadlines do
+# Of the drain grace, for which removals wait while tables with earlier deadlines do.
+YIELD_PART = 1 / 3
 
 
 class Removals:
--- a/peatlead/planner/shuffle_sharding.py
+++ b/peatlead/planner/shuffle_sharding.py
@@ -13,7 +13,7 @@
 from math import ceil, fsum
 from typing import NamedTuple
 
-from .context import COVERAGE, PlannerContext
+from .context import COVERAGE, PICK_LESS_LOADED, PlannerContext
 from .endpoint_pools import EndpointPools, Pools
 from .endpoint_state import EndpointState
 from .proxy_state import ProxyState
@@ -70,7 +70,7 @@
         densest = max([TINY, *[wanted[zone] / len(zones[zone]) for zone in zones]])
         size = min(fsum(most.values()), total / densest)
         # Proxies that pick the less loaded of two need no large part of their own zone.
-        capped = self.context.settings.get("pick") == "lighter of two"
+        capped = self.context.settings.get("pick") == PICK_LESS_LOADED
         chosen = {}
         for zone, pool in zones.items():
             limit = most[zone] if capped else len(pool)
--- a/peatlead/planner/slow_start.py
+++ b/peatlead/planner/slow_start.py
@@ -13,11 +13,10 @@
 
 FIRST_RAMP = 0.25  # of the weight, at a start
 RAMP_STEP = 0.25  # of the weight
+RAMP_STEPS = 3  # after the first
 STEP_WAIT = 10 / 3  # seconds between two steps
 TIPPING_PART = 0.3  # of what tips a cold endpoint, that it may get
-TIPPING_PART_AVOIDED = (
-    0.2  # likewise where proxies avoid endpoints that fail them, and send more to others
-)
+TIPPING_PART_AVOIDED = 0.2  # likewise where proxies avoid endpoints that fail them
 COLD_SHARES = (0.06, 0.12, 0.18, 0.25, 0.37, 0.5, 0.75, 1.0)  # few, since each change costs entries
 
 
@@ -50,7 +49,7 @@
         Past the time that it takes to warm up, a ramp would only load the others: a release
         replaces many at once.
         """
-        self.begin(endpoint, min(STEP_WAIT, self.context.settings["warm_after"] / 3))
+        self.begin(endpoint, min(STEP_WAIT, self.context.settings["warm_after"] / RAMP_STEPS))
 
     def advance(self, endpoint: EndpointState) -> None:
         """Take the next step if it is due, and publish the share if it has changed."""
--- a/peatlead/planner/table_assignment.py
+++ b/peatlead/planner/table_assignment.py
@@ -16,9 +16,7 @@
 from .timers import CONTINUE_DELAY, CONTINUE_TIMER
 
 TABLES_PER_BATCH = 100  # or removals would wait
-ROUNDS_BEFORE_CHANGES = (
-    3  # rounds of reports until a controller that starts replaces tables that proxies brought
-)
+ROUNDS_BEFORE_CHANGES = 3  # rounds of reports after a start, until brought tables are replaced
 COST_WINDOW = 8  # tables that the mean cost is averaged over
 
 
--- a/peatlead/planner/zone_capacity.py
+++ b/peatlead/planner/zone_capacity.py
@@ -8,7 +8,7 @@
 from math import fsum
 from typing import NamedTuple
 
-from .context import COVERAGE, PlannerContext
+from .context import COVERAGE, PICK_LESS_LOADED, PlannerContext
 from .endpoint_pools import EndpointPools
 from .endpoint_state import EndpointState
 from .request_demand import RequestDemand
@@ -76,7 +76,7 @@
     def _leaves_zones_whole(self) -> bool:
         """Whether there is no plan: crossing is cheap, or few proxies would load zones unevenly."""
         settings = self.context.settings
-        if len(self.pools.groups) > 1 or settings.get("pick") == "lighter of two":
+        if len(self.pools.groups) > 1 or settings.get("pick") == PICK_LESS_LOADED:
             return False
         cheap: bool = settings.get("price_of_crossing", 0.0) < CROSSING_PRICE
         return cheap or self.context.proxies_expected < COVERAGE
--- a/peatlead/planner/zone_paths.py
+++ b/peatlead/planner/zone_paths.py
@@ -15,9 +15,7 @@
 from .table_changes import TableChanges
 
 FAR_LATENCY = 0.3  # of the mean response target, by which a bad path's latency exceeds that at home
-FIRST_PATH_WAIT = (
-    10.0  # seconds for which a bad path is left, doubled each time that it is bad again
-)
+FIRST_PATH_WAIT = 10.0  # seconds for which a bad path is left, doubled each time
 LONGEST_PATH_WAIT = 60.0  # seconds
 REPEATED_PATH_SPAN = 30  # seconds after its return, in which a path that is bad counts as bad again
 LEAST_PATH_SUCCESSES = 0.5  # faded, of an endpoint whose latency counts
