--- a/tests/planner/test_gossip.py
+++ b/tests/planner/test_gossip.py
@@ -2,6 +2,7 @@
 
 from peatlead import interface
 from peatlead.planner.endpoint_state import Counts
+from peatlead.planner.gossip import format_notes, parse_note
 from peatlead.planner.load_statistics import FailingEndpoint
 from tests.helpers import make_endpoint, make_planner, of_type
 
@@ -92,3 +93,12 @@
             ],
         )
         self.assertFalse(planner.endpoints[0].peer_stats)
+
+    def test_a_note_is_read_as_it_was_written(self):
+        failing = [
+            FailingEndpoint(b"few", Counts(4.0, 1.0, 0.5)),
+            FailingEndpoint(b"many", Counts(9.0, 8.0, 0.25)),
+        ]
+        [note] = format_notes(failing)
+        self.assertEqual([report.name for report in parse_note(note)], [b"many", b"few"])
+        self.assertEqual([report.counts for report in parse_note(note)][0], Counts(9.0, 8.0, 0.25))
--- a/tests/planner/test_load_statistics.py
+++ b/tests/planner/test_load_statistics.py
@@ -1,6 +1,8 @@
 import unittest
 
 from peatlead import interface
+from peatlead.planner.endpoint_state import Counts
+from peatlead.planner.load_statistics import total
 from tests.helpers import make_endpoint, make_planner
 
 
@@ -21,3 +23,17 @@
         planner.now += 2.0
         planner.end_round()
         self.assertGreater(planner.endpoints[2].attempts, 5.0)
+
+    def test_counts_fade_to_a_quarter_within_a_cycle(self):
+        planner = make_planner()
+        report = interface.EndpointStats(2, 0, 8, 4, 1.0, 0.5, None)
+        planner.statistics.on_endpoint_stats(report)
+        planner.now += planner.statistics.cycle
+        planner.statistics.on_endpoint_stats(report)
+        counts = planner.endpoints[2].stats[0]
+        self.assertAlmostEqual(counts.attempts, 10.0)
+        self.assertAlmostEqual(counts.errors, 5.0)
+        self.assertAlmostEqual(counts.latency, 2.5)
+
+    def test_the_total_of_no_counts_is_none(self):
+        self.assertEqual(total([]), Counts(0.0, 0.0, 0.0))
--- a/tests/planner/test_outlier_detection.py
+++ b/tests/planner/test_outlier_detection.py
@@ -1,6 +1,7 @@
 import unittest
 
 from peatlead import interface
+from peatlead.planner.outlier_detection import failed_checks_to_convict
 from tests.helpers import make_planner, report_round
 
 
@@ -57,3 +58,34 @@
                 planner.decide(now, [*results, interface.TimerFired(0)])
             listed = any(3 in proxy.entries[0] for proxy in planner.context.joined)
             self.assertEqual((planner.endpoints[3].usable, listed), (usable, usable))
+
+    def test_more_failed_checks_are_needed_where_checks_often_fail_by_chance(self):
+        ready = list(make_planner().endpoints.values())
+        needed = []
+        for rate in (0.0, 0.1, 0.5, 0.8, 1.0):
+            for endpoint in ready:
+                endpoint.check_failure_rate = rate
+            needed.append(failed_checks_to_convict(ready))
+        self.assertEqual(needed[:2], [3.0, 3.0])
+        self.assertAlmostEqual(needed[2], 9.97, 2)
+        self.assertAlmostEqual(needed[3], 30.96, 2)
+        self.assertEqual(needed[4], needed[3])
+
+    def test_no_more_than_four_tenths_of_the_endpoints_are_ejected(self):
+        planner = make_planner(endpoints=10)
+        ready = planner.fleet_load.ready_endpoints()
+        for endpoint in ready:
+            planner.outliers.eject(endpoint, ready, by_checks=False)
+        self.assertEqual(sum(not endpoint.usable for endpoint in ready), 4)
+
+    def test_an_ejection_that_follows_soon_lasts_twice_as_long(self):
+        planner = make_planner(endpoints=10)
+        ready = planner.fleet_load.ready_endpoints()
+        endpoint = ready[0]
+        waits = []
+        for _ in range(5):
+            planner.outliers.eject(endpoint, ready, by_checks=False)
+            waits.append(endpoint.ejected_until - planner.now)
+            planner.now = endpoint.ejected_until
+            planner.outliers.restore_if_due(endpoint)
+        self.assertEqual(waits, [10.0, 20.0, 40.0, 60.0, 60.0])
--- a/tests/planner/test_shuffle_sharding.py
+++ b/tests/planner/test_shuffle_sharding.py
@@ -1,6 +1,7 @@
 import unittest
 
 from peatlead import interface
+from peatlead.planner.shuffle_sharding import prefix_of_weight
 from tests.helpers import SETTINGS, make_endpoint, make_planner, of_type, zones_of
 
 
@@ -87,3 +88,9 @@
         planner = make_planner()
         commands = planner.decide(101.0, [interface.ProxyConnected(2**47 + 5, 0, 1.0, True)])
         self.assertTrue(of_type(commands, interface.AssignTable))
+
+    def test_a_prefix_carries_the_weight_and_has_one_endpoint_at_least(self):
+        endpoints = list(make_planner().endpoints.values())
+        for weight, count in ((-1.0, 1), (0.0, 1), (1.0, 1), (1.5, 2), (3.0, 3), (99.0, 8)):
+            self.assertEqual(len(prefix_of_weight(endpoints, weight)), count)
+        self.assertEqual(prefix_of_weight([], 1.0), [])
