--- a/peatlead/controller/batch_loop.py
+++ b/peatlead/controller/batch_loop.py
@@ -30,9 +30,9 @@
 class BatchLoop:
     """Runs a planner on batches of events and carries out its commands.
 
-    `carriers` maps command types to their handlers; a subclass adds its own. Commands that concern
-    proxies or DNS views go through the publisher to `offer`; commands without a handler are
-    ignored.
+    `carriers` maps command types to their handlers; a subclass adds its own.
+    Commands that concern proxies or DNS views go through the publisher to `offer`; commands without
+    a handler are ignored.
     """
 
     def __init__(self, planner: DecisionMaker, log: Log) -> None:
--- a/peatlead/controller/publisher.py
+++ b/peatlead/controller/publisher.py
@@ -39,7 +39,7 @@
         self.levels: dict[int, tuple[float, str]] = {}  # (admitted fraction, retry policy) by class
 
     def join(self, subscriber: int, levelled: bool = False) -> None:
-        """Add a subscriber; `levelled` where it enforces admission and retry policies itself."""
+        """Add a subscriber; `levelled` where it enforces admission itself."""
         self.joined.add(subscriber)
         self.unassigned.add(subscriber)
         self.ejected[subscriber] = set()
