--- a/peatlead/planner/channel_backlog.py
+++ b/peatlead/planner/channel_backlog.py
@@ -117,8 +117,3 @@
         self.unanswered -= sum(self.batches.popleft().entries.values())
         if not self.batches:
             self.unanswered = 0.0  # what rounding has left
-
-    # The former names, until all callers use the new ones.
-    lines = entries
-    answered = acknowledge
-    left = disconnect
--- a/peatlead/planner/rendezvous.py
+++ b/peatlead/planner/rendezvous.py
@@ -16,27 +16,6 @@
 from hashlib import blake2b
 from typing import Generic, Optional, Protocol, TypeVar
 
-from .deadline_queue import DeadlineQueue
-from .statistics import cold_and_warm_weight as mass
-from .statistics import median as middle
-from .statistics import weighted_median as middles
-from .subscriber_index import SubscriberIndex
-
-__all__ = [
-    "DeadlineQueue",
-    "RendezvousPool",
-    "SubscriberIndex",
-    "by_name",
-    "endpoint_hash",
-    "host_word",
-    "mass",
-    "middle",
-    "middles",
-    "proxy_key",
-    "rank",
-    "sort_by_name",
-]
-
 # Picks one order out of many that are alike, so that simulated days can be compared
 # (docs/results/scale.md).
 SALT = b"turf"
@@ -137,11 +116,6 @@
             order = sorted(range(self.size), key=ranks.__getitem__)
         return [self.endpoints[index] for index in order[:count]]
 
-    @property
-    def hosts(self) -> list[EndpointT]:
-        """The former name of `endpoints`."""
-        return self.endpoints
-
     def _top_candidates(self, lanes: bytes, count: int) -> Optional[list[int]]:
         """Indices of the endpoints with a low highest byte of their rank, in order.
 
@@ -158,8 +132,3 @@
             indices,
             key=lambda index: int.from_bytes(lanes[8 * index : 8 * index + 4], "little"),
         )
-
-
-# The former names, until all callers use the new ones.
-by_name = sort_by_name
-host_word = endpoint_hash
--- a/peatlead/planner/subscriber_index.py
+++ b/peatlead/planner/subscriber_index.py
@@ -44,13 +44,4 @@
             proxies.update(self.by_endpoint.get(endpoint, {}))
         return proxies
 
-    # The former names, until all callers use the new ones.
-    put = add
-    take = remove
-    of = subscribers
-    of_all = subscribers_of_any
-
-    @property
-    def by_host(self) -> dict[int, dict[int, int]]:
-        """The former name of `by_endpoint`."""
-        return self.by_endpoint
+    of = subscribers  # the former name, until peatlead/controller uses the new one
