--- a/peatlead/controller/health_checks.py
+++ b/peatlead/controller/health_checks.py
@@ -10,7 +10,7 @@
 from ..dns.views import View
 from ..health.load_report_counts import EndpointReport, LoadReportCounts, read_told
 from ..health.prober import Prober
-from ..net.http import Answer
+from ..net.http import Response
 from ..net.orca import HEADER, read_report
 
 if TYPE_CHECKING:
@@ -39,7 +39,7 @@
     request_counts: EndpointReport | None  # by client network
 
 
-def read_answer(answer: Answer) -> CheckedAnswer:
+def read_answer(answer: Response) -> CheckedAnswer:
     """Read an endpoint's answer to a health check."""
     outcome = OUTCOME_OF_STATUS.get(answer.status, OUTCOME_OF_OTHER_STATUS)
     load_report = read_report(answer.headers.get(HEADER, "")) or None
--- a/peatlead/controller/pin_commands.py
+++ b/peatlead/controller/pin_commands.py
@@ -155,15 +155,15 @@
     """Return a pin that is checked but never in force. Raises PinError."""
     pin = Pin(
         id="dry",
-        stamp=0,
-        rev=1,
+        sequence=0,
+        revision=1,
         whom=request.whom,
         which=request.which,
         target=request.target,
         to=request.to,
         over=0.0,
         age=0.0,
-        left=request.length,
+        remaining=request.length,
     )
     check(pin)
     return pin
--- a/peatlead/sources/endpoint_list.py
+++ b/peatlead/sources/endpoint_list.py
@@ -17,7 +17,7 @@
 
 # "whole": all endpoints; "changes": those that changed; "remembered": a whole list from the cache;
 # "unavailable": no list could be read.
-Scope = Literal["whole", "changes", "remembered", "unavailable"]
+Scope = str  # a value of interface.ListScope; plain text, as lists are stored and recorded
 
 
 class ListedEndpoint(msgspec.Struct, frozen=True):
@@ -76,7 +76,7 @@
         except (msgspec.ValidationError, ValueError) as error:
             errors.append(f"host {index}: {error}")
     return EndpointList(
-        scope=cast(Scope, document.scope),
+        scope=document.scope,
         version=document.version,
         written=document.written,
         hosts=tuple(endpoints.values()),
