--- a/peatlead/fleet/__init__.py
+++ b/peatlead/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Several controllers over one fleet: who is alive, whose a proxy is, and whose orders count."""
+"""Several controllers over one fleet of proxies: membership, ownership, and gossip."""
--- a/peatlead/fleet/gossip.py
+++ b/peatlead/fleet/gossip.py
@@ -1,93 +1,88 @@
-"""One member on its UDP socket: the machines of this package, driven by the loop."""
+"""One controller's gossip endpoint: a UDP socket for membership and ownership.
+
+Besides membership, it carries planners' advice, operators' pins and drain requests. None of these
+is retransmitted here: what must arrive is sent again by whoever sends it.
+"""
 
 import asyncio
+from collections.abc import Callable, Mapping
+from random import Random
+from typing import Any, Optional, cast
 
 import msgspec
 
 from .authentication import AuthenticationError, Authenticator, UnprovenSenderError
 from .membership import (
-    Ack,
     DatagramReceived,
-    IndirectPing,
+    Event,
     Leave,
     LocalStatus,
-    MemberInfo,
     Membership,
-    Ping,
     SendDatagram,
     Tick,
 )
-from .ownership import Ownership
-
-TICK = 0.05
-NOTE_MOST, NOTES_MOST = 1000, 100  # bytes of a note; notes that are taken in within a second
-
-
-class GossipMessage(msgspec.Struct, array_like=True, tag="Note"):
-    """Advice from one member's planner to another's: what it says is the planner's matter."""
-
-    payload: bytes
-
-
-class PinsMessage(msgspec.Struct, array_like=True, tag="PinsTold"):
-    """Operators' pins, as `tables.pins` writes them."""
-
-    payload: bytes
-
+from .messages import (
+    DECODER,
+    Address,
+    DrainRequestMessage,
+    GossipMessage,
+    MemberInfo,
+    MemberState,
+    Message,
+    PinsMessage,
+)
+from .ownership import ControllerStatus, Ownership
 
-class DrainRequestMessage(msgspec.Struct, array_like=True, tag="WishTold"):
-    """What one proxy held before a pin, by a steward that owned it then."""
+TICK_INTERVAL = 0.05  # seconds
+MAX_ADVICE_SIZE = 1000  # bytes
+MAX_ADVICE_RATE = 100  # pieces of advice accepted in a second
+ADVICE_WINDOW = 1.0  # seconds
+PROVE = b"prove"  # prefix of a body that asks the receiver to repeat the proof that follows
 
-    payload: bytes
 
-
-MESSAGES = msgspec.msgpack.Decoder(
-    Ping | Ack | IndirectPing | GossipMessage | PinsMessage | DrainRequestMessage
-)
-PROVE = b"prove"
+def ignore(*_: Any) -> None:
+    """The handler of what nobody subscribed to."""
 
 
 class GossipNode(asyncio.DatagramProtocol):
-    """`mine()` gives how many proxies have joined; `log(event, **fields)`; `noted(sender, payload)` hears notes,
-    the sender by its place in the settings; `pinned(payload)` hears pins,
-    `wished(payload)` what others know of pinned proxies."""
+    """The endpoint of one controller.
+
+    `settings`: of the whole fleet; `me`: this controller's part of them; `boot`: 8 bytes, new at
+    each start. `count_proxies()` gives the number of connected proxies; `log(event, **fields)`
+    writes a log line. `on_advice(sender, payload)` gets planners' advice, the sender by its
+    position in the settings; `on_pins(payload)` and `on_drain_request(payload)` get these
+    messages.
+    """
 
-    def __init__(
+    def __init__(  # noqa: PLR0913 - each is a collaborator of its own
         self,
-        settings,
-        me,
-        chance,
-        boot,
-        mine,
-        log,
-        noted=lambda sender, payload: None,
-        pinned=lambda payload: None,
-        wished=lambda payload: None,
-    ):
-        self.pinned, self.wished = pinned, wished
-        self.settings, self.me, self.mine, self.log, self.noted = (
-            settings["fleet"],
-            me,
-            mine,
-            log,
-            noted,
-        )
-        self.ranks = {one["name"]: at for at, one in enumerate(settings["steward"])}
-        self.notes_left, self.notes_at = NOTES_MOST, 0.0
-        keys = [bytes.fromhex(one) for one in self.settings["keys"]]
-        self.seal = Authenticator(keys, me["name"], boot)
-        seeds = [one["peer"] for one in settings["steward"] if one["name"] != me["name"]]
-        about = MemberInfo(me["name"], me["peer"], "alive", 0, me["grpc"] or ())
-        self.members = Membership(
-            about,
-            seeds,
-            chance,
-            self.settings["probe_every"],
-            self.settings["probe_wait"],
-            self.settings["suspect"],
-        )
-        self.ownership = Ownership(me["name"], self.settings["joins_rate"], chance)
-        self.names, self.transport, self.timer = {}, None, None
+        settings: Mapping[str, Any],
+        me: Mapping[str, Any],
+        rng: Random,
+        boot: bytes,
+        count_proxies: Callable[[], int],
+        log: Callable[..., None],
+        on_advice: Callable[[int, bytes], None] = ignore,
+        on_pins: Callable[[bytes], None] = ignore,
+        on_drain_request: Callable[[bytes], None] = ignore,
+    ) -> None:
+        self.me = me
+        self.count_proxies = count_proxies
+        self.log = log
+        self.on_advice = on_advice
+        self.on_pins = on_pins
+        self.on_drain_request = on_drain_request
+        self.positions = {one["name"]: at for at, one in enumerate(settings["steward"])}
+        self.advice_left = MAX_ADVICE_RATE  # in the current window
+        self.advice_window_at = 0.0  # when the window began
+        keys = [bytes.fromhex(key) for key in settings["fleet"]["keys"]]
+        self.authenticator = Authenticator(keys, me["name"], boot)
+        self.members = self._make_membership(settings, rng)
+        self.ownership = Ownership(me["name"], settings["fleet"]["joins_rate"], rng)
+        self.names: dict[Address, str] = {}  # members by the address of their last datagram
+        self.loop: asyncio.AbstractEventLoop
+        self.transport: Optional[asyncio.DatagramTransport] = None
+        self.timer: Optional[asyncio.TimerHandle] = None
         self.counts = {
             "in": 0,
             "out": 0,
@@ -99,111 +94,159 @@
         }
         self.last_refusal = ""
 
-    async def open(self):
+    def _make_membership(self, settings: Mapping[str, Any], rng: Random) -> Membership:
+        name = self.me["name"]
+        seeds = [one["peer"] for one in settings["steward"] if one["name"] != name]
+        proxy_address = self.me["grpc"] or ()
+        info = MemberInfo(name, self.me["peer"], MemberState.ALIVE, 0, proxy_address)
+        timers = settings["fleet"]
+        return Membership(
+            info, seeds, rng, timers["probe_every"], timers["probe_wait"], timers["suspect"]
+        )
+
+    # The endpoint's life.
+
+    async def open(self) -> None:
+        """Binds the socket and starts probing."""
         self.loop = asyncio.get_running_loop()
         await self.loop.create_datagram_endpoint(lambda: self, local_addr=self.me["peer"])
-        self.tick()
+        self._tick()
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Called by asyncio once the socket is bound."""
+        self.transport = cast(asyncio.DatagramTransport, transport)
+
+    def leave(self) -> None:
+        """Tells the others that this controller stops, and closes the socket."""
+        if self.transport is None:
+            return
+        self.advance([Leave()])
+        if self.timer is not None:
+            self.timer.cancel()
+        self.transport.close()
+        self.transport = None
 
-    def connection_made(self, transport):
-        self.transport = transport
+    def error_received(self, exc: Exception) -> None:
+        """Ignored: nobody listens there, which its missing answer shows as well."""
 
-    def tick(self):
-        self.carry([LocalStatus(self.mine(), self.ownership.draining), Tick()])
-        self.timer = self.loop.call_later(TICK, self.tick)
+    # Membership.
 
-    def carry(self, events):
+    def about(self, name: str) -> Optional[MemberInfo]:
+        """What is known of a live controller."""
+        return self.members.live().get(name)
+
+    def _tick(self) -> None:
+        self.advance([LocalStatus(self.count_proxies(), self.ownership.draining), Tick()])
+        self.timer = self.loop.call_later(TICK_INTERVAL, self._tick)
+
+    def advance(self, events: list[Event]) -> None:
+        """Hands events to the membership, carries out its actions, and updates the ownership."""
         now = self.loop.time()
-        for order in self.members.decide(now, events):
-            if type(order) is SendDatagram:
-                self.send(order.address, msgspec.msgpack.encode(order.message))
+        for action in self.members.decide(now, events):
+            if isinstance(action, SendDatagram):
+                self.send(action.address, msgspec.msgpack.encode(action.message))
             else:
-                self.log("member", name=order.name, before=order.before, after=order.after)
-        self.ownership.living(
-            now, {name: (about.load, about.draining) for name, about in self.members.live().items()}
+                self.log("member", name=action.name, before=action.before, after=action.after)
+        live = self.members.live()
+        self.ownership.update_live(
+            now,
+            {name: ControllerStatus(info.load, info.draining) for name, info in live.items()},
         )
 
-    def send(self, address, body):
-        data = self.seal.close(body, self.names.get(address, ""))
+    # Sending.
+
+    def tell(self, payload: bytes) -> None:
+        """Sends planner's advice to all live controllers; too long a payload is dropped."""
+        if len(payload) <= MAX_ADVICE_SIZE:
+            self._broadcast(GossipMessage(payload))
+
+    def tell_pins(self, payload: bytes) -> None:
+        """Sends operators' pins to all live controllers."""
+        self._broadcast(PinsMessage(payload))
+
+    def tell_wish(self, payload: bytes) -> None:
+        """Sends a drain request to all live controllers."""
+        self._broadcast(DrainRequestMessage(payload))
+
+    def _broadcast(self, message: Message) -> None:
+        for name, info in self.members.live().items():
+            if name != self.me["name"]:
+                self.send(info.address, msgspec.msgpack.encode(message))
+
+    def send(self, address: Address, body: bytes) -> None:
+        """Authenticates a message body and sends it."""
+        data = self.authenticator.close(body, self.names.get(address, ""))
         self.counts["out"] += 1
         self.counts["bytes out"] += len(data)
         if self.transport is not None:
             self.transport.sendto(data, address)
 
-    def datagram_received(self, data, address):
+    # Receiving.
+
+    def datagram_received(self, data: bytes, addr: Address) -> None:
+        """Called by asyncio for each datagram."""
         self.counts["in"] += 1
         try:
-            name, body = self.seal.open(data)
-            if name not in self.names.values() or self.names.get(address) != name:
-                self.names = {a: n for a, n in self.names.items() if n != name} | {address: name}
-            if body.startswith(PROVE):
-                self.seal.learn(name, body[len(PROVE) :])
-                return
-            message = MESSAGES.decode(body)
-        except UnprovenSenderError as problem:
+            name, message = self._open(data, addr)
+        except UnprovenSenderError as error:
             self.counts["unproven"] += 1
-            self.answer_unproven(address, problem)
-            return
-        except (AuthenticationError, msgspec.MsgspecError) as problem:
-            self.counts["refused"] += 1
-            if str(problem) != self.last_refusal:  # one line for a flood of the same
-                self.last_refusal = str(problem)
-                self.log("member message refused", address=str(address), why=str(problem))
-            return
-        if type(message) is GossipMessage:
-            self.take_note(name, message.payload)
-        elif type(message) is PinsMessage:
-            self.pinned(message.payload)
-        elif type(message) is DrainRequestMessage:
-            self.wished(message.payload)
+            self._answer_unproven(addr, error)
+        except (AuthenticationError, msgspec.MsgspecError) as error:
+            self._log_refusal(addr, str(error))
         else:
-            self.carry([DatagramReceived(address, message)])
-
-    def take_note(self, name, payload):
-        """Past the most a second they are dropped and counted: advice that is lost costs little."""
+            if message is not None:
+                self._dispatch(name, addr, message)
+
+    def _open(self, data: bytes, address: Address) -> tuple[str, Optional[Message]]:
+        """The sender and its message; no message where it only asked for a proof."""
+        name, body = self.authenticator.open(data)
+        if self.names.get(address) != name:
+            others = {place: other for place, other in self.names.items() if other != name}
+            self.names = {**others, address: name}
+        if body.startswith(PROVE):
+            self.authenticator.learn(name, body.removeprefix(PROVE))
+            return name, None
+        return name, DECODER.decode(body)
+
+    def _answer_unproven(self, address: Address, error: UnprovenSenderError) -> None:
+        """Asks a sender that is not known yet to prove itself.
+
+        Nothing it sent is used but a proof that it asks for: two that are new to each other could
+        never begin.
+        """
+        self.names[address] = error.name
+        if error.body.startswith(PROVE):
+            self.authenticator.learn(error.name, error.body.removeprefix(PROVE))
+        else:
+            self.send(address, PROVE + error.proof)
+
+    def _log_refusal(self, address: Address, reason: str) -> None:
+        self.counts["refused"] += 1
+        if reason != self.last_refusal:  # one line for a flood of the same
+            self.last_refusal = reason
+            self.log("member message refused", address=str(address), why=reason)
+
+    def _dispatch(self, name: str, address: Address, message: Message) -> None:
+        match message:
+            case GossipMessage():
+                self._on_advice(name, message.payload)
+            case PinsMessage():
+                self.on_pins(message.payload)
+            case DrainRequestMessage():
+                self.on_drain_request(message.payload)
+            case _:
+                self.advance([DatagramReceived(address, message)])
+
+    def _on_advice(self, name: str, payload: bytes) -> None:
+        """Drops and counts what exceeds the rate: advice that is lost costs little."""
         now = self.loop.time()
-        if now - self.notes_at >= 1.0:
-            self.notes_left, self.notes_at = NOTES_MOST, now
-        if not self.notes_left or len(payload) > NOTE_MOST or name not in self.ranks:
+        if now - self.advice_window_at >= ADVICE_WINDOW:
+            self.advice_left = MAX_ADVICE_RATE
+            self.advice_window_at = now
+        too_long = len(payload) > MAX_ADVICE_SIZE
+        if not self.advice_left or too_long or name not in self.positions:
             self.counts["notes dropped"] += 1
             return
-        self.notes_left -= 1
+        self.advice_left -= 1
         self.counts["notes"] += 1
-        self.noted(self.ranks[name], payload)
-
-    def tell(self, payload):
-        """A note to all that live. None is repeated here: what must arrive is told again by who tells it."""
-        if len(payload) <= NOTE_MOST:
-            self.tell_all(GossipMessage(payload))
-
-    def answer_unproven(self, address, problem):
-        """Tell it the proof to repeat. What it says is not taken, but for a proof that it asks of us: two that
-        are new to each other could never begin."""
-        self.names[address] = problem.name
-        if problem.body.startswith(PROVE):
-            self.seal.learn(problem.name, problem.body[len(PROVE) :])
-        else:
-            self.send(address, PROVE + problem.proof)
-
-    def tell_pins(self, payload):
-        self.tell_all(PinsMessage(payload))
-
-    def tell_wish(self, payload):
-        self.tell_all(DrainRequestMessage(payload))
-
-    def tell_all(self, message):
-        for name, about in self.members.live().items():
-            if name != self.me["name"]:
-                self.send(about.address, msgspec.msgpack.encode(message))
-
-    def about(self, name):
-        return self.members.live().get(name)
-
-    def leave(self):
-        if self.transport is not None:
-            self.carry([Leave()])
-            self.timer.cancel()
-            self.transport.close()
-            self.transport = None
-
-    def error_received(self, problem):
-        pass  # nobody listens there: the probe goes unanswered, which says so
+        self.on_advice(self.positions[name], payload)
--- a/peatlead/fleet/ownership.py
+++ b/peatlead/fleet/ownership.py
@@ -1,158 +1,244 @@
-"""Whose a proxy is, and whose orders count. Pure: no I/O, no clock; chance is handed in.
-
-Every controller ranks the living for a proxy by rendezvous hashing; the first that is neither draining nor
-full owns it. Nobody agrees with anybody: what makes an owner *effective* is the proxy itself, which follows
-one stream, and counts only orders of the newest epoch that it has seen. Whoever takes a proxy in gives it
-the epoch after the newest that the proxy says it knows, so epochs never go back, whoever believes what.
-
-A controller that is not the owner sends the proxy on, unless the proxy says that it failed to reach the
-owner, or has been sent on too often: an owner by rank that can't be reached is worth less than one that
-answers. Joins are paced; proxies keep their tables meanwhile.
+"""Which controller owns a proxy, and whose updates the proxy follows. Pure: no I/O, no clock.
+
+Every controller ranks the live ones for a proxy by rendezvous hashing (Thaler, Ravishankar 1998)
+with bounded loads: the first that is neither draining nor full owns it. There is no consensus
+between them. What makes an owner effective is a fencing token at the proxy: it follows one
+stream, and takes only updates of the newest epoch it has seen. A controller that admits a proxy
+gives it the epoch after the newest that the proxy reports, so epochs never go back, whatever the
+controllers believe of each other.
+
+A controller that is not the owner redirects the proxy, unless the proxy reports that it could not
+reach the owner, or was redirected too often. Admissions are paced; proxies keep their tables
+meanwhile.
 """
 
-from typing import NamedTuple, Optional
+from collections.abc import Collection, Iterable, Mapping
+from enum import StrEnum
+from random import Random
+from typing import NamedTuple, Optional, TypedDict
 
 from blake3 import blake3
 
-HOPS_MOST = 2  # a proxy that was sent on this often is taken in by whoever it reached
-EXTRA, ROOM = (
-    1.25,
-    4,
-)  # a controller is full past its fair part by this much; and by this many at least
-MOVE_PART = 0.05  # of its proxies that a controller sends on a second, once another should own them
-SETTLE = 3.0  # seconds that the living must have stood before anything is moved for balance
-AVOID_FOR = 5.0  # seconds that a proxy's word holds that it could not reach a controller
-JOIN_BURST = 50  # joins taken at once before they are paced
+MAX_HOPS = 2  # a proxy redirected this often is admitted wherever it arrives
+LOAD_BOUND = 1.25  # a controller is full at this much of the mean load ...
+LOAD_SLACK = 4  # ... and this many proxies more
+MOVE_FRACTION = (
+    0.05  # of its proxies that a controller redirects in a second, once another should own them
+)
+MOVE_INTERVAL = 0.2  # seconds between batches of redirects
+DRAIN_SPEEDUP = 5  # a draining controller redirects this many times as fast
+SETTLE_TIME = 3.0  # seconds without a membership change before proxies are moved for balance
+UNREACHABLE_TIME = 5.0  # seconds that a proxy's report of unreachable controllers holds
+JOIN_BURST = 50  # admissions at once before they are paced
+MAX_JITTER = 1.5  # a paced proxy waits the time of one burst, times 0.5 to 1.5
+MIN_JITTER = 0.5
+
+
+class AdmissionReason(StrEnum):
+    """Why a proxy was admitted or not; the text is sent to refused proxies."""
+
+    OWNED_BY_OTHER = "another's by rank"
+    PACED = "paced"
+    OWNED = "ours by rank"
+    OWNER_UNREACHABLE = "its owner is out of reach"
 
 
 class AdmissionDecision(NamedTuple):
-    """`owner`: name of the controller that should have it; `take`: whether we take it in; `wait`: seconds
-    that it should wait before it dials again (0 where it is taken or sent on)."""
+    """What to do with a proxy that has connected."""
 
-    owner: str
-    take: bool
-    wait: float
-    why: str
+    owner: str  # name of the controller that should have it
+    take: bool  # whether this controller admits it
+    wait: float  # seconds until it should connect again; 0 where it is admitted or redirected
+    why: AdmissionReason
+
+
+class ControllerStatus(NamedTuple):
+    """What ownership depends on, of one live controller."""
+
+    load: int  # connected proxies
+    draining: bool
+
+
+class ReportedUnreachable(NamedTuple):
+    """Controllers that a proxy could not reach, when it was admitted."""
+
+    at: float
+    names: tuple[str, ...]
 
 
-def score(proxy, controller):
+ABSENT = ControllerStatus(0, False)  # assumed of a controller that is not known to be live
+
+
+def score(proxy: str, controller: str) -> bytes:
+    """The rendezvous hash of a pair."""
     return blake3(proxy.encode() + b"\0" + controller.encode()).digest(8)
 
 
-def ranked(proxy, names):
-    """All controllers for a proxy, best first: the same everywhere, and a change moves only its own part."""
+def ranked(proxy: str, names: Iterable[str]) -> list[str]:
+    """The controllers for a proxy, best first: the same order on each of them."""
     return sorted(names, key=lambda name: (score(proxy, name), name), reverse=True)
 
 
 class Ownership:
-    """One controller's side. `joins_rate`: joins a second that are taken past a burst."""
-
-    def __init__(self, me, joins_rate, chance):
-        self.me, self.joins_rate, self.chance = me, joins_rate, chance
-        self.live, self.changed_at, self.draining = {}, 0.0, False
-        self.epochs = {}  # proxy -> the epoch that we gave it, while it is joined
-        self.avoided = {}  # proxy -> (when it said so, controllers that it could not reach), while it is joined
-        self.tokens, self.tokens_at, self.move_at = float(JOIN_BURST), 0.0, 0.0
-
-    def living(self, now, live):
-        """`live`: {name: (load, draining)} of all controllers that live, ourselves too."""
-        if live.keys() != self.live.keys() or any(live[n][1] != self.live[n][1] for n in live):
+    """One controller's part. `joins_rate`: admissions a second after a burst of `JOIN_BURST`."""
+
+    def __init__(self, me: str, joins_rate: float, rng: Random) -> None:
+        self.me = me
+        self.joins_rate = joins_rate
+        self.rng = rng
+        self.live: dict[str, ControllerStatus] = {}  # this controller included
+        self.changed_at = 0.0  # when a controller last came, went or changed its draining
+        self.draining = False  # whether this controller hands over all its proxies
+        self.epochs: dict[str, int] = {}  # given to each connected proxy
+        self.unreachable: dict[str, ReportedUnreachable] = {}  # by connected proxy
+        self.tokens = float(JOIN_BURST)  # token bucket of admissions
+        self.tokens_at = 0.0  # when it was last refilled
+        self.next_move_at = 0.0
+
+    def update_live(self, now: float, live: Mapping[str, ControllerStatus]) -> None:
+        """All controllers that live now, this one included."""
+        if live.keys() != self.live.keys() or any(
+            live[name].draining != self.live[name].draining for name in live
+        ):
             self.changed_at = now
         self.live = dict(live)
 
-    def owner(self, proxy, avoid=()):
-        """The controller that should have the proxy: by rank, the full and the draining passed over."""
+    # New proxies.
+
+    def owner_of(self, proxy: str, avoid: Collection[str] = ()) -> str:
+        """The controller for a new proxy: the first by rank that is neither draining nor full."""
         order = [name for name in ranked(proxy, self.live) if name not in avoid] or [self.me]
-        total = sum(load for load, _ in self.live.values()) + 1
-        full = total / max(1, len(self.live)) * EXTRA + ROOM
-        fit = [name for name in order if not self.live.get(name, (0, False))[1]]
-        for name in fit:
-            if self.live.get(name, (0, False))[0] < full:
+        total = sum(status.load for status in self.live.values()) + 1
+        capacity = total / max(1, len(self.live)) * LOAD_BOUND + LOAD_SLACK
+        accepting = [name for name in order if not self._status(name).draining]
+        for name in accepting:
+            if self._status(name).load < capacity:
                 return name
-        return (fit or order)[0]
-
-    def admit(self, now, proxy, seen, hops=0, avoid=()):
-        """Verdict on a proxy that has dialled us; a taken one gets an epoch past `seen`."""
-        owner = self.owner(proxy, avoid)
-        if owner != self.me and hops < HOPS_MOST and owner in self.live:
-            return AdmissionDecision(owner, False, 0.0, "another's by rank")
-        self.tokens = min(float(JOIN_BURST), self.tokens + (now - self.tokens_at) * self.joins_rate)
+        return (accepting or order)[0]
+
+    def _status(self, name: str) -> ControllerStatus:
+        return self.live.get(name, ABSENT)
+
+    def admit(
+        self, now: float, proxy: str, seen: int, hops: int = 0, avoid: Collection[str] = ()
+    ) -> AdmissionDecision:
+        """Decides on a proxy that has connected; an admitted one gets an epoch past `seen`.
+
+        `hops`: how often it was redirected. `avoid`: controllers that it could not reach.
+        """
+        owner = self.owner_of(proxy, avoid)
+        if owner != self.me and hops < MAX_HOPS and owner in self.live:
+            return AdmissionDecision(owner, False, 0.0, AdmissionReason.OWNED_BY_OTHER)
+        if not self._take_token(now):
+            # All proxies of a dead controller come at once: jitter spreads them out.
+            wait = self.rng.uniform(MIN_JITTER, MAX_JITTER) * JOIN_BURST / self.joins_rate
+            return AdmissionDecision(self.me, False, wait, AdmissionReason.PACED)
+        self.epochs[proxy] = max(seen, self.epochs.get(proxy, 0)) + 1
+        self.unreachable[proxy] = ReportedUnreachable(now, tuple(avoid))
+        owned = owner == self.me
+        reason = AdmissionReason.OWNED if owned else AdmissionReason.OWNER_UNREACHABLE
+        return AdmissionDecision(self.me, True, 0.0, reason)
+
+    def _take_token(self, now: float) -> bool:
+        refilled = self.tokens + (now - self.tokens_at) * self.joins_rate
+        self.tokens = min(float(JOIN_BURST), refilled)
         self.tokens_at = now
         if self.tokens < 1:
-            # All of a dead controller's proxies come at once: drawn waits spread them over what we can take.
-            return AdmissionDecision(
-                self.me,
-                False,
-                self.chance.uniform(0.5, 1.5) * JOIN_BURST / self.joins_rate,
-                "paced",
-            )
+            return False
         self.tokens -= 1
-        self.epochs[proxy] = max(seen, self.epochs.get(proxy, 0)) + 1
-        self.avoided[proxy] = now, tuple(avoid)
-        return AdmissionDecision(
-            self.me, True, 0.0, "ours by rank" if owner == self.me else "its owner is out of reach"
-        )
+        return True
+
+    # Connected proxies.
 
-    def left(self, proxy):
+    def left(self, proxy: str) -> None:
+        """Forgets a proxy that has disconnected."""
         self.epochs.pop(proxy, None)
-        self.avoided.pop(proxy, None)
+        self.unreachable.pop(proxy, None)
 
-    def out_of_reach(self, now, proxy, owner):
-        """One that was just taken in because it could not reach its owner would only come back at once."""
-        at, names = self.avoided.get(proxy, (now, ()))
-        return owner in names and now - at < AVOID_FOR
+    def moves(self, now: float) -> list[tuple[str, str]]:
+        """The (proxy, new owner) pairs to redirect now.
 
-    def moves(self, now):
-        """[(proxy, new owner)] to send on now: a few at a time, and only once the living stand still. A
-        controller that drains sends at once."""
-        if now < self.move_at or not self.epochs:
+        A few at a time, and only while the membership is stable; a draining controller doesn't
+        wait for that.
+        """
+        if now < self.next_move_at or not self.epochs:
             return []
-        if not self.draining and now - self.changed_at < SETTLE:
+        if not self.draining and now - self.changed_at < SETTLE_TIME:
             return []
-        self.move_at = now + 0.2
-        most = max(1, round(len(self.epochs) * MOVE_PART * 0.2 * (5 if self.draining else 1)))
-        found = []
+        self.next_move_at = now + MOVE_INTERVAL
+        limit = self._move_limit()
+        moves: list[tuple[str, str]] = []
         for proxy in sorted(self.epochs):
-            owner = self.owner_but_full(proxy)
-            if owner != self.me and not self.out_of_reach(now, proxy, owner):
-                found.append((proxy, owner))
-                if len(found) >= most:
-                    break
-        return found
-
-    def owner_but_full(self, proxy):
-        """Who should have a proxy that is joined here: it stays while we are only a little over, or two full
-        controllers would send it to and fro."""
-        order = [name for name in ranked(proxy, self.live) if not self.live[name][1]]
+            owner = self.preferred_owner(proxy)
+            if owner == self.me or self._could_not_reach(now, proxy, owner):
+                continue
+            moves.append((proxy, owner))
+            if len(moves) >= limit:
+                break
+        return moves
+
+    def _move_limit(self) -> int:
+        speedup = DRAIN_SPEEDUP if self.draining else 1
+        return max(1, round(len(self.epochs) * MOVE_FRACTION * MOVE_INTERVAL * speedup))
+
+    def _could_not_reach(self, now: float, proxy: str, owner: str) -> bool:
+        """Whether the proxy would only come back, as it could not reach its owner just now."""
+        report = self.unreachable.get(proxy)
+        return report is not None and owner in report.names and now - report.at < UNREACHABLE_TIME
+
+    def preferred_owner(self, proxy: str) -> str:
+        """The controller that should have a proxy which is connected to this one.
+
+        It stays while its owner is only a little over the mean load, or two full controllers
+        would redirect it to each other.
+        """
+        order = [name for name in ranked(proxy, self.live) if not self.live[name].draining]
         if self.draining:
             order = [name for name in order if name != self.me]
         if not order:
             return self.me
-        fair = sum(load for load, _ in self.live.values()) / len(order) * EXTRA
-        if self.draining:  # all must go: to the first with room, or to whoever has least
-            room = [name for name in order if self.live[name][0] < fair]
-            return room[0] if room else min(order, key=lambda name: self.live[name][0])
-        return order[0] if self.live[order[0]][0] < fair else self.me
+        bound = sum(status.load for status in self.live.values()) / len(order) * LOAD_BOUND
+        if not self.draining:
+            return order[0] if self.live[order[0]].load < bound else self.me
+        for name in order:
+            if self.live[name].load < bound:
+                return name
+        return min(order, key=lambda name: self.live[name].load)
 
 
 class Fence(NamedTuple):
-    """A proxy's own rule: what it has seen, and whether an order counts. `newest`: (epoch, serial)."""
+    """A proxy's own rule for which updates it follows."""
 
-    newest: tuple = (0, 0)
+    newest: tuple[int, int] = (0, 0)  # the greatest (epoch, serial) it has seen
 
-    def allows(self, epoch, serial):
+    def allows(self, epoch: int, serial: int) -> bool:
+        """Whether an update is newer than all before."""
         return (epoch, serial) > self.newest
 
-    def past(self, epoch, serial) -> "Fence":
+    def past(self, epoch: int, serial: int) -> "Fence":
+        """The fence after an update was seen."""
         return Fence(max(self.newest, (epoch, serial)))
 
 
-def why(ownership, proxy, joined_since: Optional[float], now):
-    """For operators: rank, owner, epoch, since when."""
+class OwnershipReport(TypedDict):
+    """An operator's view of one proxy."""
+
+    proxy: str
+    rank: list[str]  # controllers, best first
+    owner: str
+    here: bool  # whether it is connected to this controller
+    epoch: Optional[int]
+    since: Optional[float]  # seconds connected
+
+
+def why(
+    ownership: Ownership, proxy: str, joined_since: Optional[float], now: float
+) -> OwnershipReport:
+    """Explains a proxy's ownership; `joined_since`: when it connected to this controller."""
     return {
         "proxy": proxy,
         "rank": ranked(proxy, ownership.live),
-        "owner": ownership.owner(proxy),
+        "owner": ownership.owner_of(proxy),
         "here": proxy in ownership.epochs,
         "epoch": ownership.epochs.get(proxy),
         "since": None if joined_since is None else now - joined_since,
--- /dev/null
+++ b/tests/fleet/test_gossip.py
@@ -0,0 +1,56 @@
+"""Gossip between two controllers over their UDP sockets."""
+
+import random
+import unittest
+
+from peatlead.fleet.gossip import MAX_ADVICE_RATE, MAX_ADVICE_SIZE, GossipNode
+from peatlead.scenario.runner import free_port
+
+from ..places import SCRIPT, run, settings, until
+
+KEY = b"k" * 32
+
+
+class AdviceTest(unittest.TestCase):
+    """Advice between planners."""
+
+    def test_advice_arrives_authenticated_and_a_flood_is_limited(self):
+        async def case():
+            port, received, nodes = free_port(), [], []
+            script = SCRIPT
+            for at in (1, 2):
+                here = f'"127.1.0.{at}:'
+                script = script.replace(
+                    f"control = {here}", f'peer = {here}{{grpc}}", control = {here}'
+                )
+            fleet_settings = settings(port, script=script, more=f"fleet(keys = [{KEY.hex()!r}])")
+            controllers = fleet_settings["steward"]
+            for at, me in enumerate(controllers):
+                nodes.append(
+                    GossipNode(
+                        fleet_settings,
+                        me,
+                        random.Random(at),
+                        bytes([at]) * 8,
+                        lambda: 0,
+                        lambda *_, **__: None,
+                        lambda sender, payload: received.append((sender, payload)),
+                    )
+                )
+                await nodes[-1].open()
+            try:
+                await until(lambda: all(len(one.members.live()) == 2 for one in nodes))
+                nodes[0].tell(b"host-0 3.0 2.0 0.1")
+                await until(lambda: received)
+                self.assertEqual(received[0], (0, b"host-0 3.0 2.0 0.1"))
+                for _ in range(MAX_ADVICE_RATE * 3):
+                    nodes[1]._on_advice("ns1", b"x")
+                self.assertGreaterEqual(nodes[1].counts["notes dropped"], MAX_ADVICE_RATE)
+                nodes[0].tell(b"x" * (MAX_ADVICE_SIZE + 1))
+                nodes[1]._on_advice("stranger", b"x")
+                self.assertLessEqual(len(received), 2 * MAX_ADVICE_RATE + 1)
+            finally:
+                for one in nodes:
+                    one.leave()
+
+        run(case())
--- a/tests/test_grpc.py
+++ b/tests/test_grpc.py
@@ -515,7 +515,7 @@
             one = agent(world)
             await until(lambda: self.owner(stewards))
             first = self.owner(stewards)
-            self.assertEqual(first, stewards["ns1"].fleet.ownership.owner("p0"))
+            self.assertEqual(first, stewards["ns1"].fleet.ownership.owner_of("p0"))
             await until(lambda: one.lines)
             held, epoch = dict(one.lines), one.fence.newest[0]
             stewards.pop(first).stop()
@@ -559,7 +559,7 @@
             await until(
                 lambda: all(
                     self.owner(stewards, one.plan.name)
-                    == stewards["ns1"].fleet.ownership.owner_but_full(one.plan.name)
+                    == stewards["ns1"].fleet.ownership.preferred_owner(one.plan.name)
                     for one in agents
                 ),
                 15,
--- a/tests/transcripts/test_gossip_transcripts.py
+++ b/tests/transcripts/test_gossip_transcripts.py
@@ -12,8 +12,7 @@
 
 from peatlead.fleet import authentication as seals
 from peatlead.fleet import gossip as nodes
-from peatlead.fleet import membership as membership
-from peatlead.fleet import ownership
+from peatlead.fleet import membership, messages, ownership
 
 from ..places import SCRIPT, settings
 from . import recorded
@@ -21,22 +20,22 @@
 # Adapter: all internal names that these tests use. Structs are made by position.
 
 Ping, Ack, IndirectPing, MemberInfo = (
-    membership.Ping,
-    membership.Ack,
-    membership.IndirectPing,
-    membership.MemberInfo,
+    messages.Ping,
+    messages.Ack,
+    messages.IndirectPing,
+    messages.MemberInfo,
 )
 GossipMessage, PinsMessage, DrainRequestMessage = (
-    nodes.GossipMessage,
-    nodes.PinsMessage,
-    nodes.DrainRequestMessage,
+    messages.GossipMessage,
+    messages.PinsMessage,
+    messages.DrainRequestMessage,
 )
-TIMERS = {"every": 0.3, "wait": 0.15, "suspect": 1.0}
+TIMERS = {"probe_interval": 0.3, "ack_timeout": 0.15, "suspicion_timeout": 1.0}
 STRAY, UNPROVEN = seals.AuthenticationError, seals.UnprovenSenderError
 
 
 def decode(data):
-    return nodes.MESSAGES.decode(data)
+    return messages.DECODER.decode(data)
 
 
 def make_member(name, seeds, chance):
@@ -121,7 +120,7 @@
 
 
 def node_step(node):
-    node.carry([load_news(node.mine(), False), TICK])
+    node.advance([load_news(node.count_proxies(), False), TICK])
 
 
 def node_take(node, data, address):
