--- a/peatlead/grpc/__init__.py
+++ b/peatlead/grpc/__init__.py
@@ -1,1 +1,1 @@
-"""The gRPC front: assignments (xDS v3 aggregated discovery) and load reports (LRS v3) over HTTP/2."""
+"""The gRPC server: xDS v3 aggregated discovery and LRS v3 load reports over HTTP/2."""
--- a/peatlead/grpc/discovery.py
+++ b/peatlead/grpc/discovery.py
@@ -1,100 +1,134 @@
-"""One proxy's aggregated discovery stream, state of the world. Pure: requests in, responses out.
+"""One proxy's aggregated discovery stream, state-of-the-world variant. Pure.
 
-For each type one response is under way at a time; what changes meanwhile is sent after the answer, newest
-only. A proxy that refuses keeps its old state, is reported, and is not sent the same again. Source: the
-xDS transport protocol (nonces, ACK and NACK).
+For each resource type at most one response awaits its ACK or NACK; what changes meanwhile is sent
+after that, only the newest. A proxy that rejects a response keeps its old resources, is reported,
+and doesn't get the same again. Source: the xDS transport protocol (nonces, ACK and NACK).
 """
 
-from typing import NamedTuple
+from collections.abc import Callable
+from typing import Any as Message
+from typing import NamedTuple, Optional
 
 from envoy.service.discovery.v3 import discovery_pb2
 from google.protobuf.any_pb2 import Any
 
-from ..tables.version import NONE, Version, read_version
+from ..tables.version import Version, read_version
 
-NAMES_MOST = 1000  # resource names that one proxy may ask for
+MAX_SUBSCRIPTIONS = 1000  # resource names of one type that a proxy may subscribe to
+MAX_ERROR_TEXT = 500  # characters of a NACK's error detail
 
+Resources = dict[str, bytes]  # serialized, by name
 
-class Kind:
+
+class SentResources(NamedTuple):
+    """The newest response of a type."""
+
+    version: Version
+    resources: Resources
+
+
+class Subscription:
     """One resource type on the stream."""
 
-    __slots__ = ("names", "nonce", "sent", "held", "dirty", "refused", "asked")
+    __slots__ = ("names", "nonce", "sent", "dirty", "requested")
 
-    def __init__(self):
-        self.names, self.nonce, self.sent, self.held = (), "", None, NONE
-        self.dirty, self.refused, self.asked = False, None, False
+    def __init__(self) -> None:
+        self.names: tuple[str, ...] = ()  # subscribed; empty: all
+        self.nonce = ""  # of the response that awaits its ACK or NACK
+        self.sent: Optional[SentResources] = None
+        self.dirty = False  # whether the resources may have changed since
+        self.requested = False  # whether a first request has come
 
 
 class Refused(NamedTuple):
+    """A proxy's NACK."""
+
     type_url: str
     version: str
-    text: str
+    text: str  # its error detail
 
 
-class Discovery:
-    """`take(request)` and `changed(type)` give responses to send; `resources(type, names)` gives {name: bytes}
-    as they stand now; `epoch` is the owner's for this proxy; `published(version, type)` is told what is sent."""
-
-    def __init__(self, epoch, resources, identity, published=lambda version, type_url: None):
-        self.epoch, self.resources, self.identity, self.published = (
-            epoch,
-            resources,
-            identity,
-            published,
-        )
-        self.kinds, self.serial, self.refusals, self.applied = {}, 0, [], []
+def ignore_published(version: Version, type_url: str) -> None:
+    """The handler of sent versions where nobody keeps them."""
+
 
-    def take(self, request):
-        """[DiscoveryResponse] that are due after a DiscoveryRequest."""
-        kind = self.kinds.setdefault(request.type_url, Kind())
-        if request.response_nonce and request.response_nonce != kind.nonce:
-            return []  # of a response that a newer one has overtaken
+class Discovery:
+    """The stream of one proxy.
+
+    `epoch`: the owner's for this proxy. `resources(type_url, names)` gives the resources as they
+    stand, or None while they are not known; `published(version, type_url)` is called for each
+    response. The caller empties `refusals` and `applied`.
+    """
+
+    def __init__(
+        self,
+        epoch: int,
+        resources: Callable[[str, tuple[str, ...]], Optional[Resources]],
+        identity: str,
+        published: Callable[[Version, str], None] = ignore_published,
+    ) -> None:
+        self.epoch = epoch
+        self.resources = resources
+        self.identity = identity  # of this controller, in each response
+        self.published = published
+        self.subscriptions: dict[str, Subscription] = {}  # by type URL
+        self.serial = 0  # of the newest response
+        self.refusals: list[Refused] = []  # NACKs
+        self.applied: list[tuple[str, Version]] = []  # ACKs: type URL and version
+
+    def take(self, request: Message) -> list[Message]:
+        """The DiscoveryResponses that are due after a DiscoveryRequest."""
+        type_url = request.type_url
+        subscription = self.subscriptions.setdefault(type_url, Subscription())
         if request.response_nonce:
-            kind.nonce = ""
-            if request.HasField("error_detail"):
-                kind.refused = kind.sent
-                self.refusals.append(
-                    Refused(
-                        request.type_url,
-                        str(kind.sent and kind.sent[0]),
-                        request.error_detail.message[:500],
-                    )
-                )
-            else:
-                kind.held = read_version(request.version_info)
-                self.applied.append((request.type_url, kind.held))
-        names = tuple(sorted(set(request.resource_names)))[:NAMES_MOST]
-        if names != kind.names or not kind.asked:
-            kind.names, kind.dirty, kind.asked = names, True, True
-        return self.due(request.type_url)
-
-    def changed(self, type_url):
-        """Resources of a type may have changed."""
-        kind = self.kinds.get(type_url)
-        if kind is None:
+            if request.response_nonce != subscription.nonce:
+                return []  # of a response that a newer one has replaced
+            self._acknowledge(subscription, request)
+        names = tuple(sorted(set(request.resource_names)))[:MAX_SUBSCRIPTIONS]
+        if names != subscription.names or not subscription.requested:
+            subscription.names = names
+            subscription.dirty = True
+            subscription.requested = True
+        return self._due(type_url, subscription)
+
+    def _acknowledge(self, subscription: Subscription, request: Message) -> None:
+        """Handles an ACK or a NACK of the newest response."""
+        subscription.nonce = ""
+        if not request.HasField("error_detail"):
+            self.applied.append((request.type_url, read_version(request.version_info)))
+            return
+        version = request.response_nonce  # the nonce is the version
+        text = request.error_detail.message[:MAX_ERROR_TEXT]
+        self.refusals.append(Refused(request.type_url, version, text))
+
+    def changed(self, type_url: str) -> list[Message]:
+        """The responses that are due after resources of a type may have changed."""
+        subscription = self.subscriptions.get(type_url)
+        if subscription is None:
             return []
-        kind.dirty = True
-        return self.due(type_url)
+        subscription.dirty = True
+        return self._due(type_url, subscription)
 
-    def due(self, type_url):
-        kind = self.kinds[type_url]
-        if not kind.dirty or kind.nonce:
+    def _due(self, type_url: str, subscription: Subscription) -> list[Message]:
+        if not subscription.dirty or subscription.nonce:
             return []
-        found = self.resources(type_url, kind.names)
-        kind.dirty = False
-        last = kind.sent
-        if found is None or last is not None and last[1] == found:
-            return []  # nothing new; or just what was refused: sending it again changes nothing
+        resources = self.resources(type_url, subscription.names)
+        subscription.dirty = False
+        sent = subscription.sent
+        if resources is None or (sent is not None and sent.resources == resources):
+            return []  # unchanged, or what was rejected just now: the same would be rejected again
+        return [self._respond(type_url, subscription, resources)]
+
+    def _respond(self, type_url: str, subscription: Subscription, resources: Resources) -> Message:
         self.serial += 1
         version = Version(self.epoch, self.serial)
-        kind.sent, kind.nonce = (version, found), f"{version}"
+        subscription.sent = SentResources(version, resources)
+        subscription.nonce = str(version)
         self.published(version, type_url)
-        return [
-            discovery_pb2.DiscoveryResponse(
-                version_info=str(version),
-                type_url=type_url,
-                nonce=kind.nonce,
-                control_plane={"identifier": self.identity},
-                resources=[Any(type_url=type_url, value=data) for _, data in sorted(found.items())],
-            )
-        ]
+        return discovery_pb2.DiscoveryResponse(
+            version_info=str(version),
+            type_url=type_url,
+            nonce=subscription.nonce,
+            control_plane={"identifier": self.identity},
+            resources=[Any(type_url=type_url, value=data) for _, data in sorted(resources.items())],
+        )
--- a/peatlead/grpc/encoder.py
+++ b/peatlead/grpc/encoder.py
@@ -1,84 +1,105 @@
-"""A ClusterLoadAssignment's bytes put together from parts that are encoded once. Pure.
+"""ClusterLoadAssignments, joined from parts that are serialized once. Pure.
 
-A thousand proxies are told of one host in almost the same words: its LbEndpoint with its weight is encoded once and
-joined into each proxy's message, in the order and form that protobuf's deterministic serialization gives (tested
-against it). Source: the protocol buffers encoding (varints, tags, length-delimited fields);
-envoy.config.endpoint.v3 field numbers.
+A thousand proxies get almost the same entry for one endpoint: its LbEndpoint with its weight is
+serialized once and joined into each proxy's message, in the order and form of protobuf's
+deterministic serialization, against which this is tested. Source: the protocol buffers encoding
+(varints, tags, length-delimited fields); the field numbers of envoy.config.endpoint.v3.
 """
 
+from collections.abc import Mapping, Sequence
 from functools import lru_cache
+from typing import Any
 
 from envoy.config.core.v3 import base_pb2
 from envoy.config.endpoint.v3 import endpoint_components_pb2, endpoint_pb2
+from envoy.type.v3 import percent_pb2
 from google.protobuf.wrappers_pb2 import UInt32Value
 
-KEPT = 65_536  # parts; the one that was used longest ago makes room
+CACHE_SIZE = 65_536  # parts of each sort; the least recently used is evicted
 
+LENGTH_DELIMITED = 2  # wire type
 
-def varint(value):
-    found = bytearray()
+# Field numbers of ClusterLoadAssignment.
+CLUSTER_NAME = 1
+ENDPOINTS = 2
+POLICY = 4
+
+# Field numbers of LocalityLbEndpoints.
+LOCALITY = 1
+LB_ENDPOINTS = 2
+LOAD_BALANCING_WEIGHT = 3
+
+DROP_CATEGORY = "level"
+
+WeightedAddress = tuple[str, int, int]  # address, port, weight in whole units above 0
+
+
+def varint(value: int) -> bytes:
+    """A base-128 varint."""
+    encoded = bytearray()
     while value > 0x7F:
-        found.append(value & 0x7F | 0x80)
+        encoded.append(value & 0x7F | 0x80)
         value >>= 7
-    found.append(value)
-    return bytes(found)
+    encoded.append(value)
+    return bytes(encoded)
 
 
-def field(number, data):
+def length_delimited(number: int, data: bytes) -> bytes:
     """A length-delimited field."""
-    return varint(number << 3 | 2) + varint(len(data)) + data
+    return varint(number << 3 | LENGTH_DELIMITED) + varint(len(data)) + data
 
 
-CLUSTER_NAME, ENDPOINTS, POLICY = 1, 2, 4  # of ClusterLoadAssignment
-LOCALITY, LB_ENDPOINTS, WEIGHT = 1, 2, 3  # of LocalityLbEndpoints
+def _serialize(message: Any) -> bytes:
+    data: bytes = message.SerializeToString(deterministic=True)
+    return data
 
 
-@lru_cache(KEPT)
-def endpoint(address, port, weight):
-    """One LbEndpoint as a field of its locality; weight in whole units, above 0."""
-    made = endpoint_components_pb2.LbEndpoint()
-    made.endpoint.address.socket_address.address = address
-    made.endpoint.address.socket_address.port_value = port
-    made.load_balancing_weight.value = weight
-    return field(LB_ENDPOINTS, made.SerializeToString(deterministic=True))
+@lru_cache(CACHE_SIZE)
+def _lb_endpoint(address: str, port: int, weight: int) -> bytes:
+    """One LbEndpoint, as a field of its locality."""
+    message = endpoint_components_pb2.LbEndpoint()
+    message.endpoint.address.socket_address.address = address
+    message.endpoint.address.socket_address.port_value = port
+    message.load_balancing_weight.value = weight
+    return length_delimited(LB_ENDPOINTS, _serialize(message))
 
 
-@lru_cache(KEPT)
-def locality(zone):
-    return field(LOCALITY, base_pb2.Locality(zone=zone).SerializeToString(deterministic=True))
+@lru_cache(CACHE_SIZE)
+def _locality(zone: str) -> bytes:
+    return length_delimited(LOCALITY, _serialize(base_pb2.Locality(zone=zone)))
 
 
-@lru_cache(KEPT)
-def total(weight):
-    return field(WEIGHT, UInt32Value(value=weight).SerializeToString(deterministic=True))
+@lru_cache(CACHE_SIZE)
+def _locality_weight(weight: int) -> bytes:
+    return length_delimited(LOAD_BALANCING_WEIGHT, _serialize(UInt32Value(value=weight)))
 
 
-@lru_cache(KEPT)
-def policy(dropped):
-    """What is let in less, in millionths."""
-    made = endpoint_pb2.ClusterLoadAssignment.Policy()
-    drop = made.drop_overloads.add(category="level")
+@lru_cache(CACHE_SIZE)
+def _policy(dropped: int) -> bytes:
+    """The drop policy, in millionths of the requests."""
+    message = endpoint_pb2.ClusterLoadAssignment.Policy()
+    drop = message.drop_overloads.add(category=DROP_CATEGORY)
     drop.drop_percentage.numerator = dropped
-    drop.drop_percentage.denominator = 2  # MILLION
-    return field(POLICY, made.SerializeToString(deterministic=True))
-
-
-def assignment(kind, zones, dropped=0):
-    """The bytes for {zone: [(address, port, whole weight)]}, in the order given; `dropped` in millionths."""
-    parts = [field(CLUSTER_NAME, kind.encode())]
-    for zone, lines in zones.items():
-        parts.append(
-            field(
-                ENDPOINTS,
-                b"".join(
-                    [
-                        locality(zone),
-                        *[endpoint(*line) for line in lines],
-                        total(sum(line[2] for line in lines)),
-                    ]
-                ),
-            )
-        )
+    drop.drop_percentage.denominator = percent_pb2.FractionalPercent.MILLION
+    return length_delimited(POLICY, _serialize(message))
+
+
+def _locality_endpoints(zone: str, entries: Sequence[WeightedAddress]) -> bytes:
+    total = sum(weight for _, _, weight in entries)
+    parts = [_locality(zone), *[_lb_endpoint(*entry) for entry in entries], _locality_weight(total)]
+    return length_delimited(ENDPOINTS, b"".join(parts))
+
+
+def assemble_assignment(
+    cluster: str, zones: Mapping[str, Sequence[WeightedAddress]], dropped: int = 0
+) -> bytes:
+    """A serialized ClusterLoadAssignment, its localities and endpoints in the order given.
+
+    `dropped`: millionths of the requests that proxies drop.
+    """
+    parts = [length_delimited(CLUSTER_NAME, cluster.encode())]
+    for zone, entries in zones.items():
+        parts.append(_locality_endpoints(zone, entries))
     if dropped:
-        parts.append(policy(dropped))
+        parts.append(_policy(dropped))
     return b"".join(parts)
--- a/peatlead/grpc/framing.py
+++ b/peatlead/grpc/framing.py
@@ -1,68 +1,101 @@
-"""gRPC over HTTP/2: message framing, status codes, deadlines. Sans-I/O.
+"""gRPC over HTTP/2: message framing, status codes and timeouts. Sans-I/O.
 
-Source: the gRPC protocol over HTTP/2 specification (Length-Prefixed-Message, Timeout, Status).
+Source: the gRPC protocol over HTTP/2 specification (Length-Prefixed-Message, Status,
+Status-Message, Timeout).
 """
 
-OK, CANCELLED, UNKNOWN, INVALID, DEADLINE, NOT_FOUND = 0, 1, 2, 3, 4, 5
-EXHAUSTED, PRECONDITION, UNIMPLEMENTED, INTERNAL, UNAVAILABLE, UNAUTHENTICATED = (
-    8,
-    9,
-    12,
-    13,
-    14,
-    16,
-)
-UNITS = {"H": 3600.0, "M": 60.0, "S": 1.0, "m": 1e-3, "u": 1e-6, "n": 1e-9}
-LONGEST = 4 << 20  # bytes of one message
+from enum import IntEnum
+from typing import Optional
+
+
+class StatusCode(IntEnum):
+    """The gRPC status codes that are used here."""
+
+    OK = 0
+    CANCELLED = 1
+    UNKNOWN = 2
+    INVALID_ARGUMENT = 3
+    DEADLINE_EXCEEDED = 4
+    NOT_FOUND = 5
+    RESOURCE_EXHAUSTED = 8
+    UNIMPLEMENTED = 12
+    UNAVAILABLE = 14
+
+
+UNAVAILABLE = StatusCode.UNAVAILABLE  # former name, until all callers have the new one
+
+TIMEOUT_UNITS = {"H": 3600.0, "M": 60.0, "S": 1.0, "m": 1e-3, "u": 1e-6, "n": 1e-9}  # seconds
+MAX_TIMEOUT_SIZE = 9  # characters: at most eight digits and a unit
+MAX_MESSAGE = 4 << 20  # bytes
+MAX_STATUS_MESSAGE = 1000  # characters once encoded
+PREFIX_SIZE = 5  # bytes before each message: compressed flag (1) and length (4, big-endian)
+NOT_COMPRESSED = 0
 
 
 class FramingError(Exception):
-    """`status` is what the caller is told."""
+    """A message that can't be taken; `status` is the code to end the call with."""
 
-    def __init__(self, status, text):
+    def __init__(self, status: StatusCode, text: str) -> None:
         super().__init__(text)
         self.status = status
 
 
-def frame(message):
+def frame(message: bytes) -> bytes:
+    """A message with its length prefix, uncompressed."""
     return b"\0" + len(message).to_bytes(4, "big") + message
 
 
-class Unframer:
-    """Messages out of a stream's bytes; never holds more than one message of `longest` and a header."""
-
-    def __init__(self, longest=LONGEST):
-        self.longest, self.held = longest, bytearray()
-
-    def feed(self, data):
-        """The whole messages so far. Raises BadFrame."""
-        self.held += data
-        found, at = [], 0
-        while len(self.held) - at >= 5:
-            size = int.from_bytes(self.held[at + 1 : at + 5], "big")
-            if self.held[at] != 0:  # we name no encoding, so none may be used
-                raise FramingError(UNIMPLEMENTED, "expected a message that is not compressed")
-            if size > self.longest:
-                raise FramingError(
-                    EXHAUSTED, f"expected a message of at most {self.longest} bytes, got {size}"
-                )
-            if len(self.held) - at - 5 < size:
+class MessageDeframer:
+    """Extracts messages from a stream's bytes; buffers at most one of `max_message` bytes."""
+
+    def __init__(self, max_message: int = MAX_MESSAGE) -> None:
+        self.max_message = max_message
+        self.buffer = bytearray()
+
+    def feed(self, data: bytes) -> list[bytes]:
+        """The messages that are now complete. Raises FramingError."""
+        self.buffer += data
+        messages = []
+        start = 0
+        while len(self.buffer) - start >= PREFIX_SIZE:
+            size = self._read_prefix(start)
+            body = start + PREFIX_SIZE
+            if len(self.buffer) - body < size:
                 break
-            found.append(bytes(self.held[at + 5 : at + 5 + size]))
-            at += 5 + size
-        del self.held[:at]
-        return found
+            messages.append(bytes(self.buffer[body : body + size]))
+            start = body + size
+        del self.buffer[:start]
+        return messages
+
+    def _read_prefix(self, start: int) -> int:
+        """The size of the message whose prefix is at `start`."""
+        if self.buffer[start] != NOT_COMPRESSED:  # no encoding is negotiated, so none may be used
+            raise FramingError(
+                StatusCode.UNIMPLEMENTED, "expected a message that is not compressed"
+            )
+        size = int.from_bytes(self.buffer[start + 1 : start + PREFIX_SIZE], "big")
+        if size > self.max_message:
+            raise FramingError(
+                StatusCode.RESOURCE_EXHAUSTED,
+                f"expected a message of at most {self.max_message} bytes, got {size}",
+            )
+        return size
 
 
-def read_timeout(value):
-    """Seconds of a `grpc-timeout` header, or None where it is not one."""
-    if not value or not value[:-1].isdigit() or len(value) > 9 or value[-1] not in UNITS:
+def parse_timeout(value: str) -> Optional[float]:
+    """Seconds of a `grpc-timeout` header, or None where it is invalid."""
+    digits, unit = value[:-1], value[-1:]
+    if len(value) > MAX_TIMEOUT_SIZE or not digits.isdigit() or unit not in TIMEOUT_UNITS:
         return None
-    return int(value[:-1]) * UNITS[value[-1]]
+    return int(digits) * TIMEOUT_UNITS[unit]
+
+
+def percent_encode(text: str) -> str:
+    """A `grpc-message` header: percent-encoded beyond printable ASCII, of bounded size."""
+    encoded = "".join(map(_percent_encode_byte, text.encode()))
+    return encoded[:MAX_STATUS_MESSAGE]
 
 
-def percent(text):
-    """`grpc-message`: percent-encoded beyond printable ASCII."""
-    return "".join(
-        chr(b) if 0x20 <= b <= 0x7E and b != 0x25 else f"%{b:02X}" for b in text.encode()
-    )[:1000]
+def _percent_encode_byte(byte: int) -> str:
+    printable = ord(" ") <= byte <= ord("~") and byte != ord("%")
+    return chr(byte) if printable else f"%{byte:02X}"
--- a/peatlead/grpc/http2.py
+++ b/peatlead/grpc/http2.py
@@ -15,7 +15,7 @@
 import h2.settings
 
 from ..net.streams import Stream, within
-from .framing import DEADLINE, FramingError, Unframer, frame, percent, read_timeout
+from .framing import FramingError, MessageDeframer, StatusCode, frame, parse_timeout, percent_encode
 
 STREAMS_MOST = 16  # calls of one peer at a time
 HEADERS_MOST = 16384
@@ -40,7 +40,7 @@
 
     def __init__(self, connection, number, path=""):
         self.connection, self.number, self.path = connection, number, path
-        self.unframer, self.out, self.waiting = Unframer(), deque(), 0
+        self.unframer, self.out, self.waiting = MessageDeframer(), deque(), 0
         self.closing, self.over, self.answered, self.deadline = None, False, False, None
         self.told = {}
         self.message = self.headers = lambda _: None
@@ -69,7 +69,7 @@
         if not self.over and self.closing is None:
             self.closing = [
                 ("grpc-status", str(status)),
-                ("grpc-message", percent(text)),
+                ("grpc-message", percent_encode(text)),
                 *((name.replace("_", "-"), value) for name, value in more.items()),
             ]
             self.connection.pump(self)
@@ -246,10 +246,10 @@
             self.talk.send_headers(event.stream_id, [(":status", "415")], end_stream=True)
             call.end(12, "not gRPC")
         else:
-            timeout = read_timeout(headers.get("grpc-timeout", ""))
+            timeout = parse_timeout(headers.get("grpc-timeout", ""))
             if timeout is not None:
                 call.deadline = self.loop.call_later(
-                    timeout, call.finish, DEADLINE, "its deadline has passed"
+                    timeout, call.finish, StatusCode.DEADLINE_EXCEEDED, "its deadline has passed"
                 )
             self.serve(call)
 
--- a/peatlead/grpc/incremental.py
+++ b/peatlead/grpc/incremental.py
@@ -1,189 +1,272 @@
-"""One proxy's incremental aggregated discovery stream. Pure: requests in, responses out.
+"""One proxy's aggregated discovery stream, incremental variant. Pure: requests in, responses out.
 
-Lines are resources of their own, in collections by request kind and zone (locality endpoint discovery): a changed
-weight sends one line, not its table. A resource's version is its value, so a proxy that says what it holds says
-it all, whoever owned it before; what is sent is what differs. Each response carries a stamp as its
-`system_version_info`: the digest of what it starts from and of what it leads to. A proxy of ours checks both and
-refuses what does not fit; it then gets the whole, `WHOLES_MOST` times in a row at most. Plain clients leave the
-stamp unread, and are served alike.
+Endpoints are resources of their own, in collections by request class and zone (locality endpoint
+discovery): a changed weight sends one resource, not its table. A resource's version is its value,
+so a proxy that reports its versions reports all it holds, whoever owned it before; what differs
+is sent. Each response carries a stamp as its `system_version_info`: the digest of the state it
+starts from, and of the one it leads to. A proxy of this project checks both and rejects what
+doesn't match; it then gets the whole state, at most `WHOLES_MOST` times in a row. Other xDS
+clients ignore the stamp, and are served alike.
 
-Sources: the xDS transport protocol (incremental variant, nonces, ACK and NACK, initial_resource_versions),
-envoy.config.endpoint.v3.LbEndpoint and LedsClusterLocalityConfig, xDS TP1 resource names.
+Sources: the xDS transport protocol (incremental variant, nonces, ACK and NACK,
+initial_resource_versions), envoy.config.endpoint.v3.LbEndpoint and LedsClusterLocalityConfig, xDS
+TP1 resource names.
 """
 
+from collections.abc import Callable, Mapping, Sequence
+from typing import Any as Message
+from typing import NamedTuple, Optional
+
 from envoy.service.discovery.v3 import discovery_pb2
 from google.protobuf.any_pb2 import Any
 
 from ..tables.replica import BASE, DIGEST
 from ..tables.version import WHOLE, Digest, Stamp, Version, changes, read_stamp
-from .discovery import NAMES_MOST, Refused
+from .discovery import MAX_ERROR_TEXT, MAX_SUBSCRIPTIONS, Refused
 from .resources import (
     ENDPOINTS,
     LINES,
     ROUTES,
-    read_resource_name,
-    read_value,
+    decode_item,
+    encode_item,
+    parse_resource_name,
     resource_name,
-    write_value,
 )
 
-PARTS_OF = {LINES: "line", ENDPOINTS: "level", ROUTES: "retry"}
-TYPES = {part: url for url, part in PARTS_OF.items()}
-WHOLES_MOST = 3
+PARTS_OF = {LINES: "line", ENDPOINTS: "level", ROUTES: "retry"}  # type URL -> part of the tables
+WHOLES_MOST = 3  # responses with the whole state, in a row, after rejections
+MISMATCHES = (BASE, DIGEST)  # error details of a proxy that holds something else than assumed
+WILDCARD = "*"
+COLLECTION_SUFFIX = "/*"
+
+Value = str | int
+Items = dict[str, Value]
+ItemChanges = Mapping[str, Optional[Value]]  # None: removed
+
+
+class InFlight(NamedTuple):
+    """A response that awaits its ACK or NACK."""
+
+    version: Version
+    items: Items  # held once it is applied
+    digest: Digest  # of these
 
 
-class Part:
-    """One resource type on the stream. `held`: {key: value} as far as the proxy has said; None: not known."""
+class Subscription:
+    """One resource type on the stream."""
 
     __slots__ = (
         "held",
         "digest",
-        "flying",
+        "in_flight",
         "nonce",
-        "asked",
+        "requested",
         "dirty",
-        "refused",
+        "rejected",
         "wholes",
         "names",
     )
 
-    def __init__(self):
-        self.held, self.digest, self.flying, self.nonce = {}, Digest(), None, ""
-        self.asked = self.dirty = False
-        self.refused, self.wholes, self.names = None, 0, set()
+    def __init__(self) -> None:
+        self.held: Optional[Items] = {}  # by the proxy, as it reported; None: not known
+        self.digest = Digest()  # of what is held
+        self.in_flight: Optional[InFlight] = None
+        self.nonce = ""  # of the response in flight
+        self.requested = False  # whether a first request has come
+        self.dirty = False  # whether the items may have changed since the last response
+        self.rejected: Optional[Items] = None  # by the last NACK
+        self.wholes = 0  # responses with the whole state, in a row
+        self.names: set[str] = set()  # subscribed; empty: all
 
-    def subscribe(self, request):
-        names = (self.names | set(request.resource_names_subscribe)) - set(
-            request.resource_names_unsubscribe
-        )
-        names = set(sorted(names)[:NAMES_MOST])
-        self.dirty |= names != self.names
-        self.names = names
+    def start(self, request: Message) -> None:
+        """Takes over what the proxy reports with its first request."""
+        self.requested = True
+        self.dirty = True
+        self.held = read_held(request)
+        self.digest = Digest(self.held)
+
+    def subscribe(self, request: Message) -> None:
+        """Changes the subscribed names."""
+        added = self.names | set(request.resource_names_subscribe)
+        names = added - set(request.resource_names_unsubscribe)
+        bounded = set(sorted(names)[:MAX_SUBSCRIPTIONS])
+        self.dirty |= bounded != self.names
+        self.names = bounded
 
-    def wants(self, key):
-        """None and "*" are all; a collection's name ends in "/*"."""
+    def includes(self, key: str) -> bool:
+        """Whether an item is subscribed: by its name, its collection's, or a wildcard."""
         name = resource_name(key)
-        return (
-            not self.names
-            or "*" in self.names
-            or name in self.names
-            or any(one.endswith("/*") and name.startswith(one[:-1]) for one in self.names)
+        if not self.names or WILDCARD in self.names or name in self.names:
+            return True
+        return any(
+            collection.endswith(COLLECTION_SUFFIX) and name.startswith(collection[:-1])
+            for collection in self.names
         )
 
 
 class Incremental:
-    """`take(request)` and `changed(type)` give responses to send; `items(part)` the {key: value} as they stand, or
-    None while there is nothing to say; `published(version, parts)` is told of each version that is sent."""
+    """The stream of one proxy.
 
-    def __init__(self, epoch, items, identity, published, zones=()):
-        self.epoch, self.items, self.identity, self.published = epoch, items, identity, published
+    `epoch`: the owner's for this proxy. `items(part)` gives the items as they stand, or None
+    while they are not known; `published(version, parts)` is called for each response; `zones`
+    name the collections of a request class. The caller empties `refusals` and `applied`.
+    """
+
+    def __init__(
+        self,
+        epoch: int,
+        items: Callable[[str], Optional[Items]],
+        identity: str,
+        published: Callable[[Version, tuple[str, ...]], None],
+        zones: Sequence[str] = (),
+    ) -> None:
+        self.epoch = epoch
+        self.items = items
+        self.identity = identity  # of this controller, in each response
+        self.published = published
         self.zones = zones
-        self.parts, self.serial, self.refusals, self.applied = {}, 0, [], []
-        self.sent, self.wholes = 0, 0  # resources; responses that were whole after a refusal
+        self.subscriptions: dict[str, Subscription] = {}  # by type URL
+        self.serial = 0  # of the newest response
+        self.refusals: list[Refused] = []  # NACKs
+        self.applied: list[tuple[str, Version]] = []  # ACKs: type URL and version
+        self.sent = 0  # resources, removals among them
+        self.wholes = 0  # responses with the whole state after a rejection
 
-    def take(self, request):
-        """[DeltaDiscoveryResponse] that are due after a DeltaDiscoveryRequest."""
-        if request.type_url not in PARTS_OF:
+    def take(self, request: Message) -> list[Message]:
+        """The DeltaDiscoveryResponses that are due after a DeltaDiscoveryRequest."""
+        type_url = request.type_url
+        if type_url not in PARTS_OF:
             return []
-        part = self.parts.setdefault(request.type_url, Part())
-        if not part.asked:
-            part.asked = part.dirty = True
-            part.held = read_held(request)
-            part.digest = Digest(part.held)
-        part.subscribe(request)
-        if request.response_nonce and request.response_nonce == part.nonce:
-            self.answered(part, request)
-        return self.due(request.type_url)
-
-    def answered(self, part, request):
-        version, after, digest = part.flying
-        part.flying, part.nonce = None, ""
-        if not request.HasField("error_detail"):
-            part.held, part.digest, part.wholes, part.refused = after, digest, 0, None
-            self.applied.append((request.type_url, version))
+        subscription = self.subscriptions.setdefault(type_url, Subscription())
+        if not subscription.requested:
+            subscription.start(request)
+        subscription.subscribe(request)
+        in_flight = subscription.in_flight
+        if in_flight is not None and request.response_nonce == subscription.nonce:
+            self._acknowledge(subscription, in_flight, request)
+        return self._due(type_url, subscription)
+
+    def _acknowledge(
+        self, subscription: Subscription, in_flight: InFlight, request: Message
+    ) -> None:
+        """Handles an ACK or a NACK of the response in flight."""
+        subscription.in_flight = None
+        subscription.nonce = ""
+        if request.HasField("error_detail"):
+            self._reject(subscription, in_flight, request)
             return
-        text = request.error_detail.message[:500]
-        self.refusals.append(Refused(request.type_url, str(version), text))
-        if text in (BASE, DIGEST) and part.wholes < WHOLES_MOST:
-            part.held, part.dirty = None, True  # it holds something else than it said: all anew
+        subscription.held = in_flight.items
+        subscription.digest = in_flight.digest
+        subscription.wholes = 0
+        subscription.rejected = None
+        self.applied.append((request.type_url, in_flight.version))
+
+    def _reject(self, subscription: Subscription, in_flight: InFlight, request: Message) -> None:
+        text = request.error_detail.message[:MAX_ERROR_TEXT]
+        self.refusals.append(Refused(request.type_url, str(in_flight.version), text))
+        if text in MISMATCHES and subscription.wholes < WHOLES_MOST:
+            subscription.held = None
+            subscription.dirty = True
         else:
-            part.refused = after  # the same again would change nothing
+            subscription.rejected = in_flight.items  # the same again would be rejected again
 
-    def changed(self, type_url):
-        part = self.parts.get(type_url)
-        if part is None:
+    def changed(self, type_url: str) -> list[Message]:
+        """The responses that are due after items of a type may have changed."""
+        subscription = self.subscriptions.get(type_url)
+        if subscription is None:
             return []
-        part.dirty = True
-        return self.due(type_url)
+        subscription.dirty = True
+        return self._due(type_url, subscription)
 
-    def due(self, type_url):
-        part = self.parts[type_url]
-        if not part.dirty or part.flying is not None:
+    def _due(self, type_url: str, subscription: Subscription) -> list[Message]:
+        if not subscription.dirty or subscription.in_flight is not None:
+            return []
+        items = self.items(PARTS_OF[type_url])
+        subscription.dirty = False
+        if items is None:
             return []
-        wanted = self.items(PARTS_OF[type_url])
-        part.dirty = False
-        if wanted is not None:
-            wanted = {key: value for key, value in wanted.items() if part.wants(key)}
-        if wanted is None or wanted == part.refused:
+        wanted = {key: value for key, value in items.items() if subscription.includes(key)}
+        if wanted == subscription.rejected:
             return []
-        if part.held is None:
-            part.wholes += 1
-            self.wholes += 1
-            return [self.respond(type_url, part, WHOLE, dict(wanted), wanted, Digest(wanted))]
-        moved = changes(part.held, wanted)
+        if subscription.held is None:
+            return [self._respond_whole(type_url, subscription, wanted)]
+        moved = changes(subscription.held, wanted)
         if not moved:
             return []
-        digest = part.digest.copy()
+        digest = subscription.digest.copy()
         for key, value in moved.items():
-            digest.moved(key, part.held.get(key), value)
-        return [self.respond(type_url, part, str(part.digest), moved, wanted, digest)]
+            digest.moved(key, subscription.held.get(key), value)
+        in_flight = self._next_in_flight(wanted, digest)
+        return [self._respond(type_url, subscription, in_flight, str(subscription.digest), moved)]
+
+    def _respond_whole(self, type_url: str, subscription: Subscription, wanted: Items) -> Message:
+        subscription.wholes += 1
+        self.wholes += 1
+        in_flight = self._next_in_flight(wanted, Digest(wanted))
+        return self._respond(type_url, subscription, in_flight, WHOLE, wanted)
 
-    def respond(self, type_url, part, base, moved, wanted, digest):
+    def _next_in_flight(self, items: Items, digest: Digest) -> InFlight:
         self.serial += 1
-        version = Version(self.epoch, self.serial)
-        part.flying, part.nonce = (version, dict(wanted), digest), str(version)
+        return InFlight(Version(self.epoch, self.serial), items, digest)
+
+    def _respond(
+        self,
+        type_url: str,
+        subscription: Subscription,
+        in_flight: InFlight,
+        base: str,
+        moved: ItemChanges,
+    ) -> Message:
+        """The response that leads from the state with the digest `base` to the one in flight."""
+        version = in_flight.version
+        subscription.in_flight = in_flight
+        subscription.nonce = str(version)
         self.sent += len(moved)
         self.published(version, (PARTS_OF[type_url],))
-        made = discovery_pb2.DeltaDiscoveryResponse(
+        response = discovery_pb2.DeltaDiscoveryResponse(
             type_url=type_url,
-            nonce=part.nonce,
-            system_version_info=str(Stamp(version, base, str(digest))),
+            nonce=subscription.nonce,
+            system_version_info=str(Stamp(version, base, str(in_flight.digest))),
             control_plane={"identifier": self.identity},
         )
-        for key in sorted(moved):
-            if moved[key] is None:
-                made.removed_resources.append(resource_name(key))
+        for key, value in sorted(moved.items()):
+            if value is None:
+                response.removed_resources.append(resource_name(key))
             else:
-                made.resources.append(
-                    discovery_pb2.Resource(
-                        name=resource_name(key),
-                        version=str(moved[key]),
-                        resource=Any(
-                            type_url=type_url, value=write_value(key, moved[key], self.zones)
-                        ),
-                    )
-                )
-        return made
-
-
-def read_held(request):
-    """{key: value} that a proxy says it holds of a type; what is none of ours is left out."""
-    held = {}
+                response.resources.append(self._encode_resource(type_url, key, value))
+        return response
+
+    def _encode_resource(self, type_url: str, key: str, value: Value) -> Message:
+        data = encode_item(key, value, self.zones)
+        return discovery_pb2.Resource(
+            name=resource_name(key),
+            version=str(value),
+            resource=Any(type_url=type_url, value=data),
+        )
+
+
+def read_held(request: Message) -> Items:
+    """The items that a proxy reports with its first request of a type, without foreign ones."""
+    held: Items = {}
     for name, version in request.initial_resource_versions.items():
         try:
-            key = read_resource_name(request.type_url, name)
+            key = parse_resource_name(request.type_url, name)
             held[key] = version if key.startswith("retry/") else int(version)
         except ValueError:
             continue
     return held
 
 
-def read_delta(response):
-    """(type, {key: value or None}, Stamp) of a response, for a proxy. Raises ValueError with what was expected."""
-    moved = {
-        read_resource_name(response.type_url, name): None for name in response.removed_resources
-    }
-    for one in response.resources:
-        key = read_resource_name(response.type_url, one.name)
-        moved[key] = read_value(key, one.resource.value)
-    return response.type_url, moved, read_stamp(response.system_version_info)
+def read_delta(response: Message) -> tuple[str, dict[str, Optional[Value]], Stamp]:
+    """A response as its proxy reads it: type URL, changed items (None: removed) and stamp.
+
+    Raises ValueError with what was expected.
+    """
+    type_url: str = response.type_url
+    moved: dict[str, Optional[Value]] = {}
+    for name in response.removed_resources:
+        moved[parse_resource_name(type_url, name)] = None
+    for resource in response.resources:
+        key = parse_resource_name(type_url, resource.name)
+        moved[key] = decode_item(key, resource.resource.value)
+    return type_url, moved, read_stamp(response.system_version_info)
--- a/peatlead/grpc/load_aggregation.py
+++ b/peatlead/grpc/load_aggregation.py
@@ -1,68 +1,121 @@
-"""Load reports gathered on their way to the planner. Pure: no I/O, no clock.
+"""Sums of load reports on their way to the planner. Pure: no I/O, no clock.
 
-Thousands of proxies tell of the same hosts; what they tell is summed on arrival, by host and zone, and by proxy and
-request kind, and the planner hears each sum once. Sums are exact and bounded: by hosts times zones, and by joined
-proxies times kinds. What is added of a host that is not listed, or counts that overflowed, never gets here
-(reports.py).
+Thousands of proxies report on the same endpoints. Their reports are summed on arrival, by
+endpoint and zone, and by proxy and request class, and the planner gets each sum once. The sums
+are exact, and bounded by endpoints times zones and by connected proxies times request classes.
+Reports on unlisted endpoints and overflowed counters are left out before (`load_reports`).
 """
 
+from dataclasses import dataclass
+from typing import Optional
+
 from .. import interface
 
 
+@dataclass(slots=True)
+class EndpointTotals:
+    """What one zone met at one endpoint."""
+
+    attempts: int
+    errors: int
+    seconds: float  # of the attempts that succeeded, together
+    utilization: float  # sum of the reported utilizations
+    utilization_reports: int
+    window: float  # seconds, of the longest report
+
+    def to_stats(self, endpoint: int, zone: int) -> interface.EndpointStats:
+        """The event for the planner."""
+        load_report: Optional[interface.LoadReport] = None
+        if self.utilization_reports:
+            load_report = {"util": self.utilization / self.utilization_reports}
+        successes = self.attempts - self.errors
+        mean_latency = self.seconds / max(1, successes)
+        return interface.EndpointStats(
+            endpoint, zone, self.attempts, self.errors, self.window, mean_latency, load_report
+        )
+
+
+@dataclass(slots=True)
+class RequestTotals:
+    """Requests of one class at one proxy."""
+
+    requests: int = 0
+    unanswered: int = 0
+    window: float = 0.0  # seconds, of all reports together
+
+
 class LoadAggregator:
-    """`host(...)` and `reqs(...)` add; `due(now)` gives the events once `wait` seconds have passed since the
-    first."""
+    """Sums reports until they are due, `wait` seconds after the first."""
 
-    def __init__(self):
-        self.hosts, self.kinds, self.begun, self.wait = {}, {}, None, 0.0
+    def __init__(self) -> None:
+        self.endpoints: dict[tuple[int, int], EndpointTotals] = {}  # by (endpoint, zone)
+        self.requests: dict[int, dict[int, RequestTotals]] = {}  # by proxy, then request class
+        self.started_at: Optional[float] = None  # when the first report came
+        self.wait = 0.0  # seconds
 
-    def report(self, now):
-        if self.begun is None:
-            self.begun = now
+    def report(self, now: float) -> None:
+        """Notes that a report has come, whose sums are added next."""
+        if self.started_at is None:
+            self.started_at = now
 
-    def host(self, host, zone, tries, bad, seconds, util, utils, span):
-        """`seconds`: of the good tries, together; `util`: the sum of `utils` load reports."""
-        sums = self.hosts.get((host, zone))
-        if sums is None:
-            self.hosts[host, zone] = [tries, bad, seconds, util, utils, span]
+    def add_endpoint(  # noqa: PLR0913 - called for each endpoint of each report: no object for it
+        self,
+        endpoint: int,
+        zone: int,
+        attempts: int,
+        errors: int,
+        seconds: float,
+        utilization: float,
+        utilization_reports: int,
+        window: float,
+    ) -> None:
+        """Adds what one proxy reports on an endpoint, as in EndpointTotals."""
+        totals = self.endpoints.get((endpoint, zone))
+        if totals is None:
+            self.endpoints[endpoint, zone] = EndpointTotals(
+                attempts, errors, seconds, utilization, utilization_reports, window
+            )
             return
-        sums[0] += tries
-        sums[1] += bad
-        sums[2] += seconds
-        sums[3] += util
-        sums[4] += utils
-        sums[5] = max(sums[5], span)  # the oldest that it may tell of
-
-    def reqs(self, proxy, kind, reqs, unanswered, span):
-        sums = self.kinds.setdefault(proxy, {}).setdefault(kind, [0, 0, 0.0])
-        sums[0] += reqs
-        sums[1] += unanswered
-        sums[2] += span
-
-    def due(self, now):
-        """[RequestStats and EndpointStats], hosts in the order of their indices."""
-        if self.begun is None or now - self.begun < self.wait:
+        totals.attempts += attempts
+        totals.errors += errors
+        totals.seconds += seconds
+        totals.utilization += utilization
+        totals.utilization_reports += utilization_reports
+        totals.window = max(totals.window, window)
+
+    def add_requests(
+        self, proxy: int, request_class: int, requests: int, unanswered: int, window: float
+    ) -> None:
+        """Adds what one proxy reports on a request class."""
+        classes = self.requests.setdefault(proxy, {})
+        totals = classes.get(request_class)
+        if totals is None:
+            totals = classes[request_class] = RequestTotals()
+        totals.requests += requests
+        totals.unanswered += unanswered
+        totals.window += window
+
+    host = add_endpoint  # former names, until all callers have the new ones
+    reqs = add_requests
+
+    def due(self, now: float) -> list[interface.RequestStats | interface.EndpointStats]:
+        """The sums as events once they are due, endpoints in the order of their indices."""
+        if self.started_at is None or now - self.started_at < self.wait:
             return []
-        events = [
-            interface.RequestStats(proxy, kind, *sums)
-            for proxy, kinds in self.kinds.items()
-            for kind, sums in kinds.items()
-        ]
-        for (host, zone), (tries, bad, seconds, util, utils, span) in sorted(self.hosts.items()):
-            events.append(
-                interface.EndpointStats(
-                    host,
-                    zone,
-                    tries,
-                    bad,
-                    span,
-                    seconds / max(1, tries - bad),
-                    {"util": util / utils} if utils else None,
-                )
+        events: list[interface.RequestStats | interface.EndpointStats] = [
+            interface.RequestStats(
+                proxy, request_class, totals.requests, totals.unanswered, totals.window
             )
-        self.hosts, self.kinds, self.begun = {}, {}, None
+            for proxy, classes in self.requests.items()
+            for request_class, totals in classes.items()
+        ]
+        for endpoint, zone in sorted(self.endpoints):
+            events.append(self.endpoints[endpoint, zone].to_stats(endpoint, zone))
+        self.endpoints = {}
+        self.requests = {}
+        self.started_at = None
         return events
 
-    def forget(self, proxy):
-        """It has left: the planner must not hear of it after that."""
-        self.kinds.pop(proxy, None)
+    def forget(self, proxy: int) -> None:
+        """Drops the sums of a proxy that has disconnected, which the planner no longer knows."""
+        self.requests.pop(proxy, None)
--- a/peatlead/grpc/load_reports.py
+++ b/peatlead/grpc/load_reports.py
@@ -1,46 +1,90 @@
-"""Load reports to sums. Pure. Source: envoy.service.load_stats.v3, envoy.config.endpoint.v3 load reports.
+"""LRS load reports, as sums for the planner. Pure.
 
-A cluster is a request kind, an endpoint a host. Seconds of answers and the hosts' utilization come as the
-load metrics `seconds` and `util`.
+A cluster is a request class. Each endpoint's load metrics `seconds` and `util` carry the time of
+its successful answers and its utilization. Source: envoy.service.load_stats.v3,
+envoy.config.endpoint.v3 (load_report.proto).
 """
 
-SPAN_LEAST, SPAN_MOST = 0.05, 600.0
-COUNT_MOST = 10_000_000  # tries in one report: more is a counter that overflowed
+from collections.abc import Callable, Mapping
+from typing import Any, Optional
 
+from .load_aggregation import LoadAggregator
 
-def read_report(request, kinds, host_of, proxy, zone, gathered):
-    """One LoadStatsRequest into `gathered` (gather.py); what names unknown hosts or kinds, or counts backwards, is
-    passed over. `host_of((address, port))` gives an index or None."""
+MIN_INTERVAL = 0.05  # seconds that a report covers; others are ignored
+MAX_INTERVAL = 600.0
+MAX_COUNT = 10_000_000  # attempts in one report; more is an overflowed counter
+MAX_METRIC_TOTAL = 1e9
+SECONDS_METRIC = "seconds"
+UTILIZATION_METRIC = "util"
+
+EndpointLookup = Callable[[tuple[str, int]], Optional[int]]  # (address, port) -> index
+
+
+def read_report(
+    request: Any,
+    request_classes: Mapping[str, int],
+    endpoint_of: EndpointLookup,
+    proxy: int,
+    zone: int,
+    aggregator: LoadAggregator,
+) -> None:
+    """Adds one LoadStatsRequest to the aggregator.
+
+    What names unknown endpoints or request classes, or has impossible counts, is left out.
+    """
     for cluster in request.cluster_stats:
-        kind = kinds.get(cluster.cluster_name)
-        span = cluster.load_report_interval.seconds + cluster.load_report_interval.nanos / 1e9
-        if kind is None or not SPAN_LEAST <= span <= SPAN_MOST:
+        request_class = request_classes.get(cluster.cluster_name)
+        duration = cluster.load_report_interval
+        window = duration.seconds + duration.nanos / 1e9
+        if request_class is None or not MIN_INTERVAL <= window <= MAX_INTERVAL:
             continue
-        asked, done = min(cluster.total_dropped_requests, COUNT_MOST), 0
-        for place in cluster.upstream_locality_stats:
-            for one in place.upstream_endpoint_stats:
-                address = one.address.socket_address
-                good, bad = one.total_successful_requests, one.total_error_requests
-                if good + bad > COUNT_MOST:
-                    continue
-                asked, done = asked + good + bad, done + good
-                host = host_of((address.address, address.port_value))
-                if host is not None and good + bad:
-                    gathered.host(host, zone, good + bad, bad, *read_metrics(one), span)
-        if asked:
-            gathered.reqs(proxy, kind, asked, asked - done, span)
-
-
-def read_metrics(one):
-    """(seconds of the good tries, sum of the utilizations, how many told one)."""
-    seconds, util, utils = 0.0, 0.0, 0
-    for metric in one.load_metric_stats:
-        many, total = metric.num_requests_finished_with_metric, metric.total_metric_value
-        if not 0 < many <= COUNT_MOST or not 0 <= total < 1e9:
+        attempts, successes = _read_endpoints(cluster, endpoint_of, zone, window, aggregator)
+        requests = min(cluster.total_dropped_requests, MAX_COUNT) + attempts
+        if requests:
+            unanswered = requests - successes
+            aggregator.add_requests(proxy, request_class, requests, unanswered, window)
+
+
+def _read_endpoints(
+    cluster: Any,
+    endpoint_of: EndpointLookup,
+    zone: int,
+    window: float,
+    aggregator: LoadAggregator,
+) -> tuple[int, int]:
+    """Adds the endpoints of a cluster; attempts and successes at all of them, known or not."""
+    all_attempts = 0
+    all_successes = 0
+    for locality in cluster.upstream_locality_stats:
+        for stats in locality.upstream_endpoint_stats:
+            successes = stats.total_successful_requests
+            errors = stats.total_error_requests
+            attempts = successes + errors
+            if attempts > MAX_COUNT:
+                continue
+            all_attempts += attempts
+            all_successes += successes
+            address = stats.address.socket_address
+            endpoint = endpoint_of((address.address, address.port_value))
+            if endpoint is not None and attempts:
+                metrics = _read_metrics(stats)
+                aggregator.add_endpoint(endpoint, zone, attempts, errors, *metrics, window)
+    return all_attempts, all_successes
+
+
+def _read_metrics(stats: Any) -> tuple[float, float, int]:
+    """Seconds of the successful attempts together, sum of the utilizations, and their number."""
+    seconds = 0.0
+    utilization = 0.0
+    utilization_reports = 0
+    for metric in stats.load_metric_stats:
+        count = metric.num_requests_finished_with_metric
+        total = metric.total_metric_value
+        if not 0 < count <= MAX_COUNT or not 0 <= total < MAX_METRIC_TOTAL:
             continue
-        if metric.metric_name == "seconds":
+        if metric.metric_name == SECONDS_METRIC:
             seconds += total
-        elif metric.metric_name == "util":
-            util += total
-            utils += many
-    return seconds, util, utils
+        elif metric.metric_name == UTILIZATION_METRIC:
+            utilization += total
+            utilization_reports += count
+    return seconds, utilization, utilization_reports
--- a/peatlead/grpc/resources.py
+++ b/peatlead/grpc/resources.py
@@ -1,191 +1,260 @@
-"""What a proxy holds, as published resources, and back. Pure: protobuf in and out.
+"""What a proxy holds, as published xDS resources, and back. Pure: protobuf in and out.
 
-One cluster a request kind. Its lines are a ClusterLoadAssignment by zone and weight, its level a drop
-percentage there; second tries are a route's retry policy. Sources: envoy.config.endpoint.v3,
-envoy.config.route.v3, the xDS transport protocol.
+A cluster is a request class. Its endpoints are a ClusterLoadAssignment by zone and weight, its
+admitted fraction a drop percentage there; retries are a route's retry policy. Sources:
+envoy.config.endpoint.v3, envoy.config.route.v3, the xDS transport protocol.
 """
 
+from collections.abc import Iterable, Mapping
 from functools import lru_cache
-from typing import NamedTuple
+from typing import Any, NamedTuple
 
+from envoy.config.core.v3 import config_source_pb2
 from envoy.config.endpoint.v3 import endpoint_components_pb2, endpoint_pb2
 from envoy.config.route.v3 import route_pb2
+from envoy.type.v3 import percent_pb2
 from google.protobuf.message import DecodeError
 
+from ..interface import RetryPolicy
 from ..tables.version import MILLION, SCALE, read_line_key, whole_weight
-from .encoder import assignment
+from .encoder import DROP_CATEGORY, WeightedAddress, assemble_assignment
 
+# Type URLs.
 ENDPOINTS = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
 ROUTES = "type.googleapis.com/envoy.config.route.v3.RouteConfiguration"
 LINES = "type.googleapis.com/envoy.config.endpoint.v3.LbEndpoint"
-ROUTES_NAME = "peatlead"
-LINE_NAMES = "xdstp://peatlead/envoy.config.endpoint.v3.LbEndpoint/"
-# What may be tried again, in the proxies' own words; how often.
-RETRY = {
-    "never": ("", 0),
-    "unstarted": ("connect-failure,refused-stream", 1),
-    "once": ("5xx,reset", 1),
-    "twice": ("5xx,reset", 2),
+
+ROUTES_NAME = "peatlead"  # of the only RouteConfiguration
+LB_ENDPOINT_NAMES = "xdstp://peatlead/envoy.config.endpoint.v3.LbEndpoint/"
+MAX_RESOURCE_NAME = 200  # characters
+MAX_PORT = 65535
+ROUTE_CACHE_SIZE = 1024
+DENOMINATORS = (100, 10_000, MILLION)  # by envoy.type.v3.FractionalPercent.DenominatorType
+
+
+class RetrySettings(NamedTuple):
+    """A route's retry policy."""
+
+    retry_on: str
+    num_retries: int
+
+
+RETRY_SETTINGS: dict[str, RetrySettings] = {
+    RetryPolicy.NEVER: RetrySettings("", 0),
+    RetryPolicy.UNSTARTED: RetrySettings("connect-failure,refused-stream", 1),
+    RetryPolicy.ONCE: RetrySettings("5xx,reset", 1),
+    RetryPolicy.TWICE: RetrySettings("5xx,reset", 2),
 }
-RETRY_BACK = {value: name for name, value in RETRY.items()}
+RETRY_POLICIES = {settings: str(policy) for policy, settings in RETRY_SETTINGS.items()}
+
+
+class ResourceError(ValueError):
+    """A resource or a resource's name is not as expected; the text says what was."""
 
 
 class Line(NamedTuple):
+    """One endpoint of a request class, and its weight."""
+
     address: str
     port: int
     zone: str
     weight: float
 
 
-def write_lines(kind, lines, level):
-    """A ClusterLoadAssignment's bytes for [Line] and a level from 0 to 1."""
-    zones = {}
-    for line in sorted(lines, key=lambda one: (one.zone, one)):
-        zones.setdefault(line.zone, []).append((line.address, line.port, whole_weight(line.weight)))
-    return assignment(kind, zones, round((1 - level) * MILLION) if level < 1 else 0)
+def _serialize(message: Any) -> bytes:
+    data: bytes = message.SerializeToString(deterministic=True)
+    return data
 
 
-def read_lines(data):
-    """(kind, [Line], level) of a ClusterLoadAssignment. Raises ValueError with what was expected."""
+def _parse(message_type: Any, data: bytes, expected: str) -> Any:
     try:
-        said = endpoint_pb2.ClusterLoadAssignment.FromString(data)
+        return message_type.FromString(data)
     except DecodeError:
-        raise ValueError("expected a ClusterLoadAssignment") from None
-    lines, level = [], 1.0
-    for group in said.endpoints:
-        for one in group.lb_endpoints:
-            place = one.endpoint.address.socket_address
-            if (
-                not place.address
-                or not 0 < place.port_value < 65536
-                or not one.load_balancing_weight.value
-            ):
-                raise ValueError(
-                    f"{said.cluster_name}: expected an address, a port and a weight above 0"
-                )
-            lines.append(
-                Line(
-                    place.address,
-                    place.port_value,
-                    group.locality.zone,
-                    one.load_balancing_weight.value / SCALE,
-                )
-            )
-    for drop in said.policy.drop_overloads:
-        level *= (
-            1
-            - drop.drop_percentage.numerator
-            / (100, 10_000, MILLION)[drop.drop_percentage.denominator]
-        )
-    return said.cluster_name, lines, level
+        raise ResourceError(f"expected {expected}") from None
 
 
-def write_routes(retries):
-    """A RouteConfiguration's bytes for {kind: retry}."""
-    return routes(tuple(sorted(retries.items())))
+# Assignments.
 
 
-@lru_cache(1024)
-def routes(retries):
-    """All proxies of a steward are told the same: encoded once."""
-    made = route_pb2.RouteConfiguration(name=ROUTES_NAME)
-    host = made.virtual_hosts.add(name=ROUTES_NAME, domains=["*"])
-    for kind, retry in retries:
-        route = host.routes.add()
-        route.match.path = "/" + kind
-        route.route.cluster = kind
-        on, many = RETRY[retry]
-        if many:
-            route.route.retry_policy.retry_on = on
-            route.route.retry_policy.num_retries.value = many
-    return made.SerializeToString(deterministic=True)
+def write_lines(request_class: str, lines: Iterable[Line], admitted_fraction: float) -> bytes:
+    """Serializes a ClusterLoadAssignment; `admitted_fraction` from 0 to 1."""
+    zones: dict[str, list[WeightedAddress]] = {}
+    for line in sorted(lines, key=lambda line: (line.zone, line)):
+        entry = line.address, line.port, whole_weight(line.weight)
+        zones.setdefault(line.zone, []).append(entry)
+    dropped = round((1 - admitted_fraction) * MILLION) if admitted_fraction < 1 else 0
+    return assemble_assignment(request_class, zones, dropped)
 
 
-def read_routes(data):
-    """{kind: retry}. Raises ValueError."""
-    try:
-        said = route_pb2.RouteConfiguration.FromString(data)
-    except DecodeError:
-        raise ValueError("expected a RouteConfiguration") from None
-    found = {}
-    for host in said.virtual_hosts:
-        for route in host.routes:
-            policy = route.route.retry_policy
-            retry = RETRY_BACK.get((policy.retry_on, policy.num_retries.value))
-            if retry is None:
-                raise ValueError(
-                    f"{route.route.cluster}: expected a known retry policy, got {policy.retry_on!r}"
-                )
-            found[route.route.cluster] = retry
-    return found
+def read_lines(data: bytes) -> tuple[str, list[Line], float]:
+    """The request class, endpoints and admitted fraction of a ClusterLoadAssignment.
+
+    Raises ResourceError.
+    """
+    assignment = _parse(endpoint_pb2.ClusterLoadAssignment, data, "a ClusterLoadAssignment")
+    lines = [
+        _read_lb_endpoint(assignment.cluster_name, locality.locality.zone, lb_endpoint)
+        for locality in assignment.endpoints
+        for lb_endpoint in locality.lb_endpoints
+    ]
+    return assignment.cluster_name, lines, _admitted_fraction(assignment.policy)
+
+
+def _read_lb_endpoint(cluster: str, zone: str, lb_endpoint: Any) -> Line:
+    socket_address = lb_endpoint.endpoint.address.socket_address
+    weight = lb_endpoint.load_balancing_weight.value
+    valid_port = 0 < socket_address.port_value <= MAX_PORT
+    if not socket_address.address or not valid_port or not weight:
+        raise ResourceError(f"{cluster}: expected an address, a port and a weight above 0")
+    return Line(socket_address.address, socket_address.port_value, zone, weight / SCALE)
+
+
+def _admitted_fraction(policy: Any) -> float:
+    admitted = 1.0
+    for drop in policy.drop_overloads:
+        percentage = drop.drop_percentage
+        admitted *= 1 - percentage.numerator / DENOMINATORS[percentage.denominator]
+    return admitted
+
+
+# Routes.
+
+
+def encode_routes(retries: Mapping[str, str]) -> bytes:
+    """Serializes a RouteConfiguration with the retry policy of each request class."""
+    return _encode_routes(tuple(sorted(retries.items())))
 
 
-# Items one by one, for the incremental variant. A line's name is its collection's (kind and zone) and its place.
+@lru_cache(ROUTE_CACHE_SIZE)
+def _encode_routes(retries: tuple[tuple[str, str], ...]) -> bytes:
+    """Cached, as all proxies of a controller get the same."""
+    message = route_pb2.RouteConfiguration(name=ROUTES_NAME)
+    virtual_host = message.virtual_hosts.add(name=ROUTES_NAME, domains=["*"])
+    for request_class, policy in retries:
+        route = virtual_host.routes.add()
+        route.match.path = "/" + request_class
+        route.route.cluster = request_class
+        settings = RETRY_SETTINGS[policy]
+        if settings.num_retries:
+            route.route.retry_policy.retry_on = settings.retry_on
+            route.route.retry_policy.num_retries.value = settings.num_retries
+    return _serialize(message)
 
 
-def resource_name(key):
+def read_routes(data: bytes) -> dict[str, str]:
+    """The retry policy of each request class. Raises ResourceError."""
+    configuration = _parse(route_pb2.RouteConfiguration, data, "a RouteConfiguration")
+    return {
+        route.route.cluster: _read_retry_policy(route)
+        for virtual_host in configuration.virtual_hosts
+        for route in virtual_host.routes
+    }
+
+
+def _read_retry_policy(route: Any) -> str:
+    policy = route.route.retry_policy
+    settings = RetrySettings(policy.retry_on, policy.num_retries.value)
+    known = RETRY_POLICIES.get(settings)
+    if known is None:
+        cluster = route.route.cluster
+        raise ResourceError(f"{cluster}: expected a known retry policy, got {policy.retry_on!r}")
+    return known
+
+
+# Single items, for the incremental variant. The name of an endpoint's resource is that of its
+# collection (request class and zone), and its address.
+
+
+def resource_name(key: str) -> str:
+    """The name of the resource for an item's key."""
     part, _, rest = key.partition("/")
-    return LINE_NAMES + rest if part == "line" else rest
+    return LB_ENDPOINT_NAMES + rest if part == "line" else rest
 
 
-def read_resource_name(type_url, name):
-    """An item's key. Raises ValueError."""
+def parse_resource_name(type_url: str, name: str) -> str:
+    """An item's key. Raises ValueError with what was expected."""
+    shown = name[:MAX_RESOURCE_NAME]
     if type_url == LINES:
-        if not name.startswith(LINE_NAMES):
-            raise ValueError(f"expected {LINE_NAMES}KIND/ZONE/ADDRESS:PORT, got {name[:200]!r}")
-        key = "line/" + name[len(LINE_NAMES) :]
+        if not name.startswith(LB_ENDPOINT_NAMES):
+            raise ResourceError(
+                f"expected {LB_ENDPOINT_NAMES}KIND/ZONE/ADDRESS:PORT, got {shown!r}"
+            )
+        key = "line/" + name.removeprefix(LB_ENDPOINT_NAMES)
         read_line_key(key)
         return key
-    if not name or len(name) > 200:
-        raise ValueError(f"expected the name of a request kind, got {name[:200]!r}")
+    if not name or len(name) > MAX_RESOURCE_NAME:
+        raise ResourceError(f"expected the name of a request kind, got {shown!r}")
     return ("level/" if type_url == ENDPOINTS else "retry/") + name
 
 
-def write_value(key, value, zones=()):
-    """A resource's bytes: an LbEndpoint, or a kind's ClusterLoadAssignment (whose lines are a collection of their
-    own in each zone) or RouteConfiguration."""
+def encode_item(key: str, value: Any, zones: Iterable[str] = ()) -> bytes:
+    """Serializes one item's resource.
+
+    For an endpoint with its weight an LbEndpoint; for a request class with its admitted fraction
+    in millionths a ClusterLoadAssignment, whose endpoints are one collection for each of `zones`;
+    for one with its retry policy a RouteConfiguration.
+    """
     part, _, rest = key.partition("/")
     if part == "line":
-        _, _, address, port = read_line_key(key)
-        made = endpoint_components_pb2.LbEndpoint()
-        made.endpoint.address.socket_address.address = address
-        made.endpoint.address.socket_address.port_value = port
-        made.load_balancing_weight.value = value
-        return made.SerializeToString(deterministic=True)
+        return _encode_lb_endpoint(key, value)
     if part == "level":
-        made = endpoint_pb2.ClusterLoadAssignment(cluster_name=rest)
-        for zone in zones:
-            group = made.endpoints.add()
-            group.locality.zone = zone
-            group.leds_cluster_locality_config.leds_config.ads.SetInParent()
-            group.leds_cluster_locality_config.leds_config.resource_api_version = 2  # V3
-            group.leds_cluster_locality_config.leds_collection_name = f"{LINE_NAMES}{rest}/{zone}/*"
-        if value < MILLION:
-            drop = made.policy.drop_overloads.add(category="level")
-            drop.drop_percentage.numerator = MILLION - value
-            drop.drop_percentage.denominator = 2  # MILLION
-        return made.SerializeToString(deterministic=True)
-    return write_routes({rest: value})
-
-
-def read_value(key, data):
-    """An item's value of its resource's bytes. Raises ValueError with what was expected."""
+        return _encode_collections(rest, value, zones)
+    return encode_routes({rest: value})
+
+
+def _encode_lb_endpoint(key: str, weight: int) -> bytes:
+    _, _, address, port = read_line_key(key)
+    message = endpoint_components_pb2.LbEndpoint()
+    message.endpoint.address.socket_address.address = address
+    message.endpoint.address.socket_address.port_value = port
+    message.load_balancing_weight.value = weight
+    return _serialize(message)
+
+
+def _encode_collections(request_class: str, admitted: int, zones: Iterable[str]) -> bytes:
+    """A ClusterLoadAssignment that refers to locality endpoint discovery (LEDS)."""
+    message = endpoint_pb2.ClusterLoadAssignment(cluster_name=request_class)
+    for zone in zones:
+        locality = message.endpoints.add()
+        locality.locality.zone = zone
+        leds = locality.leds_cluster_locality_config
+        leds.leds_config.ads.SetInParent()
+        leds.leds_config.resource_api_version = config_source_pb2.ApiVersion.V3
+        leds.leds_collection_name = f"{LB_ENDPOINT_NAMES}{request_class}/{zone}/*"
+    if admitted < MILLION:
+        drop = message.policy.drop_overloads.add(category=DROP_CATEGORY)
+        drop.drop_percentage.numerator = MILLION - admitted
+        drop.drop_percentage.denominator = percent_pb2.FractionalPercent.MILLION
+    return _serialize(message)
+
+
+def decode_item(key: str, data: bytes) -> str | int:
+    """An item's value from its resource. Raises ValueError with what was expected."""
     part, _, rest = key.partition("/")
     if part == "retry":
-        found = read_routes(data)
-        if list(found) != [rest]:
-            raise ValueError(f"expected the route of {rest}, got {', '.join(found)[:200]!r}")
-        return found[rest]
+        return _decode_retry(rest, data)
     if part == "level":
-        return round(read_lines(data)[2] * MILLION)
-    try:
-        said = endpoint_components_pb2.LbEndpoint.FromString(data)
-    except DecodeError:
-        raise ValueError("expected an LbEndpoint") from None
+        _, _, admitted_fraction = read_lines(data)
+        return round(admitted_fraction * MILLION)
+    return _decode_weight(key, data)
+
+
+def _decode_retry(request_class: str, data: bytes) -> str:
+    routes = read_routes(data)
+    if list(routes) != [request_class]:
+        others = ", ".join(routes)[:MAX_RESOURCE_NAME]
+        raise ResourceError(f"expected the route of {request_class}, got {others!r}")
+    return routes[request_class]
+
+
+def _decode_weight(key: str, data: bytes) -> int:
+    message = _parse(endpoint_components_pb2.LbEndpoint, data, "an LbEndpoint")
     _, _, address, port = read_line_key(key)
-    place = said.endpoint.address.socket_address
-    if (place.address, place.port_value) != (address, port) or not said.load_balancing_weight.value:
-        raise ValueError(
-            f"expected {address}:{port} and a weight above 0, got {place.address}:{place.port_value}"
+    socket_address = message.endpoint.address.socket_address
+    weight: int = message.load_balancing_weight.value
+    if (socket_address.address, socket_address.port_value) != (address, port) or not weight:
+        raise ResourceError(
+            f"expected {address}:{port} and a weight above 0, "
+            f"got {socket_address.address}:{socket_address.port_value}"
         )
-    return said.load_balancing_weight.value
+    return weight
--- a/peatlead/grpc/server.py
+++ b/peatlead/grpc/server.py
@@ -23,7 +23,7 @@
 from ..net.streams import ConnectionSet
 from ..tables.version import MILLION, PARTS, SCALE, line_key, read_version, whole_weight
 from .discovery import Discovery
-from .framing import INVALID, NOT_FOUND, UNAVAILABLE, UNIMPLEMENTED
+from .framing import StatusCode
 from .http2 import Connection
 from .incremental import Incremental
 from .load_reports import read_report
@@ -33,10 +33,10 @@
     ROUTES,
     ROUTES_NAME,
     Line,
+    encode_routes,
+    parse_resource_name,
     read_line_key,
-    read_resource_name,
     write_lines,
-    write_routes,
 )
 
 DISCOVERY = "/envoy.service.discovery.v3.AggregatedDiscoveryService/StreamAggregatedResources"
@@ -102,7 +102,7 @@
     """A proxy of the incremental variant says what it holds by its resources' versions, which are weights."""
     for name, version in list(request.initial_resource_versions.items())[:HELD_MOST]:
         try:
-            kind, zone, address, port = read_line_key(read_resource_name(LINES, name))
+            kind, zone, address, port = read_line_key(parse_resource_name(LINES, name))
             held.setdefault(kind, []).append(Line(address, port, zone, int(version) / SCALE))
         except ValueError:
             continue  # of another control service
@@ -127,10 +127,12 @@
             if self.node is None:
                 self.join(read_node(request))
         except DecodeError:
-            self.call.finish(INVALID, f"expected a {self.REQUEST.DESCRIPTOR.name}")
+            self.call.finish(
+                StatusCode.INVALID_ARGUMENT, f"expected a {self.REQUEST.DESCRIPTOR.name}"
+            )
             return
         except ValueError as problem:
-            self.call.finish(INVALID, str(problem))
+            self.call.finish(StatusCode.INVALID_ARGUMENT, str(problem))
             return
         if self.discovery is not None:
             self.send(self.discovery.take(request))
@@ -179,7 +181,7 @@
             }
         if type_url == ROUTES:
             kinds = {name: self.retries.get(name, "unstarted") for name in self.front.kinds}
-            return {ROUTES_NAME: write_routes(kinds)}
+            return {ROUTES_NAME: encode_routes(kinds)}
         return {}
 
     def lines(self, kind):
@@ -230,7 +232,7 @@
 
     def move(self, text, **more):
         """Sends it to another controller; what it holds it keeps."""
-        self.call.finish(UNAVAILABLE, text, **more)
+        self.call.finish(StatusCode.UNAVAILABLE, text, **more)
 
 
 class DeltaSession(Session):
@@ -266,7 +268,7 @@
         try:
             request = lrs_pb2.LoadStatsRequest.FromString(data)
         except DecodeError:
-            self.call.finish(INVALID, "expected a LoadStatsRequest")
+            self.call.finish(StatusCode.INVALID_ARGUMENT, "expected a LoadStatsRequest")
             return
         if self.node is None:
             self.node = request.node.id
@@ -274,7 +276,7 @@
         self.tell_interval(session)
         if session is None:
             if request.cluster_stats:  # one that has not joined here is another controller's
-                self.call.finish(NOT_FOUND, "expected a proxy that has joined")
+                self.call.finish(StatusCode.NOT_FOUND, "expected a proxy that has joined")
             return
         if request.cluster_stats:
             core.gathered.report(start)
@@ -324,14 +326,14 @@
         elif call.path == LOADS:
             Loads(self, call)
         else:
-            call.finish(UNIMPLEMENTED, f"expected {DISCOVERY}, {DELTA} or {LOADS}")
+            call.finish(StatusCode.UNIMPLEMENTED, f"expected {DISCOVERY}, {DELTA} or {LOADS}")
 
     def add(self, session):
         """The newest stream of a proxy counts: an older one is that of a half-open connection."""
         old = self.sessions.get(session.node.name)
         self.sessions[session.node.name] = session
         if old is not None:
-            old.call.finish(UNAVAILABLE, "replaced by a newer stream")
+            old.call.finish(StatusCode.UNAVAILABLE, "replaced by a newer stream")
 
     def drop(self, session):
         if self.sessions.get(session.node.name) is session:
--- /dev/null
+++ b/tests/grpc/simulated_fleet.py
@@ -0,0 +1,52 @@
+"""Three controllers and their proxies, on loopback addresses."""
+
+import asyncio
+
+from peatlead.grpc.resources import Line
+from peatlead.standin.dns_clients import Kind
+from peatlead.standin.xds_proxies import Agent, Plan
+
+from ..places import SCRIPT, Quiet, play
+
+FLEET = SCRIPT
+for at in (1, 2):
+    FLEET = FLEET.replace(
+        f'control = "127.1.0.{at}:{{control}}")',
+        f'control = "127.1.0.{at}:{{control}}", '
+        f'grpc = "127.1.0.{at}:{{grpc}}", peer = "127.1.0.{at}:{{control}}")',
+    )
+FLEET = (
+    FLEET.replace("view(", "# view(").replace("open_views = 4", "open_views = 0")
+    + """
+steward(name = "ns3", zone = "north", listen = "127.1.0.3:{port}", control = "127.1.0.3:{control}",
+        grpc = "127.1.0.3:{grpc}", peer = "127.1.0.3:{control}")
+grpc(proxies = 6)
+fleet(keys = ["%s"], probe_every = 0.1, probe_wait = 0.06, suspect = 0.3)
+"""
+    % ("ab" * 32)
+)
+KINDS = [
+    Kind("look", 0.5, 0.5, 1.5, 1.0, "replayable"),
+    Kind("file", 0.5, 0.5, 1.5, 1.0, "non-replayable"),
+]
+ENTRIES = [Line("127.10.9.1", 80, "north", 1.0), Line("127.10.9.2", 80, "south", 0.25)]
+
+
+def run_fleet(case, **more):
+    """Plays a case with three controllers whose settings are FLEET."""
+
+    async def one(world):
+        world.settings["limits"]["messages_most"] = 40
+        return await case(world)
+
+    return play(one, script=FLEET, **more)
+
+
+def connect_proxy(world, name="p0", order=(1, 2, 3)):
+    """Starts a simulated proxy that knows the controllers in this order."""
+    controllers = [[f"127.1.0.{at}", world.port + 2] for at in order]
+    plan = Plan(name, "north", "127.60.9.1", controllers, world.port, 20.0, KINDS)
+    proxy = Agent(plan, world.chance, Quiet())
+    proxy.begin(asyncio.get_running_loop().time())
+    world.closing.append(lambda: setattr(proxy, "stopped", True))
+    return proxy
--- a/tests/transcripts/test_xds_transcripts.py
+++ b/tests/transcripts/test_xds_transcripts.py
@@ -30,9 +30,9 @@
 # Adapter: all internal names that these tests use.
 
 PATHS = [server.DISCOVERY, server.DELTA, server.LOADS]
-encode_routes, encode_value = resources.write_routes, resources.write_value
-encode_name, decode_name = resources.resource_name, resources.read_resource_name
-frame, percent, decode_timeout = framing.frame, framing.percent, framing.read_timeout
+encode_routes, encode_value = resources.encode_routes, resources.encode_item
+encode_name, decode_name = resources.resource_name, resources.parse_resource_name
+frame, percent, decode_timeout = framing.frame, framing.percent_encode, framing.parse_timeout
 
 
 def encode_lines(kind, lines, level):
@@ -49,12 +49,12 @@
 
 
 def decode_value(key, data):
-    return resources.read_value(key, data)
+    return resources.decode_item(key, data)
 
 
 def unframe(pieces):
     """[message] as hex, or [status] of a refusal at the end."""
-    unframer, found = framing.Unframer(), []
+    unframer, found = framing.MessageDeframer(), []
     try:
         for piece in pieces:
             found += [one.hex() for one in unframer.feed(piece)]
