--- /dev/null
+++ b/peatlead/grpc/call.py
@@ -0,0 +1,145 @@
+"""One gRPC call on an HTTP/2 connection, on either side."""
+
+import asyncio
+from collections import deque
+from collections.abc import Callable
+from typing import Optional, Protocol
+
+import h2.errors
+
+from .framing import MessageDeframer, StatusCode, frame, percent_encode
+
+MAX_BACKLOG = 8 << 20  # bytes of one call that wait for the peer's flow-control window
+
+Metadata = dict[str, str]
+Headers = list[tuple[str, str]]
+
+
+class CallTransport(Protocol):
+    """What a call needs of its connection."""
+
+    def pump(self, call: "Call") -> None:
+        """Sends as much of the call's backlog as the peer's window allows."""
+
+    def reset(self, call: "Call", code: int) -> None:
+        """Resets the call's HTTP/2 stream."""
+
+    def forget(self, call: "Call") -> None:
+        """Drops a call that is over."""
+
+    def accept(self, call: "Call", **metadata: str) -> None:
+        """Sends the server's first headers and metadata, once."""
+
+    def flush(self) -> None:
+        """Sends what is buffered."""
+
+
+def ignore_headers(headers: Metadata) -> None:
+    """The default handler of response headers."""
+
+
+def ignore_message(data: bytes) -> None:
+    """The default handler of messages."""
+
+
+def ignore_end(status: int, text: str) -> None:
+    """The default handler of a call's end."""
+
+
+def ignore_writable() -> None:
+    """The default handler of a backlog that has been sent."""
+
+
+def to_headers(metadata: Metadata) -> Headers:
+    """Headers for metadata whose names are written with underscores."""
+    return [(name.replace("_", "-"), value) for name, value in metadata.items()]
+
+
+class Call:
+    """A stream of messages in each direction.
+
+    Its user sets `message(data)`, `headers(metadata)` of the response, `writable()` for when the
+    backlog has been sent, and `ended(status, text)`, which is called once, whatever the cause.
+    """
+
+    def __init__(self, connection: CallTransport, number: int, path: str = "") -> None:
+        self.connection = connection
+        self.number = number  # of the HTTP/2 stream
+        self.path = path
+        self.deframer = MessageDeframer()
+        self.backlog: deque[memoryview] = deque()  # waits for the peer's window
+        self.waiting = 0  # bytes in the backlog
+        self.trailers: Optional[Headers] = (
+            None  # to send after the backlog; the first is the status
+        )
+        self.over = False
+        self.answered = False  # whether this side's headers have been sent
+        self.deadline: Optional[asyncio.TimerHandle] = None
+        self.told: Metadata = {}  # all headers and trailers of the peer
+        self.message: Callable[[bytes], object] = ignore_message
+        self.headers: Callable[[Metadata], object] = ignore_headers
+        self.ended: Callable[[int, str], object] = ignore_end
+        self.writable: Callable[[], object] = ignore_writable
+
+    @property
+    def idle(self) -> bool:
+        """Whether nothing waits for the peer: the time to send the newest state."""
+        return not self.backlog and not self.over
+
+    def send(self, message: bytes) -> bool:
+        """Sends a message.
+
+        Returns False where the call is over, or too much waits for the peer: the call is then
+        reset.
+        """
+        if self.over or self.trailers is not None:
+            return False
+        data = frame(message)
+        if self.waiting + len(data) > MAX_BACKLOG:
+            self.reset("too much waits for the peer")
+            return False
+        self.backlog.append(memoryview(data))
+        self.waiting += len(data)
+        self.connection.pump(self)
+        return True
+
+    def next_chunk(self, size: int) -> bytes:
+        """At most `size` bytes from the front of the backlog, which remain there."""
+        return bytes(self.backlog[0][:size])
+
+    def drop_chunk(self, size: int) -> None:
+        """Removes bytes that have been sent from the front of the backlog."""
+        first = self.backlog[0]
+        if size == len(first):
+            self.backlog.popleft()
+        else:
+            self.backlog[0] = first[size:]
+        self.waiting -= size
+
+    def finish(self, status: int, text: str = "", **metadata: str) -> None:
+        """Ends the call as the server: after the backlog with the status and trailing metadata."""
+        if self.over or self.trailers is not None:
+            return
+        self.trailers = [
+            ("grpc-status", str(int(status))),
+            ("grpc-message", percent_encode(text)),
+            *to_headers(metadata),
+        ]
+        self.connection.pump(self)
+
+    def reset(self, text: str, code: int = h2.errors.ErrorCodes.CANCEL) -> None:
+        """Ends the call at once; the backlog is lost."""
+        if not self.over:
+            self.connection.reset(self, code)
+            self.end(StatusCode.CANCELLED, text)
+
+    def end(self, status: int, text: str) -> None:
+        """Marks the call as over, and calls its handler."""
+        if self.over:
+            return
+        self.over = True
+        self.backlog.clear()
+        self.connection.forget(self)
+        if self.deadline is not None:
+            self.deadline.cancel()
+        self.ended(status, text)
--- a/peatlead/grpc/http2.py
+++ b/peatlead/grpc/http2.py
@@ -1,11 +1,13 @@
-"""HTTP/2 on our streams: calls both ways, flow control honoured, peers that misuse it cut.
+"""gRPC over HTTP/2: calls on a stream connection, with flow control and protection against misuse.
 
-h2 reads and writes the frames (RFC 9113). What waits for a peer's window is bounded a call; a caller that
-sends state asks `idle` first, so that a slow reader holds only its newest.
+h2 reads and writes the frames (RFC 9113). What waits for a peer's window is bounded for each call
+(`call`); whoever sends state asks `Call.idle` first, so that a slow reader gets only the newest.
 """
 
 import asyncio
 from collections import deque
+from collections.abc import Callable, Iterable
+from typing import Any, Optional
 
 import h2.config
 import h2.connection
@@ -15,116 +17,119 @@
 import h2.settings
 
 from ..net.streams import Stream, within
-from .framing import FramingError, MessageDeframer, StatusCode, frame, parse_timeout, percent_encode
-
-STREAMS_MOST = 16  # calls of one peer at a time
-HEADERS_MOST = 16384
-WAITING_MOST = 8 << 20  # bytes of one call that wait for the peer's window
-CONTROL_MOST = 200  # resets, pings and settings of a peer within CONTROL_SPAN: more is a flood
-CONTROL_SPAN = 10.0
-CREDITS = 3  # window updates that a peer may send for each frame of data that it got, uncounted
-CONTROL = (
-    h2.events.PingReceived,
-    h2.events.RemoteSettingsChanged,
-    h2.events.PriorityUpdated,
-    h2.events.UnknownFrameReceived,
+from .call import MAX_BACKLOG, Call, Metadata, to_headers
+from .framing import FramingError, StatusCode, parse_timeout
+
+MAX_CALLS = 16  # of one peer at a time
+HEADERS_MOST = 16384  # bytes of one header list
+WAITING_MOST = MAX_BACKLOG  # former name, until all callers have the new one
+MAX_UNSENT = 16 << 20  # bytes in the socket's buffer
+
+MAX_CONTROL_FRAMES = (
+    200  # resets, pings and settings of a peer within CONTROL_WINDOW: more is a flood
+)
+CONTROL_WINDOW = 10.0  # seconds
+WINDOW_UPDATES_PER_FRAME = 3  # that a peer may send for each data frame it got, uncounted
+
+PING_INTERVAL = 1.0  # seconds without a byte until a peer is pinged
+PING_TIMEOUT = 1.0  # seconds for its answer
+PING_SLACK = 0.01  # seconds; a timer of a shorter remainder might fire in the same instant for ever
+MAX_PING_RATE = (
+    500  # a second, over all connections of a listener; more connections are pinged less often
 )
-PING_EVERY, PING_WAIT = 1.0, 1.0  # seconds: a half-open peer that says nothing is found in two
-PING_SLACK = 0.01
-PINGS_A_SECOND = 500  # of all connections of a listener: more of them are pinged less often
+PING_DATA = b"peatlead"
 
+GRPC_CONTENT_TYPE = "application/grpc"
+NO_STREAM = -1  # of events that concern the whole connection
 
-class Call:
-    """One stream of messages each way. `message(data)`, `headers(map)` and `ended(status, text)` are set by its
-    user; `ended` comes once, whatever the cause."""
 
-    def __init__(self, connection, number, path=""):
-        self.connection, self.number, self.path = connection, number, path
-        self.unframer, self.out, self.waiting = MessageDeframer(), deque(), 0
-        self.closing, self.over, self.answered, self.deadline = None, False, False, None
-        self.told = {}
-        self.message = self.headers = lambda _: None
-        self.ended = lambda status, text: None
-        self.writable = lambda: None
+class ControlFrameLimit:
+    """Counts frames that cost the peer little and this side some work, to find a flood of them."""
 
-    @property
-    def idle(self):
-        return not self.out and not self.over
-
-    def send(self, message):
-        """False where the call is over or the peer lets too much wait: the call is then reset."""
-        if self.over or self.closing is not None:
-            return False
-        data = frame(message)
-        if self.waiting + len(data) > WAITING_MOST:
-            self.reset("too much waits for the peer")
-            return False
-        self.out.append(memoryview(data))
-        self.waiting += len(data)
-        self.connection.pump(self)
-        return True
-
-    def finish(self, status, text="", **more):
-        """The server's end: what waits goes first, then the status and `more` as trailing metadata."""
-        if not self.over and self.closing is None:
-            self.closing = [
-                ("grpc-status", str(status)),
-                ("grpc-message", percent_encode(text)),
-                *((name.replace("_", "-"), value) for name, value in more.items()),
-            ]
-            self.connection.pump(self)
-
-    def reset(self, text, code=h2.errors.ErrorCodes.CANCEL):
-        if not self.over:
-            self.connection.reset(self, code)
-            self.end(1, text)
-
-    def end(self, status, text):
-        if not self.over:
-            self.over = True
-            self.out.clear()
-            self.connection.calls.pop(self.number, None)
-            if self.deadline is not None:
-                self.deadline.cancel()
-            self.ended(status, text)
+    __slots__ = ("times", "window_updates_left")
 
+    def __init__(self) -> None:
+        self.times: deque[float] = deque()  # of the frames within the window
+        self.window_updates_left = 2 * WINDOW_UPDATES_PER_FRAME
+
+    def add(self, now: float) -> bool:
+        """Counts a frame; whether there are too many."""
+        self.times.append(now)
+        while now - self.times[0] > CONTROL_WINDOW:
+            self.times.popleft()
+        return len(self.times) > MAX_CONTROL_FRAMES
+
+    def allow_window_updates(self) -> None:
+        """Notes a data frame to the peer, which it may answer with window updates."""
+        self.window_updates_left += WINDOW_UPDATES_PER_FRAME
+
+    def take_window_update(self) -> bool:
+        """Whether a window update of the peer is an expected one, which doesn't count."""
+        self.window_updates_left -= 1
+        if self.window_updates_left >= 0:
+            return True
+        self.window_updates_left = 0
+        return False
+
+
+def ignore_call(call: Call) -> None:
+    """The default handler of a peer's calls."""
 
-class Connection(Stream):
-    """Either side. `serve(call)` is asked for each call of a client; `ended_all(reason)` at the end."""
 
-    def __init__(self, client, serve=None, ping_every=PING_EVERY, ping_wait=PING_WAIT):
-        super().__init__(0.0, 16 << 20)
+def ignore_end(reason: str) -> None:
+    """The default handler of a connection's end."""
+
+
+class Connection(Stream):
+    """Either side of a connection.
+
+    `serve(call)` gets each call of a client; `ended_all(reason)` is called at the end.
+    `connection_count()` gives how many connections share the rate of pings; `ping_every` 0 sends
+    none.
+    """
+
+    def __init__(
+        self,
+        client: bool,
+        serve: Callable[[Call], object] = ignore_call,
+        ping_every: float = PING_INTERVAL,
+        ping_wait: float = PING_TIMEOUT,
+    ) -> None:
+        super().__init__(0.0, MAX_UNSENT)
         self.talk = h2.connection.H2Connection(
             h2.config.H2Configuration(
                 client_side=client, header_encoding="utf-8", validate_inbound_headers=True
             )
         )
-        self.client, self.serve, self.calls, self.control = client, serve, {}, deque()
-        self.ping_every, self.ping_wait, self.ping_timer, self.pinged = (
-            ping_every,
-            ping_wait,
-            None,
-            None,
-        )
-        self.going, self.heard, self.credits = False, 0.0, 2 * CREDITS
-        self.ended_all, self.crowd = (
-            lambda reason: None,
-            lambda: 0,
-        )  # how many connections share the pings
+        self.client = client
+        self.serve = serve
+        self.calls: dict[int, Call] = {}  # by the number of their HTTP/2 stream
+        self.control_frames = ControlFrameLimit()
+        self.ping_every = ping_every
+        self.ping_wait = ping_wait
+        self.ping_timer: Optional[asyncio.TimerHandle] = None
+        self.pinged: Optional[float] = None  # when the unanswered ping was sent
+        self.going_away = False
+        self.heard = 0.0  # when the peer's last bytes came
+        self.ended_all: Callable[[str], object] = ignore_end
+        self.connection_count: Callable[[], int] = lambda: 0
 
     @property
-    def live(self):
-        """Whether anything may still be said. Between its closing and its end its calls still stand: an order for one
-        of them raised out of the steward's own timer, and what was due to others then was lost."""
+    def live(self) -> bool:
+        """Whether anything may still be sent.
+
+        Between the closing of a connection and its end its calls still stand, and may be used.
+        """
         return self.transport is not None and not self.transport.is_closing()
 
-    # Its life.
+    # The connection's life.
 
-    def opened(self):
+    def opened(self) -> None:
+        """Sends the settings."""
         self.talk.local_settings = h2.settings.Settings(
             client=self.client,
             initial_values={
-                h2.settings.SettingCodes.MAX_CONCURRENT_STREAMS: STREAMS_MOST,
+                h2.settings.SettingCodes.MAX_CONCURRENT_STREAMS: MAX_CALLS,
                 h2.settings.SettingCodes.MAX_HEADER_LIST_SIZE: HEADERS_MOST,
                 h2.settings.SettingCodes.ENABLE_PUSH: 0,
             },
@@ -134,150 +139,164 @@
         if self.ping_every:
             self.ping_timer = self.loop.call_later(self.ping_every, self.ping)
 
-    def ended(self, reason):
+    def ended(self, reason: str) -> None:
+        """Ends all calls with the connection."""
         if self.ping_timer is not None:
             self.ping_timer.cancel()
         for call in list(self.calls.values()):
-            call.end(14, reason)
+            call.end(StatusCode.UNAVAILABLE, reason)
         self.ended_all(reason)
 
-    def ping(self):
-        """A peer whose machine went away says nothing: unanswered pings find it. One that speaks needs none: at
-        3,000 proxies they were most of what an idle steward did."""
+    def ping(self) -> None:
+        """Pings a silent peer, and ends the connection where a ping was not answered.
+
+        So a peer whose machine has failed is found. One that sends needs no pings: with 3,000
+        proxies they were most of an idle controller's work.
+        """
         if not self.live:
             return
         now = self.loop.time()
         if self.pinged is not None and self.heard < self.pinged:
             self.cut("no answer to pings")
             return
-        every = max(self.ping_every, self.crowd() / PINGS_A_SECOND)
-        wait, self.pinged = every - (now - self.heard), None
-        if (
-            wait < PING_SLACK
-        ):  # a remainder of rounding would be waited for without end, at no time at all
-            wait, self.pinged = max(every, self.ping_wait), now
-            self.talk.ping(b"peatlead")
+        self.pinged = None
+        interval = max(self.ping_every, self.connection_count() / MAX_PING_RATE)
+        wait = interval - (now - self.heard)
+        if wait < PING_SLACK:
+            wait = max(interval, self.ping_wait)
+            self.pinged = now
+            self.talk.ping(PING_DATA)
             self.flush()
         self.ping_timer = self.loop.call_later(wait, self.ping)
 
-    def go_away(self):
-        """No new calls; those under way may end."""
-        if not self.going and self.transport is not None:
-            self.going = True
+    def go_away(self) -> None:
+        """Accepts no new calls; those in progress may end."""
+        if not self.going_away and self.transport is not None:
+            self.going_away = True
             self.talk.close_connection(last_stream_id=max(self.calls, default=0))
             self.flush()
 
-    def flush(self):
+    def flush(self) -> None:
+        """Sends what h2 has to send."""
         data = self.talk.data_to_send()
         if data:
             self.send(data)
 
-    # Bytes in, events out.
+    # Incoming frames.
 
-    def received(self, data):
+    def received(self, data: bytes) -> None:
+        """Handles bytes of the peer."""
         self.heard = self.loop.time()
         try:
             for event in self.talk.receive_data(data):
-                self.take(event)
-        except (h2.exceptions.ProtocolError, UnicodeDecodeError, ValueError) as problem:
-            self.flush()  # h2 has put its GOAWAY there
-            self.why = f"not HTTP/2: {type(problem).__name__}"
+                self._on_event(event)
+        except (h2.exceptions.ProtocolError, UnicodeDecodeError, ValueError) as error:
+            self.flush()  # h2's GOAWAY
+            self.why = f"not HTTP/2: {type(error).__name__}"
             self.close()
             return
         self.flush()
 
-    def take(self, event):
-        kind = type(event)
-        call = self.calls.get(getattr(event, "stream_id", None))
-        if kind is h2.events.DataReceived:
-            # Taken at once, so the window is given back at once: what is bounded is each message, not a queue.
-            if event.flow_controlled_length:
-                self.talk.acknowledge_received_data(event.flow_controlled_length, event.stream_id)
-            if not event.data:
-                self.count_control()
-            elif call is not None:
-                self.take_data(call, event.data)
-        elif kind is h2.events.RequestReceived:
-            self.take_req(event)
-        elif kind in (h2.events.ResponseReceived, h2.events.TrailersReceived) and call is not None:
-            call.told.update(event.headers)
-            if kind is h2.events.ResponseReceived:
-                call.headers(call.told)
-        elif kind is h2.events.StreamEnded and call is not None:
-            self.take_end(call)
-        elif kind is h2.events.StreamReset:
-            self.count_control()
-            if call is not None:
-                call.end(1, "reset by the peer")
-        elif kind in CONTROL:
-            self.count_control()
-            self.pump_all()
-        elif kind is h2.events.WindowUpdated:
-            self.credits -= 1
-            if self.credits < 0:  # more of them than we ever sent it frames
-                self.credits = 0
-                self.count_control()
-            self.pump_all()
-        elif kind is h2.events.ConnectionTerminated:
-            self.why = "the peer went away"
-            if not self.going:
-                self.close()
-
-    def take_data(self, call, data):
+    def _on_event(self, event: Any) -> None:
+        handler = EVENT_HANDLERS.get(type(event))
+        if handler is not None:
+            stream_id: int = getattr(event, "stream_id", NO_STREAM)
+            handler(self, event, self.calls.get(stream_id))
+
+    def _on_data(self, event: Any, call: Optional[Call]) -> None:
+        # Messages are handled at once, so the window is given back at once.
+        if event.flow_controlled_length:
+            self.talk.acknowledge_received_data(event.flow_controlled_length, event.stream_id)
+        if not event.data:
+            self._count_control_frame()
+        elif call is not None:
+            self._on_call_data(call, event.data)
+
+    def _on_call_data(self, call: Call, data: bytes) -> None:
         try:
-            messages = call.unframer.feed(data)
-        except FramingError as problem:
+            messages = call.deframer.feed(data)
+        except FramingError as error:
             if self.client:
-                call.reset(str(problem))
+                call.reset(str(error))
             else:
-                call.finish(problem.status, str(problem))
+                call.finish(error.status, str(error))
             return
         for message in messages:
             if not call.over:
                 call.message(message)
 
-    def take_req(self, event):
-        headers = dict(event.headers)
-        call = self.calls[event.stream_id] = Call(self, event.stream_id, headers.get(":path", ""))
+    def _on_request(self, event: Any, _: Optional[Call]) -> None:
+        headers: Metadata = dict(event.headers)
+        call = Call(self, event.stream_id, headers.get(":path", ""))
+        self.calls[event.stream_id] = call
         call.told = headers
-        if headers.get(":method") != "POST" or not headers.get("content-type", "").startswith(
-            "application/grpc"
-        ):
+        is_grpc = headers.get("content-type", "").startswith(GRPC_CONTENT_TYPE)
+        if headers.get(":method") != "POST" or not is_grpc:
             self.talk.send_headers(event.stream_id, [(":status", "415")], end_stream=True)
-            call.end(12, "not gRPC")
-        else:
-            timeout = parse_timeout(headers.get("grpc-timeout", ""))
-            if timeout is not None:
-                call.deadline = self.loop.call_later(
-                    timeout, call.finish, StatusCode.DEADLINE_EXCEEDED, "its deadline has passed"
-                )
-            self.serve(call)
-
-    def take_end(self, call):
-        if self.client:
-            status = call.told.get("grpc-status", "2")
-            call.end(int(status) if status.isdigit() else 2, call.told.get("grpc-message", ""))
-        else:
-            call.half_closed = True
-            call.finish(0)
-
-    def count_control(self):
-        """Frames that cost the peer little and us some work; a peer that sends nothing else is cut."""
-        now = self.loop.time()
-        self.control.append(now)
-        while now - self.control[0] > CONTROL_SPAN:
-            self.control.popleft()
-        if len(self.control) > CONTROL_MOST:
+            call.end(StatusCode.UNIMPLEMENTED, "not gRPC")
+            return
+        timeout = parse_timeout(headers.get("grpc-timeout", ""))
+        if timeout is not None:
+            call.deadline = self.loop.call_later(
+                timeout, call.finish, StatusCode.DEADLINE_EXCEEDED, "its deadline has passed"
+            )
+        self.serve(call)
+
+    def _on_response(self, event: Any, call: Optional[Call]) -> None:
+        if call is not None:
+            call.told.update(event.headers)
+            call.headers(call.told)
+
+    def _on_trailers(self, event: Any, call: Optional[Call]) -> None:
+        if call is not None:
+            call.told.update(event.headers)
+
+    def _on_stream_ended(self, _: Any, call: Optional[Call]) -> None:
+        if call is None:
+            return
+        if not self.client:
+            call.finish(StatusCode.OK)
+            return
+        status = call.told.get("grpc-status", "")
+        code = int(status) if status.isdigit() else StatusCode.UNKNOWN
+        call.end(code, call.told.get("grpc-message", ""))
+
+    def _on_stream_reset(self, _: Any, call: Optional[Call]) -> None:
+        self._count_control_frame()
+        if call is not None:
+            call.end(StatusCode.CANCELLED, "reset by the peer")
+
+    def _on_control_frame(self, _: Any, __: Optional[Call]) -> None:
+        self._count_control_frame()
+        self._pump_all()
+
+    def _on_window_update(self, _: Any, __: Optional[Call]) -> None:
+        if not self.control_frames.take_window_update():
+            self._count_control_frame()
+        self._pump_all()
+
+    def _on_terminated(self, _: Any, __: Optional[Call]) -> None:
+        self.why = "the peer went away"
+        if not self.going_away:
+            self.close()
+
+    def _count_control_frame(self) -> None:
+        """Ends the connection of a peer that sends too many control frames."""
+        if self.control_frames.add(self.loop.time()):
             self.talk.close_connection(h2.errors.ErrorCodes.ENHANCE_YOUR_CALM)
             self.flush()
             self.cut("flood of control frames")
 
-    # Calls out.
+    # Calls.
+
+    def call(self, path: str, authority: str, headers: Iterable[tuple[str, str]] = ()) -> Call:
+        """Starts a call as a client; messages may be sent at once.
 
-    def call(self, path, authority, headers=()):
-        """A client's call; messages may be sent at once. Raises h2's ProtocolError past the peer's limit."""
+        Raises h2's ProtocolError beyond the peer's limit of calls.
+        """
         number = self.talk.get_next_available_stream_id()
-        call = self.calls[number] = Call(self, number, path)
+        call = Call(self, number, path)
+        self.calls[number] = call
         self.talk.send_headers(
             number,
             [
@@ -286,7 +305,7 @@
                 (":path", path),
                 (":authority", authority),
                 ("te", "trailers"),
-                ("content-type", "application/grpc"),
+                ("content-type", GRPC_CONTENT_TYPE),
                 *headers,
             ],
         )
@@ -294,69 +313,96 @@
         self.flush()
         return call
 
-    def accept(self, call, **more):
-        """The server's first headers, with `more` as metadata."""
-        if not call.answered and not call.over and self.live:
-            call.answered = True
-            self.talk.send_headers(
-                call.number,
-                [
-                    (":status", "200"),
-                    ("content-type", "application/grpc"),
-                    *((name.replace("_", "-"), value) for name, value in more.items()),
-                ],
-            )
+    def accept(self, call: Call, **metadata: str) -> None:
+        """Sends the server's first headers and metadata, once."""
+        if call.answered or call.over or not self.live:
+            return
+        call.answered = True
+        headers = [(":status", "200"), ("content-type", GRPC_CONTENT_TYPE), *to_headers(metadata)]
+        self.talk.send_headers(call.number, headers)
 
-    def pump(self, call):
-        """As much of a call as the peer's window takes."""
+    def pump(self, call: Call) -> None:
+        """Sends as much of a call's backlog as the peer's window allows, then its trailers."""
         if not self.live or call.over:
             return
         if not self.client:
             self.accept(call)
-        had = bool(call.out)
-        while call.out:
-            room = min(
-                self.talk.local_flow_control_window(call.number), self.talk.max_outbound_frame_size
-            )
-            if room <= 0:
-                break
-            part = call.out[0][:room]
-            self.talk.send_data(call.number, bytes(part))
-            self.credits += CREDITS
-            call.waiting -= len(part)
-            if len(part) == len(call.out[0]):
-                call.out.popleft()
-            else:
-                call.out[0] = call.out[0][len(part) :]
-        if not call.out and call.closing is not None:
-            self.talk.send_headers(call.number, call.closing, end_stream=True)
+        had_backlog = bool(call.backlog)
+        self._send_backlog(call)
+        if not call.backlog and call.trailers is not None:
+            self.talk.send_headers(call.number, call.trailers, end_stream=True)
             self.flush()
-            call.end(int(call.closing[0][1]), "finished")
+            _, status = call.trailers[0]
+            call.end(int(status), "finished")
             return
         self.flush()
-        if had and not call.out:
+        if had_backlog and not call.backlog:
             call.writable()
 
-    def pump_all(self):
+    def _send_backlog(self, call: Call) -> None:
+        while call.backlog:
+            window = self.talk.local_flow_control_window(call.number)
+            capacity = min(window, self.talk.max_outbound_frame_size)
+            if capacity <= 0:
+                return
+            chunk = call.next_chunk(capacity)
+            self.talk.send_data(call.number, chunk)
+            self.control_frames.allow_window_updates()
+            call.drop_chunk(len(chunk))
+
+    def _pump_all(self) -> None:
         for call in list(self.calls.values()):
-            if call.out:
+            if call.backlog:
                 self.pump(call)
 
-    def reset(self, call, code):
+    def reset(self, call: Call, code: int) -> None:
+        """Resets a call's HTTP/2 stream."""
         try:
             self.talk.reset_stream(call.number, code)
             self.flush()
         except h2.exceptions.ProtocolError:
             pass  # the peer was first
 
-
-async def dial(address, local=None, deadline=1.0, **more):
-    """A client's Connection. Raises OSError or asyncio.TimeoutError."""
-    loop = asyncio.get_running_loop()
-    _, made = await within(
+    def forget(self, call: Call) -> None:
+        """Drops a call that is over."""
+        self.calls.pop(call.number, None)
+
+
+EventHandler = Callable[[Connection, Any, Optional[Call]], None]
+
+EVENT_HANDLERS: dict[type, EventHandler] = {
+    h2.events.DataReceived: Connection._on_data,
+    h2.events.RequestReceived: Connection._on_request,
+    h2.events.ResponseReceived: Connection._on_response,
+    h2.events.TrailersReceived: Connection._on_trailers,
+    h2.events.StreamEnded: Connection._on_stream_ended,
+    h2.events.StreamReset: Connection._on_stream_reset,
+    h2.events.PingReceived: Connection._on_control_frame,
+    h2.events.RemoteSettingsChanged: Connection._on_control_frame,
+    h2.events.PriorityUpdated: Connection._on_control_frame,
+    h2.events.UnknownFrameReceived: Connection._on_control_frame,
+    h2.events.WindowUpdated: Connection._on_window_update,
+    h2.events.ConnectionTerminated: Connection._on_terminated,
+}
+
+
+async def dial(
+    address: tuple[str, int],
+    local: Optional[str] = None,
+    deadline: float = 1.0,
+    ping_every: float = PING_INTERVAL,
+    ping_wait: float = PING_TIMEOUT,
+) -> Connection:
+    """Connects as a client, from the address `local` where given.
+
+    Raises OSError or asyncio.TimeoutError.
+    """
+    _, connection = await within(
         deadline,
-        loop.create_connection(
-            lambda: Connection(True, **more), *address, local_addr=(local, 0) if local else None
+        asyncio.get_running_loop().create_connection(
+            lambda: Connection(True, ping_every=ping_every, ping_wait=ping_wait),
+            *address,
+            local_addr=(local, 0) if local else None,
         ),
     )
-    return made
+    return connection
--- a/tests/grpc/test_server.py
+++ b/tests/grpc/test_server.py
@@ -25,13 +25,13 @@
             steward = await world.steward()
             one = connect_proxy(world, order=(1,))
             await until(lambda: len(one.lines.get("look", ())) == 4 and one.retries)
-            heard = []
+            received = []
             real = steward.planner.handlers[interface.EndpointStats]
             steward.planner.handlers[interface.EndpointStats] = lambda event: (
-                heard.append(event),
+                received.append(event),
                 real(event),
             )
-            await until(lambda: sum(event.attempts for event in heard) > 5)
+            await until(lambda: sum(event.attempts for event in received) > 5)
             self.assertEqual(one.retries, {"look": "unstarted", "file": "unstarted"})
             await until(
                 lambda: [
@@ -41,7 +41,7 @@
                 ]
                 == [True]
             )
-            self.assertGreater(heard[0].mean_latency, 0.005)
+            self.assertGreater(received[0].mean_latency, 0.005)
             world.phases["h1"] = "draining"
             world.write()
             await until(
--- a/tests/transcripts/test_xds_transcripts.py
+++ b/tests/transcripts/test_xds_transcripts.py
@@ -20,6 +20,7 @@
     incremental,
     load_aggregation,
     load_reports,
+    proxy_node,
     resources,
     server,
 )
@@ -143,7 +144,7 @@
 def decode_node(data, delta):
     """A proxy's first request, as plain values."""
     kind = discovery_pb2.DeltaDiscoveryRequest if delta else discovery_pb2.DiscoveryRequest
-    name, zone, epoch, held, rate, hops, avoid = server.read_node(kind.FromString(data))
+    name, zone, epoch, held, rate, hops, avoid = proxy_node.read_node(kind.FromString(data))
     return [
         name,
         zone,
