--- a/peatlead/fleet/gossip.py
+++ b/peatlead/fleet/gossip.py
@@ -37,9 +37,29 @@
 MAX_ADVICE_SIZE = 1000  # bytes
 MAX_ADVICE_RATE = 100  # pieces of advice accepted in a second
 ADVICE_WINDOW = 1.0  # seconds
+COUNTERS = ("in", "out", "bytes out", "refused", "unproven", "notes", "notes dropped")  # datagrams
 PROVE = b"prove"  # prefix of a body that asks the receiver to repeat the proof that follows
 
 
+class AdviceLimit:
+    """At most `MAX_ADVICE_RATE` pieces of advice in each window."""
+
+    def __init__(self) -> None:
+        self.left = MAX_ADVICE_RATE  # in the current window
+        self.window_at = 0.0  # when the window began
+
+    def allows(self, now: float) -> bool:
+        """Whether one more is allowed; begins a new window where it is time."""
+        if now - self.window_at >= ADVICE_WINDOW:
+            self.left = MAX_ADVICE_RATE
+            self.window_at = now
+        return self.left > 0
+
+    def count(self) -> None:
+        """Counts an accepted one."""
+        self.left -= 1
+
+
 def ignore(*_: Any) -> None:
     """The handler of what nobody subscribed to."""
 
@@ -73,8 +93,7 @@
         self.on_pins = on_pins
         self.on_drain_request = on_drain_request
         self.positions = {one["name"]: at for at, one in enumerate(settings["steward"])}
-        self.advice_left = MAX_ADVICE_RATE  # in the current window
-        self.advice_window_at = 0.0  # when the window began
+        self.advice_limit = AdviceLimit()
         keys = [bytes.fromhex(key) for key in settings["fleet"]["keys"]]
         self.authenticator = Authenticator(keys, me["name"], boot)
         self.members = self._make_membership(settings, rng)
@@ -83,15 +102,7 @@
         self.loop: asyncio.AbstractEventLoop
         self.transport: Optional[asyncio.DatagramTransport] = None
         self.timer: Optional[asyncio.TimerHandle] = None
-        self.counts = {
-            "in": 0,
-            "out": 0,
-            "bytes out": 0,
-            "refused": 0,
-            "unproven": 0,
-            "notes": 0,
-            "notes dropped": 0,
-        }
+        self.counts = dict.fromkeys(COUNTERS, 0)
         self.last_refusal = ""
 
     def _make_membership(self, settings: Mapping[str, Any], rng: Random) -> Membership:
@@ -239,14 +250,11 @@
 
     def _on_advice(self, name: str, payload: bytes) -> None:
         """Drops and counts what exceeds the rate: advice that is lost costs little."""
-        now = self.loop.time()
-        if now - self.advice_window_at >= ADVICE_WINDOW:
-            self.advice_left = MAX_ADVICE_RATE
-            self.advice_window_at = now
-        too_long = len(payload) > MAX_ADVICE_SIZE
-        if not self.advice_left or too_long or name not in self.positions:
+        limit = self.advice_limit
+        allowed = limit.allows(self.loop.time())
+        if not allowed or len(payload) > MAX_ADVICE_SIZE or name not in self.positions:
             self.counts["notes dropped"] += 1
             return
-        self.advice_left -= 1
+        limit.count()
         self.counts["notes"] += 1
         self.on_advice(self.positions[name], payload)
--- a/tests/fleet/test_authentication.py
+++ b/tests/fleet/test_authentication.py
@@ -12,83 +12,83 @@
 
 class AuthenticationTest(unittest.TestCase):
     def pair(self):
-        one, other = Authenticator([KEY], "a", b"1" * 8), Authenticator([KEY], "b", b"2" * 8)
-        for sender, receiver, name in ((one, other, "b"), (other, one, "a")):
+        alice, bob = Authenticator([KEY], "a", b"1" * 8), Authenticator([KEY], "b", b"2" * 8)
+        for sender, receiver, name in ((alice, bob, "b"), (bob, alice, "a")):
             with self.assertRaises(UnprovenSenderError) as caught:
                 receiver.open(sender.close(b"hello", name))
             sender.learn(name, caught.exception.proof)
-        return one, other
+        return alice, bob
 
     def test_a_proven_sender_is_accepted_and_each_message_once(self):
-        one, other = self.pair()
-        first, second = one.close(b"x", "b"), one.close(b"y", "b")
-        self.assertEqual(other.open(second), ("a", b"y"))
-        self.assertEqual(other.open(first), ("a", b"x"))  # late, but its first time
+        alice, bob = self.pair()
+        first, second = alice.close(b"x", "b"), alice.close(b"y", "b")
+        self.assertEqual(bob.open(second), ("a", b"y"))
+        self.assertEqual(bob.open(first), ("a", b"x"))  # late, but its first time
         for again in (first, second):
             with self.assertRaisesRegex(AuthenticationError, "came before"):
-                other.open(again)
+                bob.open(again)
 
     def test_forged_changed_and_foreign_messages_are_refused(self):
-        one, other = self.pair()
-        good = one.close(b"x", "b")
+        alice, bob = self.pair()
+        good = alice.close(b"x", "b")
         for at in range(len(good)):
             with self.assertRaises(AuthenticationError):
-                other.open(good[:at] + bytes([good[at] ^ 1]) + good[at + 1 :])
+                bob.open(good[:at] + bytes([good[at] ^ 1]) + good[at + 1 :])
             with self.assertRaises(AuthenticationError):
-                other.open(good[:at])
+                bob.open(good[:at])
         with self.assertRaisesRegex(AuthenticationError, "another fleet's"):
-            other.open(Authenticator([OTHER], "a", b"1" * 8).close(b"x"))
+            bob.open(Authenticator([OTHER], "a", b"1" * 8).close(b"x"))
         with self.assertRaisesRegex(AuthenticationError, "expected version 1, got 7"):
-            other.open(b"\x07" + good[1:])
+            bob.open(b"\x07" + good[1:])
         with self.assertRaisesRegex(AuthenticationError, "our own"):
-            one.open(good)
+            alice.open(good)
 
     def test_recordings_of_an_earlier_boot_cannot_be_replayed(self):
-        one, other = self.pair()
-        recorded = [one.close(b"old%d" % at, "b") for at in range(5)]
+        alice, bob = self.pair()
+        recorded = [alice.close(b"old%d" % at, "b") for at in range(5)]
         restarted = Authenticator([KEY], "a", b"3" * 8)
         with self.assertRaises(UnprovenSenderError) as caught:
-            other.open(restarted.close(b"hi", "b"))
+            bob.open(restarted.close(b"hi", "b"))
         restarted.learn("b", caught.exception.proof)
-        self.assertEqual(other.open(restarted.close(b"hi", "b")), ("a", b"hi"))
+        self.assertEqual(bob.open(restarted.close(b"hi", "b")), ("a", b"hi"))
         for old in recorded * 2:  # the boot was proven, but none of its messages had arrived
             with self.assertRaises(AuthenticationError):
-                other.open(old)
-        self.assertEqual(other.open(restarted.close(b"ho", "b")), ("a", b"ho"))
+                bob.open(old)
+        self.assertEqual(bob.open(restarted.close(b"ho", "b")), ("a", b"ho"))
 
     def test_a_boot_that_was_accepted_and_replaced_stays_refused(self):
-        one, other = self.pair()
-        other.open(one.close(b"x", "b"))
-        recorded, restarted = one.close(b"y", "b"), Authenticator([KEY], "a", b"3" * 8)
+        alice, bob = self.pair()
+        bob.open(alice.close(b"x", "b"))
+        recorded, restarted = alice.close(b"y", "b"), Authenticator([KEY], "a", b"3" * 8)
         with self.assertRaises(UnprovenSenderError) as caught:
-            other.open(restarted.close(b"hi", "b"))
+            bob.open(restarted.close(b"hi", "b"))
         restarted.learn("b", caught.exception.proof)
-        other.open(restarted.close(b"hi", "b"))
+        bob.open(restarted.close(b"hi", "b"))
         with self.assertRaisesRegex(AuthenticationError, "replaced"):
-            other.open(recorded)
+            bob.open(recorded)
 
     def test_a_restarted_receiver_accepts_no_recording(self):
-        one, other = self.pair()
-        recorded = one.close(b"x", "b")
+        alice, bob = self.pair()
+        recorded = alice.close(b"x", "b")
         with self.assertRaises(UnprovenSenderError):
             Authenticator([KEY], "b", b"9" * 8).open(recorded)
 
     def test_keys_are_rotated_in_service(self):
-        one, other = self.pair()
-        other.keys = [OTHER, KEY]
-        self.assertEqual(other.open(one.close(b"x", "b"))[1], b"x")
-        one.keys = [OTHER, KEY]
-        self.assertEqual(other.open(one.close(b"y", "b"))[1], b"y")
-        other.keys = [OTHER]
-        self.assertEqual(other.open(one.close(b"z", "b"))[1], b"z")
+        alice, bob = self.pair()
+        bob.keys = [OTHER, KEY]
+        self.assertEqual(bob.open(alice.close(b"x", "b"))[1], b"x")
+        alice.keys = [OTHER, KEY]
+        self.assertEqual(bob.open(alice.close(b"y", "b"))[1], b"y")
+        bob.keys = [OTHER]
+        self.assertEqual(bob.open(alice.close(b"z", "b"))[1], b"z")
 
     @given(st.lists(st.integers(1, 200), max_size=120))
     def test_no_counter_is_accepted_twice_in_any_order(self, order):
-        one, other = self.pair()
-        messages, accepted = [one.close(b"%d" % at, "b") for at in range(201)], []
+        alice, bob = self.pair()
+        messages, accepted = [alice.close(b"%d" % at, "b") for at in range(201)], []
         for at in order:
             try:
-                accepted.append(other.open(messages[at])[1])
+                accepted.append(bob.open(messages[at])[1])
             except AuthenticationError:
                 pass
         self.assertEqual(len(accepted), len(set(accepted)))
--- a/tests/fleet/test_membership.py
+++ b/tests/fleet/test_membership.py
@@ -11,24 +11,24 @@
 
 class MembershipTest(unittest.TestCase):
     def test_all_members_agree_and_a_killed_one_is_declared_dead_by_all(self):
-        for many in (3, 10, 50):
-            net = Net(many)
+        for size in (3, 10, 50):
+            net = Net(size)
             net.run(8.0)
-            self.assertTrue(net.agreed(sorted(net.nodes)), many)
+            self.assertTrue(net.agreed(sorted(net.nodes)), size)
             net.dead.add("n1")
             net.run(14.0)
             self.assertEqual(set(net.states("n1").values()), {"dead"})
 
     def test_packet_loss_alone_declares_no_member_dead_for_long(self):
-        net, wrong = Net(5, loss=0.15), []
+        net, dead_beliefs = Net(5, loss=0.15), []
         net.run(5.0)
         net.run(
             60.0,
-            lambda: wrong.append(
+            lambda: dead_beliefs.append(
                 sum(s == "dead" for n in net.nodes for s in net.states(n).values())
             ),
         )
-        self.assertLess(sum(map(bool, wrong)), len(wrong) * 0.05)
+        self.assertLess(sum(map(bool, dead_beliefs)), len(dead_beliefs) * 0.05)
         net.loss = 0.0
         net.run(4.0)
         self.assertTrue(net.agreed(sorted(net.nodes)))
@@ -119,7 +119,7 @@
         ),
         st.integers(0, 1000),
     )
-    def test_incarnations_never_go_back_and_members_agree_after_any_faults(self, what, seed):
+    def test_incarnations_never_go_back_and_members_agree_after_any_faults(self, faults, seed):
         net, seen = Net(4, seed), {}
 
         def watch():
@@ -133,7 +133,7 @@
                         seen[key] = one.about.incarnation
 
         net.run(3.0, watch)
-        for verb, a, b, wait in what:
+        for verb, a, b, wait in faults:
             one, other = f"n{a}", f"n{b}"
             if verb == "kill":
                 net.dead.add(one)
--- a/tests/fleet/test_ownership.py
+++ b/tests/fleet/test_ownership.py
@@ -64,8 +64,8 @@
         self.assertEqual(sum(v.take for v in decisions), JOIN_BURST)
         waits = {v.wait for v in decisions if not v.take}
         self.assertGreater(len(waits), 200)
-        again = [ownership.admit(1.0, p, 0).take for p in self.PROXIES]
-        self.assertEqual(sum(again), JOIN_BURST)
+        admitted_later = [ownership.admit(1.0, p, 0).take for p in self.PROXIES]
+        self.assertEqual(sum(admitted_later), JOIN_BURST)
 
     def test_a_draining_controller_hands_over_all_proxies_and_admits_none(self):
         fleet = fleet_of("a", "b")
@@ -101,11 +101,11 @@
         st.lists(st.tuples(st.sampled_from("abc"), st.integers(0, 4), st.booleans()), max_size=40),
         st.integers(0, 99),
     )
-    def test_epochs_never_go_back_and_at_most_one_owner_is_effective(self, joins, seed):
+    def test_epochs_never_go_back_and_at_most_one_owner_is_effective(self, connections, seed):
         """The proxy joins any controller in any order; orders of all it ever joined arrive in any order."""
         fleet, chance = fleet_of("a", "b", "c"), random.Random(seed)
         fence, orders, effective = Fence(), [], []
-        for name, many, forget in joins:
+        for name, many, forget in connections:
             fence = Fence((fence.newest[0] + 1, 1 << 62))  # connecting fences off all before
             decision = fleet[name].admit(0.0, "p", fence.newest[0], hops=9)
             if not decision.take:
--- a/tests/grpc/test_incremental.py
+++ b/tests/grpc/test_incremental.py
@@ -15,13 +15,13 @@
 
     def test_a_proxy_converges_to_the_last_published_state_over_a_lossy_link(self):
         async def case(world):
-            steward, chance, cuts, pieces = await world.steward(), random.Random(7), [], []
+            controller, rng, cuts, pieces = await world.steward(), random.Random(7), [], []
 
             async def carry(reader, writer, other):
-                while piece := await reader.read(chance.randrange(1, 2000)):
-                    await asyncio.sleep(chance.uniform(0.0, 0.004))
+                while piece := await reader.read(rng.randrange(1, 2000)):
+                    await asyncio.sleep(rng.uniform(0.0, 0.004))
                     pieces.append(True)
-                    if chance.random() < 0.015 or len(pieces) == 60:
+                    if rng.random() < 0.015 or len(pieces) == 60:
                         cuts.append(True)
                         break
                     writer.write(piece)
@@ -47,27 +47,27 @@
                 KINDS,
                 incremental=True,
             )
-            one = Agent(plan, world.chance, Quiet())
-            one.begin(asyncio.get_running_loop().time())
-            world.closing.append(lambda: setattr(one, "stopped", True))
-            await until(lambda: len(one.lines.get("look", ())) == 4)
+            proxy = Agent(plan, world.chance, Quiet())
+            proxy.begin(asyncio.get_running_loop().time())
+            world.closing.append(lambda: setattr(proxy, "stopped", True))
+            await until(lambda: len(proxy.lines.get("look", ())) == 4)
             await world.shake(40, 0.08)
 
             def same():
-                items = steward.published.store.histories["p0"].items
+                items = controller.published.store.histories["p0"].items
                 lines = {key: value for key, value in items.items() if key.startswith("line/")}
                 return (
-                    one.holder.parts["line"] == lines
-                    and len({line.address for line in one.lines["look"]}) == 3
+                    proxy.holder.parts["line"] == lines
+                    and len({line.address for line in proxy.lines["look"]}) == 3
                 )
 
             await until(same)
-            self.assertTrue(one.holder.sound("line"))
+            self.assertTrue(proxy.holder.sound("line"))
             self.assertNotIn(
-                "127.10.9.2", {line.address for lines in one.lines.values() for line in lines}
+                "127.10.9.2", {line.address for lines in proxy.lines.values() for line in lines}
             )
-            self.assertFalse([row for row in one.record.of("held") if not row[7]])
+            self.assertFalse([row for row in proxy.record.of("held") if not row[7]])
             self.assertTrue(cuts)
-            await one.finish()
+            await proxy.finish()
 
         run_fleet(case)
--- a/tests/grpc/test_server.py
+++ b/tests/grpc/test_server.py
@@ -22,22 +22,22 @@
 class ServerTest(unittest.TestCase):
     def test_a_proxy_joins_gets_endpoints_and_its_reports_are_summed(self):
         async def case(world):
-            steward = await world.steward()
-            one = connect_proxy(world, order=(1,))
-            await until(lambda: len(one.lines.get("look", ())) == 4 and one.retries)
+            controller = await world.steward()
+            proxy = connect_proxy(world, order=(1,))
+            await until(lambda: len(proxy.lines.get("look", ())) == 4 and proxy.retries)
             received = []
-            real = steward.planner.handlers[interface.EndpointStats]
-            steward.planner.handlers[interface.EndpointStats] = lambda event: (
+            real = controller.planner.handlers[interface.EndpointStats]
+            controller.planner.handlers[interface.EndpointStats] = lambda event: (
                 received.append(event),
                 real(event),
             )
             await until(lambda: sum(event.attempts for event in received) > 5)
-            self.assertEqual(one.retries, {"look": "unstarted", "file": "unstarted"})
+            self.assertEqual(proxy.retries, {"look": "unstarted", "file": "unstarted"})
             await until(
                 lambda: [
                     x["held"] == x["sent"] != "0.0"
-                    for x in steward.published.tell_holders()
-                    if x["proxy"] == one.plan.name
+                    for x in controller.published.tell_holders()
+                    if x["proxy"] == proxy.plan.name
                 ]
                 == [True]
             )
@@ -45,10 +45,10 @@
             world.phases["h1"] = "draining"
             world.write()
             await until(
-                lambda: {line.address for line in one.lines["look"]}
+                lambda: {line.address for line in proxy.lines["look"]}
                 == {"127.10.9.1", "127.10.9.3", "127.10.9.4"}
             )
-            await one.finish()
+            await proxy.finish()
 
         run_fleet(case)
 
@@ -114,7 +114,7 @@
         """It ignores our stamps: assignments name the collections, these contain the endpoints."""
 
         async def case(world):
-            steward = await world.steward()
+            controller = await world.steward()
             loop, found, asks = asyncio.get_running_loop(), {}, queue.Queue()
 
             def ask(**fields):
@@ -154,7 +154,7 @@
 
             task = loop.run_in_executor(None, client)
             await until(lambda: "first" in found)
-            await until(lambda: steward.proxies.acks >= 2)
+            await until(lambda: controller.proxies.acks >= 2)
             world.phases["h1"] = "draining"
             world.write()
             await task
@@ -167,17 +167,17 @@
 
     def test_a_rejecting_proxy_keeps_its_old_endpoints_and_is_reported(self):
         async def case(world):
-            steward = await world.steward()
-            one = connect_proxy(world, order=(1,))
-            await until(lambda: len(one.lines.get("look", ())) == 4)
-            before, real = dict(one.lines), one.apply
-            one.apply = lambda response: (_ for _ in ()).throw(ValueError("planted"))
+            controller = await world.steward()
+            proxy = connect_proxy(world, order=(1,))
+            await until(lambda: len(proxy.lines.get("look", ())) == 4)
+            before, real = dict(proxy.lines), proxy.apply
+            proxy.apply = lambda response: (_ for _ in ()).throw(ValueError("planted"))
             world.phases["h1"] = "draining"
             world.write()
-            await until(lambda: steward.proxies.refusals)
-            self.assertEqual(one.lines, before)
+            await until(lambda: controller.proxies.refusals)
+            self.assertEqual(proxy.lines, before)
             self.assertEqual(dict(world.log)["assignment refused"]["why"], "planted")
-            one.apply = real
-            await one.finish()
+            proxy.apply = real
+            await proxy.finish()
 
         run_fleet(case)
