--- a/peatlead/fleet/member_table.py
+++ b/peatlead/fleet/member_table.py
@@ -5,6 +5,7 @@
 """
 
 from collections.abc import Iterable
+from dataclasses import dataclass
 from math import ceil, log2
 from typing import NamedTuple, Optional
 
@@ -35,16 +36,14 @@
     after: str
 
 
+@dataclass(slots=True)
 class Member:
     """One known member."""
 
-    __slots__ = ("about", "since", "times_sent", "suspect_until")
-
-    def __init__(self, info: MemberInfo, now: float) -> None:
-        self.about = info  # the fact that is believed
-        self.since = now  # when its state last changed
-        self.times_sent = 0  # how often the fact was disseminated
-        self.suspect_until: Optional[float] = None  # when a suspect is declared dead
+    about: MemberInfo  # the fact that is believed
+    since: float  # when its state last changed
+    times_sent: int = 0  # how often the fact was disseminated
+    suspect_until: Optional[float] = None  # when a suspect is declared dead
 
 
 def overrides(new: MemberInfo, old: MemberInfo) -> bool:
--- a/peatlead/grpc/handler.py
+++ b/peatlead/grpc/handler.py
@@ -1,5 +1,7 @@
 """What the gRPC server expects of the controller behind it."""
 
+from __future__ import annotations
+
 from collections.abc import Iterable, Mapping
 from typing import TYPE_CHECKING, Optional, Protocol
 
@@ -27,22 +29,22 @@
     def hints(self, node: ProxyNode, /) -> Mapping[str, str]:
         """Metadata for an admitted proxy: where to connect when this controller ends."""
 
-    def joined(self, session: "Session", /) -> None:
+    def joined(self, session: Session, /) -> None:
         """A proxy has been admitted."""
 
-    def left(self, session: "Session", /) -> None:
+    def left(self, session: Session, /) -> None:
         """An admitted proxy's stream has ended."""
 
-    def refused(self, session: "Session", refusal: Refused, /) -> None:
+    def refused(self, session: Session, refusal: Refused, /) -> None:
         """A proxy has sent a NACK."""
 
-    def applied(self, session: "Session", type_url: str, version: Version, /) -> None:
+    def applied(self, session: Session, type_url: str, version: Version, /) -> None:
         """A proxy has sent an ACK."""
 
-    def published(self, session: "Session", version: Version, parts: Iterable[str], /) -> None:
+    def published(self, session: Session, version: Version, parts: Iterable[str], /) -> None:
         """A version of these parts of a proxy's tables is sent to it."""
 
-    def lines_of(self, session: "Session", request_class: int, /) -> Mapping[int, float]:
+    def lines_of(self, session: Session, request_class: int, /) -> Mapping[int, float]:
         """The endpoints that a proxy is to hold now, and their weights."""
 
     def place_of(self, endpoint: int, /) -> tuple[str, int, str]:
@@ -51,11 +53,11 @@
     def host_of(self, place: tuple[str, int], /) -> Optional[int]:
         """The endpoint at an address and port."""
 
-    def takes_report(self, session: "Session", now: float, /) -> bool:
+    def takes_report(self, session: Session, now: float, /) -> bool:
         """Whether a load report is processed, or shed."""
 
-    def reported(self, session: "Session", started: float, /) -> None:
+    def reported(self, session: Session, started: float, /) -> None:
         """A load report has been processed since `started`."""
 
-    def report_every(self, session: Optional["Session"], /) -> float:
+    def report_every(self, session: Optional[Session], /) -> float:
         """Seconds between load reports of a proxy; None: of one that is not connected."""
--- a/peatlead/grpc/load_report_stream.py
+++ b/peatlead/grpc/load_report_stream.py
@@ -1,5 +1,7 @@
 """One proxy's load report stream (LRS)."""
 
+from __future__ import annotations
+
 import asyncio
 from typing import TYPE_CHECKING, Optional
 
@@ -18,7 +20,7 @@
 class LoadReportStream:
     """Reads the reports of one proxy, and tells it how often to report."""
 
-    def __init__(self, front: "GrpcFront", call: Call) -> None:
+    def __init__(self, front: GrpcFront, call: Call) -> None:
         self.front = front
         self.handler = front.handler
         self.call = call
--- a/peatlead/grpc/session.py
+++ b/peatlead/grpc/session.py
@@ -1,5 +1,7 @@
 """One connected proxy: its discovery stream, what it is to hold, and what it has acknowledged."""
 
+from __future__ import annotations
+
 import asyncio
 from collections.abc import Iterable, Mapping
 from typing import TYPE_CHECKING, Any, ClassVar, Optional, Union
@@ -34,7 +36,7 @@
 
     epoch: int  # set once the proxy is admitted
 
-    def __init__(self, front: "GrpcFront", call: Call) -> None:
+    def __init__(self, front: GrpcFront, call: Call) -> None:
         self.front = front
         self.handler = front.handler
         self.call = call
