--- a/tests/transcripts/test_xds_transcripts.py
+++ b/tests/transcripts/test_xds_transcripts.py
@@ -20,6 +20,7 @@
     incremental,
     load_aggregation,
     load_reports,
+    proxy_node,
     resources,
     server,
 )
@@ -30,9 +31,9 @@
 # Adapter: all internal names that these tests use.
 
 PATHS = [server.DISCOVERY, server.DELTA, server.LOADS]
-encode_routes, encode_value = resources.write_routes, resources.write_value
-encode_name, decode_name = resources.resource_name, resources.read_resource_name
-frame, percent, decode_timeout = framing.frame, framing.percent, framing.read_timeout
+encode_routes, encode_value = resources.encode_routes, resources.encode_item
+encode_name, decode_name = resources.resource_name, resources.parse_resource_name
+frame, percent, decode_timeout = framing.frame, framing.percent_encode, framing.parse_timeout
 
 
 def encode_lines(kind, lines, level):
@@ -49,12 +50,12 @@
 
 
 def decode_value(key, data):
-    return resources.read_value(key, data)
+    return resources.decode_item(key, data)
 
 
 def unframe(pieces):
     """[message] as hex, or [status] of a refusal at the end."""
-    unframer, found = framing.Unframer(), []
+    unframer, found = framing.MessageDeframer(), []
     try:
         for piece in pieces:
             found += [one.hex() for one in unframer.feed(piece)]
@@ -143,7 +144,7 @@
 def decode_node(data, delta):
     """A proxy's first request, as plain values."""
     kind = discovery_pb2.DeltaDiscoveryRequest if delta else discovery_pb2.DiscoveryRequest
-    name, zone, epoch, held, rate, hops, avoid = server.read_node(kind.FromString(data))
+    name, zone, epoch, held, rate, hops, avoid = proxy_node.read_node(kind.FromString(data))
     return [
         name,
         zone,
