--- a/peatlead/benchmarks/dns_speed.py
+++ b/peatlead/benchmarks/dns_speed.py
@@ -20,9 +20,9 @@
 import dns.rrset
 
 from ..dns.answers import Answers
-from ..dns.server import DnsFront
+from ..dns.server import DnsServer
 from ..dns.views import Views
-from ..dns.warmup_thinning import Named
+from ..dns.warmup_thinning import AnswerPool
 from ..settings import load_settings
 
 SCRIPT = """
@@ -114,7 +114,7 @@
         answers.know(host, f"h{host}", f"127.10.{host // 250}.{host % 250 + 1}", "")
     tables = [dict.fromkeys(draw.sample(range(hosts), 12), 1.0) for _ in answers.views.views]
     for view, table in enumerate(tables):
-        answers.place(view, 0, Named(table, True, 2), table)
+        answers.place(view, 0, AnswerPool(table, True, 2), table)
     return settings, answers, tables, draw
 
 
@@ -125,7 +125,7 @@
             view = draw.randrange(len(tables))
             tables[view].pop(draw.choice(sorted(tables[view])))
             tables[view][draw.randrange(hosts)] = 1.0
-            answers.place(view, 0, Named(dict(tables[view]), True, 2), tables[view])
+            answers.place(view, 0, AnswerPool(dict(tables[view]), True, 2), tables[view])
             counted[0] += 1
         await asyncio.sleep(0.1)
 
@@ -133,7 +133,7 @@
 async def measure(views=3000, hosts=300, rounds=7, seconds=2.0, window=16, rate=300):
     loop = asyncio.get_running_loop()
     settings, answers, tables, draw = build(views, hosts)
-    front = DnsFront(settings["dns"], answers)
+    front = DnsServer(settings["dns"], answers)
     front.fresh_until = float("inf")
     await front.open(("127.1.0.1", 0))
     ports = {"front": front.closers[0].get_extra_info("sockname")[1]}
--- a/peatlead/benchmarks/encoding.py
+++ b/peatlead/benchmarks/encoding.py
@@ -6,8 +6,8 @@
 
 from envoy.config.endpoint.v3 import endpoint_pb2
 
-from ..grpc.resources import Line, write_lines
-from ..tables.version import MILLION, whole_weight
+from ..grpc.resources import WeightedEndpoint, encode_assignment
+from ..tables.version import MILLION, quantize_weight
 
 
 def write_whole(kind, lines, level):
@@ -22,7 +22,7 @@
             one = group.lb_endpoints.add()
             one.endpoint.address.socket_address.address = line.address
             one.endpoint.address.socket_address.port_value = line.port
-            one.load_balancing_weight.value = whole_weight(line.weight)
+            one.load_balancing_weight.value = quantize_weight(line.weight)
             total += one.load_balancing_weight.value
         group.load_balancing_weight.value = total
     if level < 1:
@@ -34,11 +34,14 @@
 
 def main():
     chance = Random(1)
-    hosts = [Line(f"10.0.{at // 250}.{at % 250}", 80, "abc"[at % 3], 1.0) for at in range(1000)]
+    hosts = [
+        WeightedEndpoint(f"10.0.{at // 250}.{at % 250}", 80, "abc"[at % 3], 1.0)
+        for at in range(1000)
+    ]
     tables = [chance.sample(hosts, 9) for _ in range(3000)]
     spent = {}
     for _ in range(6):  # turn by turn: the machine's moods strike both
-        for name, write in (("plain", write_whole), ("parts", write_lines)):
+        for name, write in (("plain", write_whole), ("parts", encode_assignment)):
             start = time.process_time()
             for table in tables:
                 write("look", table, 0.9)
--- a/peatlead/benchmarks/grpc_fuzz.py
+++ b/peatlead/benchmarks/grpc_fuzz.py
@@ -19,10 +19,10 @@
 
 from ..grpc.framing import frame
 from ..grpc.http2 import Connection
-from ..grpc.incremental import read_held
+from ..grpc.incremental import decode_initial_versions
 from ..grpc.load_aggregation import LoadAggregator
 from ..grpc.load_reports import read_report
-from ..grpc.resources import ENDPOINTS, LINES, read_lines, read_routes
+from ..grpc.resources import ENDPOINTS, LINES, decode_assignment, decode_routes
 from ..grpc.server import DELTA, DISCOVERY, LOADS, read_node
 from ..net.in_memory_transport import InMemoryTransport
 
@@ -75,13 +75,16 @@
             lambda said: read_report(said, {"look": 0}, lambda place: 1, 7, 0, LoadAggregator()),
         ),
         (discovery_pb2.DiscoveryRequest, read_node),
-        (discovery_pb2.DeltaDiscoveryRequest, lambda said: (read_node(said), read_held(said))),
+        (
+            discovery_pb2.DeltaDiscoveryRequest,
+            lambda said: (read_node(said), decode_initial_versions(said)),
+        ),
     ):
         try:
             use(make.FromString(data))
         except (DecodeError, ValueError):
             continue
-    for use in (read_lines, read_routes):
+    for use in (decode_assignment, decode_routes):
         try:
             use(data)
         except ValueError:
--- a/peatlead/benchmarks/herd.py
+++ b/peatlead/benchmarks/herd.py
@@ -23,7 +23,7 @@
 
 from ..controller.control_socket import ask_once
 from ..grpc.http2 import dial
-from ..grpc.resources import ENDPOINTS, ROUTES, read_lines
+from ..grpc.resources import ENDPOINTS, ROUTES, decode_assignment
 from ..grpc.server import DISCOVERY, LOADS
 from ..net.http import Server
 from ..net.streams import Stream
@@ -87,7 +87,7 @@
         self.size += len(data)
         if response.type_url == ENDPOINTS:
             for one in response.resources:
-                kind, lines, _ = read_lines(one.value)
+                kind, lines, _ = decode_assignment(one.value)
                 self.named[kind] = {line.address for line in lines}
             self.hosts = set().union(*self.named.values())
             self.seen.append((now, frozenset(self.hosts)))
--- a/peatlead/benchmarks/scale.py
+++ b/peatlead/benchmarks/scale.py
@@ -228,7 +228,7 @@
 
     def join(self):
         for at in range(self.proxies):
-            self.publisher.join(at, levelled=True)
+            self.publisher.join(at, enforces_admission=True)
             self.states[at] = ViewState()
         self.batches(
             [interface.ProxyConnected(at, at % 3, self.rate, True) for at in range(self.proxies)]
--- a/peatlead/benchmarks/tables.py
+++ b/peatlead/benchmarks/tables.py
@@ -19,11 +19,11 @@
 from .. import interface
 from ..controller.channel import Channel, Publisher, ViewState
 from ..grpc.incremental import Incremental
-from ..grpc.resources import ENDPOINTS, LINES, Line, write_lines
+from ..grpc.resources import ENDPOINTS, LINES, WeightedEndpoint, encode_assignment
 from ..planner.planner import Planner
 from ..tables.history import History, Store
 from ..tables.table_log import TableLog
-from ..tables.version import Version, changes, line_key, read_line_key, whole_weight
+from ..tables.version import Version, changes, line_key, parse_line_key, quantize_weight
 
 KINDS = ("look", "file", "pay")
 SIZES = ((24, 80), (82, 291), (300, 1000))
@@ -143,7 +143,7 @@
             interface.EndpointUpdate("whole", 1, tuple(self.member(at) for at in range(hosts)))
         ]
         for at in range(proxies):
-            self.publisher.join(at, levelled=True)
+            self.publisher.join(at, enforces_admission=True)
             self.views[at] = ViewState()
             events.append(interface.ProxyConnected(at, at % 3, 3.0, True))
             self.streams[at] = Incremental(
@@ -174,7 +174,7 @@
         if self.pinned is not None:
             return self.pinned[at]
         return {
-            line_key(kind, f"z{host % 3}", f"10.0.{host // 250}.{host % 250}", 80): whole_weight(
+            line_key(kind, f"z{host % 3}", f"10.0.{host // 250}.{host % 250}", 80): quantize_weight(
                 weight
             )
             for number, kind in enumerate(KINDS)
@@ -222,10 +222,12 @@
             )
         lines, tables = len(items), {kind: [] for kind in KINDS}
         for key, weight in items.items():
-            kind, zone, address, port = read_line_key(key)
-            tables[kind].append(Line(address, port, zone, weight / 1000))
+            kind, zone, address, port = parse_line_key(key)
+            tables[kind].append(WeightedEndpoint(address, port, zone, weight / 1000))
         for kind, table in tables.items():
-            self.sent["whole bytes"] += len(write_lines(kind, table, 1.0)) + len(ENDPOINTS) + 8
+            self.sent["whole bytes"] += (
+                len(encode_assignment(kind, table, 1.0)) + len(ENDPOINTS) + 8
+            )
         self.sent["whole lines"] += lines
         self.sent["messages"] += 1
         self.whole.offer(self.now, view, dict.fromkeys(range(lines)))
--- a/peatlead/controller/batch_loop.py
+++ b/peatlead/controller/batch_loop.py
@@ -47,7 +47,7 @@
         self.batch_started_at = 0.0  # seconds on the loop's clock
         self.decided = 0  # batches
         self.slowest = 0.0  # seconds that the longest decision took
-        self.carriers: dict[type, CommandHandler] = {
+        self.command_handlers: dict[type, CommandHandler] = {
             interface.SetTimer: self.set_timer,
             interface.LogMessage: self.log_message,
         }
@@ -85,7 +85,7 @@
 
     note = submit_later  # the callers' name for it
 
-    def hear(self, event: interface.Event) -> None:
+    def submit(self, event: interface.Event) -> None:
         """Add an event to the next batch, which runs in the loop's next turn."""
         self.inbox.append(event)
         if not self.step_scheduled:
@@ -121,7 +121,7 @@
         """
         messages, nonces, others = self.publisher.take(commands)
         for command in others:
-            handler = self.carriers.get(type(command))
+            handler = self.command_handlers.get(type(command))
             if handler is not None:
                 handler(command)
         self.offer(now, commands, messages, nonces)
@@ -148,16 +148,16 @@
     def set_timer(self, command: interface.SetTimer) -> None:
         """Schedule a timer of the current planner, due `delay` seconds after the batch began."""
         due = self.batch_started_at + command.delay
-        self.loop.call_later(command.delay, self.fire_of, self.planner, command.token, due)
+        self.loop.call_later(command.delay, self.fire_if_current, self.planner, command.token, due)
 
-    def fire_of(self, planner: object, token: int, due: float) -> None:
+    def fire_if_current(self, planner: object, token: int, due: float) -> None:
         """Fire a timer unless the planner that set it has been replaced."""
         if planner is self.planner:
             self.fire(token, due)
 
     def fire(self, token: int, due: float) -> None:
         """Report a timer to the planner that was due at `due`, in seconds on the loop's clock."""
-        self.hear(interface.TimerFired(token))
+        self.submit(interface.TimerFired(token))
 
     def log_message(self, command: interface.LogMessage) -> None:
         """Write the planner's line to the log."""
--- a/peatlead/controller/channel.py
+++ b/peatlead/controller/channel.py
@@ -14,11 +14,11 @@
 from collections.abc import Iterable
 from typing import Optional
 
-from .message import Message, Operations, put, taken_away
+from .message import Message, Operations, put, removed_endpoints
 from .publisher import Publisher
 from .view_state import ViewState
 
-__all__ = ["Channel", "Message", "Operations", "Publisher", "ViewState", "put", "taken_away"]
+__all__ = ["Channel", "Message", "Operations", "Publisher", "ViewState", "put", "removed_endpoints"]
 
 CAUSES_MOST = 8  # causes kept of a message that was merged many times
 URGENT_RUN = 3  # messages that take endpoints away, between two that do not
@@ -74,7 +74,7 @@
 
     def choose_lane(self, subscriber: int, message: Message) -> None:
         """Put a subscriber into its message's lane; one that is there already keeps its place."""
-        urgent = bool(taken_away(message.ops))
+        urgent = bool(removed_endpoints(message.ops))
         lane, other = (self.urgent, self.calm) if urgent else (self.calm, self.urgent)
         other.pop(subscriber, None)
         lane.setdefault(subscriber, True)
--- a/peatlead/controller/controller.py
+++ b/peatlead/controller/controller.py
@@ -10,7 +10,7 @@
 from .. import interface
 from ..dns.answers import Answers
 from ..dns.notify import Secondaries
-from ..dns.server import DnsFront
+from ..dns.server import DnsServer
 from ..dns.views import Views
 from ..fleet.gossip import GossipNode
 from ..planner.planner import Planner
@@ -23,10 +23,10 @@
 from .endpoint_lists import EndpointLists, SourceFactory
 from .endpoint_registry import EndpointRegistry
 from .health_checks import HealthChecks
-from .message import Operations, taken_away
+from .message import Operations, removed_endpoints
 from .message_pump import MessagePump
 from .operator_queries import OperatorQueries
-from .overload import Beat, Gather, OverloadControl, Say
+from .overload import LogOverload, OverloadControl, SetGatherWindow, TimerLateness
 from .planner_settings import planner_settings
 from .propagation import PropagationTrace
 from .proxies import Proxies
@@ -96,7 +96,7 @@
 
     def _register_order_handlers(self) -> None:
         """Say who carries out the planner's orders that are not for recipients."""
-        self.carriers.update(
+        self.command_handlers.update(
             {
                 interface.CheckHealth: self.health_checks.check,
                 interface.SetAdmission: self.health_checks.set_admission,
@@ -120,7 +120,7 @@
     def _create_dns(self, rng: Random) -> None:
         """Create the DNS server and what its answers are made of."""
         self.answers = Answers(self.settings, self.views, rng.uniform)
-        self.front = DnsFront(self.settings["dns"], self.answers)
+        self.front = DnsServer(self.settings["dns"], self.answers)
         self.dns = DnsPublication(self, self.answers)
         self.freshness = AnswerFreshness(self)
         self.secondaries: Secondaries | None = None  # created when it starts
@@ -138,7 +138,7 @@
             self.log,
             self._gossip_received,
             self.published.receive_pins,
-            self.published.hear_wish,
+            self.published.receive_target,
         )
 
     def _create_proxies(self) -> Proxies | None:
@@ -206,10 +206,10 @@
     def fire(self, token: int, due: float) -> None:
         """Pass the planner's timer on; how late it runs is a measure of overload."""
         now = self.loop.time()
-        for order in self.overload.decide(now, [Beat(now - due, self.count_proxies())]):
-            if type(order) is Gather and self.proxies:
+        for order in self.overload.decide(now, [TimerLateness(now - due, self.count_proxies())]):
+            if type(order) is SetGatherWindow and self.proxies:
                 self.proxies.gathered.wait = order.seconds
-            elif type(order) is Say:
+            elif type(order) is LogOverload:
                 self.log("burden", text=order.text)
         super().fire(token, due)
 
@@ -234,16 +234,16 @@
             self._record_cause(now, order)
         for number in sorted(messages):
             operations = messages[number]
-            for endpoint in taken_away(operations):
+            for endpoint in removed_endpoints(operations):
                 if self.recipients.holds(number, endpoint):
-                    self.propagation.losing(now, endpoint, number)
-            causes = self.published.causes.of_all(operations)
+                    self.propagation.begin_withdrawal(now, endpoint, number)
+            causes = self.published.causes.causes_of(operations)
             self.channel.offer(now, number, operations, marks.get(number, ()), causes)
 
     def _record_cause(self, now: float, order: object) -> None:
         """Record what an order says of an endpoint, for the causes of later versions."""
         if type(order) is interface.LogMessage:
-            note = self.published.causes.planner_said(order.text)
+            note = self.published.causes.note_planner_message(order.text)
             if note:
                 self.propagation.note(now, *note)
         elif type(order) is interface.WithdrawEndpoint:
@@ -277,15 +277,15 @@
 
     def proxy_joined(self, number: int, zone: int, rate: float, needs_tables: bool) -> None:
         """Tell the planner of a view or proxy that has joined; `rate` in requests a second."""
-        self.hear(interface.ProxyConnected(number, zone, rate, needs_tables))
+        self.submit(interface.ProxyConnected(number, zone, rate, needs_tables))
 
     def proxy_left(self, number: int) -> None:
         """Tell the planner of a proxy that has left."""
         self.propagation.ended(self.loop.time(), number)
-        self.hear(interface.ProxyDisconnected(number))
+        self.submit(interface.ProxyDisconnected(number))
 
     def _gossip_received(self, sender: int, payload: bytes) -> None:
-        self.hear(interface.GossipReceived(sender, payload))
+        self.submit(interface.GossipReceived(sender, payload))
 
     # Questions of the parts.
 
@@ -293,11 +293,11 @@
         """Return how many proxies have joined."""
         return len(self.proxies.front.sessions) if self.proxies else 0
 
-    def wanted_of(self, number: int) -> list[PlannedTable]:
+    def planned_tables(self, number: int) -> list[PlannedTable]:
         """Return what the planner wants of a view or proxy now."""
         return self.recipients.planned_tables(number)
 
-    def tell_fleet(self, question: Question) -> Answer:
+    def answer_fleet_question(self, question: Question) -> Answer:
         """Answer a question about the fleet. Raises KeyError where this controller is in none."""
         return self.queries.handlers()["fleet"](question)
 
--- a/peatlead/controller/dns_publication.py
+++ b/peatlead/controller/dns_publication.py
@@ -85,7 +85,7 @@
         for seat in changed:
             table = self.thinning.tables[seat]
             view, service = seat
-            if table != self._answers.seats[view][service].weighed:
+            if table != self._answers.seats[view][service].planned_weights:
                 self._answers.place(view, service, self.thinning.named[seat], table)
         for endpoint in named_before:
             if not self.thinning.holders[endpoint]:
--- a/peatlead/controller/endpoint_lists.py
+++ b/peatlead/controller/endpoint_lists.py
@@ -46,7 +46,7 @@
         """Take a list from the source."""
         controller = self._controller
         now = controller.loop.time()
-        update = controller.registry.roster(endpoint_list, now)
+        update = controller.registry.endpoint_update(endpoint_list, now)
         for endpoint in update.endpoints:
             self._update_endpoint(now, endpoint, endpoint_list.version)
         ready = sum(entry.phase == interface.EndpointPhase.READY for entry in endpoint_list.hosts)
@@ -59,7 +59,7 @@
         )
         if endpoint_list.scope == interface.ListScope.WHOLE and endpoint_list.hosts:
             self._remember(endpoint_list)
-        controller.hear(update)
+        controller.submit(update)
 
     def _update_endpoint(self, now: float, endpoint: interface.Endpoint, list_version: int) -> None:
         controller = self._controller
--- a/peatlead/controller/endpoint_registry.py
+++ b/peatlead/controller/endpoint_registry.py
@@ -30,7 +30,7 @@
         zones: Iterable[str],
         log: Callable[..., None],
         machines: Iterable[str] = (),
-        unstarted_old: bool = False,
+        assume_old: bool = False,
         age_of: Optional[Callable[[float], float]] = None,
     ) -> None:
         self.zones = {zone: number for number, zone in enumerate(zones)}
@@ -40,11 +40,11 @@
         self.entries: dict[int, ListedEndpoint] = {}  # the last entry of each number
         self.starts: dict[str, ProcessStart] = {}
         self.listed = False  # whether a list has ever arrived
-        self.unstarted_old = unstarted_old
+        self.assume_old = assume_old
         self.age_of = age_of
         self.next_number = 0
 
-    def roster(self, listing: EndpointList, now: float) -> interface.EndpointUpdate:
+    def endpoint_update(self, listing: EndpointList, now: float) -> interface.EndpointUpdate:
         """Return the planner's event for a list, without entries of unknown zones."""
         endpoints = []
         for entry in listing.hosts:
@@ -100,7 +100,7 @@
             if self.age_of is not None:
                 return self.age_of(entry.started)
             return max(0.0, written - entry.started)
-        return UNKNOWN_AGE if self.unstarted_old or not self.listed else 0.0
+        return UNKNOWN_AGE if self.assume_old or not self.listed else 0.0
 
     def forget(self, number: int) -> None:
         """Drop an endpoint that is in no table any more; listed again, it gets a new number."""
--- a/peatlead/controller/health_checks.py
+++ b/peatlead/controller/health_checks.py
@@ -8,7 +8,7 @@
 
 from .. import interface
 from ..dns.views import View
-from ..health.load_report_counts import EndpointReport, LoadReportCounts, read_told
+from ..health.load_report_counts import EndpointReport, LoadReportCounts, parse_endpoint_report
 from ..health.prober import Prober
 from ..net.http import Response
 from ..net.orca import HEADER, read_report
@@ -43,7 +43,7 @@
     """Read an endpoint's answer to a health check."""
     outcome = OUTCOME_OF_STATUS.get(answer.status, OUTCOME_OF_OTHER_STATUS)
     load_report = read_report(answer.headers.get(HEADER, "")) or None
-    request_counts = read_told(answer.body) if outcome == PASSED else None
+    request_counts = parse_endpoint_report(answer.body) if outcome == PASSED else None
     return CheckedAnswer(outcome, load_report, request_counts)
 
 
@@ -104,7 +104,9 @@
     ) -> None:
         self._counts.take(endpoint, request_counts, load_report)
         self._counts.probed(endpoint, outcome == PASSED, duration)
-        self._controller.hear(interface.HealthCheckResult(endpoint, outcome, duration, load_report))
+        self._controller.submit(
+            interface.HealthCheckResult(endpoint, outcome, duration, load_report)
+        )
 
     def _view_of(self, network: str) -> View | None:
         """Return the view of a client network, cached: endpoints report the same ones each time."""
--- a/peatlead/controller/message.py
+++ b/peatlead/controller/message.py
@@ -57,7 +57,7 @@
     ops[key] = value
 
 
-def taken_away(ops: Operations) -> dict[int, bool]:
+def removed_endpoints(ops: Operations) -> dict[int, bool]:
     """Return the endpoints that a message takes away, as the keys of a map (to keep the order).
 
     Until the message is applied, requests may still be sent to them and fail.
--- a/peatlead/controller/operator_queries.py
+++ b/peatlead/controller/operator_queries.py
@@ -67,10 +67,10 @@
         return {
             "view": view.name,
             "zone": controller.zone_names[view.zone],
-            "lifetime": controller.answers.lifetime if seat.lasting else 0,
+            "lifetime": controller.answers.lifetime if seat.cacheable else 0,
             "lines": [
                 self._describe_line(endpoint, weight, endpoint in seat.lines)
-                for endpoint, weight in sorted(seat.weighed.items())
+                for endpoint, weight in sorted(seat.planned_weights.items())
             ],
             "fresh": controller.freshness.fresh,
         }
--- a/peatlead/controller/overload.py
+++ b/peatlead/controller/overload.py
@@ -64,14 +64,14 @@
 LONG_AGO = -1e9  # seconds on the loop's clock
 
 
-class Did(NamedTuple):
+class ReportsRead(NamedTuple):
     """Event: `reports` load reports were read in `seconds` of the loop's time."""
 
     reports: int
     seconds: float
 
 
-class Beat(NamedTuple):
+class TimerLateness(NamedTuple):
     """Event: a timer fired `late` seconds after its time, with `proxies` connected."""
 
     late: float
@@ -84,20 +84,20 @@
     seconds: float
 
 
-class Gather(NamedTuple):
+class SetGatherWindow(NamedTuple):
     """Command: for how long statistics are gathered before the planner gets them."""
 
     seconds: float
 
 
-class Say(NamedTuple):
+class LogOverload(NamedTuple):
     """Command: a line for the log."""
 
     text: str
 
 
-OverloadEvent = Union[Did, Beat]
-OverloadCommand = Union[SetReportInterval, Gather, Say]
+OverloadEvent = Union[ReportsRead, TimerLateness]
+OverloadCommand = Union[SetReportInterval, SetGatherWindow, LogOverload]
 
 
 class OverloadControl:
@@ -133,19 +133,19 @@
         self.now = now
         self.commands = []
         for event in events:
-            if isinstance(event, Did):
+            if isinstance(event, ReportsRead):
                 self.on_reports_read(event)
             else:
                 self.on_timer(event)
         return self.commands
 
-    def on_reports_read(self, event: Did) -> None:
+    def on_reports_read(self, event: ReportsRead) -> None:
         """Update the mean cost of a report."""
         if event.reports:
             weight = COST_SMOOTHING * min(COST_REPORTS_MOST, event.reports)
             self.cost += weight * (event.seconds / event.reports - self.cost)
 
-    def on_timer(self, event: Beat) -> None:
+    def on_timer(self, event: TimerLateness) -> None:
         """Adapt to how late the timer fired."""
         self.measure_rate()
         self.update_headroom(event.late)
@@ -190,7 +190,7 @@
             self.interval_set_at = self.now
             late = f"{self.late * 1000:.0f} ms late"
             self.commands.append(SetReportInterval(wanted))
-            self.commands.append(Say(f"reports every {wanted:.3g} s, {late}"))
+            self.commands.append(LogOverload(f"reports every {wanted:.3g} s, {late}"))
 
     def round_up(self, interval: float) -> float:
         """Return the next interval in use: the configured one times a power of the step."""
@@ -207,9 +207,9 @@
         gather = min(longest, round((1.0 - self.headroom) * GATHER_MOST * self.every, 2))
         if gather != self.gather:
             self.gather = gather
-            self.commands.append(Gather(gather))
+            self.commands.append(SetGatherWindow(gather))
 
-    def interval_of(self, part: float) -> float:
+    def report_interval_of(self, part: float) -> float:
         """Return the report interval of one proxy; `part`, from 0 to 1, tells proxies apart.
 
         Proxies that report within the same second would go on doing so if they were all given the
@@ -237,7 +237,7 @@
             return False
         return True
 
-    def takes_join(self, now: float, bare: bool) -> float:
+    def join_delay(self, now: float, bare: bool) -> float:
         """Return the seconds that a proxy has to wait before it joins.
 
         A proxy without a table (`bare`) never waits.
--- a/peatlead/controller/pin_control.py
+++ b/peatlead/controller/pin_control.py
@@ -9,7 +9,7 @@
 
 from blake3 import blake3
 
-from ..tables.pins import ActivePin, Pins, read_pins, write_pins
+from ..tables.pins import ActivePin, Pins, decode_pins, encode_pins
 from ..tables.table_log import TableLog
 
 if TYPE_CHECKING:
@@ -39,7 +39,7 @@
 
     def recall(self, now: float, notes: Mapping[str, bytes]) -> None:
         """Take up the pins of an earlier start. Raises ValueError where they are not readable."""
-        self.pins.hear(now, read_pins(notes.get(NOTE_KEY, NO_PINS)))
+        self.pins.hear(now, decode_pins(notes.get(NOTE_KEY, NO_PINS)))
 
     def log_standing(self, now: float) -> None:
         """Log each pin in force with its remaining seconds."""
@@ -63,7 +63,7 @@
     def store(self, now: float) -> None:
         """Append the pins, with their present ages, to the table log."""
         self._stored_at = now
-        self._log.note(NOTE_KEY, write_pins(self.pins.told(now)))
+        self._log.note(NOTE_KEY, encode_pins(self.pins.told(now)))
 
     def announce(self, now: float) -> None:
         """Send all pins to the other controllers."""
@@ -72,8 +72,8 @@
             return
         pins = self.pins.told(now)
         for start in range(0, len(pins), PINS_EACH_DATAGRAM):
-            payload = write_pins(pins[start : start + PINS_EACH_DATAGRAM])
-            self._controller.fleet.tell_pins(payload)
+            payload = encode_pins(pins[start : start + PINS_EACH_DATAGRAM])
+            self._controller.fleet.broadcast_pins(payload)
 
     def commit_change(self, now: float) -> None:
         """Write an operator's change to disk and send it before the operator gets an answer."""
@@ -83,7 +83,7 @@
 
     def receive(self, now: float, payload: bytes) -> bool:
         """Merge another controller's pins. Return whether any changed; raises ValueError."""
-        if not self.pins.hear(now, read_pins(payload)):
+        if not self.pins.hear(now, decode_pins(payload)):
             return False
         self.store(now)
         return True
--- a/peatlead/controller/pin_targets.py
+++ b/peatlead/controller/pin_targets.py
@@ -15,7 +15,7 @@
 from ..tables.history import Store, UnknownVersionError
 from ..tables.pins import ActivePin, Pins
 from ..tables.table_log import TableLog
-from ..tables.version import NONE, Version, read_line_key, read_version
+from ..tables.version import NONE, Version, parse_line_key, parse_version
 from .published_items import LineWeights, TableItems, line_items
 
 if TYPE_CHECKING:
@@ -54,7 +54,7 @@
     )
     pin_id, name, epoch, serial, lines = msgspec.msgpack.decode(plain, type=AnnouncementBody)
     for line in lines:
-        read_line_key(line)
+        parse_line_key(line)
     return (pin_id, name), PastTable(Version(epoch, serial), lines)
 
 
@@ -112,7 +112,7 @@
             if pin.target == "held":
                 return PastTable(history.last, dict(history.items))
             if pin.target == "version":
-                version = read_version(pin.to)
+                version = parse_version(pin.to)
                 return PastTable(version, history.at_version(version))
             age = self._controller.loop.time() - active.base
             return PastTable(*history.at_time(self._wall() - age - float(pin.to)))
@@ -149,7 +149,7 @@
                 continue
             payload = write_announcement(key, past)
             if len(payload) < ANNOUNCEMENT_BYTES:
-                gossip.tell_wish(payload)
+                gossip.broadcast_drain_request(payload)
 
     def receive(self, payload: bytes) -> None:
         """Take another controller's target; the highest version of a proxy's counts."""
--- a/peatlead/controller/pinned_tables.py
+++ b/peatlead/controller/pinned_tables.py
@@ -8,8 +8,8 @@
 from ..sources.endpoint_list import ListedEndpoint
 from ..tables.guard import RAMPED, GuardContext, GuardedTable, guard
 from ..tables.history import Store
-from ..tables.pins import LOOK_GAP, ActivePin
-from ..tables.version import SCALE, changes, line_key, read_line_key, whole_weight
+from ..tables.pins import REPUBLISH_INTERVAL, ActivePin
+from ..tables.version import SCALE, changes, line_key, parse_line_key, quantize_weight
 from .message import PIN_CHECK, Operations
 from .pin_control import PinControl
 from .pin_targets import PinTargets
@@ -127,7 +127,7 @@
         """Return a past table of a request class as the guard lets it stand."""
         past: EndpointWeights = {}
         for key, value in target.items():
-            line_class, _, address, _ = read_line_key(key)
+            line_class, _, address, _ = parse_line_key(key)
             if line_class == request_class:
                 endpoint = self._endpoints.by_address.get(address, UNLISTED_ENDPOINT)
                 past[endpoint] = value / SCALE
@@ -143,7 +143,7 @@
             entry = self._controller.registry.entries[endpoint]
             address = entry.address or entry.address6
             key = line_key(request_class, entry.zone, address, self._controller.port)
-            items[key] = whole_weight(weight)
+            items[key] = quantize_weight(weight)
         return items
 
     def pending_changes(self, name: str, number: int) -> ItemChanges:
@@ -197,7 +197,7 @@
         last = self._sent.get(name, NEVER_CHANGED)
         removes_endpoint = any(value is None for value in pending.values())
         # A change that was sent is on its way: a slow proxy must not be sent it again each round.
-        if pending != last.items and (removes_endpoint or now - last.at >= LOOK_GAP):
+        if pending != last.items and (removes_endpoint or now - last.at >= REPUBLISH_INTERVAL):
             self._sent[name] = SentChange(now, pending)
             operations: Operations = {
                 (PIN_CHECK, key): True for key in pending
--- a/peatlead/controller/propagation.py
+++ b/peatlead/controller/propagation.py
@@ -81,7 +81,7 @@
             events = self.notes[endpoint] = deque(maxlen=EVENTS_EACH)
         events.append(Event(now, text))
 
-    def losing(self, now: float, endpoint: int, holder: int) -> None:
+    def begin_withdrawal(self, now: float, endpoint: int, holder: int) -> None:
         """Begin to follow a holder that an endpoint is taken away from."""
         withdrawal = self.open.get(endpoint)
         if withdrawal is None:
--- a/peatlead/controller/proxies.py
+++ b/peatlead/controller/proxies.py
@@ -8,19 +8,19 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Any
 
-from ..dns.views import number_of
+from ..dns.views import proxy_number
 from ..fleet.membership import MemberInfo
 from ..fleet.ownership import Ownership, OwnershipReport
 from ..grpc.discovery import Refused
 from ..grpc.load_aggregation import LoadAggregator
 from ..grpc.proxy_node import ProxyNode
-from ..grpc.resources import Line
-from ..grpc.server import GrpcFront
+from ..grpc.resources import WeightedEndpoint
+from ..grpc.server import GrpcServer
 from ..grpc.session import Session
 from ..sources.endpoint_list import ListedEndpoint
-from ..tables.version import NONE, PARTS, Version, line_key, whole_weight
+from ..tables.version import NONE, PARTS, Version, line_key, quantize_weight
 from .channel import Message, ViewState
-from .overload import Did
+from .overload import ReportsRead
 from .proxy_admission import Admission, Metadata, ProxyAdmission
 from .published_items import EndpointWeights, LineWeights, TableItems
 from .recipients import Recipient
@@ -84,7 +84,7 @@
         self._port: int = settings["dns"]["port"]  # that endpoints listen on
         self.gathered = LoadAggregator()
         self.admission = ProxyAdmission(controller, ownership, member_info)
-        self.front = GrpcFront(
+        self.front = GrpcServer(
             self,
             controller.me["name"],
             controller.request_classes,
@@ -111,7 +111,7 @@
         """Take in a proxy that was admitted."""
         controller = self._controller
         node = session.node
-        session.number = number_of(NUMBER_PREFIX + node.name)
+        session.number = proxy_number(NUMBER_PREFIX + node.name)
         session.state = ViewState()
         session.zone = controller.registry.zones.get(node.zone, 0)
         self.front.add(session)
@@ -150,14 +150,14 @@
         """Take that a load report was read, and what that cost."""
         session.report_at = started
         duration = self._controller.loop.time() - started
-        self._controller.overload.decide(started, [Did(1, duration)])
+        self._controller.overload.decide(started, [ReportsRead(1, duration)])
 
     def report_every(self, session: Session | None) -> float:
         """Return the seconds between a proxy's load reports."""
         phase = MEAN_PHASE
         if session is not None:
             phase = session.number % REPORT_PHASES / (REPORT_PHASES - 1)
-        interval: float = self._controller.overload.interval_of(phase)
+        interval: float = self._controller.overload.report_interval_of(phase)
         return interval
 
     def refused(self, session: Session, refusal: Refused) -> None:
@@ -279,7 +279,7 @@
         publisher = self._controller.publisher
         self._controller.channel.forget(session.number)
         publisher.leave(session.number)
-        publisher.join(session.number, levelled=True)
+        publisher.join(session.number, enforces_admission=True)
         session.state.levels.update(publisher.levels)
 
     def _take_brought_tables(self, session: Session) -> bool:
@@ -296,7 +296,7 @@
                 session.state.bound[index] = BROUGHT_TABLE, request_class
         return len(session.state.bound) == len(self.front.kinds)
 
-    def _known_weights(self, lines: Iterable[Line]) -> EndpointWeights:
+    def _known_weights(self, lines: Iterable[WeightedEndpoint]) -> EndpointWeights:
         weights: EndpointWeights = {}
         for line in lines:
             endpoint = self.host_of((line.address, line.port))
@@ -306,7 +306,9 @@
 
     def _brought_lines(self, node: ProxyNode) -> LineWeights:
         return {
-            line_key(request_class, line.zone, line.address, line.port): whole_weight(line.weight)
+            line_key(request_class, line.zone, line.address, line.port): quantize_weight(
+                line.weight
+            )
             for request_class, lines in node.held.items()
             if request_class in self.front.kinds
             for line in lines
--- a/peatlead/controller/proxy_admission.py
+++ b/peatlead/controller/proxy_admission.py
@@ -4,10 +4,10 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from ..fleet.membership import MemberInfo
-from ..fleet.ownership import Ownership, OwnershipReport, ranked, why
+from ..fleet.ownership import Ownership, OwnershipReport, rank_controllers, why
 from ..grpc.framing import UNAVAILABLE
 from ..grpc.proxy_node import ProxyNode
-from ..grpc.server import GrpcFront
+from ..grpc.server import GrpcServer
 
 if TYPE_CHECKING:
     from .controller import Controller
@@ -65,7 +65,7 @@
         seen = max(node.epoch, self._controller.published.newest_epoch(node.name))
         now = self._controller.loop.time()
         holds_no_table = not any(node.held.values())
-        wait = self._controller.overload.takes_join(now, holds_no_table)
+        wait = self._controller.overload.join_delay(now, holds_no_table)
         if wait:
             self.paced += 1
             return wait_refusal("paced: more to do than time", wait)
@@ -85,7 +85,7 @@
         """Return where a proxy should dial, best first, when this controller ends."""
         if self._ownership is None or self._member_info is None:
             return {}
-        members = map(self._member_info, ranked(node.name, self._ownership.live))
+        members = map(self._member_info, rank_controllers(node.name, self._ownership.live))
         addresses = [
             f"{member.name}={member.orders[0]}:{member.orders[1]}"
             for member in members
@@ -98,7 +98,7 @@
         if self._ownership is not None:
             self._ownership.left(name)
 
-    def move_on(self, now: float, front: GrpcFront) -> None:
+    def move_on(self, now: float, front: GrpcServer) -> None:
         """Send some proxies that another controller should own to that one."""
         if self._ownership is None:
             return
--- a/peatlead/controller/publication.py
+++ b/peatlead/controller/publication.py
@@ -166,7 +166,7 @@
             self.targets.announce_known()
             self._controller.log("pins heard", standing=sorted(self.pins.standing()))
 
-    def hear_wish(self, payload: bytes) -> None:
+    def receive_target(self, payload: bytes) -> None:
         """Take a pin's target from another controller."""
         self.targets.receive(payload)
 
@@ -244,7 +244,7 @@
         """Answer a `tables` question."""
         return self._queries.answer(question)
 
-    def tell_holders(self) -> list[Answer]:
+    def proxy_versions(self) -> list[Answer]:
         """Return for each proxy the version last sent and the one it acknowledged."""
         return self._queries.proxy_versions()
 
--- a/peatlead/controller/published_items.py
+++ b/peatlead/controller/published_items.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from ..tables.version import SCALE, changes, read_line_key
+from ..tables.version import SCALE, changes, parse_line_key
 
 LINE_PREFIX = "line/"
 
@@ -28,7 +28,7 @@
 
 def weight_fractions(items: Mapping[str, Any]) -> dict[str, float]:
     """Return for each endpoint line its fraction of the total weight of its request class."""
-    request_classes = {key: read_line_key(key)[0] for key in items if key.startswith(LINE_PREFIX)}
+    request_classes = {key: parse_line_key(key)[0] for key in items if key.startswith(LINE_PREFIX)}
     totals: dict[str, int] = {}
     for key, request_class in request_classes.items():
         totals[request_class] = totals.get(request_class, 0) + items[key]
@@ -53,7 +53,7 @@
         """Return one item with the endpoint by name and the weight as listed."""
         if not key.startswith(LINE_PREFIX):
             return {"item": key, "value": value}
-        request_class, zone, address, _ = read_line_key(key)
+        request_class, zone, address, _ = parse_line_key(key)
         endpoint = self._endpoint_by_address.get(address)
         return {
             "item": f"line/{request_class}",
--- a/peatlead/controller/publisher.py
+++ b/peatlead/controller/publisher.py
@@ -38,12 +38,12 @@
         self.ejected: dict[int, set[int]] = {}  # subscriber -> endpoints ejected since it joined
         self.levels: dict[int, tuple[float, str]] = {}  # (admitted fraction, retry policy) by class
 
-    def join(self, subscriber: int, levelled: bool = False) -> None:
+    def join(self, subscriber: int, enforces_admission: bool = False) -> None:
         """Add a subscriber; `levelled` where it enforces admission itself."""
         self.joined.add(subscriber)
         self.unassigned.add(subscriber)
         self.ejected[subscriber] = set()
-        if levelled:
+        if enforces_admission:
             self.enforcing.add(subscriber)
 
     def leave(self, subscriber: int) -> None:
--- a/peatlead/controller/table_queries.py
+++ b/peatlead/controller/table_queries.py
@@ -8,7 +8,7 @@
 
 from ..tables.history import History, UnknownVersionError
 from ..tables.pins import ActivePin, PinError
-from ..tables.version import NONE, Digest, Version, read_version
+from ..tables.version import NONE, Digest, Version, parse_version
 from .control_socket import Answer, Question
 from .pin_commands import Arguments, PinCommands
 from .published_items import ItemFormatter, line_items
@@ -89,7 +89,7 @@
         """Return a proxy's items at a version, by default the newest."""
         name, history = self._history_of(arguments["proxy"])
         asked_version = arguments.get("version")
-        version = read_version(asked_version) if asked_version else history.last
+        version = parse_version(asked_version) if asked_version else history.last
         items = history.at_version(version)
         active = self._publication.pin_of(name, self._controller.recipients.zone_of(name))
         return {
@@ -103,7 +103,7 @@
     def diff(self, arguments: Arguments) -> Answer:
         """Return what differs between two versions of a proxy's tables."""
         name, history = self._history_of(arguments["proxy"])
-        versions = [read_version(arguments[side]) for side in ("one", "other")]
+        versions = [parse_version(arguments[side]) for side in ("one", "other")]
         if NONE in versions:
             raise PinError("expected two versions, EPOCH.SERIAL each")
         before, after = (history.at_version(version) for version in versions)
--- a/peatlead/dns/answer_cache.py
+++ b/peatlead/dns/answer_cache.py
@@ -31,8 +31,10 @@
     """One view of one service: the endpoints that its answers are drawn from."""
 
     lines: Mapping[int, float] = field(default_factory=dict)  # weights that answers are drawn by
-    weighed: Mapping[int, float] = field(default_factory=dict)  # the table, as SRV records show it
-    lasting: bool = True  # whether answers may be cached
+    planned_weights: Mapping[int, float] = field(
+        default_factory=dict
+    )  # the table, as SRV records show it
+    cacheable: bool = True  # whether answers may be cached
     min_addresses: int = 1  # that an answer should have
     version: int = 0  # counts changes
     cycles: dict[int, AnswerCycle] = field(default_factory=dict)  # by address family
@@ -110,7 +112,7 @@
         Addresses that do not fit are left out without truncation: fewer than asked for still serve,
         and a retry over TCP is not needed.
         """
-        lifetime = self.context.lifetime if self.source.lasting else 0
+        lifetime = self.context.lifetime if self.source.cacheable else 0
         records = [self.context.record(endpoint, self.family, lifetime) for endpoint in order]
         capacity = self.max_size - ID_BYTES - len(self.head) - len(self.tail)
         records = records[: capacity // len(records[0])]
--- a/peatlead/dns/answers.py
+++ b/peatlead/dns/answers.py
@@ -26,7 +26,7 @@
 from .records import FAMILIES, EndpointAddresses, add_record
 from .service_names import ServiceNames, Target
 from .views import View, Views
-from .warmup_thinning import Named
+from .warmup_thinning import AnswerPool
 from .zone import ZoneRecord
 from .zone_contents import (
     NEGATIVE_LIFETIME,
@@ -100,13 +100,15 @@
         self.records = {key: value for key, value in self.records.items() if key[0] != endpoint}
         self.flush()
 
-    def place(self, view: int, service: int, named: Named, weighed: Mapping[int, float]) -> None:
+    def place(
+        self, view: int, service: int, named: AnswerPool, planned_weights: Mapping[int, float]
+    ) -> None:
         """Set the pool of a view's answers, and the weights that its SRV records show."""
         source = self.seats[view][service]
         source.lines = named.weights
-        source.lasting = named.lasting
+        source.cacheable = named.cacheable
         source.min_addresses = named.min_addresses
-        source.weighed = weighed
+        source.planned_weights = planned_weights
         source.version += 1
         source.cycles = {}
         self.change_count += 1
--- a/peatlead/dns/server.py
+++ b/peatlead/dns/server.py
@@ -23,7 +23,7 @@
         """Stop listening."""
 
 
-class DnsFront:
+class DnsServer:
     """The UDP and TCP sockets of one controller.
 
     The controller moves `fresh_until`, in loop time, on as it goes on deciding.
@@ -58,7 +58,7 @@
     waited in its socket; resolvers have another controller to ask.
     """
 
-    def __init__(self, server: DnsFront) -> None:
+    def __init__(self, server: DnsServer) -> None:
         self.server = server
         # Over UDP there is never more than one message.
         self.respond = cast(Callable[[bytes, str], bytes | None], server.answers.respond)
@@ -84,7 +84,7 @@
 class TcpConnection(Stream):
     """A resolver's connection."""
 
-    def __init__(self, server: DnsFront) -> None:
+    def __init__(self, server: DnsServer) -> None:
         super().__init__(server.settings["tcp_idle"], MAX_UNSENT_BYTES)
         self.server = server
         self.part = b""  # of a message that has not arrived completely: less than 64 KiB
--- a/peatlead/dns/views.py
+++ b/peatlead/dns/views.py
@@ -54,7 +54,7 @@
     values: dict[int, Value]  # by network address
 
 
-def number_of(name: str) -> int:
+def proxy_number(name: str) -> int:
     """Return the planner's proxy number of a view or a proxy: a hash of its name."""
     return int.from_bytes(blake3(b"view:" + name.encode()).digest(NUMBER_BYTES), "big")
 
@@ -122,7 +122,7 @@
 
     def add_view(self, name: str, zone: int, rate: float) -> View:
         """Add a view and return it."""
-        view = View(len(self.views), name, number_of(name), zone, rate)
+        view = View(len(self.views), name, proxy_number(name), zone, rate)
         self.views.append(view)
         return view
 
--- a/peatlead/dns/warmup_thinning.py
+++ b/peatlead/dns/warmup_thinning.py
@@ -45,11 +45,11 @@
 Weights = dict[int, float]  # by endpoint
 
 
-class Named(NamedTuple):
+class AnswerPool(NamedTuple):
     """The endpoints that a view's answers are drawn from."""
 
     weights: Weights
-    lasting: bool  # whether answers may be cached
+    cacheable: bool  # whether answers may be cached
     min_addresses: int = 1  # that an answer should have
 
 
@@ -72,7 +72,7 @@
         self.rates = dict(rates)
         self.tables: dict[ViewKey, Weights] = {}  # as the planner ordered them
         self.holders: dict[int, set[ViewKey]] = {}  # views whose table holds an endpoint
-        self.named: dict[ViewKey, Named] = {}  # as last decided
+        self.named: dict[ViewKey, AnswerPool] = {}  # as last decided
         self.ramping: set[int] = set()  # endpoints that a table holds below their listed weight
         self.listed: Mapping[int, float] = {}  # full weights of endpoints
         self.fair_rate = 0.0  # requests per second of an endpoint's fair part
@@ -82,24 +82,24 @@
         changed: Mapping[ViewKey, Mapping[int, float]],
         listed: Mapping[int, float],
         rates: Iterable[tuple[ViewKey, float]] = (),
-    ) -> dict[ViewKey, Named]:
+    ) -> dict[ViewKey, AnswerPool]:
         """Return the new pools of all views whose pool has changed.
 
         `changed` holds whole tables, `listed` the full weights of endpoints, `rates` the views'
         requests per second in the last round.
         """
         self.listed = listed
-        touched = set(changed) | self.update_rates(rates)
+        last_activity = set(changed) | self.update_rates(rates)
         self.fair_rate = self.compute_fair_rate()
         for view, table in changed.items():
             self.update_table(view, table)
-        ramping = self.find_ramping(touched)
+        ramping = self.find_ramping(last_activity)
         namers = {endpoint: self.choose_namers(endpoint) for endpoint in sorted(ramping)}
         for endpoint in ramping | self.ramping:
-            touched |= self.holders.get(endpoint, set())
+            last_activity |= self.holders.get(endpoint, set())
         self.ramping = ramping
         updates = {}
-        for view in sorted(touched):
+        for view in sorted(last_activity):
             pool = self.make_pool(view, namers)
             if pool != self.named.get(view):
                 self.named[view] = pool
@@ -108,12 +108,12 @@
 
     def update_rates(self, rates: Iterable[tuple[ViewKey, float]]) -> set[ViewKey]:
         """Set the views' rates; return the views among them that have a table."""
-        touched = set()
+        last_activity = set()
         for view, rate in rates:
             self.rates[view] = max(MIN_RATE, rate, self.rates.get(view, 0.0) * RATE_DECAY)
             if view in self.tables:
-                touched.add(view)
-        return touched
+                last_activity.add(view)
+        return last_activity
 
     def compute_fair_rate(self) -> float:
         """Return an endpoint's fair part of all requests, per second."""
@@ -128,9 +128,9 @@
             self.holders.setdefault(endpoint, set()).add(view)
         self.tables[view] = dict(table)
 
-    def find_ramping(self, touched: Iterable[ViewKey]) -> set[int]:
+    def find_ramping(self, last_activity: Iterable[ViewKey]) -> set[int]:
         """Return the endpoints that some table holds below their listed weight."""
-        doubtful = self.ramping.union(*(self.tables[view] for view in touched))
+        doubtful = self.ramping.union(*(self.tables[view] for view in last_activity))
         return {endpoint for endpoint in doubtful if self.is_ramping(endpoint)}
 
     def is_ramping(self, endpoint: int) -> bool:
@@ -159,20 +159,20 @@
             candidates.append(Candidate(rate, view, part))
         return choose_within(planned_rate, sorted(candidates))
 
-    def make_pool(self, view: ViewKey, namers: Mapping[int, Collection[ViewKey]]) -> Named:
+    def make_pool(self, view: ViewKey, namers: Mapping[int, Collection[ViewKey]]) -> AnswerPool:
         """Return the endpoints that a view's answers are drawn from."""
         table = self.tables[view]
         fair_parts = self.rates.get(view, 1.0) / max(MIN_FAIR_RATE, self.fair_rate)
         min_addresses = min(len(table), ceil(fair_parts / FAIR_PART_PER_ADDRESS))
         if all(endpoint in namers for endpoint in table):
-            return Named(dict(table), False, min_addresses)
+            return AnswerPool(dict(table), False, min_addresses)
         weights = {}
         for endpoint, weight in table.items():
             if endpoint not in namers:
                 weights[endpoint] = weight
             elif view in namers[endpoint]:
                 weights[endpoint] = self.listed.get(endpoint, weight)
-        return Named(weights, fair_parts <= MAX_CACHEABLE_PART, min_addresses)
+        return AnswerPool(weights, fair_parts <= MAX_CACHEABLE_PART, min_addresses)
 
 
 def choose_within(planned_rate: float, candidates: Iterable[Candidate]) -> set[Any]:
--- a/peatlead/dns/zone_contents.py
+++ b/peatlead/dns/zone_contents.py
@@ -92,7 +92,7 @@
     """Add an SRV record for each endpoint of a table, and the endpoints' addresses."""
     addresses = []
     hosts_label = answers.settings["hosts_label"].encode()
-    for endpoint, weight in sorted(srv_weights(source.weighed).items()):
+    for endpoint, weight in sorted(srv_weights(source.planned_weights).items()):
         endpoint_label = answers.endpoints[endpoint].name.encode()
         target = dns.name.Name((endpoint_label, hosts_label, *answers.zone.labels))
         value = f"0 {weight} {answers.settings['port']} {target}"
@@ -119,7 +119,7 @@
         for service, index in answers.services.items():
             source = answers.seats[view.index][index]
             records.update(view_records(answers, source, f"{view.name}.{service}", lifetime))
-            shown |= set(source.weighed)
+            shown |= set(source.planned_weights)
     for endpoint in shown:
         addresses = answers.endpoints[endpoint]
         owner = f"{addresses.name}.{answers.settings['hosts_label']}"
@@ -137,6 +137,6 @@
     srv_name = f"{answers.settings['service_label']}.{PROTOCOL_LABEL}.{name}"
     port = answers.settings["port"]
     domain = f"{answers.settings['hosts_label']}.{answers.zone.to_text()}"
-    for endpoint, weight in srv_weights(source.weighed).items():
+    for endpoint, weight in srv_weights(source.planned_weights).items():
         target = f"{answers.endpoints[endpoint].name}.{domain}"
         yield ZoneRecord(srv_name, lifetime, "SRV", f"0 {weight} {port} {target}")
--- a/peatlead/fleet/gossip.py
+++ b/peatlead/fleet/gossip.py
@@ -171,11 +171,11 @@
         if len(payload) <= MAX_ADVICE_SIZE:
             self._broadcast(GossipMessage(payload))
 
-    def tell_pins(self, payload: bytes) -> None:
+    def broadcast_pins(self, payload: bytes) -> None:
         """Sends operators' pins to all live controllers."""
         self._broadcast(PinsMessage(payload))
 
-    def tell_wish(self, payload: bytes) -> None:
+    def broadcast_drain_request(self, payload: bytes) -> None:
         """Sends a drain request to all live controllers."""
         self._broadcast(DrainRequestMessage(payload))
 
--- a/peatlead/fleet/ownership.py
+++ b/peatlead/fleet/ownership.py
@@ -74,7 +74,7 @@
     return blake3(proxy.encode() + b"\0" + controller.encode()).digest(8)
 
 
-def ranked(proxy: str, names: Iterable[str]) -> list[str]:
+def rank_controllers(proxy: str, names: Iterable[str]) -> list[str]:
     """The controllers for a proxy, best first: the same order on each of them."""
     return sorted(names, key=lambda name: (score(proxy, name), name), reverse=True)
 
@@ -107,7 +107,9 @@
 
     def owner_of(self, proxy: str, avoid: Collection[str] = ()) -> str:
         """The controller for a new proxy: the first by rank that is neither draining nor full."""
-        order = [name for name in ranked(proxy, self.live) if name not in avoid] or [self.me]
+        order = [name for name in rank_controllers(proxy, self.live) if name not in avoid] or [
+            self.me
+        ]
         total = sum(status.load for status in self.live.values()) + 1
         capacity = total / max(1, len(self.live)) * LOAD_BOUND + LOAD_SLACK
         accepting = [name for name in order if not self._status(name).draining]
@@ -192,7 +194,9 @@
         It stays while its owner is only a little over the mean load, or two full controllers
         would redirect it to each other.
         """
-        order = [name for name in ranked(proxy, self.live) if not self.live[name].draining]
+        order = [
+            name for name in rank_controllers(proxy, self.live) if not self.live[name].draining
+        ]
         if self.draining:
             order = [name for name in order if name != self.me]
         if not order:
@@ -237,7 +241,7 @@
     """Explains a proxy's ownership; `joined_since`: when it connected to this controller."""
     return {
         "proxy": proxy,
-        "rank": ranked(proxy, ownership.live),
+        "rank": rank_controllers(proxy, ownership.live),
         "owner": ownership.owner_of(proxy),
         "here": proxy in ownership.epochs,
         "epoch": ownership.epochs.get(proxy),
--- a/peatlead/grpc/discovery.py
+++ b/peatlead/grpc/discovery.py
@@ -12,7 +12,7 @@
 from envoy.service.discovery.v3 import discovery_pb2
 from google.protobuf.any_pb2 import Any
 
-from ..tables.version import Version, read_version
+from ..tables.version import Version, parse_version
 
 MAX_SUBSCRIPTIONS = 1000  # resource names of one type that a proxy may subscribe to
 MAX_ERROR_TEXT = 500  # characters of a NACK's error detail
@@ -95,7 +95,7 @@
         """Handles an ACK or a NACK of the newest response."""
         subscription.nonce = ""
         if not request.HasField("error_detail"):
-            self.applied.append((request.type_url, read_version(request.version_info)))
+            self.applied.append((request.type_url, parse_version(request.version_info)))
             return
         version = request.response_nonce  # the nonce is the version
         text = request.error_detail.message[:MAX_ERROR_TEXT]
--- a/peatlead/grpc/http2.py
+++ b/peatlead/grpc/http2.py
@@ -21,7 +21,7 @@
 from .framing import FramingError, StatusCode, parse_timeout
 
 MAX_CALLS = 16  # of one peer at a time
-HEADERS_MOST = 16384  # bytes of one header list
+MAX_HEADER_LIST = 16384  # bytes of one header list
 WAITING_MOST = MAX_BACKLOG  # former name, until all callers have the new one
 MAX_UNSENT = 16 << 20  # bytes in the socket's buffer
 
@@ -130,7 +130,7 @@
             client=self.client,
             initial_values={
                 h2.settings.SettingCodes.MAX_CONCURRENT_STREAMS: MAX_CALLS,
-                h2.settings.SettingCodes.MAX_HEADER_LIST_SIZE: HEADERS_MOST,
+                h2.settings.SettingCodes.MAX_HEADER_LIST_SIZE: MAX_HEADER_LIST,
                 h2.settings.SettingCodes.ENABLE_PUSH: 0,
             },
         )
--- a/peatlead/grpc/incremental.py
+++ b/peatlead/grpc/incremental.py
@@ -21,7 +21,7 @@
 from google.protobuf.any_pb2 import Any
 
 from ..tables.replica import BASE, DIGEST
-from ..tables.version import WHOLE, Digest, Stamp, Version, changes, read_stamp
+from ..tables.version import WHOLE, Digest, Stamp, Version, changes, parse_stamp
 from .discovery import MAX_ERROR_TEXT, MAX_SUBSCRIPTIONS, Refused
 from .resources import (
     ENDPOINTS,
@@ -33,8 +33,12 @@
     resource_name,
 )
 
-PARTS_OF = {LINES: "line", ENDPOINTS: "level", ROUTES: "retry"}  # type URL -> part of the tables
-WHOLES_MOST = 3  # responses with the whole state, in a row, after rejections
+PART_BY_TYPE = {
+    LINES: "line",
+    ENDPOINTS: "level",
+    ROUTES: "retry",
+}  # type URL -> part of the tables
+MAX_FULL_RESYNCS = 3  # responses with the whole state, in a row, after rejections
 MISMATCHES = (BASE, DIGEST)  # error details of a proxy that holds something else than assumed
 WILDCARD = "*"
 COLLECTION_SUFFIX = "/*"
@@ -82,7 +86,7 @@
         """Takes over what the proxy reports with its first request."""
         self.requested = True
         self.dirty = True
-        self.held = read_held(request)
+        self.held = decode_initial_versions(request)
         self.digest = Digest(self.held)
 
     def subscribe(self, request: Message) -> None:
@@ -135,7 +139,7 @@
     def take(self, request: Message) -> list[Message]:
         """The DeltaDiscoveryResponses that are due after a DeltaDiscoveryRequest."""
         type_url = request.type_url
-        if type_url not in PARTS_OF:
+        if type_url not in PART_BY_TYPE:
             return []
         subscription = self.subscriptions.setdefault(type_url, Subscription())
         if not subscription.requested:
@@ -164,7 +168,7 @@
     def _reject(self, subscription: Subscription, in_flight: InFlight, request: Message) -> None:
         text = request.error_detail.message[:MAX_ERROR_TEXT]
         self.refusals.append(Refused(request.type_url, str(in_flight.version), text))
-        if text in MISMATCHES and subscription.wholes < WHOLES_MOST:
+        if text in MISMATCHES and subscription.wholes < MAX_FULL_RESYNCS:
             subscription.held = None
             subscription.dirty = True
         else:
@@ -181,7 +185,7 @@
     def _due(self, type_url: str, subscription: Subscription) -> list[Message]:
         if not subscription.dirty or subscription.in_flight is not None:
             return []
-        items = self.items(PARTS_OF[type_url])
+        items = self.items(PART_BY_TYPE[type_url])
         subscription.dirty = False
         if items is None:
             return []
@@ -222,7 +226,7 @@
         subscription.in_flight = in_flight
         subscription.nonce = str(version)
         self.sent += len(moved)
-        self.published(version, (PARTS_OF[type_url],))
+        self.published(version, (PART_BY_TYPE[type_url],))
         response = discovery_pb2.DeltaDiscoveryResponse(
             type_url=type_url,
             nonce=subscription.nonce,
@@ -245,7 +249,7 @@
         )
 
 
-def read_held(request: Message) -> Items:
+def decode_initial_versions(request: Message) -> Items:
     """The items that a proxy reports with its first request of a type, without foreign ones."""
     held: Items = {}
     for name, version in request.initial_resource_versions.items():
@@ -257,7 +261,7 @@
     return held
 
 
-def read_delta(response: Message) -> tuple[str, dict[str, Optional[Value]], Stamp]:
+def decode_delta(response: Message) -> tuple[str, dict[str, Optional[Value]], Stamp]:
     """A response as its proxy reads it: type URL, changed items (None: removed) and stamp.
 
     Raises ValueError with what was expected.
@@ -269,4 +273,4 @@
     for resource in response.resources:
         key = parse_resource_name(type_url, resource.name)
         moved[key] = decode_item(key, resource.resource.value)
-    return type_url, moved, read_stamp(response.system_version_info)
+    return type_url, moved, parse_stamp(response.system_version_info)
--- a/peatlead/grpc/load_report_stream.py
+++ b/peatlead/grpc/load_report_stream.py
@@ -14,13 +14,13 @@
 from .session import Session
 
 if TYPE_CHECKING:
-    from .server import GrpcFront
+    from .server import GrpcServer
 
 
 class LoadReportStream:
     """Reads the reports of one proxy, and tells it how often to report."""
 
-    def __init__(self, front: GrpcFront, call: Call) -> None:
+    def __init__(self, front: GrpcServer, call: Call) -> None:
         self.front = front
         self.handler = front.handler
         self.call = call
--- a/peatlead/grpc/proxy_node.py
+++ b/peatlead/grpc/proxy_node.py
@@ -6,8 +6,8 @@
 
 from typing import Any, NamedTuple
 
-from ..tables.version import SCALE, read_line_key, read_version
-from .resources import LINES, Line, parse_resource_name
+from ..tables.version import SCALE, parse_line_key, parse_version
+from .resources import LINES, WeightedEndpoint, parse_resource_name
 
 MAX_HELD = 2000  # endpoints of a request class that a proxy may report
 MAX_NODE_ID = 200  # characters
@@ -19,7 +19,7 @@
 NO_REDIRECTS = 100  # hops of a proxy that doesn't report any, and so doesn't follow redirects
 LINE_FIELDS = 4
 
-Held = dict[str, list[Line]]  # endpoints by request class
+Held = dict[str, list[WeightedEndpoint]]  # endpoints by request class
 
 
 class ProxyNode(NamedTuple):
@@ -50,7 +50,7 @@
 
 
 def _read_epoch(request: Any, metadata: Any) -> int:
-    epoch: int = read_version(getattr(request, "version_info", "")).epoch
+    epoch: int = parse_version(getattr(request, "version_info", "")).epoch
     if "epoch" in metadata:
         epoch = max(epoch, int(metadata["epoch"].number_value))
     return min(max(0, epoch), MAX_EPOCH)
@@ -80,12 +80,12 @@
     }
 
 
-def _read_held_line(text: str) -> Line:
+def _read_held_line(text: str) -> WeightedEndpoint:
     """Parses `ADDRESS|PORT|ZONE|WEIGHT`."""
     padded = text.split("|") + [""] * LINE_FIELDS
     address, port, zone, weight = padded[:LINE_FIELDS]
     try:
-        return Line(address, int(port), zone, float(weight))
+        return WeightedEndpoint(address, int(port), zone, float(weight))
     except ValueError:
         raise ValueError(f"expected ADDRESS|PORT|ZONE|WEIGHT, got {text!r}") from None
 
@@ -95,8 +95,8 @@
     for name, version in list(request.initial_resource_versions.items())[:MAX_HELD]:
         try:
             key = parse_resource_name(LINES, name)
-            request_class, zone, address, port = read_line_key(key)
-            line = Line(address, port, zone, int(version) / SCALE)
+            request_class, zone, address, port = parse_line_key(key)
+            line = WeightedEndpoint(address, port, zone, int(version) / SCALE)
         except ValueError:
             continue  # of another control plane
         held.setdefault(request_class, []).append(line)
--- a/peatlead/grpc/resources.py
+++ b/peatlead/grpc/resources.py
@@ -16,7 +16,7 @@
 from google.protobuf.message import DecodeError
 
 from ..interface import RetryPolicy
-from ..tables.version import MILLION, SCALE, read_line_key, whole_weight
+from ..tables.version import MILLION, SCALE, parse_line_key, quantize_weight
 from .encoder import DROP_CATEGORY, WeightedAddress, assemble_assignment
 
 # Type URLs.
@@ -52,7 +52,7 @@
     """A resource or a resource's name is not as expected; the text says what was."""
 
 
-class Line(NamedTuple):
+class WeightedEndpoint(NamedTuple):
     """One endpoint of a request class, and its weight."""
 
     address: str
@@ -76,17 +76,19 @@
 # Assignments.
 
 
-def write_lines(request_class: str, lines: Iterable[Line], admitted_fraction: float) -> bytes:
+def encode_assignment(
+    request_class: str, lines: Iterable[WeightedEndpoint], admitted_fraction: float
+) -> bytes:
     """Serializes a ClusterLoadAssignment; `admitted_fraction` from 0 to 1."""
     zones: dict[str, list[WeightedAddress]] = {}
     for line in sorted(lines, key=lambda line: (line.zone, line)):
-        entry = line.address, line.port, whole_weight(line.weight)
+        entry = line.address, line.port, quantize_weight(line.weight)
         zones.setdefault(line.zone, []).append(entry)
     dropped = round((1 - admitted_fraction) * MILLION) if admitted_fraction < 1 else 0
     return assemble_assignment(request_class, zones, dropped)
 
 
-def read_lines(data: bytes) -> tuple[str, list[Line], float]:
+def decode_assignment(data: bytes) -> tuple[str, list[WeightedEndpoint], float]:
     """The request class, endpoints and admitted fraction of a ClusterLoadAssignment.
 
     Raises ResourceError.
@@ -100,13 +102,13 @@
     return assignment.cluster_name, lines, _admitted_fraction(assignment.policy)
 
 
-def _read_lb_endpoint(cluster: str, zone: str, lb_endpoint: Any) -> Line:
+def _read_lb_endpoint(cluster: str, zone: str, lb_endpoint: Any) -> WeightedEndpoint:
     socket_address = lb_endpoint.endpoint.address.socket_address
     weight = lb_endpoint.load_balancing_weight.value
     valid_port = 0 < socket_address.port_value <= MAX_PORT
     if not socket_address.address or not valid_port or not weight:
         raise ResourceError(f"{cluster}: expected an address, a port and a weight above 0")
-    return Line(socket_address.address, socket_address.port_value, zone, weight / SCALE)
+    return WeightedEndpoint(socket_address.address, socket_address.port_value, zone, weight / SCALE)
 
 
 def _admitted_fraction(policy: Any) -> float:
@@ -141,7 +143,7 @@
     return _serialize(message)
 
 
-def read_routes(data: bytes) -> dict[str, str]:
+def decode_routes(data: bytes) -> dict[str, str]:
     """The retry policy of each request class. Raises ResourceError."""
     configuration = _parse(route_pb2.RouteConfiguration, data, "a RouteConfiguration")
     return {
@@ -180,7 +182,7 @@
                 f"expected {LB_ENDPOINT_NAMES}KIND/ZONE/ADDRESS:PORT, got {shown!r}"
             )
         key = "line/" + name.removeprefix(LB_ENDPOINT_NAMES)
-        read_line_key(key)
+        parse_line_key(key)
         return key
     if not name or len(name) > MAX_RESOURCE_NAME:
         raise ResourceError(f"expected the name of a request kind, got {shown!r}")
@@ -203,7 +205,7 @@
 
 
 def _encode_lb_endpoint(key: str, weight: int) -> bytes:
-    _, _, address, port = read_line_key(key)
+    _, _, address, port = parse_line_key(key)
     message = endpoint_components_pb2.LbEndpoint()
     message.endpoint.address.socket_address.address = address
     message.endpoint.address.socket_address.port_value = port
@@ -234,13 +236,13 @@
     if part == "retry":
         return _decode_retry(rest, data)
     if part == "level":
-        _, _, admitted_fraction = read_lines(data)
+        _, _, admitted_fraction = decode_assignment(data)
         return round(admitted_fraction * MILLION)
     return _decode_weight(key, data)
 
 
 def _decode_retry(request_class: str, data: bytes) -> str:
-    routes = read_routes(data)
+    routes = decode_routes(data)
     if list(routes) != [request_class]:
         others = ", ".join(routes)[:MAX_RESOURCE_NAME]
         raise ResourceError(f"expected the route of {request_class}, got {others!r}")
@@ -249,7 +251,7 @@
 
 def _decode_weight(key: str, data: bytes) -> int:
     message = _parse(endpoint_components_pb2.LbEndpoint, data, "an LbEndpoint")
-    _, _, address, port = read_line_key(key)
+    _, _, address, port = parse_line_key(key)
     socket_address = message.endpoint.address.socket_address
     weight: int = message.load_balancing_weight.value
     if (socket_address.address, socket_address.port_value) != (address, port) or not weight:
--- a/peatlead/grpc/server.py
+++ b/peatlead/grpc/server.py
@@ -22,7 +22,7 @@
 read_node = proxy_node.read_node  # former place, until all callers have the new one
 
 
-class GrpcFront:
+class GrpcServer:
     """The listener. `kinds`: names of the request classes; `zones`: names of all zones."""
 
     def __init__(
--- a/peatlead/grpc/session.py
+++ b/peatlead/grpc/session.py
@@ -10,16 +10,24 @@
 from google.protobuf.message import DecodeError
 
 from ..interface import RetryPolicy
-from ..tables.version import MILLION, NONE, PARTS, Version, line_key, whole_weight
+from ..tables.version import MILLION, NONE, PARTS, Version, line_key, quantize_weight
 from .call import Call
 from .discovery import Discovery, Resources
 from .framing import StatusCode
 from .incremental import Incremental, Items
 from .proxy_node import ProxyNode, read_node
-from .resources import ENDPOINTS, LINES, ROUTES, ROUTES_NAME, Line, encode_routes, write_lines
+from .resources import (
+    ENDPOINTS,
+    LINES,
+    ROUTES,
+    ROUTES_NAME,
+    WeightedEndpoint,
+    encode_assignment,
+    encode_routes,
+)
 
 if TYPE_CHECKING:
-    from .server import GrpcFront
+    from .server import GrpcServer
 
 FULL_ADMISSION = 1.0  # admitted fraction of a request class that the planner has not limited
 
@@ -36,7 +44,7 @@
 
     epoch: int  # set once the proxy is admitted
 
-    def __init__(self, front: GrpcFront, call: Call) -> None:
+    def __init__(self, front: GrpcServer, call: Call) -> None:
         self.front = front
         self.handler = front.handler
         self.call = call
@@ -129,7 +137,9 @@
             return None
         if type_url == ENDPOINTS:
             return {
-                name: write_lines(name, self._lines(name), self.levels.get(name, FULL_ADMISSION))
+                name: encode_assignment(
+                    name, self._lines(name), self.levels.get(name, FULL_ADMISSION)
+                )
                 for name in self.front.kinds
                 if name in names or not names
             }
@@ -142,10 +152,11 @@
     def _retry(self, request_class: str) -> str:
         return self.retries.get(request_class, RetryPolicy.UNSTARTED.value)
 
-    def _lines(self, request_class: str) -> list[Line]:
+    def _lines(self, request_class: str) -> list[WeightedEndpoint]:
         weights = self.handler.lines_of(self, self.front.kinds[request_class])
         return [
-            Line(*self.handler.place_of(endpoint), weight) for endpoint, weight in weights.items()
+            WeightedEndpoint(*self.handler.place_of(endpoint), weight)
+            for endpoint, weight in weights.items()
         ]
 
     def items(self, part: str) -> Optional[Items]:
@@ -155,7 +166,7 @@
         kinds = self.front.kinds
         if part == "line":
             return {
-                line_key(kind, line.zone, line.address, line.port): whole_weight(line.weight)
+                line_key(kind, line.zone, line.address, line.port): quantize_weight(line.weight)
                 for kind in kinds
                 for line in self._lines(kind)
             }
--- a/peatlead/health/load_report_counts.py
+++ b/peatlead/health/load_report_counts.py
@@ -69,7 +69,7 @@
     unanswered: float = 0.0
 
 
-def read_told(body: bytes) -> EndpointReport | None:
+def parse_endpoint_report(body: bytes) -> EndpointReport | None:
     """Parse an endpoint's report; return None if it is invalid or too large."""
     try:
         report = msgspec.json.decode(body, type=EndpointReport)
--- a/peatlead/net/errors.py
+++ b/peatlead/net/errors.py
@@ -28,6 +28,6 @@
     return error.errno in LOCAL_SHORTAGE_ERRNOS
 
 
-def may_pass(error: OSError) -> bool:
+def is_transient(error: OSError) -> bool:
     """Return whether the error is transient: the same call may succeed a moment later."""
     return error.errno in TRANSIENT_ERRNOS
--- a/peatlead/net/streams.py
+++ b/peatlead/net/streams.py
@@ -41,7 +41,7 @@
         self.waiting_most = waiting_most
         self.transport: asyncio.Transport | None = None  # None before and after the connection
         self.peer: Any = None  # the peer's address: (host, port), or longer for IPv6
-        self.touched = 0.0  # loop time of the last activity
+        self.last_activity = 0.0  # loop time of the last activity
         self.timer: asyncio.TimerHandle | None = None  # checks for idleness
         self.why: str | None = None  # why this side ended the connection
 
@@ -58,7 +58,7 @@
         """Write the data; return False if the stream has ended or the peer reads too slowly."""
         if self.transport is None or self.transport.is_closing():
             return False
-        self.touched = self.loop.time()
+        self.last_activity = self.loop.time()
         self.transport.write(data)
         if self.transport.get_write_buffer_size() > self.waiting_most:
             self.cut("slow reader")
@@ -81,7 +81,7 @@
         self.loop = asyncio.get_running_loop()
         self.transport = cast(asyncio.Transport, transport)
         self.peer = transport.get_extra_info("peername")
-        self.touched = self.loop.time()
+        self.last_activity = self.loop.time()
         if self.idle:
             self.timer = self.loop.call_later(self.idle, self.check_idle)
         self.opened()
@@ -92,7 +92,7 @@
 
     def buffer_updated(self, size: int) -> None:
         """Hand a copy of the bytes read to `received` (asyncio callback)."""
-        self.touched = self.loop.time()
+        self.last_activity = self.loop.time()
         self.received(bytes(READ_VIEW[:size]))
 
     def eof_received(self) -> bool:
@@ -111,7 +111,7 @@
 
         There is one timer per stream, and activity does not reset it.
         """
-        remaining = self.touched + self.idle - self.loop.time()
+        remaining = self.last_activity + self.idle - self.loop.time()
         if remaining > 0:
             self.timer = self.loop.call_later(remaining, self.check_idle)
         else:
@@ -129,7 +129,7 @@
     def add(self, stream: Stream) -> None:
         """Add a stream, evicting the longest idle one if the set is full."""
         if len(self.streams) >= self.most:
-            longest_idle = min(self.streams, key=lambda other: other.touched)
+            longest_idle = min(self.streams, key=lambda other: other.last_activity)
             del self.streams[longest_idle]
             longest_idle.cut("evicted")
             self.evicted += 1
--- a/peatlead/planner/planner.py
+++ b/peatlead/planner/planner.py
@@ -132,7 +132,7 @@
         self.budget.backlog.advance(now)
         if self.class_admission.admissions is None:
             self.commands.append(interface.SetTimer(TICK_TIMER, TICK))
-            self.order_levels()
+            self.publish_admissions()
         for event in events:
             handler = self.handlers.get(type(event))
             if handler is not None:
@@ -186,7 +186,7 @@
         self.gossip.send(failing)
         self.judge_endpoints()
         if self.load_shedding.update():
-            self.order_levels()
+            self.publish_admissions()
 
     def judge_endpoints(self) -> None:
         """Compare the fleet with its capacity, and each endpoint with its peers."""
@@ -194,7 +194,7 @@
         peers = self.fleet_load.measure(ready, self.load_shedding.admitted)
         self.outliers.judge(ready, peers)
 
-    def order_levels(self) -> None:
+    def publish_admissions(self) -> None:
         """Publish the admitted fractions."""
         self.class_admission.publish()
 
--- a/peatlead/platform/configuration.py
+++ b/peatlead/platform/configuration.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple, Optional
 
 from ..interface import ListScope
-from ..net.errors import may_pass
+from ..net.errors import is_transient
 from ..sources.endpoint_list import EndpointList
 from ..wire.names import settings_from
 from .messages import (
@@ -81,7 +81,7 @@
         with open(path, "rb") as file:
             return file.read()
     except OSError as problem:
-        raise ConfigurationError(f"{path}: {problem.strerror}", may_pass(problem)) from None
+        raise ConfigurationError(f"{path}: {problem.strerror}", is_transient(problem)) from None
 
 
 def remembered_list_of(document: ConfigurationDocument, unix_time: float) -> Optional[EndpointList]:
--- a/peatlead/platform/controller.py
+++ b/peatlead/platform/controller.py
@@ -94,7 +94,7 @@
             Random(configuration.seed ^ 1),
         )
         self.prober = make_prober(self.settings, concurrency, self.on_health_check)
-        self.carriers[interface.CheckHealth] = self.check_health
+        self.command_handlers[interface.CheckHealth] = self.check_health
 
     # Start and end.
 
@@ -173,10 +173,10 @@
 
     # Batches.
 
-    def hear(self, event: interface.Event) -> None:
+    def submit(self, event: interface.Event) -> None:
         """Add an event to the next batch, unless the controller stops."""
         if not self.stopping:
-            super().hear(event)
+            super().submit(event)
 
     def step(self) -> None:
         """Run one batch, unless the controller stops."""
@@ -200,10 +200,10 @@
         seed = self.configuration.seed + self.failures.count
         self.planner = self.make_planner(self.settings, seed)
         self.publisher = Publisher()
-        self.hear(self.endpoints.remembered(now))
+        self.submit(self.endpoints.remembered(now))
         for proxy, session in self.proxy_sessions.items():
-            self.publisher.join(proxy, levelled=True)
-            self.hear(interface.ProxyConnected(proxy, session.zone, session.request_rate, False))
+            self.publisher.join(proxy, enforces_admission=True)
+            self.submit(interface.ProxyConnected(proxy, session.zone, session.request_rate, False))
 
     def offer(
         self,
@@ -261,7 +261,7 @@
 
     def on_endpoint_list(self, endpoint_list: EndpointList) -> None:
         """Handle a list or changes."""
-        self.hear(self.endpoints.apply(endpoint_list, self.loop.time()))
+        self.submit(self.endpoints.apply(endpoint_list, self.loop.time()))
         if endpoint_list.scope != interface.ListScope.REMEMBERED:
             self.become_ready()
 
@@ -289,7 +289,7 @@
         _: None,
     ) -> None:
         """Handle the end of a health check."""
-        self.hear(interface.HealthCheckResult(endpoint, outcome, duration, load_report))
+        self.submit(interface.HealthCheckResult(endpoint, outcome, duration, load_report))
 
     # Sessions, as SessionOwner describes.
 
@@ -318,9 +318,9 @@
             self.session_left(old_session, EndReason.REPLACED)
             old_session.cut(EndReason.REPLACED)
         self.proxy_sessions[proxy] = session
-        self.publisher.join(proxy, levelled=True)
+        self.publisher.join(proxy, enforces_admission=True)
         self.telemetry.proxy_joined(proxy, not session.bootstrap_only)
-        self.hear(
+        self.submit(
             interface.ProxyConnected(
                 proxy, session.zone, session.request_rate, session.bootstrap_only
             )
@@ -334,7 +334,7 @@
         del self.proxy_sessions[proxy]
         self.telemetry.proxy_left(proxy, reason)
         self.publisher.leave(proxy)
-        self.hear(interface.ProxyDisconnected(proxy))
+        self.submit(interface.ProxyDisconnected(proxy))
 
     def message_received(self, session: Session, message: Report) -> None:
         """Handle a report or an acknowledgement; one that names what does not exist is ignored."""
@@ -346,4 +346,4 @@
             # One comes for each message: a batch for each would be most of the work.
             self.note(event)
         else:
-            self.hear(event)
+            self.submit(event)
--- a/peatlead/platform/endpoint_tracker.py
+++ b/peatlead/platform/endpoint_tracker.py
@@ -20,7 +20,7 @@
             settings["zones"],
             log,
             settings.get("machines", ()),
-            unstarted_old=True,
+            assume_old=True,
             age_of=age_of,
         )
         # Endpoints that were ever not as they are now: a proxy may still eject them on the word
@@ -38,7 +38,7 @@
         endpoint_list = self.with_unread_endpoints(endpoint_list)
         previous = {entry.name: self.phase_of(entry.name) for entry in endpoint_list.hosts}
         is_first = not self.registry.listed
-        update: EndpointUpdate = self.registry.roster(endpoint_list, now)
+        update: EndpointUpdate = self.registry.endpoint_update(endpoint_list, now)
         if endpoint_list.scope != ListScope.CHANGES:
             listed = {endpoint.id for endpoint in update.endpoints}
             self.possibly_ejected.update(
@@ -57,7 +57,7 @@
     def remembered(self, now: float) -> EndpointUpdate:
         """Return the event that tells a new planner all that is listed."""
         entries = tuple(self.registry.entries.values())
-        update: EndpointUpdate = self.registry.roster(
+        update: EndpointUpdate = self.registry.endpoint_update(
             EndpointList(ListScope.REMEMBERED, 0, 0.0, entries), now
         )
         return update
--- a/peatlead/platform/messages/discovery.py
+++ b/peatlead/platform/messages/discovery.py
@@ -6,7 +6,7 @@
 from msgspec import Meta, Struct, json
 
 from ...interface import EndpointPhase, ListScope
-from ...sources.endpoint_list import HOSTS_MOST, EndpointList, ListedEndpoint
+from ...sources.endpoint_list import MAX_ENDPOINTS, EndpointList, ListedEndpoint
 from .address import read_address
 from .errors import MalformedMessageError
 from .inbound import MILLISECONDS, Name
@@ -84,8 +84,8 @@
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as problem:
         raise MalformedMessageError(f"not a list: {problem}") from None
     count = len(instance_list.instances)
-    if count > HOSTS_MOST:
-        raise MalformedMessageError(f"expected at most {HOSTS_MOST} hosts, got {count}")
+    if count > MAX_ENDPOINTS:
+        raise MalformedMessageError(f"expected at most {MAX_ENDPOINTS} hosts, got {count}")
     return instance_list
 
 
--- a/peatlead/platform/session_listener.py
+++ b/peatlead/platform/session_listener.py
@@ -74,7 +74,7 @@
         silent_since = newest.loop.time() - COLLECTOR_SILENCE_LIMIT
         for session in list(self.sessions):
             same_zone = session.collector_zone == newest.collector_zone
-            if session is not newest and same_zone and session.touched < silent_since:
+            if session is not newest and same_zone and session.last_activity < silent_since:
                 session.cut(EndReason.SILENT)
 
     def add(self, session: Session) -> None:
--- a/peatlead/platform/startup.py
+++ b/peatlead/platform/startup.py
@@ -7,7 +7,7 @@
 import asyncio
 from collections.abc import Callable
 
-from ..net.errors import may_pass
+from ..net.errors import is_transient
 from .configuration import Configuration, ConfigurationError
 from .messages import Address
 from .session_listener import SessionListener
@@ -46,7 +46,7 @@
             await listener.open(address)
             return
         except OSError as problem:
-            if not may_pass(problem) or loop.time() > deadline:
+            if not is_transient(problem) or loop.time() > deadline:
                 raise
             log("listener put off", why=problem.strerror, wait=delay)
         await asyncio.sleep(delay)
--- a/peatlead/sources/endpoint_list.py
+++ b/peatlead/sources/endpoint_list.py
@@ -11,7 +11,7 @@
 
 PHASES = ("ready", "draining", "gone")
 DOCUMENT_SCOPES = ("whole", "changes")
-HOSTS_MOST = 20_000  # endpoints in one list
+MAX_ENDPOINTS = 20_000  # endpoints in one list
 MAX_LABEL_LENGTH = 63  # of a name (RFC 1035 section 2.3.4)
 WEIGHT_LIMIT = 1e6  # weights are below
 
@@ -94,8 +94,10 @@
         raise EndpointListError(str(error)) from None
     if document.scope not in DOCUMENT_SCOPES:
         raise EndpointListError(f"expected scope whole or changes, got {document.scope!r}")
-    if len(document.hosts) > HOSTS_MOST:
-        raise EndpointListError(f"expected at most {HOSTS_MOST} hosts, got {len(document.hosts)}")
+    if len(document.hosts) > MAX_ENDPOINTS:
+        raise EndpointListError(
+            f"expected at most {MAX_ENDPOINTS} hosts, got {len(document.hosts)}"
+        )
     return document
 
 
--- a/peatlead/standin/xds_proxies.py
+++ b/peatlead/standin/xds_proxies.py
@@ -15,20 +15,20 @@
 
 from ..fleet.ownership import Fence
 from ..grpc.http2 import dial
-from ..grpc.incremental import PARTS_OF, read_delta
+from ..grpc.incremental import PART_BY_TYPE, decode_delta
 from ..grpc.resources import (
     ENDPOINTS,
     ROUTES,
     ROUTES_NAME,
-    Line,
-    read_lines,
-    read_routes,
+    WeightedEndpoint,
+    decode_assignment,
+    decode_routes,
     resource_name,
 )
 from ..grpc.server import DELTA, DISCOVERY, LOADS
 from ..net.http import RequestFailedError, connect
 from ..tables.replica import APPLIED, OLD, Replica
-from ..tables.version import MILLION, SCALE, Version, read_line_key, read_version
+from ..tables.version import MILLION, SCALE, Version, parse_line_key, parse_version
 from .dns_clients import Kind
 
 JOIN_WAIT = 1.0  # seconds for a controller to take it in
@@ -214,7 +214,7 @@
     def ask_deltas(self, call, hops):
         """The first requests of the incremental variant: what it holds goes as its resources' versions."""
         self.holder.raise_fence(Version(*self.fence.newest))
-        for type_url, part in PARTS_OF.items():
+        for type_url, part in PART_BY_TYPE.items():
             request = discovery_pb2.DeltaDiscoveryRequest(
                 type_url=type_url, resource_names_subscribe=["*"]
             )
@@ -239,14 +239,14 @@
         answer = discovery_pb2.DeltaDiscoveryRequest(
             type_url=response.type_url, response_nonce=response.nonce
         )
-        version = read_version(response.nonce)
+        version = parse_version(response.nonce)
         if call is not self.current:
             self.note(steward, version, "old")
             return
         try:
-            type_url, moved, stamp = read_delta(response)
+            type_url, moved, stamp = decode_delta(response)
             version = stamp.version
-            outcome = self.holder.take(PARTS_OF[type_url], stamp, moved)
+            outcome = self.holder.take(PART_BY_TYPE[type_url], stamp, moved)
         except ValueError as problem:
             outcome = str(problem)
         if outcome == OLD:
@@ -257,7 +257,7 @@
             self.show_held()
             self.note(steward, version, "applied")
             if (
-                PARTS_OF[type_url] == "line"
+                PART_BY_TYPE[type_url] == "line"
             ):  # a level that comes first says nothing of lines it brought along
                 self.note_held(steward, version)
         else:
@@ -269,8 +269,8 @@
         """Its tables, of what it holds."""
         lines = {kind.name: [] for kind in self.plan.kinds}
         for key, value in self.holder.parts["line"].items():
-            kind, zone, address, port = read_line_key(key)
-            lines.setdefault(kind, []).append(Line(address, port, zone, value / SCALE))
+            kind, zone, address, port = parse_line_key(key)
+            lines.setdefault(kind, []).append(WeightedEndpoint(address, port, zone, value / SCALE))
         self.lines = lines
         for key, value in self.holder.parts["level"].items():
             self.levels[key.partition("/")[2]] = value / MILLION
@@ -296,7 +296,7 @@
 
     def take(self, call, steward, data):
         response = discovery_pb2.DiscoveryResponse.FromString(data)
-        version = read_version(response.version_info)
+        version = parse_version(response.version_info)
         if not self.fence.allows(*version) or call is not self.current:
             self.note(steward, version, "old")
             return
@@ -321,9 +321,9 @@
         """All of a response, or nothing of it."""
         if response.type_url == ROUTES:
             for one in response.resources:
-                self.retries = read_routes(one.value)
+                self.retries = decode_routes(one.value)
             return
-        read = [read_lines(one.value) for one in response.resources]
+        read = [decode_assignment(one.value) for one in response.resources]
         for kind, lines, level in read:
             self.lines[kind], self.levels[kind] = lines, level
         self.close_unheld()
--- a/peatlead/tables/change_causes.py
+++ b/peatlead/tables/change_causes.py
@@ -57,7 +57,7 @@
             previous = f" (was {before})" if before else ""
             self.news[endpoint] = f"{PHASE_EVENTS[after]}, list {version}{previous}"
 
-    def planner_said(self, text: str) -> Optional[EndpointEvent]:
+    def note_planner_message(self, text: str) -> Optional[EndpointEvent]:
         """Store a log message of the planner, such as `host 3 dropped: sums`.
 
         Return the event, or None where the message is not about an endpoint.
@@ -69,7 +69,7 @@
         self.news[event.endpoint] = event.text
         return event
 
-    def of_all(self, ops: Operations) -> tuple[str, ...]:
+    def causes_of(self, ops: Operations) -> tuple[str, ...]:
         """Return the causes of a message's operations, the most frequent first."""
         if any(operation[0] == OperationKind.BIND for operation in ops):
             return (ASSIGNED_CAUSE,)  # a whole table: its entries are no changes of their own
--- a/peatlead/tables/history.py
+++ b/peatlead/tables/history.py
@@ -32,7 +32,7 @@
     """The histories of all proxies by name, with their bounds.
 
     Bounds: `versions_per_proxy` and `versions_max` entries, `bytes_max` of memory approximately,
-    `age_most` seconds, `proxies_max` histories.
+    `age_max` seconds, `proxies_max` histories.
     """
 
     def __init__(
@@ -40,13 +40,13 @@
         versions_per_proxy: int = 256,
         versions_max: int = 100_000,
         bytes_max: int = 64 << 20,
-        age_most: float = 86_400.0,
+        age_max: float = 86_400.0,
         proxies_max: int = 5000,
     ) -> None:
         self.versions_per_proxy = versions_per_proxy
         self.versions_max = versions_max
         self.bytes_max = bytes_max
-        self.age_most = age_most
+        self.age_max = age_max
         self.proxies_max = proxies_max
         self.histories: dict[str, History] = {}
         self.gone: OrderedDict[str, bool] = OrderedDict()  # disconnected proxies, first left first
@@ -159,7 +159,7 @@
             oldest is None
             or self.entry_count > self.versions_max
             or self.size > self.bytes_max
-            or oldest.at < now - self.age_most
+            or oldest.at < now - self.age_max
         )
 
     def _oldest(self) -> Optional[HistoryEntry]:
--- a/peatlead/tables/items.py
+++ b/peatlead/tables/items.py
@@ -49,7 +49,7 @@
     return f"line/{request_class}/{zone}/{address}:{port}"
 
 
-def read_line_key(key: str) -> LineKey:
+def parse_line_key(key: str) -> LineKey:
     """Parse a line's key. Raises KeyFormatError."""
     part, _, rest = key.partition("/")
     request_class, _, rest = rest.partition("/")
@@ -66,7 +66,7 @@
     return key[: key.index("/")]
 
 
-def whole_weight(weight: float) -> int:
+def quantize_weight(weight: float) -> int:
     """Return a weight in whole thousandths, as published.
 
     It is at least 1: an endpoint in a table is never weightless.
--- a/peatlead/tables/pin.py
+++ b/peatlead/tables/pin.py
@@ -93,7 +93,7 @@
         raise PinError(f"{expected}, got {pin.over} s and {pin.remaining} s")
 
 
-def read_pins(data: bytes) -> list[Pin]:
+def decode_pins(data: bytes) -> list[Pin]:
     """Decode a list of pins. Raises PinFormatError."""
     try:
         return msgspec.msgpack.decode(data, type=list[Pin])
@@ -101,6 +101,6 @@
         raise PinFormatError(f"expected pins: {error}") from None
 
 
-def write_pins(pins: Sequence[Pin]) -> bytes:
+def encode_pins(pins: Sequence[Pin]) -> bytes:
     """Encode a list of pins."""
     return msgspec.msgpack.encode(pins)
--- a/peatlead/tables/pins.py
+++ b/peatlead/tables/pins.py
@@ -14,10 +14,10 @@
 
 from .active_pin import ActivePin
 from .errors import PinError
-from .pin import Pin, PinScope, PinTarget, check, read_pins, rollout_position, write_pins
+from .pin import Pin, PinScope, PinTarget, check, decode_pins, encode_pins, rollout_position
 
 __all__ = [
-    "LOOK_GAP",
+    "REPUBLISH_INTERVAL",
     "ActivePin",
     "Pin",
     "PinError",
@@ -26,16 +26,18 @@
     "Pins",
     "check",
     "place",
-    "read_pins",
+    "decode_pins",
     "rollout_position",
-    "write_pins",
+    "encode_pins",
 ]
 
 PINS_MAX = 32  # pins that have not ended
 KNOWN_PINS_MAX = 4 * PINS_MAX  # ended ones too: they are remembered, so that none is revived
 FORGET_AFTER = 600.0  # seconds that an ended pin is remembered after its rollout
 REMAINING_MIN = 0.001  # seconds: an ended pin's remaining time of 0 is valid
-LOOK_GAP = 1.5  # seconds between two updates of a pinned proxy, unless an endpoint must be removed
+REPUBLISH_INTERVAL = (
+    1.5  # seconds between two updates of a pinned proxy, unless an endpoint must be removed
+)
 
 place = rollout_position  # its former name, until its callers have moved
 
--- a/peatlead/tables/version.py
+++ b/peatlead/tables/version.py
@@ -13,9 +13,9 @@
     SCALE,
     changes,
     line_key,
+    parse_line_key,
     part_of,
-    read_line_key,
-    whole_weight,
+    quantize_weight,
 )
 
 __all__ = [
@@ -31,10 +31,10 @@
     "changes",
     "line_key",
     "part_of",
-    "read_line_key",
-    "read_stamp",
-    "read_version",
-    "whole_weight",
+    "parse_line_key",
+    "parse_stamp",
+    "parse_version",
+    "quantize_weight",
 ]
 
 VERSION_TEXT_MAX = 40  # characters: longer text is not converted to numbers
@@ -57,7 +57,7 @@
 WHOLE = "none"  # a stamp's base where the delta carries the whole state
 
 
-def read_version(text: str) -> Version:
+def parse_version(text: str) -> Version:
     """Parse a version; NONE where the text is none."""
     epoch, dot, serial = text.partition(".")
     if dot and epoch.isdigit() and serial.isdigit() and len(text) < VERSION_TEXT_MAX:
@@ -80,10 +80,10 @@
         return f"{self.version} {BASE_PREFIX}{self.base} {DIGEST_PREFIX}{self.digest}"
 
 
-def read_stamp(text: str) -> Stamp:
+def parse_stamp(text: str) -> Stamp:
     """Parse a stamp. Raises StampFormatError with what was expected."""
     words = text.split(" ")
-    version = read_version(words[0])
+    version = parse_version(words[0])
     if (
         len(words) != len(Stamp._fields)
         or version == NONE
--- a/tests/compatibility/test_mixed_fleet.py
+++ b/tests/compatibility/test_mixed_fleet.py
@@ -21,7 +21,7 @@
 from peatlead.controller.control_socket import ask_once
 from peatlead.standin.dns_clients import Kind
 from peatlead.standin.xds_proxies import Agent, Plan
-from tests.places import SCRIPT, Quiet, play, until
+from tests.places import SCRIPT, MemoryRecorder, play, until
 
 # The adapter, with the imports above: all that is known here of names inside the program.
 
@@ -37,7 +37,7 @@
     made = Agent(
         Plan(name, "north", "127.60.9.1", controllers, world.port, 5.0, KINDS),
         world.chance,
-        Quiet(),
+        MemoryRecorder(),
     )
     made.begin(asyncio.get_running_loop().time())
     world.closing.append(lambda: setattr(made, "stopped", True))
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -32,7 +32,7 @@
 from peatlead.settings import load_settings
 from peatlead.sources.endpoint_cache import EndpointCache
 from peatlead.tables.history import Store
-from peatlead.tables.pins import read_pins
+from peatlead.tables.pins import decode_pins
 from peatlead.tables.table_log import TableLog
 from peatlead.tables.version import Version
 
@@ -45,7 +45,7 @@
     def __init__(self, folder):
         self.said = []
         self.log = TableLog(
-            folder, Store(age_most=1e12), lambda event, **more: self.said.append((event, more))
+            folder, Store(age_max=1e12), lambda event, **more: self.said.append((event, more))
         )
         self.wrong = self.log.recall()
 
@@ -99,7 +99,7 @@
 
 
 def pins_of(data):
-    return [list(msgspec.structs.astuple(pin)) for pin in read_pins(data)]
+    return [list(msgspec.structs.astuple(pin)) for pin in decode_pins(data)]
 
 
 def list_of(path):
--- a/tests/controller/connections.py
+++ b/tests/controller/connections.py
@@ -7,7 +7,7 @@
 from peatlead.net.streams import Stream
 from peatlead.standin.resolvers import Resolver
 
-from ..places import Quiet
+from ..places import MemoryRecorder
 
 
 class ReceivedBytes(Stream):
@@ -43,7 +43,7 @@
 async def start_resolver(world, kind="keeps", servers=("127.1.0.1",)):
     """A stand-in resolver of a kind that asks these servers; it ends with the world."""
     addresses = [(server, world.port) for server in servers]
-    resolver = Resolver(kind, "127.20.9.1", addresses, world.chance, Quiet())
+    resolver = Resolver(kind, "127.20.9.1", addresses, world.chance, MemoryRecorder())
     await resolver.begin()
     world.closing.append(resolver.close)
     return resolver
--- a/tests/controller/test_batch_loop.py
+++ b/tests/controller/test_batch_loop.py
@@ -45,7 +45,7 @@
             events = [interface.ProxyDisconnected(proxy) for proxy in range(3)]
             loop.note(events[0])
             for event in events[1:]:
-                loop.hear(event)
+                loop.submit(event)
             await until(lambda: planner.batches)
             self.assertEqual((planner.batches, loop.decided), ([events], 1))
 
@@ -71,7 +71,7 @@
             ]
             loop = RecordingLoop(RecordingPlanner(commands))
             loop.publisher.join(7)
-            loop.hear(interface.ProxyDisconnected(1))
+            loop.submit(interface.ProxyDisconnected(1))
             await until(lambda: loop.decided)
             message = {("bind", 0): 0, ("line", 0, 5): 1.0}
             self.assertEqual(loop.actions, [("log", "done"), ("offer", {7: message}, {7: [9]})])
@@ -82,7 +82,7 @@
         async def case():
             planner = RecordingPlanner([interface.SetTimer(4, 0.01)])
             loop = RecordingLoop(planner)
-            loop.hear(interface.ProxyDisconnected(1))
+            loop.submit(interface.ProxyDisconnected(1))
             await until(lambda: len(planner.batches) > 1)
             self.assertEqual(planner.batches[1], [interface.TimerFired(4)])
 
@@ -91,7 +91,7 @@
     def test_a_failed_decision_is_logged_and_ends_the_loop(self):
         async def case():
             loop = RecordingLoop(RecordingPlanner(ValueError("planted")))
-            loop.hear(interface.ProxyDisconnected(1))
+            loop.submit(interface.ProxyDisconnected(1))
             self.assertEqual(await loop.ended, "decide failed: ValueError('planted')")
             ((event, fields),) = loop.lines
             self.assertEqual((event, fields["events"]), ("decide failed", ["ProxyDisconnected"]))
--- a/tests/controller/test_endpoint_registry.py
+++ b/tests/controller/test_endpoint_registry.py
@@ -12,11 +12,11 @@
         registry = EndpointRegistry(
             [zone["name"] for zone in settings()["zone"]], lambda *_, **__: None
         )
-        first = registry.roster(read_document(document(HOST)), 1000.0).endpoints[0]
-        again = registry.roster(
+        first = registry.endpoint_update(read_document(document(HOST)), 1000.0).endpoints[0]
+        again = registry.endpoint_update(
             read_document(document(HOST, version=2, written=130.0)), 1031.0
         ).endpoints[0]
-        restarted = registry.roster(
+        restarted = registry.endpoint_update(
             read_document(document({**HOST, "started": 130.0}, version=3, written=131.0)),
             1032.0,
         ).endpoints[0]
@@ -32,12 +32,14 @@
         listing = EndpointList(
             "whole", 1, 0.0, read_document(document({**HOST, "zone": "mars"})).hosts
         )
-        self.assertEqual(registry.roster(listing, 0.0).endpoints, ())
+        self.assertEqual(registry.endpoint_update(listing, 0.0).endpoints, ())
 
     def test_a_forgotten_endpoint_is_listed_again_under_a_new_number(self):
         registry = EndpointRegistry(["north"], lambda *_, **__: None)
-        registry.roster(read_document(document(HOST)), 1000.0)
+        registry.endpoint_update(read_document(document(HOST)), 1000.0)
         registry.forget(0)
         self.assertEqual((registry.index, registry.entries), ({}, {}))
-        again = registry.roster(read_document(document(HOST, version=2, written=130.0)), 1031.0)
+        again = registry.endpoint_update(
+            read_document(document(HOST, version=2, written=130.0)), 1031.0
+        )
         self.assertEqual([(one.id, one.started_at) for one in again.endpoints], [(1, 951.0)])
--- a/tests/controller/test_many_proxies.py
+++ b/tests/controller/test_many_proxies.py
@@ -24,7 +24,7 @@
 from peatlead import interface
 from peatlead.benchmarks.herd import Agent
 from peatlead.grpc.framing import frame
-from peatlead.grpc.http2 import HEADERS_MOST, WAITING_MOST, Connection
+from peatlead.grpc.http2 import MAX_HEADER_LIST, WAITING_MOST, Connection
 from peatlead.grpc.resources import ENDPOINTS
 from peatlead.grpc.server import DISCOVERY, LOADS
 from peatlead.net.in_memory_transport import InMemoryTransport
@@ -100,7 +100,7 @@
         self.assertEqual((len(self.calls), transport.closed), (1, False))
         self.feed(connection, HeadersFrame(3, block, flags=["END_HEADERS"]).serialize())
         self.assertEqual((len(self.calls), transport.closed), (1, True))
-        self.assertLess(HEADERS_MOST, 65536)
+        self.assertLess(MAX_HEADER_LIST, 65536)
 
     async def test_empty_frames_are_cut(self):
         client = client_connection()
--- a/tests/controller/test_overload.py
+++ b/tests/controller/test_overload.py
@@ -4,7 +4,14 @@
 from hypothesis import strategies as some
 
 from peatlead.controller import overload
-from peatlead.controller.overload import Beat, Did, Gather, OverloadControl, Say, SetReportInterval
+from peatlead.controller.overload import (
+    LogOverload,
+    OverloadControl,
+    ReportsRead,
+    SetGatherWindow,
+    SetReportInterval,
+    TimerLateness,
+)
 
 
 class SimulatedProxies:
@@ -34,16 +41,18 @@
                     ):
                         self.read[at] += 1
                         self.last[at] = self.next[at]
-                        self.overload.decide(self.now, [Did(1, self.cost)])
+                        self.overload.decide(self.now, [ReportsRead(1, self.cost)])
                         spent += self.cost
                     self.turn[at] = self.turn.get(at, 0) + 1
                     part = at * 619 % 997 / 996
                     self.next[at] += (
-                        self.overload.interval_of(part) if self.follow else self.overload.every
+                        self.overload.report_interval_of(part)
+                        if self.follow
+                        else self.overload.every
                     )
             self.backlog = max(0.0, self.backlog + spent - 0.1)
             self.late = self.backlog
-            self.orders += self.overload.decide(self.now, [Beat(self.late, self.senders)])
+            self.orders += self.overload.decide(self.now, [TimerLateness(self.late, self.senders)])
 
 
 class LoadReportTest(unittest.TestCase):
@@ -82,9 +91,9 @@
         control.run(10, extra=1.05)
         self.assertLess(control.overload.headroom, 0.2)
         self.assertTrue(
-            any(type(order) is Gather and order.seconds > 0 for order in control.orders)
+            any(type(order) is SetGatherWindow and order.seconds > 0 for order in control.orders)
         )
-        self.assertTrue(any(type(order) is Say for order in control.orders))
+        self.assertTrue(any(type(order) is LogOverload for order in control.orders))
         control.run(120)
         self.assertEqual(
             (control.overload.headroom, control.overload.interval, control.overload.gather),
@@ -98,11 +107,11 @@
             now += 0.01
             if control.takes_report(now, last, step):
                 read, last = read + 1, now
-                control.decide(now, [Did(1, 0.0004)])
+                control.decide(now, [ReportsRead(1, 0.0004)])
             if step % 100 == 0:
                 others += control.takes_report(now, now - 1.0, step // 100)
             if step % 10 == 0:
-                control.decide(now, [Beat(0.0, 2)])
+                control.decide(now, [TimerLateness(0.0, 2)])
         self.assertLessEqual(read, 20 / overload.EARLY_SHARE + 1)
         self.assertEqual((others, control.share), (20, 1.0))
 
@@ -118,7 +127,7 @@
         control, now = OverloadControl(1.0, lambda low, high: low), 0.0
         for late in [0.0] * 5 + [9.0] + [0.0] * 40:
             now += 0.1
-            control.decide(now, [Beat(late, 10)])
+            control.decide(now, [TimerLateness(late, 10)])
         self.assertEqual((control.headroom, control.interval), (1.0, 1.0))
 
     @given(
@@ -131,7 +140,7 @@
         control, now = OverloadControl(1.0, lambda low, high: low), 0.0
         for late, senders, cost in beats:
             now += 0.1
-            orders = control.decide(now, [Did(3, 3 * cost), Beat(late, senders)])
+            orders = control.decide(now, [ReportsRead(3, 3 * cost), TimerLateness(late, senders)])
             for order in orders:
                 if type(order) is SetReportInterval:
                     self.assertTrue(1.0 <= order.seconds <= overload.INTERVAL_FACTOR_MOST)
@@ -143,8 +152,8 @@
     def test_a_proxy_without_a_table_never_waits(self):
         control = OverloadControl(1.0, lambda low, high: low)
         control.headroom = 0.0
-        self.assertTrue(all(control.takes_join(0.0, True) == 0.0 for _ in range(5000)))
-        waits = [control.takes_join(0.0, False) for _ in range(5000)]
+        self.assertTrue(all(control.join_delay(0.0, True) == 0.0 for _ in range(5000)))
+        waits = [control.join_delay(0.0, False) for _ in range(5000)]
         self.assertGreater(sum(wait > 0 for wait in waits), 4000)
         self.assertEqual(control.shed["joins"], sum(wait > 0 for wait in waits))
 
--- a/tests/controller/test_pinned_tables.py
+++ b/tests/controller/test_pinned_tables.py
@@ -100,7 +100,7 @@
             world.phases["h3"] = "ready"
             world.write()
             number = controller.views.by_name["desk0"].number
-            await until(lambda: len(controller.wanted_of(number)[0][1]) == 4)
+            await until(lambda: len(controller.planned_tables(number)[0][1]) == 4)
             self.assertEqual(len(ask(controller, "show", proxy="desk0")["items"]), 3)
             self.assertEqual(ask(controller, "status")["pins"][0]["by"], "test")
             ask(controller, "resume", pin=pin, over=0.0)
@@ -216,7 +216,7 @@
                 zstandard.compress(b"\0" * 3_000_000),
                 zstandard.compress(msgspec.msgpack.encode(["ns1-1", "a", 1, 1, {"line/x": 1}])),
             ):
-                controller.published.hear_wish(malformed)
+                controller.published.receive_target(malformed)
             self.assertEqual(sum(event == "wish refused" for event, _ in world.log), 5)
             self.assertFalse(controller.published.offered)
 
--- a/tests/controller/test_propagation.py
+++ b/tests/controller/test_propagation.py
@@ -17,7 +17,7 @@
 class PropagationTraceTest(unittest.TestCase):
     def test_a_holder_is_without_an_endpoint_once_the_version_is_in_force(self):
         trace = PropagationTrace()
-        trace.losing(1.0, 5, 70)
+        trace.begin_withdrawal(1.0, 5, 70)
         trace.applied(
             1.1, 70, Version(1, 3)
         )  # of a version from before: its message has not left yet
@@ -36,7 +36,7 @@
     def test_disconnected_holders_are_counted_separately(self):
         trace = PropagationTrace()
         for holder in (1, 2, 3):
-            trace.losing(0.0, 9, holder)
+            trace.begin_withdrawal(0.0, 9, holder)
             trace.left(holder)
         trace.applied(0.2, 1)
         trace.ended(0.3, 2)
@@ -60,7 +60,7 @@
         trace, serial = PropagationTrace(), 0
         for at, (step, host, holder) in enumerate(steps):
             if step == "lose":
-                trace.losing(float(at), host, holder)
+                trace.begin_withdrawal(float(at), host, holder)
             elif step == "left":
                 trace.left(holder)
             elif step == "sent":
@@ -81,7 +81,7 @@
     def test_the_state_is_bounded(self):
         trace = PropagationTrace()
         for host in range(propagation.WITHDRAWALS_MOST + 50):
-            trace.losing(0.0, host, 1)
+            trace.begin_withdrawal(0.0, host, 1)
             for at in range(30):
                 trace.note(float(at), host, "again")
         self.assertEqual(
--- a/tests/controller/test_publisher.py
+++ b/tests/controller/test_publisher.py
@@ -9,7 +9,7 @@
         # To all of 1,000 proxies, for each host of a release, it was 200,000 lines waiting where 4,000 may.
         publisher = Publisher()
         for view in range(6):
-            publisher.join(view, levelled=view < 5)
+            publisher.join(view, enforces_admission=view < 5)
         publisher.take([interface.AssignTable(view, view, (0,)) for view in range(4)])
         publisher.take([interface.SetEntry(1, 9, 1.0), interface.SetEntry(2, 9, 1.0)])
         withdrawals, _, _ = publisher.take([interface.WithdrawEndpoint(9, True)])
@@ -17,7 +17,7 @@
             sorted(withdrawals), [4, 5]
         )  # one on no table yet and a DNS view; holders lose the entry instead
         publisher.leave(4)
-        publisher.join(4, levelled=True)
+        publisher.join(4, enforces_admission=True)
         restorations, _, _ = publisher.take([interface.WithdrawEndpoint(9, False)])
         self.assertEqual(sorted(restorations), [4, 5])
         self.assertEqual(publisher.take([interface.WithdrawEndpoint(9, False)])[0], {})
--- a/tests/dns/test_answers.py
+++ b/tests/dns/test_answers.py
@@ -12,7 +12,7 @@
 
 from peatlead.dns.answers import Answers
 from peatlead.dns.views import Views
-from peatlead.dns.warmup_thinning import Named
+from peatlead.dns.warmup_thinning import AnswerPool
 
 from ..places import settings
 
@@ -31,7 +31,9 @@
         answers.open_hosts.add(endpoint)
     weights = weights or {0: 2.0, 1: 1.0, 2: 1.0}
     for view in answers.views.views:
-        answers.place(view.index, 0, Named(dict(weights), cacheable, min_addresses), dict(weights))
+        answers.place(
+            view.index, 0, AnswerPool(dict(weights), cacheable, min_addresses), dict(weights)
+        )
     return answers
 
 
@@ -117,7 +119,7 @@
         self.assertEqual(len(ask(answers, "example.org", "NS").answer[0]), 2)
         self.assertEqual(addresses(ask(answers, "ns2.example.org")), ["127.1.0.2"])
         before = ask(answers, "example.org", "SOA").answer[0][0].serial
-        answers.place(0, 0, Named({0: 1.0}, True), {0: 1.0})
+        answers.place(0, 0, AnswerPool({0: 1.0}, True), {0: 1.0})
         self.assertEqual(ask(answers, "example.org", "SOA").answer[0][0].serial, before + 1)
         self.assertIn("RFC8482", str(ask(answers, rdtype="ANY").answer[0][0]))
 
@@ -144,7 +146,7 @@
 
     def test_a_client_subnet_is_used_from_trusted_resolvers_only(self):
         answers = make_answers()
-        answers.place(1, 0, Named({7: 1.0}, True), {7: 1.0})
+        answers.place(1, 0, AnswerPool({7: 1.0}, True), {7: 1.0})
         option = dns.edns.ECSOption("10.2.0.0", 24)
         for _ in range(2):
             trusted = ask(answers, peer="192.0.2.53", use_edns=0, options=[option])
@@ -156,7 +158,7 @@
 
     def test_a_views_own_name_selects_it_for_any_resolver(self):
         answers = make_answers()
-        answers.place(1, 0, Named({7: 1.0}, True), {7: 1.0})
+        answers.place(1, 0, AnswerPool({7: 1.0}, True), {7: 1.0})
         self.assertEqual(
             addresses(ask(answers, "desk1.api.example.org", peer="10.9.0.1")), ["127.10.0.8"]
         )
@@ -164,7 +166,7 @@
 
     def test_a_view_without_a_table_gets_servfail_that_is_not_cached(self):
         answers = make_answers()
-        answers.place(0, 0, Named({}, True), {})
+        answers.place(0, 0, AnswerPool({}, True), {})
         answer = ask(answers)
         self.assertEqual((answer.rcode(), answer.authority), (dns.rcode.SERVFAIL, []))
 
@@ -172,7 +174,7 @@
         answers = make_answers()
         for _ in range(8):
             ask(answers)
-        answers.place(0, 0, Named({1: 1.0, 2: 1.0}, True), {1: 1.0, 2: 1.0})
+        answers.place(0, 0, AnswerPool({1: 1.0, 2: 1.0}, True), {1: 1.0, 2: 1.0})
         answers.open_hosts.discard(0)
         seen = {record for _ in range(70) for record in addresses(ask(answers))}
         self.assertEqual(seen, {"127.10.0.2", "127.10.0.3"})
--- a/tests/dns/test_views.py
+++ b/tests/dns/test_views.py
@@ -5,7 +5,7 @@
 
 from hypothesis import given, strategies
 
-from peatlead.dns.views import PrefixMap, Views, number_of
+from peatlead.dns.views import PrefixMap, Views, proxy_number
 
 from ..places import settings
 
@@ -43,5 +43,5 @@
         self.assertEqual(len(views.views), 2 + 4)
 
     def test_a_name_has_the_same_number_at_every_controller_and_start(self):
-        self.assertEqual(Views(settings()).by_name["desk0"].number, number_of("desk0"))
-        self.assertEqual(number_of("desk0"), DESK0_NUMBER)
+        self.assertEqual(Views(settings()).by_name["desk0"].number, proxy_number("desk0"))
+        self.assertEqual(proxy_number("desk0"), DESK0_NUMBER)
--- a/tests/dns/test_warmup_thinning.py
+++ b/tests/dns/test_warmup_thinning.py
@@ -41,7 +41,7 @@
         thinning = WarmupThinning({0: 10.0})
         pools = thinning.decide({0: {1: 0.5, 2: 0.5}}, {1: 2.0, 2: 2.0})
         self.assertEqual(pools[0].weights, {1: 0.5, 2: 0.5})
-        self.assertFalse(pools[0].lasting)
+        self.assertFalse(pools[0].cacheable)
 
     def test_a_warm_endpoint_is_named_by_all_views_again(self):
         thinning, full = WarmupThinning({view: 5.0 for view in range(8)}), {1: 1.0, 2: 1.0}
@@ -55,5 +55,5 @@
         table = dict.fromkeys(range(10), 1.0)
         thinning.decide({view: table for view in range(30)}, table)
         pools = thinning.decide({}, table, [(3, 80.0)])
-        self.assertEqual((pools[3].lasting, pools[3].min_addresses), (False, 10))
-        self.assertTrue(thinning.named[4].lasting)
+        self.assertEqual((pools[3].cacheable, pools[3].min_addresses), (False, 10))
+        self.assertTrue(thinning.named[4].cacheable)
--- a/tests/fleet/test_ownership.py
+++ b/tests/fleet/test_ownership.py
@@ -6,7 +6,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from peatlead.fleet.ownership import JOIN_BURST, ControllerStatus, Fence, Ownership, ranked
+from peatlead.fleet.ownership import (
+    JOIN_BURST,
+    ControllerStatus,
+    Fence,
+    Ownership,
+    rank_controllers,
+)
 
 
 def fleet_of(*names, loads=None):
@@ -41,10 +47,10 @@
 
     def test_a_proxy_that_cannot_reach_its_owner_is_admitted_elsewhere(self):
         fleet = fleet_of("a", "b", "c")
-        proxy = next(p for p in self.PROXIES if ranked(p, "abc")[0] == "a")
+        proxy = next(p for p in self.PROXIES if rank_controllers(p, "abc")[0] == "a")
         self.assertFalse(fleet["b"].admit(0.0, proxy, 4).take)
         self.assertTrue(fleet["b"].admit(0.0, proxy, 4, hops=2).take)
-        second = ranked(proxy, "abc")[1]
+        second = rank_controllers(proxy, "abc")[1]
         self.assertTrue(fleet[second].admit(0.0, proxy, 4, avoid=("a",)).take)
 
     def test_a_proxy_is_not_redirected_at_once_to_an_owner_it_could_not_reach(self):
@@ -53,7 +59,7 @@
         ownership.update_live(
             0.0, {"a": ControllerStatus(4, False), "b": ControllerStatus(4, False)}
         )
-        proxy = next(f"p{at}" for at in range(100) if ranked(f"p{at}", "ab")[0] == "b")
+        proxy = next(f"p{at}" for at in range(100) if rank_controllers(f"p{at}", "ab")[0] == "b")
         self.assertTrue(ownership.admit(10.0, proxy, 0, 2, ("b",)).take)
         self.assertEqual(ownership.moves(12.0), [])
         self.assertEqual(ownership.moves(16.0), [(proxy, "b")])
--- a/tests/grpc/simulated_fleet.py
+++ b/tests/grpc/simulated_fleet.py
@@ -2,11 +2,11 @@
 
 import asyncio
 
-from peatlead.grpc.resources import Line
+from peatlead.grpc.resources import WeightedEndpoint
 from peatlead.standin.dns_clients import Kind
 from peatlead.standin.xds_proxies import Agent, Plan
 
-from ..places import SCRIPT, Quiet, play
+from ..places import SCRIPT, MemoryRecorder, play
 
 FLEET = SCRIPT
 for at in (1, 2):
@@ -29,7 +29,10 @@
     Kind("look", 0.5, 0.5, 1.5, 1.0, "replayable"),
     Kind("file", 0.5, 0.5, 1.5, 1.0, "non-replayable"),
 ]
-ENTRIES = [Line("127.10.9.1", 80, "north", 1.0), Line("127.10.9.2", 80, "south", 0.25)]
+ENTRIES = [
+    WeightedEndpoint("127.10.9.1", 80, "north", 1.0),
+    WeightedEndpoint("127.10.9.2", 80, "south", 0.25),
+]
 
 
 def run_fleet(case, **more):
@@ -46,7 +49,7 @@
     """Starts a simulated proxy that knows the controllers in this order."""
     controllers = [[f"127.1.0.{at}", world.port + 2] for at in order]
     plan = Plan(name, "north", "127.60.9.1", controllers, world.port, 20.0, KINDS)
-    proxy = Agent(plan, world.chance, Quiet())
+    proxy = Agent(plan, world.chance, MemoryRecorder())
     proxy.begin(asyncio.get_running_loop().time())
     world.closing.append(lambda: setattr(proxy, "stopped", True))
     return proxy
--- a/tests/grpc/test_failover.py
+++ b/tests/grpc/test_failover.py
@@ -102,11 +102,13 @@
                 )
             )
             busy = max(controllers, key=lambda name: len(controllers[name].proxies.front.sessions))
-            controllers[busy].tell_fleet(type("Q", (), {"do": "drain", "host": ""}))
+            controllers[busy].answer_fleet_question(type("Q", (), {"do": "drain", "host": ""}))
             await until(lambda: not controllers[busy].proxies.front.sessions, 15)
             await until(lambda: all(self.owner(controllers, proxy.plan.name) for proxy in proxies))
             self.assertTrue(all(proxy.lines["look"] for proxy in proxies))
-            answer = controllers[busy].tell_fleet(type("Q", (), {"do": "why", "host": "p0"}))
+            answer = controllers[busy].answer_fleet_question(
+                type("Q", (), {"do": "why", "host": "p0"})
+            )
             self.assertFalse(answer["here"])
             for proxy in proxies:
                 await proxy.finish()
--- a/tests/grpc/test_incremental.py
+++ b/tests/grpc/test_incremental.py
@@ -6,7 +6,7 @@
 
 from peatlead.standin.xds_proxies import Agent, Plan
 
-from ..places import Quiet, until
+from ..places import MemoryRecorder, until
 from .simulated_fleet import KINDS, run_fleet
 
 
@@ -47,7 +47,7 @@
                 KINDS,
                 incremental=True,
             )
-            proxy = Agent(plan, world.chance, Quiet())
+            proxy = Agent(plan, world.chance, MemoryRecorder())
             proxy.begin(asyncio.get_running_loop().time())
             world.closing.append(lambda: setattr(proxy, "stopped", True))
             await until(lambda: len(proxy.lines.get("look", ())) == 4)
--- a/tests/grpc/test_resources.py
+++ b/tests/grpc/test_resources.py
@@ -6,7 +6,13 @@
 from hypothesis import strategies as st
 
 from peatlead.benchmarks.encoding import write_whole
-from peatlead.grpc.resources import Line, encode_routes, read_lines, read_routes, write_lines
+from peatlead.grpc.resources import (
+    WeightedEndpoint,
+    decode_assignment,
+    decode_routes,
+    encode_assignment,
+    encode_routes,
+)
 
 from .simulated_fleet import ENTRIES
 
@@ -15,7 +21,7 @@
     @given(
         st.lists(
             st.builds(
-                Line,
+                WeightedEndpoint,
                 st.sampled_from(["10.0.0.1", "10.0.0.2", "2001:db8::1"]),
                 st.integers(1, 65535),
                 st.sampled_from(["a", "b", ""]),
@@ -26,13 +32,16 @@
         st.floats(0.0, 1.0),
     )
     def test_assembled_assignments_equal_protobuf_serialization(self, lines, level):
-        self.assertEqual(write_lines("look", lines, level), write_whole("look", lines, level))
+        self.assertEqual(encode_assignment("look", lines, level), write_whole("look", lines, level))
 
     def test_assignments_and_routes_round_trip(self):
-        kind, lines, level = read_lines(write_lines("look", ENTRIES, 0.85))
+        kind, lines, level = decode_assignment(encode_assignment("look", ENTRIES, 0.85))
         self.assertEqual((kind, sorted(lines), round(level, 6)), ("look", sorted(ENTRIES), 0.85))
         retries = {"a": "never", "b": "unstarted", "c": "once", "d": "twice"}
-        self.assertEqual(read_routes(encode_routes(retries)), retries)
-        for data in (b"\xff\xff", write_lines("x", [Line("", 80, "z", 1.0)], 1.0)):
+        self.assertEqual(decode_routes(encode_routes(retries)), retries)
+        for data in (
+            b"\xff\xff",
+            encode_assignment("x", [WeightedEndpoint("", 80, "z", 1.0)], 1.0),
+        ):
             with self.assertRaises(ValueError):
-                read_lines(data)
+                decode_assignment(data)
--- a/tests/grpc/test_server.py
+++ b/tests/grpc/test_server.py
@@ -11,7 +11,7 @@
 from envoy.service.load_stats.v3 import lrs_pb2
 
 from peatlead import interface
-from peatlead.grpc.resources import ENDPOINTS, read_lines
+from peatlead.grpc.resources import ENDPOINTS, decode_assignment
 from peatlead.grpc.resources import LINES as LINES_URL
 from peatlead.grpc.server import DELTA, DISCOVERY, LOADS
 
@@ -36,7 +36,7 @@
             await until(
                 lambda: [
                     x["held"] == x["sent"] != "0.0"
-                    for x in controller.published.tell_holders()
+                    for x in controller.published.proxy_versions()
                     if x["proxy"] == proxy.plan.name
                 ]
                 == [True]
@@ -84,7 +84,7 @@
                     found.update(
                         nonce=answer.nonce,
                         version=answer.version_info,
-                        lines=len(read_lines(answer.resources[0].value)[1]),
+                        lines=len(decode_assignment(answer.resources[0].value)[1]),
                     )
                     done.set()
                     report = lrs_pb2.LoadStatsRequest()
--- a/tests/health/test_load_report_counts.py
+++ b/tests/health/test_load_report_counts.py
@@ -2,7 +2,11 @@
 
 from peatlead import interface
 from peatlead.dns.views import View
-from peatlead.health.load_report_counts import EndpointReport, LoadReportCounts, read_told
+from peatlead.health.load_report_counts import (
+    EndpointReport,
+    LoadReportCounts,
+    parse_endpoint_report,
+)
 
 
 class LoadReportCountsTest(unittest.TestCase):
@@ -67,7 +71,7 @@
 
     def test_malformed_reports_are_ignored(self):
         for body in (b"", b"{}", b"[1]", b'{"boot": 1, "kinds": [], "networks": {}}', b"\xff"):
-            self.assertIsNone(read_told(body))
+            self.assertIsNone(parse_endpoint_report(body))
         counts = self.make_counts()
         for rows in ([[1, 2]], [["a"]], []):
             counts.take(
--- a/tests/places.py
+++ b/tests/places.py
@@ -75,7 +75,7 @@
         await asyncio.sleep(0.01)
 
 
-class Quiet:
+class MemoryRecorder:
     """In a recorder's place: keeps rows in memory."""
 
     def __init__(self):
@@ -94,7 +94,7 @@
     def __init__(self, folder, hosts=4, deep=True, cold=False, script=SCRIPT):
         self.folder = Path(folder)
         self.port = free_port()
-        self.record = Quiet()
+        self.record = MemoryRecorder()
         self.settings = settings(self.port, f"{folder}/nodes.json", script)
         self.chance = Random(4)
         self.pods = Pods()
--- a/tests/planner/test_channel_budget.py
+++ b/tests/planner/test_channel_budget.py
@@ -19,7 +19,7 @@
         for tick in range(600):
             now = 101.0 + tick / 10
             if tick < 90:
-                publisher.join(tick, levelled=True)
+                publisher.join(tick, enforces_admission=True)
                 events.append(interface.ProxyConnected(tick, tick % 2, 10.0, False))
             if tick % 100 == 50:
                 endpoint = tick // 100
--- a/tests/planner/test_class_admission.py
+++ b/tests/planner/test_class_admission.py
@@ -9,7 +9,7 @@
         planner = make_planner()
         planner.demand.requests = [60.0, 20.0]
         planner.load_shedding.admitted = 0.5
-        planner.order_levels()
+        planner.publish_admissions()
         read, pay = planner.class_admission.admissions
         self.assertLess(read.fraction, 0.6)
         self.assertEqual(pay.fraction, 1.0)
@@ -18,7 +18,7 @@
         planner = make_planner()
         planner.commands = []
         planner.class_admission.admissions = None
-        planner.order_levels()
+        planner.publish_admissions()
         policies = {
             command.request_classes: command.retry_policy
             for command in of_type(planner.commands, interface.SetAdmission)
--- a/tests/planner/test_withdrawals.py
+++ b/tests/planner/test_withdrawals.py
@@ -46,8 +46,8 @@
             {command.notify for command in of_type(commands, interface.WithdrawEndpoint)}, {()}
         )
         publisher = Publisher()
-        publisher.join(10, levelled=True)
-        publisher.join(11, levelled=True)
+        publisher.join(10, enforces_admission=True)
+        publisher.join(11, enforces_admission=True)
         self.assertEqual(publisher.take([interface.WithdrawEndpoint(3, True, ())])[0], {})
         self.assertEqual(
             list(publisher.take([interface.WithdrawEndpoint(3, True, (10, 12))])[0]), [10]
--- a/tests/platform/test_planner_restart.py
+++ b/tests/platform/test_planner_restart.py
@@ -21,7 +21,7 @@
         async def case(platform):
             proxy, planner = await platform.proxy_with_table(), platform.controller.planner
             with mock.patch.object(planner, "decide", side_effect=KeyError("planted")):
-                platform.controller.hear(interface.ProxyDisconnected(3))
+                platform.controller.submit(interface.ProxyDisconnected(3))
                 await until(lambda: platform.controller.planner is not planner)
             await until(lambda: whole_tables(proxy) == 2, 20)
             before = platform.controller.decided
@@ -35,10 +35,10 @@
     def test_timers_of_a_replaced_planner_are_ignored(self):
         async def case(platform):
             events = []
-            platform.controller.hear = events.append
-            platform.controller.fire_of(object(), 0, 0.0)
+            platform.controller.submit = events.append
+            platform.controller.fire_if_current(object(), 0, 0.0)
             self.assertEqual(events, [])
-            platform.controller.fire_of(platform.controller.planner, 0, 0.0)
+            platform.controller.fire_if_current(platform.controller.planner, 0, 0.0)
             self.assertEqual(events, [interface.TimerFired(0)])
 
         run_with_platform(case)
@@ -47,7 +47,7 @@
         async def case(platform):
             await until(lambda: platform.controller.watch.version)
             with mock.patch.object(Planner, "decide", side_effect=KeyError("planted")):
-                platform.controller.hear(interface.ProxyDisconnected(3))
+                platform.controller.submit(interface.ProxyDisconnected(3))
                 await until(platform.controller.ended.done)
             self.assertIn("planted", platform.controller.ended.result())
             self.assertEqual(platform.controller.failures.count, RESTARTS_LIMIT + 1)
--- a/tests/platform/test_push.py
+++ b/tests/platform/test_push.py
@@ -136,10 +136,10 @@
 
     def test_a_withdrawal_is_sent_once_per_stream(self):
         publisher = Publisher()
-        publisher.join(5, levelled=True)
+        publisher.join(5, enforces_admission=True)
         sent = [publisher.take([interface.WithdrawEndpoint(1, True)])[0] for _ in range(2)]
         publisher.leave(5)
-        publisher.join(5, levelled=True)
+        publisher.join(5, enforces_admission=True)
         self.assertEqual(
             [*sent, publisher.take([interface.WithdrawEndpoint(1, True)])[0]],
             [{5: {("withdrawn", 1): True}}, {}, {5: {("withdrawn", 1): True}}],
--- a/tests/platform/test_reports.py
+++ b/tests/platform/test_reports.py
@@ -14,8 +14,8 @@
 class Reports(unittest.TestCase):
     def test_reports_reach_the_planner_and_invalid_ones_are_ignored(self):
         async def case(platform):
-            events, submit_event = [], platform.controller.hear
-            platform.controller.hear = lambda event: (events.append(event), submit_event(event))
+            events, submit_event = [], platform.controller.submit
+            platform.controller.submit = lambda event: (events.append(event), submit_event(event))
             await platform.connect_proxy(3)
             collector = await platform.connect()
             collector.send_message(msg="agent", locality="z1")
--- a/tests/platform/test_sessions.py
+++ b/tests/platform/test_sessions.py
@@ -54,7 +54,7 @@
                 == 3
             )
             for session in list(platform.controller.listener.sessions)[:2]:
-                session.touched -= 60.0
+                session.last_activity -= 60.0
             late = await platform.connect_collector()
             await until(lambda: silent.end_reason)
             self.assertEqual(
@@ -109,8 +109,8 @@
 
     def test_a_long_message_may_arrive_byte_by_byte(self):
         async def case(platform):
-            events, submit_event = [], platform.controller.hear
-            platform.controller.hear = lambda event: (events.append(event), submit_event(event))
+            events, submit_event = [], platform.controller.submit
+            platform.controller.submit = lambda event: (events.append(event), submit_event(event))
             collector = await platform.connect_collector()
             report = json.dumps(
                 {
--- a/tests/platform/test_shutdown.py
+++ b/tests/platform/test_shutdown.py
@@ -57,7 +57,7 @@
                 discovery=Address(DISCOVERY_HOST, 1)
             )
             platform.controller.reload()
-            platform.controller.fire_of(platform.controller.planner, 0, 0.0)
+            platform.controller.fire_if_current(platform.controller.planner, 0, 0.0)
             platform.controller.on_health_check(0, "ok", 0.1, None, None)
             await until(lambda: proxy.end_reason and platform.controller.ended.done())
             self.assertEqual(
--- a/tests/standin/test_dns_clients.py
+++ b/tests/standin/test_dns_clients.py
@@ -7,7 +7,7 @@
 from peatlead.standin.dns_clients import Client
 from peatlead.standin.resolvers import Resolver
 
-from ..places import Quiet, play
+from ..places import MemoryRecorder, play
 
 
 class ClientsAndResolversTest(unittest.TestCase):
@@ -25,7 +25,7 @@
         async def case(world):
             lifetimes = {}
             for kind in ("keeps", "twice", "tenfold", "least"):
-                resolver = Resolver(kind, "127.20.9.1", [], world.chance, Quiet())
+                resolver = Resolver(kind, "127.20.9.1", [], world.chance, MemoryRecorder())
                 resolver.loop = asyncio.get_running_loop()
                 cached = resolver.keep("n", "", ["a"], 1)
                 lifetimes[kind] = round(cached.until - resolver.loop.time(), 1)
--- a/tests/tables/test_history.py
+++ b/tests/tables/test_history.py
@@ -56,7 +56,7 @@
         self.assertEqual(history.items, {"level/k": 2})
 
     def test_a_clock_set_back_changes_neither_order_nor_bounds(self):
-        store = Store(age_most=50.0)
+        store = Store(age_max=50.0)
         for index, wall_time in enumerate((1000.0, 1010.0, 200.0, 210.0, 220.0)):
             store.commit("p", Version(1, index + 1), wall_time, (), {"level/k": index})
         self.assertEqual(store.entry_count, 5)
@@ -69,7 +69,7 @@
         for bounds in (
             {"versions_per_proxy": 3},
             {"versions_max": 3},
-            {"age_most": 2.5},
+            {"age_max": 2.5},
             {"bytes_max": 1100},
         ):
             store = store_of([{"level/k": level} for level in range(1, 11)], Store(**bounds))
--- a/tests/tables/test_pins.py
+++ b/tests/tables/test_pins.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from peatlead.tables.pins import PinError, Pins, read_pins, rollout_position, write_pins
+from peatlead.tables.pins import PinError, Pins, decode_pins, encode_pins, rollout_position
 
 from .. import places  # noqa: F401  (it loads the profile of hypothesis)
 
@@ -14,7 +14,7 @@
     def test_a_rollout_reaches_the_same_proxies_everywhere_and_finally_all(self):
         pins, other = Pins("ns1"), Pins("ns2")
         pin = pins.make(10.0, "all", over=10.0)
-        other.hear(500.0, read_pins(write_pins(pins.snapshot(13.0))))
+        other.hear(500.0, decode_pins(encode_pins(pins.snapshot(13.0))))
         names = [f"proxy{number}" for number in range(200)]
         early = {name for name in names if pins.pin_for(13.0, name, "a")}
         self.assertEqual(early, {name for name in names if other.pin_for(500.0, name, "a")})
@@ -135,4 +135,4 @@
         with self.assertRaises(PinError):
             pins.make(0.0, "all")
         with self.assertRaises(ValueError):
-            read_pins(b"junk")
+            decode_pins(b"junk")
--- a/tests/tables/test_replica.py
+++ b/tests/tables/test_replica.py
@@ -8,7 +8,7 @@
 from hypothesis import example, given
 from hypothesis import strategies as st
 
-from peatlead.grpc.incremental import PARTS_OF, WHOLES_MOST, Incremental, read_delta
+from peatlead.grpc.incremental import MAX_FULL_RESYNCS, PART_BY_TYPE, Incremental, decode_delta
 from peatlead.grpc.resources import LINES, resource_name
 from peatlead.tables.replica import APPLIED, BASE, DIGEST, OLD, Replica
 from peatlead.tables.version import WHOLE, Digest, Stamp, Version, changes
@@ -50,10 +50,10 @@
         self.responses.extend(self.sender.changed(LINES))
 
     def deliver(self, response, answer=True):
-        type_url, moved, stamp = read_delta(
+        type_url, moved, stamp = decode_delta(
             discovery_pb2.DeltaDiscoveryResponse.FromString(response.SerializeToString())
         )
-        outcome = self.replica.take(PARTS_OF[type_url], stamp, moved)
+        outcome = self.replica.take(PART_BY_TYPE[type_url], stamp, moved)
         if answer and outcome != OLD:
             request = discovery_pb2.DeltaDiscoveryRequest(
                 type_url=type_url, response_nonce=response.nonce
@@ -126,7 +126,7 @@
             )
             request.error_detail.message = DIGEST
             self.responses.extend(self.sender.take(request))
-        self.assertEqual(len(self.sender.refusals), WHOLES_MOST + 1)
+        self.assertEqual(len(self.sender.refusals), MAX_FULL_RESYNCS + 1)
         self.change({line(1): 2000})  # a new state is tried again
         self.assertTrue(self.responses)
 
--- a/tests/tables/test_versions.py
+++ b/tests/tables/test_versions.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from peatlead.tables.version import Digest, Stamp, Version, line_key, read_line_key, read_stamp
+from peatlead.tables.version import Digest, Stamp, Version, line_key, parse_line_key, parse_stamp
 
 
 class DigestTest(unittest.TestCase):
@@ -22,7 +22,7 @@
     def test_keys_are_parsed_and_malformed_ones_refused(self):
         for address in ("10.0.0.1", "2001:db8::7"):
             self.assertEqual(
-                read_line_key(line_key("k", "a/b", address, 80)), ("k", "a/b", address, 80)
+                parse_line_key(line_key("k", "a/b", address, 80)), ("k", "a/b", address, 80)
             )
         for malformed in (
             "",
@@ -34,13 +34,13 @@
             "line//z/x:1",
         ):
             with self.assertRaises(ValueError):
-                read_line_key(malformed)
+                parse_line_key(malformed)
 
 
 class StampTest(unittest.TestCase):
     def test_stamps_are_parsed_and_malformed_ones_refused(self):
         stamp = Stamp(Version(3, 4), "a" * 32, "b" * 32)
-        self.assertEqual(read_stamp(str(stamp)), stamp)
+        self.assertEqual(parse_stamp(str(stamp)), stamp)
         for malformed in (
             "",
             "3.4",
@@ -50,4 +50,4 @@
             "0.0 base=a digest=b",
         ):
             with self.assertRaises(ValueError):
-                read_stamp(malformed)
+                parse_stamp(malformed)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -245,9 +245,9 @@
 
         from peatlead.planner.planner import Planner
 
-        real = Planner.order_levels
+        real = Planner.publish_admissions
 
-        def order_levels(self):
+        def publish_admissions(self):
             real(self)
             self.shuffle([time.perf_counter()] * (time.perf_counter_ns() % 5 + 2))
             self.orders.append(
@@ -256,7 +256,7 @@
 
         digests = set()
         for _ in range(2):
-            with mock.patch.object(Planner, "order_levels", order_levels):
+            with mock.patch.object(Planner, "publish_admissions", publish_admissions):
                 digests.add(play_day(load_day("d", SMALL), 3).digest)
         self.assertEqual(len(digests), 2)
 
--- a/tests/transcripts/test_dns_transcripts.py
+++ b/tests/transcripts/test_dns_transcripts.py
@@ -38,10 +38,10 @@
             self.answers.know(index, name, v4, v6)
             self.answers.open_hosts.add(index)
 
-    def place(self, view, lines, lasting=True, places=1):
+    def place(self, view, lines, cacheable=True, places=1):
         """What a view's resolvers are told: {host: weight}."""
         self.answers.place(
-            view, 0, warmup_thinning.Named(dict(lines), lasting, places), dict(lines)
+            view, 0, warmup_thinning.AnswerPool(dict(lines), cacheable, places), dict(lines)
         )
 
     def views(self):
@@ -160,7 +160,7 @@
 def plain_answers():
     """Every query over UDP and TCP, from peers of several views."""
     asking = Asking(make_front())
-    asking.front.place(1, {7: 1.0, 3: 0.25}, lasting=False, places=2)
+    asking.front.place(1, {7: 1.0, 3: 0.25}, cacheable=False, places=2)
     for at, (name, kind, more) in enumerate(QUERIES):
         asking.query(name, kind, **more)
         asking.query(name, kind, tcp=True, **more)
--- a/tests/transcripts/test_gossip_transcripts.py
+++ b/tests/transcripts/test_gossip_transcripts.py
@@ -57,7 +57,7 @@
 
 def rank(proxy, names):
     """Controllers for a proxy, best first."""
-    return ownership.ranked(proxy, names)
+    return ownership.rank_controllers(proxy, names)
 
 
 def heard(source, data):
@@ -128,7 +128,9 @@
 
 
 def node_tell(node, verb, payload):
-    {"note": node.tell, "pins": node.tell_pins, "wish": node.tell_wish}[verb](payload)
+    {"note": node.tell, "pins": node.broadcast_pins, "wish": node.broadcast_drain_request}[verb](
+        payload
+    )
 
 
 # End of the adapter.
--- a/tests/transcripts/test_tables_transcripts.py
+++ b/tests/transcripts/test_tables_transcripts.py
@@ -27,7 +27,7 @@
     log_records.NoteRecord,
     pins.Pin,
 )
-decode_pins, encode_pins, BAD_PINS = pins.read_pins, pins.write_pins, ValueError
+decode_pins, encode_pins, BAD_PINS = pins.decode_pins, pins.encode_pins, ValueError
 
 
 def encode(record):
--- a/tests/transcripts/test_xds_transcripts.py
+++ b/tests/transcripts/test_xds_transcripts.py
@@ -37,16 +37,18 @@
 
 
 def encode_lines(kind, lines, level):
-    return resources.write_lines(kind, [resources.Line(*one) for one in lines], level)
+    return resources.encode_assignment(
+        kind, [resources.WeightedEndpoint(*one) for one in lines], level
+    )
 
 
 def decode_lines(data):
-    kind, lines, level = resources.read_lines(data)
+    kind, lines, level = resources.decode_assignment(data)
     return [kind, [list(one) for one in lines], level]
 
 
 def decode_routes(data):
-    return resources.read_routes(data)
+    return resources.decode_routes(data)
 
 
 def decode_value(key, data):
@@ -123,10 +125,10 @@
 
     def take(self, data):
         """The outcome, and the items as they then are."""
-        url, moved, stamp = incremental.read_delta(
+        url, moved, stamp = incremental.decode_delta(
             discovery_pb2.DeltaDiscoveryResponse.FromString(data)
         )
-        part = incremental.PARTS_OF[url]
+        part = incremental.PART_BY_TYPE[url]
         outcome = self.holder.take(part, stamp, moved)
         return [outcome, sorted(self.holder.parts[part].items())]
 
