--- a/peatlead/scenario/__init__.py
+++ b/peatlead/scenario/__init__.py
@@ -1,1 +1,1 @@
-"""Day scripts: who is there, how much they ask, which trouble strikes when; and how a day is played."""
+"""Day scripts: the fleet, its traffic and the faults of a day, and the driver that plays them."""
--- a/peatlead/scenario/runner.py
+++ b/peatlead/scenario/runner.py
@@ -16,8 +16,8 @@
 from ..invariants.record import Recorder, read_folder
 from ..settings.script import load_settings
 from ..standin.process import Teller
+from .endpoint_list_file import EndpointListFile
 from .fleet import Fleet
-from .nodelist import NodeList
 
 HOST_PROCESSES, DESK_PROCESSES, AGENT_PROCESSES = 3, 2, 2
 NETS = {"hosts": 1, "desks": 2, "agents": 3}
@@ -67,7 +67,7 @@
         ]:
             old.unlink()  # an earlier day's list would be remembered, and its hosts seem started anew
         self.record = self.begin_record()
-        self.list = NodeList(self.folder / "nodes.json", self.loop.time, self.record)
+        self.list = EndpointListFile(self.folder / "nodes.json", self.loop.time, self.record)
         try:
             await self.set_up()
             await self.run()
