--- /dev/null
+++ b/peatlead/scenario/controller_settings.py
@@ -0,0 +1,98 @@
+"""The controllers' settings script of a day, as an operator would write it."""
+
+from collections.abc import Iterator
+from pathlib import Path
+
+from .fleet import DOMAIN, GRPC_PORT_OFFSET, RESOLVER_NETWORK, Fleet
+
+FLEET_KEY = "5a" * 32  # no secret
+OPEN_VIEWS = 16  # where there are DNS clients
+CLASS_FIELDS = ("name", "response_target", "client_timeout", "gain", "repeat")
+
+
+def settings_script(fleet: Fleet, list_path: Path) -> str:
+    """The script of all controllers, one builtin a line."""
+    lines = [f"zone(name = {zone!r})" for zone in fleet.zones]
+    lines.append(_dns(fleet))
+    lines.append(_limits(fleet))
+    lines.append(f"node_list(path = {str(list_path)!r})")
+    if fleet.agents:
+        lines.append(_grpc(fleet))
+        lines.append(f"fleet(keys = [{FLEET_KEY!r}])")
+    steering = fleet.scenario["steering"]
+    lines.append(f"probes(port = {fleet.port}, deadline = {steering['probe_deadline']})")
+    lines.append(f"choices(gone_is_advice = {steering['gone_is_advice']})")
+    lines += _request_classes(fleet)
+    lines += _controllers(fleet)
+    lines += _views(fleet)
+    return "\n".join(lines) + "\n"
+
+
+def _dns(fleet: Fleet) -> str:
+    steering = fleet.scenario["steering"]
+    open_views = OPEN_VIEWS if fleet.desks else 0
+    return (
+        f"dns(zone = {DOMAIN!r}, port = {fleet.port}, lifetime = {steering['lifetime']}, "
+        f"addresses = {steering['addresses']}, trusted_resolvers = ['{RESOLVER_NETWORK}.1.0/24'], "
+        f"open_views = {open_views})"
+    )
+
+
+def _limits(fleet: Fleet) -> str:
+    steering = fleet.scenario["steering"]
+    endpoints = fleet.scenario["fleet"]
+    return (
+        f"limits(drain_grace = {steering['drain_grace']}, bare_most = {steering['bare_most']}, "
+        f"cold_share = {endpoints['cold_share']}, warm_after = {endpoints['warm_after']}, "
+        f"tip_multiple = {endpoints['tip_multiple']}, tip_span = {endpoints['tip_span']})"
+    )
+
+
+def _grpc(fleet: Fleet) -> str:
+    proxies = fleet.scenario["agents"]
+    return (
+        f"grpc(proxies = {len(fleet.agents)}, pick = {proxies['pick']!r}, "
+        f"fails_to_shun = {proxies['fails_to_shun']})"
+    )
+
+
+def _request_classes(fleet: Fleet) -> Iterator[str]:
+    kinds = fleet.scenario["kinds"]
+    for kind in kinds:
+        values = ", ".join(f"{name} = {kind[name]!r}" for name in CLASS_FIELDS)
+        yield f"request_kind({values})"
+    yield f"service(label = 'api', kinds = {[kind['name'] for kind in kinds]!r})"
+
+
+def _controllers(fleet: Fleet) -> Iterator[str]:
+    for number, (address, port) in enumerate(fleet.stewards):
+        zone = fleet.zones[number % len(fleet.zones)]
+        yield (
+            f"steward(name = 'ns{number + 1}', zone = {zone!r}, seed = {number + 1}, "
+            f"listen = '{address}:{port}', control = '{address}:{port + 1}'"
+            f"{_proxy_addresses(fleet, address, port)})"
+        )
+
+
+def _proxy_addresses(fleet: Fleet, address: str, port: int) -> str:
+    """A controller's addresses for proxies and peers, where the day has proxies."""
+    if not fleet.agents:
+        return ""
+    peer = f", peer = '{address}:{port + 1}'" if fleet.scenario["agents"]["share"] else ""
+    return f", grpc = '{address}:{port + GRPC_PORT_OFFSET}'{peer}"
+
+
+def _views(fleet: Fleet) -> Iterator[str]:
+    """The client networks; a resolver that serves several of them stands in no view."""
+    resolvers = {
+        resolver["name"]: resolver["address"]
+        for resolver in fleet.resolvers
+        if not resolver["name"].startswith("shared")
+    }
+    for number, network in enumerate(fleet.desks):
+        own = [resolvers[network["resolver"]]] if network["resolver"] in resolvers else []
+        rate = max(0.1, round(network["rate"], 1))
+        yield (
+            f"view(name = {network['view']!r}, zone = {fleet.zones[number % len(fleet.zones)]!r}, "
+            f"networks = ['{network['network']}/24'], resolvers = {own!r}, rate = {rate})"
+        )
--- a/peatlead/scenario/fleet.py
+++ b/peatlead/scenario/fleet.py
@@ -1,42 +1,72 @@
-"""A day's fleet out of its script: hosts, desks, resolvers, and the stewards' settings. Pure, by seed."""
+"""The fleet of a day, out of its script and its seed: endpoints, controllers, clients and proxies.
+
+Plans are the maps that stand-ins are sent, under the names that they read. Draws no numbers but for
+the rates of client networks and proxies, in this order.
+"""
 
 from math import exp, fsum
 from random import Random
+from typing import Any
+
+DOMAIN = "example.org"
+ENDPOINT_NETWORK = "127.10"
+RESOLVER_NETWORK = "127.20"
+CONTROLLER_NETWORK = "127.1.0"
+LEAST_RATE = 0.05  # requests a second
+CLIENTS = (2, 40)  # of a network, at least and at most
+GRPC_PORT_OFFSET = 2  # from a controller's DNS port; its control socket has the port between
+CLASS_FIELDS = ("name", "share", "response_target", "client_timeout", "gain", "repeat")
 
-BODY = "example.org"
-KEY = "5a" * 32  # of a day's fleet: no secret
-HOSTS_NET, RESOLVERS_NET, STEWARDS_NET = "127.10", "127.20", "127.1.0"
+Plan = dict[str, Any]
 
 
 class Fleet:
-    """All that a day begins with; `hosts`: [plan], `desks`: [plan], `resolvers`: [order]."""
-
-    def __init__(self, day, port):
-        self.day, self.port, self.chance = day, port, Random(day["day"]["seed"])
-        self.zones, self.made = day["fleet"]["zones"], 0
-        self.hosts = [self.host(at, cold=False) for at in range(day["fleet"]["hosts"])]
-        self.stewards = [(f"{STEWARDS_NET}.{at + 1}", port) for at in range(day["day"]["stewards"])]
-        self.lay_desks()
-        self.lay_agents()
-
-    def host(self, at, cold, like=None):
-        """A host's plan; `like`: the plan of the one that it succeeds."""
-        fleet, number = self.day["fleet"], self.made
-        self.made += 1
-        zone = like["zone"] if like else self.zones[at % len(self.zones)]
-        pod = like["pod"] if like else at // fleet["pod"]
-        cores = (
-            like["cores"] if like else fleet["cores"][at // len(self.zones) % len(fleet["cores"])]
-        )
+    """All that a day begins with."""
+
+    def __init__(self, scenario: dict[str, Any], port: int) -> None:
+        self.scenario = scenario
+        self.port = port  # of endpoints and of the controllers' DNS
+        self.zones: list[str] = scenario["fleet"]["zones"]
+        self._rng = Random(scenario["day"]["seed"])
+        self._endpoints_planned = 0
+        self.hosts = [self._plan_first(number) for number in range(scenario["fleet"]["hosts"])]
+        self.stewards = [  # the controllers' DNS addresses
+            (f"{CONTROLLER_NETWORK}.{number + 1}", port)
+            for number in range(scenario["day"]["stewards"])
+        ]
+        self.resolvers: list[Plan] = []
+        self.desks = self._plan_client_networks()
+        self.agents = self._plan_proxies()
+
+    def plan_successor(self, plan: Plan) -> Plan:
+        """The plan of the cold endpoint that takes another's place."""
+        return self._plan_endpoint(plan["zone"], plan["pod"], plan["cores"], cold=True)
+
+    def replace(self, plan: Plan, successor: Plan) -> None:
+        """Take an endpoint out and its successor in."""
+        self.hosts = [other for other in self.hosts if other is not plan] + [successor]
+
+    def _plan_first(self, number: int) -> Plan:
+        """The plan of an endpoint that runs from the start."""
+        fleet = self.scenario["fleet"]
+        zone = self.zones[number % len(self.zones)]
+        pod = number // fleet["pod"]
+        cores = fleet["cores"][number // len(self.zones) % len(fleet["cores"])]
+        return self._plan_endpoint(zone, pod, cores, cold=False)
+
+    def _plan_endpoint(self, zone: str, pod: int, cores: int, cold: bool) -> Plan:
+        fleet = self.scenario["fleet"]
+        number = self._endpoints_planned
+        self._endpoints_planned += 1
         return {
             "name": f"h{number}",
             "zone": zone,
             "pod": pod,
             "cores": cores,
             "port": self.port,
-            "address": f"{HOSTS_NET}.{number // 250}.{number % 250 + 1}",
-            "work": {kind["name"]: kind["work"] for kind in self.day["kinds"]},
-            "repeat": {kind["name"]: kind["repeat"] for kind in self.day["kinds"]},
+            "address": f"{ENDPOINT_NETWORK}.{number // 250}.{number % 250 + 1}",
+            "work": {kind["name"]: kind["work"] for kind in self.scenario["kinds"]},
+            "repeat": {kind["name"]: kind["repeat"] for kind in self.scenario["kinds"]},
             "cold_share": fleet["cold_share"],
             "warm_after": fleet["warm_after"],
             "tip_multiple": fleet["tip_multiple"],
@@ -46,129 +76,89 @@
             "cold": cold,
         }
 
-    def lay_desks(self):
-        desks = self.day["desks"]
-        parts = [exp(self.chance.gauss(0.0, desks["uneven"])) for _ in range(desks["views"])]
-        if desks["biggest"]:
+    def _plan_client_networks(self) -> list[Plan]:
+        networks = self.scenario["desks"]
+        plans = []
+        for number, rate in enumerate(self._network_rates()):
+            shared = number >= networks["views"] - networks["shared"]
+            resolver = f"shared{number // 2}" if shared else f"r{number}"
+            self._add_resolver(resolver, number, shared)
+            plans.append(self._plan_client_network(number, rate, resolver, shared))
+        return plans
+
+    def _network_rates(self) -> list[float]:
+        """Requests a second of each client network."""
+        networks = self.scenario["desks"]
+        parts = self._draw_parts(networks["views"], networks["uneven"])
+        if networks["biggest"]:
             rest = fsum(parts[1:]) or 1.0
-            parts[0] = rest * desks["biggest"] / max(1e-6, 1 - desks["biggest"])
-        rates = [max(0.05, desks["rate"] * one / fsum(parts)) for one in parts]
-        self.desks, self.resolvers = [], []
-        for at, rate in enumerate(rates):
-            shared = at >= desks["views"] - desks["shared"]
-            resolver = f"r{at}" if not shared else f"shared{at // 2}"
-            kind = desks["resolvers"][at % len(desks["resolvers"])]
-            self.add_resolver(resolver, kind, at, shared)
-            self.desks.append(
-                {
-                    "view": f"desk{at}",
-                    "network": f"127.{30 + at // 256}.{at % 256}.0",
-                    "resolver": resolver,
-                    "name": f"api.{BODY}",
-                    "port": self.port,
-                    "rate": rate,
-                    "clients": max(2, min(40, int(rate))),
-                    "habits": self.day["desks"]["habits"],
-                    "kinds": self.req_kinds(),
-                    "retries": desks["retries"],
-                    "tells_subnet": shared,
-                }
-            )
-
-    def lay_agents(self):
-        agents = self.day["agents"]
-        parts = [exp(self.chance.gauss(0.0, agents["uneven"])) for _ in range(agents["many"])]
-        self.agents = [
-            {
-                "name": f"agent{at}",
-                "zone": self.zones[at % len(self.zones)],
-                "port": self.port,
-                "local": f"127.{60 + at // 250}.{at % 250}.1",
-                "rate": max(0.05, agents["rate"] * one / fsum(parts)),
-                "controllers": [[address, port + 2] for address, port in self.stewards],
-                "kinds": self.req_kinds(),
-                "pick": agents["pick"],
-                "fails_to_shun": agents["fails_to_shun"],
-                "incremental": agents["incremental"],
-            }
-            for at, one in enumerate(parts)
-        ]
+            parts[0] = rest * networks["biggest"] / max(1e-6, 1 - networks["biggest"])
+        return _rates(networks["rate"], parts)
 
-    def req_kinds(self):
-        names = ("name", "share", "response_target", "client_timeout", "gain", "repeat")
-        return [{name: kind[name] for name in names} for kind in self.day["kinds"]]
-
-    def add_resolver(self, name, kind, at, shared):
-        if all(one["name"] != name for one in self.resolvers):
-            self.resolvers.append(
-                {
-                    "do": "resolver",
-                    "name": name,
-                    "kind": kind,
-                    "rotates": at % 2 == 0,
-                    "address": f"{RESOLVERS_NET}.1.{at // 2 % 250 + 1}"
-                    if shared
-                    else f"{RESOLVERS_NET}.{2 + at // 250}.{at % 250 + 1}",
-                    "servers": [list(steward) for steward in self.stewards],
-                }
-            )
-
-    def more(self, address, port):
-        if not self.agents:
-            return ""
-        peer = f", peer = '{address}:{port + 1}'" if self.day["agents"]["share"] else ""
-        return f", grpc = '{address}:{port + 2}'{peer}"
-
-    def settings(self, list_path):
-        """The stewards' settings script for this day, as an operator would write it."""
-        steering, fleet = self.day["steering"], self.day["fleet"]
-        lines = [f"zone(name = {zone!r})" for zone in self.zones]
-        lines.append(
-            f"dns(zone = {BODY!r}, port = {self.port}, lifetime = {steering['lifetime']}, "
-            f"addresses = {steering['addresses']}, trusted_resolvers = ['{RESOLVERS_NET}.1.0/24'], "
-            f"open_views = {16 if self.desks else 0})"
-        )
-        lines.append(
-            f"limits(drain_grace = {steering['drain_grace']}, bare_most = {steering['bare_most']}, "
-            f"cold_share = {fleet['cold_share']}, warm_after = {fleet['warm_after']}, "
-            f"tip_multiple = {fleet['tip_multiple']}, tip_span = {fleet['tip_span']})"
-        )
-        lines.append(f"node_list(path = {str(list_path)!r})")
-        if self.agents:
-            agents = self.day["agents"]
-            lines.append(
-                f"grpc(proxies = {len(self.agents)}, pick = {agents['pick']!r}, "
-                f"fails_to_shun = {agents['fails_to_shun']})"
-            )
-            lines.append(f"fleet(keys = [{KEY!r}])")
-        lines.append(f"probes(port = {self.port}, deadline = {steering['probe_deadline']})")
-        lines.append(f"choices(gone_is_advice = {steering['gone_is_advice']})")
-        for kind in self.day["kinds"]:
-            told = {
-                name: kind[name]
-                for name in ("name", "response_target", "client_timeout", "gain", "repeat")
+    def _draw_parts(self, count: int, spread: float) -> list[float]:
+        """Log-normal shares of the whole rate."""
+        return [exp(self._rng.gauss(0.0, spread)) for _ in range(count)]
+
+    def _plan_client_network(self, number: int, rate: float, resolver: str, shared: bool) -> Plan:
+        networks = self.scenario["desks"]
+        fewest, most = CLIENTS
+        return {
+            "view": f"desk{number}",
+            "network": f"127.{30 + number // 256}.{number % 256}.0",
+            "resolver": resolver,
+            "name": f"api.{DOMAIN}",
+            "port": self.port,
+            "rate": rate,
+            "clients": max(fewest, min(most, int(rate))),
+            "habits": networks["habits"],
+            "kinds": self._request_classes(),
+            "retries": networks["retries"],
+            "tells_subnet": shared,
+        }
+
+    def _add_resolver(self, name: str, number: int, shared: bool) -> None:
+        """Plan the resolver of a client network; a shared one is planned with its first."""
+        if any(resolver["name"] == name for resolver in self.resolvers):
+            return
+        if shared:
+            address = f"{RESOLVER_NETWORK}.1.{number // 2 % 250 + 1}"
+        else:
+            address = f"{RESOLVER_NETWORK}.{2 + number // 250}.{number % 250 + 1}"
+        kinds = self.scenario["desks"]["resolvers"]
+        self.resolvers.append(
+            {
+                "do": "resolver",
+                "name": name,
+                "kind": kinds[number % len(kinds)],
+                "rotates": number % 2 == 0,
+                "address": address,
+                "servers": [list(controller) for controller in self.stewards],
             }
-            said = ", ".join(f"{name} = {value!r}" for name, value in told.items())
-            lines.append(f"request_kind({said})")
-        lines.append(
-            f"service(label = 'api', kinds = {[kind['name'] for kind in self.day['kinds']]!r})"
         )
-        for at, (address, port) in enumerate(self.stewards):
-            zone = self.zones[at % len(self.zones)]
-            lines.append(
-                f"steward(name = 'ns{at + 1}', zone = {zone!r}, seed = {at + 1}, "
-                f"listen = '{address}:{port}', control = '{address}:{port + 1}'{self.more(address, port)})"
-            )
-        alone = {
-            one["name"]: one["address"]
-            for one in self.resolvers
-            if not one["name"].startswith("shared")
+
+    def _plan_proxies(self) -> list[Plan]:
+        proxies = self.scenario["agents"]
+        rates = _rates(proxies["rate"], self._draw_parts(proxies["many"], proxies["uneven"]))
+        return [self._plan_proxy(number, rate) for number, rate in enumerate(rates)]
+
+    def _plan_proxy(self, number: int, rate: float) -> Plan:
+        proxies = self.scenario["agents"]
+        return {
+            "name": f"agent{number}",
+            "zone": self.zones[number % len(self.zones)],
+            "port": self.port,
+            "local": f"127.{60 + number // 250}.{number % 250}.1",
+            "rate": rate,
+            "controllers": [[address, port + GRPC_PORT_OFFSET] for address, port in self.stewards],
+            "kinds": self._request_classes(),
+            "pick": proxies["pick"],
+            "fails_to_shun": proxies["fails_to_shun"],
+            "incremental": proxies["incremental"],
         }
-        for at, desk in enumerate(self.desks):
-            resolvers = [alone[desk["resolver"]]] if desk["resolver"] in alone else []
-            rate = max(0.1, round(desk["rate"], 1))
-            lines.append(
-                f"view(name = {desk['view']!r}, zone = {self.zones[at % len(self.zones)]!r}, "
-                f"networks = ['{desk['network']}/24'], resolvers = {resolvers!r}, rate = {rate})"
-            )
-        return "\n".join(lines) + "\n"
+
+    def _request_classes(self) -> list[Plan]:
+        return [{name: kind[name] for name in CLASS_FIELDS} for kind in self.scenario["kinds"]]
+
+
+def _rates(total: float, parts: list[float]) -> list[float]:
+    return [max(LEAST_RATE, total * part / fsum(parts)) for part in parts]
--- a/peatlead/scenario/kinds.py
+++ b/peatlead/scenario/kinds.py
@@ -1,19 +1,27 @@
-"""Each kind of trouble alone, beside the plain baseline: the table of docs/results/kinds.md."""
+"""Plays each kind of fault alone, beside the baseline planner.
+
+The table of docs/results/kinds.md comes from here.
+"""
 
 import asyncio
 import json
+from collections.abc import Callable, Iterable
+from pathlib import Path
 
+from ..invariants.findings import Report
 from ..invariants.report import as_data
 from .runner import Day
 from .script import load_day
 
-LENGTH = 30
+PLANNERS = ("shards", "plain")
+BASELINE_ADDRESSES = 32  # in an answer: all endpoints
+LENGTH = 30  # seconds
 BASE = f"day(length = {LENGTH}, seed = 3)\n"
 MIXED = (
     'resolvers = ["keeps", "twice", "tenfold", "least", "stale"], '
     'habits = ["first", "any", "same", "sorted", "holds"]'
 )
-CASES = {
+CASES = {  # day scripts by the name of their case
     "quiet": "",
     "silent": "silent(at = 5, length = 15, part = 0.1)",
     "hung, deep probes": "hung(at = 5, length = 15, part = 0.1)",
@@ -26,8 +34,12 @@
     "list is old": "release(at = 2, length = 6, part = 0.2)\nlist_old(at = 12, length = 10)",
     "list torn": "list_torn(at = 5, length = 12)\nsilent(at = 6, length = 10, part = 0.08)",
     "steward killed": "steward_killed(at = 5, length = 8, steward = 0)",
-    "steward killed, list old": "list_old(at = 4, length = 14)\nsteward_killed(at = 5, length = 5, steward = 0)",
-    "steward frozen": "steward_frozen(at = 5, length = 10, steward = 0)\nrelease(at = 4, length = 10, part = 0.3)",
+    "steward killed, list old": (
+        "list_old(at = 4, length = 14)\nsteward_killed(at = 5, length = 5, steward = 0)"
+    ),
+    "steward frozen": (
+        "steward_frozen(at = 5, length = 10, steward = 0)\nrelease(at = 4, length = 10, part = 0.3)"
+    ),
     "burst": "burst(at = 5, length = 10, times = 2.0)",
     "traffic moves zone": 'shift(at = 5, length = 15, zone = "silom", times = 1.9)',
     "pods restart": "pod_restart(at = 5, pods = 2)",
@@ -36,65 +48,81 @@
     "lost answers": "lost_answers(at = 5, length = 15, part = 0.2, lost = 0.3)",
     "neighbours": "neighbour(at = 5, length = 15, part = 0.4, stolen = 0.5)",
     "caches past the lifetime": f"desks({MIXED})\nrelease(at = 4, length = 18, part = 0.6)",
-    "half behind one resolver, fleet returns": "desks(biggest = 0.5, rate = 200)\nrelease(at = 3, length = 20, part = 0.9)",
-    "half behind one resolver, all pods restart": "desks(biggest = 0.5, rate = 150)\npod_restart(at = 5, pods = 4)",
+    "half behind one resolver, fleet returns": (
+        "desks(biggest = 0.5, rate = 200)\nrelease(at = 3, length = 20, part = 0.9)"
+    ),
+    "half behind one resolver, all pods restart": (
+        "desks(biggest = 0.5, rate = 150)\npod_restart(at = 5, pods = 4)"
+    ),
 }
 
 
-async def play_kinds(folder, only, at_once, say):
-    """True where no case broke a rule under our planner. Raises KeyError for an unknown case."""
+Reports = dict[tuple[str, str], Report]  # by case and planner
+
+
+async def play_kinds(
+    folder: Path, only: str | None, at_once: int, echo: Callable[[str], None]
+) -> bool:
+    """Play all cases or one, and write the table into the folder.
+
+    True where no case broke a rule under our planner. Raises KeyError for an unknown case.
+    """
     cases = {only: CASES[only]} if only else CASES
-    room, found = asyncio.Semaphore(at_once), {}
-
-    async def one(name, script, planner):
-        made = load_day(name, BASE + script)
-        if planner == "plain":
-            made["steering"]["addresses"] = 32
-        async with room:
-            place = folder / name.replace(" ", "-").replace(",", "") / planner
-            report = await Day(made, place, planner).play()
-        (place / "report.json").write_text(json.dumps(as_data(report), indent=1))
-        found[name, planner] = report
-        say(
+    slots = asyncio.Semaphore(at_once)
+    reports: Reports = {}
+
+    async def play_case(name: str, planner: str) -> None:
+        report = await _play(name, planner, folder, slots)
+        reports[name, planner] = report
+        echo(
             f"{name} ({planner}): service {report.service['whole']['part']:.4f}, "
             f"{'rules kept' if report.kept else 'RULES BROKEN'}"
         )
 
-    await asyncio.gather(
-        *(
-            one(name, script, planner)
-            for name, script in cases.items()
-            for planner in ("shards", "plain")
-        )
-    )
-    text = as_table(cases, found)
-    (folder / "kinds.md").write_text(text)
-    say(text)
-    return all(report.kept for (_, planner), report in found.items() if planner == "shards")
+    await asyncio.gather(*(play_case(name, planner) for name in cases for planner in PLANNERS))
+    table = as_table(cases, reports)
+    (folder / "kinds.md").write_text(table)
+    echo(table)
+    return all(report.kept for (_, planner), report in reports.items() if planner == "shards")
+
 
+async def _play(name: str, planner: str, folder: Path, slots: asyncio.Semaphore) -> Report:
+    """Play one case under one planner and keep its report."""
+    scenario = load_day(name, BASE + CASES[name])
+    if planner == "plain":
+        scenario["steering"]["addresses"] = BASELINE_ADDRESSES
+    place = folder / name.replace(" ", "-").replace(",", "") / planner
+    async with slots:
+        report = await Day(scenario, place, planner).play()
+    (place / "report.json").write_text(json.dumps(as_data(report), indent=1))
+    return report
 
-def as_table(cases, found):
+
+def as_table(cases: Iterable[str], reports: Reports) -> str:
+    """The reports as a Markdown table, a case a row."""
     lines = [
         "| trouble | service | plain | not served | plain | rules: nearest 1 to 5 | plain breaks |",
         "| --- | --- | --- | --- | --- | --- | --- |",
     ]
-    for name in cases:
-        ours, plain = found[name, "shards"], found[name, "plain"]
-        nearest = ", ".join(
-            f"{one.nearest:.2f}" + "!" * bool(one.breaches) for one in ours.findings
-        )
-        broken = ", ".join(one.rule[0] for one in plain.findings if one.breaches) or "none"
-        lines.append(
-            f"| {name} | {part(ours)} | {part(plain)} | {lost(ours)} | {lost(plain)} "
-            f"| {nearest} | {broken} |"
-        )
+    lines += [_table_row(name, reports[name, "shards"], reports[name, "plain"]) for name in cases]
     return "\n".join(lines) + "\n"
 
 
-def part(report):
+def _table_row(name: str, ours: Report, plain: Report) -> str:
+    nearest = ", ".join(
+        f"{finding.nearest:.2f}" + "!" * bool(finding.breaches) for finding in ours.findings
+    )
+    broken = [finding.rule[0] for finding in plain.findings if finding.breaches]
+    return (
+        f"| {name} | {_service(ours)} | {_service(plain)} | {_not_served(ours)} "
+        f"| {_not_served(plain)} | {nearest} | {', '.join(broken) or 'none'} |"
+    )
+
+
+def _service(report: Report) -> str:
     return f"{report.service['whole']['part']:.3f}"
 
 
-def lost(report):
-    outcomes = report.service["whole"]["outcomes"]
-    return sum(many for outcome, many in outcomes.items() if outcome not in ("done", "late"))
+def _not_served(report: Report) -> int:
+    outcomes: dict[str, int] = report.service["whole"]["outcomes"]
+    return sum(count for outcome, count in outcomes.items() if outcome not in ("done", "late"))
--- /dev/null
+++ b/peatlead/scenario/standin_commands.py
@@ -0,0 +1,115 @@
+"""Commands from a day's driver to its stand-in processes."""
+
+import asyncio
+from collections.abc import Iterable
+from enum import StrEnum
+from typing import Any
+
+from ..standin.process import Teller
+from .fleet import Plan
+from .processes import Address
+
+LOCAL_ADDRESS = ("127.2.0.1", 0)
+
+
+class EndpointCommand(StrEnum):
+    """What a stand-in endpoint can be told to do or to suffer."""
+
+    SILENT = "silent"
+    HUNG = "hung"
+    ERRORS = "errors"
+    STOLEN = "stolen"
+    LOST = "lost"
+    PAUSE = "pause"
+    HEAVY = "heavy"
+    START = "start"
+    STOP = "stop"
+    DRAINING = "draining"
+    DRAIN = "drain"
+
+
+class StandInCommands:
+    """The command addresses of the stand-ins, and who stands in which process."""
+
+    def __init__(self) -> None:
+        self.endpoint_processes: list[Address] = []
+        self.client_processes: list[Address] = []
+        self.proxy_processes: list[Address] = []
+        self._process_of: dict[str, Address] = {}  # by an endpoint's name
+        self._transport: asyncio.BaseTransport | None = None
+        self._sender: Any = None
+
+    async def open(self) -> None:
+        """Open the socket that commands are sent from."""
+        self._transport, self._sender = await asyncio.get_running_loop().create_datagram_endpoint(
+            Teller, local_addr=LOCAL_ADDRESS
+        )
+
+    def close(self) -> None:
+        """Close the socket."""
+        if self._transport is not None:
+            self._transport.close()
+
+    async def send(self, process: Address, command: dict[str, Any]) -> None:
+        """Send a command and wait until it is done. Raises RuntimeError or TimeoutError."""
+        await self._sender.tell(process, command)
+
+    async def add_endpoint(self, plan: Plan) -> None:
+        """Add an endpoint to the process of its pod."""
+        process = self.endpoint_processes[plan["pod"] % len(self.endpoint_processes)]
+        self._process_of[plan["name"]] = process
+        await self.send(process, {"do": "host", "plan": plan})
+
+    async def restart_endpoint(self, plan: Plan) -> None:
+        """Start an endpoint that was stopped; it is cold."""
+        await self.send(self._process_of[plan["name"]], {"do": "begin", "host": plan["name"]})
+
+    async def command_endpoints(
+        self, plans: Iterable[Plan], command: EndpointCommand, value: Any = True
+    ) -> None:
+        """Give one command to endpoints, with one datagram a process."""
+        for process in self.endpoint_processes:
+            names = [plan["name"] for plan in plans if self._process_of[plan["name"]] == process]
+            if names:
+                await self.send(
+                    process, {"do": "tell", "hosts": names, "fault": command, "value": value}
+                )
+
+    async def add_clients(self, resolvers: list[Plan], networks: list[Plan]) -> None:
+        """Add the resolvers and the networks of DNS clients behind them."""
+        names = sorted(resolver["name"] for resolver in resolvers)
+
+        def process_of(resolver: str) -> Address:
+            return self.client_processes[names.index(resolver) % len(self.client_processes)]
+
+        for resolver in resolvers:
+            await self.send(process_of(resolver["name"]), resolver)
+        for number, plan in enumerate(networks):
+            await self.send(
+                process_of(plan["resolver"]), {"do": "desk", "plan": plan, "desk": number}
+            )
+
+    async def add_proxies(self, plans: list[Plan]) -> None:
+        """Add the proxies, to their processes in turn."""
+        for number, plan in enumerate(plans):
+            process = self.proxy_processes[number % len(self.proxy_processes)]
+            await self.send(process, {"do": "agent", "plan": plan})
+
+    async def set_request_rate(self, networks: list[str], factor: float) -> None:
+        """Multiply the request rate of client networks; an empty list names all."""
+        for process in self.client_processes:
+            await self.send(process, {"do": "rate", "views": networks, "times": factor})
+
+    async def begin_requests(self, start: float) -> None:
+        """Let clients and proxies send requests from `start` on, by the event loop's clock."""
+        for process in self.client_processes + self.proxy_processes:
+            await self.send(process, {"do": "begin", "at": start})
+
+    async def finish_requests(self) -> None:
+        """Let clients and proxies end."""
+        await asyncio.gather(
+            *(
+                self.send(process, {"do": "finish"})
+                for process in self.client_processes + self.proxy_processes
+            )
+        )
