--- a/peatlead/benchmarks/scale.py
+++ b/peatlead/benchmarks/scale.py
@@ -246,7 +246,7 @@
             for host, weight in lines.items():
                 work[host] = work.get(host, 0.0) + self.rate * weight / total
         usual = self.rate * self.proxies / self.hosts
-        for host in self.planner.hosts.values():
+        for host in self.planner.endpoints.values():
             if host.cold_from is not None and host.phase == "ready":
                 warm = min(1.0, (self.now - host.cold_from) / FACTS["warm_after"])
                 able = FACTS["cold_share"] + (1 - FACTS["cold_share"]) * warm
--- a/peatlead/controller/operator_queries.py
+++ b/peatlead/controller/operator_queries.py
@@ -4,10 +4,11 @@
 """
 
 from functools import partial
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Protocol, runtime_checkable
 
 from ..fleet.gossip import GossipNode
 from ..grpc.session import Session
+from ..planner.endpoint_summary import EndpointSummary
 from .control_socket import Answer, Handler, Question
 from .proxies import Proxies
 
@@ -15,21 +16,27 @@
     from .controller import Controller
 
 
-def describe_endpoint(endpoint: Any, now: float) -> Answer:
-    """Return what the planner knows of an endpoint."""
+@runtime_checkable
+class DescribesEndpoints(Protocol):
+    """A planner that can be asked about endpoints; the simpler ones of studies can't."""
+
+    def describe(self, endpoint_id: int, now: float, /) -> EndpointSummary | None:
+        """Return what is known of an endpoint, if it is; `now` in the loop's seconds."""
+
+
+def describe_endpoint(endpoint: EndpointSummary) -> Answer:
+    """Return what the planner knows of an endpoint, as operators read it."""
     return {
         "phase": endpoint.phase,
         "usable": endpoint.usable,
         "share": endpoint.share,
         "reach": endpoint.reach,
-        "cold for s": None if endpoint.cold_from is None else round(now - endpoint.cold_from, 1),
-        "out for s more": (
-            None if endpoint.out_until is None else round(endpoint.out_until - now, 1)
-        ),
-        "tries": round(endpoint.tries, 1),
-        "bad": round(endpoint.bad, 1),
-        "load": round(endpoint.load, 2),
-        "probes failed in a row": endpoint.probe_fails,
+        "cold for s": None if endpoint.cold_for is None else round(endpoint.cold_for, 1),
+        "out for s more": None if endpoint.ejected_for is None else round(endpoint.ejected_for, 1),
+        "tries": round(endpoint.attempts, 1),
+        "bad": round(endpoint.errors, 1),
+        "load": round(endpoint.utilization, 2),
+        "probes failed in a row": endpoint.failed_checks,
     }
 
 
@@ -77,11 +84,14 @@
 
     def why(self, question: Question) -> Answer:
         """Return what is known of an endpoint or proxy, and of its withdrawals."""
-        index = self._controller.registry.index.get(question.host)
-        endpoint = getattr(self._controller.planner, "hosts", {}).get(index)
-        if index is not None and endpoint is not None:
-            return self._why_endpoint(question.host, index, endpoint)
-        proxies = self._controller.proxies
+        controller = self._controller
+        index, planner = controller.registry.index.get(question.host), controller.planner
+        if index is not None and isinstance(planner, DescribesEndpoints):
+            now = controller.loop.time()
+            endpoint = planner.describe(index, now)
+            if endpoint is not None:
+                return self._why_endpoint(question.host, index, endpoint, now)
+        proxies = controller.proxies
         session = proxies.front.sessions.get(question.host) if proxies else None
         if proxies is not None and session is not None:
             return self._why_proxy(question.host, proxies, session)
@@ -174,15 +184,13 @@
             "named": named,
         }
 
-    def _why_endpoint(self, name: str, index: int, endpoint: Any) -> Answer:
+    def _why_endpoint(self, name: str, index: int, endpoint: EndpointSummary, now: float) -> Answer:
         controller = self._controller
-        now = controller.loop.time()
-        subscribers = getattr(controller.planner, "held", None)
         return {
             "host": name,
             "steward": controller.me["name"],
-            **describe_endpoint(endpoint, now),
-            "holders": len(subscribers.of(index)) if subscribers is not None else 0,
+            **describe_endpoint(endpoint),
+            "holders": endpoint.subscribers,
             **controller.propagation.tell(now, index),
         }
 
--- a/peatlead/planner/endpoint_state.py
+++ b/peatlead/planner/endpoint_state.py
@@ -117,30 +117,3 @@
     def usable(self) -> bool:
         """Whether tables may name it."""
         return self.phase == READY and self.ejected_until is None and self.confirmed
-
-    # Former names, until peatlead/controller uses the new ones.
-
-    @property
-    def out_until(self) -> Optional[float]:
-        """`ejected_until`."""
-        return self.ejected_until
-
-    @property
-    def tries(self) -> float:
-        """`attempts`."""
-        return self.attempts
-
-    @property
-    def bad(self) -> float:
-        """`errors`."""
-        return self.errors
-
-    @property
-    def load(self) -> float:
-        """`utilization`."""
-        return self.utilization
-
-    @property
-    def probe_fails(self) -> int:
-        """`failed_checks`."""
-        return self.failed_checks
--- a/peatlead/planner/planner.py
+++ b/peatlead/planner/planner.py
@@ -10,11 +10,10 @@
 each; this one connects them and holds the order in which they run.
 """
 
-from collections.abc import Callable, Iterable, MutableSequence, ValuesView
-from typing import Any
+from collections.abc import Callable, Iterable
+from typing import Any, Optional
 
 from .. import interface
-from .channel_backlog import ChannelBacklog
 from .channel_budget import ChannelBudget
 from .class_admission import ClassAdmission
 from .context import PlannerContext, Settings
@@ -22,6 +21,7 @@
 from .endpoint_pools import EndpointPools
 from .endpoint_schedule import EndpointSchedule
 from .endpoint_state import EndpointState
+from .endpoint_summary import EndpointSummary, summarize
 from .endpoint_updates import EndpointUpdates
 from .fleet_load import FleetLoad
 from .gossip import Gossip
@@ -38,7 +38,6 @@
 from .shuffle_sharding import ShuffleSharding
 from .slow_start import SlowStart
 from .staged_updates import StagedUpdates
-from .subscriber_index import SubscriberIndex
 from .table_assignment import TableAssignment
 from .table_changes import TableChanges
 from .table_writer import TableWriter
@@ -162,6 +161,14 @@
             withdrawn_endpoints=sum(endpoint.withdrawn for endpoint in context.endpoints.values()),
         )
 
+    def describe(self, endpoint_id: int, now: float) -> Optional[EndpointSummary]:
+        """What is known of an endpoint, for operators; None if it isn't known."""
+        endpoint = self.context.endpoints.get(endpoint_id)
+        if endpoint is None:
+            return None
+        subscribers = len(self.context.holders.subscribers(endpoint_id))
+        return summarize(endpoint, subscribers, now)
+
     def on_timer(self, event: interface.TimerFired) -> None:
         """A tick, unless the timer only continues what one batch was too short for."""
         if event.token == CONTINUE_TIMER:
@@ -260,34 +267,3 @@
     @commands.setter
     def commands(self, commands: list[interface.Command]) -> None:
         self.context.commands = commands
-
-    # Former names, until the callers in other packages and their tests use the new ones.
-
-    hosts = endpoints
-    here = connected
-    unbound = unassigned
-    orders = commands
-
-    @property
-    def joined(self) -> ValuesView[ProxyState]:
-        """The connected proxies: `context.joined`."""
-        return self.context.joined
-
-    @property
-    def held(self) -> SubscriberIndex:
-        """Which proxies' tables name an endpoint: `context.holders`."""
-        return self.context.holders
-
-    @property
-    def waiting(self) -> ChannelBacklog:
-        """What may still wait in the channel: `budget.backlog`."""
-        return self.budget.backlog
-
-    @property
-    def rounds(self) -> int:
-        """Rounds of reports so far: `reports.count`."""
-        return self.reports.count
-
-    def shuffle(self, items: MutableSequence[Any]) -> None:
-        """Shuffle by the planner's own random numbers: `context.rng.shuffle`."""
-        self.context.rng.shuffle(items)
--- a/peatlead/planner/proxy_state.py
+++ b/peatlead/planner/proxy_state.py
@@ -46,15 +46,3 @@
     def reset_draw(self) -> None:
         """Compute its tables anew with the next write."""
         self.seen_pool_changes = NEVER_WRITTEN
-
-    # Former names, until tests/plants.py uses the new ones.
-
-    @property
-    def lines(self) -> list[dict[int, float]]:
-        """`entries`."""
-        return self.entries
-
-    @property
-    def bound(self) -> bool:
-        """`assigned`."""
-        return self.assigned
--- a/peatlead/planner/subscriber_index.py
+++ b/peatlead/planner/subscriber_index.py
@@ -43,5 +43,3 @@
         for endpoint in endpoints:
             proxies.update(self.by_endpoint.get(endpoint, {}))
         return proxies
-
-    of = subscribers  # the former name, until peatlead/controller uses the new one
--- a/peatlead/platform/controller.py
+++ b/peatlead/platform/controller.py
@@ -270,7 +270,7 @@
         self.loop.call_later(SWEEP_INTERVAL, self.sweep)
         if self.inbox:
             return
-        for endpoint in self.endpoints.forget_unused(self.planner.hosts):
+        for endpoint in self.endpoints.forget_unused(self.planner.endpoints):
             self.publisher.forget(endpoint)
             for session in self.proxy_sessions.values():
                 session.restored.discard(endpoint)
--- a/tests/controller/test_dns_controller.py
+++ b/tests/controller/test_dns_controller.py
@@ -90,7 +90,7 @@
         async def case(world):
             controller = await world.steward()
             await until(lambda: len(world.named(controller)) == 4)
-            await until(lambda: controller.planner.rounds > 2)
+            await until(lambda: controller.planner.reports.count > 2)
             world.extra = [
                 {"name": "ghost", "zone": "north", "address": "127.66.9.9", "phase": "ready"}
             ]
--- a/tests/controller/test_operator_queries.py
+++ b/tests/controller/test_operator_queries.py
@@ -27,6 +27,44 @@
 
         self.assertEqual(play(case), 0)
 
+    def test_why_describes_an_endpoint_from_the_planner(self):
+        async def case(world):
+            controller = await world.steward()
+            await until(lambda: len(world.named(controller)) == 4)
+            question = Question("why", host="h2")
+            await until(lambda: controller.queries.why(question)["holders"], 5.0)
+            unknown = controller.queries.why(Question("why", host="none"))
+            endpoint = controller.registry.index["h2"]
+            holders = len(controller.planner.context.holders.subscribers(endpoint))
+            return controller.queries.why(question), unknown, holders
+
+        answer, unknown, holders = play(case)
+        self.assertIn("expected a host of the list", unknown["error"])
+        self.assertEqual(
+            list(answer)[:13],
+            [
+                "host",
+                "steward",
+                "phase",
+                "usable",
+                "share",
+                "reach",
+                "cold for s",
+                "out for s more",
+                "tries",
+                "bad",
+                "load",
+                "probes failed in a row",
+                "holders",
+            ],
+        )
+        self.assertEqual(
+            [answer[key] for key in ("host", "phase", "usable", "share", "reach")],
+            ["h2", "ready", True, 1.0, 1.0],
+        )
+        self.assertEqual((answer["cold for s"], answer["out for s more"]), (None, None))
+        self.assertEqual(answer["holders"], holders)
+
     def test_drained_says_until_when_answers_may_name_an_endpoint(self):
         async def case(world):
             controller = await world.steward()
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -101,13 +101,3 @@
         events += [interface.HealthCheckResult(0, "timed out", 0.25, None)] * failed_checks
     planner.decide(now, events)
     return planner.decide(now + 0.3, [interface.TimerFired(0)])
-
-
-# Former names, until all tests use the new ones.
-FACTS = SETTINGS
-member = make_endpoint
-
-
-def planner(hosts=8, proxies=4, zones=2, now=100.0, **facts):
-    """`make_planner`."""
-    return make_planner(hosts, proxies, zones, now, **facts)
--- a/tests/plants.py
+++ b/tests/plants.py
@@ -115,11 +115,11 @@
 
     def on_timer(self, event):
         real(self, event)
-        for proxy in self.joined:
-            if proxy.bound:
-                self.orders += [
+        for proxy in self.context.joined:
+            if proxy.assigned:
+                self.commands += [
                     interface.SetEntry(proxy.first_table, host, weight)
-                    for host, weight in proxy.lines[0].items()
+                    for host, weight in proxy.entries[0].items()
                 ]
 
     return mock.patch.object(Planner, "on_timer", on_timer)
--- a/tests/platform/test_clock.py
+++ b/tests/platform/test_clock.py
@@ -61,12 +61,12 @@
             await until(
                 lambda: any(
                     endpoint.name == b"s-7"
-                    for endpoint in platform.controller.planner.hosts.values()
+                    for endpoint in platform.controller.planner.endpoints.values()
                 )
             )
             [endpoint] = [
                 endpoint
-                for endpoint in platform.controller.planner.hosts.values()
+                for endpoint in platform.controller.planner.endpoints.values()
                 if endpoint.name == b"s-7"
             ]
             return endpoint.cold_from is not None
--- a/tests/platform/test_configuration.py
+++ b/tests/platform/test_configuration.py
@@ -9,7 +9,7 @@
 from peatlead.platform.configuration import ConfigurationError, read_configuration
 from peatlead.platform.settings_validation import settings_errors
 
-from ..helpers import FACTS
+from ..helpers import SETTINGS
 from ..places import until
 from ..platforms import (
     PlatformFixture,
@@ -45,7 +45,7 @@
 
 class PlannerSettings(unittest.TestCase):
     def test_each_invalid_setting_is_named(self):
-        self.assertEqual(settings_errors(FACTS), [])
+        self.assertEqual(settings_errors(SETTINGS), [])
         for name, value, expected in (
             ("channel_rate", "fast", "channel_rate"),
             ("zone", 2, "zone"),
@@ -54,23 +54,24 @@
             ("drain_grace", float("nan"), "drain_grace"),
             ("req_kinds", [], "req_kinds"),
         ):
-            self.assertIn(expected, settings_errors({**FACTS, name: value})[0])
-        request_class = FACTS["req_kinds"][0]
+            self.assertIn(expected, settings_errors({**SETTINGS, name: value})[0])
+        request_class = SETTINGS["req_kinds"][0]
         for change, expected in (
             ({"gain": -1.0}, "gain"),
             ({"response_target": 0.0}, "response_target"),
             ({"name": 7}, "7"),
         ):
             self.assertIn(
-                expected, settings_errors({**FACTS, "req_kinds": [{**request_class, **change}]})[0]
+                expected,
+                settings_errors({**SETTINGS, "req_kinds": [{**request_class, **change}]})[0],
             )
         self.assertIn(
             "a name of its own",
-            settings_errors({**FACTS, "req_kinds": [request_class, request_class]})[0],
+            settings_errors({**SETTINGS, "req_kinds": [request_class, request_class]})[0],
         )
 
     def test_two_controllers_in_one_process_have_separate_settings(self):
-        request_classes = [{**FACTS["req_kinds"][0], "name": "quote"}]
+        request_classes = [{**SETTINGS["req_kinds"][0], "name": "quote"}]
 
         async def case(platform):
             other = await PlatformFixture(
--- a/tests/platform/test_endpoint_tracker.py
+++ b/tests/platform/test_endpoint_tracker.py
@@ -30,7 +30,7 @@
                     )
                 )
                 await until(lambda: not platform.controller.inbox)
-                self.assertEqual(platform.controller.planner.hosts[1].phase, phase, entry)
+                self.assertEqual(platform.controller.planner.endpoints[1].phase, phase, entry)
 
         run_with_platform(case)
 
@@ -38,12 +38,12 @@
         async def case(platform):
             await until(lambda: platform.controller.watch.version == 1)
             platform.controller.endpoints.registry.forget(3)
-            del platform.controller.planner.hosts[3]
+            del platform.controller.planner.endpoints[3]
             platform.controller.on_health_check(3, "timed out", 0.2, None, None)
             platform.controller.on_endpoint_list(endpoint_list(2, instance(3, "z1")))
             await until(
                 lambda: platform.controller.endpoints.registry.index["s-3"] == 4
-                and 4 in platform.controller.planner.hosts
+                and 4 in platform.controller.planner.endpoints
             )
 
         run_with_platform(case)
--- a/tests/platform/test_endpoint_watch.py
+++ b/tests/platform/test_endpoint_watch.py
@@ -21,7 +21,7 @@
             await until(lambda: platform.controller.watch.failures)
             platform.discovery.instances[0] = instance(0, lifecycle="leaving")
             watch.on_list = on_list
-            await until(lambda: platform.controller.planner.hosts[0].phase == "draining")
+            await until(lambda: platform.controller.planner.endpoints[0].phase == "draining")
 
         run_with_platform(case)
 
@@ -37,7 +37,7 @@
             platform.discovery.silent = False
             platform.discovery.version = 2
             platform.discovery.changes = [instance(0, lifecycle="leaving")]
-            await until(lambda: platform.controller.planner.hosts[0].phase == "draining")
+            await until(lambda: platform.controller.planner.endpoints[0].phase == "draining")
 
         run_with_platform(case)
 
@@ -50,7 +50,7 @@
             connection.send(b'HTTP/1.1 200 OK\r\ncontent-length: 900\r\n\r\n{"generation":2,"inst')
             connection.close()
             platform.discovery.publish(instance(0, lifecycle="leaving"))
-            await until(lambda: platform.controller.planner.hosts[0].phase == "draining")
+            await until(lambda: platform.controller.planner.endpoints[0].phase == "draining")
 
         run_with_platform(case)
 
@@ -66,7 +66,7 @@
             platform.discovery.answer_requests()
             await until(lambda: platform.discovery.request_paths.count("/v1/endpoints") > whole)
             await until(lambda: platform.controller.watch.version == 3)
-            self.assertEqual(platform.controller.planner.hosts[0].phase, "draining")
+            self.assertEqual(platform.controller.planner.endpoints[0].phase, "draining")
 
         run_with_platform(case)
 
@@ -83,7 +83,7 @@
                 return decide(now, events)
 
             with mock.patch.object(platform.controller.planner, "decide", once):
-                await until(lambda: platform.controller.planner.hosts[0].phase == "draining")
+                await until(lambda: platform.controller.planner.endpoints[0].phase == "draining")
 
         run_with_platform(case)
 
@@ -100,9 +100,9 @@
             platform.discovery.publish(
                 instance(0, lifecycle="leaving")
             )  # known to the old one alone
-            await until(lambda: platform.controller.planner.hosts[0].phase == "draining")
+            await until(lambda: platform.controller.planner.endpoints[0].phase == "draining")
             later.silent, later.version, later.changes = False, 3, [instance(1, "z1", "leaving")]
-            await until(lambda: platform.controller.planner.hosts[1].phase == "draining", 20)
+            await until(lambda: platform.controller.planner.endpoints[1].phase == "draining", 20)
             await until(lambda: platform.controller.watch.previous is None)
             for connection in later.connections:
                 connection.cut("over")
@@ -116,10 +116,10 @@
             platform.move_discovery(1)  # refuses
             platform.move_discovery(2)  # refuses too: a second SIGHUP in a row
             platform.discovery.publish(instance(0, lifecycle="leaving"))
-            await until(lambda: platform.controller.planner.hosts[0].phase == "draining")
+            await until(lambda: platform.controller.planner.endpoints[0].phase == "draining")
             platform.move_discovery(0)
             await until(lambda: platform.controller.watch.previous is None)
             platform.discovery.publish(instance(1, "z1", "leaving"))
-            await until(lambda: platform.controller.planner.hosts[1].phase == "draining")
+            await until(lambda: platform.controller.planner.endpoints[1].phase == "draining")
 
         run_with_platform(case)
--- a/tests/platform/test_push.py
+++ b/tests/platform/test_push.py
@@ -7,7 +7,7 @@
 from peatlead.controller.channel import Publisher
 from peatlead.standin.platform_proxies import ProxyState
 
-from ..helpers import FACTS
+from ..helpers import SETTINGS
 from ..places import until
 from ..platforms import (
     instance,
@@ -39,7 +39,9 @@
             await until(lambda: sum(part.get("full", False) for part in proxy.messages) == 2)
             return [part for part in proxy.messages if part.get("full")]
 
-        request_classes = [{**one, "own_zone": one["name"] == "pay"} for one in FACTS["req_kinds"]]
+        request_classes = [
+            {**one, "own_zone": one["name"] == "pay"} for one in SETTINGS["req_kinds"]
+        ]
         tables = run_with_platform(case, req_kinds=request_classes)
         endpoints_by_class = {
             tuple(part["routes"]): {name for name, _ in part["endpoints"]} for part in tables
@@ -56,7 +58,7 @@
         # An ejection besides would be one more entry in the channel for each proxy and endpoint.
         async def case(platform):
             proxy = await platform.connect_proxy()
-            state = ProxyState(0, "z0", [kind["name"] for kind in FACTS["req_kinds"]])
+            state = ProxyState(0, "z0", [kind["name"] for kind in SETTINGS["req_kinds"]])
             await until(lambda: proxy.messages)
             platform.discovery.publish(instance(2, lifecycle="leaving"))
             await until(
@@ -85,12 +87,12 @@
                 await platform.connect_proxy(0, cold=False),
                 await platform.connect_proxy(1, "z1"),
             )
-            await until(lambda: len(platform.controller.planner.unbound) == 2)
+            await until(lambda: len(platform.controller.planner.unassigned) == 2)
             platform.controller.planner.settings = {
                 **platform.controller.planner.settings,
                 "queue_most": 1000.0,
             }
-            platform.controller.planner.waiting.unanswered = 410.0
+            platform.controller.planner.budget.backlog.unanswered = 410.0
             platform.discovery.publish(instance(2, lifecycle="leaving"))
             await until(lambda: any(part.get("eject") == ["s-2"] for part in proxy.messages))
             self.assertFalse(any(part.get("full") for part in proxy.messages + cold.messages))
--- a/tests/platform/test_reload.py
+++ b/tests/platform/test_reload.py
@@ -28,7 +28,7 @@
             platform.controller.reload()
             await until(lambda: len(platform.discovery.connections) > before)
             platform.discovery.publish(instance(0, lifecycle="leaving"))
-            await until(lambda: platform.controller.planner.hosts[0].phase == "draining")
+            await until(lambda: platform.controller.planner.endpoints[0].phase == "draining")
             self.assertNotIn("/v1/endpoints", platform.discovery.request_paths[1:])
 
         run_with_platform(case)
@@ -43,7 +43,7 @@
             platform.controller.reload()
             self.assertEqual(platform.log[-1], ("new configuration not taken", {"why": "torn"}))
             platform.discovery.publish(instance(0, lifecycle="leaving"))
-            await until(lambda: platform.controller.planner.hosts[0].phase == "draining")
+            await until(lambda: platform.controller.planner.endpoints[0].phase == "draining")
 
         run_with_platform(case)
 
--- a/tests/platform/test_resource_shortages.py
+++ b/tests/platform/test_resource_shortages.py
@@ -7,7 +7,7 @@
 from peatlead import interface
 from peatlead.platform.session_listener import SessionListener
 
-from ..helpers import planner
+from ..helpers import make_planner
 from ..places import run, until
 from ..platforms import (
     PlatformFixture,
@@ -17,16 +17,16 @@
 
 class HealthChecks(unittest.TestCase):
     def test_checks_that_could_not_be_sent_eject_no_endpoint(self):
-        planner_under_test = planner(tries_told=False, report_fields=[])
+        planner_under_test = make_planner(tries_told=False, report_fields=[])
         for tick in range(100):
             results = [
                 interface.HealthCheckResult(
                     endpoint, "denied" if endpoint == 3 else "ok", 0.0, None
                 )
-                for endpoint in planner_under_test.hosts
+                for endpoint in planner_under_test.endpoints
             ]
             planner_under_test.decide(101.0 + tick / 10, [interface.TimerFired(0), *results])
-        self.assertTrue(planner_under_test.hosts[3].usable)
+        self.assertTrue(planner_under_test.endpoints[3].usable)
 
 
 class Listening(unittest.TestCase):
--- a/tests/platform/test_sessions.py
+++ b/tests/platform/test_sessions.py
@@ -25,11 +25,14 @@
             new = await platform.connect_proxy()
             await until(lambda: new.messages and old.end_reason)
             self.assertEqual(
-                (len(platform.controller.proxy_sessions), len(platform.controller.planner.here)),
+                (
+                    len(platform.controller.proxy_sessions),
+                    len(platform.controller.planner.connected),
+                ),
                 (1, 1),
             )
             new.cut("gone")
-            await until(lambda: not platform.controller.planner.here)
+            await until(lambda: not platform.controller.planner.connected)
 
         run_with_platform(case)
 
@@ -39,7 +42,7 @@
             peer.send_message(msg="probe")
             await until(lambda: peer.messages)
             self.assertEqual(
-                (peer.messages, len(platform.controller.planner.hosts)), ([{"msg": "alive"}], 4)
+                (peer.messages, len(platform.controller.planner.endpoints)), ([{"msg": "alive"}], 4)
             )
 
         run_with_platform(case)
@@ -152,7 +155,7 @@
                 == [platform.controller.proxy_sessions[0]]
             )
             self.assertEqual(
-                (list(platform.controller.planner.here), proxy.end_reason), ([0], None)
+                (list(platform.controller.planner.connected), proxy.end_reason), ([0], None)
             )
 
         run_with_platform(case)
@@ -163,7 +166,7 @@
             session = platform.controller.proxy_sessions[0]
             with mock.patch.object(session, "close"):  # as while bytes wait that nobody reads
                 session.line(b"no sense")
-                await until(lambda: not platform.controller.planner.here)
+                await until(lambda: not platform.controller.planner.connected)
 
         with mock.patch.object(sessions, "REFUSAL_TIMEOUT", 0.05):
             run_with_platform(case)
--- a/tests/platform/test_telemetry.py
+++ b/tests/platform/test_telemetry.py
@@ -5,7 +5,7 @@
 from peatlead import interface
 from peatlead.platform.telemetry import STATUS_INTERVAL, Telemetry
 
-from ..helpers import planner
+from ..helpers import make_planner
 from ..places import until
 from ..platforms import (
     instance,
@@ -24,7 +24,7 @@
         self.telemetry.message_written(
             1, {("bind", 0): 4, ("line", 4, 7): 1.0, ("line", 3, 6): 0.0}
         )
-        self.telemetry.end_batch(100.0, planner())
+        self.telemetry.end_batch(100.0, make_planner())
         self.assertEqual(
             self.events[0], ("proxies", {"joined": [1], "left": {"reset": [2]}, "tables": [1]})
         )
@@ -37,7 +37,7 @@
         )
 
     def test_the_status_is_logged_once_a_second_and_not_while_nothing_happens(self):
-        idle = planner()
+        idle = make_planner()
         idle.decide(200.0, [])
         self.telemetry.end_batch(200.0, idle)
         self.assertEqual(self.events, [])
@@ -47,7 +47,7 @@
         self.assertEqual([event for event, _ in self.events], ["channel"])
 
     def test_the_status_counts_proxies_that_wait(self):
-        waiting = planner(queue_most=10.0)
+        waiting = make_planner(queue_most=10.0)
         waiting.decide(101.0, [interface.ProxyConnected(2, 0, 5.0, False)])
         status = waiting.status(102.5)
         self.assertEqual(
--- a/tests/platforms.py
+++ b/tests/platforms.py
@@ -11,7 +11,7 @@
 from peatlead.scenario.runner import free_port
 from peatlead.standin.platform_proxies import ProxyState
 
-from .helpers import FACTS
+from .helpers import SETTINGS
 from .places import run, until
 
 CONTROLLER_HOST = "127.3.0.1"
@@ -144,7 +144,7 @@
             discovery=Address(DISCOVERY_HOST, self.port),
             seed=7,
             sockets=sockets,
-            settings={**FACTS, "probing": False, "connect_timeout": 0.2, **settings},
+            settings={**SETTINGS, "probing": False, "connect_timeout": 0.2, **settings},
             remembered_list=remembered_list,
         )
 
@@ -202,7 +202,7 @@
 
 def removed_endpoints(peer):
     """Names of endpoints that a proxy which was sent all this could once reach and no longer can."""
-    names = [request_class["name"] for request_class in FACTS["req_kinds"]]
+    names = [request_class["name"] for request_class in SETTINGS["req_kinds"]]
     state = ProxyState(0, "z0", names)
     reached = set()
     for message in peer.messages:
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -249,8 +249,8 @@
 
         def publish_admissions(self):
             real(self)
-            self.shuffle([time.perf_counter()] * (time.perf_counter_ns() % 5 + 2))
-            self.orders.append(
+            self.context.rng.shuffle([time.perf_counter()] * (time.perf_counter_ns() % 5 + 2))
+            self.commands.append(
                 __import__("peatlead.interface").interface.LogMessage(str(time.perf_counter_ns()))
             )
 
