--- a/peatlead/planner/channel_backlog.py
+++ b/peatlead/planner/channel_backlog.py
@@ -1,4 +1,4 @@
-"""How many entries wait in a controller's channel, judged by acknowledgements alone.
+"""How many entries wait in a controller's channel, estimated from acknowledgements alone.
 
 The channel sends in the order of writing, so an acknowledged nonce covers all that was written
 before it and, of its own batch, the message of the proxy that answered. What no acknowledgement
--- a/peatlead/planner/class_admission.py
+++ b/peatlead/planner/class_admission.py
@@ -1,4 +1,4 @@
-"""Which request classes are cut when less is admitted, and what proxies are told.
+"""Which request classes are cut when less is admitted, and what is published to proxies.
 
 The class that earns least for the work it saves is cut first, if that beats cutting all alike; the
 fraction of all work is decided in load_shedding.py.
@@ -19,7 +19,7 @@
 
 
 class Admission(NamedTuple):
-    """What proxies are told for one class."""
+    """What is published to proxies for one class."""
 
     fraction: float
     retry_policy: str
@@ -52,19 +52,18 @@
 
     def publish(self) -> None:
         """Emit the admissions that have changed."""
-        wanted = self._admissions()
-        if wanted == self.admissions:
+        before, admissions = self.admissions, self._admissions()
+        if admissions == before:
             return
-        before = self.admissions
-        self.context.log(f"levels {[admission.fraction for admission in wanted]}")
+        self.context.log(f"levels {[admission.fraction for admission in admissions]}")
         self.context.commands += [
             SetAdmission(None, (request_class,), *admission)
-            for request_class, admission in enumerate(wanted)
+            for request_class, admission in enumerate(admissions)
             if not before or admission != before[request_class]
         ]
-        self.admissions = wanted
+        self.admissions = admissions
         for proxy in self.context.joined:
-            self.budget.spend(proxy, len(wanted))
+            self.budget.spend(proxy, len(admissions))
 
     def _admissions(self) -> list[Admission]:
         """By class.
--- a/peatlead/planner/endpoint_state.py
+++ b/peatlead/planner/endpoint_state.py
@@ -37,7 +37,7 @@
         self.name = endpoint.name
         self.zone = endpoint.zone
         self.machine_type = endpoint.machine_type
-        self.word = endpoint_hash(endpoint.name)  # its hash in rendezvous orders
+        self.name_hash = endpoint_hash(endpoint.name)  # its hash in rendezvous orders
 
         # The endpoint list. "gone" at first, so that one that is listed ready counts as starting.
         self.phase: str = GONE
@@ -52,7 +52,7 @@
         self.withdrawn = False
         self.withdrawn_at = now  # when that last changed
         self.ever_withdrawn = False  # proxies may still avoid it because of an earlier withdrawal
-        self.notified_proxies: dict[int, object] = {}  # must be told once it is back
+        self.notified_proxies: dict[int, object] = {}  # those to notify once it is back
         self.unusable_since = now  # when it last stopped being usable
 
         # Slow start.
--- a/peatlead/planner/fleet_load.py
+++ b/peatlead/planner/fleet_load.py
@@ -1,4 +1,4 @@
-"""How the whole fleet fares, from what the median attempt met.
+"""The load and errors of the whole fleet, as the median attempt had them.
 
 The median attempt, not the median endpoint: cold endpoints that get little say nothing of the
 capacity that is left.
--- a/peatlead/planner/gossip.py
+++ b/peatlead/planner/gossip.py
@@ -1,8 +1,8 @@
 """Notes between controllers about endpoints that fail.
 
-Each controller hears of a part of the few attempts that a failing endpoint still gets: no part
-alone may convict it. A controller sends what its own proxies met, never what others sent: no news
-goes round in a circle.
+Each controller receives reports of a part of the few attempts that a failing endpoint still gets:
+no part alone may suffice to eject it. A controller sends what its own proxies report, never what
+others sent, so that no count travels in a circle.
 """
 
 from typing import NamedTuple
@@ -64,7 +64,7 @@
             self.context.commands += [SendGossip(None, note) for note in notes]
 
     def on_note(self, event: GossipReceived) -> None:
-        """Count what another controller's proxies met."""
+        """Count what another controller's proxies report."""
         by_name = {endpoint.name: endpoint for endpoint in self.context.endpoints.values()}
         for name, counts in parse_note(event.payload):
             endpoint = by_name.get(name)
@@ -75,5 +75,5 @@
                     endpoint.last_success_at = now
 
     def _covers_this_process(self, endpoint: EndpointState) -> bool:
-        """What was met before a start tells of the process that ran there before."""
+        """Whether counts of the last cycle are those of the present process."""
         return self.context.now - self.statistics.cycle > (endpoint.cold_from or NEVER)
--- a/peatlead/planner/health_checks.py
+++ b/peatlead/planner/health_checks.py
@@ -88,7 +88,7 @@
             endpoint.passed_checks += 1
             endpoint.failed_checks = 0
         if not self.context.settings.get("tries_told", True):
-            self.reports.note_report()  # else no round would ever end, and no endpoint be judged
+            self.reports.note_report()  # else no round would ever end, and no endpoint be evaluated
 
     def _confirm(self, endpoint: EndpointState, outcome: str) -> None:
         """Note that an endpoint exists: a list may name some that don't."""
--- a/peatlead/planner/load_relief.py
+++ b/peatlead/planner/load_relief.py
@@ -69,8 +69,8 @@
         holders = self._holders(endpoint)
         excess = (1 - reach) * fsum([proxy.request_rate for proxy in holders])
         endpoint.excluded_proxies = set()
-        word = endpoint.word
-        for proxy in sorted(holders, key=lambda proxy: rank(proxy.key, word), reverse=True):
+        name_hash = endpoint.name_hash
+        for proxy in sorted(holders, key=lambda proxy: rank(proxy.key, name_hash), reverse=True):
             if proxy.request_rate / 2 < excess:
                 endpoint.excluded_proxies.add(proxy.number)
                 excess -= proxy.request_rate
--- a/peatlead/planner/load_shedding.py
+++ b/peatlead/planner/load_shedding.py
@@ -24,7 +24,7 @@
 OVERLOAD_LATENESS = 2  # times the high lateness
 WORST_CUT = 0.85  # what a cut leaves at least
 LEAST_CUT = 0.9  # what a cut leaves at most
-IMPROVED = 0.95  # of the strain at the last cut: below it no further cut is made
+IMPROVED = 0.95  # of the last cut's severity: below it no further cut is made
 SAFE_PART = 0.85  # of the admitted fraction where an overload began, surely carried
 LOW_LATENESS = 0.7  # of the high lateness, below which more is admitted
 REGAIN_STEP = 0.02  # of all work, past what is surely carried
@@ -50,7 +50,7 @@
         self.safe = 1.0  # admitted fraction that was surely carried
         self.cutting = False  # the last change was a cut
         self.overload_reported = False  # the last round looked like an overload
-        self.strain = 0.0  # lateness and errors at the last cut
+        self.severity = 0.0  # lateness and errors at the last cut
         self.next_at = 0.0  # seconds, when the fraction may change again
 
     def update(self) -> bool:
@@ -60,12 +60,12 @@
         self.next_at = self.context.now + UPDATE_INTERVAL
         load = self.fleet_load
         has_capacity = self._has_capacity()
-        strained = (
+        over_limit = (
             load.error_rate > HIGH_ERROR_RATE
             or load.lateness > HIGH_LATENESS
             or load.utilization > self.full
         )
-        if strained and not has_capacity:
+        if over_limit and not has_capacity:
             self._cut()
         elif (has_capacity and self._may_regain()) or (
             load.lateness < LOW_LATENESS * HIGH_LATENESS and load.utilization < self.full
@@ -106,7 +106,7 @@
     def _cut(self) -> None:
         """Admit less.
 
-        Two rounds must tell of an overload: reports that a stall held back look like one. What was
+        Two rounds must show an overload: reports that a stall delayed look like one. What was
         admitted before a cut is still being reported: no further cut is made once it gets better.
         """
         load = self.fleet_load
@@ -117,8 +117,8 @@
         confirmed = overload and self.overload_reported
         if confirmed or not self.cutting:
             self.safe = SAFE_PART * (self.safe if self.cutting else self.admitted)
-        strain = load.lateness + load.error_rate
-        worse = strain >= IMPROVED * self.strain
+        severity = load.lateness + load.error_rate
+        worse = severity >= IMPROVED * self.severity
         by_lateness = HIGH_LATENESS / max(HIGH_LATENESS, load.lateness)
         factor = max(WORST_CUT, min(LEAST_CUT, by_lateness)) if worse else 1.0
         if confirmed:
@@ -128,7 +128,7 @@
             self.admitted = max(LEAST_ADMITTED, self.admitted * factor)
         self.cutting = True
         self.overload_reported = overload
-        self.strain = strain
+        self.severity = severity
 
     def _regain(self) -> None:
         """Admit more: at once what was surely carried, past it in steps by the free capacity."""
@@ -138,4 +138,4 @@
         self.admitted = min(1.0, max(self.safe, self.admitted + step))
         self.cutting = False
         self.overload_reported = False
-        self.strain = 0.0
+        self.severity = 0.0
--- a/peatlead/planner/load_statistics.py
+++ b/peatlead/planner/load_statistics.py
@@ -25,7 +25,7 @@
 
 
 class FailingEndpoint(NamedTuple):
-    """An endpoint at which this controller's own proxies met errors."""
+    """An endpoint at which attempts of this controller's own proxies failed."""
 
     name: bytes
     counts: Counts
@@ -44,7 +44,7 @@
         self.last_success_at = 0.0  # of any endpoint
 
     def on_endpoint_stats(self, event: EndpointStats) -> None:
-        """Add what the proxies of one zone met at an endpoint."""
+        """Add what the proxies of one zone report of an endpoint."""
         endpoint = self.context.endpoints.get(event.endpoint)
         self.reports.note_report()
         if endpoint is None or self._from_before_start(event, endpoint):
--- a/peatlead/planner/outlier_detection.py
+++ b/peatlead/planner/outlier_detection.py
@@ -23,7 +23,7 @@
 LONGEST_EJECTION = 60.0  # seconds
 REPEATED_EJECTION_SPAN = 30  # seconds after a return, in which an ejection follows soon
 MAX_EJECTED_PART = 0.4  # of the ready endpoints: the rest could not carry the load
-PASSES_TO_RETURN = 2  # health checks in a row, where checks told of the failure
+PASSES_TO_RETURN = 2  # health checks in a row, where the ejection followed from checks
 
 # Silence: no success for longer than reports take, and health checks that fail.
 SILENT_CYCLES = 1.3  # cycles of reports without a success
@@ -35,7 +35,7 @@
 REPORTED_ERRORS = 0.5  # faded errors that count as a report of errors
 
 # Errors and latency against the peers.
-LEAST_JUDGED_ATTEMPTS = 2  # faded, of an endpoint that is judged by them
+LEAST_EVALUATED_ATTEMPTS = 2  # faded, of an endpoint that is compared by them
 LEAST_ERRORS = 3  # faded
 EJECTION_ERROR_RATE = 0.25
 PEER_ERRORS_FACTOR = 3  # times the peers' error rate
@@ -50,7 +50,7 @@
 
 
 class OutlierDetection:
-    """Judges every endpoint once a round."""
+    """Compares every endpoint with its peers once a round."""
 
     def __init__(
         self,
@@ -70,14 +70,14 @@
         self.relief = relief
         self.slow_start = slow_start
 
-    def judge(self, ready: list[EndpointState], peers: PeerMedians) -> None:
+    def evaluate(self, ready: list[EndpointState], peers: PeerMedians) -> None:
         """Eject or relieve what stands out among the ready endpoints."""
         failed_checks = failed_checks_to_convict(ready)
         for endpoint in [endpoint for endpoint in ready if endpoint.usable]:
             if self._is_silent(endpoint, peers, failed_checks):
                 self.eject(endpoint, ready, by_checks=True)
-            elif endpoint.attempts >= LEAST_JUDGED_ATTEMPTS:
-                self._judge_by_reports(endpoint, ready, peers)
+            elif endpoint.attempts >= LEAST_EVALUATED_ATTEMPTS:
+                self._evaluate_reports(endpoint, ready, peers)
 
     def _is_silent(self, endpoint: EndpointState, peers: PeerMedians, failed_checks: float) -> bool:
         """Whether it has stopped answering: checks and reports must both say so.
@@ -100,7 +100,7 @@
             and peers.utilization < CAPACITY_LEFT
         )
 
-    def _judge_by_reports(
+    def _evaluate_reports(
         self, endpoint: EndpointState, ready: list[EndpointState], peers: PeerMedians
     ) -> None:
         """Eject it if it fails, relieve it if it is slow or full.
@@ -144,8 +144,8 @@
     def restore_if_due(self, endpoint: EndpointState) -> None:
         """Bring an ejected endpoint back, with a ramp, once it passed checks or its wait is over.
 
-        A shallow check passes at an endpoint that hangs: passes count only where checks had told of
-        the failure.
+        A shallow check passes at an endpoint that hangs: passes count only where checks had
+        failed.
         """
         if endpoint.ejected_until is None:
             return
--- a/peatlead/planner/planner.py
+++ b/peatlead/planner/planner.py
@@ -57,7 +57,7 @@
         self.budget = ChannelBudget(context)
         self._build_reports()
         self._build_tables()
-        self._build_judgements()
+        self._build_evaluation()
         lifecycle = EndpointLifecycle(context, self.schedule, self.slow_start, self.writer)
         self.endpoint_updates = EndpointUpdates(
             context,
@@ -82,7 +82,7 @@
         }
 
     def _build_reports(self) -> None:
-        """What is heard: reports, checks, demand."""
+        """The input: reports, health checks, demand."""
         context, changes = self.context, self.changes
         self.reports = ReportRound(context)
         self.health_checks = HealthChecks(context, changes, self.schedule, self.reports)
@@ -105,8 +105,8 @@
             context, changes, self.sharding, self.writer, self.assignment, budget
         )
 
-    def _build_judgements(self) -> None:
-        """What is concluded from reports."""
+    def _build_evaluation(self) -> None:
+        """What is decided by reports: admission, slow start, relief, ejections."""
         context, changes, schedule = self.context, self.changes, self.schedule
         self.fleet_load = FleetLoad(context, self.demand)
         self.load_shedding = LoadShedding(context, self.fleet_load, self.budget)
@@ -185,21 +185,21 @@
         self.budget.backlog.acknowledge(event.proxy, event.nonce)
 
     def end_round(self) -> None:
-        """Judge paths, endpoints and the fleet by a round of reports."""
+        """Evaluate paths, endpoints and the fleet by a round of reports."""
         self.reports.end()
         self.demand.end_round()
         self.paths.end_round()
         failing = self.statistics.end_round(self.paths.bad)
         self.gossip.send(failing)
-        self.judge_endpoints()
+        self.evaluate_endpoints()
         if self.load_shedding.update():
             self.publish_admissions()
 
-    def judge_endpoints(self) -> None:
+    def evaluate_endpoints(self) -> None:
         """Compare the fleet with its capacity, and each endpoint with its peers."""
         ready = self.fleet_load.ready_endpoints()
         peers = self.fleet_load.measure(ready, self.load_shedding.admitted)
-        self.outliers.judge(ready, peers)
+        self.outliers.evaluate(ready, peers)
 
     def publish_admissions(self) -> None:
         """Publish the admitted fractions."""
--- a/peatlead/planner/proxy_connections.py
+++ b/peatlead/planner/proxy_connections.py
@@ -7,7 +7,7 @@
 from .proxy_state import ProxyState
 from .zone_capacity import ZoneCapacity
 
-KEPT_PART = 1 / 2  # of the time that a brought table may stand at most
+PREVIOUS_TABLE_PART = 1 / 2  # of the longest time that a previous table may stand
 
 
 class ProxyConnections:
@@ -42,19 +42,21 @@
         proxy.notified_count = 0
         proxy.reset_draw()
         proxy.message_times.clear()
-        proxy.kept_until = context.now + self._kept_for() * (not event.bootstrap_only)
+        proxy.previous_table_until = context.now + self._previous_table_lifetime() * (
+            not event.bootstrap_only
+        )
         context.connected[event.proxy] = proxy
         context.unassigned[event.proxy] = proxy
 
-    def _kept_for(self) -> float:
-        """Seconds for which a brought table may stand: its controller knew more.
+    def _previous_table_lifetime(self) -> float:
+        """Seconds for which a previous table may stand: its controller knew more.
 
         But all its entries may be withdrawn by now; and it may name endpoints that had gone before
         this controller started, which must not stand for longer than the drain grace.
         """
         settings = self.context.settings
         without_entries = max(0.0, settings["bare_most"] - settings["push_delay_most"])
-        return float(min(without_entries, settings["drain_grace"]) * KEPT_PART)
+        return float(min(without_entries, settings["drain_grace"]) * PREVIOUS_TABLE_PART)
 
     def on_disconnected(self, event: ProxyDisconnected) -> None:
         """What was written to it and not sent yet waits no longer."""
--- a/peatlead/planner/proxy_state.py
+++ b/peatlead/planner/proxy_state.py
@@ -22,7 +22,7 @@
 
         # Connection.
         self.connected_at = 0.0
-        self.kept_until = 0.0  # until then the table that it brought may stand
+        self.previous_table_until = 0.0  # seconds; until then its previous table may stand
         self.message_times: deque[float] = deque()  # of the messages sent to it lately
 
         # Requests.
@@ -40,8 +40,8 @@
         ] = {}
 
         # Withdrawals, while it waits for its tables.
-        self.notified: set[int] = set()  # ids of the endpoints it was told of
-        self.notified_count = 0  # the planner's count of withdrawals then
+        self.notified: set[int] = set()  # ids of the endpoints whose withdrawal it was sent
+        self.notified_count = 0  # the planner's count of withdrawals when it was last notified
 
     def reset_draw(self) -> None:
         """Compute its tables anew with the next write."""
--- a/peatlead/planner/removals.py
+++ b/peatlead/planner/removals.py
@@ -50,7 +50,7 @@
     def _due_before(self) -> float:
         """Seconds; waiting proxies came before the update that made the newest removals due."""
         yielded = YIELD_PART * self.context.settings["drain_grace"]
-        return float(self.context.now - self.assignment.starved * yielded)
+        return float(self.context.now - self.assignment.waits_for_room * yielded)
 
     def _holders_of(self, endpoints: set[int]) -> list[ProxyState]:
         connected = self.context.connected
--- a/peatlead/planner/rendezvous.py
+++ b/peatlead/planner/rendezvous.py
@@ -36,7 +36,7 @@
     """What a pool reads of an endpoint."""
 
     name: bytes
-    word: int  # its `endpoint_hash`
+    name_hash: int  # its `endpoint_hash`
 
 
 EndpointT = TypeVar("EndpointT", bound=HashedEndpoint)
@@ -59,9 +59,9 @@
     return int.from_bytes(digest[:4], "little") | 1, int.from_bytes(digest[4:], "little") | 1
 
 
-def rank(key: ProxyKey, word: int) -> int:
+def rank(key: ProxyKey, name_hash: int) -> int:
     """The place of one endpoint, by its hash, in a proxy's order: the lowest comes first."""
-    mixed = word * key[0] & WORD_MASK
+    mixed = name_hash * key[0] & WORD_MASK
     mixed ^= mixed >> MIX_SHIFT
     return mixed * key[1] & WORD_MASK
 
@@ -95,7 +95,8 @@
         self.size = len(self.endpoints)
         # All hashes, one in each lane of a wide integer.
         self.packed = int.from_bytes(
-            struct.pack(f"<{self.size}Q", *[endpoint.word for endpoint in self.endpoints]), "little"
+            struct.pack(f"<{self.size}Q", *[endpoint.name_hash for endpoint in self.endpoints]),
+            "little",
         )
         self.word_mask, self.shift_mask = lane_masks(self.size)
 
--- a/peatlead/planner/report_round.py
+++ b/peatlead/planner/report_round.py
@@ -1,4 +1,4 @@
-"""Rounds of reports: judgements are made once the reports of one moment have all arrived."""
+"""Rounds of reports: decisions are made once the reports of one moment have all arrived."""
 
 from .context import PlannerContext
 
--- a/peatlead/planner/shuffle_sharding.py
+++ b/peatlead/planner/shuffle_sharding.py
@@ -43,6 +43,13 @@
     ]
 
 
+def lacking_weight(members: list[EndpointState], in_shard: list[EndpointState]) -> float:
+    """What a table with many cold endpoints lacks of its weight without cold ones."""
+    cold, warm = cold_and_warm_weight(members)
+    usual = fsum([endpoint.weight for endpoint in in_shard])
+    return max(usual, cold / MAX_COLD_PART) - fsum((cold, warm))
+
+
 class ShuffleSharding:
     """Computes shards and tables; writes nothing."""
 
@@ -63,18 +70,18 @@
         zones = self.pools.open_endpoints(group, proxy.zone)
         parts = self.zone_capacity.plan.get((group, proxy.zone), {})
         unplanned = 0.0 if parts else 1.0
-        wanted = {zone: parts.get(zone, unplanned) * len(pool) for zone, pool in zones.items()}
+        targets = {zone: parts.get(zone, unplanned) * len(pool) for zone, pool in zones.items()}
         expected = self.context.proxies_expected
         most = {zone: ceil(COVERAGE * len(pool) / expected) for zone, pool in zones.items()}
-        total = max(TINY, fsum(wanted.values()))
-        densest = max([TINY, *[wanted[zone] / len(zones[zone]) for zone in zones]])
+        total = max(TINY, fsum(targets.values()))
+        densest = max([TINY, *[targets[zone] / len(zones[zone]) for zone in zones]])
         size = min(fsum(most.values()), total / densest)
         # Proxies that pick the less loaded of two need no large part of their own zone.
         capped = self.context.settings.get("pick") == PICK_LESS_LOADED
         chosen = {}
         for zone, pool in zones.items():
             limit = most[zone] if capped else len(pool)
-            count = max(LEAST_A_ZONE, min(round(size * wanted[zone] / total), limit))
+            count = max(LEAST_A_ZONE, min(round(size * targets[zone] / total), limit))
             chosen[zone] = self._ranked(proxy, group, zone, pool, count)
         return Shard(chosen, zones)
 
@@ -135,21 +142,12 @@
         """
         present = {endpoint.id for endpoint in members}
         count = max(MAX_WARM_JOINING, len(members))
-        weights = cold_and_warm_weight(members)
-        cold = weights[0]
-        usual = fsum([endpoint.weight for endpoint in in_shard])
-        lacking = max(usual, cold / MAX_COLD_PART) - fsum(weights)
-        warm = {
-            zone: prefix_of_weight(
-                [
-                    endpoint
-                    for endpoint in pool.top(proxy.key, 2 * count)
-                    if endpoint.id not in present
-                ][:count],
-                lacking,
-            )
-            for zone, pool in self._warm_pools(group).items()
-        }
+        lacking = lacking_weight(members, in_shard)
+        warm = {}
+        for zone, pool in self._warm_pools(group).items():
+            first = pool.top(proxy.key, 2 * count)
+            absent = [endpoint for endpoint in first if endpoint.id not in present]
+            warm[zone] = prefix_of_weight(absent[:count], lacking)
         return warm.get(proxy.zone) or [
             endpoint for endpoints in warm.values() for endpoint in endpoints
         ]
--- a/peatlead/planner/statistics.py
+++ b/peatlead/planner/statistics.py
@@ -1,4 +1,4 @@
-"""Medians and weights that the planner judges an endpoint's peers by."""
+"""Medians and weights that endpoints are compared by."""
 
 from collections.abc import Iterable, Sequence
 from math import fsum
--- a/peatlead/planner/table_assignment.py
+++ b/peatlead/planner/table_assignment.py
@@ -1,9 +1,9 @@
 """Assigns proxies that have connected to their tables, as far as the channel has room.
 
 Whole tables of all proxies at once would pass what may wait in the channel: a number of them goes
-out with each batch, and urgent events come between. A proxy that brings a table from an earlier
-controller keeps it for a while after a start, until this controller has heard a few rounds of
-reports.
+out with each batch, and urgent events come between. A proxy that has a table of an earlier
+controller keeps it for a while after a start, until this controller has received a few rounds
+of reports.
 """
 
 from ..interface import AssignTable, SetTimer
@@ -16,7 +16,7 @@
 from .timers import CONTINUE_DELAY, CONTINUE_TIMER
 
 TABLES_PER_BATCH = 100  # or removals would wait
-ROUNDS_BEFORE_CHANGES = 3  # rounds of reports after a start, until brought tables are replaced
+ROUNDS_BEFORE_CHANGES = 3  # rounds of reports after a start, until previous tables are replaced
 COST_WINDOW = 8  # tables that the mean cost is averaged over
 
 
@@ -36,33 +36,33 @@
         self.reports = reports
         self.writer = writer
         self.budget = budget
-        self.starved = False  # whether proxies wait because the channel has no room
+        self.waits_for_room = False  # whether proxies wait because the channel has no room
         self.mean_cost = COVERAGE  # entries that the tables of a proxy take
 
     def assign_waiting(self) -> None:
-        """Assign those that wait, first those whose brought tables may lack a class altogether."""
+        """Assign those that wait, first those whose previous tables may lack a class altogether."""
         context = self.context
-        self.starved = False
+        self.waits_for_room = False
         if not context.unassigned:
             return
         waiting = [
             proxy
             for proxy in context.unassigned.values()
-            if context.endpoints and not self.keeps_brought_table(proxy)
+            if context.endpoints and not self.keeps_previous_table(proxy)
         ]
         covered = {
             zone: self._covers_every_group(zone) for zone in {proxy.zone: 0 for proxy in waiting}
         }
         for proxy in sorted(waiting, key=lambda proxy: covered[proxy.zone])[:TABLES_PER_BATCH]:
             if not self.budget.has_room():
-                self.starved = True
+                self.waits_for_room = True
                 break
             self._assign(proxy)
         if len(waiting) > TABLES_PER_BATCH and self.budget.has_room():
             context.commands.append(SetTimer(CONTINUE_TIMER, CONTINUE_DELAY))
 
     def _covers_every_group(self, zone: int) -> bool:
-        """Whether every group may stay in the zone, where brought tables were drawn."""
+        """Whether every group may stay in the zone, where previous tables were drawn."""
         groups = range(len(self.pools.groups))
         return all(zone in self.pools.open_endpoints(group, zone) for group in groups)
 
@@ -84,10 +84,10 @@
         restored = sum([endpoints[endpoint].ever_withdrawn for endpoint in entries])
         return 1 + len(entries) + len(self.context.settings["req_kinds"]) + restored
 
-    def keeps_brought_table(self, proxy: ProxyState) -> bool:
-        """Whether the table that the proxy brought stands for now."""
+    def keeps_previous_table(self, proxy: ProxyState) -> bool:
+        """Whether the previous table of the proxy stands for now."""
         early = self.reports.count < ROUNDS_BEFORE_CHANGES
-        return self.context.now < proxy.kept_until and early
+        return self.context.now < proxy.previous_table_until and early
 
     def tables_fit(self) -> bool:
         """Whether, at the configured pace, all that wait have their tables in time."""
--- a/peatlead/planner/withdrawals.py
+++ b/peatlead/planner/withdrawals.py
@@ -1,8 +1,8 @@
-"""Tells proxies of endpoints that the list withdraws, and of those that come back.
+"""Notifies proxies of endpoints that the list withdraws, and of those that come back.
 
 A withdrawal is sent once. Proxies on this controller's tables lose the entries by writes of their
-own; proxies that still wait for tables are told of the endpoints that the table which they brought
-may name: an entry each, where a whole table takes a dozen and may wait for room.
+own; proxies that still wait for tables are notified of the endpoints that their previous table may
+name: an entry each, where a whole table takes a dozen and may wait for room.
 """
 
 from math import ceil
@@ -16,12 +16,14 @@
 from .shuffle_sharding import LEAST_A_ZONE, ShuffleSharding
 from .table_assignment import TableAssignment
 
-BROUGHT_DEPTH = 1.25  # of a shard: the first of a proxy's order that a table it brought may name
-RETRIES_PER_GRACE = 4  # times within the drain grace that untold proxies are looked at again
+PREVIOUS_TABLE_DEPTH = (
+    1.25  # of a shard: the first of a proxy's order that its previous table may name
+)
+RETRIES_PER_GRACE = 4  # times within the drain grace that unnotified proxies are looked at again
 
 
 class Withdrawals:
-    """Withdrawn endpoints, and which of the waiting proxies were told."""
+    """Withdrawn endpoints, and which of the waiting proxies were notified."""
 
     def __init__(
         self,
@@ -38,7 +40,7 @@
         self.budget = budget
         self.new: list[int] = []  # ids of the endpoints withdrawn in this batch
         self.count = 0  # withdrawals so far
-        self.retry_at = 0.0  # seconds, when untold proxies are looked at again
+        self.retry_at = 0.0  # seconds, when unnotified proxies are looked at again
 
     def set_withdrawn(self, endpoint: EndpointState, withdrawn: bool) -> None:
         """Note that the list withdraws the endpoint, or restores it."""
@@ -56,7 +58,9 @@
         endpoint.notified_proxies = dict.fromkeys(context.holders.subscribers(endpoint.id), True)
         self.new.append(endpoint.id)
         self.count += 1
-        for number in endpoint.notified_proxies:  # an entry more on channels that tell holders too
+        for (
+            number
+        ) in endpoint.notified_proxies:  # an entry more on channels that notify holders too
             if number in context.connected:
                 self.budget.backlog.add(number, 1, False)
 
@@ -71,7 +75,7 @@
         endpoint.notified_proxies = {}
 
     def send(self) -> None:
-        """Emit this batch's withdrawals, and earlier ones for waiting proxies not told yet."""
+        """Emit this batch's withdrawals, and earlier ones for waiting proxies not notified yet."""
         notify: dict[int, list[int]] = {endpoint: [] for endpoint in self.new}
         self.new = []
         if notify or self.context.now >= self.retry_at:
@@ -81,15 +85,15 @@
         ]
 
     def _notify_waiting(self, notify: dict[int, list[int]]) -> None:
-        """Add the waiting proxies that weren't told, by endpoint, as far as there is room."""
+        """Add the waiting proxies that weren't notified, by endpoint, as far as there is room."""
         context = self.context
-        untold = self._untold()
+        unnotified = self._unnotified()
         grace = context.settings["drain_grace"]
-        self.retry_at = context.now + grace / RETRIES_PER_GRACE if untold else 0.0
+        self.retry_at = context.now + grace / RETRIES_PER_GRACE if unnotified else 0.0
         overhead = context.settings["message_head"]
         in_all = 0.0
-        for proxy in untold:
-            endpoints = self._likely_brought(proxy) - proxy.notified
+        for proxy in unnotified:
+            endpoints = self._likely_in_previous_table(proxy) - proxy.notified
             in_all += len(endpoints) + overhead + 1
             if not self.budget.has_room_for_withdrawals(in_all, len(endpoints) + overhead + 1):
                 break  # their tables come first
@@ -101,22 +105,22 @@
                 context.endpoints[endpoint].notified_proxies[proxy.number] = True
                 notify.setdefault(endpoint, []).append(proxy.number)
 
-    def _untold(self) -> list[ProxyState]:
-        """Waiting proxies to be told: where tables come in time, those whose own stand for now."""
+    def _unnotified(self) -> list[ProxyState]:
+        """Waiting proxies to notify: where tables come in time, those that keep theirs for now."""
         waiting = self.context.unassigned.values()
-        untold = [proxy for proxy in waiting if proxy.notified_count < self.count]
-        if untold and self.assignment.tables_fit():
-            return [proxy for proxy in untold if self.assignment.keeps_brought_table(proxy)]
-        return untold
+        unnotified = [proxy for proxy in waiting if proxy.notified_count < self.count]
+        if unnotified and self.assignment.tables_fit():
+            return [proxy for proxy in unnotified if self.assignment.keeps_previous_table(proxy)]
+        return unnotified
 
-    def _likely_brought(self, proxy: ProxyState) -> set[int]:
-        """Ids of withdrawn endpoints that the table which a waiting proxy brought may name.
+    def _likely_in_previous_table(self, proxy: ProxyState) -> set[int]:
+        """Ids of withdrawn endpoints that a waiting proxy's previous table may name.
 
         Every controller ranks endpoints alike: the table was drawn from the first of the proxy's
         order among those that were open then.
         """
         endpoints = self.context.endpoints
-        brought = {
+        named = {
             endpoint
             for entries in proxy.entries
             for endpoint in entries
@@ -128,6 +132,6 @@
                 open_now = len(shard.zones.get(zone, ()))
                 chosen = len(shard.chosen.get(zone, ()))
                 then = max(LEAST_A_ZONE, chosen * len(pool) / max(1, open_now))
-                first = pool.top(proxy.key, ceil(BROUGHT_DEPTH * then))
-                brought.update([endpoint.id for endpoint in first if endpoint.withdrawn])
-        return brought
+                first = pool.top(proxy.key, ceil(PREVIOUS_TABLE_DEPTH * then))
+                named.update([endpoint.id for endpoint in first if endpoint.withdrawn])
+        return named
--- a/tests/planner/test_load_relief.py
+++ b/tests/planner/test_load_relief.py
@@ -22,7 +22,7 @@
                 endpoint.attempts = 10.0
                 endpoint.errors = 0.0
                 endpoint.latency = 9.0 if slow else 1.0
-            planner.judge_endpoints()
+            planner.evaluate_endpoints()
         relieved = {
             endpoint.id: endpoint.excluded_proxies
             for endpoint in planner.endpoints.values()
--- a/tests/planner/test_load_shedding.py
+++ b/tests/planner/test_load_shedding.py
@@ -10,7 +10,7 @@
         shedding = planner.load_shedding
         shedding.admitted = shedding.safe = 0.5
         shedding.cutting = True
-        shedding.strain = 1.0
+        shedding.severity = 1.0
         shedding.next_at = 0.0
         for endpoint in planner.endpoints.values():
             endpoint.share = endpoint.ramp = share
@@ -28,7 +28,7 @@
                 endpoint.attempts = endpoint.own_attempts = 1.0
                 endpoint.errors = endpoint.utilization = errors
                 endpoint.latency = 0.1
-            planner.judge_endpoints()
+            planner.evaluate_endpoints()
             planner.load_shedding.update()
 
     def test_more_is_admitted_while_a_whole_fleet_has_capacity_though_it_is_late(self):
@@ -58,6 +58,6 @@
             endpoint.errors = 6.0
             endpoint.latency = 9.0
             endpoint.utilization = 0.3
-        planner.judge_endpoints()
+        planner.evaluate_endpoints()
         planner.load_shedding.update()
         self.assertEqual(planner.load_shedding.admitted, 1.0)
--- a/tests/planner/test_outlier_detection.py
+++ b/tests/planner/test_outlier_detection.py
@@ -23,12 +23,12 @@
         planner = make_planner()
         for endpoint in planner.endpoints.values():
             endpoint.attempts, endpoint.errors, endpoint.latency = 10.0, 6.0, 1.0
-        planner.judge_endpoints()
+        planner.evaluate_endpoints()
         self.assertTrue(all(endpoint.usable for endpoint in planner.endpoints.values()))
         for endpoint in planner.endpoints.values():
             endpoint.attempts, endpoint.errors = 10.0, 6.0 if endpoint.id == 5 else 0.0
             endpoint.latency = 0.1 * (endpoint.attempts - endpoint.errors)
-        planner.judge_endpoints()
+        planner.evaluate_endpoints()
         self.assertEqual([one.id for one in planner.endpoints.values() if not one.usable], [5])
 
     def test_a_busy_endpoint_whose_checks_time_out_stays_and_a_silent_one_is_ejected(self):
@@ -40,7 +40,7 @@
         silent = planner.endpoints[3]
         busy.failed_checks = silent.failed_checks = silent.errors = 4
         silent.last_success_at = 105.0
-        planner.judge_endpoints()
+        planner.evaluate_endpoints()
         self.assertEqual([one.id for one in planner.endpoints.values() if not one.usable], [3])
 
     def test_where_no_attempts_are_reported_health_checks_alone_eject(self):
--- a/tests/planner/test_rendezvous.py
+++ b/tests/planner/test_rendezvous.py
@@ -9,7 +9,7 @@
 class NamedEndpoint:
     def __init__(self, name):
         self.name = name
-        self.word = endpoint_hash(name)
+        self.name_hash = endpoint_hash(name)
 
 
 def named_endpoints(count):
@@ -26,14 +26,16 @@
     def test_top_equals_ranking_each_endpoint_alone(self, size, number, count, rng):
         endpoints = named_endpoints(size)
         key = proxy_key(number)
-        expected = sorted(endpoints, key=lambda each: (rank(key, each.word), each.name))[:count]
+        expected = sorted(endpoints, key=lambda each: (rank(key, each.name_hash), each.name))[
+            :count
+        ]
         rng.shuffle(endpoints)  # ids and lists differ between controllers; names do not
         self.assertEqual(RendezvousPool(endpoints).top(key, count), expected)
 
     def test_endpoints_with_equal_hashes_rank_by_name(self):
         endpoints = named_endpoints(3)
         for endpoint in endpoints:
-            endpoint.word = 12345
+            endpoint.name_hash = 12345
         self.assertEqual(RendezvousPool(endpoints[::-1]).top(proxy_key(7), 2), endpoints[:2])
 
     def test_endpoints_and_pairs_of_them_are_evenly_spread(self):
