--- a/peatlead/planner/context.py
+++ b/peatlead/planner/context.py
@@ -2,15 +2,13 @@
 
 from collections.abc import ValuesView
 from random import Random
-from typing import Any
 
 from ..interface import Command, LogMessage
 from .endpoint_state import EndpointState
 from .proxy_state import ProxyState
+from .settings import PlannerSettings
 from .subscriber_index import SubscriberIndex
 
-Settings = dict[str, Any]  # by name; deploy/ and docs/ describe them, the controller checks them
-
 # Values of the setting `pick`, how proxies choose among a table's endpoints, and of `roster_mode`.
 PICK_LESS_LOADED = "lighter of two"
 LIST_ON_REQUEST = "on_request"
@@ -21,7 +19,7 @@
 class PlannerContext:
     """The state that belongs to no single mechanism."""
 
-    def __init__(self, settings: Settings, seed: int) -> None:
+    def __init__(self, settings: PlannerSettings, seed: int) -> None:
         self.settings = settings
         self.rng = Random(seed)
         self.now = 0.0  # seconds, of the batch that is being decided
--- a/peatlead/planner/endpoint_pools.py
+++ b/peatlead/planner/endpoint_pools.py
@@ -7,9 +7,10 @@
 
 from typing import NamedTuple, Optional
 
-from .context import PlannerContext, Settings
+from .context import PlannerContext
 from .endpoint_state import READY, EndpointState
 from .rendezvous import RendezvousPool, sort_by_name
+from .settings import PlannerSettings
 from .zone_paths import ZonePaths
 
 Pools = dict[int, RendezvousPool[EndpointState]]  # by zone
@@ -29,7 +30,7 @@
         return in_zone and (not self.machine_types or endpoint.machine_type in self.machine_types)
 
 
-def group_request_classes(settings: Settings) -> list[RequestGroup]:
+def group_request_classes(settings: PlannerSettings) -> list[RequestGroup]:
     """The groups, in the order of their first classes."""
     groups: dict[tuple[tuple[int, ...], tuple[int, ...], bool], RequestGroup] = {}
     for number, request_class in enumerate(settings["req_kinds"]):
--- a/peatlead/planner/planner.py
+++ b/peatlead/planner/planner.py
@@ -3,7 +3,7 @@
     planner = Planner(settings, seed)
     commands = planner.decide(now, events)
 
-`settings` maps names to values, `now` is in float seconds; events and commands:
+`settings` maps names to values (settings.py), `now` is in float seconds; events and commands:
 peatlead/interface.py. Equal settings, seeds and events give equal commands.
 
 A proxy's table is its hashed, zone-spread shard (docs/design.md). The mechanisms stand in a module
@@ -11,12 +11,12 @@
 """
 
 from collections.abc import Callable, Iterable
-from typing import Any, Optional
+from typing import Any, Optional, cast
 
 from .. import interface
 from .channel_budget import ChannelBudget
 from .class_admission import ClassAdmission
-from .context import PlannerContext, Settings
+from .context import PlannerContext
 from .endpoint_lifecycle import EndpointLifecycle
 from .endpoint_pools import EndpointPools
 from .endpoint_schedule import EndpointSchedule
@@ -35,6 +35,7 @@
 from .removals import Removals
 from .report_round import ReportRound
 from .request_demand import RequestDemand
+from .settings import PlannerSettings
 from .shuffle_sharding import ShuffleSharding
 from .slow_start import SlowStart
 from .staged_updates import StagedUpdates
@@ -50,8 +51,8 @@
 class Planner:
     """All decisions of one controller."""
 
-    def __init__(self, settings: Settings, seed: int) -> None:
-        self.context = context = PlannerContext(settings, seed)
+    def __init__(self, settings: dict[str, Any], seed: int) -> None:
+        self.context = context = PlannerContext(cast(PlannerSettings, settings), seed)
         self.changes = changes = TableChanges()
         self.schedule = EndpointSchedule(context)
         self.budget = ChannelBudget(context)
@@ -222,13 +223,13 @@
             self.schedule.deactivate(endpoint)  # only its next check is due by time
 
     @property
-    def settings(self) -> Settings:
+    def settings(self) -> dict[str, Any]:
         """The settings; a change holds from the next batch on."""
-        return self.context.settings
+        return cast(dict[str, Any], self.context.settings)
 
     @settings.setter
-    def settings(self, settings: Settings) -> None:
-        self.context.settings = settings
+    def settings(self, settings: dict[str, Any]) -> None:
+        self.context.settings = cast(PlannerSettings, settings)
 
     @property
     def endpoints(self) -> dict[int, EndpointState]:
