--- a/peatlead/planner/channel_budget.py
+++ b/peatlead/planner/channel_budget.py
@@ -33,25 +33,25 @@
         `part` is that of the proxy's messages within the span.
         """
         settings, sent = self.context.settings, proxy.message_times
-        most = settings["messages_most"]
+        limit = settings["messages_most"]
         while sent and self.context.now - sent[0] > settings["messages_span"]:
             sent.popleft()
-        return self.has_room(UPDATE_QUEUE_PART) and (not most or len(sent) < most * part)
+        return self.has_room(UPDATE_QUEUE_PART) and (not limit or len(sent) < limit * part)
 
     def has_room(self, part: float = TABLE_QUEUE_PART) -> bool:
         """Whether less than a part of the longest queue waits."""
         return bool(self.backlog.entries < part * self.context.settings["queue_most"])
 
-    def has_room_for_withdrawals(self, in_all: float, entries: float) -> bool:
+    def has_room_for_withdrawals(self, total: float, entries: float) -> bool:
         """Whether `entries` more may go to proxies that wait for their tables.
 
         A few always may; so many that they would fill the queue would only hold up the tables that
-        those proxies wait for. `in_all` counts those of this batch, with the next ones.
+        those proxies wait for. `total` counts those of this batch, with the next ones.
         """
-        most = self.context.settings["queue_most"]
+        limit = self.context.settings["queue_most"]
         return bool(
-            in_all < FEW_WITHDRAWALS_PART * most
-            or self.backlog.entries + entries < WITHDRAWALS_QUEUE_PART * most
+            total < FEW_WITHDRAWALS_PART * limit
+            or self.backlog.entries + entries < WITHDRAWALS_QUEUE_PART * limit
         )
 
     def spend(self, proxy: ProxyState, entries: float) -> None:
--- a/peatlead/planner/endpoint_updates.py
+++ b/peatlead/planner/endpoint_updates.py
@@ -87,8 +87,8 @@
     def _still_answers(self, endpoint: EndpointState) -> bool:
         """Whether an endpoint that the list lacks stays.
 
-        Silence counts by the newest news of any endpoint: a controller that stood still itself has
-        heard of none.
+        Silence counts up to the latest success at any endpoint: a controller that was stalled
+        itself has received no reports.
         """
         silence = min(self.context.now, self.statistics.last_success_at) - endpoint.last_success_at
         cycle = self.statistics.cycle + self.context.settings["sums_every"]
--- a/peatlead/planner/fleet_load.py
+++ b/peatlead/planner/fleet_load.py
@@ -76,7 +76,7 @@
     def _measure_attempts(self, reporting: list[EndpointState], target: float) -> None:
         """Take the medians over attempts.
 
-        A few attempts an endpoint are enough: where little is admitted nothing else would tell of
+        A few attempts an endpoint are enough: where little is admitted nothing else would show
         recovery.
         """
         counts = [ceil(endpoint.own_attempts) for endpoint in reporting]
--- a/peatlead/planner/gossip.py
+++ b/peatlead/planner/gossip.py
@@ -14,7 +14,7 @@
 
 MAX_ENDPOINTS = 20  # of a round's notes, and of one that is read
 MAX_NOTE_BYTES = 250  # the wire takes 256
-MOST = 1e6  # attempts, errors or seconds that a note is believed
+MAX_COUNT = 1e6  # attempts, errors or seconds that a note is believed
 
 
 class Report(NamedTuple):
@@ -42,7 +42,7 @@
     for line in payload.split(b"\n")[:MAX_ENDPOINTS]:
         name, *fields = line.split(b" ")
         try:
-            attempts, errors, latency = [min(MOST, max(0.0, float(field))) for field in fields]
+            attempts, errors, latency = [min(MAX_COUNT, max(0.0, float(field))) for field in fields]
         except ValueError:
             continue
         if 0 < errors <= attempts:
--- a/peatlead/planner/health_checks.py
+++ b/peatlead/planner/health_checks.py
@@ -71,7 +71,7 @@
             context.commands.append(CheckHealth(endpoint.id))
 
     def on_result(self, event: HealthCheckResult) -> None:
-        """Take in how a check ended; one that couldn't be sent tells nothing of the endpoint."""
+        """Take in how a check ended; one that couldn't be sent says nothing of the endpoint."""
         endpoint = self.context.endpoints.get(event.endpoint)
         if endpoint is None or event.outcome == DENIED:
             return
--- a/peatlead/planner/load_relief.py
+++ b/peatlead/planner/load_relief.py
@@ -16,7 +16,7 @@
 
 REACH_STEP = 0.25  # of the holders' requests
 LEAST_STEPS = 3  # of reach that may be taken away
-RELIEF_GAP = 5.0  # seconds until the reports tell of a relief
+RELIEF_GAP = 5.0  # seconds until the reports show the effect of a relief
 LONGEST_WAIT = 60.0  # seconds until a step of reach comes back
 CALM_SPAN = 30  # seconds after which a relief counts as the first again
 LEAST_MEAN_REACH = 0.8  # of the ready endpoints, or the others could not take its part
--- a/peatlead/planner/outlier_detection.py
+++ b/peatlead/planner/outlier_detection.py
@@ -1,9 +1,9 @@
 """Outlier detection, as in Envoy: ejects endpoints that fail against their peers for a while.
 
-Reports and health checks convict an endpoint only against its peers: a fault that all share ejects
-nobody, and the rest must be able to carry the load. One that is slow or full is relieved instead
-(load_relief.py): ejecting it would overload the others. The wait of an ejection doubles each time
-that the endpoint fails again soon.
+Reports and health checks eject an endpoint only by comparison with its peers: a fault that all
+share ejects nobody, and the rest must be able to carry the load. One that is slow or full is
+relieved instead (load_relief.py): ejecting it would overload the others. The wait of an ejection
+doubles each time that the endpoint fails again soon.
 """
 
 from math import log
@@ -72,7 +72,7 @@
 
     def evaluate(self, ready: list[EndpointState], peers: PeerMedians) -> None:
         """Eject or relieve what stands out among the ready endpoints."""
-        failed_checks = failed_checks_to_convict(ready)
+        failed_checks = failed_checks_to_eject(ready)
         for endpoint in [endpoint for endpoint in ready if endpoint.usable]:
             if self._is_silent(endpoint, peers, failed_checks):
                 self.eject(endpoint, ready, by_checks=True)
@@ -83,7 +83,7 @@
         """Whether it has stopped answering: checks and reports must both say so.
 
         Reports cover seconds and the successes in them may be older: peers that have capacity don't
-        wait for silence. Where proxies report no attempts checks convict alone.
+        wait for silence. Where proxies report no attempts, checks alone suffice.
         """
         if endpoint.failed_checks < failed_checks:
             return False
@@ -166,7 +166,7 @@
     return endpoint.errors / max(LEAST_COUNT, endpoint.attempts)
 
 
-def failed_checks_to_convict(ready: list[EndpointState]) -> float:
+def failed_checks_to_eject(ready: list[EndpointState]) -> float:
     """Failed checks in a row that are more than chance.
 
     A deep check times out at a busy endpoint: more must fail in a row than chance brings at the
--- a/peatlead/planner/planner.py
+++ b/peatlead/planner/planner.py
@@ -42,7 +42,7 @@
 from .table_assignment import TableAssignment
 from .table_changes import TableChanges
 from .table_writer import TableWriter
-from .timers import CONTINUE_TIMER, TICK, TICK_TIMER
+from .timers import CONTINUE_TIMER, TICK_INTERVAL, TICK_TIMER
 from .withdrawals import Withdrawals
 from .zone_capacity import ZoneCapacity
 from .zone_paths import ZonePaths
@@ -131,7 +131,7 @@
         self.context.begin(now)
         self.budget.backlog.advance(now)
         if self.class_admission.admissions is None:
-            self.commands.append(interface.SetTimer(TICK_TIMER, TICK))
+            self.commands.append(interface.SetTimer(TICK_TIMER, TICK_INTERVAL))
             self.publish_admissions()
         for event in events:
             handler = self.handlers.get(type(event))
@@ -174,7 +174,7 @@
         """A tick, unless the timer only continues what one batch was too short for."""
         if event.token == CONTINUE_TIMER:
             return
-        self.commands.append(interface.SetTimer(TICK_TIMER, TICK))
+        self.commands.append(interface.SetTimer(TICK_TIMER, TICK_INTERVAL))
         self.endpoint_updates.watch_if_due()
         if self.reports.is_complete():
             self.end_round()
--- a/peatlead/planner/shuffle_sharding.py
+++ b/peatlead/planner/shuffle_sharding.py
@@ -72,15 +72,15 @@
         unplanned = 0.0 if parts else 1.0
         targets = {zone: parts.get(zone, unplanned) * len(pool) for zone, pool in zones.items()}
         expected = self.context.proxies_expected
-        most = {zone: ceil(COVERAGE * len(pool) / expected) for zone, pool in zones.items()}
+        limits = {zone: ceil(COVERAGE * len(pool) / expected) for zone, pool in zones.items()}
         total = max(TINY, fsum(targets.values()))
         densest = max([TINY, *[targets[zone] / len(zones[zone]) for zone in zones]])
-        size = min(fsum(most.values()), total / densest)
+        size = min(fsum(limits.values()), total / densest)
         # Proxies that pick the less loaded of two need no large part of their own zone.
         capped = self.context.settings.get("pick") == PICK_LESS_LOADED
         chosen = {}
         for zone, pool in zones.items():
-            limit = most[zone] if capped else len(pool)
+            limit = limits[zone] if capped else len(pool)
             count = max(LEAST_A_ZONE, min(round(size * targets[zone] / total), limit))
             chosen[zone] = self._ranked(proxy, group, zone, pool, count)
         return Shard(chosen, zones)
--- a/peatlead/planner/table_changes.py
+++ b/peatlead/planner/table_changes.py
@@ -1,7 +1,7 @@
 """Which tables may differ from what their proxies hold.
 
-Change counts tell whether anything that a table was drawn from has changed since; a table that
-nothing changed for is not computed again. The flags tell the writers of tables whether they have
+Change counts show whether anything that a table was drawn from has changed since; a table that
+nothing changed for is not computed again. The flags show the writers of tables whether they have
 anything to do.
 """
 
--- a/peatlead/planner/withdrawals.py
+++ b/peatlead/planner/withdrawals.py
@@ -91,11 +91,11 @@
         grace = context.settings["drain_grace"]
         self.retry_at = context.now + grace / RETRIES_PER_GRACE if unnotified else 0.0
         overhead = context.settings["message_head"]
-        in_all = 0.0
+        total = 0.0
         for proxy in unnotified:
             endpoints = self._likely_in_previous_table(proxy) - proxy.notified
-            in_all += len(endpoints) + overhead + 1
-            if not self.budget.has_room_for_withdrawals(in_all, len(endpoints) + overhead + 1):
+            total += len(endpoints) + overhead + 1
+            if not self.budget.has_room_for_withdrawals(total, len(endpoints) + overhead + 1):
                 break  # their tables come first
             proxy.notified_count = self.count
             proxy.notified |= endpoints
--- a/tests/planner/test_outlier_detection.py
+++ b/tests/planner/test_outlier_detection.py
@@ -1,7 +1,7 @@
 import unittest
 
 from peatlead import interface
-from peatlead.planner.outlier_detection import failed_checks_to_convict
+from peatlead.planner.outlier_detection import failed_checks_to_eject
 from tests.helpers import make_planner, report_round
 
 
@@ -65,7 +65,7 @@
         for rate in (0.0, 0.1, 0.5, 0.8, 1.0):
             for endpoint in ready:
                 endpoint.check_failure_rate = rate
-            needed.append(failed_checks_to_convict(ready))
+            needed.append(failed_checks_to_eject(ready))
         self.assertEqual(needed[:2], [3.0, 3.0])
         self.assertAlmostEqual(needed[2], 9.97, 2)
         self.assertAlmostEqual(needed[3], 30.96, 2)
