--- a/tests/planner/test_planner_at_scale.py
+++ b/tests/planner/test_planner_at_scale.py
@@ -4,7 +4,7 @@
 from unittest import mock
 
 from peatlead import interface
-from peatlead.benchmarks.scale import Paced
+from peatlead.benchmarks.paced_runs import PacedRun
 from peatlead.planner import planner as planner_module
 from peatlead.planner.health_checks import MAX_CHECKS_PER_SECOND
 from peatlead.planner.planner import Planner
@@ -231,7 +231,7 @@
         )
 
     def test_replacing_nearly_all_endpoints_within_half_a_minute_keeps_the_rules(self):
-        run = Paced(planner_module, 60, 200, channel=2800.0)
+        run = PacedRun(planner_module, 60, 200, channel_rate=2800.0)
         run.join()
         run.ticks(100)
         run.channel.deepest = 0.0
