--- a/peatlead/benchmarks/dns_fuzz.py
+++ b/peatlead/benchmarks/dns_fuzz.py
@@ -1,6 +1,6 @@
-"""Mutated DNS queries without end: no exception, and no answer longer than its transport bears.
+"""Mutated DNS queries: no exception, and no answer longer than its transport allows.
 
-`python -m peatlead.benchmarks.dns_fuzz [MANY] [SEED]`
+`python -m peatlead.benchmarks.dns_fuzz [QUERIES] [SEED]`
 """
 
 import json
@@ -8,12 +8,24 @@
 import sys
 import time
 from collections import Counter
+from collections.abc import Sequence
+from typing import Any, NamedTuple
 
 import dns.edns
 import dns.message
 
 from .dns_speed import build
 
+VIEWS = 60
+ENDPOINTS = 40
+TCP_FRACTION = 0.3  # of the queries
+MAX_TCP = 65535  # bytes
+MAX_EDNS = 1232  # bytes over UDP
+MAX_PLAIN_UDP = 512  # bytes, RFC 1035 section 4.2.1
+OPT_RECORD = b"\x00\x00\x29"  # root name and type of the EDNS record (RFC 6891)
+COUNTS_OFFSET = 4  # of the header's section counts
+COUNTS_SIZE = 8  # bytes
+PEERS = ("127.100.0.9", "10.0.0.1", "2001:db8::1", "::ffff:127.100.1.1")
 NAMES = (
     "api.example.org",
     "_http._tcp.api.example.org",
@@ -25,83 +37,110 @@
     ".",
     "a" * 63 + ".example.org",
 )
-KINDS = ("A", "AAAA", "SRV", "SOA", "NS", "ANY", "AXFR", "IXFR", "MX", "TXT", "OPT")
-
-
-def seeds():
-    made = []
-    for name in NAMES:
-        for kind in KINDS:
-            for edns, options in (
-                (False, None),
-                (0, None),
-                (0, [dns.edns.ECSOption("127.100.3.0", 24)]),
-                (0, [dns.edns.ECSOption("2001:db8::", 56)]),
-                (1, None),
-            ):
-                made.append(
-                    dns.message.make_query(name, kind, use_edns=edns, options=options).to_wire()
-                )
-    return made
-
-
-def mutate(data, draw, others):
-    """Bits flipped, bytes set, cut, doubled, spliced with another query, lengths and pointers made wild."""
-    data = bytearray(data)
-    for _ in range(draw.choice((0, 1, 1, 2, 4, 8))):
-        how = draw.randrange(7)
-        at = draw.randrange(len(data)) if data else 0
-        if how == 0 and data:
-            data[at] ^= 1 << draw.randrange(8)
-        elif how == 1 and data:
-            data[at] = draw.choice((0, 1, 63, 64, 0xC0, 0xFF, draw.randrange(256)))
-        elif how == 2:
-            del data[at:]
-        elif how == 3:
-            data[at:at] = data[at : at + draw.randrange(64)]
-        elif how == 4:
-            data[at:] = draw.choice(others)[at:]
-        elif how == 5 and len(data) > 12:
-            data[4 + draw.randrange(8)] = draw.randrange(256)  # the counts
-        elif how == 6:
-            data += bytes(draw.randrange(256) for _ in range(draw.randrange(40)))
+TYPES = ("A", "AAAA", "SRV", "SOA", "NS", "ANY", "AXFR", "IXFR", "MX", "TXT", "OPT")
+
+
+class Edns(NamedTuple):
+    """The EDNS version of a query (False: none) and its options."""
+
+    version: Any
+    options: Any
+
+
+EDNS = (
+    Edns(False, None),
+    Edns(0, None),
+    Edns(0, [dns.edns.ECSOption("127.100.3.0", 24)]),
+    Edns(0, [dns.edns.ECSOption("2001:db8::", 56)]),
+    Edns(1, None),
+)
+
+
+def valid_queries() -> list[bytes]:
+    """Return well-formed queries of all names, types and EDNS variants."""
+    return [
+        dns.message.make_query(
+            name, record_type, use_edns=edns.version, options=edns.options
+        ).to_wire()
+        for name in NAMES
+        for record_type in TYPES
+        for edns in EDNS
+    ]
+
+
+def mutate(query: bytes, rng: random.Random, others: Sequence[bytes]) -> bytes:
+    """Return a query after up to eight mutations."""
+    data = bytearray(query)
+    for _ in range(rng.choice((0, 1, 1, 2, 4, 8))):
+        mutate_once(data, rng, others)
     return bytes(data)
 
 
-def fuzz(many, seed):
-    """Counts of what came of `many` queries. An exception or an overlong answer ends it with an error."""
-    _, answers, _, _ = build(60, 40, seed)
-    draw, made, found, longest = random.Random(seed), seeds(), Counter(), 0
-    peers = ["127.100.0.9", "10.0.0.1", "2001:db8::1", "::ffff:127.100.1.1"]
-    for at in range(many):
-        data, tcp = mutate(draw.choice(made), draw, made), draw.random() < 0.3
+def mutate_once(data: bytearray, rng: random.Random, others: Sequence[bytes]) -> None:
+    """Flip a bit, set a byte, cut, double, splice with another query, set a count or append."""
+    mutation = rng.randrange(7)
+    offset = rng.randrange(len(data)) if data else 0
+    if mutation == 0 and data:
+        data[offset] ^= 1 << rng.randrange(8)
+    elif mutation == 1 and data:
+        data[offset] = rng.choice((0, 1, 63, 64, 0xC0, 0xFF, rng.randrange(256)))
+    elif mutation == 2:
+        del data[offset:]
+    elif mutation == 3:
+        data[offset:offset] = data[offset : offset + rng.randrange(64)]
+    elif mutation == 4:
+        data[offset:] = rng.choice(others)[offset:]
+    elif mutation == 5 and len(data) > COUNTS_OFFSET + COUNTS_SIZE:
+        data[COUNTS_OFFSET + rng.randrange(COUNTS_SIZE)] = rng.randrange(256)
+    elif mutation == 6:
+        data += bytes(rng.randrange(256) for _ in range(rng.randrange(40)))
+
+
+def max_answer(query: bytes, tcp: bool) -> int:
+    """Return how many bytes an answer to a query may have."""
+    if tcp:
+        return MAX_TCP
+    return MAX_EDNS if OPT_RECORD in query[12:] else MAX_PLAIN_UDP
+
+
+def fuzz(queries: int, seed: int) -> dict[str, Any]:
+    """Answer mutated queries and count the outcomes.
+
+    Any exception of the code under test passes through, after its query has been printed. Raises
+    AssertionError for an answer that is too long or has another message ID.
+    """
+    _, answers, _, _ = build(VIEWS, ENDPOINTS, seed)
+    rng = random.Random(seed)
+    valid = valid_queries()
+    outcomes: Counter[str] = Counter()
+    longest = 0
+    for index in range(queries):
+        query = mutate(rng.choice(valid), rng, valid)
+        tcp = rng.random() < TCP_FRACTION
         try:
-            answer = answers.respond(data, draw.choice(peers), tcp)
+            answer = answers.respond(query, rng.choice(PEERS), tcp)
         except Exception:
-            print(f"query {at} of seed {seed}: {data.hex()}", file=sys.stderr)
+            print(f"query {index} of seed {seed}: {query.hex()}", file=sys.stderr)
             raise
         if answer is None:
-            found["no answer"] += 1
+            outcomes["no answer"] += 1
             continue
-        limit = 65535 if tcp else 1232 if b"\x00\x00\x29" in data[12:] else 512
-        if len(answer) > limit or answer[:2] != data[:2]:
-            raise AssertionError(f"query {at} of seed {seed}: {len(answer)} bytes for {data.hex()}")
+        if len(answer) > max_answer(query, tcp) or answer[:2] != query[:2]:
+            size = len(answer)
+            raise AssertionError(f"query {index} of seed {seed}: {size} bytes for {query.hex()}")
         longest = max(longest, len(answer))
-        found[f"code {answer[3] & 15}"] += 1
-    return {
-        "queries": many,
-        "seed": seed,
-        "longest answer": longest,
-        **found,
-        "prepared": answers.prepared,
-    }
-
-
-def main():
-    many, seed = (int(one) for one in [*sys.argv[1:], *("100000", "1")[len(sys.argv) - 1 :]])
+        outcomes[f"code {answer[3] & 15}"] += 1
+    totals = {"queries": queries, "seed": seed, "longest answer": longest}
+    return {**totals, **outcomes, "prepared": answers.prepared}
+
+
+def main() -> None:
+    """Fuzz as the command line says and print the counts."""
+    queries = int(sys.argv[1]) if len(sys.argv) > 1 else 100_000
+    seed = int(sys.argv[2]) if len(sys.argv) > 2 else 1
     start = time.perf_counter()
-    found = fuzz(many, seed)
-    print(json.dumps({**found, "seconds": round(time.perf_counter() - start, 1)}))
+    outcomes = fuzz(queries, seed)
+    print(json.dumps({**outcomes, "seconds": round(time.perf_counter() - start, 1)}))
 
 
 if __name__ == "__main__":
--- a/peatlead/benchmarks/encoding.py
+++ b/peatlead/benchmarks/encoding.py
@@ -1,7 +1,11 @@
-"""Assignments from parts encoded once against protobuf's own way: `python -m peatlead.benchmarks.encoding`"""
+"""Assignments from cached parts against protobuf's own serialization.
+
+`python -m peatlead.benchmarks.encoding` prints microseconds of CPU time a table.
+"""
 
 import json
 import time
+from collections.abc import Sequence
 from random import Random
 
 from envoy.config.endpoint.v3 import endpoint_pb2
@@ -9,49 +13,56 @@
 from ..grpc.resources import WeightedEndpoint, encode_assignment
 from ..tables.version import MILLION, quantize_weight
 
+ENDPOINTS = 1000
+TABLES = 3000
+TABLE_ENTRIES = 9
+ADMITTED_FRACTION = 0.9
+ROUNDS = 6
+
 
-def write_whole(kind, lines, level):
-    """The plain way: all of it by protobuf, each time."""
-    made = endpoint_pb2.ClusterLoadAssignment(cluster_name=kind)
-    for zone in sorted({line.zone for line in lines}):
-        group = made.endpoints.add()
-        group.locality.SetInParent()
-        group.locality.zone = zone
+def write_whole(
+    request_class: str, entries: Sequence[WeightedEndpoint], admitted_fraction: float
+) -> bytes:
+    """Serialize an assignment by protobuf alone; the reference for `encode_assignment`."""
+    assignment = endpoint_pb2.ClusterLoadAssignment(cluster_name=request_class)
+    for zone in sorted({entry.zone for entry in entries}):
+        locality = assignment.endpoints.add()
+        locality.locality.SetInParent()
+        locality.locality.zone = zone
         total = 0
-        for line in sorted(line for line in lines if line.zone == zone):
-            one = group.lb_endpoints.add()
-            one.endpoint.address.socket_address.address = line.address
-            one.endpoint.address.socket_address.port_value = line.port
-            one.load_balancing_weight.value = quantize_weight(line.weight)
-            total += one.load_balancing_weight.value
-        group.load_balancing_weight.value = total
-    if level < 1:
-        drop = made.policy.drop_overloads.add(category="level")
-        drop.drop_percentage.numerator = round((1 - level) * MILLION)
+        for entry in sorted(entry for entry in entries if entry.zone == zone):
+            endpoint = locality.lb_endpoints.add()
+            endpoint.endpoint.address.socket_address.address = entry.address
+            endpoint.endpoint.address.socket_address.port_value = entry.port
+            endpoint.load_balancing_weight.value = quantize_weight(entry.weight)
+            total += endpoint.load_balancing_weight.value
+        locality.load_balancing_weight.value = total
+    if admitted_fraction < 1:
+        drop = assignment.policy.drop_overloads.add(category="level")
+        drop.drop_percentage.numerator = round((1 - admitted_fraction) * MILLION)
         drop.drop_percentage.denominator = 2  # MILLION
-    return made.SerializeToString(deterministic=True)
+    serialized: bytes = assignment.SerializeToString(deterministic=True)
+    return serialized
 
 
-def main():
-    chance = Random(1)
-    hosts = [
-        WeightedEndpoint(f"10.0.{at // 250}.{at % 250}", 80, "abc"[at % 3], 1.0)
-        for at in range(1000)
+def main() -> None:
+    """Print the best round of each way, and their ratio."""
+    rng = Random(1)
+    endpoints = [
+        WeightedEndpoint(f"10.0.{number // 250}.{number % 250}", 80, "abc"[number % 3], 1.0)
+        for number in range(ENDPOINTS)
     ]
-    tables = [chance.sample(hosts, 9) for _ in range(3000)]
-    spent = {}
-    for _ in range(6):  # turn by turn: the machine's moods strike both
+    tables = [rng.sample(endpoints, TABLE_ENTRIES) for _ in range(TABLES)]
+    spent: dict[str, list[float]] = {"plain": [], "parts": []}
+    for _ in range(ROUNDS):  # in turn, so that the machine's other load affects both
         for name, write in (("plain", write_whole), ("parts", encode_assignment)):
             start = time.process_time()
             for table in tables:
-                write("look", table, 0.9)
-            spent.setdefault(name, []).append((time.process_time() - start) / len(tables) * 1e6)
-    best = {name: round(min(found), 1) for name, found in spent.items()}
-    print(
-        json.dumps(
-            {"us a table of 9 lines": best, "ratio": round(best["plain"] / best["parts"], 2)}
-        )
-    )
+                write("look", table, ADMITTED_FRACTION)
+            spent[name].append((time.process_time() - start) / TABLES * 1e6)
+    best = {name: round(min(rounds), 1) for name, rounds in spent.items()}
+    ratio = round(best["plain"] / best["parts"], 2)
+    print(json.dumps({"us a table of 9 lines": best, "ratio": ratio}))
 
 
 if __name__ == "__main__":
--- a/peatlead/benchmarks/members.py
+++ b/peatlead/benchmarks/members.py
@@ -1,61 +1,85 @@
-"""Membership at 3, 10 and 50 controllers, by the machines alone: `python -m peatlead.benchmarks.members`.
+"""Membership at 3, 10 and 50 controllers, without sockets: `python -m peatlead.benchmarks.members`.
 
-Seconds until all know all, until all know of a death, and what each member sends and costs meanwhile.
+Measures how long it takes until all members know all, and until all know of a death, and what each
+member sends and costs meanwhile, on the lab's simulated network.
 """
 
 import json
 import time
+from collections.abc import Callable
+from typing import NamedTuple
 
 from ..lab.members import Net
 
+SIZES = (3, 10, 50)
+SEEDS = 9
+STEADY = 20.0  # simulated seconds without a change
+POLL = 0.05  # simulated seconds
+TIMEOUT = 60.0  # simulated seconds
 
-def until(net, true, most=60.0):
+
+class Figures(NamedTuple):
+    """What one run measured; rates are by second and member."""
+
+    joined: float  # seconds until all knew all
+    death_known: float  # seconds until all knew of a death
+    rejoined: float  # seconds until the restarted member was known again
+    messages: float
+    size: float  # bytes
+    cpu: float  # seconds, with the simulated network's own
+
+
+def seconds_until(net: Net, reached: Callable[[], bool]) -> float:
+    """Run until a state is reached or the timeout is over; returns the simulated seconds."""
+    start = net.now
+    while not reached() and net.now - start < TIMEOUT:
+        net.run(POLL)
+    return float(round(net.now - start, 2))
+
+
+def measure(size: int, seed: int) -> Figures:
+    """Let members join, run undisturbed, lose one of them and get it back."""
+    net = Net(size, seed)
+    joined = seconds_until(net, lambda: bool(net.agreed(sorted(net.nodes))))
+    messages_before = net.sent
+    bytes_before = net.bytes
     start = net.now
-    while not true() and net.now - start < most:
-        net.run(0.05)
-    return round(net.now - start, 2)
-
-
-def measure(many, seed):
-    net = Net(many, seed)
-    joined = until(net, lambda: net.agreed(sorted(net.nodes)))
-    sent, size, start, cpu = net.sent, net.bytes, net.now, time.process_time()
-    net.run(20.0)
-    cpu = time.process_time() - cpu
-    steady = net.sent - sent, net.bytes - size, net.now - start
+    cpu_before = time.process_time()
+    net.run(STEADY)
+    cpu = time.process_time() - cpu_before
+    messages = net.sent - messages_before
+    sent_bytes = net.bytes - bytes_before
+    seconds = net.now - start
     net.dead.add("n1")
-    died = until(net, lambda: set(net.states("n1").values()) == {"dead"})
+    death_known = seconds_until(net, lambda: set(net.states("n1").values()) == {"dead"})
     net.start("n1")
-    back = until(net, lambda: net.agreed(sorted(net.nodes)))
-    return (
+    rejoined = seconds_until(net, lambda: bool(net.agreed(sorted(net.nodes))))
+    return Figures(
         joined,
-        died,
-        back,
-        steady[0] / steady[2] / many,
-        steady[1] / steady[2] / many,
-        cpu / steady[2] / many,
+        death_known,
+        rejoined,
+        messages / seconds / size,
+        sent_bytes / seconds / size,
+        cpu / seconds / size,
     )
 
 
-def main():
-    for many in (3, 10, 50):
-        found = [measure(many, seed) for seed in range(9)]
-        middle = [sorted(column)[len(column) // 2] for column in zip(*found)]
-        worst = [max(column) for column in zip(*found)]
-        print(
-            json.dumps(
-                {
-                    "members": many,
-                    "all know all, s (median, worst of 9)": [middle[0], worst[0]],
-                    "all know of a death, s": [middle[1], worst[1]],
-                    "known again, s": [middle[2], worst[2]],
-                    "messages a second and member": round(middle[3], 1),
-                    "bytes a second and member": round(middle[4]),
-                    "CPU ms a second and member (with the model's own)": round(middle[5] * 1000, 2),
-                }
-            ),
-            flush=True,
-        )
+def main() -> None:
+    """Print medians and worst values of all seeds, by the number of members."""
+    for size in SIZES:
+        runs = [measure(size, seed) for seed in range(SEEDS)]
+        median = Figures(*(sorted(column)[len(column) // 2] for column in zip(*runs)))
+        worst = Figures(*(max(column) for column in zip(*runs)))
+        row = {
+            "members": size,
+            "all know all, s (median, worst of 9)": [median.joined, worst.joined],
+            "all know of a death, s": [median.death_known, worst.death_known],
+            "known again, s": [median.rejoined, worst.rejoined],
+            "messages a second and member": round(median.messages, 1),
+            "bytes a second and member": round(median.size),
+            "CPU ms a second and member (with the model's own)": round(median.cpu * 1000, 2),
+        }
+        print(json.dumps(row), flush=True)
 
 
 if __name__ == "__main__":
--- a/peatlead/benchmarks/reality.py
+++ b/peatlead/benchmarks/reality.py
@@ -1,50 +1,73 @@
 """The lab against loopback sockets: the same day scripts on both, side by side.
 
-`python -m peatlead.benchmarks.reality FOLDER [WORKERS]`, where FOLDER is what `peatlead kinds --out FOLDER` left.
+`python -m peatlead.benchmarks.reality FOLDER [WORKERS]`, where FOLDER is what
+`peatlead kinds --out FOLDER` left.
 """
 
 import json
 import multiprocessing
 import sys
 from pathlib import Path
+from typing import Any, NamedTuple
 
 from ..lab.day import play_day
 from ..scenario.kinds import BASE, CASES
 from ..scenario.script import load_day
 
+HEADER = (
+    "| trouble | sockets | lab | less | rules 1 to 5, sockets | lab |\n"
+    "| --- | --- | --- | --- | --- | --- |"
+)
 
-def one(name):
-    made = load_day(name, BASE + CASES[name])
-    played = play_day(made, made["day"]["seed"])
-    return (
+
+class LabResult(NamedTuple):
+    """What one case gave in the lab."""
+
+    name: str
+    service: float  # part of the possible value that was served
+    nearest: list[float]  # how near each rule came to its limit
+    broken_rules: Any  # empty where none was broken
+
+
+def play_case(name: str) -> LabResult:
+    """Play a case's day in the lab."""
+    day = load_day(name, BASE + CASES[name])
+    played = play_day(day, day["day"]["seed"])
+    return LabResult(
         name,
         played.report.service["whole"]["part"],
-        [f.nearest for f in played.report.findings],
+        [finding.nearest for finding in played.report.findings],
         played.finds,
     )
 
 
-def main():
-    folder, workers = Path(sys.argv[1]), int(sys.argv[2]) if len(sys.argv) > 2 else None
-    print(
-        "| trouble | sockets | lab | less | rules 1 to 5, sockets | lab |\n| --- | --- | --- | --- | --- | --- |"
+def report_path(folder: Path, name: str) -> Path:
+    """Return where `peatlead kinds` wrote the report of a case."""
+    return folder / name.replace(" ", "-").replace(",", "") / "shards" / "report.json"
+
+
+def format_row(report: dict[str, Any], lab: LabResult) -> str:
+    """Return a case's line of the table, from the report on sockets and the lab's result."""
+    service = report["service"]["whole"]["part"]
+    on_sockets = ", ".join(f"{rule['nearest']:.2f}" for rule in report["rules"].values())
+    in_lab = ", ".join(f"{nearest:.2f}" for nearest in lab.nearest)
+    mark = " !" if lab.broken_rules else ""
+    return (
+        f"| {lab.name} | {service:.3f} | {lab.service:.3f} | {lab.service - service:+.3f} | "
+        f"{on_sockets} | {in_lab}{mark} |"
     )
+
+
+def main() -> None:
+    """Print one line for each case that has a report."""
+    folder = Path(sys.argv[1])
+    workers = int(sys.argv[2]) if len(sys.argv) > 2 else None
+    print(HEADER)
     with multiprocessing.get_context("spawn").Pool(workers) as pool:
-        for name, service, nearest, finds in pool.imap(one, CASES):
-            path = folder / name.replace(" ", "-").replace(",", "") / "shards" / "report.json"
-            if not path.exists():
-                continue
-            real = json.loads(path.read_text())
-            whole = real["service"]["whole"]["part"]
-            print(
-                f"| {name} | {whole:.3f} | {service:.3f} | {service - whole:+.3f} | "
-                + ", ".join(f"{r['nearest']:.2f}" for r in real["rules"].values())
-                + " | "
-                + ", ".join(f"{n:.2f}" for n in nearest)
-                + (" !" if finds else "")
-                + " |",
-                flush=True,
-            )
+        for lab in pool.imap(play_case, CASES):
+            path = report_path(folder, lab.name)
+            if path.exists():
+                print(format_row(json.loads(path.read_text()), lab), flush=True)
 
 
 if __name__ == "__main__":
--- a/peatlead/benchmarks/versions.py
+++ b/peatlead/benchmarks/versions.py
@@ -1,7 +1,8 @@
-"""Whether the lab gives one digest a seed in every Python: `python -m peatlead.benchmarks.versions SEEDS PYTHON...`
+"""Whether the lab gives one digest a seed in every Python.
 
-Each PYTHON is an interpreter that has peatlead installed; each seed is played there twice, under two hash seeds.
-Ends with 1 where two digests differ.
+`python -m peatlead.benchmarks.versions SEEDS PYTHON...`: each PYTHON is an interpreter that has
+peatlead installed, this one where none is given. Each seed is played there twice, under two hash
+seeds. Exits with 1 where two digests differ.
 """
 
 import json
@@ -9,7 +10,11 @@
 import subprocess
 import sys
 from concurrent.futures import ThreadPoolExecutor
+from typing import NamedTuple
 
+SCENARIO_KINDS = ("fleet", "dns")
+HASH_SEEDS = (1, 2)
+WORKERS = 4
 PLAY = """
 import sys
 from peatlead.lab.day import play_day
@@ -20,46 +25,63 @@
 """
 
 
-def digests(python, kind, first, last, hash_seed):
-    made = subprocess.run(
-        [python, "-c", PLAY, kind, str(first), str(last)],
+class Job(NamedTuple):
+    """All seeds of one kind of scenario in one interpreter."""
+
+    python: str
+    kind: str
+    seeds: int
+    hash_seed: int
+
+
+def digests(job: Job) -> list[str]:
+    """Play a job's seeds in a child process; returns their digests in the order of the seeds."""
+    child = subprocess.run(
+        [job.python, "-c", PLAY, job.kind, "0", str(job.seeds)],
         capture_output=True,
         text=True,
         check=True,
-        env={**os.environ, "PYTHONHASHSEED": str(hash_seed)},
+        env={**os.environ, "PYTHONHASHSEED": str(job.hash_seed)},
     )
-    return made.stdout.split()
+    return child.stdout.split()
+
+
+def python_version(python: str) -> str:
+    """Return what an interpreter prints as its version."""
+    child = subprocess.run([python, "--version"], capture_output=True, text=True, check=False)
+    return child.stdout.strip()
 
 
-def main():
-    seeds, pythons = int(sys.argv[1]), sys.argv[2:] or [sys.executable]
+def count_differing(played: dict[Job, list[str]]) -> int:
+    """Count the seeds whose digests differ between jobs."""
+    differing = 0
+    for kind in SCENARIO_KINDS:
+        lists = [found for job, found in played.items() if job.kind == kind]
+        differing += sum(len(set(same_seed)) > 1 for same_seed in zip(*lists))
+    return differing
+
+
+def main() -> None:
+    """Play all jobs and print how many seeds differ."""
+    seeds = int(sys.argv[1])
+    pythons = sys.argv[2:] or [sys.executable]
     jobs = [
-        (python, kind, 0, seeds, hash_seed)
+        Job(python, kind, seeds, hash_seed)
         for python in pythons
-        for kind in ("fleet", "dns")
-        for hash_seed in (1, 2)
+        for kind in SCENARIO_KINDS
+        for hash_seed in HASH_SEEDS
     ]
-    with ThreadPoolExecutor(4) as pool:
-        found = dict(zip(jobs, pool.map(lambda job: digests(*job), jobs)))
-    differ = 0
-    for kind in ("fleet", "dns"):
-        lists = [made for job, made in found.items() if job[1] == kind]
-        differ += sum(len(set(one)) > 1 for one in zip(*lists))
-    names = [
-        subprocess.run([python, "--version"], capture_output=True, text=True).stdout.strip()
-        for python in pythons
-    ]
-    print(
-        json.dumps(
-            {
-                "pythons": names,
-                "seeds": 2 * seeds,
-                "plays of each": 2 * len(pythons),
-                "differ": differ,
-            }
-        )
-    )
-    sys.exit(1 if differ else 0)
+    with ThreadPoolExecutor(WORKERS) as pool:
+        played = dict(zip(jobs, pool.map(digests, jobs)))
+    differing = count_differing(played)
+    row = {
+        "pythons": [python_version(python) for python in pythons],
+        "seeds": len(SCENARIO_KINDS) * seeds,
+        "plays of each": len(HASH_SEEDS) * len(pythons),
+        "differ": differing,
+    }
+    print(json.dumps(row))
+    sys.exit(1 if differing else 0)
 
 
 if __name__ == "__main__":
--- a/peatlead/benchmarks/wheel.py
+++ b/peatlead/benchmarks/wheel.py
@@ -3,43 +3,46 @@
 import json
 import random
 import time
+from typing import Union
 
 from ..lab.timer_wheel import HeapTimers, WheelTimers
 
+PAIRS = 100_000  # pushes and pops of one measurement
+SEEDS = 5
+STANDING = (100, 10_000, 100_000)  # timers
+# Seconds that timers of a simulated day are ahead: most are near.
+AHEAD = (0.0002, 0.001, 0.001, 0.1, 1.0, 5.0, 60.0)
 
-def work(made, held, many, seed):
-    """Seconds for `many` pushes and pops with `held` timers standing, as a day has them: most near, few far."""
-    draw = random.Random(seed)
-    aheads = [
-        draw.choice((0.0002, 0.001, 0.001, 0.1, 1.0, 5.0, 60.0)) * draw.random()
-        for _ in range(many + held)
-    ]
+Timers = Union[HeapTimers, WheelTimers]
+
+
+def measure(timers: Timers, standing: int, pairs: int, seed: int) -> float:
+    """Return the seconds that pairs of a push and a pop take while `standing` timers wait."""
+    rng = random.Random(seed)
+    ahead = [rng.choice(AHEAD) * rng.random() for _ in range(pairs + standing)]
     now = 0.0
-    for ahead in aheads[:held]:
-        made.push(ahead, None)
+    for delay in ahead[:standing]:
+        timers.push(delay, None)
     start = time.perf_counter()
-    for ahead in aheads[held:]:
-        made.push(now + ahead, None)
-        now = made.pop()[0]
+    for delay in ahead[standing:]:
+        timers.push(now + delay, None)
+        now = timers.pop()[0]
     return time.perf_counter() - start
 
 
-def main():
-    for held in (100, 10_000, 100_000):
-        seconds = {"heap": [], "wheel": []}
-        for seed in range(5):
-            for name, kind in (("heap", HeapTimers), ("wheel", WheelTimers)):
-                seconds[name].append(work(kind(), held, 100_000, seed))
-        best = {name: min(one) for name, one in seconds.items()}
-        print(
-            json.dumps(
-                {
-                    "standing": held,
-                    **{f"{name} us a pair": round(one * 10, 2) for name, one in best.items()},
-                    "wheel / heap": round(best["wheel"] / best["heap"], 2),
-                }
-            )
-        )
+def main() -> None:
+    """Print the best time of each structure, by the number of standing timers."""
+    for standing in STANDING:
+        seconds: dict[str, list[float]] = {"heap": [], "wheel": []}
+        for seed in range(SEEDS):  # in turn, so that the machine's other load affects both
+            seconds["heap"].append(measure(HeapTimers(), standing, PAIRS, seed))
+            seconds["wheel"].append(measure(WheelTimers(), standing, PAIRS, seed))
+        best = {name: min(values) for name, values in seconds.items()}
+        row: dict[str, float] = {"standing": standing}
+        for name, value in best.items():
+            row[f"{name} us a pair"] = round(value * 1e6 / PAIRS, 2)
+        row["wheel / heap"] = round(best["wheel"] / best["heap"], 2)
+        print(json.dumps(row))
 
 
 if __name__ == "__main__":
