--- a/peatlead/benchmarks/grpc_fuzz.py
+++ b/peatlead/benchmarks/grpc_fuzz.py
@@ -1,7 +1,8 @@
-"""Drawn and changed input against the gRPC front: `python -m peatlead.benchmarks.grpc_fuzz SECONDS [SEED]`
+"""Random and mutated input against the gRPC server.
 
-HTTP/2 bytes into a server's side without sockets, and protobuf bytes into the readers of what proxies send. Any
-exception but those that are a reader's word ends it with the input; memory is told at the start and the end.
+`python -m peatlead.benchmarks.grpc_fuzz SECONDS [SEED]` feeds HTTP/2 bytes into a server's side
+without sockets, and protobuf bytes into the decoders of what proxies send. Any exception but those
+by which a decoder refuses its input ends the run. Peak memory is printed, and how much it grew.
 """
 
 import asyncio
@@ -9,7 +10,9 @@
 import resource
 import sys
 import time
+from collections.abc import Callable
 from random import Random
+from typing import Any, NamedTuple
 
 import h2.config
 import h2.connection
@@ -17,6 +20,7 @@
 from envoy.service.load_stats.v3 import lrs_pb2
 from google.protobuf.message import DecodeError
 
+from ..grpc.call import Call
 from ..grpc.framing import frame
 from ..grpc.http2 import Connection
 from ..grpc.incremental import decode_initial_versions
@@ -26,123 +30,177 @@
 from ..grpc.server import DELTA, DISCOVERY, LOADS, read_node
 from ..net.in_memory_transport import InMemoryTransport
 
+WARM_UP = 2000  # inputs after which memory is expected to stay level
+CHUNK_SIZES = (1, 9, 100, 65536)  # bytes received at once
+HELD_ENTRY = "10.0.0.1|80|a|1.0"
+HELD_RESOURCE = "xdstp://peatlead/envoy.config.endpoint.v3.LbEndpoint/look/a/10.0.0.1:80"
 
-def whole_reports():
+
+class Requests(NamedTuple):
+    """Well-formed first messages of a proxy's three streams, serialized."""
+
+    report: bytes
+    join: bytes
+    incremental_join: bytes
+
+
+def load_report() -> bytes:
+    """Return a load report with all that the server reads."""
     request = lrs_pb2.LoadStatsRequest()
     request.node.id = "agent1"
     cluster = request.cluster_stats.add(cluster_name="look", total_dropped_requests=3)
     cluster.load_report_interval.FromMilliseconds(1000)
-    one = cluster.upstream_locality_stats.add().upstream_endpoint_stats.add(
-        total_successful_requests=5
-    )
-    one.address.socket_address.address, one.address.socket_address.port_value = "10.0.0.1", 80
-    one.load_metric_stats.add(
+    locality = cluster.upstream_locality_stats.add()
+    endpoint = locality.upstream_endpoint_stats.add(total_successful_requests=5)
+    endpoint.address.socket_address.address = "10.0.0.1"
+    endpoint.address.socket_address.port_value = 80
+    endpoint.load_metric_stats.add(
         metric_name="seconds", num_requests_finished_with_metric=5, total_metric_value=1.0
     )
-    return request.SerializeToString()
-
-
-def whole_joins():
-    plain = discovery_pb2.DiscoveryRequest(type_url=ENDPOINTS, resource_names=["look"])
-    plain.node.id, plain.node.locality.zone = "agent1", "a"
-    plain.node.metadata.fields["epoch"].number_value = 3
-    plain.node.metadata.fields["held"].struct_value.fields[
-        "look"
-    ].list_value.values.add().string_value = "10.0.0.1|80|a|1.0"
-    delta = discovery_pb2.DeltaDiscoveryRequest(
-        type_url=LINES,
-        initial_resource_versions={
-            "xdstp://peatlead/envoy.config.endpoint.v3.LbEndpoint/look/a/10.0.0.1:80": "1000"
-        },
+    serialized: bytes = request.SerializeToString()
+    return serialized
+
+
+def join_request() -> bytes:
+    """Return a proxy's first discovery request, with the table that it holds already."""
+    request = discovery_pb2.DiscoveryRequest(type_url=ENDPOINTS, resource_names=["look"])
+    request.node.id = "agent1"
+    request.node.locality.zone = "a"
+    metadata = request.node.metadata
+    metadata.fields["epoch"].number_value = 3
+    held = metadata.fields["held"].struct_value.fields["look"].list_value
+    held.values.add().string_value = HELD_ENTRY
+    serialized: bytes = request.SerializeToString()
+    return serialized
+
+
+def incremental_join_request() -> bytes:
+    """Return a proxy's first incremental request, with the version that it holds already."""
+    request = discovery_pb2.DeltaDiscoveryRequest(
+        type_url=LINES, initial_resource_versions={HELD_RESOURCE: "1000"}
     )
-    delta.node.id = "agent1"
-    return plain.SerializeToString(), delta.SerializeToString()
-
-
-def changed(chance, data):
-    data = bytearray(data)
-    for _ in range(chance.randrange(1, 9)):
-        at = chance.randrange(len(data) + 1)
-        data[at : at + chance.randrange(4)] = chance.randbytes(chance.randrange(4))
-    return bytes(data)
-
-
-def read(data):
-    """All readers of what a proxy sends."""
-    for make, use in (
-        (
-            lrs_pb2.LoadStatsRequest,
-            lambda said: read_report(said, {"look": 0}, lambda place: 1, 7, 0, LoadAggregator()),
-        ),
-        (discovery_pb2.DiscoveryRequest, read_node),
-        (
-            discovery_pb2.DeltaDiscoveryRequest,
-            lambda said: (read_node(said), decode_initial_versions(said)),
-        ),
-    ):
-        try:
-            use(make.FromString(data))
-        except (DecodeError, ValueError):
-            continue
-    for use in (decode_assignment, decode_routes):
+    request.node.id = "agent1"
+    serialized: bytes = request.SerializeToString()
+    return serialized
+
+
+def mutate(rng: Random, data: bytes) -> bytes:
+    """Return data with up to eight replacements of at most three bytes."""
+    mutated = bytearray(data)
+    for _ in range(rng.randrange(1, 9)):
+        offset = rng.randrange(len(mutated) + 1)
+        mutated[offset : offset + rng.randrange(4)] = rng.randbytes(rng.randrange(4))
+    return bytes(mutated)
+
+
+def decode_report(data: bytes) -> None:
+    """Decode a load report."""
+    request = lrs_pb2.LoadStatsRequest.FromString(data)
+    read_report(request, {"look": 0}, lambda place: 1, 7, 0, LoadAggregator())
+
+
+def decode_join(data: bytes) -> None:
+    """Decode a discovery request."""
+    read_node(discovery_pb2.DiscoveryRequest.FromString(data))
+
+
+def decode_incremental_join(data: bytes) -> None:
+    """Decode an incremental discovery request."""
+    request = discovery_pb2.DeltaDiscoveryRequest.FromString(data)
+    read_node(request)
+    decode_initial_versions(request)
+
+
+DECODERS: tuple[tuple[Callable[[bytes], Any], tuple[type[Exception], ...]], ...] = (
+    (decode_report, (DecodeError, ValueError)),
+    (decode_join, (DecodeError, ValueError)),
+    (decode_incremental_join, (DecodeError, ValueError)),
+    (decode_assignment, (ValueError,)),
+    (decode_routes, (ValueError,)),
+)
+
+
+def decode_all(data: bytes) -> None:
+    """Give data to each decoder, with the exceptions by which that one refuses its input."""
+    for decode, refusals in DECODERS:
         try:
-            use(data)
-        except ValueError:
+            decode(data)
+        except refusals:
             continue
 
 
-def frames(path, message):
+def client_stream(path: str, message: bytes) -> bytes:
+    """Return the bytes of a client that opens a connection and sends one message."""
     client = h2.connection.H2Connection(h2.config.H2Configuration(header_encoding="utf-8"))
     client.initiate_connection()
-    client.send_headers(
-        1,
-        [
-            (":method", "POST"),
-            (":scheme", "http"),
-            (":path", path),
-            (":authority", "x"),
-            ("content-type", "application/grpc"),
-        ],
-    )
+    headers = [
+        (":method", "POST"),
+        (":scheme", "http"),
+        (":path", path),
+        (":authority", "x"),
+        ("content-type", "application/grpc"),
+    ]
+    client.send_headers(1, headers)
     client.send_data(1, frame(message))
-    return client.data_to_send()
-
-
-async def fuzz(seconds, seed):
-    chance, end, played = Random(seed), time.monotonic() + seconds, 0
-    reports, joins = whole_reports(), whole_joins()
-    streams = [frames(*one) for one in ((LOADS, reports), (DISCOVERY, joins[0]), (DELTA, joins[1]))]
-    peak = None
+    sent: bytes = client.data_to_send()
+    return sent
+
+
+def decode_messages(call: Call) -> None:
+    """Accept a call: its messages go to all decoders."""
+    call.message = decode_all
+
+
+def receive(stream: bytes, chunk_size: int) -> None:
+    """Feed a stream into a connection; raises RuntimeError where it leaves calls behind."""
+    connection = Connection(False, decode_messages, ping_every=0.0)
+    transport = InMemoryTransport()
+    connection.connection_made(transport)
+    for start in range(0, len(stream), chunk_size):
+        if transport.is_closing():
+            break
+        connection.received(stream[start : start + chunk_size])
+    connection.connection_lost(None)
+    if connection.calls:
+        raise RuntimeError(f"calls left behind by {stream!r}")
+
+
+def peak_memory() -> int:
+    """Return the largest resident size of this process so far, in KiB."""
+    return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
+
+
+async def fuzz(seconds: float, seed: int) -> dict[str, Any]:
+    """Feed mutated input for a time; returns the counts."""
+    rng = Random(seed)
+    end = time.monotonic() + seconds
+    requests = Requests(load_report(), join_request(), incremental_join_request())
+    streams = [
+        client_stream(path, message) for path, message in zip((LOADS, DISCOVERY, DELTA), requests)
+    ]
+    inputs = 0
+    warm_peak = None
     while time.monotonic() < end:
-        data = changed(chance, chance.choice((reports, *joins)))
-        read(data)
-        made = Connection(False, lambda call: setattr(call, "message", read), ping_every=0.0)
-        made.connection_made(InMemoryTransport())
-        stream = changed(chance, chance.choice(streams))
-        size = chance.choice((1, 9, 100, 65536))
-        for at in range(0, len(stream), size):
-            if made.transport.is_closing():
-                break
-            made.received(stream[at : at + size])
-        made.connection_lost(None)
-        if made.calls:
-            raise RuntimeError(f"calls left behind by {stream!r}")
-        played += 1
-        if played == 2000:
-            peak = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
-    grown = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - (peak or 0)
-    print(
-        json.dumps(
-            {
-                "seconds": seconds,
-                "seed": seed,
-                "inputs": 2 * played,
-                "peak KiB at 2,000": peak,
-                "grown KiB": grown,
-            }
-        )
-    )
+        decode_all(mutate(rng, rng.choice(requests)))
+        stream = mutate(rng, rng.choice(streams))
+        receive(stream, rng.choice(CHUNK_SIZES))
+        inputs += 1
+        if inputs == WARM_UP:
+            warm_peak = peak_memory()
+    return {
+        "seconds": seconds,
+        "seed": seed,
+        "inputs": 2 * inputs,
+        "peak KiB at 2,000": warm_peak,
+        "grown KiB": peak_memory() - (warm_peak or 0),
+    }
+
+
+def main() -> None:
+    """Fuzz as the command line says and print the counts."""
+    seed = int(sys.argv[2]) if len(sys.argv) > 2 else 1
+    print(json.dumps(asyncio.run(fuzz(float(sys.argv[1]), seed))))
 
 
 if __name__ == "__main__":
-    asyncio.run(fuzz(float(sys.argv[1]), int(sys.argv[2]) if len(sys.argv) > 2 else 1))
+    main()
