--- a/peatlead/benchmarks/herd.py
+++ b/peatlead/benchmarks/herd.py
@@ -1,13 +1,17 @@
-"""A whole steward and thousands of streams on loopback: `python -m peatlead.benchmarks.herd PROXIES HOSTS [REPORTS]`
+"""A whole controller and thousands of streams on loopback.
 
-Bare agents in processes of their own join one real steward, take what is published and answer for it. Measured:
-until all are served, memory a proxy; then one host drains that all hold: milliseconds from the list's file to each
-agent (median, 99th, last), bytes a proxy; beside it a bare loop that writes the same bytes to as many streams.
-REPORTS: load reports a second of each agent meanwhile, to see whether withdrawals wait behind them; past what the
-steward can take, what it shed is told. Below 0: of agents that do not slow down when they are told to.
+`python -m peatlead.benchmarks.herd PROXIES HOSTS [REPORTS]`: simulated proxies in processes of
+their own connect to one real controller, take what is published and acknowledge it. Measured: the
+time until all are served, and memory a proxy; then one endpoint that all hold drains: milliseconds
+from the list's file to each proxy (median, 99th percentile, last) and bytes a proxy, beside a bare
+loop that writes the same bytes to as many streams.
+
+REPORTS: load reports a second of each proxy meanwhile, to see whether withdrawals wait behind them;
+what the controller sheds is printed. Below 0: of proxies that do not slow down when asked to.
 """
 
 import asyncio
+import contextlib
 import json
 import multiprocessing
 import os
@@ -16,24 +20,30 @@
 import sys
 import tempfile
 import time
+from collections.abc import Collection
+from multiprocessing.connection import Connection as Pipe
 from pathlib import Path
-
-from envoy.service.discovery.v3 import discovery_pb2
-from envoy.service.load_stats.v3 import lrs_pb2
+from typing import Any, Optional
 
 from ..controller.control_socket import ask_once
-from ..grpc.http2 import dial
-from ..grpc.resources import ENDPOINTS, ROUTES, decode_assignment
-from ..grpc.server import DISCOVERY, LOADS
 from ..net.http import Server
-from ..net.streams import Stream
 from ..scenario.runner import free_port
+from .herd_agents import ZONES, Agent, AgentCommand, run_agents
+from .herd_baseline import measure_baseline, spread
+
+__all__ = ["Agent", "main"]
 
-CLIENTS, ZONES, GO = 4, ("a", "b", "c"), 5.0
-KINDS = ("look", "file")
+CLIENTS = 4  # processes of simulated proxies
+LISTEN = "127.1.0.1"
+START_TIME = 2.5  # seconds for the controller to start
+PERIOD = 5.0  # seconds: before the withdrawal; three of them after it
+STOP_TIMEOUT = 10.0  # seconds for the controller to end
+DRAINED_ADDRESS = "127.10.0.1"  # of endpoint 0
+STATUS_FIELDS = ("slowest_decide", "channel", "burden")
 
 
-def script(port, folder, proxies):
+def settings_text(port: int, folder: str, proxies: int) -> str:
+    """Return the controller's settings; it uses four ports from `port` on."""
     return f"""
 zone(name = "a")
 zone(name = "b")
@@ -47,292 +57,194 @@
 request_kind(name = "look", response_target = 0.5, client_timeout = 1.5, gain = 2, repeat = "replayable")
 request_kind(name = "file", response_target = 0.5, client_timeout = 1.5, gain = 6, repeat = "non-replayable")
 service(label = "api", kinds = ["look", "file"])
-steward(name = "ns1", zone = "a", listen = "127.1.0.1:{port}", control = "127.1.0.1:{port + 1}",
-        grpc = "127.1.0.1:{port + 2}")
-"""
+steward(name = "ns1", zone = "a", listen = "{LISTEN}:{port}", control = "{LISTEN}:{port + 1}",
+        grpc = "{LISTEN}:{port + 2}")
+"""  # noqa: E501 - settings as an operator writes them
 
 
-class Answered(Server):
-    def serve(self, method, path, headers, body):
-        self.answer(200, [], b'{"boot":"b","kinds":["look"],"networks":{}}')
+class HealthyEndpoint(Server):
+    """Answers every health check."""
 
+    def serve(self, method: str, path: str, headers: dict[str, str], body: bytes) -> None:
+        """Answer as a ready endpoint."""
+        self.answer(200, [], b'{"boot":"b","kinds":["look"],"networks":{}}')
 
-class Agent:
-    """One stream: takes all, acknowledges all; `seen` holds when each of its answers came and whom it named."""
 
-    def __init__(self, at, controller):
-        self.at, self.controller, self.seen, self.size, self.hosts = at, controller, [], 0, set()
-        self.named = {}
+def answer_health_checks(port: int) -> None:
+    """Answer the health checks of all endpoints, in a process of its own."""
 
-    async def begin(self):
-        self.connection = await dial(
-            self.controller, f"127.{60 + self.at // 250}.{self.at % 250}.1", 30.0, ping_every=0.0
-        )
-        self.call = self.connection.call(DISCOVERY, "peatlead")
-        self.call.message = self.take
-        for type_url in (ENDPOINTS, ROUTES):
-            request = discovery_pb2.DiscoveryRequest(type_url=type_url)
-            request.node.id, request.node.locality.zone = f"agent{self.at}", ZONES[self.at % 3]
-            self.call.send(request.SerializeToString())
-
-    def take(self, data):
-        now = time.monotonic()
-        response = discovery_pb2.DiscoveryResponse.FromString(data)
-        answer = discovery_pb2.DiscoveryRequest(
-            type_url=response.type_url,
-            version_info=response.version_info,
-            response_nonce=response.nonce,
-        )
-        self.call.send(answer.SerializeToString())
-        self.size += len(data)
-        if response.type_url == ENDPOINTS:
-            for one in response.resources:
-                kind, lines, _ = decode_assignment(one.value)
-                self.named[kind] = {line.address for line in lines}
-            self.hosts = set().union(*self.named.values())
-            self.seen.append((now, frozenset(self.hosts)))
-
-    async def report(self, every, follow):
-        """Load reports of one try a host it holds, for each kind."""
-        call, told = self.connection.call(LOADS, "peatlead"), [every]
-        call.message = (
-            lambda data: told.append(
-                max(
-                    every,
-                    lrs_pb2.LoadStatsResponse.FromString(
-                        data
-                    ).load_reporting_interval.ToMilliseconds()
-                    / 1000,
-                )
-            )
-            if follow
-            else None
-        )
-        await asyncio.sleep(every * (self.at % 97) / 97)
-        while not call.over:
-            request = lrs_pb2.LoadStatsRequest()
-            request.node.id = f"agent{self.at}"
-            for kind in KINDS:
-                cluster = request.cluster_stats.add(cluster_name=kind)
-                cluster.load_report_interval.FromMilliseconds(max(60, int(every * 1000)))
-                place = cluster.upstream_locality_stats.add()
-                for address in sorted(self.hosts):
-                    one = place.upstream_endpoint_stats.add(total_successful_requests=1)
-                    one.address.socket_address.address = address
-                    one.address.socket_address.port_value = self.controller[1] - 2
-            call.send(request.SerializeToString())
-            await asyncio.sleep(told[-1] if len(told) > 1 else every)
-
-
-async def agents(numbers, controller, rate, pipe):
-    made = [Agent(at, controller) for at in numbers]
-    loop = asyncio.get_running_loop()
-    for at in range(0, len(made), 50):
-        await asyncio.gather(*(one.begin() for one in made[at : at + 50]))
-    while not all(one.seen for one in made):
-        await asyncio.sleep(0.05)
-    pipe.send(("joined", max(one.seen[0][0] for one in made)))
-    if rate:
-        for one in made:
-            loop.create_task(one.report(1 / abs(rate), rate > 0))
-    while True:
-        if not await loop.run_in_executor(None, pipe.poll, 30.0):
-            return
-        what, value = pipe.recv()
-        if what == "over":
-            return
-        if what == "sizes":
-            pipe.send([one.size for one in made])
-        elif what == "without":  # when each first was told tables without an address that it held
-            found = []
-            for one in made:
-                held = [at for at, (_, hosts) in enumerate(one.seen) if value in hosts]
-                gone = [when for when, hosts in one.seen[held[-1] + 1 :]] if held else []
-                found.append(gone[0] if gone else (None if held else 0.0))
-            pipe.send(found)
-
-
-def client(numbers, controller, rate, pipe):
-    asyncio.run(agents(numbers, controller, rate, pipe))
-
-
-def probed(port):
-    async def serve():
+    async def serve() -> None:
         loop = asyncio.get_running_loop()
-        await loop.create_server(lambda: Answered(30.0), "0.0.0.0", port, backlog=1024)
+        await loop.create_server(lambda: HealthyEndpoint(30.0), "0.0.0.0", port, backlog=1024)
         await asyncio.Event().wait()
 
     asyncio.run(serve())
 
 
-def write_list(folder, version, hosts, draining=()):
-    made = {
+def write_list(folder: str, version: int, endpoints: int, draining: Collection[int] = ()) -> float:
+    """Replace the list of endpoints; returns when (monotonic seconds)."""
+    listed = {
         "version": version,
         "written": 0.0,
         "hosts": [
             {
-                "name": f"h{at}",
-                "zone": ZONES[at % 3],
-                "phase": "draining" if at in draining else "ready",
-                "address": f"127.10.{at // 250}.{at % 250 + 1}",
+                "name": f"h{number}",
+                "zone": ZONES[number % len(ZONES)],
+                "phase": "draining" if number in draining else "ready",
+                "address": f"127.10.{number // 250}.{number % 250 + 1}",
             }
-            for at in range(hosts)
+            for number in range(endpoints)
         ],
     }
-    Path(folder, "nodes.new").write_text(json.dumps(made))
+    Path(folder, "nodes.new").write_text(json.dumps(listed))
     os.rename(f"{folder}/nodes.new", f"{folder}/nodes.json")
     return time.monotonic()
 
 
-def memory(pid):
+def memory(pid: int) -> float:
+    """Return the resident size of a process, in MiB."""
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS"):
             return int(line.split()[1]) / 1024
     return 0.0
 
 
-def cpu(pid):
+def cpu_seconds(pid: int) -> float:
+    """Return the CPU time of a process so far."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-def spread(values):
-    values = sorted(values)
-    return (
-        {
-            "median": round(values[len(values) // 2] * 1000, 1),
-            "99th": round(values[int(len(values) * 0.99)] * 1000, 1),
-            "last": round(values[-1] * 1000, 1),
-        }
-        if values
-        else {}
-    )
-
-
-def ask(context, what, value=None):
-    for pipe in context:
-        pipe.send((what, value))
-    return [one for pipe in context for one in pipe.recv()]
-
-
-def run(proxies, hosts, rate):
-    port, folder = free_port(), tempfile.mkdtemp(prefix="peatlead-herd-")
-    Path(folder, "settings.star").write_text(script(port, folder, proxies))
-    write_list(folder, 1, hosts)
-    prober = multiprocessing.Process(target=probed, args=(port + 3,), daemon=True)
-    prober.start()
-    steward = subprocess.Popen(
-        [sys.executable, "-m", "peatlead", "run", f"{folder}/settings.star"],
-        stdout=open(f"{folder}/log", "w"),
-        stderr=subprocess.STDOUT,
-    )
-    time.sleep(2.5)
-    base, spent, begin, pipes, children = (
-        memory(steward.pid),
-        cpu(steward.pid),
-        time.monotonic(),
-        [],
-        [],
-    )
-    for at in range(CLIENTS):
-        here, there = multiprocessing.Pipe()
-        children.append(
-            multiprocessing.Process(
-                target=client,
-                args=(range(at, proxies, CLIENTS), ("127.1.0.1", port + 2), rate, there),
-                daemon=True,
-            )
+class Herd:
+    """A controller, its simulated proxies and the responder to its health checks."""
+
+    def __init__(self, proxies: int, endpoints: int, rate: float) -> None:
+        self.proxies = proxies
+        self.endpoints = endpoints
+        self.rate = rate  # load reports a second and proxy
+        self.port = free_port()
+        self.folder = tempfile.mkdtemp(prefix="peatlead-herd-")
+        self.pipes: list[Pipe[Any, Any]] = []
+        self.processes: list[multiprocessing.Process] = []
+        self.sizes: list[int] = []  # bytes received by each proxy before the withdrawal
+        Path(self.folder, "settings.star").write_text(
+            settings_text(self.port, self.folder, proxies)
         )
-        children[-1].start()
-        pipes.append(here)
-    try:
-        joined = max(pipe.recv()[1] for pipe in pipes) - begin
-        told = {
-            "proxies": proxies,
-            "hosts": hosts,
-            "reports a second": abs(rate) * proxies,
-            "all served after s": round(joined, 2),
-            "CPU s": round(cpu(steward.pid) - spent, 2),
-            "KiB a proxy": round((memory(steward.pid) - base) * 1024 / proxies, 1),
+        write_list(self.folder, 1, endpoints)
+        self.start_process(answer_health_checks, (self.port + 3,))
+        self.controller = self.start_controller()
+        time.sleep(START_TIME)
+
+    def start_process(self, target: Any, arguments: tuple[Any, ...]) -> None:
+        """Start a process that `stop` ends."""
+        process = multiprocessing.Process(target=target, args=arguments, daemon=True)
+        process.start()
+        self.processes.append(process)
+
+    def start_controller(self) -> "subprocess.Popen[bytes]":
+        """Start the controller; its log goes to a file of the folder."""
+        command = [sys.executable, "-m", "peatlead", "run", f"{self.folder}/settings.star"]
+        with open(f"{self.folder}/log", "w") as log:
+            return subprocess.Popen(command, stdout=log, stderr=subprocess.STDOUT)
+
+    def start_agents(self) -> None:
+        """Start the processes of simulated proxies."""
+        controller = (LISTEN, self.port + 2)
+        for first in range(CLIENTS):
+            here, there = multiprocessing.Pipe()
+            numbers = range(first, self.proxies, CLIENTS)
+            self.start_process(run_agents, (numbers, controller, self.rate, there))
+            self.pipes.append(here)
+
+    def ask(self, command: AgentCommand, value: Optional[str] = None) -> list[Any]:
+        """Ask all processes of proxies; returns one answer a proxy."""
+        for pipe in self.pipes:
+            pipe.send((command, value))
+        return [answer for pipe in self.pipes for answer in pipe.recv()]
+
+    def cpu(self) -> float:
+        """Return the controller's CPU seconds so far."""
+        return cpu_seconds(self.controller.pid)
+
+    def measure_join(self) -> dict[str, Any]:
+        """Connect all proxies; returns what it cost."""
+        memory_before = memory(self.controller.pid)
+        cpu_before = self.cpu()
+        start = time.monotonic()
+        self.start_agents()
+        served = max(pipe.recv()[1] for pipe in self.pipes) - start
+        grown = memory(self.controller.pid) - memory_before
+        return {
+            "proxies": self.proxies,
+            "hosts": self.endpoints,
+            "reports a second": abs(self.rate) * self.proxies,
+            "all served after s": round(served, 2),
+            "CPU s": round(self.cpu() - cpu_before, 2),
+            "KiB a proxy": round(grown * 1024 / self.proxies, 1),
         }
-        time.sleep(GO)
-        spent, sizes = cpu(steward.pid), ask(pipes, "sizes")
-        time.sleep(GO)
-        told["CPU before"] = round((cpu(steward.pid) - spent) / GO, 3)
-        spent, at = cpu(steward.pid), write_list(folder, 2, hosts, (0,))
-        time.sleep(3 * GO)
-        found = ask(pipes, "without", "127.10.0.1")
-        late = [one - at for one in found if one]
-        more = [new - old for new, old in zip(ask(pipes, "sizes"), sizes)]
-        told.update(
-            {
-                "held it": len([one for one in found if one != 0.0]),
-                "told ms": spread(late),
-                "never told": sum(one is None for one in found),
-                "bytes a proxy": sum(more) // proxies,
-                "CPU of it": round(cpu(steward.pid) - spent, 2),
-            }
-        )
-        status = asyncio.run(ask_once(("127.1.0.1", port + 1), {"ask": "status"}))
-        told["status"] = {
-            name: status[name] for name in ("slowest_decide", "channel", "burden") if name in status
+
+    def measure_idle(self) -> dict[str, Any]:
+        """Return the controller's load while nothing changes."""
+        time.sleep(PERIOD)
+        cpu_before = self.cpu()
+        self.sizes = self.ask(AgentCommand.SIZES)
+        time.sleep(PERIOD)
+        return {"CPU before": round((self.cpu() - cpu_before) / PERIOD, 3)}
+
+    def measure_withdrawal(self) -> dict[str, Any]:
+        """Drain endpoint 0; returns when the proxies were without it."""
+        cpu_before = self.cpu()
+        drained = write_list(self.folder, 2, self.endpoints, (0,))
+        time.sleep(3 * PERIOD)
+        withdrawn = self.ask(AgentCommand.WITHDRAWN, DRAINED_ADDRESS)
+        received = sum(self.ask(AgentCommand.SIZES)) - sum(self.sizes)
+        return {
+            "held it": len([at for at in withdrawn if at != 0.0]),
+            "told ms": spread([at - drained for at in withdrawn if at]),
+            "never told": sum(at is None for at in withdrawn),
+            "bytes a proxy": received // self.proxies,
+            "CPU of it": round(self.cpu() - cpu_before, 2),
         }
-        told["bare loop ms"] = bare(proxies, max(1, sum(more) // proxies))
-        print(json.dumps(told), flush=True)
-    finally:
-        for pipe in pipes:
-            try:
-                pipe.send(("over", None))
-            except OSError:
-                pass
-        steward.send_signal(signal.SIGTERM)
+
+    def status(self) -> dict[str, Any]:
+        """Return what the controller itself says of its load."""
+        answer: Any = asyncio.run(ask_once((LISTEN, self.port + 1), {"ask": "status"}))
+        return {name: answer[name] for name in STATUS_FIELDS if name in answer}
+
+    def stop(self) -> None:
+        """End all processes."""
+        for pipe in self.pipes:
+            with contextlib.suppress(OSError):
+                pipe.send((AgentCommand.END, None))
+        self.controller.send_signal(signal.SIGTERM)
         try:
-            steward.wait(10)
+            self.controller.wait(STOP_TIMEOUT)
         except subprocess.TimeoutExpired:
-            steward.kill()
-        for child in [prober, *children]:
-            child.terminate()
-
-
-class Ear(Stream):
-    def received(self, data):
-        self.at = time.monotonic()
-
-
-def bare(proxies, size):
-    """The same bytes from one loop to as many streams, all of them in this process: what the sockets alone cost."""
-
-    async def whole():
-        loop, heard, ends = asyncio.get_running_loop(), [], []
-
-        class Taken(Stream):
-            def opened(self):
-                ends.append(self)
-
-        server = await loop.create_server(Taken, "127.1.0.9", 0, backlog=1024)
-        address = server.sockets[0].getsockname()
-        for at in range(proxies):
-            heard.append(
-                (
-                    await loop.create_connection(
-                        Ear, *address, local_addr=(f"127.{60 + at // 250}.{at % 250}.2", 0)
-                    )
-                )[1]
-            )
-        await asyncio.sleep(0.2)
-        begin, data = time.monotonic(), b"x" * size
-        for one in ends:
-            one.send(data)
-        wrote = time.monotonic() - begin
-        await asyncio.sleep(1.0)
-        found = spread([one.at - begin for one in heard])
-        server.close()
-        for one in [*heard, *ends]:
-            one.cut("over")
-        return {**found, "to write": round(wrote * 1000, 1)}
-
-    return asyncio.run(whole())
+            self.controller.kill()
+        for process in self.processes:
+            process.terminate()
+
+
+def run(proxies: int, endpoints: int, rate: float) -> None:
+    """Measure one herd and print the figures."""
+    herd = Herd(proxies, endpoints, rate)
+    try:
+        figures = herd.measure_join()
+        figures.update(herd.measure_idle())
+        figures.update(herd.measure_withdrawal())
+        figures["status"] = herd.status()
+        size = max(1, figures["bytes a proxy"])
+        figures["bare loop ms"] = measure_baseline(proxies, size)
+        print(json.dumps(figures), flush=True)
+    finally:
+        herd.stop()
+
+
+def main() -> None:
+    """Measure as the command line says."""
+    rate = float(sys.argv[3]) if len(sys.argv) > 3 else 0.0
+    run(int(sys.argv[1]), int(sys.argv[2]), rate)
 
 
 if __name__ == "__main__":
-    run(int(sys.argv[1]), int(sys.argv[2]), float(sys.argv[3]) if len(sys.argv) > 3 else 0.0)
+    main()
--- /dev/null
+++ b/peatlead/benchmarks/herd_baseline.py
@@ -0,0 +1,65 @@
+"""The same bytes from one bare loop to as many streams: what the sockets alone cost."""
+
+import asyncio
+import time
+
+from ..net.streams import Stream
+
+LISTEN = "127.1.0.9"
+
+
+class Receiver(Stream):
+    """The receiving end of a stream; `at` is when data came last (monotonic seconds)."""
+
+    at: float
+
+    def received(self, data: bytes) -> None:
+        """Record the time."""
+        self.at = time.monotonic()
+
+
+def spread(values: list[float]) -> dict[str, float]:
+    """Return the median, the 99th percentile and the last of some seconds, in milliseconds."""
+    ordered = sorted(values)
+    if not ordered:
+        return {}
+    return {
+        "median": round(ordered[len(ordered) // 2] * 1000, 1),
+        "99th": round(ordered[int(len(ordered) * 0.99)] * 1000, 1),
+        "last": round(ordered[-1] * 1000, 1),
+    }
+
+
+async def send_to_all(streams: int, size: int) -> dict[str, float]:
+    """Send `size` bytes to each stream; returns when they came, and how long the writes took."""
+    loop = asyncio.get_running_loop()
+    senders: list[Stream] = []
+    receivers: list[Receiver] = []
+
+    class Sender(Stream):
+        def opened(self) -> None:
+            senders.append(self)
+
+    server = await loop.create_server(Sender, LISTEN, 0, backlog=1024)
+    host, port = server.sockets[0].getsockname()
+    for number in range(streams):
+        local = f"127.{60 + number // 250}.{number % 250}.2"
+        _, receiver = await loop.create_connection(Receiver, host, port, local_addr=(local, 0))
+        receivers.append(receiver)
+    await asyncio.sleep(0.2)
+    start = time.monotonic()
+    data = b"x" * size
+    for sender in senders:
+        sender.send(data)
+    written = time.monotonic() - start
+    await asyncio.sleep(1.0)
+    arrivals = spread([receiver.at - start for receiver in receivers])
+    server.close()
+    for stream in [*receivers, *senders]:
+        stream.cut("over")
+    return {**arrivals, "to write": round(written * 1000, 1)}
+
+
+def measure_baseline(streams: int, size: int) -> dict[str, float]:
+    """Run `send_to_all` on a loop of its own."""
+    return asyncio.run(send_to_all(streams, size))
