--- /dev/null
+++ b/peatlead/benchmarks/tables_wire.py
@@ -0,0 +1,268 @@
+"""Deltas against whole tables on the wire, with the planner's own commands on a simulated clock."""
+
+from typing import Any
+
+from envoy.service.discovery.v3 import discovery_pb2
+
+from .. import interface
+from ..controller.channel import Channel, Publisher, ViewState
+from ..controller.message import ADMISSION
+from ..grpc.incremental import Incremental
+from ..grpc.resources import ENDPOINTS, LINES, WeightedEndpoint, encode_assignment
+from ..planner.planner import Planner
+from ..tables.version import line_key, parse_line_key, quantize_weight
+from .tables_store import REQUEST_CLASSES
+
+SIZES = ((24, 80), (82, 291), (300, 1000))  # endpoints, proxies
+TICK = 0.1  # seconds
+CHANNEL_RATE = 4000.0  # operations a second
+MESSAGE_OVERHEAD = 6.0  # operations
+RELEASE_PARTS = 4
+RELEASED_ONE_IN = 12  # endpoints, of each part
+ANY_OVERHEAD = 8  # bytes around an assignment in its response, beside its type URL
+HEADER = (
+    "| hosts/proxies | what | messages | lines, deltas | lines, whole | bytes, deltas | "
+    "bytes, whole | ratio | wait, deltas (median / worst) | wait, whole | wait, as ordered |\n|"
+    + " --- |"
+    * 11
+)
+REQUEST_CLASS: dict[str, Any] = {
+    "response_target": 0.5,
+    "client_timeout": 2.0,
+    "gain": 1.0,
+    "repeat": "replayable",
+    "only_zones": [],
+    "only_machines": [],
+    "own_zone": False,
+}
+SETTINGS: dict[str, Any] = {
+    "stewards": 1,
+    "zone": 0,
+    "zones": ["z0", "z1", "z2"],
+    "machines": [],
+    "roster_mode": "pushed",
+    "channel_rate": CHANNEL_RATE,
+    "message_head": MESSAGE_OVERHEAD,
+    "queue_most": CHANNEL_RATE,
+    "messages_most": 40,
+    "messages_span": 10.0,
+    "push_delay_most": 0.5,
+    "bare_most": 4.0,
+    "sums_every": 1.0,
+    "probing": False,
+    "report_fields": ["util"],
+    "cold_share": 0.25,
+    "warm_after": 12.0,
+    "tip_multiple": 3.0,
+    "tip_span": 1.5,
+    "drain_grace": 3.0,
+    "value_of_whole": 0.9,
+    "value_of_worst_kind": 0.1,
+    "pick": "lighter of two",
+    "fails_to_shun": 3,
+    "joins_own_zone": False,
+    "req_kinds": [{**REQUEST_CLASS, "name": name} for name in REQUEST_CLASSES],
+}
+
+Items = dict[str, Any]
+
+
+def endpoint(number: int, phase: str = "ready", started_at: float = -1e6) -> interface.Endpoint:
+    """Return the list's entry of an endpoint."""
+    return interface.Endpoint(
+        number, b"h%d" % number, number % 3, 0, number // 4, phase, 1.0, started_at
+    )
+
+
+def update(version: int, endpoints: tuple[interface.Endpoint, ...]) -> interface.EndpointUpdate:
+    """Return an update of the list."""
+    return interface.EndpointUpdate("changes", version, endpoints)
+
+
+def format_waits(waits: list[float]) -> str:
+    """Return the median and the worst of waits in seconds, as milliseconds."""
+    ordered = sorted(waits) or [0.0]
+    return f"{1000 * ordered[len(ordered) // 2]:.0f} / {1000 * ordered[-1]:.0f} ms"
+
+
+class WireCounts:
+    """What was sent in both forms since the last row, and how long it waited in the channels."""
+
+    def __init__(self) -> None:
+        self.messages = 0
+        self.delta_lines = 0
+        self.delta_bytes = 0
+        self.whole_lines = 0
+        self.whole_bytes = 0
+        self.delta_waits: list[float] = []  # seconds
+        self.whole_waits: list[float] = []
+        self.command_waits: list[float] = []
+
+
+class WireFleet:
+    """A planner, its publisher and channels on a simulated clock."""
+
+    def __init__(self, endpoints: int, proxies: int) -> None:
+        self.now = 100.0  # seconds
+        self.endpoints = endpoints
+        self.proxies = proxies
+        settings = {**SETTINGS, "proxies": proxies}
+        self.planner = Planner(settings, 1)
+        self.publisher = Publisher()
+        # What the planner commands; what leaves as deltas; the same with whole tables.
+        self.commands = Channel(CHANNEL_RATE, MESSAGE_OVERHEAD, 1e9)
+        self.deltas = Channel(CHANNEL_RATE, MESSAGE_OVERHEAD, 1e9)
+        self.whole = Channel(CHANNEL_RATE, MESSAGE_OVERHEAD, 1e9)
+        self.views: dict[int, ViewState] = {}
+        self.streams: dict[int, Incremental] = {}
+        self.last_sent: dict[int, Items] = {}
+        self.pinned: dict[int, Items] = {}  # past items, while all proxies are held to them
+        self.counts = WireCounts()
+        listed = tuple(map(endpoint, range(endpoints)))
+        events: list[interface.Event] = [interface.EndpointUpdate("whole", 1, listed)]
+        events += [self.connect(proxy) for proxy in range(proxies)]
+        self.play(events, 30.0)
+        self.counts = WireCounts()
+
+    def connect(self, proxy: int) -> interface.ProxyConnected:
+        """Open a proxy's stream; returns the event for the planner."""
+        self.publisher.join(proxy, enforces_admission=True)
+        self.views[proxy] = ViewState()
+        stream = Incremental(1, lambda part: self.items(proxy), "m", lambda version, parts: None)
+        stream.take(
+            discovery_pb2.DeltaDiscoveryRequest(type_url=LINES, resource_names_subscribe=["*"])
+        )
+        self.streams[proxy] = stream
+        return interface.ProxyConnected(proxy, proxy % 3, 3.0, True)
+
+    def items(self, proxy: int) -> Items:
+        """Return what a proxy is to hold."""
+        if self.pinned:
+            return self.pinned[proxy]
+        return {
+            line_key(
+                name, f"z{number % 3}", f"10.0.{number // 250}.{number % 250}", 80
+            ): quantize_weight(weight)
+            for index, name in enumerate(REQUEST_CLASSES)
+            for number, weight in self.views[proxy].lines(index).items()
+        }
+
+    def play(self, events: list[interface.Event], seconds: float) -> None:
+        """Run for a time, from a batch with events on."""
+        end = self.now + seconds
+        while self.now < end:
+            batch = [*events, interface.TimerFired(0)]
+            events = []
+            routed = self.publisher.take(self.planner.decide(self.now, batch))
+            for proxy in sorted(routed.messages):
+                self.commands.offer(self.now, proxy, routed.messages[proxy])
+            self.deliver_commands()
+            self.drain(self.deltas, self.counts.delta_waits)
+            self.drain(self.whole, self.counts.whole_waits)
+            self.now = round(self.now + TICK, 6)
+
+    def deliver_commands(self) -> None:
+        """Apply the commands that leave within this tick, and send what they change."""
+        channel = self.commands
+        while channel.next_at is not None and channel.next_at < self.now + TICK:
+            for proxy, message in channel.due(max(self.now, channel.next_at)):
+                left = max(self.now, channel.free_at)
+                self.counts.command_waits.append(left - message.offered)
+                self.views[proxy].apply(message.ops)
+                self.send(proxy)
+
+    def drain(self, channel: Channel, waits: list[float]) -> None:
+        """Let messages leave that may within this tick, and record their waits."""
+        while channel.next_at is not None and channel.next_at < self.now + TICK:
+            for _, message in channel.due(max(self.now, channel.next_at)):
+                waits.append(max(self.now, channel.free_at) - message.offered)
+
+    def send(self, proxy: int) -> None:
+        """Send a proxy's items in both forms, where they have changed."""
+        items = self.items(proxy)
+        if items == self.last_sent.get(proxy):
+            return
+        self.last_sent[proxy] = items
+        self.counts.messages += 1
+        self.send_delta(proxy)
+        self.send_whole(proxy, items)
+
+    def send_delta(self, proxy: int) -> None:
+        """Send what differs, and acknowledge it at once."""
+        stream = self.streams[proxy]
+        for response in stream.changed(LINES):
+            lines = len(response.resources) + len(response.removed_resources)
+            self.offer(self.deltas, proxy, lines)
+            self.counts.delta_lines += lines
+            self.counts.delta_bytes += response.ByteSize()
+            subscription = stream.subscriptions[LINES]
+            assert subscription.in_flight is not None
+            subscription.held = subscription.in_flight.items
+            subscription.digest = subscription.in_flight.digest
+            subscription.in_flight = None
+            subscription.nonce = ""
+
+    def send_whole(self, proxy: int, items: Items) -> None:
+        """Send the tables of all request classes."""
+        tables: dict[str, list[WeightedEndpoint]] = {name: [] for name in REQUEST_CLASSES}
+        for key, weight in items.items():
+            name, zone, address, port = parse_line_key(key)
+            tables[name].append(WeightedEndpoint(address, port, zone, weight / 1000))
+        for name, table in tables.items():
+            size = len(encode_assignment(name, table, 1.0)) + len(ENDPOINTS) + ANY_OVERHEAD
+            self.counts.whole_bytes += size
+        self.counts.whole_lines += len(items)
+        self.offer(self.whole, proxy, len(items))
+
+    def offer(self, channel: Channel, proxy: int, lines: int) -> None:
+        """Queue a message of that many operations; their content doesn't matter."""
+        channel.offer(self.now, proxy, {(ADMISSION, number): (1.0, "") for number in range(lines)})
+
+    def pin(self, items: dict[int, Items]) -> None:
+        """Hold all proxies to past items; none: release them."""
+        self.pinned = items
+        for proxy in sorted(self.views):
+            self.send(proxy)
+
+    def print_row(self, name: str) -> None:
+        """Print what was sent since the last row."""
+        counts = self.counts
+        ratio = counts.delta_bytes / max(1, counts.whole_bytes)
+        print(
+            f"| {self.endpoints}/{self.proxies} | {name} | {counts.messages} | "
+            f"{counts.delta_lines} | {counts.whole_lines} | {counts.delta_bytes} | "
+            f"{counts.whole_bytes} | {ratio:.2f} | {format_waits(counts.delta_waits)} | "
+            f"{format_waits(counts.whole_waits)} | {format_waits(counts.command_waits)} |"
+        )
+        self.counts = WireCounts()
+
+
+def play_release(fleet: WireFleet) -> None:
+    """Replace a third of the endpoints in parts."""
+    for part in range(RELEASE_PARTS):
+        numbers = range(1 + part, fleet.endpoints, RELEASED_ONE_IN)
+        drained = tuple(endpoint(number, "draining") for number in numbers)
+        fleet.play([update(3 + part, drained)], 3.0)
+        started = tuple(endpoint(number, started_at=fleet.now) for number in numbers)
+        fleet.play([update(3 + part, started)], 17.0)
+
+
+def measure_wire() -> None:
+    """Print a table with one row for each size and change."""
+    print(HEADER)
+    for endpoints, proxies in SIZES:
+        fleet = WireFleet(endpoints, proxies)
+        before = {proxy: dict(items) for proxy, items in fleet.last_sent.items()}
+        fleet.play([update(2, (endpoint(0, "draining"),))], 10.0)
+        fleet.print_row("a host lost")
+        play_release(fleet)
+        fleet.print_row("a release of a third")
+        fleet.pin(before)
+        fleet.play([], 20.0)
+        fleet.print_row("a rollback past both")
+        fleet.pin({})
+        fleet.play([], 20.0)
+        fleet.counts = WireCounts()
+        zone = tuple(endpoint(number, "draining") for number in range(endpoints) if number % 3 == 1)
+        fleet.play([update(9, zone)], 15.0)
+        fleet.print_row("a zone lost")
--- /dev/null
+++ b/peatlead/benchmarks/tables_zone.py
@@ -0,0 +1,67 @@
+"""Versions of a zone with its digest, and transfers of them: seconds and bytes by size."""
+
+import time
+
+import dns.message
+import dns.name
+import dns.rrset
+
+from ..dns import transfer
+from ..dns.zone import Serials, ZoneHistory, ZoneRecord
+
+SIZES = (60, 300, 1000)  # views
+HOSTS = 300
+HOSTS_PER_VIEW = 8
+VERSIONS = 3
+ORIGIN = dns.name.from_text("example.org.")
+
+
+def soa(serial: int) -> str:
+    """Return the SOA record's text."""
+    return f"ns1.example.org. h.example.org. {serial} 60 10 600 5"
+
+
+def zone_records(views: int) -> set[ZoneRecord]:
+    """Return a zone with addresses and SRV records for each view."""
+    records: set[ZoneRecord] = {ZoneRecord("@", 60, "NS", "ns1.example.org.")}
+    for view in range(views):
+        for number in range(view, view + HOSTS_PER_VIEW):
+            host = number % HOSTS
+            address = f"10.0.{host // 250}.{number % 250}"
+            target = f"0 100 80 h{host}.hosts.example.org."
+            records.add(ZoneRecord(f"d{view}.api", 1, "A", address))
+            records.add(ZoneRecord(f"_http._tcp.d{view}.api", 1, "SRV", target))
+    return records
+
+
+def ixfr_query(serial: int) -> dns.message.Message:
+    """Return the query of a secondary that holds a serial."""
+    query = dns.message.make_query(ORIGIN, "IXFR")
+    held = dns.rrset.from_text(ORIGIN, 60, "IN", "SOA", f"a. b. {serial} 1 1 1 1")
+    query.authority.append(held)
+    return query
+
+
+def measure_zone() -> None:
+    """Print how long a version and both transfers take, and their bytes."""
+    for views in SIZES:
+        records = zone_records(views)
+        history = ZoneHistory(ORIGIN, soa, Serials(0, 2))
+        history.update(records)
+        first = history.serial
+        seconds = []
+        for number in range(VERSIONS):
+            start = time.perf_counter()
+            history.update(records | {ZoneRecord("d0.api", 1, "A", f"10.9.9.{number + 1}")})
+            seconds.append(time.perf_counter() - start)
+        query = ixfr_query(first)
+        start = time.perf_counter()
+        incremental = transfer.respond(query, history, True)
+        whole = transfer.respond(dns.message.make_query(ORIGIN, "AXFR"), history, True)
+        sent = time.perf_counter() - start
+        print(
+            f"{views} views, {len(history.records)} records: "
+            f"a version {1000 * min(seconds):.0f} ms; both transfers {1000 * sent:.0f} ms; "
+            f"IXFR past three {sum(map(len, incremental))} bytes, "
+            f"AXFR {sum(map(len, whole))} bytes in {len(whole)} messages"
+        )
