--- a/peatlead/benchmarks/tables_wire.py
+++ b/peatlead/benchmarks/tables_wire.py
@@ -117,6 +117,7 @@
         self.streams: dict[int, Incremental] = {}
         self.last_sent: dict[int, Items] = {}
         self.pinned: dict[int, Items] = {}  # past items, while all proxies are held to them
+        self.acknowledged: list[interface.Event] = []  # of the next batch
         self.counts = WireCounts()
         listed = tuple(map(endpoint, range(endpoints)))
         events: list[interface.Event] = [interface.EndpointUpdate("whole", 1, listed)]
@@ -151,11 +152,13 @@
         """Run for a time, from a batch with events on."""
         end = self.now + seconds
         while self.now < end:
-            batch = [*events, interface.TimerFired(0)]
+            batch = [*events, *self.acknowledged, interface.TimerFired(0)]
+            self.acknowledged = []
             events = []
             routed = self.publisher.take(self.planner.decide(self.now, batch))
             for proxy in sorted(routed.messages):
-                self.commands.offer(self.now, proxy, routed.messages[proxy])
+                nonces = routed.nonces.get(proxy, ())
+                self.commands.offer(self.now, proxy, routed.messages[proxy], nonces)
             self.deliver_commands()
             self.drain(self.deltas, self.counts.delta_waits)
             self.drain(self.whole, self.counts.whole_waits)
@@ -167,6 +170,10 @@
         while channel.next_at is not None and channel.next_at < self.now + TICK:
             for proxy, message in channel.due(max(self.now, channel.next_at)):
                 left = max(self.now, channel.free_at)
+                self.acknowledged += [
+                    interface.Acknowledged(proxy, nonce, left - message.offered)
+                    for nonce in message.marks
+                ]
                 self.counts.command_waits.append(left - message.offered)
                 self.views[proxy].apply(message.ops)
                 self.send(proxy)
