--- a/peatlead/benchmarks/dns_fuzz.py
+++ b/peatlead/benchmarks/dns_fuzz.py
@@ -103,6 +103,15 @@
     return MAX_EDNS if OPT_RECORD in query[12:] else MAX_PLAIN_UDP
 
 
+def find_fault(query: bytes, answer: bytes | list[bytes], tcp: bool) -> str:
+    """Return what is wrong with an answer, "" where nothing is."""
+    if isinstance(answer, list):
+        return "a transfer"
+    if len(answer) > max_answer(query, tcp) or answer[:2] != query[:2]:
+        return f"{len(answer)} bytes"
+    return ""
+
+
 def fuzz(queries: int, seed: int) -> dict[str, Any]:
     """Answer mutated queries and count the outcomes.
 
@@ -126,11 +135,10 @@
         if answer is None:
             outcomes["no answer"] += 1
             continue
-        if isinstance(answer, list):
-            raise AssertionError(f"query {index} of seed {seed}: a transfer for {query.hex()}")
-        if len(answer) > max_answer(query, tcp) or answer[:2] != query[:2]:
-            size = len(answer)
-            raise AssertionError(f"query {index} of seed {seed}: {size} bytes for {query.hex()}")
+        fault = find_fault(query, answer, tcp)
+        if fault:
+            raise AssertionError(f"query {index} of seed {seed}: {fault} for {query.hex()}")
+        assert isinstance(answer, bytes)
         longest = max(longest, len(answer))
         outcomes[f"code {answer[3] & 15}"] += 1
     totals = {"queries": queries, "seed": seed, "longest answer": longest}
