--- a/peatlead/benchmarks/grpc_fuzz.py
+++ b/peatlead/benchmarks/grpc_fuzz.py
@@ -22,8 +22,9 @@
 from ..grpc.incremental import decode_initial_versions
 from ..grpc.load_aggregation import LoadAggregator
 from ..grpc.load_reports import read_report
+from ..grpc.proxy_node import read_node
 from ..grpc.resources import ENDPOINTS, LINES, decode_assignment, decode_routes
-from ..grpc.server import DELTA, DISCOVERY, LOADS, read_node
+from ..grpc.server import DELTA, DISCOVERY, LOADS
 from ..net.in_memory_transport import InMemoryTransport
 
 
--- a/peatlead/benchmarks/scale.py
+++ b/peatlead/benchmarks/scale.py
@@ -12,7 +12,9 @@
 from collections import deque
 
 from .. import interface
-from ..controller.channel import Channel, Publisher, ViewState
+from ..controller.channel import Channel
+from ..controller.publisher import Publisher
+from ..controller.view_state import ViewState
 from ..planner import planner as planner_module
 
 FACTS = {
--- a/peatlead/benchmarks/tables.py
+++ b/peatlead/benchmarks/tables.py
@@ -17,7 +17,9 @@
 from random import Random
 
 from .. import interface
-from ..controller.channel import Channel, Publisher, ViewState
+from ..controller.channel import Channel
+from ..controller.publisher import Publisher
+from ..controller.view_state import ViewState
 from ..grpc.incremental import Incremental
 from ..grpc.resources import ENDPOINTS, LINES, WeightedEndpoint, encode_assignment
 from ..planner.planner import Planner
@@ -369,7 +371,7 @@
         wrong = TableLog(folder, again, None).recall()
         print(
             f"10,000 versions: written in {wrote:.2f} s, {size / 10_000:.0f} bytes each on disk; read in "
-            f"{time.perf_counter() - begin:.2f} s, {again.many} versions, {len(wrong)} faults"
+            f"{time.perf_counter() - begin:.2f} s, {again.entry_count} versions, {len(wrong)} faults"
         )
 
 
@@ -478,9 +480,9 @@
             for file, why in TableLog(f"{folder}/state/tables-ns1", store, None).recall():
                 if "torn" not in why:
                     wrong.append(f"{file}: {why}")
-            if store.many < newest:
-                wrong.append(f"{newest} versions, then {store.many}")
-            newest = store.many
+            if store.entry_count < newest:
+                wrong.append(f"{newest} versions, then {store.entry_count}")
+            newest = store.entry_count
     return newest, wrong
 
 
@@ -518,7 +520,8 @@
     import dns.name
 
     from ..dns import transfer
-    from ..dns.zone import Serials, ZoneHistory
+    from ..dns.serials import Serials
+    from ..dns.zone import ZoneHistory
 
     origin = dns.name.from_text("example.org.")
     for views in (60, 300, 1000):
--- a/peatlead/cli/controller.py
+++ b/peatlead/cli/controller.py
@@ -11,7 +11,7 @@
 import click
 import structlog
 
-from ..settings.shapes import reference
+from ..settings.schema import reference
 from .common import PLANNERS, Settings, controller_settings, settings_or_exit
 from .main import main
 
--- a/peatlead/controller/batch_loop.py
+++ b/peatlead/controller/batch_loop.py
@@ -83,8 +83,6 @@
         """Add an event to the next batch without scheduling one."""
         self.inbox.append(event)
 
-    note = submit_later  # the callers' name for it
-
     def submit(self, event: interface.Event) -> None:
         """Add an event to the next batch, which runs in the loop's next turn."""
         self.inbox.append(event)
--- a/peatlead/controller/channel.py
+++ b/peatlead/controller/channel.py
@@ -15,10 +15,6 @@
 from typing import Optional
 
 from .message import Message, Operations, put, removed_endpoints
-from .publisher import Publisher
-from .view_state import ViewState
-
-__all__ = ["Channel", "Message", "Operations", "Publisher", "ViewState", "put", "removed_endpoints"]
 
 CAUSES_MOST = 8  # causes kept of a message that was merged many times
 URGENT_RUN = 3  # messages that take endpoints away, between two that do not
--- a/peatlead/controller/dns_publication.py
+++ b/peatlead/controller/dns_publication.py
@@ -7,9 +7,10 @@
 from ..dns.answers import Answers
 from ..dns.views import View
 from ..dns.warmup_thinning import WarmupThinning
-from .channel import Message, ViewState
+from .message import Message
 from .published_items import EndpointWeights, LineWeights
 from .recipients import VIEW_PREFIX, PlannedTable
+from .view_state import ViewState
 
 if TYPE_CHECKING:
     from .controller import Controller
--- a/peatlead/controller/message_pump.py
+++ b/peatlead/controller/message_pump.py
@@ -5,8 +5,8 @@
 
 from .. import interface
 from ..dns.views import View
-from .channel import Message
 from .dns_publication import Seat
+from .message import Message
 from .published_items import EndpointWeights
 
 if TYPE_CHECKING:
@@ -33,7 +33,7 @@
         for number, message in controller.channel.due(now, MESSAGES_EACH_CALLBACK):
             for nonce in message.marks:
                 delay = now - message.offered
-                controller.note(interface.Acknowledged(number, nonce, delay))
+                controller.submit_later(interface.Acknowledged(number, nonce, delay))
             controller.propagation.left(number)
             view = controller.views.by_number.get(number)
             if view is None:
--- a/peatlead/controller/operator_queries.py
+++ b/peatlead/controller/operator_queries.py
@@ -158,7 +158,7 @@
             "unanswered": controller.front.unanswered,
             "prepared": controller.answers.prepared,
             "channel": self._describe_channel(),
-            "burden": controller.overload.told(),
+            "burden": controller.overload.status(),
             "probes_dropped": controller.health_checks.prober.dropped,
             "levels": controller.health_checks.admission_text(),
             "fresh": controller.freshness.fresh,
--- a/peatlead/controller/overload.py
+++ b/peatlead/controller/overload.py
@@ -266,5 +266,3 @@
             "gather": self.gather,
             "shed": dict(self.shed),
         }
-
-    told = status  # the callers' name for it
--- a/peatlead/controller/pin_control.py
+++ b/peatlead/controller/pin_control.py
@@ -63,14 +63,14 @@
     def store(self, now: float) -> None:
         """Append the pins, with their present ages, to the table log."""
         self._stored_at = now
-        self._log.note(NOTE_KEY, encode_pins(self.pins.told(now)))
+        self._log.note(NOTE_KEY, encode_pins(self.pins.snapshot(now)))
 
     def announce(self, now: float) -> None:
         """Send all pins to the other controllers."""
         self._announced_at = now
         if not self._controller.fleet:
             return
-        pins = self.pins.told(now)
+        pins = self.pins.snapshot(now)
         for start in range(0, len(pins), PINS_EACH_DATAGRAM):
             payload = encode_pins(pins[start : start + PINS_EACH_DATAGRAM])
             self._controller.fleet.broadcast_pins(payload)
@@ -92,5 +92,5 @@
         """Return the pin that holds a proxy or view now."""
         if not self.pins.held:
             return None
-        active: ActivePin | None = self.pins.of(self._controller.loop.time(), name, zone)
+        active: ActivePin | None = self.pins.pin_for(self._controller.loop.time(), name, zone)
         return active
--- a/peatlead/controller/proxies.py
+++ b/peatlead/controller/proxies.py
@@ -19,11 +19,12 @@
 from ..grpc.session import Session
 from ..sources.endpoint_list import ListedEndpoint
 from ..tables.version import NONE, PARTS, Version, line_key, quantize_weight
-from .channel import Message, ViewState
+from .message import Message
 from .overload import ReportsRead
 from .proxy_admission import Admission, Metadata, ProxyAdmission
 from .published_items import EndpointWeights, LineWeights, TableItems
 from .recipients import Recipient
+from .view_state import ViewState
 
 if TYPE_CHECKING:
     from .controller import Controller
--- a/peatlead/controller/proxy_admission.py
+++ b/peatlead/controller/proxy_admission.py
@@ -5,7 +5,7 @@
 
 from ..fleet.membership import MemberInfo
 from ..fleet.ownership import Ownership, OwnershipReport, rank_controllers, why
-from ..grpc.framing import UNAVAILABLE
+from ..grpc.framing import StatusCode
 from ..grpc.proxy_node import ProxyNode
 from ..grpc.server import GrpcServer
 
@@ -37,7 +37,7 @@
 
 def wait_refusal(reason: str, seconds: float) -> Admission:
     """Return the answer to a proxy that should dial again later."""
-    return Admission(0, Refusal(UNAVAILABLE, reason, {WAIT_METADATA: f"{seconds:.3f}"}))
+    return Admission(0, Refusal(StatusCode.UNAVAILABLE, reason, {WAIT_METADATA: f"{seconds:.3f}"}))
 
 
 class ProxyAdmission:
@@ -78,7 +78,7 @@
             self.paced += 1
             return wait_refusal(decision.why, decision.wait)
         self.sent_on += 1
-        refusal = Refusal(UNAVAILABLE, decision.why, self._address_of(decision.owner))
+        refusal = Refusal(StatusCode.UNAVAILABLE, decision.why, self._address_of(decision.owner))
         return Admission(0, refusal)
 
     def hints(self, node: ProxyNode) -> Metadata:
--- a/peatlead/controller/publication.py
+++ b/peatlead/controller/publication.py
@@ -1,6 +1,6 @@
 """The published tables of a controller: versions in memory and on disk, and the effect of pins.
 
-`Publication` stands between what the planner wants (`channel.ViewState`) and what is sent. A
+`Publication` stands between what the planner wants (`view_state.ViewState`) and what is sent. A
 pinned proxy's lines go through the guard, all others pass unchanged; each version that is sent is
 committed to the store and to the log on disk with its causes.
 
--- a/peatlead/controller/table_queries.py
+++ b/peatlead/controller/table_queries.py
@@ -129,7 +129,7 @@
         return {
             "steward": self._controller.me["name"],
             "proxies": len(self._controller.recipients.everyone()),
-            "versions": store.many,
+            "versions": store.entry_count,
             "bytes": store.size,
             "dropped": store.dropped,
             "kept on disk": log.broken is None,
--- a/peatlead/dns/answers.py
+++ b/peatlead/dns/answers.py
@@ -20,6 +20,7 @@
 
 from .answer_cache import AnswerCache, AnswerCycle, AnswerSource, PreparedAnswer
 from .answer_order import draw_orders
+from .canonical_zone import ZoneRecord
 from .client_subnet import find_view
 from .message_format import HEADER_BYTES, ID_BYTES, OPCODE_BITS, RESPONSE_FLAG, question_bytes
 from .query import Query, header_only, max_response_size
@@ -27,7 +28,6 @@
 from .service_names import ServiceNames, Target
 from .views import View, Views
 from .warmup_thinning import AnswerPool
-from .zone import ZoneRecord
 from .zone_contents import (
     NEGATIVE_LIFETIME,
     add_apex_records,
--- a/peatlead/dns/notify.py
+++ b/peatlead/dns/notify.py
@@ -10,8 +10,9 @@
 import dns.opcode
 
 from .message_format import HEADER_BYTES, ID_BYTES, RESPONSE_FLAG
+from .serials import Serials
 from .transfer import held_serial, refused, respond
-from .zone import Serials, ZoneHistory
+from .zone import ZoneHistory
 
 if TYPE_CHECKING:
     from .answers import Answers
--- a/peatlead/dns/transfer.py
+++ b/peatlead/dns/transfer.py
@@ -8,8 +8,9 @@
 import dns.rcode
 import dns.rdatatype
 
+from .canonical_zone import ZoneRecord
 from .message_format import question_bytes
-from .zone import Difference, ZoneHistory, ZoneRecord
+from .zone import Difference, ZoneHistory
 
 RECORDS_PER_MESSAGE = 90  # stays under 65,535 bytes, however long the names are
 
--- a/peatlead/dns/zone.py
+++ b/peatlead/dns/zone.py
@@ -18,8 +18,6 @@
 from .canonical_zone import APEX, CanonicalZone, ZoneRecord
 from .serials import Serials, newer
 
-__all__ = ["APEX", "Delta", "Difference", "Serials", "ZoneHistory", "ZoneRecord", "newer"]
-
 MAX_DELTAS = 500  # stored: past this, the oldest is dropped
 MAX_DELTA_RECORDS = 50_000  # in all stored deltas together: past this, the oldest is dropped
 APEX_LIFETIME = 60  # seconds that the SOA and ZONEMD records may be cached
--- a/peatlead/dns/zone_contents.py
+++ b/peatlead/dns/zone_contents.py
@@ -7,9 +7,9 @@
 import dns.rdatatype
 
 from .answer_order import srv_weights
+from .canonical_zone import APEX, ZoneRecord
 from .records import FAMILIES, Section, add_record, address_rtype
 from .service_names import PROTOCOL_LABEL
-from .zone import APEX, ZoneRecord
 
 if TYPE_CHECKING:
     from .answer_cache import AnswerSource
--- a/peatlead/grpc/framing.py
+++ b/peatlead/grpc/framing.py
@@ -22,8 +22,6 @@
     UNAVAILABLE = 14
 
 
-UNAVAILABLE = StatusCode.UNAVAILABLE  # former name, until all callers have the new one
-
 TIMEOUT_UNITS = {"H": 3600.0, "M": 60.0, "S": 1.0, "m": 1e-3, "u": 1e-6, "n": 1e-9}  # seconds
 MAX_TIMEOUT_SIZE = 9  # characters: at most eight digits and a unit
 MAX_MESSAGE = 4 << 20  # bytes
--- a/peatlead/grpc/http2.py
+++ b/peatlead/grpc/http2.py
@@ -17,12 +17,11 @@
 import h2.settings
 
 from ..net.streams import Stream, within
-from .call import MAX_BACKLOG, Call, Metadata, to_headers
+from .call import Call, Metadata, to_headers
 from .framing import FramingError, StatusCode, parse_timeout
 
 MAX_CALLS = 16  # of one peer at a time
 MAX_HEADER_LIST = 16384  # bytes of one header list
-WAITING_MOST = MAX_BACKLOG  # former name, until all callers have the new one
 MAX_UNSENT = 16 << 20  # bytes in the socket's buffer
 
 MAX_CONTROL_FRAMES = (
--- a/peatlead/grpc/incremental.py
+++ b/peatlead/grpc/incremental.py
@@ -199,7 +199,7 @@
             return []
         digest = subscription.digest.copy()
         for key, value in moved.items():
-            digest.moved(key, subscription.held.get(key), value)
+            digest.update(key, subscription.held.get(key), value)
         in_flight = self._next_in_flight(wanted, digest)
         return [self._respond(type_url, subscription, in_flight, str(subscription.digest), moved)]
 
--- a/peatlead/grpc/load_aggregation.py
+++ b/peatlead/grpc/load_aggregation.py
@@ -95,9 +95,6 @@
         totals.unanswered += unanswered
         totals.window += window
 
-    host = add_endpoint  # former names, until all callers have the new ones
-    reqs = add_requests
-
     def due(self, now: float) -> list[interface.RequestStats | interface.EndpointStats]:
         """The sums as events once they are due, endpoints in the order of their indices."""
         if self.started_at is None or now - self.started_at < self.wait:
--- a/peatlead/grpc/server.py
+++ b/peatlead/grpc/server.py
@@ -5,7 +5,6 @@
 from typing import Optional
 
 from ..net.streams import ConnectionSet
-from . import proxy_node
 from .call import Call
 from .framing import StatusCode
 from .handler import ProxyHandler
@@ -19,8 +18,6 @@
 MAX_CONNECTIONS = 10_000  # beyond it the one idle for longest is cut
 LISTEN_BACKLOG = 1024
 
-read_node = proxy_node.read_node  # former place, until all callers have the new one
-
 
 class GrpcServer:
     """The listener. `kinds`: names of the request classes; `zones`: names of all zones."""
--- a/peatlead/lab/day.py
+++ b/peatlead/lab/day.py
@@ -18,7 +18,7 @@
 from ..planner.planner import Planner
 from ..scenario.plain import PlainPlanner
 from ..scenario.runner import Day
-from ..settings.script import load_settings
+from ..settings.loader import load_settings
 from ..standin.process import HALLS, Orders
 from .plain import plain
 from .policies import HomePlanner, OraclePlanner
--- a/peatlead/lab/study.py
+++ b/peatlead/lab/study.py
@@ -16,8 +16,10 @@
 from random import Random
 
 from ..scenario.script import load_day
-from ..settings.script import SettingsError, run_script
-from ..settings.shapes import REQUIRED, Field, expected, many, number, one_of, text
+from ..settings.checks import many, number, one_of, text
+from ..settings.errors import SettingsError
+from ..settings.fields import REQUIRED, Field, expected
+from ..settings.starlark_runner import run_script
 from .day import POLICIES, play_day
 from .planner_constants import modules_with, replaced
 
--- a/peatlead/platform/configuration.py
+++ b/peatlead/platform/configuration.py
@@ -10,7 +10,7 @@
 from ..interface import ListScope
 from ..net.errors import is_transient
 from ..sources.endpoint_list import EndpointList
-from ..wire.names import settings_from
+from ..wire.settings import settings_from
 from .messages import (
     Address,
     ConfigurationDocument,
--- a/peatlead/platform/controller.py
+++ b/peatlead/platform/controller.py
@@ -10,7 +10,8 @@
 
 from .. import interface
 from ..controller.batch_loop import BatchLoop
-from ..controller.channel import Publisher
+from ..controller.message import Operations
+from ..controller.publisher import Publisher
 from ..planner.planner import Planner
 from ..sources.endpoint_list import EndpointList
 from .clock import WallClock
@@ -19,7 +20,6 @@
 from .endpoint_watch import EndpointWatch
 from .health_checks import concurrent_checks, make_prober
 from .messages import CollectorHello, ProxyHello
-from .operations import Operations
 from .push import PushComposer
 from .reload import ConfigurationReload, differences
 from .reports import ReportTranslator
@@ -344,6 +344,6 @@
         elif type(event) is interface.Acknowledged:
             self.telemetry.acknowledged(event.duration)
             # One comes for each message: a batch for each would be most of the work.
-            self.note(event)
+            self.submit_later(event)
         else:
             self.submit(event)
--- a/peatlead/platform/messages/load_reports.py
+++ b/peatlead/platform/messages/load_reports.py
@@ -7,7 +7,7 @@
 from msgspec import Meta, json
 
 from ...interface import LoadReport
-from ...wire import names
+from ...wire.settings import REPORT_METRICS
 
 # Reports use the settings' names of the metrics, as the simulator's wire does; the platform's own
 # examples use others.
@@ -18,7 +18,7 @@
     "latency_ms": "service_ms",
     "qps": "done_rate",
     "eps": "bad_rate",
-    **names.REPORTS,
+    **REPORT_METRICS,
 }
 
 Metrics = dict[str, Optional[Annotated[float, Meta(ge=0, le=1e9)]]]
--- a/peatlead/platform/push.py
+++ b/peatlead/platform/push.py
@@ -8,10 +8,10 @@
 from collections.abc import Iterable, Set
 from typing import NamedTuple, Optional
 
-from ..controller.channel import Publisher
+from ..controller.message import ADMISSION, ASSIGNMENT, ENTRY, WITHDRAWN, Operations, TableId
+from ..controller.publisher import Publisher
 from .endpoint_tracker import EndpointTracker
 from .messages import Admission, TableUpdate, write_push
-from .operations import ADMISSION, ASSIGNMENT, ENTRY, WITHDRAWN, Operations
 from .sessions import Session
 
 
@@ -87,9 +87,9 @@
 
     def entries_by_table(
         self, whole: Set[int], operations: Operations
-    ) -> dict[int, list[tuple[str, float]]]:
+    ) -> dict[TableId, list[tuple[str, float]]]:
         """Return the entries to send, whole tables first; those need no removals."""
-        entries: dict[int, list[tuple[str, float]]] = {table: [] for table in sorted(whole)}
+        entries: dict[TableId, list[tuple[str, float]]] = {table: [] for table in sorted(whole)}
         listed = self.endpoints.registry.entries
         for key, weight in operations.items():
             if key[0] == ENTRY and (weight or key[1] not in whole):
--- a/peatlead/platform/telemetry.py
+++ b/peatlead/platform/telemetry.py
@@ -15,8 +15,8 @@
 
 from typing import Protocol
 
+from ..controller.message import ADMISSION, ASSIGNMENT, ENTRY, WITHDRAWN, Operations
 from ..interface import PlannerStatus
-from .operations import ADMISSION, ASSIGNMENT, ENTRY, WITHDRAWN, Operations
 from .shared_types import Log
 
 STATUS_INTERVAL = 1.0  # seconds between two `channel` events
--- a/peatlead/tables/digest.py
+++ b/peatlead/tables/digest.py
@@ -61,8 +61,6 @@
             self.total += HASHES.hash_of(key, new)
         self.total %= MODULUS
 
-    moved = update  # its former name, until its callers have moved
-
     def copy(self) -> "Digest":
         """Return an independent copy."""
         duplicate = Digest()
--- a/peatlead/tables/history.py
+++ b/peatlead/tables/history.py
@@ -56,11 +56,6 @@
         self.size = 0  # bytes of memory, approximately
         self.dropped = 0  # entries dropped since the start
 
-    @property
-    def many(self) -> int:
-        """The former name of `entry_count`, until its callers have moved."""
-        return self.entry_count
-
     def history(self, name: str) -> History:
         """Return a connected proxy's history, new where there is none."""
         self.gone.pop(name, None)
--- a/peatlead/tables/pins.py
+++ b/peatlead/tables/pins.py
@@ -25,7 +25,6 @@
     "PinTarget",
     "Pins",
     "check",
-    "place",
     "decode_pins",
     "rollout_position",
     "encode_pins",
@@ -39,8 +38,6 @@
     1.5  # seconds between two updates of a pinned proxy, unless an endpoint must be removed
 )
 
-place = rollout_position  # its former name, until its callers have moved
-
 
 class Pins:
     """One controller's pins by id.
@@ -143,10 +140,6 @@
         """Return all pins in order of id, as they are to be stored or sent now."""
         return [active.as_pin(now) for _, active in sorted(self.held.items())]
 
-    # Former names, until their callers have moved.
-    of = pin_for
-    told = snapshot
-
     def _is_newer(self, pin: Pin) -> bool:
         """Return whether a received pin is valid and replaces, or adds to, what is known."""
         try:
--- a/tests/controller/test_batch_loop.py
+++ b/tests/controller/test_batch_loop.py
@@ -43,7 +43,7 @@
             planner = RecordingPlanner()
             loop = RecordingLoop(planner)
             events = [interface.ProxyDisconnected(proxy) for proxy in range(3)]
-            loop.note(events[0])
+            loop.submit_later(events[0])
             for event in events[1:]:
                 loop.submit(event)
             await until(lambda: planner.batches)
@@ -55,7 +55,7 @@
         async def case():
             planner = RecordingPlanner()
             loop = RecordingLoop(planner)
-            loop.note(interface.ProxyDisconnected(1))
+            loop.submit_later(interface.ProxyDisconnected(1))
             self.assertEqual((loop.step_scheduled, len(loop.inbox)), (False, 1))
 
         run(case())
--- a/tests/controller/test_channel.py
+++ b/tests/controller/test_channel.py
@@ -5,7 +5,9 @@
 from hypothesis import strategies as some
 
 from peatlead import interface
-from peatlead.controller.channel import Channel, Publisher, ViewState
+from peatlead.controller.channel import Channel
+from peatlead.controller.publisher import Publisher
+from peatlead.controller.view_state import ViewState
 
 COMMANDS = some.lists(
     some.one_of(
--- a/tests/controller/test_many_proxies.py
+++ b/tests/controller/test_many_proxies.py
@@ -23,8 +23,9 @@
 
 from peatlead import interface
 from peatlead.benchmarks.herd import Agent
+from peatlead.grpc.call import MAX_BACKLOG
 from peatlead.grpc.framing import frame
-from peatlead.grpc.http2 import MAX_HEADER_LIST, WAITING_MOST, Connection
+from peatlead.grpc.http2 import MAX_HEADER_LIST, Connection
 from peatlead.grpc.resources import ENDPOINTS
 from peatlead.grpc.server import DISCOVERY, LOADS
 from peatlead.net.in_memory_transport import InMemoryTransport
@@ -155,8 +156,8 @@
         sent = 0
         while call.send(b"x" * 100_000):
             sent += 1
-            self.assertLessEqual(call.waiting, WAITING_MOST)
-        self.assertTrue(call.over and sent <= WAITING_MOST // 100_000)
+            self.assertLessEqual(call.waiting, MAX_BACKLOG)
+        self.assertTrue(call.over and sent <= MAX_BACKLOG // 100_000)
         self.assertLess(len(transport.out), 1000)
 
     async def test_output_to_a_closing_connection_is_dropped_without_error(self):
--- a/tests/dns/test_zone.py
+++ b/tests/dns/test_zone.py
@@ -7,7 +7,8 @@
 from hypothesis import given, strategies
 
 from peatlead.dns import zone as zones
-from peatlead.dns.zone import Serials, ZoneHistory, newer
+from peatlead.dns.serials import Serials, newer
+from peatlead.dns.zone import ZoneHistory
 
 ORIGIN = dns.name.from_text("example.org.")
 RECORDS = strategies.frozensets(
--- a/tests/dns/test_zone_transfer.py
+++ b/tests/dns/test_zone_transfer.py
@@ -8,7 +8,7 @@
 import dns.name
 import dns.rdatatype
 
-from peatlead.dns.zone import newer
+from peatlead.dns.serials import newer
 from peatlead.standin.secondary import Secondary
 
 from ..places import SCRIPT, play, until
--- a/tests/grpc/test_load_aggregation.py
+++ b/tests/grpc/test_load_aggregation.py
@@ -9,9 +9,9 @@
         aggregator = LoadAggregator()
         for at in range(100):
             aggregator.report(5.0)
-            aggregator.host(3, at % 2, 4, 1, 0.6, 0.5, 1, 1.0 + at / 100)
-            aggregator.reqs(at, 0, 4, 1, 1.0)
-        aggregator.reqs(7, 0, 6, 0, 2.0)
+            aggregator.add_endpoint(3, at % 2, 4, 1, 0.6, 0.5, 1, 1.0 + at / 100)
+            aggregator.add_requests(at, 0, 4, 1, 1.0)
+        aggregator.add_requests(7, 0, 6, 0, 2.0)
         events = aggregator.due(5.0)
         hosts = [event for event in events if type(event) is interface.EndpointStats]
         self.assertEqual(
@@ -36,8 +36,8 @@
         aggregator = LoadAggregator()
         aggregator.wait = 0.5
         aggregator.report(1.0)
-        aggregator.reqs(1, 0, 4, 0, 1.0)
-        aggregator.reqs(2, 0, 4, 0, 1.0)
+        aggregator.add_requests(1, 0, 4, 0, 1.0)
+        aggregator.add_requests(2, 0, 4, 0, 1.0)
         aggregator.forget(1)
         self.assertEqual(aggregator.due(1.4), [])
         self.assertEqual(aggregator.due(1.5), [interface.RequestStats(2, 0, 4, 0, 1.0)])
--- a/tests/planner/test_channel_budget.py
+++ b/tests/planner/test_channel_budget.py
@@ -1,7 +1,7 @@
 import unittest
 
 from peatlead import interface
-from peatlead.controller.channel import Publisher
+from peatlead.controller.publisher import Publisher
 from tests.helpers import make_endpoint, make_planner
 
 
--- a/tests/plants.py
+++ b/tests/plants.py
@@ -10,8 +10,9 @@
 from unittest import mock
 
 from peatlead import interface
-from peatlead.controller.channel import Publisher, ViewState
 from peatlead.controller.controller import Controller
+from peatlead.controller.publisher import Publisher
+from peatlead.controller.view_state import ViewState
 from peatlead.dns import warmup_thinning
 from peatlead.fleet.ownership import Fence
 from peatlead.lab.day import play_day
--- a/tests/platform/test_push.py
+++ b/tests/platform/test_push.py
@@ -4,7 +4,7 @@
 import unittest
 
 from peatlead import interface
-from peatlead.controller.channel import Publisher
+from peatlead.controller.publisher import Publisher
 from peatlead.standin.platform_proxies import ProxyState
 
 from ..helpers import SETTINGS
--- a/tests/transcripts/test_platform_transcripts.py
+++ b/tests/transcripts/test_platform_transcripts.py
@@ -28,7 +28,7 @@
     read_message,
     write_push,
 )
-from peatlead.wire import names
+from peatlead.wire.settings import REQUEST_CLASS_SETTING_NAMES, SETTING_NAMES
 
 # The adapter. Words of ours for words of the wire; the fields of what is read, in the order that is stored.
 
@@ -79,7 +79,10 @@
 ENTRY = ("name", "zone", "phase", "address", "port", "machine", "pod", "weight", "started")
 CONFIGURATION = ("name", "listen", "discovery", "seed", "sockets")
 KINDS, OWN_ZONE, WRITES = "req_kinds", "own_zone", "write"
-SETTINGS, OF_KIND = names.PLAIN, names.OF_KIND  # {the wire's name: ours}
+SETTINGS, OF_KIND = (
+    SETTING_NAMES,
+    REQUEST_CLASS_SETTING_NAMES,
+)  # {the wire's name: ours}
 NOT_STORED = {"own_zone_only", "writes"}  # settings that each request kind carries
 
 
--- a/tests/transcripts/test_tables_transcripts.py
+++ b/tests/transcripts/test_tables_transcripts.py
@@ -50,7 +50,7 @@
 
 
 def pin_places(pin, names):
-    return [round(pins.place(pin, name) * (1 << 48)) for name in names]
+    return [round(pins.rollout_position(pin, name) * (1 << 48)) for name in names]
 
 
 def told_pins(now, made, later):
@@ -59,7 +59,7 @@
     for one in made:
         mine.make(now, *one)
     mine.resume(now + 1.5, sorted(mine.held)[0])
-    return encode_pins(mine.told(later))
+    return encode_pins(mine.snapshot(later))
 
 
 def open_log(folder):
