--- /dev/null
+++ b/tests/deploy/test_balancer_file.py
@@ -0,0 +1,38 @@
+"""deploy/balancer.toml names the files of which the program on the platform consists."""
+
+import subprocess
+import sys
+import tomllib
+import unittest
+from pathlib import Path
+
+ROOT = Path(__file__).parent.parent.parent
+LIST_LOADED_FILES = """
+import sys
+import peatlead.platform.__main__
+for name, module in sys.modules.items():
+    if name.split(".")[0] == "peatlead":
+        print(module.__file__)
+"""
+
+
+def is_or_contains(listed, path):
+    return path == listed or path.startswith(listed + "/")
+
+
+class BalancerFileTest(unittest.TestCase):
+    def test_policy_and_node_list_what_the_program_loads_and_nothing_else(self):
+        deployment = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
+        listed = deployment["policy"] + deployment["node"]
+        output = subprocess.run(
+            [sys.executable, "-c", LIST_LOADED_FILES],
+            cwd=ROOT,
+            check=True,
+            capture_output=True,
+            text=True,
+        ).stdout
+        loaded = {str(Path(line).relative_to(ROOT)) for line in output.splitlines()}
+        modules = {path for path in loaded if not path.endswith("/__init__.py")}
+        unlisted = [path for path in modules if not any(is_or_contains(it, path) for it in listed)]
+        unused = [it for it in listed if not any(is_or_contains(it, path) for path in loaded)]
+        self.assertEqual((sorted(unlisted), unused), ([], []))
