--- a/peatlead/controller/__init__.py
+++ b/peatlead/controller/__init__.py
@@ -1,1 +1,1 @@
-"""One steward: it tells the planner what happens and does what the planner decides."""
+"""One controller: submits events to the planner and carries out its commands."""
--- a/peatlead/controller/controller.py
+++ b/peatlead/controller/controller.py
@@ -271,7 +271,7 @@
 
     def _send_gossip(self, order: interface.SendGossip) -> None:
         if self.fleet:
-            self.fleet.tell(order.payload)
+            self.fleet.broadcast_advice(order.payload)
 
     # Events.
 
--- a/peatlead/controller/endpoint_lists.py
+++ b/peatlead/controller/endpoint_lists.py
@@ -70,7 +70,7 @@
         if change is not None:
             causes = controller.published.causes
             causes.phases({index: change}, list_version)
-            controller.propagation.note(now, index, causes.news[index])
+            controller.propagation.note(now, index, causes.last_events[index])
         controller.answers.know(index, entry.name, entry.address, entry.address6)
         if controller.proxies:
             controller.proxies.endpoint_listed(index, entry)
--- a/peatlead/controller/operator_queries.py
+++ b/peatlead/controller/operator_queries.py
@@ -191,7 +191,7 @@
             "steward": controller.me["name"],
             **describe_endpoint(endpoint),
             "holders": endpoint.subscribers,
-            **controller.propagation.tell(now, index),
+            **controller.propagation.status(now, index),
         }
 
     def _why_proxy(self, name: str, proxies: Proxies, session: Session) -> Answer:
--- a/peatlead/controller/pin_control.py
+++ b/peatlead/controller/pin_control.py
@@ -39,7 +39,7 @@
 
     def recall(self, now: float, notes: Mapping[str, bytes]) -> None:
         """Take up the pins of an earlier start. Raises ValueError where they are not readable."""
-        self.pins.hear(now, decode_pins(notes.get(NOTE_KEY, NO_PINS)))
+        self.pins.merge(now, decode_pins(notes.get(NOTE_KEY, NO_PINS)))
 
     def log_standing(self, now: float) -> None:
         """Log each pin in force with its remaining seconds."""
@@ -83,7 +83,7 @@
 
     def receive(self, now: float, payload: bytes) -> bool:
         """Merge another controller's pins. Return whether any changed; raises ValueError."""
-        if not self.pins.hear(now, decode_pins(payload)):
+        if not self.pins.merge(now, decode_pins(payload)):
             return False
         self.store(now)
         return True
--- a/peatlead/controller/propagation.py
+++ b/peatlead/controller/propagation.py
@@ -118,7 +118,7 @@
             withdrawal.disconnected += 1
             self.end(endpoint, holder)
 
-    def tell(self, now: float, endpoint: int) -> dict[str, list[object]]:
+    def status(self, now: float, endpoint: int) -> dict[str, list[object]]:
         """Return the recent events and withdrawals of an endpoint as operators see them."""
         withdrawals = list(self.past.get(endpoint, ()))
         if endpoint in self.open:
--- a/peatlead/controller/proxies.py
+++ b/peatlead/controller/proxies.py
@@ -272,7 +272,7 @@
             "moved": self.admission.moved,
             "sent on": self.admission.sent_on,
             "paced": self.admission.paced,
-            "connections": len(self.front.held.streams),
+            "connections": len(self.front.connections.streams),
         }
 
     def _reset_orders(self, session: Session) -> None:
--- a/peatlead/controller/publisher.py
+++ b/peatlead/controller/publisher.py
@@ -34,7 +34,9 @@
         self.enforcing: set[int] = set()  # joined, and enforce admission themselves
         self.holders: dict[int, dict[int, float]] = {}  # endpoint -> its weight in each table
         self.changed = 0  # changes of table entries so far
-        self.notified: dict[int, set[int]] = {}  # ejected endpoint -> subscribers that were told
+        self.notified: dict[
+            int, set[int]
+        ] = {}  # ejected endpoint -> subscribers that were notified
         self.ejected: dict[int, set[int]] = {}  # subscriber -> endpoints ejected since it joined
         self.levels: dict[int, tuple[float, str]] = {}  # (admitted fraction, retry policy) by class
 
--- a/peatlead/dns/server.py
+++ b/peatlead/dns/server.py
@@ -32,7 +32,7 @@
     def __init__(self, settings: Mapping[str, Any], answers: Answers) -> None:
         self.settings = settings
         self.answers = answers
-        self.held = ConnectionSet(settings["tcp_most"])
+        self.connections = ConnectionSet(settings["tcp_most"])
         self.fresh_until = 0.0
         self.unanswered = 0  # queries that came while the controller was not fresh
         self.closers: list[Closer] = []
@@ -48,7 +48,7 @@
         """Close the sockets and all connections."""
         for closer in self.closers:
             closer.close()
-        self.held.close()
+        self.connections.close()
 
 
 class UdpProtocol(asyncio.DatagramProtocol):
@@ -91,11 +91,11 @@
 
     def opened(self) -> None:
         """Join the server's bounded set of connections."""
-        self.server.held.add(self)
+        self.server.connections.add(self)
 
     def ended(self, reason: str) -> None:
         """Leave the server's set of connections."""
-        self.server.held.drop(self)
+        self.server.connections.drop(self)
 
     def received(self, data: bytes) -> None:
         """Answer all complete queries."""
--- a/peatlead/fleet/gossip.py
+++ b/peatlead/fleet/gossip.py
@@ -166,8 +166,8 @@
 
     # Sending.
 
-    def tell(self, payload: bytes) -> None:
-        """Sends planner's advice to all live controllers; too long a payload is dropped."""
+    def broadcast_advice(self, payload: bytes) -> None:
+        """Sends the planner's advice to all live controllers; too long a payload is dropped."""
         if len(payload) <= MAX_ADVICE_SIZE:
             self._broadcast(GossipMessage(payload))
 
--- a/peatlead/grpc/call.py
+++ b/peatlead/grpc/call.py
@@ -75,7 +75,7 @@
         self.over = False
         self.answered = False  # whether this side's headers have been sent
         self.deadline: Optional[asyncio.TimerHandle] = None
-        self.told: Metadata = {}  # all headers and trailers of the peer
+        self.peer_metadata: Metadata = {}  # all headers and trailers of the peer
         self.message: Callable[[bytes], object] = ignore_message
         self.headers: Callable[[Metadata], object] = ignore_headers
         self.ended: Callable[[int, str], object] = ignore_end
--- a/peatlead/grpc/http2.py
+++ b/peatlead/grpc/http2.py
@@ -109,7 +109,7 @@
         self.ping_timer: Optional[asyncio.TimerHandle] = None
         self.pinged: Optional[float] = None  # when the unanswered ping was sent
         self.going_away = False
-        self.heard = 0.0  # when the peer's last bytes came
+        self.last_received_at = 0.0  # when the peer's last bytes came
         self.ended_all: Callable[[str], object] = ignore_end
         self.connection_count: Callable[[], int] = lambda: 0
 
@@ -155,12 +155,12 @@
         if not self.live:
             return
         now = self.loop.time()
-        if self.pinged is not None and self.heard < self.pinged:
+        if self.pinged is not None and self.last_received_at < self.pinged:
             self.cut("no answer to pings")
             return
         self.pinged = None
         interval = max(self.ping_every, self.connection_count() / MAX_PING_RATE)
-        wait = interval - (now - self.heard)
+        wait = interval - (now - self.last_received_at)
         if wait < PING_SLACK:
             wait = max(interval, self.ping_wait)
             self.pinged = now
@@ -185,7 +185,7 @@
 
     def received(self, data: bytes) -> None:
         """Handles bytes of the peer."""
-        self.heard = self.loop.time()
+        self.last_received_at = self.loop.time()
         try:
             for event in self.talk.receive_data(data):
                 self._on_event(event)
@@ -228,7 +228,7 @@
         headers: Metadata = dict(event.headers)
         call = Call(self, event.stream_id, headers.get(":path", ""))
         self.calls[event.stream_id] = call
-        call.told = headers
+        call.peer_metadata = headers
         is_grpc = headers.get("content-type", "").startswith(GRPC_CONTENT_TYPE)
         if headers.get(":method") != "POST" or not is_grpc:
             self.talk.send_headers(event.stream_id, [(":status", "415")], end_stream=True)
@@ -243,12 +243,12 @@
 
     def _on_response(self, event: Any, call: Optional[Call]) -> None:
         if call is not None:
-            call.told.update(event.headers)
-            call.headers(call.told)
+            call.peer_metadata.update(event.headers)
+            call.headers(call.peer_metadata)
 
     def _on_trailers(self, event: Any, call: Optional[Call]) -> None:
         if call is not None:
-            call.told.update(event.headers)
+            call.peer_metadata.update(event.headers)
 
     def _on_stream_ended(self, _: Any, call: Optional[Call]) -> None:
         if call is None:
@@ -256,9 +256,9 @@
         if not self.client:
             call.finish(StatusCode.OK)
             return
-        status = call.told.get("grpc-status", "")
+        status = call.peer_metadata.get("grpc-status", "")
         code = int(status) if status.isdigit() else StatusCode.UNKNOWN
-        call.end(code, call.told.get("grpc-message", ""))
+        call.end(code, call.peer_metadata.get("grpc-message", ""))
 
     def _on_stream_reset(self, _: Any, call: Optional[Call]) -> None:
         self._count_control_frame()
--- a/peatlead/grpc/server.py
+++ b/peatlead/grpc/server.py
@@ -35,7 +35,7 @@
         self.zones = zones
         self.kinds = {name: index for index, name in enumerate(kinds)}
         self.sessions: dict[str, Session] = {}  # admitted proxies by name
-        self.held = ConnectionSet(most)
+        self.connections = ConnectionSet(most)
         self.server: Optional[asyncio.Server] = None
 
     async def open(self, address: tuple[str, int]) -> None:
@@ -45,9 +45,9 @@
 
     def _connect(self) -> Connection:
         connection = Connection(False, self._serve)
-        connection.ended_all = lambda reason: self.held.drop(connection)
-        connection.connection_count = lambda: len(self.held.streams)
-        self.held.add(connection)
+        connection.ended_all = lambda reason: self.connections.drop(connection)
+        connection.connection_count = lambda: len(self.connections.streams)
+        self.connections.add(connection)
         return connection
 
     def _serve(self, call: Call) -> None:
@@ -84,7 +84,7 @@
         """Stops listening, and closes all connections once their calls have ended."""
         if self.server is not None:
             self.server.close()
-        for connection in list(self.held.streams):
+        for connection in list(self.connections.streams):
             if isinstance(connection, Connection):
                 connection.go_away()
             connection.close()
--- a/peatlead/health/prober.py
+++ b/peatlead/health/prober.py
@@ -30,7 +30,9 @@
 
 
 class Prober:
-    """Probes endpoints and calls `tell(endpoint, outcome, duration, load report, request counts)`.
+    """Probes endpoints and passes each result to a callback.
+
+    It calls `on_result(endpoint, outcome, duration, load report, request counts)`.
 
     `read(response)` returns the outcome, the load report and the request counts; these are None if
     the response holds none. `headers()` returns additional headers. `local` is the address to probe
@@ -40,13 +42,13 @@
     def __init__(
         self,
         settings: ProbeSettings,
-        tell: Callable[[int, str, float, LoadReport | None, Any], object],
+        on_result: Callable[[int, str, float, LoadReport | None, Any], object],
         read: Callable[[Response], tuple[str, LoadReport | None, Any]],
         headers: Callable[[], Iterable[Header]] = list,
         local: str | None = None,
     ) -> None:
         self.settings = settings
-        self.tell = tell
+        self.on_result = on_result
         self.read = read
         self.headers = headers
         self.local = local
@@ -90,7 +92,7 @@
             if stream is not None:
                 stream.cut("probe done")
             self.tasks.pop(endpoint, None)
-        self.tell(endpoint, outcome, loop.time() - start, report, counts)
+        self.on_result(endpoint, outcome, loop.time() - start, report, counts)
         self.start_queued()
 
     def stop(self) -> None:
--- a/peatlead/platform/endpoint_tracker.py
+++ b/peatlead/platform/endpoint_tracker.py
@@ -55,7 +55,7 @@
         return update
 
     def remembered(self, now: float) -> EndpointUpdate:
-        """Return the event that tells a new planner all that is listed."""
+        """Return the event that gives a new planner all listed endpoints."""
         entries = tuple(self.registry.entries.values())
         update: EndpointUpdate = self.registry.endpoint_update(
             EndpointList(ListScope.REMEMBERED, 0, 0.0, entries), now
--- a/peatlead/platform/session_listener.py
+++ b/peatlead/platform/session_listener.py
@@ -42,7 +42,8 @@
             listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             listening.setblocking(False)
             listening.bind(address)
-            # A herd of proxies waits in the backlog: accepted at once, it would pass the limit.
+            # A burst of connecting proxies waits in the backlog: accepted at once, it would
+            # exceed the limit.
             listening.listen(LISTEN_BACKLOG)
             self.server = Listener(
                 listening, lambda: Session(self), ACCEPTS_PER_TURN, self.owner.log
--- a/peatlead/sources/file_watch.py
+++ b/peatlead/sources/file_watch.py
@@ -22,7 +22,7 @@
 
 
 class FileSource:
-    """Polls the file and calls `tell(EndpointList)` for each update.
+    """Polls the file and calls `on_update(EndpointList)` for each update.
 
     `settings`: path, every (seconds between polls) and patience (seconds). `log(event, **fields)`
     is called for what was not taken.
@@ -31,13 +31,13 @@
     def __init__(
         self,
         settings: Mapping[str, Any],
-        tell: Callable[[EndpointList], object],
+        on_update: Callable[[EndpointList], object],
         log: Callable[..., object],
     ) -> None:
         self.path = Path(settings["path"])
         self.every: float = settings["every"]
         self.patience: float = settings["patience"]
-        self.tell = tell
+        self.on_update = on_update
         self.log = log
         self.last_stamp: FileStamp | None = None  # of the last file that was read
         self.version: int | None = None  # of the last list that was taken
@@ -99,7 +99,7 @@
             )
             return
         self.version = endpoint_list.version
-        self.tell(endpoint_list)
+        self.on_update(endpoint_list)
 
     def handle_unreadable(self, now: float, error: Exception) -> None:
         """Report the list as unavailable, once, when it was unreadable for too long."""
@@ -108,4 +108,4 @@
             self.log("list not readable", path=str(self.path), why=str(error))
         elif now - self.unreadable_since >= self.patience and not self.reported_unavailable:
             self.reported_unavailable = True
-            self.tell(EndpointList("unavailable", self.version or 0, 0.0, ()))
+            self.on_update(EndpointList("unavailable", self.version or 0, 0.0, ()))
--- a/peatlead/standin/xds_proxies.py
+++ b/peatlead/standin/xds_proxies.py
@@ -126,7 +126,7 @@
         taken, over = self.loop.create_future(), self.loop.create_future()
         call = connection.call(DELTA if self.plan.incremental else DISCOVERY, "peatlead")
         call.headers = lambda told: taken.done() or taken.set_result(dict(told))
-        call.ended = lambda status, text: over.done() or over.set_result(dict(call.told))
+        call.ended = lambda status, text: over.done() or over.set_result(dict(call.peer_metadata))
         take = self.take_delta if self.plan.incremental else self.take
         call.message = lambda data: take(call, steward, data)
         self.current, joined = call, False
@@ -137,9 +137,9 @@
         if not done:
             self.give_up(connection)
             return "failed", {}
-        if "peatlead-controllers" in call.told or not over.done():
+        if "peatlead-controllers" in call.peer_metadata or not over.done():
             joined = True
-            self.take_hints(call.told)
+            self.take_hints(call.peer_metadata)
             self.record.row("stream", self.loop.time(), self.plan.name, steward, "joined")
             self.keep(self.report(connection))
             await self.watch(connection, over)
@@ -163,7 +163,7 @@
             connection.talk.ping(b"anyone??")
             connection.flush()
             await asyncio.wait([over], timeout=1.0)
-            if not over.done() and connection.heard < asked:
+            if not over.done() and connection.last_received_at < asked:
                 return
 
     def give_up(self, connection):
--- a/peatlead/tables/change_causes.py
+++ b/peatlead/tables/change_causes.py
@@ -49,13 +49,13 @@
     def __init__(self, name_of: Callable[[int], str], listed_of: Callable[[int], float]) -> None:
         self._name_of = name_of
         self._listed_weight = listed_of
-        self.news: dict[int, str] = {}  # endpoint -> its last event
+        self.last_events: dict[int, str] = {}  # endpoint -> its last event
 
     def phases(self, members: Mapping[int, tuple[Optional[str], str]], version: object) -> None:
         """Store changes of phase in a version of the endpoint list: {endpoint: (before, after)}."""
         for endpoint, (before, after) in members.items():
             previous = f" (was {before})" if before else ""
-            self.news[endpoint] = f"{PHASE_EVENTS[after]}, list {version}{previous}"
+            self.last_events[endpoint] = f"{PHASE_EVENTS[after]}, list {version}{previous}"
 
     def note_planner_message(self, text: str) -> Optional[EndpointEvent]:
         """Store a log message of the planner, such as `host 3 dropped: sums`.
@@ -66,7 +66,7 @@
         if subject != "host" or len(rest) < 2 or not rest[0].isdigit():
             return None
         event = EndpointEvent(int(rest[0]), " ".join(rest[1:]))
-        self.news[event.endpoint] = event.text
+        self.last_events[event.endpoint] = event.text
         return event
 
     def causes_of(self, ops: Operations) -> tuple[str, ...]:
@@ -90,7 +90,7 @@
         if kind == OperationKind.WITHDRAWN:
             endpoint = operation[1]
             default = "withdrawn" if value else "let in again"
-            return f"{self._name_of(endpoint)} {self.news.get(endpoint, default)}"
+            return f"{self._name_of(endpoint)} {self.last_events.get(endpoint, default)}"
         if kind == OperationKind.LINE:
             return self._cause_of_weight(operation[2], value)
         if kind == OperationKind.LEVEL:
@@ -103,5 +103,5 @@
         listed = self._listed_weight(endpoint)
         if weight and listed and weight < listed * RAMPED:
             return f"{name} ramps, {weight / listed:.2f} of its weight"
-        event = self.news.get(endpoint) or ("in" if weight else "out")
+        event = self.last_events.get(endpoint) or ("in" if weight else "out")
         return f"{name} {event}"
--- a/peatlead/tables/pins.py
+++ b/peatlead/tables/pins.py
@@ -100,7 +100,7 @@
             active.end(now, over)
         return active.as_pin(now)
 
-    def hear(self, now: float, pins: Iterable[Pin]) -> bool:
+    def merge(self, now: float, pins: Iterable[Pin]) -> bool:
         """Merge pins from another controller or from disk; return whether anything changed."""
         changed = False
         for pin in pins:
--- a/tests/controller/test_many_proxies.py
+++ b/tests/controller/test_many_proxies.py
@@ -237,7 +237,9 @@
                 world.write()
                 await asyncio.sleep(0.03)
             calls = [
-                call for one in controller.proxies.front.held.streams for call in one.calls.values()
+                call
+                for one in controller.proxies.front.connections.streams
+                for call in one.calls.values()
             ]
             self.assertTrue(calls and all(call.waiting < 10_000 for call in calls))
             self.assertEqual(len(controller.proxies.front.sessions), 36)
--- a/tests/controller/test_propagation.py
+++ b/tests/controller/test_propagation.py
@@ -27,7 +27,7 @@
         trace.applied(1.3, 70, Version(1, 3))
         self.assertIn(5, trace.open)
         trace.applied(1.5, 70, Version(1, 4))
-        (withdrawal,) = trace.tell(2.0, 5)["losses"]
+        (withdrawal,) = trace.status(2.0, 5)["losses"]
         self.assertEqual(
             (withdrawal["holders"], withdrawal["without it"], withdrawal["last s"]), (1, 1, 0.5)
         )
@@ -40,7 +40,7 @@
             trace.left(holder)
         trace.applied(0.2, 1)
         trace.ended(0.3, 2)
-        (withdrawal,) = trace.tell(1.0, 9)["losses"]
+        (withdrawal,) = trace.status(1.0, 9)["losses"]
         self.assertEqual(
             (withdrawal["without it"], withdrawal["left before"], withdrawal["still to go"]),
             (1, 1, 1),
@@ -88,7 +88,7 @@
             (len(trace.open), trace.forgotten, len(trace.holding[1])),
             (propagation.WITHDRAWALS_MOST, 50, propagation.WITHDRAWALS_MOST),
         )
-        self.assertEqual(len(trace.tell(99.0, 7)["notes"]), propagation.EVENTS_EACH)
+        self.assertEqual(len(trace.status(99.0, 7)["notes"]), propagation.EVENTS_EACH)
 
 
 class WhyQueryTest(unittest.TestCase):
--- a/tests/fleet/test_gossip.py
+++ b/tests/fleet/test_gossip.py
@@ -40,13 +40,13 @@
                 await nodes[-1].open()
             try:
                 await until(lambda: all(len(one.members.live()) == 2 for one in nodes))
-                nodes[0].tell(b"host-0 3.0 2.0 0.1")
+                nodes[0].broadcast_advice(b"host-0 3.0 2.0 0.1")
                 await until(lambda: received)
                 self.assertEqual(received[0], (0, b"host-0 3.0 2.0 0.1"))
                 for _ in range(MAX_ADVICE_RATE * 3):
                     nodes[1]._on_advice("ns1", b"x")
                 self.assertGreaterEqual(nodes[1].counts["notes dropped"], MAX_ADVICE_RATE)
-                nodes[0].tell(b"x" * (MAX_ADVICE_SIZE + 1))
+                nodes[0].broadcast_advice(b"x" * (MAX_ADVICE_SIZE + 1))
                 nodes[1]._on_advice("stranger", b"x")
                 self.assertLessEqual(len(received), 2 * MAX_ADVICE_RATE + 1)
             finally:
--- a/tests/tables/test_pins.py
+++ b/tests/tables/test_pins.py
@@ -14,7 +14,7 @@
     def test_a_rollout_reaches_the_same_proxies_everywhere_and_finally_all(self):
         pins, other = Pins("ns1"), Pins("ns2")
         pin = pins.make(10.0, "all", over=10.0)
-        other.hear(500.0, decode_pins(encode_pins(pins.snapshot(13.0))))
+        other.merge(500.0, decode_pins(encode_pins(pins.snapshot(13.0))))
         names = [f"proxy{number}" for number in range(200)]
         early = {name for name in names if pins.pin_for(13.0, name, "a")}
         self.assertEqual(early, {name for name in names if other.pin_for(500.0, name, "a")})
@@ -51,8 +51,8 @@
         one, other = Pins("ns1"), Pins("ns2")
         first = one.make(0.0, "all", over=0.0)
         second = other.make(0.0, "all", target="back", to="9", over=0.0)
-        one.hear(1.0, other.snapshot(1.0))
-        other.hear(1.0, one.snapshot(1.0))
+        one.merge(1.0, other.snapshot(1.0))
+        other.merge(1.0, one.snapshot(1.0))
         self.assertEqual(one.pin_for(1.0, "x", "a").pin.id, other.pin_for(1.0, "x", "a").pin.id)
         counts = one.pin_for(1.0, "x", "a").pin.id
         one.resume(2.0, counts)
@@ -77,11 +77,11 @@
             elif step == "resume" and nodes[one].standing():
                 nodes[one].resume(now, sorted(nodes[one].standing())[0])
             elif step == "send":
-                nodes[other].hear(now, nodes[one].snapshot(now))
+                nodes[other].merge(now, nodes[one].snapshot(now))
         for _ in range(3):
             for one in nodes:
                 for other in nodes:
-                    other.hear(99.0, one.snapshot(99.0))
+                    other.merge(99.0, one.snapshot(99.0))
         views = [
             {key: (held.pin.revision, held.ended_at is None) for key, held in node.held.items()}
             for node in nodes
@@ -99,11 +99,11 @@
         first, other = Pins("ns1", "-a"), Pins("ns2", "-b")
         pin = first.make(0.0, "all", over=0.0)
         first.resume(1.0, pin.id)
-        other.hear(1.0, first.snapshot(1.0))
+        other.merge(1.0, first.snapshot(1.0))
         restarted = Pins("ns1", "-c")  # restarted, its disk gone
         made = restarted.make(2.0, "all", over=0.0)
-        restarted.hear(2.0, other.snapshot(2.0))
-        other.hear(2.0, restarted.snapshot(2.0))
+        restarted.merge(2.0, other.snapshot(2.0))
+        other.merge(2.0, restarted.snapshot(2.0))
         self.assertEqual(
             {restarted.pin_for(3.0, "x", "a").pin.id, other.pin_for(3.0, "x", "a").pin.id},
             {made.id},
@@ -112,9 +112,9 @@
     def test_an_ended_pin_is_not_revived_by_an_older_revision(self):
         pins, old = Pins("ns1"), Pins("ns2")
         pin = pins.make(0.0, "all", over=0.0)
-        old.hear(0.0, pins.snapshot(0.0))
+        old.merge(0.0, pins.snapshot(0.0))
         pins.resume(1.0, pin.id)
-        self.assertFalse(pins.hear(2.0, old.snapshot(2.0)))
+        self.assertFalse(pins.merge(2.0, old.snapshot(2.0)))
         self.assertIsNone(pins.pin_for(2.0, "x", "a"))
 
     def test_invalid_pins_are_refused(self):
--- a/tests/transcripts/test_gossip_transcripts.py
+++ b/tests/transcripts/test_gossip_transcripts.py
@@ -128,9 +128,11 @@
 
 
 def node_tell(node, verb, payload):
-    {"note": node.tell, "pins": node.broadcast_pins, "wish": node.broadcast_drain_request}[verb](
-        payload
-    )
+    {
+        "note": node.broadcast_advice,
+        "pins": node.broadcast_pins,
+        "wish": node.broadcast_drain_request,
+    }[verb](payload)
 
 
 # End of the adapter.
