--- a/peatlead/controller/operator_queries.py
+++ b/peatlead/controller/operator_queries.py
@@ -158,7 +158,7 @@
             "unanswered": controller.front.unanswered,
             "prepared": controller.answers.prepared,
             "channel": self._describe_channel(),
-            "burden": controller.overload.told(),
+            "burden": controller.overload.status(),
             "probes_dropped": controller.health_checks.prober.dropped,
             "levels": controller.health_checks.admission_text(),
             "fresh": controller.freshness.fresh,
@@ -191,7 +191,7 @@
             "steward": controller.me["name"],
             **describe_endpoint(endpoint),
             "holders": endpoint.subscribers,
-            **controller.propagation.tell(now, index),
+            **controller.propagation.status(now, index),
         }
 
     def _why_proxy(self, name: str, proxies: Proxies, session: Session) -> Answer:
--- a/peatlead/controller/proxies.py
+++ b/peatlead/controller/proxies.py
@@ -19,11 +19,12 @@
 from ..grpc.session import Session
 from ..sources.endpoint_list import ListedEndpoint
 from ..tables.version import NONE, PARTS, Version, line_key, quantize_weight
-from .channel import Message, ViewState
+from .message import Message
 from .overload import ReportsRead
 from .proxy_admission import Admission, Metadata, ProxyAdmission
 from .published_items import EndpointWeights, LineWeights, TableItems
 from .recipients import Recipient
+from .view_state import ViewState
 
 if TYPE_CHECKING:
     from .controller import Controller
@@ -271,7 +272,7 @@
             "moved": self.admission.moved,
             "sent on": self.admission.sent_on,
             "paced": self.admission.paced,
-            "connections": len(self.front.held.streams),
+            "connections": len(self.front.connections.streams),
         }
 
     def _reset_orders(self, session: Session) -> None:
--- a/peatlead/grpc/server.py
+++ b/peatlead/grpc/server.py
@@ -5,7 +5,6 @@
 from typing import Optional
 
 from ..net.streams import ConnectionSet
-from . import proxy_node
 from .call import Call
 from .framing import StatusCode
 from .handler import ProxyHandler
@@ -19,8 +18,6 @@
 MAX_CONNECTIONS = 10_000  # beyond it the one idle for longest is cut
 LISTEN_BACKLOG = 1024
 
-read_node = proxy_node.read_node  # former place, until all callers have the new one
-
 
 class GrpcServer:
     """The listener. `kinds`: names of the request classes; `zones`: names of all zones."""
@@ -38,7 +35,7 @@
         self.zones = zones
         self.kinds = {name: index for index, name in enumerate(kinds)}
         self.sessions: dict[str, Session] = {}  # admitted proxies by name
-        self.held = ConnectionSet(most)
+        self.connections = ConnectionSet(most)
         self.server: Optional[asyncio.Server] = None
 
     async def open(self, address: tuple[str, int]) -> None:
@@ -48,9 +45,9 @@
 
     def _connect(self) -> Connection:
         connection = Connection(False, self._serve)
-        connection.ended_all = lambda reason: self.held.drop(connection)
-        connection.connection_count = lambda: len(self.held.streams)
-        self.held.add(connection)
+        connection.ended_all = lambda reason: self.connections.drop(connection)
+        connection.connection_count = lambda: len(self.connections.streams)
+        self.connections.add(connection)
         return connection
 
     def _serve(self, call: Call) -> None:
@@ -87,7 +84,7 @@
         """Stops listening, and closes all connections once their calls have ended."""
         if self.server is not None:
             self.server.close()
-        for connection in list(self.held.streams):
+        for connection in list(self.connections.streams):
             if isinstance(connection, Connection):
                 connection.go_away()
             connection.close()
