--- a/peatlead/standin/platform_fleet.py
+++ b/peatlead/standin/platform_fleet.py
@@ -224,8 +224,7 @@
         """As SIGKILL does: its connections are reset, what waits in its channel is lost."""
         self.processes[name].kill()
         self.processes[name].wait()
-        self.channels[name].queue.clear()
-        self.channels[name].waiting = 0.0
+        self.channels[name].clear()
 
     def log_of(self, name):
         with open(f"{self.folder}/{name}.log") as file:
--- a/peatlead/standin/platform_proxies.py
+++ b/peatlead/standin/platform_proxies.py
@@ -1,47 +1,57 @@
-"""Stand-ins for the platform's proxies and for the channel that paces what a steward writes to them.
+"""Stand-ins for the platform's proxies and for the paced channel from a controller to them.
 
-Written from the platform's protocol page. `ProxyState` is what one proxy holds, across its streams; `PacedChannel` is
-one steward's channel: messages enter it when their last byte has arrived and leave one after the other. Neither does
-any I/O; times are seconds on whatever clock the caller gives.
+Written from the platform's protocol page. `ProxyState` is what one proxy stores across its streams;
+`PacedChannel` is the channel of one controller: messages enter it when their last byte has arrived
+and leave it one after the other. Neither does any I/O; times are seconds on whatever clock the
+caller gives.
 """
 
 from collections import deque
-from typing import NamedTuple
+from collections.abc import Iterable, Sequence
+from typing import Any, Generic, NamedTuple, Optional, TypeVar
 
+MessagePart = dict[str, Any]  # one decoded JSON line of a push message
+StreamT = TypeVar("StreamT")
 
-class ProxyState:
-    """Tables by request kind, the hosts that it must shut out, and the steward that it is joined to."""
-
-    def __init__(self, number, zone, kinds):
-        self.number, self.zone, self.kinds = number, zone, tuple(kinds)
-        self.tables = {kind: {} for kind in self.kinds}
-        self.shut_out = set()
-        self.ordered = False  # whether it ever held a table that a steward ordered
-        self.joined_at = None
 
-    def apply(self, parts):
-        """One message, as the list of its decoded parts."""
+class ProxyState:
+    """The tables of one proxy by request class, and the endpoints ejected from all of them."""
+
+    def __init__(self, number: int, zone: str, request_classes: Iterable[str]) -> None:
+        self.number = number
+        self.zone = zone
+        self.request_classes = tuple(request_classes)
+        self.tables: dict[str, dict[str, float]] = {name: {} for name in self.request_classes}
+        self.ejected: set[str] = set()
+        self.ordered = False  # whether a controller ever sent it a full table
+        self.joined_at: Optional[float] = None  # start of its present stream
+
+    def apply(self, parts: Iterable[MessagePart]) -> None:
+        """Apply one message, given as its decoded parts."""
         for part in parts:
-            for kind in part.get("routes", self.kinds):
-                table = self.tables[kind]
-                if part.get("full"):
-                    table.clear()
-                    self.ordered = True
-                for host, weight in part.get("endpoints", ()):
-                    if weight:
-                        table[host] = weight
-                    else:
-                        table.pop(host, None)
-            self.shut_out.update(part.get("eject", ()))
-            self.shut_out.difference_update(part.get("restore", ()))
-
-    def reachable(self):
-        """Names of the hosts that it may send to."""
-        return set().union(*self.tables.values()) - self.shut_out
-
-
-def lines_of(parts):
-    """What a message counts in the channel, without its head."""
+            for request_class in part.get("routes", self.request_classes):
+                self._update_table(self.tables[request_class], part)
+            self.ejected.update(part.get("eject", ()))
+            self.ejected.difference_update(part.get("restore", ()))
+
+    def _update_table(self, table: dict[str, float], part: MessagePart) -> None:
+        if part.get("full"):
+            table.clear()
+            self.ordered = True
+        for endpoint, weight in part.get("endpoints", ()):
+            if weight:
+                table[endpoint] = weight
+            else:
+                table.pop(endpoint, None)
+
+    def reachable(self) -> set[str]:
+        """Return the names of the endpoints that the proxy may send requests to."""
+        in_tables: set[str] = set().union(*self.tables.values())
+        return in_tables - self.ejected
+
+
+def count_entries(parts: Iterable[MessagePart]) -> int:
+    """Count what a message costs in the channel, without its fixed cost."""
     return sum(
         bool(part.get("full"))
         + len(part.get("endpoints", ()))
@@ -53,39 +63,50 @@
     )
 
 
-class Queued(NamedTuple):
-    """A message in the channel; `size` in lines, its head included."""
+class QueuedMessage(NamedTuple, Generic[StreamT]):
+    """A message that waits in the channel."""
 
-    stream: object
-    parts: list
-    size: float
+    stream: StreamT
+    parts: Sequence[MessagePart]
+    size: float  # in entries, the message's fixed cost included
     entered_at: float
 
 
-class PacedChannel:
-    """Messages leave in order, each taking its size / `lines_per_s` seconds; `head` is what each counts beside its
-    lines. `most_waiting` is the largest number of lines that ever waited."""
+class PacedChannel(Generic[StreamT]):
+    """A channel whose messages leave in order, each after size / `entries_per_s` seconds.
 
-    def __init__(self, lines_per_s, head):
-        self.lines_per_s, self.head = lines_per_s, head
-        self.queue, self.free_at = deque(), 0.0
-        self.waiting, self.most_waiting = 0.0, 0.0
+    `message_cost` is what each message costs beside its entries.
+    """
 
-    def put(self, now, stream, parts):
-        message = Queued(stream, parts, self.head + lines_of(parts), now)
+    def __init__(self, entries_per_s: float, message_cost: float) -> None:
+        self.entries_per_s = entries_per_s
+        self.message_cost = message_cost
+        self.queue: deque[QueuedMessage[StreamT]] = deque()
+        self.free_at = 0.0  # when the last message left
+        self.waiting = 0.0  # entries in the queue
+        self.most_waiting = 0.0  # the largest value of `waiting` so far
+
+    def put(self, now: float, stream: StreamT, parts: Sequence[MessagePart]) -> None:
+        """Add a message whose last byte has arrived now."""
+        message = QueuedMessage(stream, parts, self.message_cost + count_entries(parts), now)
         self.queue.append(message)
         self.waiting += message.size
         self.most_waiting = max(self.most_waiting, self.waiting)
 
-    def take(self, now):
-        """[Queued] that have left by now."""
+    def take(self, now: float) -> list[QueuedMessage[StreamT]]:
+        """Remove and return the messages that have left by now."""
         left = []
         while self.queue:
             message = self.queue[0]
-            leaves_at = max(self.free_at, message.entered_at) + message.size / self.lines_per_s
+            leaves_at = max(self.free_at, message.entered_at) + message.size / self.entries_per_s
             if leaves_at > now:
                 break
             self.free_at = leaves_at
             self.waiting -= message.size
             left.append(self.queue.popleft())
         return left
+
+    def clear(self) -> None:
+        """Drop all that waits, as the controller's end does."""
+        self.queue.clear()
+        self.waiting = 0.0
