--- a/peatlead/standin/process.py
+++ b/peatlead/standin/process.py
@@ -1,104 +1,157 @@
-"""One process of stand-ins, told what to do by datagrams of JSON, each answered when it was done.
+"""A process of stand-ins, controlled by datagrams of JSON that are each answered once carried out.
 
-`python -m peatlead.standin.process hosts|desks ADDRESS PORT SEED FOLDER/NAME.rec`
+`python -m peatlead.standin.process hosts|desks|agents ADDRESS PORT SEED FOLDER/NAME.rec`
+
+A command is `{"number": n, "do": ..., ...}` and its reply `{"number": n, "error": ""}`, with the
+problem's text as the error where the command failed. Lost datagrams are repeated by the client and
+recognized by their number in the server.
 """
 
 import asyncio
 import signal
 import sys
 import traceback
+from collections.abc import Callable
 from random import Random
+from typing import Any, Protocol, cast
 
 import msgspec
 
 from ..invariants.record import Recorder
 from . import dns_clients, hosts, xds_proxies
 
-HALLS = {"hosts": hosts.Hall, "desks": dns_clients.Hall, "agents": xds_proxies.Hall}
-FLUSH = 0.5
+FLUSH_INTERVAL = 0.5  # seconds between writes of the recording
+REPEAT_INTERVAL = 0.3  # seconds until an unanswered command is sent again
+COMMAND_TIMEOUT = 20.0  # seconds until an unanswered command fails
 
+Command = dict[str, Any]
+Address = tuple[str, int]
+
+
+class CommandFailedError(RuntimeError):
+    """A stand-in process could not carry out a command."""
+
+
+class Group(Protocol):
+    """The stand-ins of one process."""
+
+    async def command(self, command: Command, /) -> None:
+        """Carry out a command."""
 
-class Orders(asyncio.DatagramProtocol):
-    """Takes {"number": n, "do": ...}, once each; a repeat of one that was done is only answered again."""
 
-    def __init__(self, hall):
-        self.hall, self.done, self.tasks = hall, {}, set()
+HALLS: dict[str, Callable[[Random, Recorder], Group]] = {
+    "hosts": hosts.Hall,
+    "desks": dns_clients.Hall,
+    "agents": xds_proxies.Hall,
+}
 
-    def connection_made(self, transport):
-        self.transport = transport
 
-    def datagram_received(self, data, peer):
-        said = msgspec.json.decode(data)
-        number = said["number"]
-        if number in self.done:
-            if self.done[number]:
-                self.transport.sendto(self.done[number], peer)
+class Reply(msgspec.Struct):
+    """The answer to a command, as sent; `error` is empty where the command was carried out."""
+
+    number: int
+    error: str
+
+
+class Orders(asyncio.DatagramProtocol):
+    """Carries out each command once; a repeat of one that is done only has its reply sent again."""
+
+    transport: asyncio.DatagramTransport
+
+    def __init__(self, group: Group) -> None:
+        self.group = group
+        self.replies: dict[int, bytes] = {}  # by command number; empty while it is carried out
+        self.tasks: set[asyncio.Task[None]] = set()
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Store the socket's transport."""
+        self.transport = cast(asyncio.DatagramTransport, transport)
+
+    def datagram_received(self, data: bytes, peer: Any) -> None:
+        """Start a command, or answer a repeated one that is done."""
+        command = msgspec.json.decode(data)
+        number = command["number"]
+        if number in self.replies:
+            if self.replies[number]:
+                self.transport.sendto(self.replies[number], peer)
             return
-        self.done[number] = b""
-        task = asyncio.get_running_loop().create_task(self.run(said, peer))
+        self.replies[number] = b""
+        task = asyncio.get_running_loop().create_task(self._run(command, peer))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def run(self, said, peer):
+    async def _run(self, command: Command, peer: Any) -> None:
+        error = ""
         try:
-            await self.hall.command(said)
-            answer = {"number": said["number"], "error": ""}
-        except (
-            Exception
-        ) as problem:  # told to the day, which ends: a stand-in that is wrong proves nothing
+            await self.group.command(command)
+        except Exception as problem:  # ends the scenario: a faulty stand-in proves nothing
             traceback.print_exc()
-            answer = {"number": said["number"], "error": repr(problem)}
-        self.done[said["number"]] = msgspec.json.encode(answer)
-        self.transport.sendto(self.done[said["number"]], peer)
+            error = repr(problem)
+        number = command["number"]
+        self.replies[number] = msgspec.json.encode(Reply(number, error))
+        self.transport.sendto(self.replies[number], peer)
 
 
 class Teller(asyncio.DatagramProtocol):
-    """The other side: `await tell(peer, {...})` repeats an order until it was answered."""
+    """Sends commands to stand-in processes and repeats each until it is answered."""
 
-    AGAIN = 0.3
+    transport: asyncio.DatagramTransport
 
-    def __init__(self):
-        self.waiting, self.number = {}, 0
+    def __init__(self) -> None:
+        self.waiting: dict[int, asyncio.Future[str]] = {}  # errors to come, by command number
+        self.last_number = 0
 
-    def connection_made(self, transport):
-        self.transport = transport
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Store the socket's transport."""
+        self.transport = cast(asyncio.DatagramTransport, transport)
 
-    def datagram_received(self, data, peer):
-        said = msgspec.json.decode(data)
-        waiter = self.waiting.get(said["number"])
+    def datagram_received(self, data: bytes, peer: Any) -> None:
+        """Hand a reply to the call that waits for it."""
+        reply = msgspec.json.decode(data, type=Reply)
+        waiter = self.waiting.get(reply.number)
         if waiter is not None and not waiter.done():
-            waiter.set_result(said["error"])
+            waiter.set_result(reply.error)
 
-    async def tell(self, peer, order, deadline=20.0):
-        """Raises RuntimeError with the stand-in's own words, or asyncio.TimeoutError."""
+    async def tell(self, peer: Address, command: Command, timeout: float = COMMAND_TIMEOUT) -> None:
+        """Have a command carried out.
+
+        Raises CommandFailedError with the stand-in's own text, or TimeoutError after `timeout`
+        seconds without a reply.
+        """
         loop = asyncio.get_running_loop()
-        self.number += 1
-        number, until = self.number, loop.time() + deadline
-        data = msgspec.json.encode({**order, "number": number})
-        self.waiting[number] = loop.create_future()
+        self.last_number += 1
+        number = self.last_number
+        deadline = loop.time() + timeout
+        data = msgspec.json.encode({**command, "number": number})
+        reply = self.waiting[number] = loop.create_future()
         try:
-            while loop.time() < until:
+            while loop.time() < deadline:
                 self.transport.sendto(data, peer)
-                done, _ = await asyncio.wait([self.waiting[number]], timeout=self.AGAIN)
-                if done:
-                    if self.waiting[number].result():
-                        raise RuntimeError(f"{order['do']}: {self.waiting[number].result()}")
-                    return
-            raise asyncio.TimeoutError(f"{order['do']}: no answer")
+                await asyncio.wait([reply], timeout=REPEAT_INTERVAL)
+                if reply.done():
+                    break
+            else:
+                raise TimeoutError(f"{command['do']}: no answer")
         finally:
             del self.waiting[number]
-
-
-async def serve(kind, address, port, seed, path):
-    loop, record = asyncio.get_running_loop(), Recorder(path)
-    over = loop.create_future()
-    loop.add_signal_handler(signal.SIGTERM, lambda: over.done() or over.set_result(None))
-    hall = HALLS[kind](Random(seed), record)
-    await loop.create_datagram_endpoint(lambda: Orders(hall), local_addr=(address, port))
-    while not over.done():
-        await asyncio.wait([over], timeout=FLUSH)
-        record.flush()
-    record.close()
+        error = reply.result()
+        if error:
+            raise CommandFailedError(f"{command['do']}: {error}")
+
+
+async def serve(kind: str, address: str, port: int, seed: int, path: str) -> None:
+    """Run stand-ins of a kind (a key of `HALLS`) until SIGTERM, recording to a file."""
+    loop = asyncio.get_running_loop()
+    recorder = Recorder(path)
+    stopped = asyncio.Event()
+    loop.add_signal_handler(signal.SIGTERM, stopped.set)
+    group = HALLS[kind](Random(seed), recorder)
+    await loop.create_datagram_endpoint(lambda: Orders(group), local_addr=(address, port))
+    stop = loop.create_task(stopped.wait())
+    while not stop.done():
+        await asyncio.wait([stop], timeout=FLUSH_INTERVAL)
+        recorder.flush()
+    recorder.close()
 
 
 if __name__ == "__main__":
--- a/peatlead/standin/secondary.py
+++ b/peatlead/standin/secondary.py
@@ -1,84 +1,117 @@
-"""A stand-in secondary name server: hears NOTIFY, fetches by IXFR or AXFR, takes all or nothing, checks ZONEMD."""
+"""A stand-in secondary name server: fetches by IXFR or AXFR on NOTIFY and verifies ZONEMD.
+
+A transfer is applied completely or not at all (RFC 1995, RFC 1996, RFC 5936, RFC 8976).
+"""
 
 import asyncio
 import struct
+from typing import Any, Optional
 
 import dns.exception
 import dns.flags
 import dns.message
+import dns.name
 import dns.opcode
 import dns.xfr
 import dns.zone
 
 from ..net.streams import Stream
 
+DONE = "done"  # outcome of a transfer that was applied
+TRANSFER_IDLE = 5.0  # seconds without a byte until a transfer is given up
+LENGTH = struct.Struct(">H")  # before each message over TCP (RFC 1035 section 4.2.2)
+
 
 class Transfer(Stream):
-    """One fetch over TCP. `over`: a future of the outcome."""
-
-    def __init__(self, query, inbound, origin):
-        super().__init__(5.0)
-        self.query, self.inbound, self.origin, self.part = query, inbound, origin, b""
-        self.over = asyncio.get_running_loop().create_future()
-
-    def opened(self):
-        wire = self.query.to_wire()
-        self.send(struct.pack(">H", len(wire)) + wire)
-
-    def received(self, data):
-        self.part += data
-        while len(self.part) >= 2 and len(self.part) - 2 >= (
-            size := int.from_bytes(self.part[:2], "big")
-        ):
-            wire, self.part = self.part[2 : 2 + size], self.part[2 + size :]
-            if self.over.done():
+    """One transfer over TCP; `outcome` is `DONE`, or "refused: ..." or "ended: ..." with why."""
+
+    def __init__(
+        self, query: dns.message.Message, inbound: dns.xfr.Inbound, origin: Optional[dns.name.Name]
+    ) -> None:
+        super().__init__(TRANSFER_IDLE)
+        self.query = query
+        self.inbound = inbound
+        self.origin = origin
+        self.buffer = b""  # the start of a message whose end has not arrived
+        self.outcome: asyncio.Future[str] = asyncio.get_running_loop().create_future()
+
+    def opened(self) -> None:
+        """Send the query."""
+        message = self.query.to_wire()
+        self.send(LENGTH.pack(len(message)) + message)
+
+    def received(self, data: bytes) -> None:
+        """Apply the messages that are complete."""
+        self.buffer += data
+        while (message := self._next_message()) is not None:
+            if self.outcome.done():
                 return
-            try:
-                message = dns.message.from_wire(
-                    wire, xfr=True, origin=self.origin, one_rr_per_rrset=True
-                )
-                if self.inbound.process_message(message):
-                    self.over.set_result("done")
-                    self.close()
-            except (dns.exception.DNSException, KeyError, ValueError) as problem:
-                self.over.set_result(f"refused: {type(problem).__name__} {problem}")
-                self.cut("refused")
-
-    def ended(self, reason):
-        if not self.over.done():
-            self.over.set_result(f"ended: {reason}")
+            self._apply(message)
+
+    def _next_message(self) -> Optional[bytes]:
+        """Take a complete message from the buffer."""
+        if len(self.buffer) < LENGTH.size:
+            return None
+        end = LENGTH.size + LENGTH.unpack_from(self.buffer)[0]
+        if len(self.buffer) < end:
+            return None
+        message = self.buffer[LENGTH.size : end]
+        self.buffer = self.buffer[end:]
+        return message
+
+    def _apply(self, wire: bytes) -> None:
+        try:
+            message = dns.message.from_wire(
+                wire, xfr=True, origin=self.origin, one_rr_per_rrset=True
+            )
+            if self.inbound.process_message(message):
+                self.outcome.set_result(DONE)
+                self.close()
+        except (dns.exception.DNSException, KeyError, ValueError) as problem:
+            self.outcome.set_result(f"refused: {type(problem).__name__} {problem}")
+            self.cut("refused")
+
+    def ended(self, reason: str) -> None:
+        """Report a connection that ended before the transfer did."""
+        if not self.outcome.done():
+            self.outcome.set_result(f"ended: {reason}")
 
 
 class Secondary(asyncio.DatagramProtocol):
-    """`zone` is what it holds; `fetched` counts by outcome; `sound` whether the newest fits its ZONEMD."""
-
-    def __init__(self, origin, address, primary):
-        self.origin, self.address, self.primary = origin, address, primary
-        self.zone, self.fetched, self.records, self.task, self.again = (
-            dns.zone.Zone(origin),
-            {},
-            0,
-            None,
-            False,
-        )
-
-    async def open(self):
+    """A secondary of one zone, listening for NOTIFY on a UDP address (host, port)."""
+
+    loop: asyncio.AbstractEventLoop
+    transport: asyncio.DatagramTransport
+
+    def __init__(self, origin: str, address: tuple[str, int], primary: tuple[str, int]) -> None:
+        self.origin = origin
+        self.address = address
+        self.primary = primary
+        self.zone = dns.zone.Zone(origin)  # the version that it holds
+        self.fetched: dict[str, int] = {}  # fetches by outcome
+        self.task: Optional[asyncio.Task[None]] = None
+        self.notified = False  # during the present fetch
+
+    async def open(self) -> None:
+        """Listen for NOTIFY."""
         self.loop = asyncio.get_running_loop()
         self.transport, _ = await self.loop.create_datagram_endpoint(
             lambda: self, local_addr=self.address
         )
 
     @property
-    def serial(self):
-        found = self.zone.get_rdataset("@", "SOA")
-        return found[0].serial if found else None
+    def serial(self) -> Optional[int]:
+        """The serial of the version that it holds, None before the first."""
+        soa = self.zone.get_rdataset("@", "SOA")
+        return soa[0].serial if soa else None
 
-    def sound(self):
-        """Raises dns.zone.DigestVerificationFailure where it does not fit."""
+    def sound(self) -> bool:
+        """Return True; raises dns.zone.DigestVerificationFailure where ZONEMD does not match."""
         self.zone.verify_digest()
         return True
 
-    def datagram_received(self, data, peer):
+    def datagram_received(self, data: bytes, peer: Any) -> None:
+        """Acknowledge a NOTIFY and fetch."""
         query = dns.message.from_wire(data)
         if query.opcode() == dns.opcode.NOTIFY:
             answer = dns.message.make_response(query)
@@ -86,23 +119,25 @@
             self.transport.sendto(answer.to_wire(), peer)
             self.fetch()
 
-    def fetch(self):
-        """One at a time; news that comes meanwhile is fetched after it."""
+    def fetch(self) -> None:
+        """Fetch the current version, after the fetch under way if there is one."""
         if self.task is not None and not self.task.done():
-            self.again = True
+            self.notified = True
             return
-        self.task = self.loop.create_task(self.run())
-
-    async def run(self):
-        self.again = True
-        while self.again:
-            self.again = False
-            outcome = await self.once(self.serial)
-            if outcome != "done":
-                outcome = await self.once(None)  # what does not fit is fetched whole
+        self.task = self.loop.create_task(self._fetch_until_current())
+
+    async def _fetch_until_current(self) -> None:
+        self.notified = True
+        while self.notified:
+            self.notified = False
+            outcome = await self._transfer(self.serial)
+            if outcome != DONE:
+                outcome = await self._transfer(None)  # differences failed: the whole zone
             self.fetched[outcome] = self.fetched.get(outcome, 0) + 1
 
-    async def once(self, serial):
+    async def _transfer(self, serial: Optional[int]) -> str:
+        """Fetch the differences since a serial, or the whole zone, and return the outcome."""
+        query: dns.message.Message
         query, _ = dns.xfr.make_query(self.zone, serial)
         if serial is None:
             query = dns.message.make_query(self.origin, "AXFR")
@@ -110,16 +145,17 @@
         with dns.xfr.Inbound(self.zone, rdtype, serial, False) as inbound:
             try:
                 origin = self.zone.from_wire_origin()
-                _, stream = await self.loop.create_connection(
+                _, transfer = await self.loop.create_connection(
                     lambda: Transfer(query, inbound, origin),
                     *self.primary,
                     local_addr=(self.address[0], 0),
                 )
             except OSError as problem:
                 return f"ended: {problem.strerror}"
-            return await stream.over
+            return await transfer.outcome
 
-    def close(self):
+    def close(self) -> None:
+        """Stop fetching and listening."""
         if self.task is not None:
             self.task.cancel()
         self.transport.close()
