--- a/tests/standin/test_dns_clients.py
+++ b/tests/standin/test_dns_clients.py
@@ -27,7 +27,7 @@
             for kind in ("keeps", "twice", "tenfold", "least"):
                 resolver = Resolver(kind, "127.20.9.1", [], world.chance, MemoryRecorder())
                 resolver.loop = asyncio.get_running_loop()
-                cached = resolver.keep("n", "", ["a"], 1)
+                cached = resolver.store("n", "", ["a"], 1)
                 lifetimes[kind] = round(cached.until - resolver.loop.time(), 1)
             return lifetimes
 
