--- a/peatlead/standin/dns_clients.py
+++ b/peatlead/standin/dns_clients.py
@@ -1,265 +1,385 @@
-"""Stand-in desks: clients that resolve a name and connect, each with its habits.
+"""Stand-in clients that resolve a name and connect, each with a habit of choosing addresses.
 
-Arrivals never wait for answers: reqs are due at drawn moments, and a req that begins late is late by the
-clock of its due time. A client tries again by itself, only as its own req kind bears: replayable ones at
-the next address after any failure; uniqued ones at the same address, whose pod drops the repeat;
-non-replayable ones only on proof that the first never ran.
+Arrivals never wait for responses: requests are due at random times, and one that begins late is
+late by the clock of its due time. A client retries on its own as far as the request's class
+permits: replayable requests at the next address after any failure, uniqued ones at the same
+address, whose pod drops the repeat, and others only where the first certainly never ran.
+
+The fields of the msgspec types are those of the commands in which they are sent.
 """
 
 import asyncio
+from dataclasses import dataclass
+from enum import StrEnum
+from random import Random
+from typing import Any, NamedTuple, Optional
 
 import msgspec
 
+from ..invariants.record import Recorder
 from ..net.http import RequestFailedError, connect
+from ..net.http.client import Exchange
 from ..net.streams import within
 from .resolvers import Resolver
 
-LOOKUP_WAIT = 1.5
-CONNECT_WAIT = 0.7
-IDLE_MOST = 4  # connections that a client keeps
+LOOKUP_TIMEOUT = 1.5  # seconds
+MIN_LOOKUP_TIMEOUT = 0.01  # seconds, where the request's deadline is near
+CONNECT_TIMEOUT = 0.7  # seconds
+FINISH_TIMEOUT = 10.0  # seconds for the requests under way at the end
+MAX_IDLE_CONNECTIONS = 4  # of one client
+FIRST_BACKOFF = (0.02, 0.06)  # seconds, drawn from this range; doubled by each retry
+ATTEMPT_SHARE = (0.5, 1.0)  # of the time left, drawn for an attempt that may be retried
+
+
+class Outcome(StrEnum):
+    """How a request or an attempt at it ended, beside net.http's RequestOutcome; as recorded."""
+
+    DONE = "done"
+    LATE = "late"
+    SHED = "shed"
+    DENIED = "denied"  # refused before it ran
+    ERRORED = "errored"
+    UNRESOLVED = "unresolved"
+    UNREACHABLE = "unreachable"
+    SENT = "sent"  # of an attempt that has begun
+
+
+class Habit(StrEnum):
+    """How a client orders the addresses of an answer; any other text: as they come."""
+
+    ANY = "any"  # in random order
+    SORTED = "sorted"  # by address, as RFC 6724 rule 9 and the like have it
+    SAME = "same"  # the last that served it first
+    HOLDS = "holds"  # as SAME, and without a lookup while its connection lives
+
+
+OUTCOME_BY_STATUS = {
+    200: Outcome.DONE.value,
+    429: Outcome.SHED.value,
+    503: Outcome.DENIED.value,
+}
 
 
 class Kind(msgspec.Struct):
+    """A request class; times in seconds, `repeat` its repeat semantics."""
+
     name: str
-    share: float
+    share: float  # of all requests, relative to the other classes'
     response_target: float
     client_timeout: float
-    gain: float
+    gain: float  # value of a request that is done in time
     repeat: str
 
 
 class Plan(msgspec.Struct):
-    """One desk. `name` is what it resolves; `network` tells the resolver's client subnet where it sends one."""
+    """The clients of one view.
+
+    `name` is what they resolve; `network` is the client subnet that is sent with `tells_subnet`.
+    """
 
     view: str
     network: str
     resolver: str
     name: str
     port: int
-    rate: float
+    rate: float  # requests per second
     clients: int
     habits: list[str]
     kinds: list[Kind]
     retries: int = 2
-    late_gain: float = 0.1
+    late_gain: float = 0.1  # part of the gain of a request that is late
     tells_subnet: bool = False
 
 
 class Client:
-    """One program at a desk: its habit, and the connections it keeps."""
-
-    __slots__ = ("habit", "local", "idle", "last", "shun")
-
-    def __init__(self, habit, local):
-        self.habit, self.local, self.idle, self.last = habit, local, {}, None
-
-    def choose(self, addresses, chance):
-        """The order in which it would try them."""
-        if self.habit == "any":
-            addresses = chance.sample(addresses, len(addresses))
-        elif (
-            self.habit == "sorted"
-        ):  # RFC 6724 rule 9 and its like: by address, whatever the answer's order
-            addresses = sorted(addresses)
-        elif self.habit in ("same", "holds") and self.last in addresses:
-            addresses = [self.last] + [one for one in addresses if one != self.last]
+    """One client program: its habit, and the idle connections that it keeps by address."""
+
+    __slots__ = ("habit", "local", "idle", "last")
+
+    def __init__(self, habit: str, local: str) -> None:
+        self.habit = habit
+        self.local = local  # its own address
+        self.idle: dict[str, Exchange] = {}
+        self.last: Optional[str] = None  # the address that last responded
+
+    def choose(self, addresses: list[str], rng: Random) -> list[str]:
+        """Return the order in which it would try the addresses."""
+        if self.habit == Habit.ANY:
+            return rng.sample(addresses, len(addresses))
+        if self.habit == Habit.SORTED:
+            return sorted(addresses)
+        if self.habit in (Habit.SAME, Habit.HOLDS) and self.last in addresses:
+            return [self.last] + [address for address in addresses if address != self.last]
         return addresses
 
-    def usable(self, address):
+    def take_idle(self, address: str) -> Optional[Exchange]:
+        """Take the idle connection to an address, None where there is no usable one."""
         stream = self.idle.pop(address, None)
         return stream if stream is not None and stream.usable else None
 
-    def keep(self, address, stream):
-        if stream.usable:
-            while len(self.idle) >= IDLE_MOST:
-                self.idle.pop(next(iter(self.idle))).close()
-            old = self.idle.pop(address, None)
-            if old is not None and old is not stream:
-                old.close()
-            self.idle[address] = stream
-
-
-class Desk:
-    """`begin(at)` starts its arrivals; `rate` may be changed while it runs."""
-
-    def __init__(self, plan, resolver, chance, record, number):
-        self.plan, self.resolver, self.chance, self.record = plan, resolver, chance, record
-        self.loop, self.rate, self.sent, self.stopped = (
-            asyncio.get_running_loop(),
-            plan.rate,
-            0,
-            False,
-        )
-        base = plan.network.rpartition(".")[0]
+    def keep_idle(self, address: str, stream: Exchange) -> None:
+        """Keep a usable connection for later requests, closing others past the limit."""
+        if not stream.usable:
+            return
+        while len(self.idle) >= MAX_IDLE_CONNECTIONS:
+            self.idle.pop(next(iter(self.idle))).close()
+        former = self.idle.pop(address, None)
+        if former is not None and former is not stream:
+            former.close()
+        self.idle[address] = stream
+
+
+@dataclass(slots=True)
+class Request:
+    """A request under way; times are of the event loop's clock."""
+
+    id: str
+    request_class: Kind
+    client: Client
+    due: float
+    deadline: float
+
+
+class AttemptResult(NamedTuple):
+    """How an attempt ended, where, and whether the request may be tried again."""
+
+    outcome: str
+    address: Optional[str]
+    retry: bool
+
+
+def may_retry(request_class: Kind, outcome: str, sent: bool) -> bool:
+    """Whether a client tries again after an attempt; `sent`: some of it may have arrived."""
+    if outcome in (Outcome.DONE, Outcome.SHED):
+        return False  # a client that is shed would come again in vain
+    never_ran = not sent or outcome in (Outcome.DENIED, Outcome.UNREACHABLE)
+    return never_ran or request_class.repeat in ("replayable", "uniqued")
+
+
+class ClientSite:
+    """The clients of one view; `rate` may change while it runs."""
+
+    def __init__(
+        self, plan: Plan, resolver: Resolver, rng: Random, record: Recorder, number: str
+    ) -> None:
+        self.plan = plan
+        self.resolver = resolver
+        self.rng = rng
+        self.record = record
+        self.number = number  # begins the ids of its requests
+        self.loop = asyncio.get_running_loop()
+        self.rate = plan.rate
+        self.sent = 0
+        self.stopped = False
+        self.tasks: set[asyncio.Task[None]] = set()
+        prefix = plan.network.rpartition(".")[0]
         self.clients = [
-            Client(plan.habits[at % len(plan.habits)], f"{base}.{at % 250 + 1}")
-            for at in range(plan.clients)
+            Client(plan.habits[index % len(plan.habits)], f"{prefix}.{index % 250 + 1}")
+            for index in range(plan.clients)
         ]
-        self.tasks, self.number, self.in_work = set(), number, 0
 
-    def begin(self, at):
-        first = at + self.chance.expovariate(self.rate)
-        self.loop.call_at(first, self.arrive, first)
+    def begin(self, start: float) -> None:
+        """Let requests arrive from a time on."""
+        first = start + self.rng.expovariate(self.rate)
+        self.loop.call_at(first, self._arrive, first)
 
-    def arrive(self, due):
+    def _arrive(self, due: float) -> None:
         if self.stopped:
             return
         now = self.loop.time()
-        # A desk that stood still has all that came due meanwhile, each with the time that it was due.
+        # After a pause of the process all that came due meanwhile starts, each with its due time.
         while due <= now and not self.stopped:
-            self.start(due)
-            due += self.chance.expovariate(self.rate)
-        self.loop.call_at(due, self.arrive, due)
+            self._start_request(due)
+            due += self.rng.expovariate(self.rate)
+        self.loop.call_at(due, self._arrive, due)
 
-    def start(self, due):
+    def _start_request(self, due: float) -> None:
         self.sent += 1
-        req = f"{self.number}-{self.sent}"
-        kind = self.chance.choices(self.plan.kinds, [k.share for k in self.plan.kinds])[0]
-        client = self.clients[self.chance.randrange(len(self.clients))]
-        task = self.loop.create_task(self.one(req, kind, client, due))
+        classes = self.plan.kinds
+        request_class = self.rng.choices(classes, [one.share for one in classes])[0]
+        client = self.clients[self.rng.randrange(len(self.clients))]
+        deadline = due + request_class.client_timeout
+        request = Request(f"{self.number}-{self.sent}", request_class, client, due, deadline)
+        task = self.loop.create_task(self._run(request))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def one(self, req, kind, client, due):
-        tries, outcome, address, deadline = 0, "unresolved", None, due + kind.client_timeout
-        waits = 0.0
-        while tries <= self.plan.retries and self.loop.time() < deadline:
-            met, address, again = await self.attempt(req, kind, client, deadline, tries, address)
-            if met != "unresolved" or not tries:
-                outcome = met  # a second try for which no time was left tells nothing of the first
-            tries += 1
-            if not again:
+    async def _run(self, request: Request) -> None:
+        """Try a request until it ends, and record it."""
+        attempts = 0
+        outcome: str = Outcome.UNRESOLVED.value
+        address = None
+        backoff = 0.0
+        while attempts <= self.plan.retries and self.loop.time() < request.deadline:
+            result = await self._attempt(request, attempts, address)
+            address = result.address
+            if result.outcome != Outcome.UNRESOLVED or not attempts:
+                outcome = result.outcome  # a retry that had no time left says nothing of the first
+            attempts += 1
+            if not result.retry:
                 break
-            waits = waits * 2 or self.chance.uniform(0.02, 0.06)
-            await asyncio.sleep(waits)
+            backoff = backoff * 2 or self.rng.uniform(*FIRST_BACKOFF)
+            await asyncio.sleep(backoff)
+        self._record_request(request, outcome, attempts)
+
+    def _record_request(self, request: Request, outcome: str, attempts: int) -> None:
         now = self.loop.time()
-        late = now - due > kind.response_target
-        gain = (
-            0.0
-            if outcome != "done" or now > deadline
-            else kind.gain * (self.plan.late_gain if late else 1.0)
-        )
-        outcome = "late" if outcome == "done" and late else outcome
+        request_class = request.request_class
+        late = now - request.due > request_class.response_target
+        gain = 0.0
+        if outcome == Outcome.DONE and now <= request.deadline:
+            gain = request_class.gain * (self.plan.late_gain if late else 1.0)
+        if outcome == Outcome.DONE and late:
+            outcome = Outcome.LATE.value
         self.record.row(
             "req",
             now,
-            req,
-            kind.name,
+            request.id,
+            request_class.name,
             self.plan.view,
             self.resolver.kind,
-            client.habit,
+            request.client.habit,
             outcome,
-            due,
-            tries,
+            request.due,
+            attempts,
             gain,
         )
 
-    async def attempt(self, req, kind, client, deadline, number, before):
-        """(outcome, address, whether this kind may be tried again after it)."""
-        address, stream = await self.way(
-            client, deadline, number, before if kind.repeat == "uniqued" else None
-        )
+    async def _attempt(
+        self, request: Request, number: int, former_address: Optional[str]
+    ) -> AttemptResult:
+        """Choose an address, connect and send the request once."""
+        client = request.client
+        repeats_at = former_address if request.request_class.repeat == "uniqued" else None
+        address, stream = await self._choose(request, number, repeats_at)
         if address is None:
-            return "unresolved", before, True
+            return AttemptResult(Outcome.UNRESOLVED.value, former_address, True)
         sent = False
         try:
             if stream is None:
-                stream = await connect(
-                    self.loop,
-                    (address, self.plan.port),
-                    min(deadline, self.loop.time() + CONNECT_WAIT),
-                    client.local,
-                )
+                stream = await self._connect(request, address)
             sent = True
-            self.note(req, kind, client, address, number, "sent", True)
-            share = self.chance.uniform(0.5, 1.0) if number < self.plan.retries else 1.0
-            give_up = self.loop.time() + (deadline - self.loop.time()) * share
-            answer = await stream.ask(
-                "POST", "/" + kind.name, [("host", self.plan.name), ("req-id", req)], b"", give_up
-            )
-            outcome = {200: "done", 429: "shed", 503: "denied"}.get(answer.status, "errored")
+            self._record_attempt(request, address, number, Outcome.SENT.value, True)
+            outcome = await self._send(request, stream, number)
             client.last = address
-            client.keep(address, stream)
+            client.keep_idle(address, stream)
         except RequestFailedError as problem:
             outcome = problem.outcome
-        self.note(req, kind, client, address, number, outcome, sent)
-        return outcome, address, self.may_repeat(kind, outcome, sent)
-
-    def may_repeat(self, kind, outcome, sent):
-        if outcome in ("done", "shed"):
-            return False  # a client that is shed comes again for nothing
-        never_ran = not sent or outcome in ("denied", "unreachable")
-        return never_ran or kind.repeat in ("replayable", "uniqued")
-
-    async def way(self, client, deadline, number, same):
-        """(address, kept connection or None)."""
-        if same is not None:
-            return same, client.usable(same)
-        if client.habit == "holds" and number == 0 and client.last in client.idle:
-            stream = client.usable(client.last)  # it looks nothing up while its connection lives
+        self._record_attempt(request, address, number, outcome, sent)
+        return AttemptResult(outcome, address, may_retry(request.request_class, outcome, sent))
+
+    async def _connect(self, request: Request, address: str) -> Exchange:
+        deadline = min(request.deadline, self.loop.time() + CONNECT_TIMEOUT)
+        place = (address, self.plan.port)
+        return await connect(self.loop, place, deadline, request.client.local)
+
+    async def _send(self, request: Request, stream: Exchange, number: int) -> str:
+        """Send the request and return the outcome; raises RequestFailedError."""
+        share = self.rng.uniform(*ATTEMPT_SHARE) if number < self.plan.retries else 1.0
+        now = self.loop.time()
+        response = await stream.ask(
+            "POST",
+            "/" + request.request_class.name,
+            [("host", self.plan.name), ("req-id", request.id)],
+            b"",
+            now + (request.deadline - now) * share,
+        )
+        return OUTCOME_BY_STATUS.get(response.status, Outcome.ERRORED.value)
+
+    async def _choose(
+        self, request: Request, number: int, repeats_at: Optional[str]
+    ) -> tuple[Optional[str], Optional[Exchange]]:
+        """Return the address to try, None where none is known, and an idle connection to it."""
+        client = request.client
+        if repeats_at is not None:
+            return repeats_at, client.take_idle(repeats_at)
+        if client.habit == Habit.HOLDS and number == 0 and client.last in client.idle:
+            stream = client.take_idle(client.last)
             if stream is not None:
                 return client.last, stream
-        try:
-            network = self.plan.network + "/24" if self.plan.tells_subnet else ""
-            wait = min(LOOKUP_WAIT, max(0.01, deadline - self.loop.time()))
-            found = await within(
-                wait, self.resolver.lookup(self.plan.name, network, self.plan.view)
-            )
-        except asyncio.TimeoutError:
-            return None, None
-        if not found:
+        addresses = await self._look_up(request.deadline)
+        if not addresses:
             return None, None
-        address = client.choose(found, self.chance)[number % len(found)]
-        return address, client.usable(address)
+        address = client.choose(addresses, self.rng)[number % len(addresses)]
+        return address, client.take_idle(address)
 
-    def note(self, req, kind, client, address, number, outcome, sent):
+    async def _look_up(self, deadline: float) -> Optional[list[str]]:
+        network = self.plan.network + "/24" if self.plan.tells_subnet else ""
+        time_left = max(MIN_LOOKUP_TIMEOUT, deadline - self.loop.time())
+        lookup = self.resolver.lookup(self.plan.name, network, self.plan.view)
+        try:
+            return await within(min(LOOKUP_TIMEOUT, time_left), lookup)
+        except TimeoutError:
+            return None
+
+    def _record_attempt(
+        self, request: Request, address: str, number: int, outcome: str, sent: bool
+    ) -> None:
         self.record.row(
             "try",
             self.loop.time(),
-            req,
-            kind.name,
+            request.id,
+            request.request_class.name,
             self.plan.view,
             self.resolver.kind,
-            client.habit,
+            request.client.habit,
             address,
             number,
             outcome,
             sent,
         )
 
-    async def finish(self):
-        """No more arrivals; waits for those under way, whose own deadlines bound it."""
+    async def finish(self) -> None:
+        """Stop arrivals and wait for requests under way, which their own deadlines bound."""
         self.stopped = True
         if self.tasks:
-            await asyncio.wait(self.tasks, timeout=10.0)
-
-
-class Hall:
-    """The desks and resolvers of one process, told what to be by commands."""
-
-    def __init__(self, chance, record):
-        self.chance, self.record, self.resolvers, self.desks = chance, record, {}, []
-
-    async def command(self, said):
-        if said["do"] == "resolver":
-            servers = [tuple(server) for server in said["servers"]]
-            made = self.resolvers[said["name"]] = Resolver(
-                said["kind"], said["address"], servers, self.chance, self.record, said["rotates"]
-            )
-            await made.begin()
-        elif said["do"] == "desk":
-            plan = msgspec.convert(said["plan"], Plan)
-            self.desks.append(
-                Desk(
-                    plan, self.resolvers[plan.resolver], self.chance, self.record, str(said["desk"])
-                )
-            )
-        elif said["do"] == "begin":
-            for desk in self.desks:
-                desk.begin(said["at"])
-        elif said["do"] == "rate":
-            for desk in self.desks:
-                if not said["views"] or desk.plan.view in said["views"]:
-                    desk.rate = desk.plan.rate * said["times"]
-        elif said["do"] == "finish":
-            await asyncio.gather(*(desk.finish() for desk in self.desks))
+            await asyncio.wait(self.tasks, timeout=FINISH_TIMEOUT)
+
+
+class DnsClientGroup:
+    """The clients and resolvers of one process, controlled by commands (standin/process.py)."""
+
+    def __init__(self, rng: Random, record: Recorder) -> None:
+        self.rng = rng
+        self.record = record
+        self.resolvers: dict[str, Resolver] = {}
+        self.sites: list[ClientSite] = []
+
+    async def command(self, command: dict[str, Any], /) -> None:
+        """Carry out a command."""
+        match command["do"]:
+            case "resolver":
+                await self._add_resolver(command)
+            case "desk":
+                self._add_site(command)
+            case "begin":
+                for site in self.sites:
+                    site.begin(command["at"])
+            case "rate":
+                self._change_rate(command["views"], command["times"])
+            case "finish":
+                await asyncio.gather(*(site.finish() for site in self.sites))
+
+    async def _add_resolver(self, command: dict[str, Any]) -> None:
+        servers = [(host, port) for host, port in command["servers"]]
+        resolver = Resolver(
+            command["kind"],
+            command["address"],
+            servers,
+            self.rng,
+            self.record,
+            command["rotates"],
+        )
+        self.resolvers[command["name"]] = resolver
+        await resolver.begin()
+
+    def _add_site(self, command: dict[str, Any]) -> None:
+        plan = msgspec.convert(command["plan"], Plan)
+        resolver = self.resolvers[plan.resolver]
+        self.sites.append(ClientSite(plan, resolver, self.rng, self.record, str(command["desk"])))
+
+    def _change_rate(self, views: list[str], factor: float) -> None:
+        """Multiply the planned rate of some views, or of all where none is named."""
+        for site in self.sites:
+            if not views or site.plan.view in views:
+                site.rate = site.plan.rate * factor
--- a/peatlead/standin/process.py
+++ b/peatlead/standin/process.py
@@ -41,7 +41,7 @@
 
 HALLS: dict[str, Callable[[Random, Recorder], Group]] = {
     "hosts": hosts.Hall,
-    "desks": dns_clients.Hall,
+    "desks": dns_clients.DnsClientGroup,
     "agents": xds_proxies.Hall,
 }
 
