--- a/peatlead/standin/hosts.py
+++ b/peatlead/standin/hosts.py
@@ -1,118 +1,89 @@
-"""Stand-in hosts: cores, a queue, a cold start, tipping over, draining, repeats dropped by pod.
+"""Stand-in endpoints: cores, a queue, a cold start, overload, draining, repeats dropped by pod.
 
-Each host serves HTTP/1.1 on an address of its own. Its work is time, not computation, so that many fit
-into one process and the same code runs on simulated time.
+Each endpoint serves HTTP/1.1 on an address of its own. Its work is time, not computation, so that
+many fit into one process and the same code runs on simulated time.
 """
 
 import asyncio
 from collections import deque
 from math import fsum
+from random import Random
+from typing import Any, Optional
 
 import msgspec
 
+from ..invariants.record import Recorder
 from ..net.http import Server
 from ..net.orca import HEADER, write_report
+from .endpoint_work import CountReport, HeavyRequests, Job, Plan, Pods, RequestCounts
 
-IDLE = 30.0
-LEVELS_LAST = (
-    5.0  # seconds: levels that no steward repeats are void; a dead steward must not shed for good
-)
-PROBE_WORK = 0.004
-
-
-class Plan(msgspec.Struct):
-    """What a host is. `work`: kind -> mean seconds of one core; `repeat`: kind -> repeat class."""
-
-    name: str
-    zone: str
-    pod: int
-    address: str
-    port: int
-    cores: int
-    work: dict[str, float]
-    repeat: dict[str, str]
-    cold_share: float
-    warm_after: float
-    tip_multiple: float
-    tip_span: float
-    room: int = 60
-    connections: int = 400
-    window: float = 2.0
-    deep: bool = True
-    cold: bool = False
-
-
-class Pods:
-    """What the hosts of one pod share: the uniqued reqs that took effect lately, 100,000 at most."""
-
-    MOST = 100_000
-
-    def __init__(self):
-        self.seen = {}
-
-    def is_repeat(self, pod, req, now, window):
-        seen = self.seen.setdefault(pod, {})
-        for old in list(seen)[:2]:
-            if now - seen[old] > window or len(seen) > self.MOST:
-                del seen[old]
-        repeat = req in seen and now - seen[req] <= window
-        if not repeat:
-            seen[req] = now
-        return repeat
-
-
-class Job:
-    __slots__ = (
-        "req",
-        "kind",
-        "work",
-        "connection",
-        "network",
-        "arrived",
-        "abandoned",
-        "probe",
-        "repeat",
-    )
-
-    def __init__(self, req, kind, work, connection, network, arrived, probe=False, repeat=False):
-        self.req, self.kind, self.work, self.connection = req, kind, work, connection
-        self.network, self.arrived, self.abandoned = network, arrived, False
-        self.probe, self.repeat = (
-            probe,
-            repeat,
-        )  # a repeat is worked on like the first, with no effect
+__all__ = ["Connection", "EndpointGroup", "Host", "Plan", "Pods"]
+
+IDLE_TIMEOUT = 30.0  # seconds without a byte until a connection is closed
+ADMISSION_LIFETIME = 5.0  # seconds: a controller that died must not shed for good
+CHECK_WORK = 0.004  # seconds of one core
+WORK_SPREAD = (0.6, 1.4)  # a request's work, as a factor of its class's mean
+MIN_CORES = 0.3  # left where others use the machine
+MEASURE_INTERVAL = 1.0  # seconds over which utilization is measured, at least
+RATE_WINDOW = 2  # seconds over which the rate of done requests is measured
+RECENT_MAX = 400  # done requests whose times are stored
+LISTEN_BACKLOG = 512  # connections
+NO_REQUESTS = RequestCounts(seconds=0)
 
 
 class Host:
-    """One host process. `begin()` opens its socket; faults are attributes that `tell` sets."""
-
-    def __init__(self, plan, chance, record, pods):
-        self.plan, self.chance, self.record, self.pods = plan, chance, record, pods
-        self.loop, self.server = asyncio.get_running_loop(), None
-        self.connections, self.levels = (
-            {},
-            {},
-        )  # in order: a set of objects is in that of their addresses
+    """One endpoint process. `begin()` opens its socket; faults are attributes that `tell` sets."""
+
+    def __init__(self, plan: Plan, rng: Random, record: Recorder, pods: Pods) -> None:
+        self.plan = plan
+        self.rng = rng
+        self.record = record
+        self.pods = pods
+        self.loop = asyncio.get_running_loop()
+        self.server: Optional[asyncio.Server] = None
+        # In order of arrival; a set of objects would be in that of their memory addresses.
+        self.connections: dict[Connection, bool] = {}
+        # (request class, controller's address) -> (admitted fraction, when it was set)
+        self.levels: dict[tuple[str, str], tuple[float, float]] = {}
         self.boots = 0
         self.reset(cold=plan.cold)
 
-    def reset(self, cold):
-        """A process that starts: nothing is in work, nothing counted."""
+    def reset(self, cold: bool) -> None:
+        """Be a process that starts: nothing in work, nothing counted, no faults."""
         now = self.loop.time()
         self.boots += 1
         self.boot = f"{self.plan.name}-{self.boots}-{now:.3f}"
-        self.cold_from = now if cold else None
-        self.queue, self.running, self.held, self.offered = deque(), 0, [], deque()
-        self.offered_work = self.busy_seconds = 0.0
-        self.counts, self.busy_at, self.done_lately = {}, (now, 0.0), deque(maxlen=400)
-        self.util, self.util_at = 0.0, now
-        self.silent = self.hung = self.draining = self.tipped = False
-        self.errors = self.lost = self.stolen = 0.0
-        self.paused_until, self.heavy = 0.0, None
-
-    # Its speed and its load.
+        self._reset_work(now, cold)
+        self._reset_faults()
 
-    def warmth(self, now):
+    def _reset_work(self, now: float, cold: bool) -> None:
+        self.cold_from = now if cold else None
+        self.queue: deque[Job] = deque()
+        self.running = 0  # jobs in work
+        self.held: list[Connection] = []  # whose requests are never answered
+        self.offered: deque[tuple[float, float]] = deque()  # (time, work) while cold
+        self.offered_work = 0.0
+        self.busy_seconds = 0.0  # of cores, since the last measurement
+        self.counts: dict[str, dict[str, RequestCounts]] = {}  # by network and request class
+        self.done_lately: deque[float] = deque(maxlen=RECENT_MAX)
+        self.util = 0.0  # part of the cores in use at the last measurement
+        self.util_at = now
+
+    def _reset_faults(self) -> None:
+        self.silent = False  # accepts connections and answers nothing
+        self.hung = False  # takes requests and never ends them
+        self.draining = False
+        self.tipped = False  # overloaded while cold
+        self.errors = 0.0  # share of requests answered with an error
+        self.lost = 0.0  # share of responses lost
+        self.stolen = 0.0  # part of the cores that others use
+        self.paused_until = 0.0
+        self.heavy: Optional[HeavyRequests] = None
+
+    # Speed and load.
+
+    def warmth(self, now: float) -> float:
+        """Return its speed as a part of that of a warm process."""
         if self.cold_from is None:
             return 1.0
         age = (now - self.cold_from) / self.plan.warm_after
@@ -121,8 +92,8 @@
             return 1.0
         return self.plan.cold_share + (1 - self.plan.cold_share) * age
 
-    def able(self, now):
-        """Cores that it has for reqs at this moment."""
+    def able(self, now: float) -> float:
+        """Return the cores that it has for requests at this moment."""
         if self.silent or self.hung or self.tipped or self.draining or now < self.paused_until:
             return 0.0
         return (
@@ -133,193 +104,217 @@
             * (1 - self.lost)
         )
 
-    def offer(self, now, work):
-        """All work that arrives counts against a cold host: it falls over past what its start can bear."""
-        if self.cold_from is None:
+    def _offer(self, now: float, work: float) -> None:
+        """Count work that arrives at a cold process, which fails past what it can bear."""
+        since = self.cold_from
+        if since is None:
             return
-        since, span, able = self.cold_from, self.plan.tip_span, self.warmth(now) * self.plan.cores
+        span = self.plan.tip_span
+        cores = self.warmth(now) * self.plan.cores
         self.offered.append((now, work))
         self.offered_work += work
         while self.offered and now - self.offered[0][0] > span:
             self.offered_work -= self.offered.popleft()[1]
-        part = self.offered_work / (self.plan.tip_multiple * able * span)
+        part = self.offered_work / (self.plan.tip_multiple * cores * span)
         self.record.row("cold", now, self.plan.name, part, since)
         if part > 1 and not self.tipped:
             self.tipped = True
             self.record.row("tipped", now, self.plan.name, since)
 
-    def measure(self, now):
-        """Part of the cores in use since the last report, at least a second back."""
-        if now - self.util_at >= 1.0:
-            self.util = min(1.0, self.busy_seconds / (now - self.util_at) / self.plan.cores)
-            self.util, self.util_at, self.busy_seconds = (
-                max(self.util, min(1.0, self.stolen)),
-                now,
-                0.0,
-            )
+    def _measure(self, now: float) -> float:
+        """Return the part of the cores in use, measured anew once the interval has passed."""
+        if now - self.util_at >= MEASURE_INTERVAL:
+            util = min(1.0, self.busy_seconds / (now - self.util_at) / self.plan.cores)
+            self.util = max(util, min(1.0, self.stolen))
+            self.util_at = now
+            self.busy_seconds = 0.0
         return self.util
 
-    # Reqs.
+    # Requests.
 
-    def take(self, connection, method, path, headers, body):
+    def receive(self, connection: "Connection", path: str, headers: dict[str, str]) -> None:
+        """Handle a request or a health check."""
         now = self.loop.time()
         if self.silent or self.tipped:
             self.held.append(connection)
-            return
-        if path.startswith("/load"):
-            self.take_probe(connection, headers, now)
-            return
-        kind, req = path.strip("/"), headers.get("req-id", "")
-        mean = self.plan.work.get(kind)
+        elif path.startswith("/load"):
+            self._receive_check(connection, headers, now)
+        else:
+            self._receive_request(connection, path.strip("/"), headers.get("req-id", ""), now)
+
+    def _receive_request(
+        self, connection: "Connection", request_class: str, request_id: str, now: float
+    ) -> None:
+        mean = self.plan.work.get(request_class)
         if mean is None:
             connection.answer(404, [], b"")
             return
-        work = mean * self.chance.uniform(0.6, 1.4)
-        if self.heavy and self.heavy[0] == kind and self.chance.random() < self.heavy[1]:
-            work *= self.heavy[2]
-        self.offer(now, work)
-        count = self.count(connection.network, kind)
-        count[0] += 1
-        if self.chance.random() >= self.level(kind, now):
-            count[5] += 1
-            connection.answer(429, [], b"shed", self.draining)
+        work = self._draw_work(request_class, mean)
+        self._offer(now, work)
+        if self._refuse(connection, request_class, now):
             return
-        if self.chance.random() < self.errors:
-            count[2] += 1
-            connection.answer(500, [], b"error", self.draining)
-            return
-        if self.hung:  # it takes all and answers none; connections bound it
-            connection.job = Job(req, kind, work, connection, connection.network, now)
+        job = Job(request_id, request_class, work, connection, now)
+        if self.hung:  # it accepts all and answers none; the number of connections bounds it
+            connection.job = job
             self.held.append(connection)
             return
         if len(self.queue) >= self.plan.room:
-            count[3] += 1
+            self.count(connection.network, request_class).rejected += 1
             connection.answer(503, [], b"full", self.draining)
             return
-        repeat = self.plan.repeat[kind] == "uniqued" and self.pods.is_repeat(
-            self.plan.pod, req, now, self.plan.window
-        )
-        job = Job(req, kind, work, connection, connection.network, now, repeat=repeat)
+        job.repeat = self._is_repeat(job, now)
         connection.job = job
         self.queue.append(job)
         self.advance()
 
-    def take_probe(self, connection, headers, now):
-        for pair in headers.get("peatlead-levels", "").split(","):
-            kind, _, level = pair.partition("=")
-            try:
-                self.levels[kind, connection.peer[0]] = float(level), now
-            except ValueError:
-                continue
+    def _draw_work(self, request_class: str, mean: float) -> float:
+        work = mean * self.rng.uniform(*WORK_SPREAD)
+        heavy = self.heavy
+        if heavy and heavy.request_class == request_class and self.rng.random() < heavy.share:
+            work *= heavy.factor
+        return work
+
+    def _refuse(self, connection: "Connection", request_class: str, now: float) -> bool:
+        """Count a request and answer it at once if it is to be shed or to fail."""
+        counts = self.count(connection.network, request_class)
+        counts.arrived += 1
+        if self.rng.random() >= self.level(request_class, now):
+            counts.shed += 1
+            connection.answer(429, [], b"shed", self.draining)
+            return True
+        if self.rng.random() < self.errors:
+            counts.errors += 1
+            connection.answer(500, [], b"error", self.draining)
+            return True
+        return False
+
+    def _is_repeat(self, job: Job, now: float) -> bool:
+        return self.plan.repeat[job.request_class] == "uniqued" and self.pods.is_repeat(
+            self.plan.pod, job.request_id, now, self.plan.window
+        )
+
+    def _receive_check(self, connection: "Connection", headers: dict[str, str], now: float) -> None:
+        self._set_admissions(connection.peer[0], headers.get("peatlead-levels", ""), now)
         if not self.plan.deep:
-            self.answer_probe(connection)
+            self._answer_check(connection)
         elif self.hung:
             self.held.append(connection)
         elif len(self.queue) >= self.plan.room:
             connection.answer(503, [], b"full")
         else:
-            self.queue.append(Job("", "", PROBE_WORK, connection, "", now, True))
+            self.queue.append(Job("", "", CHECK_WORK, connection, now, is_check=True))
             self.advance()
 
-    def level(self, kind, now):
-        """The mean of what stewards told of late: each of them steers all reqs, so the lowest of two that waver
-        would shed for both."""
-        told = [
-            level
-            for (name, _), (level, at) in self.levels.items()
-            if name == kind and now - at < LEVELS_LAST
+    def _set_admissions(self, controller: str, text: str, now: float) -> None:
+        """Store the admitted fractions that a controller sent, as "class=fraction,..."."""
+        for pair in text.split(","):
+            request_class, _, fraction = pair.partition("=")
+            try:
+                self.levels[request_class, controller] = float(fraction), now
+            except ValueError:
+                continue
+
+    def level(self, request_class: str, now: float) -> float:
+        """Return the admitted fraction: the mean of what controllers sent lately.
+
+        Each of them steers all requests, so the lowest of two that waver would shed for both.
+        """
+        fractions = [
+            fraction
+            for (name, _), (fraction, set_at) in self.levels.items()
+            if name == request_class and now - set_at < ADMISSION_LIFETIME
         ]
-        return fsum(told) / len(told) if told else 1.0
+        return fsum(fractions) / len(fractions) if fractions else 1.0
+
+    def count(self, network: str, request_class: str) -> RequestCounts:
+        """Return the counts of a class's requests from a network."""
+        by_class = self.counts.setdefault(network, {})
+        return by_class.setdefault(request_class, RequestCounts())
 
-    def count(self, network, kind):
-        rows = self.counts.setdefault(network, {})
-        return rows.setdefault(kind, [0, 0, 0, 0, 0, 0, 0.0])
+    # Work.
 
-    def advance(self):
+    def advance(self) -> None:
+        """Start jobs from the queue while there are free cores."""
         now = self.loop.time()
-        if self.hung or self.silent or self.tipped:
+        if self.hung or self.silent or self.tipped or now < self.paused_until:
             return
-        if now < self.paused_until:
-            return
-        cores = max(0.3, self.plan.cores * (1 - self.stolen))
+        cores = max(MIN_CORES, self.plan.cores * (1 - self.stolen))
         while self.queue and self.running < max(1, round(cores)):
             job = self.queue.popleft()
             self.running += 1
             speed = self.warmth(now) * min(1.0, cores / max(1, round(cores)))
-            took = job.work / speed
-            self.loop.call_later(took, self.finish, job, took, self.boots)
+            duration = job.work / speed
+            self.loop.call_later(duration, self._finish, job, duration, self.boots)
 
-    def finish(self, job, took, boot):
+    def _finish(self, job: Job, duration: float, boot: int) -> None:
         if boot != self.boots:
             return  # that process is gone
         now = self.loop.time()
         if now < self.paused_until:
-            self.loop.call_at(self.paused_until, self.finish, job, took, boot)
+            self.loop.call_at(self.paused_until, self._finish, job, duration, boot)
             return
         self.running -= 1
-        self.busy_seconds += took
+        self.busy_seconds += duration
         if self.silent or self.hung or self.tipped:
             return
-        if job.probe:
-            self.answer_probe(job.connection)
+        if job.is_check:
+            self._answer_check(job.connection)
         else:
-            self.end(job, now)
+            self._end(job, now)
         self.advance()
 
-    def end(self, job, now):
+    def _end(self, job: Job, now: float) -> None:
+        """Record the effect of a request and answer it."""
+        repeat_class = self.plan.repeat[job.request_class]
         if not job.repeat:
             self.record.row(
-                "effect", now, self.plan.name, job.req, job.kind, self.plan.repeat[job.kind]
+                "effect", now, self.plan.name, job.request_id, job.request_class, repeat_class
             )
-        count = self.count(job.network, job.kind)
-        if not job.abandoned:
-            job.connection.job = None
-            count[1] += 1
-            count[6] += now - job.arrived
-            self.done_lately.append(now)
-            if self.chance.random() >= self.lost:
-                job.connection.answer(
-                    200,
-                    [("host-name", self.plan.name), ("load-util", f"{self.measure(now):.3f}")],
-                    b"done",
-                    self.draining,
-                )
-
-    def abandon(self, job):
-        """The client has gone; the work has not."""
+        counts = self.count(job.network, job.request_class)
+        if job.abandoned:
+            return
+        job.connection.job = None
+        counts.done += 1
+        counts.seconds += now - job.arrived
+        self.done_lately.append(now)
+        if self.rng.random() >= self.lost:
+            util = f"{self._measure(now):.3f}"
+            headers = [("host-name", self.plan.name), ("load-util", util)]
+            job.connection.answer(200, headers, b"done", self.draining)
+
+    def abandon(self, job: Job) -> None:
+        """Note that the client of a job has gone; the work stays."""
         if not job.abandoned:
             job.abandoned = True
-            self.count(job.network, job.kind)[4] += 1
+            self.count(job.network, job.request_class).abandoned += 1
 
-    def answer_probe(self, connection):
+    def _answer_check(self, connection: "Connection") -> None:
         now = self.loop.time()
-        rate = sum(now - at < 2 for at in self.done_lately) / 2
-        report = {"util": self.measure(now), "done_rate": rate, "waiting": len(self.queue)}
-        kinds = list(self.plan.work)
+        rate = sum(now - done_at < RATE_WINDOW for done_at in self.done_lately) / RATE_WINDOW
+        report = {"util": self._measure(now), "done_rate": rate, "waiting": len(self.queue)}
+        classes = list(self.plan.work)
         networks = {
-            network: [rows.get(kind, [0] * 7) for kind in kinds]
-            for network, rows in self.counts.items()
+            network: [by_class.get(name, NO_REQUESTS) for name in classes]
+            for network, by_class in self.counts.items()
         }
-        body = msgspec.json.encode({"boot": self.boot, "kinds": kinds, "networks": networks})
+        body = msgspec.json.encode(CountReport(self.boot, classes, networks))
         connection.answer(200, [(HEADER, write_report(report))], body)
 
-    # Its life, and its faults.
+    # Life and faults.
 
-    async def begin(self):
+    async def begin(self) -> None:
+        """Open the socket, unless another fault has started the process already."""
         if self.server is not None:
-            return  # another trouble has started it already
+            return
         self.server = await self.loop.create_server(
-            lambda: Connection(self), self.plan.address, self.plan.port, backlog=512
+            lambda: Connection(self), self.plan.address, self.plan.port, backlog=LISTEN_BACKLOG
         )
 
-    def tell(self, fault, value):
-        """`fault`: an attribute of `reset`, or "drain", "stop", "start", "pause", "restart"."""
+    def tell(self, fault: str, value: Any) -> None:
+        """Cause a fault: an attribute's new value, or "drain", "stop", "start" or "pause"."""
         now = self.loop.time()
         if fault == "drain":
-            self.draining = True
-            for connection in list(self.connections):
-                if connection.job is None:
-                    connection.close()  # idle ones would bring a req after the grace
+            self._drain()
         elif fault == "stop":
             self.stop()
         elif fault == "start":
@@ -327,20 +322,31 @@
         elif fault == "pause":
             self.paused_until = now + value
             self.loop.call_at(self.paused_until, self.advance)
+        elif fault == "heavy":
+            self.heavy = HeavyRequests(*value) if value else None
+            if not value:
+                self._release()
         else:
             setattr(self, fault, value)
             if not value:
-                self.release()
+                self._release()
         self.advance()
 
-    def release(self):
-        """What a silent host held is lost: its clients have long gone."""
+    def _drain(self) -> None:
+        self.draining = True
+        for connection in list(self.connections):
+            if connection.job is None:
+                connection.close()  # idle ones would bring a request after the grace
+
+    def _release(self) -> None:
+        """Cut connections whose requests were held: their clients have long gone."""
         for connection in self.held:
             connection.cut("was silent")
         self.held = []
         self.loop.call_soon(self.advance)
 
-    def stop(self):
+    def stop(self) -> None:
+        """End the process: its connections are cut and its work is lost."""
         if self.server is not None:
             self.server.close()
             self.server = None
@@ -351,41 +357,55 @@
 
 
 class Connection(Server):
-    def __init__(self, host):
-        super().__init__(IDLE)
-        self.host, self.job, self.network = host, None, ""
+    """A client's connection to an endpoint."""
 
-    def opened(self):
+    def __init__(self, host: Host) -> None:
+        super().__init__(IDLE_TIMEOUT)
+        self.host = host
+        self.job: Optional[Job] = None  # the request that is not answered yet
+        self.network = ""  # the client's /24
+
+    def opened(self) -> None:
+        """Register the connection, or cut it past the endpoint's limit."""
         self.network = self.peer[0].rpartition(".")[0] + ".0"
         if len(self.host.connections) >= self.host.plan.connections:
             self.cut("too many connections")
             return
         self.host.connections[self] = True
 
-    def ended(self, reason):
+    def ended(self, reason: str) -> None:
+        """Abandon the request that is not answered yet."""
         self.host.connections.pop(self, None)
         if self.job is not None:
             self.host.abandon(self.job)
 
-    def serve(self, method, path, headers, body):
-        self.host.take(self, method, path, headers, body)
-
-
-class Hall:
-    """The hosts of one process, told what to be by commands (standin/process.py)."""
-
-    def __init__(self, chance, record):
-        self.chance, self.record, self.pods, self.hosts = chance, record, Pods(), {}
-
-    async def command(self, said):
-        if said["do"] == "host":
-            plan = msgspec.convert(said["plan"], Plan)
-            host = self.hosts[plan.name] = Host(plan, self.chance, self.record, self.pods)
-            await host.begin()
-        elif said["do"] == "tell":
-            for name in said["hosts"]:
-                if name in self.hosts:
-                    self.hosts[name].tell(said["fault"], said["value"])
-        elif said["do"] == "begin":
-            await self.hosts[said["host"]].begin()
-            self.hosts[said["host"]].tell("start", True)
+    def serve(self, method: str, path: str, headers: dict[str, str], body: bytes) -> None:
+        """Hand a request to the endpoint."""
+        self.host.receive(self, path, headers)
+
+
+class EndpointGroup:
+    """The endpoints of one process, controlled by commands (standin/process.py)."""
+
+    def __init__(self, rng: Random, record: Recorder) -> None:
+        self.rng = rng
+        self.record = record
+        self.pods = Pods()
+        self.hosts: dict[str, Host] = {}
+
+    async def command(self, command: dict[str, Any], /) -> None:
+        """Carry out a command."""
+        match command["do"]:
+            case "host":
+                plan = msgspec.convert(command["plan"], Plan)
+                host = Host(plan, self.rng, self.record, self.pods)
+                self.hosts[plan.name] = host
+                await host.begin()
+            case "tell":
+                for name in command["hosts"]:
+                    if name in self.hosts:
+                        self.hosts[name].tell(command["fault"], command["value"])
+            case "begin":
+                host = self.hosts[command["host"]]
+                await host.begin()
+                host.tell("start", True)
--- a/peatlead/standin/process.py
+++ b/peatlead/standin/process.py
@@ -40,7 +40,7 @@
 
 
 HALLS: dict[str, Callable[[Random, Recorder], Group]] = {
-    "hosts": hosts.Hall,
+    "hosts": hosts.EndpointGroup,
     "desks": dns_clients.DnsClientGroup,
     "agents": xds_proxies.Hall,
 }
