--- a/peatlead/standin/process.py
+++ b/peatlead/standin/process.py
@@ -42,7 +42,7 @@
 HALLS: dict[str, Callable[[Random, Recorder], Group]] = {
     "hosts": hosts.EndpointGroup,
     "desks": dns_clients.DnsClientGroup,
-    "agents": xds_proxies.Hall,
+    "agents": xds_proxies.ProxyGroup,
 }
 
 
--- /dev/null
+++ b/peatlead/standin/proxy_requests.py
@@ -0,0 +1,233 @@
+"""The requests of a stand-in proxy: choice of endpoints, retries, ejection of failing endpoints."""
+
+import asyncio
+from collections import defaultdict
+from dataclasses import dataclass
+from random import Random
+from typing import NamedTuple, Optional
+
+from ..grpc.resources import WeightedEndpoint
+from ..invariants.record import Recorder
+from ..net.http import RequestFailedError, connect
+from ..net.http.client import Exchange, Response
+from .dns_clients import OUTCOME_BY_STATUS, Kind, Outcome
+from .proxy_plan import TWO_CHOICES, Plan
+from .proxy_stats import EndpointTally, LoadStats
+
+CONNECT_TIMEOUT = 0.7  # seconds
+ATTEMPT_SHARE = 0.6  # of the time left that an attempt gets where another may follow
+EJECTION_SPREAD = (0.6, 1.4)  # an ejection's duration, as a factor of the planned one
+MAX_ATTEMPTS = {"never": 1, "unstarted": 2, "once": 2, "twice": 3}  # by retry policy
+RESOLVER = "agent"  # stands for the resolver in the rows of proxies
+
+
+class ProxyTables:
+    """What a controller assigned to the proxy, by request class."""
+
+    def __init__(self) -> None:
+        self.lines: dict[str, list[WeightedEndpoint]] = {}
+        self.admissions: dict[str, float] = {}  # admitted fraction of requests
+        self.retries: dict[str, str] = {}  # retry policy
+
+    def addresses(self) -> set[str]:
+        """Return the addresses of all endpoints."""
+        return {entry.address for entries in self.lines.values() for entry in entries}
+
+
+@dataclass(slots=True)
+class ProxyRequest:
+    """A request under way; times are of the event loop's clock."""
+
+    id: str
+    request_class: Kind
+    due: float
+    deadline: float
+    retry: str  # the retry policy
+    max_attempts: int
+
+
+class AttemptResult(NamedTuple):
+    """How an attempt ended, and whether the request may have run."""
+
+    outcome: str
+    may_have_run: bool
+
+
+class RequestSender:
+    """Sends a proxy's requests by its tables and counts them."""
+
+    def __init__(self, plan: Plan, tables: ProxyTables, rng: Random, record: Recorder) -> None:
+        self.plan = plan
+        self.tables = tables
+        self.rng = rng
+        self.record = record
+        self.loop = asyncio.get_running_loop()
+        self.stats = LoadStats(plan, self.loop.time())
+        self.idle: dict[str, list[Exchange]] = {}  # connections by address
+        self.in_flight: defaultdict[str, int] = defaultdict(int)  # requests by address
+        self.failures: defaultdict[str, int] = defaultdict(int)  # in a row, by address
+        self.ejected_until: dict[str, float] = {}
+
+    async def run(self, request_id: str, request_class: Kind, due: float) -> None:
+        """Admit or shed a request, try it until it ends, and record it."""
+        tried: list[str] = []
+        if self.rng.random() >= self.tables.admissions.get(request_class.name, 1.0):
+            self.stats.dropped[request_class.name] += 1
+            outcome: str = Outcome.SHED.value
+            deadline = due + request_class.client_timeout
+            request = ProxyRequest(request_id, request_class, due, deadline, "never", 0)
+        else:
+            request = self._build_request(request_id, request_class, due)
+            outcome = await self._try(request, tried)
+        self._record_request(request, outcome, len(tried))
+
+    def _build_request(self, request_id: str, request_class: Kind, due: float) -> ProxyRequest:
+        retry = self.tables.retries.get(request_class.name, "unstarted")
+        deadline = due + request_class.client_timeout
+        return ProxyRequest(request_id, request_class, due, deadline, retry, MAX_ATTEMPTS[retry])
+
+    async def _try(self, request: ProxyRequest, tried: list[str]) -> str:
+        """Try one endpoint after the other, adding each to `tried`; return the outcome."""
+        outcome: str = Outcome.UNRESOLVED.value
+        while len(tried) < request.max_attempts and self.loop.time() < request.deadline:
+            entry = self._choose(request.request_class.name, tried)
+            if entry is None:
+                break
+            tried.append(entry.address)
+            outcome, may_have_run = await self._attempt(request, entry, len(tried))
+            if outcome == Outcome.DONE or (request.retry == "unstarted" and may_have_run):
+                break
+        return outcome
+
+    def _record_request(self, request: ProxyRequest, outcome: str, attempts: int) -> None:
+        now = self.loop.time()
+        request_class = request.request_class
+        late = now - request.due > request_class.response_target
+        gain = 0.0
+        if outcome == Outcome.DONE and now <= request.deadline:
+            gain = request_class.gain * (self.plan.late_gain if late else 1.0)
+        if outcome == Outcome.DONE and late:
+            outcome = Outcome.LATE.value
+        self.record.row(
+            "req",
+            now,
+            request.id,
+            request_class.name,
+            self.plan.name,
+            RESOLVER,
+            self.plan.pick,
+            outcome,
+            request.due,
+            attempts,
+            gain,
+        )
+
+    def _choose(self, request_class: str, tried: list[str]) -> Optional[WeightedEndpoint]:
+        """Draw an endpoint by weight; ejected ones only where there are no others."""
+        entries = self.tables.lines.get(request_class, ())
+        untried = [entry for entry in entries if entry.address not in tried]
+        now = self.loop.time()
+        fit = [entry for entry in untried if self.ejected_until.get(entry.address, 0.0) <= now]
+        candidates = fit or untried
+        if not candidates:
+            return None
+        weights = [entry.weight for entry in candidates]
+        draws = 2 if self.plan.pick == TWO_CHOICES else 1
+        drawn = self.rng.choices(candidates, weights, k=draws)
+        return min(drawn, key=lambda entry: self.in_flight[entry.address])
+
+    async def _attempt(
+        self, request: ProxyRequest, entry: WeightedEndpoint, number: int
+    ) -> AttemptResult:
+        """Send a request to an endpoint once, and count how it ended."""
+        start = self.loop.time()
+        address = entry.address
+        tally = self.stats.endpoints[request.request_class.name, address]
+        self.in_flight[address] += 1
+        may_have_run = False
+        try:
+            stream = self._take_idle(address) or await self._connect(request, entry, start)
+            may_have_run = True
+            self._record_sent(request, address, number)
+            response = await self._send(request, stream, number, start)
+            outcome = OUTCOME_BY_STATUS.get(response.status, Outcome.ERRORED.value)
+            may_have_run = outcome not in (Outcome.DENIED, Outcome.SHED)
+            _add_utilization(tally, response)
+            if stream.usable:
+                self.idle.setdefault(address, []).append(stream)
+        except RequestFailedError as problem:
+            outcome = problem.outcome
+        finally:
+            self.in_flight[address] -= 1
+        self._count(tally, address, outcome, self.loop.time() - start)
+        return AttemptResult(outcome, may_have_run)
+
+    async def _connect(
+        self, request: ProxyRequest, entry: WeightedEndpoint, start: float
+    ) -> Exchange:
+        deadline = min(request.deadline, start + CONNECT_TIMEOUT)
+        return await connect(self.loop, (entry.address, entry.port), deadline, self.plan.local)
+
+    async def _send(
+        self, request: ProxyRequest, stream: Exchange, number: int, start: float
+    ) -> Response:
+        share = ATTEMPT_SHARE if number < request.max_attempts else 1.0
+        return await stream.ask(
+            "POST",
+            "/" + request.request_class.name,
+            [("host", "x"), ("req-id", request.id)],
+            b"",
+            start + (request.deadline - start) * share,
+        )
+
+    def _record_sent(self, request: ProxyRequest, address: str, number: int) -> None:
+        self.record.row(
+            "try",
+            self.loop.time(),
+            request.id,
+            request.request_class.name,
+            self.plan.name,
+            RESOLVER,
+            self.plan.pick,
+            address,
+            number,
+            Outcome.SENT.value,
+            True,
+        )
+
+    def _count(self, tally: EndpointTally, address: str, outcome: str, duration: float) -> None:
+        """Count an attempt, and eject the endpoint after enough failures in a row."""
+        if outcome == Outcome.DONE:
+            tally.done += 1
+            tally.seconds += duration
+            self.failures[address] = 0
+            return
+        tally.errors += 1
+        self.failures[address] += 1
+        if self.plan.fails_to_shun and self.failures[address] >= self.plan.fails_to_shun:
+            ejection = self.plan.shun_for * self.rng.uniform(*EJECTION_SPREAD)
+            self.ejected_until[address] = self.loop.time() + ejection
+            self.failures[address] = 0
+
+    def _take_idle(self, address: str) -> Optional[Exchange]:
+        streams = self.idle.get(address, [])
+        while streams:
+            stream = streams.pop()
+            if stream.usable:
+                return stream
+        return None
+
+    def close_unassigned(self) -> None:
+        """Close idle connections to endpoints that have left the tables."""
+        assigned = self.tables.addresses()
+        for address in [address for address in self.idle if address not in assigned]:
+            for stream in self.idle.pop(address):
+                stream.close()
+
+
+def _add_utilization(tally: EndpointTally, response: Response) -> None:
+    """Count the utilization that a response carries, if any."""
+    utilization = response.headers.get("load-util")
+    if utilization:
+        tally.util += float(utilization)
+        tally.reports += 1
--- /dev/null
+++ b/peatlead/standin/proxy_stats.py
@@ -0,0 +1,66 @@
+"""What a stand-in proxy counts of its requests, and its load reports (LRS)."""
+
+from collections import defaultdict
+from typing import Any
+
+from envoy.service.load_stats.v3 import lrs_pb2
+
+from .proxy_plan import Plan
+
+NANOSECONDS = 1e9  # in a second
+
+
+class EndpointTally:
+    """Requests of one class to one endpoint since the last report."""
+
+    __slots__ = ("done", "errors", "seconds", "util", "reports")
+
+    def __init__(self) -> None:
+        self.done = 0
+        self.errors = 0
+        self.seconds = 0.0  # of all requests that were done
+        self.util = 0.0  # the sum of the utilizations that the endpoint reported
+        self.reports = 0  # of utilization
+
+
+class LoadStats:
+    """The counts since the last report, and the report made of them."""
+
+    def __init__(self, plan: Plan, now: float) -> None:
+        self.plan = plan
+        self.reported_at = now
+        self.endpoints: defaultdict[tuple[str, str], EndpointTally] = defaultdict(EndpointTally)
+        self.dropped: defaultdict[str, int] = defaultdict(int)  # requests shed, by class
+
+    def take_report(self, now: float) -> Any:
+        """Return a LoadStatsRequest of the counts, and begin to count anew."""
+        request = lrs_pb2.LoadStatsRequest()
+        interval = int((now - self.reported_at) * NANOSECONDS)
+        for request_class in self.plan.kinds:
+            cluster = request.cluster_stats.add(cluster_name=request_class.name)
+            cluster.load_report_interval.FromNanoseconds(interval)
+            cluster.total_dropped_requests = self.dropped.pop(request_class.name, 0)
+            locality = cluster.upstream_locality_stats.add()
+            for (name, address), tally in self.endpoints.items():
+                if name == request_class.name:
+                    self._add_endpoint(locality, address, tally)
+        self.endpoints.clear()
+        self.reported_at = now
+        return request
+
+    def _add_endpoint(self, locality: Any, address: str, tally: EndpointTally) -> None:
+        stats = locality.upstream_endpoint_stats.add()
+        stats.address.socket_address.address = address
+        stats.address.socket_address.port_value = self.plan.port
+        stats.total_successful_requests = tally.done
+        stats.total_error_requests = tally.errors
+        for metric, count, total in (
+            ("seconds", tally.done, tally.seconds),
+            ("util", tally.reports, tally.util),
+        ):
+            if count:
+                stats.load_metric_stats.add(
+                    metric_name=metric,
+                    num_requests_finished_with_metric=count,
+                    total_metric_value=total,
+                )
--- a/peatlead/standin/xds_proxies.py
+++ b/peatlead/standin/xds_proxies.py
@@ -1,12 +1,15 @@
-"""Stand-in agents: proxies that follow published assignments, report loads, and send reqs by them.
+"""Stand-in proxies: they follow published assignments, report loads and send requests by them.
 
-An agent follows one stream. It counts only orders past the newest (epoch, serial) that it has seen; older
-ones are recorded, never acted on. It goes on listening on streams that it has given up, so that what a
-frozen controller sends when it wakes is seen to arrive, and seen not to act.
+A proxy follows one stream. It applies only assignments newer than the newest (epoch, serial) that
+it has seen; older ones are recorded and ignored. It goes on reading streams that it has given up,
+so that what a frozen controller sends when it wakes is seen to arrive, and seen to have no effect.
 """
 
 import asyncio
-from collections import defaultdict
+from collections.abc import Coroutine
+from enum import StrEnum
+from random import Random
+from typing import Any, NamedTuple, Optional, TypeVar, cast
 
 import msgspec
 from envoy.service.discovery.v3 import discovery_pb2
@@ -14,7 +17,8 @@
 from h2.exceptions import ProtocolError
 
 from ..fleet.ownership import Fence
-from ..grpc.http2 import dial
+from ..grpc.call import Call
+from ..grpc.http2 import Connection, dial
 from ..grpc.incremental import PART_BY_TYPE, decode_delta
 from ..grpc.resources import (
     ENDPOINTS,
@@ -26,536 +30,456 @@
     resource_name,
 )
 from ..grpc.server import DELTA, DISCOVERY, LOADS
-from ..net.http import RequestFailedError, connect
+from ..invariants.record import Recorder
 from ..tables.replica import APPLIED, OLD, Replica
 from ..tables.version import MILLION, SCALE, Version, parse_line_key, parse_version
-from .dns_clients import Kind
+from .proxy_plan import Plan
+from .proxy_requests import ProxyTables, RequestSender
 
-JOIN_WAIT = 1.0  # seconds for a controller to take it in
-AVOID_FOR = 5.0
+__all__ = ["Agent", "Plan", "ProxyGroup"]
+
+JOIN_TIMEOUT = 1.0  # seconds for a controller to respond
+AVOID_FOR = 5.0  # seconds that a controller that did not respond is avoided
 DIALLED = 1 << 62  # past every serial of an epoch
-LISTEN_ON = 90.0  # seconds that a given up stream is still listened to
-CONNECT_WAIT = 0.7
-TRY_PART = 0.6  # of the time left that a try gets, where another may follow
+ABANDONED_FOR = 90.0  # seconds that a stream that was given up is still read
+REJOIN_DELAY = (0.03, 0.15)  # seconds, drawn from this range
+PING_INTERVAL = 1.0  # seconds
+PING_DATA = b"anyone??"  # HTTP/2 pings carry eight bytes
+DEFAULT_REPORT_INTERVAL = 1.0  # seconds, until the controller asks for another
+FINISH_TIMEOUT = 6.0  # seconds for the tasks under way at the end
+AUTHORITY = "peatlead"
+INVALID_ARGUMENT = 3  # gRPC status code of a rejected response
+UNAVAILABLE = "14"  # gRPC status code of a controller that refuses a proxy
+
+Address = tuple[str, int]
+Result = TypeVar("Result")
+
+
+class JoinOutcome(StrEnum):
+    """How a stream to a controller ended."""
+
+    ENDED = "ended"
+    REDIRECTED = "redirected"  # to another controller, or to come again later
+    FAILED = "failed"
+
+
+class JoinResult(NamedTuple):
+    """How a stream ended, and the metadata that the controller sent."""
+
+    outcome: JoinOutcome
+    metadata: dict[str, str]
 
 
-class Plan(msgspec.Struct):
-    name: str
-    zone: str
-    local: str
-    controllers: list[list]
-    port: int
-    rate: float
-    kinds: list[Kind]
-    pick: str = "lighter of two"
-    fails_to_shun: int = 3
-    shun_for: float = 3.0
-    late_gain: float = 0.1
-    incremental: bool = False
+class AssignmentOutcome(StrEnum):
+    """What became of an assignment; as recorded."""
 
+    APPLIED = "applied"
+    OLD = "old"
+    REFUSED = "refused"
 
-class Tally:
-    __slots__ = ("good", "bad", "seconds", "util", "reports")
 
-    def __init__(self):
-        self.good = self.bad = self.reports = 0
-        self.seconds = self.util = 0.0
+FAILED_JOIN = JoinResult(JoinOutcome.FAILED, {})
+
+
+def parse_address(text: str) -> Address:
+    """Parse HOST:PORT."""
+    host, _, port = text.rpartition(":")
+    return host, int(port)
+
+
+def set_once(future: asyncio.Future[Result], result: Result) -> None:
+    """Set a future's result unless it is done."""
+    if not future.done():
+        future.set_result(result)
 
 
 class Agent:
-    def __init__(self, plan, chance, record):
-        self.plan, self.chance, self.record = plan, chance, record
+    """One proxy."""
+
+    def __init__(self, plan: Plan, rng: Random, record: Recorder) -> None:
+        self.plan = plan
+        self.rng = rng
+        self.record = record
         self.loop = asyncio.get_running_loop()
-        self.lines, self.levels, self.retries = {}, {}, {}
-        self.fence, self.hints, self.avoid, self.names = Fence(), [], {}, {}
-        self.flying, self.fails, self.shunned = defaultdict(int), defaultdict(int), {}
-        self.tallies, self.dropped = defaultdict(Tally), defaultdict(int)
-        self.idle, self.stopped, self.tasks, self.sent, self.given_up = {}, False, set(), 0, []
-        self.told_at = self.loop.time()
-        self.holder = Replica()  # of the incremental variant: what it holds, checked on arrival
-
-    # Its stream.
-
-    def begin(self, at):
-        self.keep(self.follow())
-        first = at + self.chance.expovariate(self.plan.rate)
-        self.loop.call_at(first, self.arrive, first)
-
-    def keep(self, case):
-        task = self.loop.create_task(case)
+        self.tables = ProxyTables()
+        self.requests = RequestSender(plan, self.tables, rng, record)
+        self.holder = Replica()  # of the incremental variant: its state, verified on arrival
+        self.fence = Fence()
+        self.current: Optional[Call] = None  # the discovery stream that it follows
+        self.hints: list[Address] = []  # controllers, best first, as the last one named them
+        self.names: dict[Address, str] = {}  # of controllers
+        self.avoid: dict[Address, float] = {}  # controller -> until when
+        self.given_up: list[Connection] = []
+        self.tasks: set[asyncio.Task[None]] = set()
+        self.sent = 0  # requests
+        self.stopped = False
+
+    @property
+    def lines(self) -> dict[str, list[WeightedEndpoint]]:
+        """The endpoints that it holds, by request class."""
+        return self.tables.lines
+
+    def begin(self, start: float) -> None:
+        """Join a controller, and let requests arrive from a time on."""
+        self._spawn(self._follow())
+        first = start + self.rng.expovariate(self.plan.rate)
+        self.loop.call_at(first, self._arrive, first)
+
+    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
+        task = self.loop.create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def follow(self):
-        """Joins one controller after the other until stopped."""
-        hops, wait, target = 0, 0.0, None
+    def _arrive(self, due: float) -> None:
+        """Start the requests that are due."""
+        if self.stopped:
+            return
+        now = self.loop.time()
+        classes = self.plan.kinds
+        while due <= now:
+            self.sent += 1
+            request_class = self.rng.choices(classes, [one.share for one in classes])[0]
+            request_id = f"{self.plan.name}-{self.sent}"
+            self._spawn(self.requests.run(request_id, request_class, due))
+            due += self.rng.expovariate(self.plan.rate)
+        self.loop.call_at(due, self._arrive, due)
+
+    # Streams.
+
+    async def _follow(self) -> None:
+        """Join one controller after the other until stopped."""
+        hops = 0  # redirections in a row
+        wait = 0.0
+        target: Optional[Address] = None
         while not self.stopped:
             await asyncio.sleep(wait)
-            address = target or self.choose()
-            verdict, told = await self.join(address, hops)
-            wait, target = self.chance.uniform(0.03, 0.15), None
-            if verdict == "sent on" and told.get("peatlead-owner"):
-                host, _, port = told["peatlead-owner"].rpartition(":")
-                hops, target, wait = hops + 1, (host, int(port)), 0.0
-            elif verdict == "sent on":
-                wait = float(told.get("peatlead-wait", "0") or 0) or wait
-            elif verdict == "ended":
-                hops = 0
+            address = target or self._choose_controller()
+            outcome, metadata = await self._join(address, hops)
+            wait = self.rng.uniform(*REJOIN_DELAY)
+            target = None
+            if outcome is JoinOutcome.REDIRECTED and metadata.get("peatlead-owner"):
+                target = parse_address(metadata["peatlead-owner"])
+                hops += 1
+                wait = 0.0
+            elif outcome is JoinOutcome.REDIRECTED:
+                wait = float(metadata.get("peatlead-wait", "0") or 0) or wait
             else:
-                self.avoid[address] = self.loop.time() + AVOID_FOR
                 hops = 0
+            if outcome is JoinOutcome.FAILED:
+                self.avoid[address] = self.loop.time() + AVOID_FOR
 
-    def choose(self):
-        """The best that was hinted at and is not known to be out of reach; else any, drawn."""
+    def _choose_controller(self) -> Address:
+        """Return the best of the hints that is not avoided, else a controller drawn at random."""
         now = self.loop.time()
         self.avoid = {address: until for address, until in self.avoid.items() if now < until}
-        everyone = [tuple(one) for one in self.plan.controllers]
         for address in self.hints:
             if address not in self.avoid:
                 return address
-        fit = [one for one in everyone if one not in self.avoid]
-        return self.chance.choice(fit or everyone)
+        controllers: list[Address] = [(host, port) for host, port in self.plan.controllers]
+        fit = [address for address in controllers if address not in self.avoid]
+        return self.rng.choice(fit or controllers)
 
-    async def join(self, address, hops):
-        """("ended" | "sent on" | "failed", what the controller said)."""
-        steward = address[0]
+    async def _join(self, address: Address, hops: int) -> JoinResult:
+        """Follow a controller's stream to its end."""
+        controller = address[0]
         try:
-            connection = await dial(address, self.plan.local, JOIN_WAIT, ping_every=0.0)
-        except (OSError, asyncio.TimeoutError):
-            return "failed", {}
-        taken, over = self.loop.create_future(), self.loop.create_future()
-        call = connection.call(DELTA if self.plan.incremental else DISCOVERY, "peatlead")
-        call.headers = lambda told: taken.done() or taken.set_result(dict(told))
-        call.ended = lambda status, text: over.done() or over.set_result(dict(call.told))
-        take = self.take_delta if self.plan.incremental else self.take
-        call.message = lambda data: take(call, steward, data)
-        self.current, joined = call, False
-        self.ask_first(call, hops)
-        done, _ = await asyncio.wait(
-            [taken, over], timeout=JOIN_WAIT, return_when=asyncio.FIRST_COMPLETED
+            connection = await dial(address, self.plan.local, JOIN_TIMEOUT, ping_every=0.0)
+        except (OSError, TimeoutError):
+            return FAILED_JOIN
+        responded: asyncio.Future[dict[str, str]] = self.loop.create_future()
+        ended: asyncio.Future[dict[str, str]] = self.loop.create_future()
+        call = self._open_call(connection, controller, responded, ended)
+        self._send_first_requests(call, hops)
+        await asyncio.wait(
+            [responded, ended], timeout=JOIN_TIMEOUT, return_when=asyncio.FIRST_COMPLETED
         )
-        if not done:
-            self.give_up(connection)
-            return "failed", {}
-        if "peatlead-controllers" in call.told or not over.done():
-            joined = True
-            self.take_hints(call.told)
-            self.record.row("stream", self.loop.time(), self.plan.name, steward, "joined")
-            self.keep(self.report(connection))
-            await self.watch(connection, over)
-            self.record.row("stream", self.loop.time(), self.plan.name, steward, "lost")
-        told = over.result() if over.done() else {}
-        if over.done():
-            connection.close()
-        else:
-            self.give_up(connection)
-            return "failed", {}
-        if told.get("grpc-status") == "14" and (
-            "peatlead-owner" in told or "peatlead-wait" in told
-        ):
-            return "sent on", told
-        return ("ended" if joined else "failed"), told
-
-    async def watch(self, connection, over):
-        """Until the stream ends or the controller does not answer pings."""
-        while not over.done() and not self.stopped:
-            asked = self.loop.time()
-            connection.talk.ping(b"anyone??")
+        if not responded.done() and not ended.done():
+            self._give_up(connection)
+            return FAILED_JOIN
+        joined = "peatlead-controllers" in call.told or not ended.done()
+        if joined:
+            await self._stay_joined(connection, call, controller, ended)
+        if not ended.done():
+            self._give_up(connection)
+            return FAILED_JOIN
+        connection.close()
+        return self._join_result(ended.result(), joined)
+
+    @staticmethod
+    def _join_result(metadata: dict[str, str], joined: bool) -> JoinResult:
+        redirected = "peatlead-owner" in metadata or "peatlead-wait" in metadata
+        if metadata.get("grpc-status") == UNAVAILABLE and redirected:
+            return JoinResult(JoinOutcome.REDIRECTED, metadata)
+        return JoinResult(JoinOutcome.ENDED if joined else JoinOutcome.FAILED, metadata)
+
+    def _open_call(
+        self,
+        connection: Connection,
+        controller: str,
+        responded: asyncio.Future[dict[str, str]],
+        ended: asyncio.Future[dict[str, str]],
+    ) -> Call:
+        """Start a discovery stream; the futures are done at its first response and its end."""
+        call = connection.call(DELTA if self.plan.incremental else DISCOVERY, AUTHORITY)
+        call.headers = lambda metadata: set_once(responded, dict(metadata))
+        call.ended = lambda *_: set_once(ended, dict(call.told))
+        receive = self.take_delta if self.plan.incremental else self.take
+        call.message = lambda data: receive(call, controller, data)
+        self.current = call
+        return call
+
+    async def _stay_joined(
+        self,
+        connection: Connection,
+        call: Call,
+        controller: str,
+        ended: asyncio.Future[dict[str, str]],
+    ) -> None:
+        """Report loads, and wait until the stream ends or the controller does not answer."""
+        self._read_hints(call.told)
+        self.record.row("stream", self.loop.time(), self.plan.name, controller, "joined")
+        self._spawn(self._report(connection))
+        await self._watch(connection, ended)
+        self.record.row("stream", self.loop.time(), self.plan.name, controller, "lost")
+
+    async def _watch(self, connection: Connection, ended: asyncio.Future[dict[str, str]]) -> None:
+        """Wait until the stream ends or the controller does not answer pings."""
+        while not ended.done() and not self.stopped:
+            pinged_at = self.loop.time()
+            connection.talk.ping(PING_DATA)
             connection.flush()
-            await asyncio.wait([over], timeout=1.0)
-            if not over.done() and connection.heard < asked:
+            await asyncio.wait([ended], timeout=PING_INTERVAL)
+            if not ended.done() and connection.heard < pinged_at:
                 return
 
-    def give_up(self, connection):
-        """It may only be frozen: what it still sends must be seen not to act."""
+    def _give_up(self, connection: Connection) -> None:
+        """Leave a controller that may only be frozen, and go on reading what it sends."""
         self.given_up.append(connection)
-        self.loop.call_later(LISTEN_ON, connection.cut, "given up")
-
-    def take_hints(self, told):
-        found = []
-        for one in filter(None, told.get("peatlead-controllers", "").split(",")):
-            name, _, place = one.partition("=")
-            host, _, port = place.rpartition(":")
-            found.append((host, int(port)))
-            self.names[found[-1]] = name
-        self.hints = found
-
-    def ask_first(self, call, hops):
-        request = discovery_pb2.DiscoveryRequest(
-            type_url=ENDPOINTS, resource_names=[k.name for k in self.plan.kinds]
-        )
-        request.node.id, request.node.locality.zone = self.plan.name, self.plan.zone
-        # Each dial is a join of its own: whoever it dialled before may only be slow, and must not have the same
-        # epoch to give. So what was dialled is fenced off, whether it ever answered or not.
+        self.loop.call_later(ABANDONED_FOR, connection.cut, "given up")
+
+    def _read_hints(self, metadata: dict[str, str]) -> None:
+        """Store the controllers that were named, as "NAME=HOST:PORT,..."."""
+        self.hints = []
+        for hint in filter(None, metadata.get("peatlead-controllers", "").split(",")):
+            name, _, text = hint.partition("=")
+            address = parse_address(text)
+            self.hints.append(address)
+            self.names[address] = name
+
+    # Requests on the discovery stream.
+
+    def _send_first_requests(self, call: Call, hops: int) -> None:
+        # Each dial is a join of its own: a controller dialled before may only be slow, and must
+        # not have the same epoch to give. So what was dialled is fenced off, answered or not.
         self.fence = Fence((self.fence.newest[0] + 1, DIALLED))
         if self.plan.incremental:
-            self.ask_deltas(call, hops)
+            self._send_first_deltas(call, hops)
             return
+        request = discovery_pb2.DiscoveryRequest(
+            type_url=ENDPOINTS, resource_names=self._class_names()
+        )
+        self._describe_node(request, hops)
         held = {
-            kind: [f"{one.address}|{one.port}|{one.zone}|{one.weight}" for one in lines]
-            for kind, lines in self.lines.items()
+            name: [f"{one.address}|{one.port}|{one.zone}|{one.weight}" for one in entries]
+            for name, entries in self.lines.items()
         }
-        request.node.metadata.update(
-            {
-                "epoch": self.fence.newest[0],
-                "rate": self.plan.rate,
-                "hops": hops,
-                "avoid": [self.names[address] for address in self.avoid if address in self.names],
-                "held": held,
-            }
-        )
+        request.node.metadata.update({"held": held})
         call.send(request.SerializeToString(deterministic=True))
-        call.send(
-            discovery_pb2.DiscoveryRequest(
-                type_url=ROUTES, resource_names=[ROUTES_NAME]
-            ).SerializeToString()
-        )
+        routes = discovery_pb2.DiscoveryRequest(type_url=ROUTES, resource_names=[ROUTES_NAME])
+        call.send(routes.SerializeToString())
 
-    def ask_deltas(self, call, hops):
-        """The first requests of the incremental variant: what it holds goes as its resources' versions."""
+    def _send_first_deltas(self, call: Call, hops: int) -> None:
+        """Subscribe to all parts of the tables, naming the versions of what it holds."""
         self.holder.raise_fence(Version(*self.fence.newest))
         for type_url, part in PART_BY_TYPE.items():
             request = discovery_pb2.DeltaDiscoveryRequest(
                 type_url=type_url, resource_names_subscribe=["*"]
             )
-            request.node.id, request.node.locality.zone = self.plan.name, self.plan.zone
-            request.node.metadata.update(
-                {
-                    "epoch": self.fence.newest[0],
-                    "rate": self.plan.rate,
-                    "hops": hops,
-                    "avoid": [
-                        self.names[address] for address in self.avoid if address in self.names
-                    ],
-                }
-            )
+            self._describe_node(request, hops)
             for key, value in self.holder.parts[part].items():
                 request.initial_resource_versions[resource_name(key)] = str(value)
             call.send(request.SerializeToString(deterministic=True))
 
-    def take_delta(self, call, steward, data):
-        """All of a delta, or nothing of it and the reason back."""
-        response = discovery_pb2.DeltaDiscoveryResponse.FromString(data)
-        answer = discovery_pb2.DeltaDiscoveryRequest(
-            type_url=response.type_url, response_nonce=response.nonce
+    def _describe_node(self, request: Any, hops: int) -> None:
+        request.node.id = self.plan.name
+        request.node.locality.zone = self.plan.zone
+        request.node.metadata.update(
+            {
+                "epoch": self.fence.newest[0],
+                "rate": self.plan.rate,
+                "hops": hops,
+                "avoid": [self.names[address] for address in self.avoid if address in self.names],
+            }
         )
-        version = parse_version(response.nonce)
-        if call is not self.current:
-            self.note(steward, version, "old")
-            return
-        try:
-            type_url, moved, stamp = decode_delta(response)
-            version = stamp.version
-            outcome = self.holder.take(PART_BY_TYPE[type_url], stamp, moved)
-        except ValueError as problem:
-            outcome = str(problem)
-        if outcome == OLD:
-            self.note(steward, version, "old")
-            return
-        if outcome == APPLIED:
-            self.fence = self.fence.past(*version)
-            self.show_held()
-            self.note(steward, version, "applied")
-            if (
-                PART_BY_TYPE[type_url] == "line"
-            ):  # a level that comes first says nothing of lines it brought along
-                self.note_held(steward, version)
-        else:
-            answer.error_detail.code, answer.error_detail.message = 3, outcome
-            self.note(steward, version, "refused")
-        call.send(answer.SerializeToString())
 
-    def show_held(self):
-        """Its tables, of what it holds."""
-        lines = {kind.name: [] for kind in self.plan.kinds}
-        for key, value in self.holder.parts["line"].items():
-            kind, zone, address, port = parse_line_key(key)
-            lines.setdefault(kind, []).append(WeightedEndpoint(address, port, zone, value / SCALE))
-        self.lines = lines
-        for key, value in self.holder.parts["level"].items():
-            self.levels[key.partition("/")[2]] = value / MILLION
-        for key, value in self.holder.parts["retry"].items():
-            self.retries[key.partition("/")[2]] = value
-        self.close_unheld()
-
-    def note_held(self, steward, version):
-        """What it holds now, for the checker: by digest, and the hosts that are in it."""
-        addresses = sorted({one.address for lines in self.lines.values() for one in lines})
-        self.record.row(
-            "held",
-            self.loop.time(),
-            self.plan.name,
-            steward,
-            *version,
-            str(self.holder.digests["line"]),
-            self.holder.sound("line"),
-            addresses,
-        )
+    def _class_names(self) -> list[str]:
+        return [request_class.name for request_class in self.plan.kinds]
 
-    # Orders.
+    # Assignments.
 
-    def take(self, call, steward, data):
+    def take(self, call: Call, controller: str, data: bytes) -> None:
+        """Apply a DiscoveryResponse completely, or reject it with the reason."""
         response = discovery_pb2.DiscoveryResponse.FromString(data)
         version = parse_version(response.version_info)
         if not self.fence.allows(*version) or call is not self.current:
-            self.note(steward, version, "old")
+            self._record_assignment(controller, version, AssignmentOutcome.OLD)
             return
+        is_routes = response.type_url == ROUTES
         answer = discovery_pb2.DiscoveryRequest(
             type_url=response.type_url,
             response_nonce=response.nonce,
             version_info=response.version_info,
-            resource_names=[ROUTES_NAME]
-            if response.type_url == ROUTES
-            else [k.name for k in self.plan.kinds],
+            resource_names=[ROUTES_NAME] if is_routes else self._class_names(),
         )
         try:
-            self.apply(response)
+            self._apply(response)
             self.fence = self.fence.past(*version)
-            self.note(steward, version, "applied")
+            outcome = AssignmentOutcome.APPLIED
         except ValueError as problem:
-            answer.error_detail.code, answer.error_detail.message = 3, str(problem)
-            self.note(steward, version, "refused")
+            answer.error_detail.code = INVALID_ARGUMENT
+            answer.error_detail.message = str(problem)
+            outcome = AssignmentOutcome.REFUSED
+        self._record_assignment(controller, version, outcome)
         call.send(answer.SerializeToString())
 
-    def apply(self, response):
-        """All of a response, or nothing of it."""
+    def _apply(self, response: Any) -> None:
+        """Apply all of a response, or nothing of it; raises ValueError."""
         if response.type_url == ROUTES:
-            for one in response.resources:
-                self.retries = decode_routes(one.value)
+            for resource in response.resources:
+                self.tables.retries = decode_routes(resource.value)
+            return
+        assignments = [decode_assignment(resource.value) for resource in response.resources]
+        for request_class, entries, admission in assignments:
+            self.tables.lines[request_class] = entries
+            self.tables.admissions[request_class] = admission
+        self.requests.close_unassigned()
+
+    def take_delta(self, call: Call, controller: str, data: bytes) -> None:
+        """Apply a DeltaDiscoveryResponse completely, or reject it with the reason."""
+        response = discovery_pb2.DeltaDiscoveryResponse.FromString(data)
+        version = parse_version(response.nonce)
+        if call is not self.current:
+            self._record_assignment(controller, version, AssignmentOutcome.OLD)
             return
-        read = [decode_assignment(one.value) for one in response.resources]
-        for kind, lines, level in read:
-            self.lines[kind], self.levels[kind] = lines, level
-        self.close_unheld()
+        try:
+            type_url, changes, stamp = decode_delta(response)
+            version = stamp.version
+            part = PART_BY_TYPE[type_url]
+            outcome = str(self.holder.take(part, stamp, changes))
+        except ValueError as problem:
+            outcome = str(problem)
+        if outcome == OLD:
+            self._record_assignment(controller, version, AssignmentOutcome.OLD)
+            return
+        answer = discovery_pb2.DeltaDiscoveryRequest(
+            type_url=response.type_url, response_nonce=response.nonce
+        )
+        if outcome == APPLIED:
+            self._show_applied(controller, version, part)
+        else:
+            answer.error_detail.code = INVALID_ARGUMENT
+            answer.error_detail.message = outcome
+            self._record_assignment(controller, version, AssignmentOutcome.REFUSED)
+        call.send(answer.SerializeToString())
 
-    def close_unheld(self):
-        held = {one.address for lines in self.lines.values() for one in lines}
-        for address in [address for address in self.idle if address not in held]:
-            for stream in self.idle.pop(address):
-                stream.close()  # connections to hosts that have left its tables are closed
+    def _show_applied(self, controller: str, version: Version, part: str) -> None:
+        """Send by the new state from now on, and record it."""
+        self.fence = self.fence.past(*version)
+        self._rebuild_tables()
+        self._record_assignment(controller, version, AssignmentOutcome.APPLIED)
+        # An admission that comes first says nothing of the entries brought along.
+        if part == "line":
+            self._record_held(controller, version)
+
+    def _rebuild_tables(self) -> None:
+        """Build the tables of the replica's items."""
+        lines: dict[str, list[WeightedEndpoint]] = {name: [] for name in self._class_names()}
+        for key, weight in self.holder.parts["line"].items():
+            request_class, zone, address, port = parse_line_key(key)
+            entry = WeightedEndpoint(address, port, zone, cast(int, weight) / SCALE)
+            lines.setdefault(request_class, []).append(entry)
+        self.tables.lines = lines
+        for key, fraction in self.holder.parts["level"].items():
+            self.tables.admissions[key.partition("/")[2]] = cast(int, fraction) / MILLION
+        for key, policy in self.holder.parts["retry"].items():
+            self.tables.retries[key.partition("/")[2]] = cast(str, policy)
+        self.requests.close_unassigned()
+
+    def _record_assignment(
+        self, controller: str, version: Version, outcome: AssignmentOutcome
+    ) -> None:
+        fewest = min((len(self.lines.get(name, ())) for name in self._class_names()), default=0)
+        now = self.loop.time()
+        self.record.row("order", now, self.plan.name, controller, *version, outcome.value, fewest)
 
-    def note(self, steward, version, done):
-        least = min((len(self.lines.get(kind.name, ())) for kind in self.plan.kinds), default=0)
-        self.record.row("order", self.loop.time(), self.plan.name, steward, *version, done, least)
+    def _record_held(self, controller: str, version: Version) -> None:
+        """Record the digest of what it holds, and the addresses that are in it."""
+        self.record.row(
+            "held",
+            self.loop.time(),
+            self.plan.name,
+            controller,
+            *version,
+            str(self.holder.digests["line"]),
+            self.holder.sound("line"),
+            sorted(self.tables.addresses()),
+        )
 
-    # Reports.
+    # Load reports.
 
-    async def report(self, connection):
+    async def _report(self, connection: Connection) -> None:
+        """Report loads at the interval that the controller asks for."""
         try:
-            call = connection.call(LOADS, "peatlead")
-        except ProtocolError:  # it is going away already
+            call = connection.call(LOADS, AUTHORITY)
+        except ProtocolError:  # the connection is going away already
             return
-        asked, every = self.loop.create_future(), [1.0]
+        asked: asyncio.Future[None] = self.loop.create_future()
+        interval = DEFAULT_REPORT_INTERVAL
 
-        def take(data):
-            every[0] = (
-                lrs_pb2.LoadStatsResponse.FromString(data).load_reporting_interval.ToMilliseconds()
-                / 1000
-            )
-            if not asked.done():
-                asked.set_result(True)
+        def receive(data: bytes) -> None:
+            nonlocal interval
+            response = lrs_pb2.LoadStatsResponse.FromString(data)
+            interval = response.load_reporting_interval.ToMilliseconds() / 1000
+            set_once(asked, None)
 
-        call.message = take
+        call.message = receive
         first = lrs_pb2.LoadStatsRequest()
         first.node.id = self.plan.name
         call.send(first.SerializeToString())
-        await asyncio.wait([asked], timeout=JOIN_WAIT)
+        await asyncio.wait([asked], timeout=JOIN_TIMEOUT)
         while (
             asked.done() and not call.over and not self.stopped and connection.transport is not None
         ):
-            await asyncio.sleep(every[0])
-            call.send(self.stats().SerializeToString(deterministic=True))
-
-    def stats(self):
-        now = self.loop.time()
-        request, span = lrs_pb2.LoadStatsRequest(), now - self.told_at
-        for kind in self.plan.kinds:
-            cluster = request.cluster_stats.add(cluster_name=kind.name)
-            cluster.load_report_interval.FromNanoseconds(int(span * 1e9))
-            cluster.total_dropped_requests = self.dropped.pop(kind.name, 0)
-            place = cluster.upstream_locality_stats.add()
-            for (name, address), tally in self.tallies.items():
-                if name == kind.name:
-                    one = place.upstream_endpoint_stats.add()
-                    one.address.socket_address.address = address
-                    one.address.socket_address.port_value = self.plan.port
-                    one.total_successful_requests, one.total_error_requests = tally.good, tally.bad
-                    for metric, many, total in (
-                        ("seconds", tally.good, tally.seconds),
-                        ("util", tally.reports, tally.util),
-                    ):
-                        if many:
-                            one.load_metric_stats.add(
-                                metric_name=metric,
-                                num_requests_finished_with_metric=many,
-                                total_metric_value=total,
-                            )
-        self.tallies.clear()
-        self.told_at = now
-        return request
-
-    # Reqs.
-
-    def arrive(self, due):
-        if self.stopped:
-            return
-        now = self.loop.time()
-        while due <= now:
-            self.sent += 1
-            kind = self.chance.choices(self.plan.kinds, [k.share for k in self.plan.kinds])[0]
-            self.keep(self.one(f"{self.plan.name}-{self.sent}", kind, due))
-            due += self.chance.expovariate(self.plan.rate)
-        self.loop.call_at(due, self.arrive, due)
-
-    async def one(self, req, kind, due):
-        deadline, tried, outcome = due + kind.client_timeout, [], "unresolved"
-        if self.chance.random() >= self.levels.get(kind.name, 1.0):
-            self.dropped[kind.name] += 1
-            outcome = "shed"
-        else:
-            retry = self.retries.get(kind.name, "unstarted")
-            most = {"never": 1, "unstarted": 2, "once": 2, "twice": 3}[retry]
-            while len(tried) < most and self.loop.time() < deadline:
-                line = self.choose_line(kind.name, tried)
-                if line is None:
-                    break
-                tried.append(line.address)
-                outcome, ran = await self.attempt(req, kind, line, deadline, len(tried), most)
-                if outcome == "done" or retry == "unstarted" and ran:
-                    break
-        now = self.loop.time()
-        late = now - due > kind.response_target
-        gain = (
-            0.0
-            if outcome != "done" or now > deadline
-            else kind.gain * (self.plan.late_gain if late else 1.0)
-        )
-        self.record.row(
-            "req",
-            now,
-            req,
-            kind.name,
-            self.plan.name,
-            "agent",
-            self.plan.pick,
-            "late" if outcome == "done" and late else outcome,
-            due,
-            len(tried),
-            gain,
-        )
+            await asyncio.sleep(interval)
+            report = self.requests.stats.take_report(self.loop.time())
+            call.send(report.SerializeToString(deterministic=True))
 
-    def choose_line(self, kind, tried):
-        lines, now = (
-            [one for one in self.lines.get(kind, ()) if one.address not in tried],
-            self.loop.time(),
-        )
-        fit = [one for one in lines if self.shunned.get(one.address, 0.0) <= now] or lines
-        if not fit:
-            return None
-        weights = [one.weight for one in fit]
-        picks = self.chance.choices(fit, weights, k=2 if self.plan.pick == "lighter of two" else 1)
-        return min(picks, key=lambda one: self.flying[one.address])
-
-    async def attempt(self, req, kind, line, deadline, number, most):
-        """(outcome, whether it may have run)."""
-        start, tally, address = (
-            self.loop.time(),
-            self.tallies[kind.name, line.address],
-            line.address,
-        )
-        self.flying[address] += 1
-        outcome, sent, good = "unreachable", False, False
-        try:
-            stream = self.usable(address) or await connect(
-                self.loop,
-                (address, line.port),
-                min(deadline, start + CONNECT_WAIT),
-                self.plan.local,
-            )
-            sent = True
-            self.record.row(
-                "try",
-                self.loop.time(),
-                req,
-                kind.name,
-                self.plan.name,
-                "agent",
-                self.plan.pick,
-                address,
-                number,
-                "sent",
-                True,
-            )
-            part = TRY_PART if number < most else 1.0
-            answer = await stream.ask(
-                "POST",
-                "/" + kind.name,
-                [("host", "x"), ("req-id", req)],
-                b"",
-                start + (deadline - start) * part,
-            )
-            outcome = {200: "done", 429: "shed", 503: "denied"}.get(answer.status, "errored")
-            sent, good = outcome not in ("denied", "shed"), outcome == "done"
-            self.take_load(tally, answer)
-            if stream.usable:
-                self.idle.setdefault(address, []).append(stream)
-        except RequestFailedError as problem:
-            outcome = problem.outcome
-        finally:
-            self.flying[address] -= 1
-        self.judge(tally, address, good, self.loop.time() - start)
-        return outcome, sent
-
-    @staticmethod
-    def take_load(tally, answer):
-        load = answer.headers.get("load-util")
-        if load:
-            tally.util += float(load)
-            tally.reports += 1
-
-    def judge(self, tally, address, good, seconds):
-        if good:
-            tally.good += 1
-            tally.seconds += seconds
-            self.fails[address] = 0
-            return
-        tally.bad += 1
-        self.fails[address] += 1
-        if self.plan.fails_to_shun and self.fails[address] >= self.plan.fails_to_shun:
-            self.shunned[address] = self.loop.time() + self.plan.shun_for * self.chance.uniform(
-                0.6, 1.4
-            )
-            self.fails[address] = 0
-
-    def usable(self, address):
-        kept = self.idle.get(address, [])
-        while kept:
-            stream = kept.pop()
-            if stream.usable:
-                return stream
-        return None
-
-    async def finish(self):
+    async def finish(self) -> None:
+        """Stop arrivals, wait for requests under way and cut what was given up."""
         self.stopped = True
         tasks = {task for task in self.tasks if task is not asyncio.current_task()}
         if tasks:
-            await asyncio.wait(tasks, timeout=6.0)
+            await asyncio.wait(tasks, timeout=FINISH_TIMEOUT)
         for connection in self.given_up:
             connection.cut("the day is over")
 
 
-class Hall:
-    """The agents of one process, told what to be by commands."""
-
-    def __init__(self, chance, record):
-        self.chance, self.record, self.agents = chance, record, {}
-
-    async def command(self, said):
-        if said["do"] == "agent":
-            plan = msgspec.convert(said["plan"], Plan)
-            self.agents[plan.name] = Agent(plan, self.chance, self.record)
-        elif said["do"] == "begin":
-            for agent in self.agents.values():
-                agent.begin(said["at"])
-        elif said["do"] == "finish":
-            await asyncio.gather(*(agent.finish() for agent in self.agents.values()))
+class ProxyGroup:
+    """The proxies of one process, controlled by commands (standin/process.py)."""
+
+    def __init__(self, rng: Random, record: Recorder) -> None:
+        self.rng = rng
+        self.record = record
+        self.proxies: dict[str, Agent] = {}
+
+    async def command(self, command: dict[str, Any], /) -> None:
+        """Carry out a command."""
+        match command["do"]:
+            case "agent":
+                plan = msgspec.convert(command["plan"], Plan)
+                self.proxies[plan.name] = Agent(plan, self.rng, self.record)
+            case "begin":
+                for proxy in self.proxies.values():
+                    proxy.begin(command["at"])
+            case "finish":
+                await asyncio.gather(*(proxy.finish() for proxy in self.proxies.values()))
