--- /dev/null
+++ b/peatlead/standin/platform_discovery.py
@@ -0,0 +1,71 @@
+"""A stand-in for the platform's discovery agent: the list of endpoints and the watches on it."""
+
+import asyncio
+import json
+from collections.abc import Iterable
+from typing import Any
+
+from ..net.http import Server
+
+Endpoint = dict[str, Any]  # one entry of the list, with the names of the platform's protocol
+ACTIVE = "active"  # the lifecycle of an endpoint that serves
+
+
+class EndpointList:
+    """The endpoints by name; each update is sent at once to all who watch."""
+
+    def __init__(self) -> None:
+        self.version = 1
+        self.endpoints: dict[str, Endpoint] = {}
+        self.changed_at: dict[str, int] = {}  # version of each endpoint's last change
+        self.drained_at: dict[str, float] = {}  # when each endpoint began to drain, or left
+        self.watches: list[DiscoveryAgent] = []  # requests not answered yet
+
+    def update(self, endpoints: Iterable[Endpoint]) -> None:
+        """Set entries of the list and answer the watches."""
+        self.version += 1
+        for endpoint in endpoints:
+            name = endpoint["instanceId"]
+            self.endpoints[name] = endpoint
+            self.changed_at[name] = self.version
+            if endpoint["lifecycle"] == ACTIVE:
+                self.drained_at.pop(name, None)
+            else:
+                self.drained_at.setdefault(name, asyncio.get_running_loop().time())
+        self.answer_watches()
+
+    def answer_watches(self) -> None:
+        """Answer all watches but those that wait for a change to come."""
+        waiting = self.watches
+        self.watches = []
+        for watch in waiting:
+            self._answer(watch)
+
+    def _answer(self, watch: "DiscoveryAgent") -> None:
+        parameters = dict(
+            pair.split("=") for pair in watch.path.partition("?")[2].split("&") if pair
+        )
+        after = int(parameters.get("after", -1))
+        changed = [
+            endpoint for name, endpoint in self.endpoints.items() if self.changed_at[name] > after
+        ]
+        if after >= 0 and not changed and parameters.get("wait_ms") != "0":
+            self.watches.append(watch)
+            return
+        answer = {"generation": self.version, "reset": after < 0, "instances": changed}
+        watch.answer(200, [], json.dumps(answer).encode())
+
+
+class DiscoveryAgent(Server):
+    """A controller's connection to the discovery agent."""
+
+    def __init__(self, endpoint_list: EndpointList) -> None:
+        super().__init__(0.0)
+        self.endpoint_list = endpoint_list
+        self.path = ""  # of the request being served
+
+    def serve(self, method: str, path: str, headers: dict[str, str], body: bytes) -> None:
+        """Add a watch, answered at once if it need not wait."""
+        self.path = path
+        self.endpoint_list.watches.append(self)
+        self.endpoint_list.answer_watches()
--- a/peatlead/standin/platform_fleet.py
+++ b/peatlead/standin/platform_fleet.py
@@ -1,12 +1,13 @@
-"""A whole fleet on the platform's protocol, on loopback: real steward processes, and stand-ins for all around them.
+"""A fleet on the platform's protocol, on loopback: real controller processes, all else stand-ins.
 
     fleet = Fleet(settings, FleetPlan(...), folder)
     await fleet.start()
     fleet.list_hosts([...]); fleet.kill("n0"); fleet.restart("n0")
     fleet.drain_report()
 
-The rule on drains is checked from what the proxies hold: a host that drains or went must be reachable for no proxy
-longer than the grace after its steward was told, or after the proxy joined it, whichever came later.
+The rule on drains is checked by what the proxies hold: an endpoint that drains or has left must be
+reachable for no proxy longer than the grace after its controller was notified, or after the proxy
+joined it, whichever came later.
 """
 
 import asyncio
@@ -14,117 +15,137 @@
 import os
 import subprocess
 import sys
+from collections.abc import Coroutine, Iterable
+from functools import partial
 from random import Random
-from typing import NamedTuple
+from typing import Any, NamedTuple
 
-from ..net.http import Server
 from ..net.streams import Lines
-from .platform_proxies import PacedChannel, ProxyState
+from .platform_discovery import ACTIVE, DiscoveryAgent, Endpoint, EndpointList
+from .platform_proxies import MessagePart, PacedChannel, ProxyState, QueuedMessage
 
-LOOK_EVERY = 0.05  # seconds between two looks at channels and at what proxies hold
-ANSWER_AFTER = 0.05  # seconds that a proxy takes to apply a message and answer its mark
-READY_WITHIN = 30.0  # seconds that a steward may take to give its first sign of life
+CHECK_INTERVAL = 0.05  # seconds between checks of channels and of what proxies hold
+ANSWER_AFTER = 0.05  # seconds that a proxy takes to apply a message and acknowledge it
+READY_TIMEOUT = 30.0  # seconds until a controller must answer its first probe
+DIAL_INTERVAL = 0.01  # seconds until a proxy dials the next controller
+SOCKETS_MAX = 1024  # of a controller
+DISCOVERY_ADDRESS = "127.4.2.1"
 
 
 class FleetPlan(NamedTuple):
-    """`channel_part`: the real pace of each channel as a part of the told one; `redial`: seconds until a proxy whose
-    stream broke dials again; `rehome`: seconds after which it goes back to its own steward, 0 for never."""
+    """The size of a fleet and the habits of its proxies."""
 
-    stewards: int
+    stewards: int  # controllers
     proxies: int
-    hosts: int
-    port: int
-    channel_part: float = 1.0
-    redial: tuple = (0.3, 0.4)
-    rehome: float = 0.0
+    hosts: int  # endpoints
+    port: int  # of all controllers and the discovery agent
+    channel_part: float = 1.0  # real pace of each channel, as a part of the configured one
+    redial: tuple[float, float] = (0.3, 0.4)  # seconds until a proxy dials after its stream broke
+    rehome: float = 0.0  # seconds until a proxy returns to its own controller, 0 for never
     seed: int = 1
 
 
-class DrainReport(NamedTuple):
-    """`longest`: the longest time in seconds that a proxy could still reach a host after its steward was told, or it
-    joined; `late`: [(proxy, host, seconds)] past the grace, one for each pair; `most_waiting`: the longest queue of
-    any channel, in lines."""
-
-    longest: float
-    late: list
-    most_waiting: float
+class LateWithdrawal(NamedTuple):
+    """A proxy that could reach an endpoint for longer than the grace."""
 
+    proxy: int
+    endpoint: str
+    seconds: float
 
-class DiscoveryAgent(Server):
-    """One connection of one steward to its discovery agent."""
 
-    def __init__(self, fleet):
-        super().__init__(0.0)
-        self.fleet = fleet
+class DrainReport(NamedTuple):
+    """How long proxies could reach endpoints that drain or have left."""
 
-    def serve(self, method, path, headers, body):
-        self.path = path
-        self.fleet.watches.append(self)
-        self.fleet.answer_watches()
+    longest: float  # seconds after the controller was notified, or the proxy joined it
+    late: list[LateWithdrawal]  # past the grace, one for each pair
+    most_waiting: float  # the longest queue of any channel, in entries
 
 
 class ProxyStream(Lines):
-    """A proxy's stream to one steward."""
+    """A proxy's stream to one controller."""
 
-    def __init__(self, fleet, proxy, steward):
+    def __init__(self, fleet: "Fleet", proxy: ProxyState, controller: str) -> None:
         super().__init__()
-        self.fleet, self.proxy, self.steward, self.parts = fleet, proxy, steward, []
-
-    def opened(self):
-        state = self.proxy
-        state.joined_at = self.loop.time()
-        self.say(msg="hello", node=state.number, locality=state.zone, w=2.0, cold=not state.ordered)
+        self.fleet = fleet
+        self.proxy = proxy
+        self.controller = controller
+        self.parts: list[MessagePart] = []  # of a message whose end has not arrived
+
+    def opened(self) -> None:
+        """Introduce the proxy."""
+        proxy = self.proxy
+        proxy.joined_at = self.loop.time()
+        self._send_message(
+            msg="hello", node=proxy.number, locality=proxy.zone, w=2.0, cold=not proxy.ordered
+        )
 
-    def line(self, data):
+    def line(self, data: bytes) -> None:
+        """Put a complete message into the controller's channel."""
         part = json.loads(data)
         if part["msg"] != "push":
             return
         self.parts.append(part)
         if not part.get("continued"):
-            self.fleet.channels[self.steward].put(self.loop.time(), self, self.parts)
+            self.fleet.channels[self.controller].put(self.loop.time(), self, self.parts)
             self.parts = []
 
-    def ended(self, reason):
+    def ended(self, reason: str) -> None:
+        """Have the proxy dial again."""
         self.fleet.stream_ended(self)
 
-    def answer_mark(self, mark, latency):
-        self.say(msg="ack", node=self.proxy.number, nonce=mark, latency=latency)
+    def acknowledge(self, nonce: Any, latency: float) -> None:
+        """Acknowledge a message that arrived `latency` milliseconds ago."""
+        self._send_message(msg="ack", node=self.proxy.number, nonce=nonce, latency=latency)
 
-    def say(self, **fields):
+    def _send_message(self, **fields: Any) -> None:
         self.send(json.dumps(fields).encode() + b"\n")
 
 
 class Fleet:
-    """`settings`: the platform's settings, shared by all stewards but for each one's zone and rank."""
-
-    def __init__(self, settings, plan, folder):
-        self.settings, self.plan, self.folder = settings, plan, folder
-        self.random = Random(plan.seed)
-        self.kinds = [kind["name"] for kind in settings["classes"]]
-        self.names = [f"n{at}" for at in range(plan.stewards)]
-        self.zones = settings["zones"]
-        self.proxies = [
-            ProxyState(number, self.zones[number % len(self.zones)], self.kinds)
-            for number in range(plan.proxies)
+    """Controllers, proxies and the discovery agent.
+
+    `settings` are the platform's, shared by all controllers but for each one's zone and rank.
+    """
+
+    server: asyncio.Server
+
+    def __init__(self, settings: dict[str, Any], plan: FleetPlan, folder: str) -> None:
+        self.settings = settings
+        self.plan = plan
+        self.folder = folder  # of the controllers' configurations and logs
+        self.rng = Random(plan.seed)
+        self.names = [f"n{rank}" for rank in range(plan.stewards)]  # of controllers
+        self.zones: list[str] = settings["zones"]
+        self.proxies = self._build_proxies()
+        self.streams: dict[ProxyState, ProxyStream] = {}
+        self.processes: dict[str, subprocess.Popen[bytes]] = {}
+        self.tasks: set[asyncio.Task[None]] = set()
+        self.channels = self._build_channels()
+        self.reachable_for: dict[tuple[int, str], float] = {}  # seconds, by proxy and endpoint
+        self.stopped = False
+        self.endpoint_list = EndpointList()
+        self.list_hosts([self.host(number) for number in range(plan.hosts)])
+
+    def _build_proxies(self) -> list[ProxyState]:
+        request_classes = [request_class["name"] for request_class in self.settings["classes"]]
+        return [
+            ProxyState(number, self.zones[number % len(self.zones)], request_classes)
+            for number in range(self.plan.proxies)
         ]
-        self.version, self.hosts, self.changed_at = 1, {}, {}
-        self.watches, self.streams, self.processes, self.tasks = [], {}, {}, set()
-        family = settings["familyInfo"]
-        self.channels = {
-            name: PacedChannel(family["channelRate"] * plan.channel_part, family["perMessage"])
-            for name in self.names
-        }
-        self.drained_at, self.lateness, self.stopped = {}, {}, False
-        self.list_hosts([self.host(at) for at in range(plan.hosts)])
 
-    # The list.
+    def _build_channels(self) -> dict[str, PacedChannel[ProxyStream]]:
+        family = self.settings["familyInfo"]
+        pace = family["channelRate"] * self.plan.channel_part
+        return {name: PacedChannel(pace, family["perMessage"]) for name in self.names}
+
+    # The endpoint list.
 
-    def host(self, at, lifecycle="active"):
-        zone = self.zones[at % len(self.zones)]
+    def host(self, number: int, lifecycle: str = ACTIVE) -> Endpoint:
+        """Return an endpoint's entry in the list."""
         return {
-            "instanceId": f"s-{at}",
-            "hostPort": f"127.4.1.{at % 250 + 1}:9",
-            "zone": zone,
+            "instanceId": f"s-{number}",
+            "hostPort": f"127.4.1.{number % 250 + 1}:9",
+            "zone": self.zones[number % len(self.zones)],
             "machineType": "m",
             "cell": 0,
             "lifecycle": lifecycle,
@@ -132,70 +153,35 @@
             "startedAtMs": 0.0,
         }
 
-    def list_hosts(self, hosts):
-        """News of the list, told at once to all who watch."""
-        self.version += 1
-        for one in hosts:
-            name = one["instanceId"]
-            self.hosts[name], self.changed_at[name] = one, self.version
-            if one["lifecycle"] == "active":
-                self.drained_at.pop(name, None)
-            else:
-                self.drained_at.setdefault(name, asyncio.get_running_loop().time())
-        self.answer_watches()
-
-    def answer_watches(self):
-        waiting, self.watches = self.watches, []
-        for watch in waiting:
-            query = dict(
-                pair.split("=") for pair in watch.path.partition("?")[2].split("&") if pair
-            )
-            after = int(query.get("after", -1))
-            changed = [one for name, one in self.hosts.items() if self.changed_at[name] > after]
-            if after >= 0 and not changed and query.get("wait_ms") != "0":
-                self.watches.append(watch)
-                continue
-            answer = {"generation": self.version, "reset": after < 0, "instances": changed}
-            watch.answer(200, [], json.dumps(answer).encode())
+    def list_hosts(self, endpoints: Iterable[Endpoint]) -> None:
+        """Update the list, sent at once to all controllers that watch it."""
+        self.endpoint_list.update(endpoints)
 
-    # Stewards.
+    # Controllers.
 
-    def address(self, name):
+    def address(self, name: str) -> str:
+        """Return a controller's address."""
         return f"127.4.0.{self.names.index(name) + 1}"
 
-    async def start(self):
+    async def start(self) -> None:
+        """Start the controllers, wait until each answers and let the proxies join them."""
         loop = asyncio.get_running_loop()
         self.server = await loop.create_server(
-            lambda: DiscoveryAgent(self), "127.4.2.1", self.plan.port
+            lambda: DiscoveryAgent(self.endpoint_list), DISCOVERY_ADDRESS, self.plan.port
         )
         for name in self.names:
             self.restart(name)
         for name in self.names:
             await self.ready(name)
-        self.spawn(self.look())
-        for state in self.proxies:
-            self.spawn(self.dial(state, self.home(state)))
+        self._spawn(self._run_checks())
+        for proxy in self.proxies:
+            self._spawn(self._dial(proxy, self._home(proxy)))
 
-    def restart(self, name):
-        """Starts a steward; the list in its configuration is the one of the fleet's first moment."""
-        at = self.names.index(name)
-        known = {
-            "generation": 0,
-            "reset": True,
-            "instances": [self.host(host) for host in range(self.plan.hosts)],
-        }
-        configuration = {
-            "name": name,
-            "listen": f"{self.address(name)}:{self.plan.port}",
-            "discovery": f"127.4.2.1:{self.plan.port}",
-            "seed": f"{self.plan.seed + at:x}",
-            "limits": {"sockets": 1024},
-            "known": known,
-            "settings": {**self.settings, "rank": at, "locality": at % len(self.zones)},
-        }
+    def restart(self, name: str) -> None:
+        """Start a controller's process."""
         path = f"{self.folder}/{name}.json"
         with open(path, "w") as file:
-            json.dump(configuration, file)
+            json.dump(self._configuration(name), file)
         with open(f"{self.folder}/{name}.log", "ab") as log:
             self.processes[name] = subprocess.Popen(
                 [sys.executable, "-m", "peatlead.platform"],
@@ -203,91 +189,121 @@
                 stderr=log,
             )
 
-    async def ready(self, name):
+    def _configuration(self, name: str) -> dict[str, Any]:
+        """Return a controller's configuration, with the list of the fleet's first moment."""
+        rank = self.names.index(name)
+        known = {
+            "generation": 0,
+            "reset": True,
+            "instances": [self.host(number) for number in range(self.plan.hosts)],
+        }
+        return {
+            "name": name,
+            "listen": f"{self.address(name)}:{self.plan.port}",
+            "discovery": f"{DISCOVERY_ADDRESS}:{self.plan.port}",
+            "seed": f"{self.plan.seed + rank:x}",
+            "limits": {"sockets": SOCKETS_MAX},
+            "known": known,
+            "settings": {**self.settings, "rank": rank, "locality": rank % len(self.zones)},
+        }
+
+    async def ready(self, name: str) -> None:
+        """Wait until a controller answers a probe; raises TimeoutError."""
         loop = asyncio.get_running_loop()
-        deadline = loop.time() + READY_WITHIN
+        deadline = loop.time() + READY_TIMEOUT
         while True:
             try:
                 reader, writer = await asyncio.open_connection(self.address(name), self.plan.port)
                 writer.write(b'{"msg":"probe"}\n')
-                answer = await asyncio.wait_for(reader.readline(), READY_WITHIN)
+                answer = await asyncio.wait_for(reader.readline(), READY_TIMEOUT)
                 writer.close()
                 if answer:
                     return
             except OSError:
                 pass
             if loop.time() > deadline:
-                raise TimeoutError(f"{name}: no sign of life within {READY_WITHIN} s")
-            await asyncio.sleep(LOOK_EVERY)
+                raise TimeoutError(f"{name}: no answer to a probe within {READY_TIMEOUT} s")
+            await asyncio.sleep(CHECK_INTERVAL)
 
-    def kill(self, name):
-        """As SIGKILL does: its connections are reset, what waits in its channel is lost."""
+    def kill(self, name: str) -> None:
+        """End a controller by SIGKILL: its streams are reset and its channel's queue is lost."""
         self.processes[name].kill()
         self.processes[name].wait()
         self.channels[name].clear()
 
-    def log_of(self, name):
+    def log_of(self, name: str) -> list[dict[str, Any]]:
+        """Return a controller's log lines."""
         with open(f"{self.folder}/{name}.log") as file:
             return [json.loads(line) for line in file]
 
     # Proxies.
 
-    def home(self, state):
-        return self.names[state.number % len(self.names)]
+    def _home(self, proxy: ProxyState) -> str:
+        """Return the name of a proxy's own controller."""
+        return self.names[proxy.number % len(self.names)]
 
-    def spawn(self, work):
+    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def dial(self, state, first):
-        """To `first`, else to the next that answers, until one does."""
-        loop, at = asyncio.get_running_loop(), self.names.index(first)
+    async def _dial(self, proxy: ProxyState, first: str) -> None:
+        """Connect a proxy to a controller, or to the next that accepts."""
+        rank = self.names.index(first)
         while not self.stopped:
-            name = self.names[at % len(self.names)]
+            name = self.names[rank % len(self.names)]
             try:
-                _, stream = await loop.create_connection(
-                    lambda to=name: ProxyStream(self, state, to), self.address(name), self.plan.port
+                _, stream = await asyncio.get_running_loop().create_connection(
+                    partial(ProxyStream, self, proxy, name),
+                    self.address(name),
+                    self.plan.port,
                 )
             except OSError:
-                at += 1
-                await asyncio.sleep(0.01)
+                rank += 1
+                await asyncio.sleep(DIAL_INTERVAL)
                 continue
-            old, self.streams[state] = self.streams.get(state), stream
-            if old is not None:
-                old.cut("moved")
-            if self.plan.rehome and name != self.home(state):
-                loop.call_later(
-                    self.random.uniform(0.5, 1.0) * self.plan.rehome, self.go_home, state, stream
-                )
+            self._follow(proxy, stream)
             return
 
-    def go_home(self, state, stream):
-        if self.streams.get(state) is stream and not self.stopped:
-            self.spawn(self.dial(state, self.home(state)))
-
-    def stream_ended(self, stream):
-        state = stream.proxy
-        if self.streams.get(state) is stream and not self.stopped:
-            del self.streams[state]
-            state.joined_at = None
-            wait = self.random.uniform(*self.plan.redial)
+    def _follow(self, proxy: ProxyState, stream: ProxyStream) -> None:
+        """Make a stream the proxy's present one."""
+        former = self.streams.get(proxy)
+        self.streams[proxy] = stream
+        if former is not None:
+            former.cut("moved")
+        if self.plan.rehome and stream.controller != self._home(proxy):
+            delay = self.rng.uniform(0.5, 1.0) * self.plan.rehome
+            asyncio.get_running_loop().call_later(delay, self._go_home, proxy, stream)
+
+    def _go_home(self, proxy: ProxyState, stream: ProxyStream) -> None:
+        if self.streams.get(proxy) is stream and not self.stopped:
+            self._spawn(self._dial(proxy, self._home(proxy)))
+
+    def stream_ended(self, stream: ProxyStream) -> None:
+        """Let the proxy dial again if it followed this stream."""
+        proxy = stream.proxy
+        if self.streams.get(proxy) is stream and not self.stopped:
+            del self.streams[proxy]
+            proxy.joined_at = None
+            delay = self.rng.uniform(*self.plan.redial)
             asyncio.get_running_loop().call_later(
-                wait, lambda: self.spawn(self.dial(state, stream.steward))
+                delay, lambda: self._spawn(self._dial(proxy, stream.controller))
             )
 
-    # What is looked at.
+    # Checks.
 
-    async def look(self):
+    async def _run_checks(self) -> None:
         loop = asyncio.get_running_loop()
         while not self.stopped:
             for channel in self.channels.values():
                 for message in channel.take(loop.time()):
-                    self.deliver(loop, message)
-            self.check_drains(loop.time())
-            await asyncio.sleep(LOOK_EVERY)
+                    self._deliver(loop, message)
+            self._check_drains(loop.time())
+            await asyncio.sleep(CHECK_INTERVAL)
 
-    def deliver(self, loop, message):
+    def _deliver(
+        self, loop: asyncio.AbstractEventLoop, message: QueuedMessage[ProxyStream]
+    ) -> None:
         stream = message.stream
         if self.streams.get(stream.proxy) is not stream:
             return
@@ -295,35 +311,39 @@
         for part in message.parts:
             if "nonce_out" in part:
                 latency = 1000 * (loop.time() - message.entered_at)
-                loop.call_later(ANSWER_AFTER, stream.answer_mark, part["nonce_out"], latency)
-
-    def check_drains(self, now):
-        for state in self.streams:
-            for host in state.reachable() & self.drained_at.keys():
-                held = now - max(self.drained_at[host], state.joined_at or now)
-                pair = state.number, host
-                self.lateness[pair] = max(held, self.lateness.get(pair, 0.0))
-
-    def drain_report(self, grace):
+                loop.call_later(ANSWER_AFTER, stream.acknowledge, part["nonce_out"], latency)
+
+    def _check_drains(self, now: float) -> None:
+        drained_at = self.endpoint_list.drained_at
+        for proxy in self.streams:
+            for endpoint in proxy.reachable() & drained_at.keys():
+                seconds = now - max(drained_at[endpoint], proxy.joined_at or now)
+                pair = (proxy.number, endpoint)
+                self.reachable_for[pair] = max(seconds, self.reachable_for.get(pair, 0.0))
+
+    def drain_report(self, grace: float) -> DrainReport:
+        """Return what the checks have found, for a grace in seconds."""
         late = [
-            (proxy, host, round(held, 3))
-            for (proxy, host), held in self.lateness.items()
-            if held > grace
+            LateWithdrawal(proxy, endpoint, round(seconds, 3))
+            for (proxy, endpoint), seconds in self.reachable_for.items()
+            if seconds > grace
         ]
         return DrainReport(
-            max(self.lateness.values(), default=0.0),
+            max(self.reachable_for.values(), default=0.0),
             sorted(late),
             max(channel.most_waiting for channel in self.channels.values()),
         )
 
-    def still_held(self):
-        """How many proxies can reach a host that drains or went."""
-        return sum(bool(state.reachable() & self.drained_at.keys()) for state in self.streams)
+    def still_held(self) -> int:
+        """Count the proxies that can reach an endpoint that drains or has left."""
+        drained = self.endpoint_list.drained_at.keys()
+        return sum(bool(proxy.reachable() & drained) for proxy in self.streams)
 
-    def stop(self):
+    def stop(self) -> None:
+        """End the fleet: its connections are cut and its processes killed."""
         self.stopped = True
         self.server.close()
-        for stream in [*self.streams.values(), *self.watches]:
+        for stream in [*self.streams.values(), *self.endpoint_list.watches]:
             stream.cut("over")
         for process in self.processes.values():
             process.kill()
