--- a/peatlead/benchmarks/paced_runs.py
+++ b/peatlead/benchmarks/paced_runs.py
@@ -6,7 +6,9 @@
 from typing import Union
 
 from .. import interface
-from ..controller.channel import Channel, Publisher, ViewState
+from ..controller.channel import Channel
+from ..controller.publisher import Publisher
+from ..controller.view_state import ViewState
 from .planner_runs import REPLACED_FRACTION, SETTINGS, ZONES, PlannerRun, list_update
 
 TURNAROUND = 1.0  # seconds between an endpoint's drain and its return
--- a/peatlead/benchmarks/tables_wire.py
+++ b/peatlead/benchmarks/tables_wire.py
@@ -5,8 +5,10 @@
 from envoy.service.discovery.v3 import discovery_pb2
 
 from .. import interface
-from ..controller.channel import Channel, Publisher, ViewState
+from ..controller.channel import Channel
 from ..controller.message import ADMISSION
+from ..controller.publisher import Publisher
+from ..controller.view_state import ViewState
 from ..grpc.incremental import Incremental
 from ..grpc.resources import ENDPOINTS, LINES, WeightedEndpoint, encode_assignment
 from ..planner.planner import Planner
--- a/peatlead/benchmarks/tables_zone.py
+++ b/peatlead/benchmarks/tables_zone.py
@@ -7,7 +7,9 @@
 import dns.rrset
 
 from ..dns import transfer
-from ..dns.zone import Serials, ZoneHistory, ZoneRecord
+from ..dns.canonical_zone import ZoneRecord
+from ..dns.serials import Serials
+from ..dns.zone import ZoneHistory
 
 SIZES = (60, 300, 1000)  # views
 HOSTS = 300
--- a/peatlead/standin/xds_proxies.py
+++ b/peatlead/standin/xds_proxies.py
@@ -196,7 +196,7 @@
         if not responded.done() and not ended.done():
             self._give_up(connection)
             return FAILED_JOIN
-        joined = "peatlead-controllers" in call.told or not ended.done()
+        joined = "peatlead-controllers" in call.peer_metadata or not ended.done()
         if joined:
             await self._stay_joined(connection, call, controller, ended)
         if not ended.done():
@@ -222,7 +222,7 @@
         """Start a discovery stream; the futures are done at its first response and its end."""
         call = connection.call(DELTA if self.plan.incremental else DISCOVERY, AUTHORITY)
         call.headers = lambda metadata: set_once(responded, dict(metadata))
-        call.ended = lambda *_: set_once(ended, dict(call.told))
+        call.ended = lambda *_: set_once(ended, dict(call.peer_metadata))
         receive = self.take_delta if self.plan.incremental else self.take
         call.message = lambda data: receive(call, controller, data)
         self.current = call
@@ -236,7 +236,7 @@
         ended: asyncio.Future[dict[str, str]],
     ) -> None:
         """Report loads, and wait until the stream ends or the controller does not answer."""
-        self._read_hints(call.told)
+        self._read_hints(call.peer_metadata)
         self.record.row("stream", self.loop.time(), self.plan.name, controller, "joined")
         self._spawn(self._report(connection))
         await self._watch(connection, ended)
@@ -249,7 +249,7 @@
             connection.talk.ping(PING_DATA)
             connection.flush()
             await asyncio.wait([ended], timeout=PING_INTERVAL)
-            if not ended.done() and connection.heard < pinged_at:
+            if not ended.done() and connection.last_received_at < pinged_at:
                 return
 
     def _give_up(self, connection: Connection) -> None:
