--- a/tests/grpc/test_server.py
+++ b/tests/grpc/test_server.py
@@ -24,7 +24,7 @@
         async def case(world):
             controller = await world.steward()
             proxy = connect_proxy(world, order=(1,))
-            await until(lambda: len(proxy.lines.get("look", ())) == 4 and proxy.retries)
+            await until(lambda: len(proxy.lines.get("look", ())) == 4 and proxy.tables.retries)
             received = []
             real = controller.planner.handlers[interface.EndpointStats]
             controller.planner.handlers[interface.EndpointStats] = lambda event: (
@@ -32,7 +32,7 @@
                 real(event),
             )
             await until(lambda: sum(event.attempts for event in received) > 5)
-            self.assertEqual(proxy.retries, {"look": "unstarted", "file": "unstarted"})
+            self.assertEqual(proxy.tables.retries, {"look": "unstarted", "file": "unstarted"})
             await until(
                 lambda: [
                     x["held"] == x["sent"] != "0.0"
@@ -170,14 +170,14 @@
             controller = await world.steward()
             proxy = connect_proxy(world, order=(1,))
             await until(lambda: len(proxy.lines.get("look", ())) == 4)
-            before, real = dict(proxy.lines), proxy.apply
-            proxy.apply = lambda response: (_ for _ in ()).throw(ValueError("planted"))
+            before, real = dict(proxy.lines), proxy._apply
+            proxy._apply = lambda response: (_ for _ in ()).throw(ValueError("planted"))
             world.phases["h1"] = "draining"
             world.write()
             await until(lambda: controller.proxies.refusals)
             self.assertEqual(proxy.lines, before)
             self.assertEqual(dict(world.log)["assignment refused"]["why"], "planted")
-            proxy.apply = real
+            proxy._apply = real
             await proxy.finish()
 
         run_fleet(case)
