--- a/peatlead/benchmarks/wheel.py
+++ b/peatlead/benchmarks/wheel.py
@@ -13,7 +13,7 @@
 # Seconds that timers of a simulated day are ahead: most are near.
 AHEAD = (0.0002, 0.001, 0.001, 0.1, 1.0, 5.0, 60.0)
 
-Timers = Union[HeapTimers, WheelTimers]
+Timers = Union[HeapTimers[None], WheelTimers[None]]
 
 
 def measure(timers: Timers, standing: int, pairs: int, seed: int) -> float:
@@ -26,7 +26,9 @@
     start = time.perf_counter()
     for delay in ahead[standing:]:
         timers.push(now + delay, None)
-        now = timers.pop()[0]
+        due = timers.pop()
+        if due is not None:
+            now = due[0]
     return time.perf_counter() - start
 
 
