--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -15,7 +15,7 @@
 from peatlead.invariants.record import read_folder
 from peatlead.scenario.runner import free_port
 
-from ..places import SCRIPT, play, until
+from ..standin_fleet import SCRIPT, play, until
 
 SMALL_DAY = """
 day(length = 6, seed = 2)
--- a/tests/compatibility/test_mixed_fleet.py
+++ b/tests/compatibility/test_mixed_fleet.py
@@ -21,7 +21,7 @@
 from peatlead.controller.control_socket import ask_once
 from peatlead.standin.dns_clients import Kind
 from peatlead.standin.xds_proxies import Agent, Plan
-from tests.places import SCRIPT, MemoryRecorder, play, until
+from tests.standin_fleet import SCRIPT, MemoryRecorder, play, until
 
 # The adapter, with the imports above: all that is known here of names inside the program.
 
--- a/tests/controller/connections.py
+++ b/tests/controller/connections.py
@@ -7,7 +7,7 @@
 from peatlead.net.streams import Stream
 from peatlead.standin.resolvers import Resolver
 
-from ..places import MemoryRecorder
+from ..standin_fleet import MemoryRecorder
 
 
 class ReceivedBytes(Stream):
--- a/tests/controller/test_batch_loop.py
+++ b/tests/controller/test_batch_loop.py
@@ -3,7 +3,7 @@
 from peatlead import interface
 from peatlead.controller.batch_loop import BatchLoop
 
-from ..places import run, until
+from ..standin_fleet import run, until
 
 
 class RecordingPlanner:
--- a/tests/controller/test_dns_controller.py
+++ b/tests/controller/test_dns_controller.py
@@ -8,7 +8,7 @@
 
 from peatlead.net.http import connect
 
-from ..places import play, until
+from ..standin_fleet import play, until
 from .connections import dial, start_resolver
 
 
--- a/tests/controller/test_dns_over_tcp.py
+++ b/tests/controller/test_dns_over_tcp.py
@@ -6,7 +6,7 @@
 import dns.message
 import dns.rcode
 
-from ..places import play, until
+from ..standin_fleet import play, until
 from .connections import dial, framed
 
 
--- a/tests/controller/test_endpoint_registry.py
+++ b/tests/controller/test_endpoint_registry.py
@@ -3,8 +3,8 @@
 from peatlead.controller.endpoint_registry import EndpointRegistry
 from peatlead.sources.endpoint_list import EndpointList, read_document
 
-from ..places import settings
 from ..sources.documents import HOST, document
+from ..standin_fleet import settings
 
 
 class EndpointRegistryTest(unittest.TestCase):
--- a/tests/controller/test_health_checks.py
+++ b/tests/controller/test_health_checks.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from ..places import play, until
+from ..standin_fleet import play, until
 
 
 class HealthChecksTest(unittest.TestCase):
--- a/tests/controller/test_many_proxies.py
+++ b/tests/controller/test_many_proxies.py
@@ -30,7 +30,7 @@
 from peatlead.grpc.server import DISCOVERY, LOADS
 from peatlead.net.in_memory_transport import InMemoryTransport
 
-from ..places import GRPC_SCRIPT, play, until
+from ..standin_fleet import GRPC_SCRIPT, play, until
 
 
 def client_connection():
--- a/tests/controller/test_operator_queries.py
+++ b/tests/controller/test_operator_queries.py
@@ -4,7 +4,7 @@
 
 from peatlead.controller.control_socket import Question, ask_once
 
-from ..places import play, until
+from ..standin_fleet import play, until
 
 
 class OperatorQueriesTest(unittest.TestCase):
--- a/tests/controller/test_pinned_tables.py
+++ b/tests/controller/test_pinned_tables.py
@@ -10,7 +10,7 @@
 from peatlead.lab.day import play_day
 from peatlead.scenario.script import load_day
 
-from ..places import play, until
+from ..standin_fleet import play, until
 
 
 def ask(controller, do, **args):
--- a/tests/controller/test_planner_settings.py
+++ b/tests/controller/test_planner_settings.py
@@ -2,7 +2,7 @@
 
 from peatlead.controller.planner_settings import planner_settings
 
-from ..places import settings
+from ..standin_fleet import settings
 
 
 class PlannerSettingsTest(unittest.TestCase):
--- a/tests/controller/test_propagation.py
+++ b/tests/controller/test_propagation.py
@@ -10,7 +10,7 @@
 from peatlead.controller.propagation import PropagationTrace
 from peatlead.tables.version import Version
 
-from ..places import play, until
+from ..standin_fleet import play, until
 from ..test_scale import GRPC
 
 
--- a/tests/dns/test_answers.py
+++ b/tests/dns/test_answers.py
@@ -14,7 +14,7 @@
 from peatlead.dns.views import Views
 from peatlead.dns.warmup_thinning import AnswerPool
 
-from ..places import settings
+from ..standin_fleet import settings
 
 
 def make_answers(weights=None, cacheable=True, min_addresses=1, endpoints=40, **dns):
--- a/tests/dns/test_views.py
+++ b/tests/dns/test_views.py
@@ -7,7 +7,7 @@
 
 from peatlead.dns.views import PrefixMap, Views, proxy_number
 
-from ..places import settings
+from ..standin_fleet import settings
 
 DESK0_NUMBER = 261398713923410  # the same at every controller, in every version
 
--- a/tests/dns/test_zone_transfer.py
+++ b/tests/dns/test_zone_transfer.py
@@ -11,7 +11,7 @@
 from peatlead.dns.serials import newer
 from peatlead.standin.secondary import Secondary
 
-from ..places import SCRIPT, play, until
+from ..standin_fleet import SCRIPT, play, until
 
 ORIGIN = dns.name.from_text("example.org.")
 SECONDARY = "127.1.0.77"
--- a/tests/fleet/test_gossip.py
+++ b/tests/fleet/test_gossip.py
@@ -6,7 +6,7 @@
 from peatlead.fleet.gossip import MAX_ADVICE_RATE, MAX_ADVICE_SIZE, GossipNode
 from peatlead.scenario.runner import free_port
 
-from ..places import SCRIPT, run, settings, until
+from ..standin_fleet import SCRIPT, run, settings, until
 
 KEY = b"k" * 32
 
--- a/tests/grpc/simulated_fleet.py
+++ b/tests/grpc/simulated_fleet.py
@@ -6,7 +6,7 @@
 from peatlead.standin.dns_clients import Kind
 from peatlead.standin.xds_proxies import Agent, Plan
 
-from ..places import SCRIPT, MemoryRecorder, play
+from ..standin_fleet import SCRIPT, MemoryRecorder, play
 
 FLEET = SCRIPT
 for at in (1, 2):
--- a/tests/grpc/test_failover.py
+++ b/tests/grpc/test_failover.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from ..places import until
+from ..standin_fleet import until
 from .simulated_fleet import connect_proxy, run_fleet
 
 
--- a/tests/grpc/test_http2.py
+++ b/tests/grpc/test_http2.py
@@ -16,7 +16,7 @@
 from peatlead.grpc.server import DISCOVERY
 from peatlead.net.streams import Stream
 
-from ..places import play, until
+from ..standin_fleet import play, until
 from .simulated_fleet import run_fleet
 
 
--- a/tests/grpc/test_incremental.py
+++ b/tests/grpc/test_incremental.py
@@ -6,7 +6,7 @@
 
 from peatlead.standin.xds_proxies import Agent, Plan
 
-from ..places import MemoryRecorder, until
+from ..standin_fleet import MemoryRecorder, until
 from .simulated_fleet import KINDS, run_fleet
 
 
--- a/tests/grpc/test_server.py
+++ b/tests/grpc/test_server.py
@@ -15,7 +15,7 @@
 from peatlead.grpc.resources import LINES as LINES_URL
 from peatlead.grpc.server import DELTA, DISCOVERY, LOADS
 
-from ..places import until
+from ..standin_fleet import until
 from .simulated_fleet import connect_proxy, run_fleet
 
 
--- a/tests/lab/test_hunt.py
+++ b/tests/lab/test_hunt.py
@@ -6,7 +6,7 @@
 from peatlead.lab.hunt import shrink, symptom
 from peatlead.lab.random_scenario import draw
 
-from ..plants import PLANTS, seeds_until_found
+from ..seeded_faults import SEEDED_FAULTS, seeds_until_found
 
 
 class Hunt(unittest.TestCase):
@@ -42,5 +42,5 @@
             "an error when a host leaves",
             "a drain empties tables",
         ):
-            self.assertIn(name, PLANTS)
+            self.assertIn(name, SEEDED_FAULTS)
             self.assertIsNotNone(seeds_until_found(name, 6, 16.0)[0], name)
--- a/tests/net/test_connect_errors.py
+++ b/tests/net/test_connect_errors.py
@@ -7,7 +7,7 @@
 
 from peatlead.net.http import RequestFailedError, connect
 
-from ..places import run
+from ..standin_fleet import run
 
 
 class ConnectErrors(unittest.TestCase):
--- a/tests/net/test_listener.py
+++ b/tests/net/test_listener.py
@@ -8,7 +8,7 @@
 
 from peatlead.net.listener import PAUSE, Listener
 
-from ..places import run, until
+from ..standin_fleet import run, until
 
 
 class FailingListener:
--- a/tests/platform/test_clock.py
+++ b/tests/platform/test_clock.py
@@ -5,11 +5,11 @@
 
 from peatlead.platform.clock import OFFSETS_KEPT, WallClock
 
-from ..places import run, until
 from ..platforms import (
     PlatformFixture,
     instance,
 )
+from ..standin_fleet import run, until
 
 
 class Ages(unittest.TestCase):
--- a/tests/platform/test_configuration.py
+++ b/tests/platform/test_configuration.py
@@ -10,12 +10,12 @@
 from peatlead.platform.settings_validation import settings_errors
 
 from ..helpers import SETTINGS
-from ..places import until
 from ..platforms import (
     PlatformFixture,
     run_with_platform,
     whole_tables,
 )
+from ..standin_fleet import until
 
 
 class ConfigurationFile(unittest.TestCase):
--- a/tests/platform/test_drains.py
+++ b/tests/platform/test_drains.py
@@ -8,7 +8,7 @@
 from peatlead.scenario.runner import free_port
 from peatlead.standin.platform_fleet import Fleet, FleetPlan
 
-from ..places import run, until
+from ..standin_fleet import run, until
 
 GRACE = 3.0  # seconds
 GRACE_EXTENSION = 0.3  # seconds that the platform's pages grant besides
--- a/tests/platform/test_endpoint_tracker.py
+++ b/tests/platform/test_endpoint_tracker.py
@@ -2,12 +2,12 @@
 
 import unittest
 
-from ..places import until
 from ..platforms import (
     endpoint_list,
     instance,
     run_with_platform,
 )
+from ..standin_fleet import until
 
 
 class Lists(unittest.TestCase):
--- a/tests/platform/test_endpoint_watch.py
+++ b/tests/platform/test_endpoint_watch.py
@@ -3,11 +3,11 @@
 import unittest
 from unittest import mock
 
-from ..places import until
 from ..platforms import (
     instance,
     run_with_platform,
 )
+from ..standin_fleet import until
 
 
 class Polling(unittest.TestCase):
--- a/tests/platform/test_planner_restart.py
+++ b/tests/platform/test_planner_restart.py
@@ -7,13 +7,13 @@
 from peatlead.planner.planner import Planner
 from peatlead.platform.restart_budget import RESTARTS_LIMIT
 
-from ..places import until
 from ..platforms import (
     instance,
     removed_endpoints,
     run_with_platform,
     whole_tables,
 )
+from ..standin_fleet import until
 
 
 class PlannerRestart(unittest.TestCase):
--- a/tests/platform/test_push.py
+++ b/tests/platform/test_push.py
@@ -8,12 +8,12 @@
 from peatlead.standin.platform_proxies import ProxyState
 
 from ..helpers import SETTINGS
-from ..places import until
 from ..platforms import (
     instance,
     removed_endpoints,
     run_with_platform,
 )
+from ..standin_fleet import until
 
 
 class Tables(unittest.TestCase):
--- a/tests/platform/test_reload.py
+++ b/tests/platform/test_reload.py
@@ -8,12 +8,12 @@
     Address,
 )
 
-from ..places import until
 from ..platforms import (
     DISCOVERY_HOST,
     instance,
     run_with_platform,
 )
+from ..standin_fleet import until
 
 
 class Reload(unittest.TestCase):
--- a/tests/platform/test_reports.py
+++ b/tests/platform/test_reports.py
@@ -4,11 +4,11 @@
 
 from peatlead import interface
 
-from ..places import until
 from ..platforms import (
     OUTCOMES,
     run_with_platform,
 )
+from ..standin_fleet import until
 
 
 class Reports(unittest.TestCase):
--- a/tests/platform/test_resource_shortages.py
+++ b/tests/platform/test_resource_shortages.py
@@ -8,11 +8,11 @@
 from peatlead.platform.session_listener import SessionListener
 
 from ..helpers import make_planner
-from ..places import run, until
 from ..platforms import (
     PlatformFixture,
     run_with_platform,
 )
+from ..standin_fleet import run, until
 
 
 class HealthChecks(unittest.TestCase):
--- a/tests/platform/test_sessions.py
+++ b/tests/platform/test_sessions.py
@@ -9,12 +9,12 @@
 from peatlead import interface
 from peatlead.platform import messages, sessions
 
-from ..places import until
 from ..platforms import (
     CONTROLLER_HOST,
     OUTCOMES,
     run_with_platform,
 )
+from ..standin_fleet import until
 
 
 class Joining(unittest.TestCase):
--- a/tests/platform/test_shutdown.py
+++ b/tests/platform/test_shutdown.py
@@ -9,7 +9,6 @@
     Address,
 )
 
-from ..places import until
 from ..platforms import (
     DISCOVERY_HOST,
     endpoint_list,
@@ -17,6 +16,7 @@
     removed_endpoints,
     run_with_platform,
 )
+from ..standin_fleet import until
 
 
 class Shutdown(unittest.TestCase):
--- a/tests/platform/test_telemetry.py
+++ b/tests/platform/test_telemetry.py
@@ -6,11 +6,11 @@
 from peatlead.platform.telemetry import STATUS_INTERVAL, Telemetry
 
 from ..helpers import make_planner
-from ..places import until
 from ..platforms import (
     instance,
     run_with_platform,
 )
+from ..standin_fleet import until
 
 
 class Events(unittest.TestCase):
--- a/tests/platforms.py
+++ b/tests/platforms.py
@@ -12,7 +12,7 @@
 from peatlead.standin.platform_proxies import ProxyState
 
 from .helpers import SETTINGS
-from .places import run, until
+from .standin_fleet import run, until
 
 CONTROLLER_HOST = "127.3.0.1"
 DISCOVERY_HOST = "127.3.0.9"
--- a/tests/plants.py
+++ b/tests/seeded_faults.py
@@ -1,7 +1,7 @@
 """Seeded faults: patches that break the software on purpose, for the lab's search to find.
 
-`python -m tests.plants [SEEDS]` plays random days until each fault is found, and prints how many
-seeds that took.
+`python -m tests.seeded_faults [SEEDS]` plays random days until each fault is found, and prints how
+many seeds that took.
 """
 
 import contextlib
@@ -126,7 +126,7 @@
     return mock.patch.object(Planner, "on_timer", on_timer)
 
 
-PLANTS = {  # name: (patch, kind of day that shows it)
+SEEDED_FAULTS = {  # name: (patch, kind of day that shows it)
     "the fence of an agent is not checked": (fence_not_checked, "fleet"),
     "withdrawals are forgotten": (withdrawals_forgotten, "fleet"),
     "the cold bound is ignored": (cold_bound_ignored, "dns"),
@@ -140,7 +140,7 @@
 
 def seeds_until_found(name, most=200, length=16.0):
     """(seeds needed, findings), or (None, []) where `most` seeds were not enough."""
-    patch, kind = PLANTS[name]
+    patch, kind = SEEDED_FAULTS[name]
     for seed in range(most):
         with patch():
             findings = play_day(draw(seed, kind, length), seed).finds
@@ -151,6 +151,6 @@
 
 if __name__ == "__main__":
     most_seeds = int(sys.argv[1]) if len(sys.argv) > 1 else 200
-    for fault in PLANTS:
+    for fault in SEEDED_FAULTS:
         seeds, findings = seeds_until_found(fault, most_seeds)
         print(json.dumps({"planted": fault, "seeds": seeds, "found": findings[:1]}), flush=True)
--- a/tests/settings/test_loader.py
+++ b/tests/settings/test_loader.py
@@ -2,7 +2,7 @@
 
 from peatlead.settings import SettingsError, load_settings, read_settings
 
-from ..places import SCRIPT, settings
+from ..standin_fleet import SCRIPT, settings
 
 
 class LoaderTest(unittest.TestCase):
--- a/tests/standin/test_dns_clients.py
+++ b/tests/standin/test_dns_clients.py
@@ -7,7 +7,7 @@
 from peatlead.standin.dns_clients import Client
 from peatlead.standin.resolvers import Resolver
 
-from ..places import MemoryRecorder, play
+from ..standin_fleet import MemoryRecorder, play
 
 
 class ClientsAndResolversTest(unittest.TestCase):
--- a/tests/tables/test_guard.py
+++ b/tests/tables/test_guard.py
@@ -7,7 +7,7 @@
 
 from peatlead.tables.guard import GuardContext, guard
 
-from .. import places  # noqa: F401  (it loads the profile of hypothesis)
+from .. import standin_fleet  # noqa: F401  (it loads the profile of hypothesis)
 
 ENDPOINTS = range(6)
 TABLES = st.dictionaries(st.sampled_from(ENDPOINTS), st.sampled_from([0.5, 1.0, 2.0]), max_size=6)
--- a/tests/tables/test_pins.py
+++ b/tests/tables/test_pins.py
@@ -7,7 +7,7 @@
 
 from peatlead.tables.pins import PinError, Pins, decode_pins, encode_pins, rollout_position
 
-from .. import places  # noqa: F401  (it loads the profile of hypothesis)
+from .. import standin_fleet  # noqa: F401  (it loads the profile of hypothesis)
 
 
 class PinsTest(unittest.TestCase):
--- a/tests/tables/test_replica.py
+++ b/tests/tables/test_replica.py
@@ -13,7 +13,7 @@
 from peatlead.tables.replica import APPLIED, BASE, DIGEST, OLD, Replica
 from peatlead.tables.version import WHOLE, Digest, Stamp, Version, changes
 
-from .. import places  # noqa: F401  (it loads the profile of hypothesis)
+from .. import standin_fleet  # noqa: F401  (it loads the profile of hypothesis)
 
 
 def line(number, weight=None):
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,5 +1,5 @@
 """Kept for importers of GRPC: its tests are in tests/controller/test_many_proxies.py."""
 
-from .places import GRPC_SCRIPT as GRPC
+from .standin_fleet import GRPC_SCRIPT as GRPC
 
 __all__ = ["GRPC"]
--- a/tests/transcripts/test_dns_transcripts.py
+++ b/tests/transcripts/test_dns_transcripts.py
@@ -19,7 +19,7 @@
 from peatlead.dns import answers as fronts
 from peatlead.dns import notify, views, warmup_thinning
 
-from ..places import settings
+from ..standin_fleet import settings
 from . import recorded
 
 # Adapter: all internal names that these tests use.
--- a/tests/transcripts/test_gossip_transcripts.py
+++ b/tests/transcripts/test_gossip_transcripts.py
@@ -14,7 +14,7 @@
 from peatlead.fleet import gossip as nodes
 from peatlead.fleet import membership, messages, ownership
 
-from ..places import SCRIPT, settings
+from ..standin_fleet import SCRIPT, settings
 from . import recorded
 
 # Adapter: all internal names that these tests use. Structs are made by position.
