--- a/peatlead/benchmarks/herd.py
+++ b/peatlead/benchmarks/herd.py
@@ -26,7 +26,7 @@
 from typing import Any, Optional
 
 from ..controller.control_socket import ask_once
-from ..net.http import Server
+from ..net.http import ServerConnection
 from ..scenario.runner import free_port
 from .herd_agents import ZONES, Agent, AgentCommand, run_agents
 from .herd_baseline import measure_baseline, spread
@@ -62,12 +62,12 @@
 """  # noqa: E501 - settings as an operator writes them
 
 
-class HealthyEndpoint(Server):
+class HealthyEndpoint(ServerConnection):
     """Answers every health check."""
 
     def serve(self, method: str, path: str, headers: dict[str, str], body: bytes) -> None:
         """Answer as a ready endpoint."""
-        self.answer(200, [], b'{"boot":"b","kinds":["look"],"networks":{}}')
+        self.respond(200, [], b'{"boot":"b","kinds":["look"],"networks":{}}')
 
 
 def answer_health_checks(port: int) -> None:
--- a/peatlead/benchmarks/herd_baseline.py
+++ b/peatlead/benchmarks/herd_baseline.py
@@ -56,7 +56,7 @@
     arrivals = spread([receiver.at - start for receiver in receivers])
     server.close()
     for stream in [*receivers, *senders]:
-        stream.cut("over")
+        stream.abort("over")
     return {**arrivals, "to write": round(written * 1000, 1)}
 
 
--- a/peatlead/cli/controller.py
+++ b/peatlead/cli/controller.py
@@ -11,7 +11,7 @@
 import click
 import structlog
 
-from ..settings.schema import reference
+from ..settings.schema import format_reference
 from .common import PLANNERS, Settings, controller_settings, settings_or_exit
 from .main import main
 
@@ -87,7 +87,7 @@
 def check(file: Optional[str], show_reference: bool) -> None:
     """Checks a settings script; an error names file, line and what was expected."""
     if show_reference:
-        click.echo(reference())
+        click.echo(format_reference())
         return
     if file is None:
         raise click.UsageError("expected FILE or --reference")
--- a/peatlead/controller/control_socket.py
+++ b/peatlead/controller/control_socket.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from ..net.streams import ConnectionSet, Lines, within
+from ..net.streams import ConnectionSet, LineStream, with_timeout
 
 CONNECTIONS_LIMIT = 64  # operators' connections at a time
 IDLE_SECONDS = 3600.0  # until a silent connection is closed
@@ -51,7 +51,7 @@
     return msgspec.json.encode(message) + b"\n"
 
 
-class OperatorConnection(Lines):
+class OperatorConnection(LineStream):
     """One operator's connection."""
 
     def __init__(self, control: "ControlSocket") -> None:
@@ -64,7 +64,7 @@
 
     def ended(self, reason: str) -> None:
         """Forget the connection."""
-        self._control.connections.drop(self)
+        self._control.connections.remove(self)
         self._control.feeds.pop(self, None)
 
     def line(self, data: bytes) -> None:
@@ -128,11 +128,11 @@
         self.connections.close()
 
 
-class Asking(Lines):
+class Asking(LineStream):
     """The client's side: sends one question and gives each line of the answer to `take`."""
 
     def __init__(self, question: object, take: Callable[[bytes], None]) -> None:
-        super().__init__(waiting_most=QUESTION_BYTES, longest=ANSWER_BYTES)
+        super().__init__(max_unsent_bytes=QUESTION_BYTES, max_line_bytes=ANSWER_BYTES)
         self._question = question
         self._take = take
         self.over: asyncio.Future[str] = asyncio.get_running_loop().create_future()
@@ -155,7 +155,7 @@
     address: tuple[str, int], question: object, deadline: float = DEFAULT_DEADLINE
 ) -> Answer:
     """Ask one question and return the answer. Raises OSError or asyncio.TimeoutError."""
-    answer: Answer = await within(deadline, _ask(address, question))
+    answer: Answer = await with_timeout(deadline, _ask(address, question))
     return answer
 
 
--- a/peatlead/controller/endpoint_lists.py
+++ b/peatlead/controller/endpoint_lists.py
@@ -30,9 +30,9 @@
 
     def recall(self) -> None:
         """Take the list that was remembered before this start, if any."""
-        remembered, reason = self._cache.recall()
+        remembered, reason = self._cache.load()
         if remembered:
-            self.source.remember(remembered.version)
+            self.source.set_known_version(remembered.version)
             self.receive(remembered)
         else:
             self._controller.log("no list remembered", why=reason)
@@ -49,15 +49,17 @@
         update = controller.registry.endpoint_update(endpoint_list, now)
         for endpoint in update.endpoints:
             self._update_endpoint(now, endpoint, endpoint_list.version)
-        ready = sum(entry.phase == interface.EndpointPhase.READY for entry in endpoint_list.hosts)
+        ready = sum(
+            entry.phase == interface.EndpointPhase.READY for entry in endpoint_list.endpoints
+        )
         controller.log(
             "list",
             scope=endpoint_list.scope,
             version=endpoint_list.version,
-            hosts=len(endpoint_list.hosts),
+            hosts=len(endpoint_list.endpoints),
             ready=ready,
         )
-        if endpoint_list.scope == interface.ListScope.WHOLE and endpoint_list.hosts:
+        if endpoint_list.scope == interface.ListScope.WHOLE and endpoint_list.endpoints:
             self._remember(endpoint_list)
         controller.submit(update)
 
@@ -81,6 +83,6 @@
 
     def _remember(self, endpoint_list: EndpointList) -> None:
         try:
-            self._cache.keep(endpoint_list)
+            self._cache.save(endpoint_list)
         except OSError as error:
             self._controller.log("list not remembered", why=str(error))
--- a/peatlead/controller/endpoint_registry.py
+++ b/peatlead/controller/endpoint_registry.py
@@ -47,7 +47,7 @@
     def endpoint_update(self, listing: EndpointList, now: float) -> interface.EndpointUpdate:
         """Return the planner's event for a list, without entries of unknown zones."""
         endpoints = []
-        for entry in listing.hosts:
+        for entry in listing.endpoints:
             zone = self.zones.get(entry.zone)
             if zone is None:
                 self.log_unknown_zone(entry)
--- a/peatlead/controller/health_checks.py
+++ b/peatlead/controller/health_checks.py
@@ -11,7 +11,7 @@
 from ..health.load_report_counts import EndpointReport, LoadReportCounts, parse_endpoint_report
 from ..health.prober import Prober
 from ..net.http import Response
-from ..net.orca import HEADER, read_report
+from ..net.orca import LOAD_REPORT_HEADER, parse_load_report
 
 if TYPE_CHECKING:
     from .controller import Controller
@@ -42,7 +42,7 @@
 def read_answer(answer: Response) -> CheckedAnswer:
     """Read an endpoint's answer to a health check."""
     outcome = OUTCOME_OF_STATUS.get(answer.status, OUTCOME_OF_OTHER_STATUS)
-    load_report = read_report(answer.headers.get(HEADER, "")) or None
+    load_report = parse_load_report(answer.headers.get(LOAD_REPORT_HEADER, "")) or None
     request_counts = parse_endpoint_report(answer.body) if outcome == PASSED else None
     return CheckedAnswer(outcome, load_report, request_counts)
 
@@ -88,7 +88,7 @@
 
     def stats_due(self, now: float) -> list[Any]:
         """Return the planner's events from what endpoints have reported, once they are due."""
-        events: list[Any] = self._counts.due(now, self._controller.numbers)
+        events: list[Any] = self._counts.events_due(now, self._controller.numbers)
         return events
 
     def _headers(self) -> list[tuple[str, str]]:
@@ -102,8 +102,8 @@
         load_report: LoadReport | None,
         request_counts: EndpointReport | None,
     ) -> None:
-        self._counts.take(endpoint, request_counts, load_report)
-        self._counts.probed(endpoint, outcome == PASSED, duration)
+        self._counts.add_report(endpoint, request_counts, load_report)
+        self._counts.add_probe(endpoint, outcome == PASSED, duration)
         self._controller.submit(
             interface.HealthCheckResult(endpoint, outcome, duration, load_report)
         )
--- a/peatlead/dns/server.py
+++ b/peatlead/dns/server.py
@@ -95,7 +95,7 @@
 
     def ended(self, reason: str) -> None:
         """Leave the server's set of connections."""
-        self.server.connections.drop(self)
+        self.server.connections.remove(self)
 
     def received(self, data: bytes) -> None:
         """Answer all complete queries."""
@@ -114,11 +114,11 @@
         """Answer one query; a zone transfer takes several messages."""
         if self.loop.time() > self.server.fresh_until:
             self.server.unanswered += 1
-            self.cut("not fresh")  # a resolver asks another controller at once
+            self.abort("not fresh")  # a resolver asks another controller at once
             return
         answer = self.server.answers.respond(query, self.peer[0], True)
         if answer is None:
-            self.cut("malformed")
+            self.abort("malformed")
             return
         for message in answer if isinstance(answer, list) else (answer,):
             self.send(len(message).to_bytes(TCP_LENGTH_BYTES, "big") + message)
--- a/peatlead/grpc/http2.py
+++ b/peatlead/grpc/http2.py
@@ -16,7 +16,7 @@
 import h2.exceptions
 import h2.settings
 
-from ..net.streams import Stream, within
+from ..net.streams import Stream, with_timeout
 from .call import Call, Metadata, to_headers
 from .framing import FramingError, StatusCode, parse_timeout
 
@@ -156,7 +156,7 @@
             return
         now = self.loop.time()
         if self.pinged is not None and self.last_received_at < self.pinged:
-            self.cut("no answer to pings")
+            self.abort("no answer to pings")
             return
         self.pinged = None
         interval = max(self.ping_every, self.connection_count() / MAX_PING_RATE)
@@ -191,7 +191,7 @@
                 self._on_event(event)
         except (h2.exceptions.ProtocolError, UnicodeDecodeError, ValueError) as error:
             self.flush()  # h2's GOAWAY
-            self.why = f"not HTTP/2: {type(error).__name__}"
+            self.close_reason = f"not HTTP/2: {type(error).__name__}"
             self.close()
             return
         self.flush()
@@ -275,7 +275,7 @@
         self._pump_all()
 
     def _on_terminated(self, _: Any, __: Optional[Call]) -> None:
-        self.why = "the peer went away"
+        self.close_reason = "the peer went away"
         if not self.going_away:
             self.close()
 
@@ -284,7 +284,7 @@
         if self.control_frames.add(self.loop.time()):
             self.talk.close_connection(h2.errors.ErrorCodes.ENHANCE_YOUR_CALM)
             self.flush()
-            self.cut("flood of control frames")
+            self.abort("flood of control frames")
 
     # Calls.
 
@@ -396,7 +396,7 @@
 
     Raises OSError or asyncio.TimeoutError.
     """
-    _, connection = await within(
+    _, connection = await with_timeout(
         deadline,
         asyncio.get_running_loop().create_connection(
             lambda: Connection(True, ping_every=ping_every, ping_wait=ping_wait),
--- a/peatlead/grpc/server.py
+++ b/peatlead/grpc/server.py
@@ -45,7 +45,7 @@
 
     def _connect(self) -> Connection:
         connection = Connection(False, self._serve)
-        connection.ended_all = lambda reason: self.connections.drop(connection)
+        connection.ended_all = lambda reason: self.connections.remove(connection)
         connection.connection_count = lambda: len(self.connections.streams)
         self.connections.add(connection)
         return connection
--- a/peatlead/health/load_report_counts.py
+++ b/peatlead/health/load_report_counts.py
@@ -105,7 +105,7 @@
         self.load_reports: dict[int, interface.LoadReport] = {}  # by endpoint
         self.round_start: float | None = None
 
-    def take(
+    def add_report(
         self,
         endpoint: int,
         report: EndpointReport | None,
@@ -165,7 +165,7 @@
             requests.requests += taken
             requests.unanswered += max(0.0, taken - done)
 
-    def probed(self, endpoint: int, passed: bool, duration: float) -> None:
+    def add_probe(self, endpoint: int, passed: bool, duration: float) -> None:
         """Count a passed probe as an attempt if the endpoint had no other in this round.
 
         An idle endpoint would otherwise look as if nothing were known about it.
@@ -173,7 +173,7 @@
         if passed and not any(endpoint == other for other, _ in self.endpoint_totals):
             self.endpoint_totals[endpoint, self.zone] = EndpointTotals(1.0, 0.0, duration)
 
-    def due(
+    def events_due(
         self, now: float, numbers: Sequence[int]
     ) -> list[interface.RequestStats | interface.EndpointStats]:
         """Return the events of the round if it has ended and there are any.
--- a/peatlead/health/prober.py
+++ b/peatlead/health/prober.py
@@ -84,13 +84,15 @@
         try:
             stream = await connect(loop, address, deadline, self.local)
             headers = [("host", address[0]), ("connection", "close"), *self.headers()]
-            response = await stream.ask("GET", self.settings["path"], headers, b"", deadline)
+            response = await stream.send_request(
+                "GET", self.settings["path"], headers, b"", deadline
+            )
             outcome, report, counts = self.read(response)
         except RequestFailedError as error:
             outcome = error.outcome
         finally:
             if stream is not None:
-                stream.cut("probe done")
+                stream.abort("probe done")
             self.tasks.pop(endpoint, None)
         self.on_result(endpoint, outcome, loop.time() - start, report, counts)
         self.start_queued()
--- a/peatlead/lab/study.py
+++ b/peatlead/lab/study.py
@@ -16,9 +16,9 @@
 from random import Random
 
 from ..scenario.script import load_day
-from ..settings.checks import many, number, one_of, text
+from ..settings.checks import list_of, number, one_of, text
 from ..settings.errors import SettingsError
-from ..settings.fields import REQUIRED, Field, expected
+from ..settings.fields import REQUIRED, Field, expectation_error
 from ..settings.starlark_runner import run_script
 from .day import POLICIES, play_day
 from .planner_constants import modules_with, replaced
@@ -43,7 +43,7 @@
 
 def values(value):
     if not isinstance(value, dict) or not all(isinstance(name, str) for name in value):
-        raise expected("a map of names to values", value)
+        raise expectation_error("a map of names to values", value)
     return value
 
 
@@ -61,7 +61,7 @@
         "name": Field(text, REQUIRED, "a variant"),
         "set": Field(values, {}, "what differs: {'steering.addresses': 4, 'module.COVERAGE': 16}"),
     },
-    "policy": {"names": Field(many(one_of(*POLICIES), 1), ["shards"], "who decides")},
+    "policy": {"names": Field(list_of(one_of(*POLICIES), 1), ["shards"], "who decides")},
 }
 
 
--- a/peatlead/net/http/client.py
+++ b/peatlead/net/http/client.py
@@ -8,8 +8,16 @@
 import httptools
 
 from ..errors import is_local_shortage
-from ..streams import Stream, within
-from .message import MAX_BODY_BYTES, MAX_HEAD_BYTES, Header, HttpError, Message, feed, write_message
+from ..streams import Stream, with_timeout
+from .message import (
+    MAX_BODY_BYTES,
+    MAX_HEAD_BYTES,
+    Header,
+    HttpError,
+    Message,
+    encode_message,
+    feed,
+)
 
 FIRST_FINAL_STATUS = 200  # responses below are informational (RFC 9110 section 15.2)
 
@@ -44,7 +52,7 @@
 class ResponseMessage(Message):
     """The response that an exchange is receiving."""
 
-    def __init__(self, exchange: "Exchange") -> None:
+    def __init__(self, exchange: "ClientConnection") -> None:
         super().__init__()
         self.exchange = exchange
 
@@ -53,7 +61,7 @@
         self.exchange.finish()
 
 
-class Exchange(Stream):
+class ClientConnection(Stream):
     """A client's connection; `await ask(...)` sends one request and returns its response."""
 
     def __init__(self) -> None:
@@ -70,7 +78,7 @@
         """Whether another request can be sent on this connection."""
         return self.keep_alive and self.transport is not None and not self.transport.is_closing()
 
-    async def ask(
+    async def send_request(
         self, method: str, path: str, headers: Sequence[Header], body: bytes, deadline: float
     ) -> Response:
         """Send a request and return its response; raises RequestFailedError.
@@ -83,7 +91,7 @@
         self.pending = loop.create_future()
         if body:
             headers = [*headers, ("content-length", str(len(body)))]
-        self.sent = self.send(write_message(f"{method} {path} HTTP/1.1", headers, body))
+        self.sent = self.send(encode_message(f"{method} {path} HTTP/1.1", headers, body))
         timer = loop.call_at(deadline, self.time_out)
         try:
             return await self.pending
@@ -94,7 +102,7 @@
     def time_out(self) -> None:
         """Fail the request at its deadline."""
         self.fail(RequestOutcome.TIMED_OUT)
-        self.cut("late")
+        self.abort("late")
 
     def fail(self, outcome: RequestOutcome) -> None:
         """Fail the pending request, if any; the connection is not used again."""
@@ -114,7 +122,7 @@
             or feed(self.parser, data) is not None
         ):
             self.fail(RequestOutcome.BROKEN)
-            self.cut("not HTTP")
+            self.abort("not HTTP")
 
     def finish(self) -> None:
         """Complete the pending request with the response that was parsed."""
@@ -138,16 +146,16 @@
     address: tuple[str, int],
     deadline: float,
     local: str | None = None,
-) -> Exchange:
+) -> ClientConnection:
     """Open a connection to (host, port), from the address `local` if given.
 
     `deadline` is a time of the event loop's clock. Raises RequestFailedError.
     """
     try:
         opening = loop.create_connection(
-            Exchange, *address, local_addr=(local, 0) if local else None
+            ClientConnection, *address, local_addr=(local, 0) if local else None
         )
-        _, stream = await within(max(0.0, deadline - loop.time()), opening)
+        _, stream = await with_timeout(max(0.0, deadline - loop.time()), opening)
         return stream
     except TimeoutError:
         raise RequestFailedError(RequestOutcome.TIMED_OUT, False) from None
--- a/peatlead/net/http/message.py
+++ b/peatlead/net/http/message.py
@@ -27,7 +27,7 @@
         self.status = status
 
 
-def write_message(first_line: str, headers: Sequence[Header], body: bytes) -> bytes:
+def encode_message(first_line: str, headers: Sequence[Header], body: bytes) -> bytes:
     """Return a message's bytes.
 
     Raises ValueError if a name or value contains a line end: it could add a header or a request.
--- a/peatlead/net/http/server.py
+++ b/peatlead/net/http/server.py
@@ -8,7 +8,7 @@
 import httptools
 
 from ..streams import Stream
-from .message import Header, InvalidMessageError, Message, feed, write_message
+from .message import Header, InvalidMessageError, Message, encode_message, feed
 
 MAX_PIPELINED_REQUESTS = 16  # received while another is being served
 REASON_PHRASES = {status.value: status.phrase for status in HTTPStatus}
@@ -27,7 +27,7 @@
 class RequestMessage(Message):
     """The request that a server's connection is receiving."""
 
-    def __init__(self, server: "Server") -> None:
+    def __init__(self, server: "ServerConnection") -> None:
         super().__init__()
         self.server = server
 
@@ -36,7 +36,7 @@
         self.server.enqueue(self)
 
 
-class Server(Stream):
+class ServerConnection(Stream):
     """A server's connection to one client.
 
     `serve` is called for one request at a time and is followed by a call of `answer`. Pipelined
@@ -93,10 +93,10 @@
         """Answer an invalid request and close the connection."""
         status_line = f"HTTP/1.1 {status.value} {status.phrase}"
         headers = [("content-length", "0"), ("connection", "close")]
-        self.send(write_message(status_line, headers, b""))
+        self.send(encode_message(status_line, headers, b""))
         self.close()
 
-    def answer(
+    def respond(
         self, status: int, headers: Sequence[Header], body: bytes, last: bool = False
     ) -> None:
         """Respond to the request being served; `last` closes the connection after it."""
@@ -108,7 +108,7 @@
         if last:
             all_headers.append(("connection", "close"))
         status_line = f"HTTP/1.1 {status} {REASON_PHRASES.get(status, '')}"
-        self.send(write_message(status_line, all_headers, body))
+        self.send(encode_message(status_line, all_headers, body))
         self.serving = False
         if last:
             self.input_ended = True
--- a/peatlead/net/orca.py
+++ b/peatlead/net/orca.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-HEADER = "endpoint-load-metrics"
+LOAD_REPORT_HEADER = "endpoint-load-metrics"
 FIELD_OF_METRIC = {
     "cpu_utilization": "util",
     "rps_fractional": "done_rate",
@@ -22,14 +22,14 @@
 LoadReport = dict[str, float]  # by the report fields' names of the settings
 
 
-def write_report(report: LoadReport) -> str:
+def format_load_report(report: LoadReport) -> str:
     """Return the header's value for a report."""
     return "TEXT " + ", ".join(
         f"{METRIC_OF_FIELD[field]}={value:.6g}" for field, value in sorted(report.items())
     )
 
 
-def read_report(value: str) -> LoadReport:
+def parse_load_report(value: str) -> LoadReport:
     """Parse a header's value; metrics that are unknown, not numbers or out of range are ignored."""
     form, _, body = value.strip().partition(" ")
     if form.upper() == "TEXT":
--- a/peatlead/net/streams.py
+++ b/peatlead/net/streams.py
@@ -16,7 +16,7 @@
 READ_VIEW = memoryview(READ_BUFFER)
 
 
-async def within(seconds: float, awaitable: Awaitable[Result]) -> Result:
+async def with_timeout(seconds: float, awaitable: Awaitable[Result]) -> Result:
     """Await with a timeout; raises asyncio.TimeoutError.
 
     `asyncio.wait_for` schedules differently in Python 3.11 than in later versions, which would make
@@ -30,20 +30,20 @@
     """One connection. Subclasses override `opened`, `received` and `ended`.
 
     The connection is cut after `idle` seconds without a byte in either direction (0: never), and
-    when the peer leaves more than `waiting_most` bytes unread, so that a slow reader costs its own
-    connection and no unbounded memory.
+    when the peer leaves more than `max_unsent_bytes` bytes unread, so that a slow reader costs its
+    own connection and no unbounded memory.
     """
 
     loop: asyncio.AbstractEventLoop  # set when the connection is made
 
-    def __init__(self, idle: float = 0.0, waiting_most: int = MAX_UNSENT_BYTES) -> None:
+    def __init__(self, idle: float = 0.0, max_unsent_bytes: int = MAX_UNSENT_BYTES) -> None:
         self.idle = idle
-        self.waiting_most = waiting_most
+        self.max_unsent_bytes = max_unsent_bytes
         self.transport: asyncio.Transport | None = None  # None before and after the connection
         self.peer: Any = None  # the peer's address: (host, port), or longer for IPv6
         self.last_activity = 0.0  # loop time of the last activity
         self.timer: asyncio.TimerHandle | None = None  # checks for idleness
-        self.why: str | None = None  # why this side ended the connection
+        self.close_reason: str | None = None  # why this side ended the connection
 
     def opened(self) -> None:
         """Handle the start of the connection."""
@@ -60,8 +60,8 @@
             return False
         self.last_activity = self.loop.time()
         self.transport.write(data)
-        if self.transport.get_write_buffer_size() > self.waiting_most:
-            self.cut("slow reader")
+        if self.transport.get_write_buffer_size() > self.max_unsent_bytes:
+            self.abort("slow reader")
             return False
         return True
 
@@ -70,9 +70,9 @@
         if self.transport is not None:
             self.transport.close()
 
-    def cut(self, reason: str) -> None:
+    def abort(self, reason: str) -> None:
         """End the connection immediately; buffered data is lost."""
-        self.why = self.why or reason
+        self.close_reason = self.close_reason or reason
         if self.transport is not None:
             self.transport.abort()
 
@@ -104,7 +104,7 @@
         if self.timer is not None:
             self.timer.cancel()
         self.transport = None
-        self.ended(self.why or (type(error).__name__ if error else "closed"))
+        self.ended(self.close_reason or (type(error).__name__ if error else "closed"))
 
     def check_idle(self) -> None:
         """Cut an idle connection, or check again when it could next be idle.
@@ -115,27 +115,27 @@
         if remaining > 0:
             self.timer = self.loop.call_later(remaining, self.check_idle)
         else:
-            self.cut("idle")
+            self.abort("idle")
 
 
 class ConnectionSet:
     """The open streams of a listener, bounded: past the bound, the longest idle one is cut."""
 
-    def __init__(self, most: int) -> None:
-        self.most = most
+    def __init__(self, max_connections: int) -> None:
+        self.max_connections = max_connections
         self.streams: dict[Stream, bool] = {}  # used as an ordered set
         self.evicted = 0  # streams cut to make room
 
     def add(self, stream: Stream) -> None:
         """Add a stream, evicting the longest idle one if the set is full."""
-        if len(self.streams) >= self.most:
+        if len(self.streams) >= self.max_connections:
             longest_idle = min(self.streams, key=lambda other: other.last_activity)
             del self.streams[longest_idle]
-            longest_idle.cut("evicted")
+            longest_idle.abort("evicted")
             self.evicted += 1
         self.streams[stream] = True
 
-    def drop(self, stream: Stream) -> None:
+    def remove(self, stream: Stream) -> None:
         """Remove a stream that has ended."""
         self.streams.pop(stream, None)
 
@@ -145,8 +145,8 @@
             stream.close()
 
 
-class Lines(Stream):
-    """A stream of newline-terminated lines of at most `longest` bytes.
+class LineStream(Stream):
+    """A stream of newline-terminated lines of at most `max_line_bytes` bytes.
 
     Subclasses override `line`.
     """
@@ -154,11 +154,11 @@
     def __init__(
         self,
         idle: float = 0.0,
-        longest: int = MAX_LINE_BYTES,
-        waiting_most: int = MAX_UNSENT_BYTES,
+        max_line_bytes: int = MAX_LINE_BYTES,
+        max_unsent_bytes: int = MAX_UNSENT_BYTES,
     ) -> None:
-        super().__init__(idle, waiting_most)
-        self.longest = longest
+        super().__init__(idle, max_unsent_bytes)
+        self.max_line_bytes = max_line_bytes
         self.part = bytearray()  # the start of a line whose end has not arrived
 
     def line(self, data: bytes) -> None:
@@ -176,5 +176,5 @@
             self.part = bytearray(rest[-1])
             for line in complete:
                 self.line(line)
-        if len(self.part) > self.longest:
-            self.cut("line too long")
+        if len(self.part) > self.max_line_bytes:
+            self.abort("line too long")
--- a/peatlead/platform/controller.py
+++ b/peatlead/platform/controller.py
@@ -109,7 +109,7 @@
         remembered_list = self.configuration.remembered_list
         if remembered_list is not None:
             self.on_endpoint_list(remembered_list)
-            phases = {entry.phase for entry in remembered_list.hosts}
+            phases = {entry.phase for entry in remembered_list.endpoints}
             if interface.EndpointPhase.READY in phases:
                 self.become_ready()
         self.watch.start()
@@ -230,7 +230,7 @@
             data = self.push.compose(self.publisher, proxy, session, operations, nonce)
         except Exception as problem:
             self.log("message not written", proxy=proxy, error=repr(problem))
-            session.cut(EndReason.PUSH_FAILED)
+            session.abort(EndReason.PUSH_FAILED)
             return
         if data:
             session.send(data)
@@ -316,7 +316,7 @@
         old_session = self.proxy_sessions.get(proxy)
         if old_session is not None:
             self.session_left(old_session, EndReason.REPLACED)
-            old_session.cut(EndReason.REPLACED)
+            old_session.abort(EndReason.REPLACED)
         self.proxy_sessions[proxy] = session
         self.publisher.join(proxy, enforces_admission=True)
         self.telemetry.proxy_joined(proxy, not session.bootstrap_only)
--- a/peatlead/platform/endpoint_tracker.py
+++ b/peatlead/platform/endpoint_tracker.py
@@ -36,7 +36,7 @@
     def apply(self, endpoint_list: EndpointList, now: float) -> EndpointUpdate:
         """Record a list and return the planner's event; `now` is in the loop's seconds."""
         endpoint_list = self.with_unread_endpoints(endpoint_list)
-        previous = {entry.name: self.phase_of(entry.name) for entry in endpoint_list.hosts}
+        previous = {entry.name: self.phase_of(entry.name) for entry in endpoint_list.endpoints}
         is_first = not self.registry.listed
         update: EndpointUpdate = self.registry.endpoint_update(endpoint_list, now)
         if endpoint_list.scope != ListScope.CHANGES:
@@ -44,7 +44,7 @@
             self.possibly_ejected.update(
                 endpoint for endpoint in self.registry.entries if endpoint not in listed
             )
-        for entry in endpoint_list.hosts:
+        for entry in endpoint_list.endpoints:
             endpoint = self.registry.index.get(entry.name)
             was_known = is_first or self.was_listed_before(entry.name, previous[entry.name])
             is_change = endpoint_list.scope == ListScope.CHANGES
@@ -85,9 +85,9 @@
         nothing is removed.
         """
         unknown_zone = [
-            entry for entry in endpoint_list.hosts if entry.zone not in self.registry.zones
+            entry for entry in endpoint_list.endpoints if entry.zone not in self.registry.zones
         ]
-        unread = [*endpoint_list.unread, *(entry.name for entry in unknown_zone)]
+        unread = [*endpoint_list.unusable_names, *(entry.name for entry in unknown_zone)]
         if endpoint_list.scope != ListScope.WHOLE or not unread:
             return endpoint_list
         kept = [
@@ -96,7 +96,7 @@
             if name is not None and name in self.registry.index
         ]
         kept_names = {entry.name for entry in kept}
-        others = [entry for entry in endpoint_list.hosts if entry.name not in kept_names]
+        others = [entry for entry in endpoint_list.endpoints if entry.name not in kept_names]
         return endpoint_list._replace(
             scope=ListScope.CHANGES if None in unread else ListScope.WHOLE,
             hosts=(*kept, *others),
@@ -116,12 +116,12 @@
 
     def log_list(self, endpoint_list: EndpointList) -> None:
         """Log that a list was applied."""
-        ready = sum(entry.phase == EndpointPhase.READY for entry in endpoint_list.hosts)
+        ready = sum(entry.phase == EndpointPhase.READY for entry in endpoint_list.endpoints)
         self.log(
             "list",
             scope=endpoint_list.scope,
             version=endpoint_list.version,
-            hosts=len(endpoint_list.hosts),
+            hosts=len(endpoint_list.endpoints),
             ready=ready,
         )
 
--- a/peatlead/platform/endpoint_watch.py
+++ b/peatlead/platform/endpoint_watch.py
@@ -11,7 +11,7 @@
 from typing import Optional
 
 from ..interface import ListScope
-from ..net.http import Exchange, RequestFailedError, connect
+from ..net.http import ClientConnection, RequestFailedError, connect
 from ..sources.endpoint_list import EndpointList
 from .messages import Address, MalformedMessageError, read_endpoint_list
 from .shared_types import Log
@@ -96,14 +96,14 @@
         elif self.previous is not None:
             self.previous.stop()
             self.previous = None
-        for error in endpoint_list.bad[:ERRORS_LOGGED]:
+        for error in endpoint_list.entry_errors[:ERRORS_LOGGED]:
             self.log("list entry left out", why=error)
         if not is_whole and self.version is not None and endpoint_list.version < self.version:
             self.log("discovery went back", version=endpoint_list.version, known=self.version)
             self.version = None  # since when the changes count is not known
             return
         self.version = endpoint_list.version
-        if endpoint_list.hosts or is_whole:
+        if endpoint_list.endpoints or is_whole:
             self.on_list(endpoint_list)
 
 
@@ -113,7 +113,7 @@
     def __init__(self, watch: EndpointWatch, address: Address) -> None:
         self.watch = watch
         self.address = address
-        self.connection: Optional[Exchange] = None
+        self.connection: Optional[ClientConnection] = None
         self.failures = 0  # in a row
         self.answered = False  # whether a poll has ever succeeded
         loop = asyncio.get_running_loop()
@@ -127,7 +127,7 @@
     def hang_up(self) -> None:
         """End the connection, if there is one."""
         if self.connection is not None:
-            self.connection.cut("done")
+            self.connection.abort("done")
             self.connection = None
 
     async def run(self) -> None:
@@ -175,12 +175,12 @@
         path = PATH if version is None else f"{PATH}?after={version}&wait_ms={round(wait * 1000)}"
         headers = [("host", str(self.address))]
         deadline = loop.time() + ANSWER_TOLERANCE + wait
-        answer = await connection.ask("GET", path, headers, b"", deadline)
+        answer = await connection.send_request("GET", path, headers, b"", deadline)
         if answer.status != OK:
             raise MalformedMessageError(f"expected 200, got {answer.status}")
         return read_endpoint_list(answer.body, self.watch.wall())
 
-    async def connected(self, loop: asyncio.AbstractEventLoop) -> Exchange:
+    async def connected(self, loop: asyncio.AbstractEventLoop) -> ClientConnection:
         """Return the connection, a new one if the last can't be used. Raises RequestFailedError."""
         if self.connection is None or not self.connection.usable:
             self.connection = None
--- a/peatlead/platform/session_listener.py
+++ b/peatlead/platform/session_listener.py
@@ -65,7 +65,7 @@
     def cut(self) -> None:
         """End all connections at once."""
         for session in list(self.sessions):
-            session.cut(EndReason.CONTROLLER_STOPS)
+            session.abort(EndReason.CONTROLLER_STOPS)
 
     def cut_silent_collectors(self, newest: Session) -> None:
         """Cut collectors of the newest one's zone that have fallen silent.
@@ -76,17 +76,17 @@
         for session in list(self.sessions):
             same_zone = session.collector_zone == newest.collector_zone
             if session is not newest and same_zone and session.last_activity < silent_since:
-                session.cut(EndReason.SILENT)
+                session.abort(EndReason.SILENT)
 
     def add(self, session: Session) -> None:
         """Add a new connection, and cut one past the limit."""
         if self.closed:
-            session.cut(EndReason.CONTROLLER_STOPS)
+            session.abort(EndReason.CONTROLLER_STOPS)
         if len(self.sessions) >= self.limit:
             oldest = next(iter(self.unjoined), session)
             self.unjoined.pop(oldest, None)
             self.count(Incident.EVICTED)
-            oldest.cut(EndReason.TOO_MANY_CONNECTIONS)
+            oldest.abort(EndReason.TOO_MANY_CONNECTIONS)
         self.sessions[session] = True
         self.unjoined[session] = True
 
--- a/peatlead/platform/sessions.py
+++ b/peatlead/platform/sessions.py
@@ -7,7 +7,7 @@
 import asyncio
 from typing import TYPE_CHECKING, Optional
 
-from ..net.streams import Lines
+from ..net.streams import LineStream
 from .messages import (
     ALIVE,
     LINE_LIMIT,
@@ -36,14 +36,14 @@
 PENDING_CHECKS_LIMIT = 8  # liveness checks of a connection that wait for the controller to be ready
 
 
-class Session(Lines):
+class Session(LineStream):
     """One connection, of a proxy, a collector or a peer that has not joined."""
 
     loop: asyncio.AbstractEventLoop
     deadline: asyncio.TimerHandle  # for joining; after a refusal, for reading the reason
 
     def __init__(self, listener: "SessionListener") -> None:
-        super().__init__(longest=HELLO_LINE_LIMIT, waiting_most=UNREAD_LIMIT)
+        super().__init__(max_line_bytes=HELLO_LINE_LIMIT, max_unsent_bytes=UNREAD_LIMIT)
         self.listener = listener
         self.proxy: Optional[int] = None  # the number of the proxy that joined on it
         self.collector_zone: Optional[str] = None  # the zone of the collector that joined on it
@@ -134,7 +134,7 @@
     def finish_joining(self) -> None:
         """Lift the bounds of a connection that has not joined."""
         self.joined = True
-        self.longest = LINE_LIMIT
+        self.max_line_bytes = LINE_LIMIT
         self.deadline.cancel()
         self.listener.unjoined.pop(self, None)
 
@@ -146,7 +146,7 @@
         self.listener.count(Incident.REFUSED)
         self.send(write_error(reason))
         self.deadline.cancel()
-        self.deadline = self.loop.call_later(REFUSAL_TIMEOUT, self.cut, EndReason.REFUSAL_UNREAD)
+        self.deadline = self.loop.call_later(REFUSAL_TIMEOUT, self.abort, EndReason.REFUSAL_UNREAD)
         self.close()
 
     def leave(self) -> None:
@@ -163,10 +163,10 @@
         self.finished = True
         self.part = bytearray()
 
-    def cut(self, reason: str) -> None:
+    def abort(self, reason: str) -> None:
         """End the connection at once."""
         self.finished = True
-        super().cut(reason)
+        super().abort(reason)
 
     def ended(self, reason: str) -> None:
         """Handle the end of the connection."""
--- a/peatlead/scenario/controller_feeds.py
+++ b/peatlead/scenario/controller_feeds.py
@@ -35,7 +35,7 @@
     def close(self) -> None:
         """End all feeds; what still arrives is not recorded."""
         for stream in self._streams.values():
-            stream.cut("the day is over")
+            stream.abort("the day is over")
         self._closed = True
 
     def _record_message(self, data: bytes) -> None:
--- a/peatlead/settings/checks.py
+++ b/peatlead/settings/checks.py
@@ -5,7 +5,7 @@
 from math import isnan
 from typing import Any, Optional
 
-from .fields import Check, expected
+from .fields import Check, expectation_error
 
 LONGEST_DOMAIN = 200  # characters; leaves place for the labels that go before it (255 in all)
 LONGEST_LABEL = 63  # characters (RFC 1035, section 2.3.4)
@@ -19,11 +19,11 @@
 
     def check(value: Any) -> float:
         if not _is_number(value, whole):
-            raise expected("a whole number" if whole else "a number", value)
+            raise expectation_error("a whole number" if whole else "a number", value)
         too_small = minimum is not None and value < minimum
         too_large = maximum is not None and value > maximum
         if too_small or too_large:
-            raise expected(f"a number {_bounds(minimum, maximum)}", value)
+            raise expectation_error(f"a number {_bounds(minimum, maximum)}", value)
         return value if whole else float(value)
 
     return check
@@ -44,14 +44,14 @@
 def text(value: Any) -> str:
     """A string that is not empty."""
     if not isinstance(value, str) or not value:
-        raise expected("a text that is not empty", value)
+        raise expectation_error("a text that is not empty", value)
     return value
 
 
 def flag(value: Any) -> bool:
     """True or False."""
     if not isinstance(value, bool):
-        raise expected("True or False", value)
+        raise expectation_error("True or False", value)
     return value
 
 
@@ -60,18 +60,18 @@
 
     def check(value: Any) -> Any:
         if value not in choices:
-            raise expected("one of " + ", ".join(map(repr, choices)), value)
+            raise expectation_error("one of " + ", ".join(map(repr, choices)), value)
         return value
 
     return check
 
 
-def many(check_item: Check, minimum: int = 0) -> Callable[[Any], list[Any]]:
+def list_of(check_item: Check, minimum: int = 0) -> Callable[[Any], list[Any]]:
     """A check for a list of at least `minimum` items that each pass a check."""
 
     def check(value: Any) -> list[Any]:
         if not isinstance(value, (list, tuple)) or len(value) < minimum:
-            raise expected(f"a list of at least {minimum}" if minimum else "a list", value)
+            raise expectation_error(f"a list of at least {minimum}" if minimum else "a list", value)
         return [check_item(item) for item in value]
 
     return check
@@ -81,7 +81,7 @@
     """A domain name in lower case without the last dot (RFC 1035, section 2.3.1)."""
     labels = text(value).rstrip(".").lower().split(".")
     if len(value) > LONGEST_DOMAIN or not all(map(_is_label, labels)):
-        raise expected("a domain name of letters, digits and hyphens", value)
+        raise expectation_error("a domain name of letters, digits and hyphens", value)
     return ".".join(labels)
 
 
@@ -93,7 +93,7 @@
 def label(value: Any) -> str:
     """One label of a domain name."""
     if "." in text(value):
-        raise expected("one label without dots", value)
+        raise expectation_error("one label without dots", value)
     return domain(value)
 
 
@@ -102,7 +102,7 @@
     try:
         return str(ip_address(value))
     except ValueError:
-        raise expected("an IP address", value) from None
+        raise expectation_error("an IP address", value) from None
 
 
 def network(value: Any) -> str:
@@ -110,18 +110,20 @@
     try:
         return str(ip_network(value))
     except ValueError:
-        raise expected("a network such as 10.1.2.0/24 with no host bits set", value) from None
+        raise expectation_error(
+            "a network such as 10.1.2.0/24 with no host bits set", value
+        ) from None
 
 
-def endpoint(value: Any) -> tuple[str, int]:
+def address_and_port(value: Any) -> tuple[str, int]:
     """`ADDRESS:PORT` as the address and the port; an IPv6 address stands in brackets."""
     host, _, port = text(value).rpartition(":")
     if not port.isdigit() or not 0 < int(port) < 65536:
-        raise expected("ADDRESS:PORT", value)
+        raise expectation_error("ADDRESS:PORT", value)
     return address(host.strip("[]")), int(port)
 
 
-def key(value: Any) -> str:
+def secret_key(value: Any) -> str:
     """A key in hexadecimal digits."""
     try:
         if len(bytes.fromhex(text(value))) == KEY_BYTES:
@@ -132,5 +134,5 @@
 
 
 seconds = number(0.0, 86400.0)
-some_seconds = number(0.001, 86400.0)  # a time that is not 0
-part = number(0.0, 1.0)
+positive_seconds = number(0.001, 86400.0)  # a time that is not 0
+fraction = number(0.0, 1.0)
--- a/peatlead/settings/consistency.py
+++ b/peatlead/settings/consistency.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from .errors import SettingsError
-from .fields import expected
+from .fields import expectation_error
 
 Settings = dict[str, Any]  # by builtin: its values, or a list of them where it may be repeated
 
@@ -26,7 +26,7 @@
     seen = set()
     for name in names:
         if name in seen:
-            raise expected(f"each {what} once", name)
+            raise expectation_error(f"each {what} once", name)
         seen.add(name)
 
 
--- a/peatlead/settings/fields.py
+++ b/peatlead/settings/fields.py
@@ -13,13 +13,13 @@
 
     check: Check
     default: Any
-    meaning: str
+    description: str
 
 
 Schema = dict[str, dict[str, Field]]  # by builtin and field
 
 
-def expected(what: str, value: object) -> ValueError:
+def expectation_error(what: str, value: object) -> ValueError:
     """The error of a check.
 
     It is a plain ValueError, since it passes through the Starlark interpreter, which names an
--- a/peatlead/settings/starlark_runner.py
+++ b/peatlead/settings/starlark_runner.py
@@ -61,7 +61,7 @@
         except ValueError as error:
             raise ValueError(f"{path}: {error}") from None
     if field.default is REQUIRED:
-        raise ValueError(f"{path}: expected a value: {field.meaning}")
+        raise ValueError(f"{path}: expected a value: {field.description}")
     return field.default
 
 
--- a/peatlead/sources/endpoint_cache.py
+++ b/peatlead/sources/endpoint_cache.py
@@ -22,7 +22,7 @@
     def __init__(self, path: str | None) -> None:
         self.path = Path(path) if path else None  # None: nothing is cached
 
-    def keep(self, endpoint_list: EndpointList) -> None:
+    def save(self, endpoint_list: EndpointList) -> None:
         """Replace the cached list; raises OSError."""
         if self.path is None:
             return
@@ -31,7 +31,7 @@
                 "version": endpoint_list.version,
                 "written": endpoint_list.written,
                 "scope": "whole",
-                "hosts": endpoint_list.hosts,
+                "hosts": endpoint_list.endpoints,
             }
         )
         head = b"%s %d %s\n" % (MAGIC, FORMAT, checksum(body))
@@ -43,7 +43,7 @@
             os.fsync(file.fileno())
         os.replace(temporary_path, self.path)
 
-    def recall(self) -> tuple[EndpointList | None, str]:
+    def load(self) -> tuple[EndpointList | None, str]:
         """Return the cached list and "", or None and the reason why there is none."""
         if self.path is None:
             return None, "no folder is set"
--- a/peatlead/sources/endpoint_list.py
+++ b/peatlead/sources/endpoint_list.py
@@ -41,9 +41,11 @@
     scope: Scope
     version: int
     written: float  # seconds on the list's own clock
-    hosts: tuple[ListedEndpoint, ...]
-    bad: tuple[str, ...] = ()  # why entries were left out, one text each
-    unread: tuple[str | None, ...] = ()  # names of unusable entries; None: the name is unusable too
+    endpoints: tuple[ListedEndpoint, ...]
+    entry_errors: tuple[str, ...] = ()  # why entries were left out, one text each
+    unusable_names: tuple[
+        str | None, ...
+    ] = ()  # names of unusable entries; None: the name is unusable too
 
 
 class Document(msgspec.Struct):
@@ -79,8 +81,8 @@
         scope=document.scope,
         version=document.version,
         written=document.written,
-        hosts=tuple(endpoints.values()),
-        bad=tuple(errors),
+        endpoints=tuple(endpoints.values()),
+        entry_errors=tuple(errors),
     )
 
 
--- a/peatlead/sources/file_watch.py
+++ b/peatlead/sources/file_watch.py
@@ -45,7 +45,7 @@
         self.reported_unavailable = False
         self.task: asyncio.Task[None] | None = None
 
-    def remember(self, version: int) -> None:
+    def set_known_version(self, version: int) -> None:
         """Set the version known from the cache: an older list is not taken."""
         self.version = version
 
@@ -88,7 +88,7 @@
 
     def take(self, endpoint_list: EndpointList) -> None:
         """Pass a list on unless it is older than the last."""
-        for error in endpoint_list.bad:
+        for error in endpoint_list.entry_errors:
             self.log("list entry left out", path=str(self.path), why=error)
         if self.version is not None and endpoint_list.version < self.version:
             self.log(
--- a/peatlead/standin/dns_clients.py
+++ b/peatlead/standin/dns_clients.py
@@ -18,8 +18,8 @@
 
 from ..invariants.record import Recorder
 from ..net.http import RequestFailedError, connect
-from ..net.http.client import Exchange
-from ..net.streams import within
+from ..net.http.client import ClientConnection
+from ..net.streams import with_timeout
 from .resolvers import Resolver
 
 LOOKUP_TIMEOUT = 1.5  # seconds
@@ -99,7 +99,7 @@
     def __init__(self, habit: str, local: str) -> None:
         self.habit = habit
         self.local = local  # its own address
-        self.idle: dict[str, Exchange] = {}
+        self.idle: dict[str, ClientConnection] = {}
         self.last: Optional[str] = None  # the address that last responded
 
     def choose(self, addresses: list[str], rng: Random) -> list[str]:
@@ -112,12 +112,12 @@
             return [self.last] + [address for address in addresses if address != self.last]
         return addresses
 
-    def take_idle(self, address: str) -> Optional[Exchange]:
+    def take_idle(self, address: str) -> Optional[ClientConnection]:
         """Take the idle connection to an address, None where there is no usable one."""
         stream = self.idle.pop(address, None)
         return stream if stream is not None and stream.usable else None
 
-    def keep_idle(self, address: str, stream: Exchange) -> None:
+    def keep_idle(self, address: str, stream: ClientConnection) -> None:
         """Keep a usable connection for later requests, closing others past the limit."""
         if not stream.usable:
             return
@@ -268,16 +268,16 @@
         self._record_attempt(request, address, number, outcome, sent)
         return AttemptResult(outcome, address, may_retry(request.request_class, outcome, sent))
 
-    async def _connect(self, request: Request, address: str) -> Exchange:
+    async def _connect(self, request: Request, address: str) -> ClientConnection:
         deadline = min(request.deadline, self.loop.time() + CONNECT_TIMEOUT)
         place = (address, self.plan.port)
         return await connect(self.loop, place, deadline, request.client.local)
 
-    async def _send(self, request: Request, stream: Exchange, number: int) -> str:
+    async def _send(self, request: Request, stream: ClientConnection, number: int) -> str:
         """Send the request and return the outcome; raises RequestFailedError."""
         share = self.rng.uniform(*ATTEMPT_SHARE) if number < self.plan.retries else 1.0
         now = self.loop.time()
-        response = await stream.ask(
+        response = await stream.send_request(
             "POST",
             "/" + request.request_class.name,
             [("host", self.plan.name), ("req-id", request.id)],
@@ -288,7 +288,7 @@
 
     async def _choose(
         self, request: Request, number: int, repeats_at: Optional[str]
-    ) -> tuple[Optional[str], Optional[Exchange]]:
+    ) -> tuple[Optional[str], Optional[ClientConnection]]:
         """Return the address to try, None where none is known, and an idle connection to it."""
         client = request.client
         if repeats_at is not None:
@@ -308,7 +308,7 @@
         time_left = max(MIN_LOOKUP_TIMEOUT, deadline - self.loop.time())
         lookup = self.resolver.lookup(self.plan.name, network, self.plan.view)
         try:
-            return await within(min(LOOKUP_TIMEOUT, time_left), lookup)
+            return await with_timeout(min(LOOKUP_TIMEOUT, time_left), lookup)
         except TimeoutError:
             return None
 
--- a/peatlead/standin/hosts.py
+++ b/peatlead/standin/hosts.py
@@ -13,8 +13,8 @@
 import msgspec
 
 from ..invariants.record import Recorder
-from ..net.http import Server
-from ..net.orca import HEADER, write_report
+from ..net.http import ServerConnection
+from ..net.orca import LOAD_REPORT_HEADER, format_load_report
 from .endpoint_work import CountReport, HeavyRequests, Job, Plan, Pods, RequestCounts
 
 __all__ = ["Connection", "EndpointGroup", "Host", "Plan", "Pods"]
@@ -147,7 +147,7 @@
     ) -> None:
         mean = self.plan.work.get(request_class)
         if mean is None:
-            connection.answer(404, [], b"")
+            connection.respond(404, [], b"")
             return
         work = self._draw_work(request_class, mean)
         self._offer(now, work)
@@ -160,7 +160,7 @@
             return
         if len(self.queue) >= self.plan.room:
             self.count(connection.network, request_class).rejected += 1
-            connection.answer(503, [], b"full", self.draining)
+            connection.respond(503, [], b"full", self.draining)
             return
         job.repeat = self._is_repeat(job, now)
         connection.job = job
@@ -180,11 +180,11 @@
         counts.arrived += 1
         if self.rng.random() >= self.level(request_class, now):
             counts.shed += 1
-            connection.answer(429, [], b"shed", self.draining)
+            connection.respond(429, [], b"shed", self.draining)
             return True
         if self.rng.random() < self.errors:
             counts.errors += 1
-            connection.answer(500, [], b"error", self.draining)
+            connection.respond(500, [], b"error", self.draining)
             return True
         return False
 
@@ -200,7 +200,7 @@
         elif self.hung:
             self.held.append(connection)
         elif len(self.queue) >= self.plan.room:
-            connection.answer(503, [], b"full")
+            connection.respond(503, [], b"full")
         else:
             self.queue.append(Job("", "", CHECK_WORK, connection, now, is_check=True))
             self.advance()
@@ -280,7 +280,7 @@
         if self.rng.random() >= self.lost:
             util = f"{self._measure(now):.3f}"
             headers = [("host-name", self.plan.name), ("load-util", util)]
-            job.connection.answer(200, headers, b"done", self.draining)
+            job.connection.respond(200, headers, b"done", self.draining)
 
     def abandon(self, job: Job) -> None:
         """Note that the client of a job has gone; the work stays."""
@@ -298,7 +298,7 @@
             for network, by_class in self.counts.items()
         }
         body = msgspec.json.encode(CountReport(self.boot, classes, networks))
-        connection.answer(200, [(HEADER, write_report(report))], body)
+        connection.respond(200, [(LOAD_REPORT_HEADER, format_load_report(report))], body)
 
     # Life and faults.
 
@@ -341,7 +341,7 @@
     def _release(self) -> None:
         """Cut connections whose requests were held: their clients have long gone."""
         for connection in self.held:
-            connection.cut("was silent")
+            connection.abort("was silent")
         self.held = []
         self.loop.call_soon(self.advance)
 
@@ -351,12 +351,12 @@
             self.server.close()
             self.server = None
         for connection in list(self.connections):
-            connection.cut("stopped")
+            connection.abort("stopped")
         self.reset(cold=True)
         self.boots += 1
 
 
-class Connection(Server):
+class Connection(ServerConnection):
     """A client's connection to an endpoint."""
 
     def __init__(self, host: Host) -> None:
@@ -369,7 +369,7 @@
         """Register the connection, or cut it past the endpoint's limit."""
         self.network = self.peer[0].rpartition(".")[0] + ".0"
         if len(self.host.connections) >= self.host.plan.connections:
-            self.cut("too many connections")
+            self.abort("too many connections")
             return
         self.host.connections[self] = True
 
--- a/peatlead/standin/platform_discovery.py
+++ b/peatlead/standin/platform_discovery.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from typing import Any
 
-from ..net.http import Server
+from ..net.http import ServerConnection
 
 Endpoint = dict[str, Any]  # one entry of the list, with the names of the platform's protocol
 ACTIVE = "active"  # the lifecycle of an endpoint that serves
@@ -53,10 +53,10 @@
             self.watches.append(watch)
             return
         answer = {"generation": self.version, "reset": after < 0, "instances": changed}
-        watch.answer(200, [], json.dumps(answer).encode())
+        watch.respond(200, [], json.dumps(answer).encode())
 
 
-class DiscoveryAgent(Server):
+class DiscoveryAgent(ServerConnection):
     """A controller's connection to the discovery agent."""
 
     def __init__(self, endpoint_list: EndpointList) -> None:
--- a/peatlead/standin/platform_fleet.py
+++ b/peatlead/standin/platform_fleet.py
@@ -20,7 +20,7 @@
 from random import Random
 from typing import Any, NamedTuple
 
-from ..net.streams import Lines
+from ..net.streams import LineStream
 from .platform_discovery import ACTIVE, DiscoveryAgent, Endpoint, EndpointList
 from .platform_proxies import MessagePart, PacedChannel, ProxyState, QueuedMessage
 
@@ -61,7 +61,7 @@
     most_waiting: float  # the longest queue of any channel, in entries
 
 
-class ProxyStream(Lines):
+class ProxyStream(LineStream):
     """A proxy's stream to one controller."""
 
     def __init__(self, fleet: "Fleet", proxy: ProxyState, controller: str) -> None:
@@ -270,7 +270,7 @@
         former = self.streams.get(proxy)
         self.streams[proxy] = stream
         if former is not None:
-            former.cut("moved")
+            former.abort("moved")
         if self.plan.rehome and stream.controller != self._home(proxy):
             delay = self.rng.uniform(0.5, 1.0) * self.plan.rehome
             asyncio.get_running_loop().call_later(delay, self._go_home, proxy, stream)
@@ -344,7 +344,7 @@
         self.stopped = True
         self.server.close()
         for stream in [*self.streams.values(), *self.endpoint_list.watches]:
-            stream.cut("over")
+            stream.abort("over")
         for process in self.processes.values():
             process.kill()
             process.wait()
--- a/peatlead/standin/proxy_requests.py
+++ b/peatlead/standin/proxy_requests.py
@@ -9,7 +9,7 @@
 from ..grpc.resources import WeightedEndpoint
 from ..invariants.record import Recorder
 from ..net.http import RequestFailedError, connect
-from ..net.http.client import Exchange, Response
+from ..net.http.client import ClientConnection, Response
 from .dns_clients import OUTCOME_BY_STATUS, Kind, Outcome
 from .proxy_plan import TWO_CHOICES, Plan
 from .proxy_stats import EndpointTally, LoadStats
@@ -63,7 +63,7 @@
         self.record = record
         self.loop = asyncio.get_running_loop()
         self.stats = LoadStats(plan, self.loop.time())
-        self.idle: dict[str, list[Exchange]] = {}  # connections by address
+        self.idle: dict[str, list[ClientConnection]] = {}  # connections by address
         self.in_flight: defaultdict[str, int] = defaultdict(int)  # requests by address
         self.failures: defaultdict[str, int] = defaultdict(int)  # in a row, by address
         self.ejected_until: dict[str, float] = {}
@@ -164,15 +164,15 @@
 
     async def _connect(
         self, request: ProxyRequest, entry: WeightedEndpoint, start: float
-    ) -> Exchange:
+    ) -> ClientConnection:
         deadline = min(request.deadline, start + CONNECT_TIMEOUT)
         return await connect(self.loop, (entry.address, entry.port), deadline, self.plan.local)
 
     async def _send(
-        self, request: ProxyRequest, stream: Exchange, number: int, start: float
+        self, request: ProxyRequest, stream: ClientConnection, number: int, start: float
     ) -> Response:
         share = ATTEMPT_SHARE if number < request.max_attempts else 1.0
-        return await stream.ask(
+        return await stream.send_request(
             "POST",
             "/" + request.request_class.name,
             [("host", "x"), ("req-id", request.id)],
@@ -209,7 +209,7 @@
             self.ejected_until[address] = self.loop.time() + ejection
             self.failures[address] = 0
 
-    def _take_idle(self, address: str) -> Optional[Exchange]:
+    def _take_idle(self, address: str) -> Optional[ClientConnection]:
         streams = self.idle.get(address, [])
         while streams:
             stream = streams.pop()
--- a/peatlead/standin/resolvers.py
+++ b/peatlead/standin/resolvers.py
@@ -19,7 +19,7 @@
 import dns.rdatatype
 
 from ..invariants.record import Recorder
-from ..net.streams import Stream, within
+from ..net.streams import Stream, with_timeout
 
 Server = tuple[str, int]  # host, port
 CacheKey = tuple[str, str]  # name, client subnet or ""
@@ -199,7 +199,7 @@
         self.waiting[key] = self.loop.create_future()
         self.transport.sendto(wire, server)
         try:
-            data = await within(ATTEMPT_TIMEOUT, self.waiting[key])
+            data = await with_timeout(ATTEMPT_TIMEOUT, self.waiting[key])
             answer: Optional[dns.message.Message] = dns.message.from_wire(data)
             if answer is not None and answer.flags & dns.flags.TC:
                 answer = await ask_over_tcp(self.loop, server, self.address, wire)
--- a/peatlead/standin/secondary.py
+++ b/peatlead/standin/secondary.py
@@ -69,7 +69,7 @@
                 self.close()
         except (dns.exception.DNSException, KeyError, ValueError) as problem:
             self.outcome.set_result(f"refused: {type(problem).__name__} {problem}")
-            self.cut("refused")
+            self.abort("refused")
 
     def ended(self, reason: str) -> None:
         """Report a connection that ended before the transfer did."""
--- a/peatlead/standin/xds_proxies.py
+++ b/peatlead/standin/xds_proxies.py
@@ -255,7 +255,7 @@
     def _give_up(self, connection: Connection) -> None:
         """Leave a controller that may only be frozen, and go on reading what it sends."""
         self.given_up.append(connection)
-        self.loop.call_later(ABANDONED_FOR, connection.cut, "given up")
+        self.loop.call_later(ABANDONED_FOR, connection.abort, "given up")
 
     def _read_hints(self, metadata: dict[str, str]) -> None:
         """Store the controllers that were named, as "NAME=HOST:PORT,..."."""
@@ -461,7 +461,7 @@
         if tasks:
             await asyncio.wait(tasks, timeout=FINISH_TIMEOUT)
         for connection in self.given_up:
-            connection.cut("the day is over")
+            connection.abort("the day is over")
 
 
 class ProxyGroup:
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -15,7 +15,7 @@
 from peatlead.invariants.record import read_folder
 from peatlead.scenario.runner import free_port
 
-from ..standin_fleet import SCRIPT, play, until
+from ..standin_fleet import SCRIPT, run_with_standins, until
 
 SMALL_DAY = """
 day(length = 6, seed = 2)
@@ -77,8 +77,8 @@
 
     def test_log_diff_show_rollback_status_and_resume(self):
         async def case(world):
-            controller = await world.steward()
-            await until(lambda: len(world.named(controller)) == 4)
+            controller = await world.start_controller()
+            await until(lambda: len(world.answered_endpoints(controller)) == 4)
             first = str(controller.published.store.histories["view:desk0"].last)
             file = world.folder / "service.star"
             file.write_text(
@@ -95,8 +95,8 @@
                 return result.exit_code, result.output
 
             world.phases["h0"] = "draining"
-            world.write()
-            await until(lambda: world.named(controller) == {"h1", "h2", "h3"})
+            world.write_list()
+            await until(lambda: world.answered_endpoints(controller) == {"h1", "h2", "h3"})
             last = str(controller.published.store.histories["view:desk0"].last)
             ns1 = "--name", "ns1"
             code, output = await tables("log", "desk0", *ns1)
@@ -126,7 +126,7 @@
                 code, output = await tables(*arguments)
                 self.assertTrue(code and expected in output and "Traceback" not in output, output)
 
-        play(case)
+        run_with_standins(case)
 
 
 class DayCommandTest(unittest.TestCase):
--- a/tests/compatibility/test_mixed_fleet.py
+++ b/tests/compatibility/test_mixed_fleet.py
@@ -21,7 +21,7 @@
 from peatlead.controller.control_socket import ask_once
 from peatlead.standin.dns_clients import Kind
 from peatlead.standin.xds_proxies import Agent, Plan
-from tests.standin_fleet import SCRIPT, MemoryRecorder, play, until
+from tests.standin_fleet import SCRIPT, MemoryRecorder, run_with_standins, until
 
 # The adapter, with the imports above: all that is known here of names inside the program.
 
@@ -36,11 +36,11 @@
     controllers = [[address, world.port + 2] for address in ADDRESSES.values()]
     made = Agent(
         Plan(name, "north", "127.60.9.1", controllers, world.port, 5.0, KINDS),
-        world.chance,
+        world.random,
         MemoryRecorder(),
     )
     made.begin(asyncio.get_running_loop().time())
-    world.closing.append(lambda: setattr(made, "stopped", True))
+    world.cleanups.append(lambda: setattr(made, "stopped", True))
     return made
 
 
@@ -50,7 +50,7 @@
 
 
 def fail(world, host):
-    world.hosts[host].tell("errors", 1.0)
+    world.endpoints[host].tell("errors", 1.0)
 
 
 # The end of the adapter.
@@ -86,7 +86,7 @@
                 path=world.folder / "nodes.json",
             )
         )
-        world.closing.append(self.end)
+        world.cleanups.append(self.end)
 
     def start(self, name, text):
         """`text`: the folder of the program that runs."""
@@ -180,7 +180,9 @@
             archive.extractall(cls.earlier)
 
     def play(self, case):
-        play(lambda world: case(world, Pair(world, self.earlier)), script=SHARED, deep=False)
+        run_with_standins(
+            lambda world: case(world, Pair(world, self.earlier)), script=SHARED, deep=False
+        )
 
     def test_the_earlier_process_runs_the_earlier_text(self):
         said = subprocess.run(
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -103,13 +103,13 @@
 
 
 def list_of(path):
-    listing, why = EndpointCache(str(path)).recall()
+    listing, why = EndpointCache(str(path)).load()
     return {
         "why": why,
         "scope": listing.scope,
         "version": listing.version,
         "written": listing.written,
-        "hosts": [list(msgspec.structs.astuple(one)) for one in listing.hosts],
+        "hosts": [list(msgspec.structs.astuple(one)) for one in listing.endpoints],
     }
 
 
--- a/tests/controller/connections.py
+++ b/tests/controller/connections.py
@@ -43,7 +43,7 @@
 async def start_resolver(world, kind="keeps", servers=("127.1.0.1",)):
     """A stand-in resolver of a kind that asks these servers; it ends with the world."""
     addresses = [(server, world.port) for server in servers]
-    resolver = Resolver(kind, "127.20.9.1", addresses, world.chance, MemoryRecorder())
+    resolver = Resolver(kind, "127.20.9.1", addresses, world.random, MemoryRecorder())
     await resolver.begin()
-    world.closing.append(resolver.close)
+    world.cleanups.append(resolver.close)
     return resolver
--- a/tests/controller/test_dns_controller.py
+++ b/tests/controller/test_dns_controller.py
@@ -8,51 +8,51 @@
 
 from peatlead.net.http import connect
 
-from ..standin_fleet import play, until
+from ..standin_fleet import run_with_standins, until
 from .connections import dial, start_resolver
 
 
 class FromListToAnswerTest(unittest.TestCase):
     def test_a_request_reaches_the_endpoint_that_an_answer_named(self):
         async def case(world):
-            controller = await world.steward()
-            await until(lambda: world.named(controller))
+            controller = await world.start_controller()
+            await until(lambda: world.answered_endpoints(controller))
             addresses = await (await start_resolver(world)).lookup(
                 "desk0.api.example.org", "", "desk0"
             )
             now = asyncio.get_running_loop().time()
             stream = await connect(asyncio.get_running_loop(), (addresses[0], world.port), now + 1)
-            answer = await stream.ask(
+            answer = await stream.send_request(
                 "POST", "/file", [("host", "x"), ("req-id", "r1")], b"", now + 1
             )
             stream.close()
             endpoint = answer.headers["host-name"]
-            return answer.status, [(row[2], row[3]) for row in world.record.of("effect")] == [
+            return answer.status, [(row[2], row[3]) for row in world.record.rows_of("effect")] == [
                 (endpoint, "r1")
             ]
 
-        self.assertEqual(play(case), (200, True))
+        self.assertEqual(run_with_standins(case), (200, True))
 
     def test_a_silent_endpoint_leaves_answers_without_load_reports(self):
         async def case(world):
-            controller = await world.steward()
-            await until(lambda: len(world.named(controller)) == 4)
-            world.hosts[1].tell("silent", True)
-            await until(lambda: "h1" not in world.named(controller), 15.0)
+            controller = await world.start_controller()
+            await until(lambda: len(world.answered_endpoints(controller)) == 4)
+            world.endpoints[1].tell("silent", True)
+            await until(lambda: "h1" not in world.answered_endpoints(controller), 15.0)
             self.assertIn("host 1 dropped: probes", [more.get("text") for _, more in world.log])
 
-        play(case)
+        run_with_standins(case)
 
     def test_a_hung_endpoint_that_passes_shallow_health_checks_is_found_by_request_counts(self):
         async def case(world):
-            controller, loop = await world.steward(), asyncio.get_running_loop()
-            await until(lambda: len(world.named(controller)) == 4)
-            world.hosts[1].tell("hung", True)
+            controller, loop = await world.start_controller(), asyncio.get_running_loop()
+            await until(lambda: len(world.answered_endpoints(controller)) == 4)
+            world.endpoints[1].tell("hung", True)
 
             async def send_request(address):
                 try:
                     stream = await connect(loop, (address, world.port), loop.time() + 1)
-                    await stream.ask(
+                    await stream.send_request(
                         "POST", "/look", [("host", "x"), ("req-id", "r")], b"", loop.time() + 0.1
                     )
                     stream.close()
@@ -66,77 +66,77 @@
                     await asyncio.sleep(0.05)
 
             task = asyncio.ensure_future(send_requests())
-            await until(lambda: "h1" not in world.named(controller), 15.0)
+            await until(lambda: "h1" not in world.answered_endpoints(controller), 15.0)
             task.cancel()
             await asyncio.sleep(0.3)
             self.assertIn("host 1 dropped: sums", [more.get("text") for _, more in world.log])
 
-        play(case, deep=False)
+        run_with_standins(case, deep=False)
 
     def test_a_draining_endpoint_leaves_answers_and_its_name_goes(self):
         async def case(world):
-            controller = await world.steward()
-            await until(lambda: len(world.named(controller)) == 4)
+            controller = await world.start_controller()
+            await until(lambda: len(world.answered_endpoints(controller)) == 4)
             world.phases["h2"] = "draining"
-            world.write()
-            await until(lambda: "h2" not in world.named(controller))
+            world.write_list()
+            await until(lambda: "h2" not in world.answered_endpoints(controller))
             return controller.answers.exists(["h2", "hosts"]), controller.answers.exists(
                 ["h1", "hosts"]
             )
 
-        self.assertEqual(play(case), (False, True))
+        self.assertEqual(run_with_standins(case), (False, True))
 
     def test_an_empty_torn_or_wrong_list_changes_no_answer(self):
         async def case(world):
-            controller = await world.steward()
-            await until(lambda: len(world.named(controller)) == 4)
+            controller = await world.start_controller()
+            await until(lambda: len(world.answered_endpoints(controller)) == 4)
             await until(lambda: controller.planner.reports.count > 2)
-            world.extra = [
+            world.extra_entries = [
                 {"name": "ghost", "zone": "north", "address": "127.66.9.9", "phase": "ready"}
             ]
-            world.write()
+            world.write_list()
             await until(lambda: "ghost" in controller.answers.by_label)
             await asyncio.sleep(0.5)
-            self.assertEqual(world.named(controller), {"h0", "h1", "h2", "h3"})
-            world.write(b'{"version": 99, "hosts": [{"na')
+            self.assertEqual(world.answered_endpoints(controller), {"h0", "h1", "h2", "h3"})
+            world.write_list(b'{"version": 99, "hosts": [{"na')
             await until(lambda: any(event == "list not readable" for event, _ in world.log))
             kept, world.phases = world.phases, {}
-            world.extra, world.version = [], 200
-            world.write()
+            world.extra_entries, world.list_version = [], 200
+            world.write_list()
             await until(lambda: controller.endpoint_lists.source.version == 201)
             await asyncio.sleep(0.5)
             world.phases = kept
-            return world.named(controller)
+            return world.answered_endpoints(controller)
 
-        self.assertEqual(play(case), {"h0", "h1", "h2", "h3"})
+        self.assertEqual(run_with_standins(case), {"h0", "h1", "h2", "h3"})
 
     def test_a_controller_restarted_without_a_list_answers_as_before_at_once(self):
         async def case(world):
-            first = await world.steward()
-            await until(lambda: len(world.named(first)) == 4)
+            first = await world.start_controller()
+            await until(lambda: len(world.answered_endpoints(first)) == 4)
             tables = [[seat.lines for seat in view] for view in first.answers.seats]
             first.stop()
             (world.folder / "nodes.json").unlink()
-            restarted = await world.steward("ns2")
+            restarted = await world.start_controller("ns2")
             self.assertEqual(
-                world.named(restarted), set()
+                world.answered_endpoints(restarted), set()
             )  # its own memory is empty: it says so, it makes up nothing
             restarted.stop()
             await asyncio.sleep(0.02)
             (world.folder / "state" / "list-ns1").rename(world.folder / "state" / "list-ns2")
-            restarted = await world.steward("ns2")
-            await until(lambda: world.named(restarted))
+            restarted = await world.start_controller("ns2")
+            await until(lambda: world.answered_endpoints(restarted))
             await until(lambda: not restarted.channel.queue)
             return [[seat.lines for seat in view] for view in restarted.answers.seats] == tables
 
-        self.assertTrue(play(case))
+        self.assertTrue(run_with_standins(case))
 
 
 class FailuresTest(unittest.TestCase):
     def test_an_error_in_the_planner_ends_the_controller_and_is_logged(self):
         async def case(world):
-            controller = await world.steward()
-            await until(lambda: world.named(controller))
+            controller = await world.start_controller()
+            await until(lambda: world.answered_endpoints(controller))
             with mock.patch.object(
                 controller.planner, "end_round", side_effect=ZeroDivisionError("planted")
             ):
@@ -147,20 +147,20 @@
             return why, record["error"], bool(record["at"])
 
         self.assertEqual(
-            play(case),
+            run_with_standins(case),
             ("decide failed: ZeroDivisionError('planted')", "ZeroDivisionError('planted')", True),
         )
 
     def test_after_a_stall_no_answers_until_the_list_was_read(self):
         async def case(world):
-            controller, loop = await world.steward(), asyncio.get_running_loop()
-            await until(lambda: len(world.named(controller)) == 4)
+            controller, loop = await world.start_controller(), asyncio.get_running_loop()
+            await until(lambda: len(world.answered_endpoints(controller)) == 4)
             resolver = await start_resolver(world)
             self.assertTrue(await resolver.lookup("desk0.api.example.org", "", "desk0"))
             # It freezes: the list changes, a query waits in its socket, then all of its timers are due at once.
             controller.endpoint_lists.source.stop()
             world.phases["h0"] = "draining"
-            world.write()
+            world.write_list()
             controller.front.fresh_until = loop.time() - 5.0
             wire = dns.message.make_query("api.example.org", "A").to_wire()
             before = controller.front.unanswered
@@ -170,14 +170,14 @@
                 or controller.front.fresh_until > loop.time()
             )
             await until(lambda: controller.front.fresh_until > loop.time())
-            return "h0" in world.named(controller), "stood still" in dict(world.log)
+            return "h0" in world.answered_endpoints(controller), "stood still" in dict(world.log)
 
-        self.assertEqual(play(case), (False, True))
+        self.assertEqual(run_with_standins(case), (False, True))
 
     def test_resolvers_turn_from_a_frozen_controller_to_the_other(self):
         async def case(world):
-            controllers = [await world.steward("ns1"), await world.steward("ns2")]
-            await until(lambda: all(world.named(one) for one in controllers))
+            controllers = [await world.start_controller("ns1"), await world.start_controller("ns2")]
+            await until(lambda: all(world.answered_endpoints(one) for one in controllers))
             controllers[0].freshness.renew = lambda now: None
             controllers[0].front.fresh_until = 0.1
             resolver = await start_resolver(world, servers=("127.1.0.1", "127.1.0.2"))
@@ -186,11 +186,11 @@
                 for at in range(6)
             ]
 
-        self.assertEqual(play(case), [True] * 6)
+        self.assertEqual(run_with_standins(case), [True] * 6)
 
     def test_two_controllers_have_the_same_tables_for_a_view(self):
         async def case(world):
-            controllers = [await world.steward("ns1"), await world.steward("ns2")]
+            controllers = [await world.start_controller("ns1"), await world.start_controller("ns2")]
             await until(
                 lambda: all(
                     one.answers.seats[0][0].lines and not one.channel.queue for one in controllers
@@ -201,12 +201,12 @@
             ]
             return tables[0] == tables[1]
 
-        self.assertTrue(play(case))
+        self.assertTrue(run_with_standins(case))
 
     def test_an_address_in_use_raises_os_error_at_the_start(self):
         async def case(world):
-            await world.steward()
+            await world.start_controller()
             with self.assertRaises(OSError):
-                await world.steward()
+                await world.start_controller()
 
-        play(case)
+        run_with_standins(case)
--- a/tests/controller/test_dns_over_tcp.py
+++ b/tests/controller/test_dns_over_tcp.py
@@ -6,15 +6,15 @@
 import dns.message
 import dns.rcode
 
-from ..standin_fleet import play, until
+from ..standin_fleet import run_with_standins, until
 from .connections import dial, framed
 
 
 class DnsOverTcpTest(unittest.TestCase):
     def test_pipelined_queries_in_pieces_are_answered_in_order(self):
         async def case(world):
-            controller = await world.steward()
-            await until(lambda: world.named(controller))
+            controller = await world.start_controller()
+            await until(lambda: world.answered_endpoints(controller))
             stream = await dial(world)
             names = ["desk0.api.example.org", "example.com", "desk1.api.example.org"]
             data = b"".join(map(framed, names))
@@ -31,7 +31,7 @@
             return [(one.question[0].name.to_text(), one.rcode()) for one in answers]
 
         self.assertEqual(
-            play(case),
+            run_with_standins(case),
             [
                 ("desk0.api.example.org.", 0),
                 ("example.com.", dns.rcode.REFUSED),
@@ -42,8 +42,8 @@
     def test_idle_and_malformed_peers_are_cut_and_the_idlest_is_evicted(self):
         async def case(world):
             world.settings["dns"]["tcp_idle"], world.settings["dns"]["tcp_most"] = 0.3, 3
-            controller = await world.steward()
-            await until(lambda: world.named(controller))
+            controller = await world.start_controller()
+            await until(lambda: world.answered_endpoints(controller))
             streams = [await dial(world) for _ in range(4)]
             await until(lambda: controller.front.connections.evicted == 1)
             await until(lambda: streams[0].over.done())
@@ -52,4 +52,4 @@
             await until(lambda: streams[2].over.done() and streams[3].over.done())
             return len(controller.front.connections.streams)
 
-        self.assertEqual(play(case), 0)
+        self.assertEqual(run_with_standins(case), 0)
--- a/tests/controller/test_endpoint_registry.py
+++ b/tests/controller/test_endpoint_registry.py
@@ -30,7 +30,7 @@
             [zone["name"] for zone in settings()["zone"]], lambda *_, **__: None
         )
         listing = EndpointList(
-            "whole", 1, 0.0, read_document(document({**HOST, "zone": "mars"})).hosts
+            "whole", 1, 0.0, read_document(document({**HOST, "zone": "mars"})).endpoints
         )
         self.assertEqual(registry.endpoint_update(listing, 0.0).endpoints, ())
 
--- a/tests/controller/test_health_checks.py
+++ b/tests/controller/test_health_checks.py
@@ -3,13 +3,13 @@
 import asyncio
 import unittest
 
-from ..standin_fleet import play, until
+from ..standin_fleet import run_with_standins, until
 
 
 class HealthChecksTest(unittest.TestCase):
     def test_checks_in_flight_and_waiting_are_bounded(self):
         async def case(world):
-            controller = await world.steward()
+            controller = await world.start_controller()
             prober = controller.health_checks.prober
             await until(lambda: not prober.tasks)
             prober.settings = {**prober.settings, "at_once": 2, "waiting_most": 3}
@@ -17,18 +17,18 @@
                 prober.probe(endpoint, ("127.10.9.1", world.port))
             return len(prober.tasks), len(prober.waiting), prober.dropped
 
-        self.assertEqual(play(case), (2, 3, 5))
+        self.assertEqual(run_with_standins(case), (2, 3, 5))
 
     def test_admission_reaches_endpoints_with_checks_and_the_mean_of_two_controllers_counts(self):
         async def case(world):
-            controller = await world.steward()
-            await until(lambda: world.named(controller))
+            controller = await world.start_controller()
+            await until(lambda: world.answered_endpoints(controller))
             controller.health_checks.admission = {0: 0.4, 1: 1.0}
             now = asyncio.get_running_loop().time
-            await until(lambda: all(host.level("look", now()) == 0.4 for host in world.hosts))
-            world.hosts[0].levels["look", "other"] = 0.2, now()
-            self.assertAlmostEqual(world.hosts[0].level("look", now()), 0.3)
+            await until(lambda: all(host.level("look", now()) == 0.4 for host in world.endpoints))
+            world.endpoints[0].levels["look", "other"] = 0.2, now()
+            self.assertAlmostEqual(world.endpoints[0].level("look", now()), 0.3)
             # What a dead controller ordered must not hold for good.
-            return world.hosts[0].level("look", now() + 60.0)
+            return world.endpoints[0].level("look", now() + 60.0)
 
-        self.assertEqual(play(case), 1.0)
+        self.assertEqual(run_with_standins(case), 1.0)
--- a/tests/controller/test_many_proxies.py
+++ b/tests/controller/test_many_proxies.py
@@ -30,7 +30,7 @@
 from peatlead.grpc.server import DISCOVERY, LOADS
 from peatlead.net.in_memory_transport import InMemoryTransport
 
-from ..standin_fleet import GRPC_SCRIPT, play, until
+from ..standin_fleet import GRPC_SCRIPT, run_with_standins, until
 
 
 def client_connection():
@@ -197,7 +197,7 @@
 class MassReconnectionTest(unittest.TestCase):
     def test_all_rejoin_at_once_while_a_zone_drains_a_third_does_not_read_and_one_floods(self):
         async def case(world):
-            controller = await world.steward()
+            controller = await world.start_controller()
             received = []
             real = controller.planner.handlers[interface.EndpointStats]
             controller.planner.handlers[interface.EndpointStats] = lambda event: (
@@ -209,12 +209,12 @@
             await asyncio.gather(*(agent.begin() for agent in first))
             await until(lambda: all(agent.seen for agent in first))
             for agent in first:  # every one of them dials anew
-                agent.connection.cut("herd")
+                agent.connection.abort("herd")
             again = [Agent(number, grpc_address) for number in range(36)]
             world.phases.update(
                 {plan.name: "draining" for plan in world.plans if plan.zone == "south"}
             )
-            world.write()
+            world.write_list()
             await asyncio.gather(*(agent.begin() for agent in again))
             slow, reading = again[::3], [agent for number, agent in enumerate(again) if number % 3]
             for agent in slow:
@@ -234,7 +234,7 @@
             # One that reads nothing holds its newest state and no more, however often the list changes.
             for at in range(20):
                 world.phases["h0"] = "draining" if at % 2 else "ready"
-                world.write()
+                world.write_list()
                 await asyncio.sleep(0.03)
             calls = [
                 call
@@ -246,12 +246,12 @@
             for agent in slow:
                 agent.connection.transport.resume_reading()
             world.phases["h0"] = "ready"
-            world.write()
+            world.write_list()
             await until(lambda: all(agent.hosts and not drained & agent.hosts for agent in again))
             for agent in again:
-                agent.connection.cut("over")
+                agent.connection.abort("over")
 
-        play(case, script=GRPC_SCRIPT)
+        run_with_standins(case, script=GRPC_SCRIPT)
 
     def report(self, agent):
         """A load report with an unlisted endpoint, overflowing counts and a negative interval too."""
@@ -270,7 +270,7 @@
 
     def test_a_batch_longer_than_a_timer_round_brings_no_burst_of_rounds(self):
         async def case(world):
-            controller, fired = await world.steward(), []
+            controller, fired = await world.start_controller(), []
             loop, real = asyncio.get_running_loop(), controller.planner.decide
 
             def decide(now, events):
@@ -290,4 +290,4 @@
             self.assertGreater(min(gaps), 0.09)  # of the timer's own: never two in a row
             self.assertGreater(controller.overload.late, 0.0)
 
-        play(case, script=GRPC_SCRIPT)
+        run_with_standins(case, script=GRPC_SCRIPT)
--- a/tests/controller/test_operator_queries.py
+++ b/tests/controller/test_operator_queries.py
@@ -4,14 +4,14 @@
 
 from peatlead.controller.control_socket import Question, ask_once
 
-from ..standin_fleet import play, until
+from ..standin_fleet import run_with_standins, until
 
 
 class OperatorQueriesTest(unittest.TestCase):
     def test_answer_status_and_malformed_questions(self):
         async def case(world):
-            controller = await world.steward()
-            await until(lambda: len(world.named(controller)) == 4)
+            controller = await world.start_controller()
+            await until(lambda: len(world.answered_endpoints(controller)) == 4)
             address = "127.1.0.1", world.port + 1
             answer = await ask_once(address, {"ask": "answer", "view": "desk0"})
             self.assertEqual({line["host"] for line in answer["lines"]}, {"h0", "h1", "h2", "h3"})
@@ -25,12 +25,12 @@
             self.assertIn("expected a question", (await ask_once(address, ["junk"]))["error"])
             return (await ask_once(address, {"ask": "status"}))["channel"]["past"]
 
-        self.assertEqual(play(case), 0)
+        self.assertEqual(run_with_standins(case), 0)
 
     def test_why_describes_an_endpoint_from_the_planner(self):
         async def case(world):
-            controller = await world.steward()
-            await until(lambda: len(world.named(controller)) == 4)
+            controller = await world.start_controller()
+            await until(lambda: len(world.answered_endpoints(controller)) == 4)
             question = Question("why", host="h2")
             await until(lambda: controller.queries.why(question)["holders"], 5.0)
             unknown = controller.queries.why(Question("why", host="none"))
@@ -38,7 +38,7 @@
             holders = len(controller.planner.context.holders.subscribers(endpoint))
             return controller.queries.why(question), unknown, holders
 
-        answer, unknown, holders = play(case)
+        answer, unknown, holders = run_with_standins(case)
         self.assertIn("expected a host of the list", unknown["error"])
         self.assertEqual(
             list(answer)[:13],
@@ -67,12 +67,12 @@
 
     def test_drained_says_until_when_answers_may_name_an_endpoint(self):
         async def case(world):
-            controller = await world.steward()
-            await until(lambda: len(world.named(controller)) == 4)
+            controller = await world.start_controller()
+            await until(lambda: len(world.answered_endpoints(controller)) == 4)
             question = Question("drained", host="h2")
             before = controller.queries.drained(question)
             world.phases["h2"] = "draining"
-            world.write()
+            world.write_list()
             await until(
                 lambda: controller.queries.drained(question)[
                     "seconds until no kept answer names it"
@@ -82,4 +82,4 @@
             )
             return before["named by views"] > 0, controller.queries.drained(question)["phase"]
 
-        self.assertEqual(play(case), (True, "draining"))
+        self.assertEqual(run_with_standins(case), (True, "draining"))
--- a/tests/controller/test_pinned_tables.py
+++ b/tests/controller/test_pinned_tables.py
@@ -10,7 +10,7 @@
 from peatlead.lab.day import play_day
 from peatlead.scenario.script import load_day
 
-from ..standin_fleet import play, until
+from ..standin_fleet import run_with_standins, until
 
 
 def ask(controller, do, **args):
@@ -22,12 +22,12 @@
 
     def test_a_rollback_restores_the_old_table_without_draining_endpoints(self):
         async def case(world):
-            controller = await world.steward()
-            await until(lambda: len(world.named(controller)) == 4)
+            controller = await world.start_controller()
+            await until(lambda: len(world.answered_endpoints(controller)) == 4)
             before = ask(controller, "show", proxy="desk0")["version"]
             world.phases["h0"] = "draining"
-            world.write()
-            await until(lambda: world.named(controller) == {"h1", "h2", "h3"})
+            world.write_list()
+            await until(lambda: world.answered_endpoints(controller) == {"h1", "h2", "h3"})
             log = ask(controller, "log", proxy="desk0")["versions"]
             self.assertTrue(
                 any("h0" in cause and "drains" in cause for one in log for cause in one["causes"]),
@@ -58,20 +58,20 @@
                 over=0.0,
             )
             world.phases["h1"] = "draining"
-            world.write()
-            await until(lambda: world.named(controller) == {"h2", "h3"})
+            world.write_list()
+            await until(lambda: world.answered_endpoints(controller) == {"h2", "h3"})
             self.assertEqual(ask(controller, "show", proxy="desk0")["pinned by"], "ns1-1")
 
-        play(case)
+        run_with_standins(case)
 
     def test_a_rollback_past_the_removal_of_a_zone(self):
         async def case(world):
-            controller = await world.steward()
-            await until(lambda: len(world.named(controller)) == 4)
+            controller = await world.start_controller()
+            await until(lambda: len(world.answered_endpoints(controller)) == 4)
             before = ask(controller, "show", proxy="desk1")["version"]
             world.phases.update(h1="draining", h3="draining")  # all of the south, desk1's own zone
-            world.write()
-            await until(lambda: world.named(controller, "desk1") == {"h0", "h2"})
+            world.write_list()
+            await until(lambda: world.answered_endpoints(controller, "desk1") == {"h0", "h2"})
             ask(
                 controller,
                 "pin",
@@ -86,19 +86,19 @@
                 controller, "pin", dry=True, whom="zone", which="south", target="back", to="60"
             )
             self.assertFalse(dry.get("error"))
-            self.assertEqual(world.named(controller, "desk1"), {"h0", "h2"})
+            self.assertEqual(world.answered_endpoints(controller, "desk1"), {"h0", "h2"})
 
-        play(case)
+        run_with_standins(case)
 
     def test_new_endpoints_enter_only_after_the_pin_ends(self):
         async def case(world):
             world.phases.pop("h3")
-            world.write()
-            controller = await world.steward()
-            await until(lambda: len(world.named(controller)) == 3)
+            world.write_list()
+            controller = await world.start_controller()
+            await until(lambda: len(world.answered_endpoints(controller)) == 3)
             pin = ask(controller, "pin", whom="all", over=0.0, by="test")["pin"]
             world.phases["h3"] = "ready"
-            world.write()
+            world.write_list()
             number = controller.views.by_name["desk0"].number
             await until(lambda: len(controller.planned_tables(number)[0][1]) == 4)
             self.assertEqual(len(ask(controller, "show", proxy="desk0")["items"]), 3)
@@ -106,47 +106,47 @@
             ask(controller, "resume", pin=pin, over=0.0)
             await until(lambda: len(ask(controller, "show", proxy="desk0")["items"]) == 4)
 
-        play(case)
+        run_with_standins(case)
 
     def test_a_pin_and_its_target_survive_a_restart(self):
         async def case(world):
-            controller = await world.steward()
-            await until(lambda: len(world.named(controller)) == 4)
+            controller = await world.start_controller()
+            await until(lambda: len(world.answered_endpoints(controller)) == 4)
             pin = ask(controller, "pin", whom="all", over=0.0)["pin"]
             await until(lambda: controller.published.covered)
             versions = controller.published.store.entry_count
             controller.published.log.close = lambda: None  # killed: nothing is closed
             controller.stop()
             await asyncio.sleep(0.05)  # its sockets are closed by the loop
-            restarted = await world.steward()
+            restarted = await world.start_controller()
             self.assertIn(pin, restarted.published.pins.standing())
             self.assertGreaterEqual(restarted.published.store.entry_count, versions)
-            await until(lambda: len(world.named(restarted)) == 4)
+            await until(lambda: len(world.answered_endpoints(restarted)) == 4)
             self.assertEqual(ask(restarted, "status")["pins"][0]["target not known"], [])
 
-        play(case)
+        run_with_standins(case)
 
     def test_a_restarted_controller_refuses_a_list_older_than_the_stored_one(self):
         # Seed 80149 of the lab: killed after a drain, it came back to an old list and named the drained endpoint again.
         async def case(world):
-            controller = await world.steward()
+            controller = await world.start_controller()
             old = (world.folder / "nodes.json").read_bytes()
             world.phases["h0"] = "draining"
-            world.write()
-            await until(lambda: world.named(controller) == {"h1", "h2", "h3"})
+            world.write_list()
+            await until(lambda: world.answered_endpoints(controller) == {"h1", "h2", "h3"})
             controller.stop()
             await asyncio.sleep(0.05)
-            world.write(old)
-            restarted = await world.steward()
+            world.write_list(old)
+            restarted = await world.start_controller()
             await until(lambda: any(event == "older list not taken" for event, _ in world.log))
-            await until(lambda: world.named(restarted) == {"h1", "h2", "h3"})
+            await until(lambda: world.answered_endpoints(restarted) == {"h1", "h2", "h3"})
 
-        play(case)
+        run_with_standins(case)
 
     def test_invalid_questions_get_an_error_and_change_nothing(self):
         async def case(world):
-            controller = await world.steward()
-            await until(lambda: len(world.named(controller)) == 4)
+            controller = await world.start_controller()
+            await until(lambda: len(world.answered_endpoints(controller)) == 4)
             for do, args in (
                 ("x", {}),
                 ("show", {}),
@@ -160,7 +160,7 @@
                 self.assertIn("error", ask(controller, do, **args), (do, args))
             self.assertFalse(controller.published.pins.held)
 
-        play(case)
+        run_with_standins(case)
 
 
 def play_scenario(text, seed):
@@ -208,7 +208,7 @@
 
     def test_malformed_target_messages_are_refused(self):
         async def case(world):
-            controller = await world.steward()
+            controller = await world.start_controller()
             for malformed in (
                 b"",
                 b"junk",
@@ -220,7 +220,7 @@
             self.assertEqual(sum(event == "wish refused" for event, _ in world.log), 5)
             self.assertFalse(controller.published.offered)
 
-        play(case)
+        run_with_standins(case)
 
     def test_a_rollback_of_a_rollback_by_two_controllers_at_once(self):
         self.play_without_breach(
--- a/tests/controller/test_propagation.py
+++ b/tests/controller/test_propagation.py
@@ -10,7 +10,7 @@
 from peatlead.controller.propagation import PropagationTrace
 from peatlead.tables.version import Version
 
-from ..standin_fleet import play, until
+from ..standin_fleet import run_with_standins, until
 from ..test_scale import GRPC
 
 
@@ -94,7 +94,7 @@
 class WhyQueryTest(unittest.TestCase):
     def test_a_drain_is_traced_to_the_last_proxy(self):
         async def case(world):
-            controller = await world.steward()
+            controller = await world.start_controller()
             agents = [Agent(at, ("127.1.0.1", world.port + 2)) for at in range(6)]
             await asyncio.gather(*(agent.begin() for agent in agents))
             await until(lambda: all(len(agent.hosts) > 1 for agent in agents))
@@ -105,7 +105,7 @@
             )
             holders = sum(address in agent.hosts for agent in agents)
             world.phases[name] = "draining"
-            world.write()
+            world.write_list()
             await until(lambda: not any(address in agent.hosts for agent in agents))
             index = controller.registry.index[name]
             await until(lambda: index not in controller.propagation.open)
@@ -125,6 +125,6 @@
                 ],
             )
             for agent in agents:
-                agent.connection.cut("over")
+                agent.connection.abort("over")
 
-        play(case, script=GRPC)
+        run_with_standins(case, script=GRPC)
--- a/tests/dns/test_zone_transfer.py
+++ b/tests/dns/test_zone_transfer.py
@@ -11,7 +11,7 @@
 from peatlead.dns.serials import newer
 from peatlead.standin.secondary import Secondary
 
-from ..standin_fleet import SCRIPT, play, until
+from ..standin_fleet import SCRIPT, run_with_standins, until
 
 ORIGIN = dns.name.from_text("example.org.")
 SECONDARY = "127.1.0.77"
@@ -25,17 +25,17 @@
         """Run case(world, controller, secondary) once the secondary has the current version."""
 
         async def with_secondary(world):
-            controller = await world.steward()
+            controller = await world.start_controller()
             secondary = Secondary(ORIGIN, (SECONDARY, world.port + 2), ("127.1.0.1", world.port))
             await secondary.open()
-            world.closing.append(secondary.close)
+            world.cleanups.append(secondary.close)
             await until(
                 lambda: secondary.serial is not None
                 and secondary.serial == controller.secondaries.history.serial
             )
             await case(world, controller, secondary)
 
-        play(with_secondary, script=SCRIPT_WITH_SECONDARY, **options)
+        run_with_standins(with_secondary, script=SCRIPT_WITH_SECONDARY, **options)
 
     def test_a_notified_secondary_fetches_differences_and_holds_verified_versions(self):
         async def case(world, controller, secondary):
@@ -43,7 +43,7 @@
             first_serial = secondary.serial
             self.assertTrue(secondary.sound())
             world.phases["h0"] = "draining"
-            world.write()
+            world.write_list()
             await until(lambda: secondary.zone.get_node("h0.hosts") is None)
             self.assertNotIn(
                 "h0.hosts", str(secondary.zone.get_rdataset("_http._tcp.desk0.api", "SRV"))
@@ -60,7 +60,7 @@
         async def case(world, controller, secondary):
             secondary.zone.delete_rdataset("desk0.api", "A")  # its copy is damaged
             world.phases["h1"] = "draining"
-            world.write()
+            world.write_list()
             await until(
                 lambda: newer(controller.secondaries.history.serial, secondary.serial)
                 or secondary.fetched["done"] > 1
@@ -155,7 +155,7 @@
 class LossyPathTest(unittest.TestCase):
     def test_lost_doubled_and_delayed_messages_end_on_the_same_verified_version(self):
         async def case(world):
-            controller = await world.steward()
+            controller = await world.start_controller()
             secondary = Secondary(ORIGIN, (SECONDARY, world.port + 3), ("127.1.0.1", world.port))
             await secondary.open()
             path = LossyPath((SECONDARY, world.port + 3), random.Random(3))
@@ -163,9 +163,9 @@
             transport, _ = await loop.create_datagram_endpoint(
                 lambda: path, local_addr=(SECONDARY, world.port + 2)
             )
-            world.closing += [secondary.close, transport.close]
+            world.cleanups += [secondary.close, transport.close]
             await until(lambda: secondary.serial is not None, 30.0)
-            await world.shake(12, 0.3)
+            await world.change_list_repeatedly(12, 0.3)
             await until(
                 lambda: secondary.serial == controller.secondaries.history.serial
                 and secondary.zone.get_node("h1.hosts") is None
@@ -177,4 +177,4 @@
             self.assertEqual(path.copies_sent, {0, 1, 2})
             self.assertEqual(set(secondary.fetched), {"done"})
 
-        play(case, script=SCRIPT_WITH_SECONDARY)
+        run_with_standins(case, script=SCRIPT_WITH_SECONDARY)
--- a/tests/grpc/simulated_fleet.py
+++ b/tests/grpc/simulated_fleet.py
@@ -6,7 +6,7 @@
 from peatlead.standin.dns_clients import Kind
 from peatlead.standin.xds_proxies import Agent, Plan
 
-from ..standin_fleet import SCRIPT, MemoryRecorder, play
+from ..standin_fleet import SCRIPT, MemoryRecorder, run_with_standins
 
 FLEET = SCRIPT
 for at in (1, 2):
@@ -42,14 +42,14 @@
         world.settings["limits"]["messages_most"] = 40
         return await case(world)
 
-    return play(one, script=FLEET, **more)
+    return run_with_standins(one, script=FLEET, **more)
 
 
 def connect_proxy(world, name="p0", order=(1, 2, 3)):
     """Starts a simulated proxy that knows the controllers in this order."""
     controllers = [[f"127.1.0.{at}", world.port + 2] for at in order]
     plan = Plan(name, "north", "127.60.9.1", controllers, world.port, 20.0, KINDS)
-    proxy = Agent(plan, world.chance, MemoryRecorder())
+    proxy = Agent(plan, world.random, MemoryRecorder())
     proxy.begin(asyncio.get_running_loop().time())
-    world.closing.append(lambda: setattr(proxy, "stopped", True))
+    world.cleanups.append(lambda: setattr(proxy, "stopped", True))
     return proxy
--- a/tests/grpc/test_failover.py
+++ b/tests/grpc/test_failover.py
@@ -9,7 +9,7 @@
 
 class FailoverTest(unittest.TestCase):
     async def three(self, world):
-        controllers = {name: await world.steward(name) for name in ("ns1", "ns2", "ns3")}
+        controllers = {name: await world.start_controller(name) for name in ("ns1", "ns2", "ns3")}
         await until(
             lambda: all(
                 len(controller.fleet.members.live()) == 3 for controller in controllers.values()
@@ -61,7 +61,7 @@
                 )
             )
             world.phases["h1"] = "draining"
-            world.write()
+            world.write_list()
             await until(
                 lambda: all(
                     {line.address for line in proxy.lines["look"]}
@@ -84,7 +84,7 @@
                 ),
                 15,
             )
-            orders = [row for proxy in proxies for row in proxy.record.of("order")]
+            orders = [row for proxy in proxies for row in proxy.record.rows_of("order")]
             versions = [(row[2], row[4], row[5]) for row in orders if row[6] == "applied"]
             self.assertEqual(len(versions), len(set(versions)))
             for proxy in proxies:
@@ -130,7 +130,8 @@
                 lambda: any(self.owner({k: s}) for k, s in controllers.items() if k != first), 15
             )
             await until(
-                lambda: proxy.fence.newest[0] > 1 and proxy.record.of("order")[-1][6] == "applied",
+                lambda: proxy.fence.newest[0] > 1
+                and proxy.record.rows_of("order")[-1][6] == "applied",
                 15,
             )
             connection.received = real
@@ -140,7 +141,7 @@
             for kind in session.discovery.subscriptions.values():
                 kind.nonce = ""
             session.changed()
-            await until(lambda: any(row[6] == "old" for row in proxy.record.of("order")))
+            await until(lambda: any(row[6] == "old" for row in proxy.record.rows_of("order")))
             self.assertEqual(proxy.lines, held)
             await proxy.finish()
 
--- a/tests/grpc/test_http2.py
+++ b/tests/grpc/test_http2.py
@@ -16,7 +16,7 @@
 from peatlead.grpc.server import DISCOVERY
 from peatlead.net.streams import Stream
 
-from ..standin_fleet import play, until
+from ..standin_fleet import run_with_standins, until
 from .simulated_fleet import run_fleet
 
 
@@ -29,7 +29,7 @@
             return made[-1]
 
         server = await loop.create_server(connect, "127.1.0.1", 0)
-        world.closing.append(server.close)
+        world.cleanups.append(server.close)
         return server.sockets[0].getsockname(), made
 
     def test_a_slow_reader_is_bounded_and_gets_all_once_it_reads(self):
@@ -65,7 +65,7 @@
             await until(lambda: got.count(big) >= 5)
             client.close()
 
-        play(case)
+        run_with_standins(case)
 
     def test_a_call_ends_at_its_deadline(self):
         async def case(world):
@@ -79,19 +79,19 @@
             )
             return await asyncio.wait_for(over, 5)
 
-        self.assertEqual(play(case), (4, "its deadline has passed"))
+        self.assertEqual(run_with_standins(case), (4, "its deadline has passed"))
 
     def test_half_open_connections_are_found_by_pings(self):
         async def case(world):
             loop = asyncio.get_running_loop()
             silent = await loop.create_server(Stream, "127.1.0.1", 0)
-            world.closing.append(silent.close)
+            world.cleanups.append(silent.close)
             client = await dial(silent.sockets[0].getsockname(), ping_every=0.1, ping_wait=0.1)
             over = loop.create_future()
             client.ended_all = over.set_result
             return await over
 
-        self.assertEqual(play(case), "no answer to pings")
+        self.assertEqual(run_with_standins(case), "no answer to pings")
 
     def test_floods_and_invalid_frames_end_the_connection(self):
         async def case(world):
@@ -123,7 +123,9 @@
             await until(lambda: all(one.transport is None for one in made))
             return ended, [len(one.calls) for one in made]
 
-        self.assertEqual(play(case), (["pings", "settings", "resets", "junk"], [0] * 4))
+        self.assertEqual(
+            run_with_standins(case), (["pings", "settings", "resets", "junk"], [0] * 4)
+        )
 
     def test_mutated_frames_raise_nothing(self):
         async def case(world):
@@ -144,7 +146,7 @@
                 1, frame(discovery_pb2.DiscoveryRequest(type_url=ENDPOINTS).SerializeToString())
             )
             whole = client.data_to_send()
-            await world.steward()
+            await world.start_controller()
             loop = asyncio.get_running_loop()
             for _ in range(300):
                 data = bytearray(whole)
--- a/tests/grpc/test_incremental.py
+++ b/tests/grpc/test_incremental.py
@@ -15,7 +15,7 @@
 
     def test_a_proxy_converges_to_the_last_published_state_over_a_lossy_link(self):
         async def case(world):
-            controller, rng, cuts, pieces = await world.steward(), random.Random(7), [], []
+            controller, rng, cuts, pieces = await world.start_controller(), random.Random(7), [], []
 
             async def carry(reader, writer, other):
                 while piece := await reader.read(rng.randrange(1, 2000)):
@@ -36,7 +36,7 @@
                     pass
 
             server = await asyncio.start_server(serve, "127.1.0.9", world.port + 2)
-            world.closing.append(server.close)
+            world.cleanups.append(server.close)
             plan = Plan(
                 "p0",
                 "north",
@@ -47,11 +47,11 @@
                 KINDS,
                 incremental=True,
             )
-            proxy = Agent(plan, world.chance, MemoryRecorder())
+            proxy = Agent(plan, world.random, MemoryRecorder())
             proxy.begin(asyncio.get_running_loop().time())
-            world.closing.append(lambda: setattr(proxy, "stopped", True))
+            world.cleanups.append(lambda: setattr(proxy, "stopped", True))
             await until(lambda: len(proxy.lines.get("look", ())) == 4)
-            await world.shake(40, 0.08)
+            await world.change_list_repeatedly(40, 0.08)
 
             def same():
                 items = controller.published.store.histories["p0"].items
@@ -66,7 +66,7 @@
             self.assertNotIn(
                 "127.10.9.2", {line.address for lines in proxy.lines.values() for line in lines}
             )
-            self.assertFalse([row for row in proxy.record.of("held") if not row[7]])
+            self.assertFalse([row for row in proxy.record.rows_of("held") if not row[7]])
             self.assertTrue(cuts)
             await proxy.finish()
 
--- a/tests/grpc/test_server.py
+++ b/tests/grpc/test_server.py
@@ -22,7 +22,7 @@
 class ServerTest(unittest.TestCase):
     def test_a_proxy_joins_gets_endpoints_and_its_reports_are_summed(self):
         async def case(world):
-            controller = await world.steward()
+            controller = await world.start_controller()
             proxy = connect_proxy(world, order=(1,))
             await until(lambda: len(proxy.lines.get("look", ())) == 4 and proxy.tables.retries)
             received = []
@@ -43,7 +43,7 @@
             )
             self.assertGreater(received[0].mean_latency, 0.005)
             world.phases["h1"] = "draining"
-            world.write()
+            world.write_list()
             await until(
                 lambda: {line.address for line in proxy.lines["look"]}
                 == {"127.10.9.1", "127.10.9.3", "127.10.9.4"}
@@ -54,7 +54,7 @@
 
     def test_an_independent_client_completes_both_streams(self):
         async def case(world):
-            await world.steward()
+            await world.start_controller()
             loop, found = asyncio.get_running_loop(), {}
 
             def client():
@@ -114,7 +114,7 @@
         """It ignores our stamps: assignments name the collections, these contain the endpoints."""
 
         async def case(world):
-            controller = await world.steward()
+            controller = await world.start_controller()
             loop, found, asks = asyncio.get_running_loop(), {}, queue.Queue()
 
             def ask(**fields):
@@ -156,7 +156,7 @@
             await until(lambda: "first" in found)
             await until(lambda: controller.proxies.acks >= 2)
             world.phases["h1"] = "draining"
-            world.write()
+            world.write_list()
             await task
             return found
 
@@ -167,13 +167,13 @@
 
     def test_a_rejecting_proxy_keeps_its_old_endpoints_and_is_reported(self):
         async def case(world):
-            controller = await world.steward()
+            controller = await world.start_controller()
             proxy = connect_proxy(world, order=(1,))
             await until(lambda: len(proxy.lines.get("look", ())) == 4)
             before, real = dict(proxy.lines), proxy._apply
             proxy._apply = lambda response: (_ for _ in ()).throw(ValueError("planted"))
             world.phases["h1"] = "draining"
-            world.write()
+            world.write_list()
             await until(lambda: controller.proxies.refusals)
             self.assertEqual(proxy.lines, before)
             self.assertEqual(dict(world.log)["assignment refused"]["why"], "planted")
--- a/tests/health/test_load_report_counts.py
+++ b/tests/health/test_load_report_counts.py
@@ -13,7 +13,7 @@
     def make_counts(self):
         views = {"10.1.0.0": View(0, "desk0", 70, 0, 1.0), "10.2.0.0": View(1, "desk1", 71, 1, 1.0)}
         counts = LoadReportCounts(["look", "file"], views.get, 0, 1.0)
-        self.assertEqual(counts.due(0.0, [70, 71]), [])
+        self.assertEqual(counts.events_due(0.0, [70, 71]), [])
         return counts
 
     def report(self, boot="b", **rows):
@@ -23,15 +23,15 @@
 
     def test_stats_are_the_difference_of_counters_by_zone_of_the_view(self):
         counts = self.make_counts()
-        counts.take(3, self.report(**{"10_1_0_0": [10, 9, 1, 0, 0, 0, 4.5]}), {"util": 0.4})
-        counts.take(
+        counts.add_report(3, self.report(**{"10_1_0_0": [10, 9, 1, 0, 0, 0, 4.5]}), {"util": 0.4})
+        counts.add_report(
             3,
             self.report(
                 **{"10_1_0_0": [16, 13, 1, 0, 2, 0, 6.5], "10_2_0_0": [1, 1, 0, 0, 0, 0, 0.1]}
             ),
             None,
         )
-        events = counts.due(2.0, [70, 71])
+        events = counts.events_due(2.0, [70, 71])
         self.assertEqual(
             events,
             [
@@ -44,29 +44,33 @@
 
     def test_counters_restart_with_a_new_process_and_decreasing_ones_are_ignored(self):
         counts = self.make_counts()
-        counts.take(3, self.report(**{"10_1_0_0": [100, 90, 0, 0, 0, 0, 9.0]}), None)
-        counts.take(3, self.report("c", **{"10_1_0_0": [4, 4, 0, 0, 0, 0, 1.0]}), None)
-        counts.take(3, self.report("c", **{"10_1_0_0": [1, 1, 0, 0, 0, 0, 0.5]}), None)
+        counts.add_report(3, self.report(**{"10_1_0_0": [100, 90, 0, 0, 0, 0, 9.0]}), None)
+        counts.add_report(3, self.report("c", **{"10_1_0_0": [4, 4, 0, 0, 0, 0, 1.0]}), None)
+        counts.add_report(3, self.report("c", **{"10_1_0_0": [1, 1, 0, 0, 0, 0, 0.5]}), None)
         (stats,) = [
-            event for event in counts.due(1.0, [70, 71]) if type(event) is interface.EndpointStats
+            event
+            for event in counts.events_due(1.0, [70, 71])
+            if type(event) is interface.EndpointStats
         ]
         self.assertEqual((stats.attempts, stats.errors), (4, 0))
 
     def test_requests_given_up_by_clients_count_as_errors(self):
         counts = self.make_counts()
-        counts.take(3, self.report(**{"10_1_0_0": [0, 0, 0, 0, 0, 0, 0.0]}), None)
-        counts.take(3, self.report(**{"10_1_0_0": [9, 0, 0, 0, 8, 0, 0.0]}), None)
+        counts.add_report(3, self.report(**{"10_1_0_0": [0, 0, 0, 0, 0, 0, 0.0]}), None)
+        counts.add_report(3, self.report(**{"10_1_0_0": [9, 0, 0, 0, 8, 0, 0.0]}), None)
         (stats,) = [
-            event for event in counts.due(1.0, [70, 71]) if type(event) is interface.EndpointStats
+            event
+            for event in counts.events_due(1.0, [70, 71])
+            if type(event) is interface.EndpointStats
         ]
         self.assertEqual((stats.attempts, stats.errors), (8, 8))
 
     def test_a_passed_health_check_counts_for_an_idle_endpoint(self):
         counts = self.make_counts()
-        counts.probed(3, True, 0.01)
-        counts.probed(4, False, 0.8)
+        counts.add_probe(3, True, 0.01)
+        counts.add_probe(4, False, 0.8)
         self.assertEqual(
-            counts.due(1.0, [70, 71]), [interface.EndpointStats(3, 0, 1, 0, 1.0, 0.01, None)]
+            counts.events_due(1.0, [70, 71]), [interface.EndpointStats(3, 0, 1, 0, 1.0, 0.01, None)]
         )
 
     def test_malformed_reports_are_ignored(self):
@@ -74,7 +78,7 @@
             self.assertIsNone(parse_endpoint_report(body))
         counts = self.make_counts()
         for rows in ([[1, 2]], [["a"]], []):
-            counts.take(
+            counts.add_report(
                 3, EndpointReport("b", ["look", "other"], {"10.1.0.0": rows, "junk": rows}), None
             )
-        self.assertEqual(counts.due(1.0, [70, 71]), [])
+        self.assertEqual(counts.events_due(1.0, [70, 71]), [])
--- a/tests/lab/test_simulated_streams.py
+++ b/tests/lab/test_simulated_streams.py
@@ -90,6 +90,6 @@
             for _ in range(300):
                 client.send(bytes(65_536))
             await asyncio.sleep(1)
-            return client.end_reason or client.why
+            return client.end_reason or client.close_reason
 
         self.assertEqual(self.run_case(case), "slow reader")
--- a/tests/net/test_http.py
+++ b/tests/net/test_http.py
@@ -4,11 +4,11 @@
 import unittest
 
 from peatlead.net import http
-from peatlead.net.http import Exchange, RequestFailedError, Server, write_message
+from peatlead.net.http import ClientConnection, RequestFailedError, ServerConnection, encode_message
 from peatlead.net.in_memory_transport import InMemoryTransport
 
 
-class RecordingServer(Server):
+class RecordingServer(ServerConnection):
     """Records the requests; a test answers them."""
 
     def __init__(self):
@@ -38,10 +38,10 @@
         server, transport = self.start()
         server.received(b"GET /1 HTTP/1.1\r\nHost: x\r\n\r\nGET /2 HTTP/1.1\r\nHost: x\r\n\r\n")
         self.assertEqual([path for _, path, _, _ in server.served], ["/1"])
-        server.answer(200, [], b"one")
+        server.respond(200, [], b"one")
         await asyncio.sleep(0)
         self.assertEqual([path for _, path, _, _ in server.served], ["/1", "/2"])
-        server.answer(200, [], b"two", last=True)
+        server.respond(200, [], b"two", last=True)
         self.assertTrue(transport.closed)
         self.assertLess(transport.out.index(b"one"), transport.out.index(b"two"))
 
@@ -50,7 +50,7 @@
         server.received(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n" * (http.MAX_PIPELINED_REQUESTS + 3))
         self.assertEqual((len(server.served), transport.out), (1, b""))
         for _ in range(http.MAX_PIPELINED_REQUESTS):
-            server.answer(200, [], b"")
+            server.respond(200, [], b"")
             await asyncio.sleep(0)
         self.assertTrue(transport.closed)
         self.assertEqual(
@@ -95,11 +95,11 @@
 class ClientTest(unittest.IsolatedAsyncioTestCase):
     async def ask(self, *chunks, deadline=1.0):
         """An exchange that received these chunks in response to a request, and the request's task."""
-        exchange, transport = Exchange(), InMemoryTransport()
+        exchange, transport = ClientConnection(), InMemoryTransport()
         exchange.connection_made(transport)
         loop = asyncio.get_running_loop()
         task = loop.create_task(
-            exchange.ask("GET", "/", [("host", "x")], b"", loop.time() + deadline)
+            exchange.send_request("GET", "/", [("host", "x")], b"", loop.time() + deadline)
         )
         await asyncio.sleep(0)
         for data in chunks:
@@ -116,7 +116,9 @@
             (200, "b", b"hi", True),
         )
         loop = asyncio.get_running_loop()
-        task = loop.create_task(exchange.ask("GET", "/", [("host", "x")], b"", loop.time() + 1))
+        task = loop.create_task(
+            exchange.send_request("GET", "/", [("host", "x")], b"", loop.time() + 1)
+        )
         await asyncio.sleep(0)
         exchange.received(b"HTTP/1.1 503 No\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
         self.assertEqual(((await task).status, exchange.usable), (503, False))
@@ -142,4 +144,4 @@
     async def test_a_header_value_cannot_add_a_line(self):
         for value in ("a\r\nreq-id: 2", "a\nb", "a\rb"):
             with self.assertRaises(ValueError):
-                write_message("GET / HTTP/1.1", [("host", value)], b"")
+                encode_message("GET / HTTP/1.1", [("host", value)], b"")
--- a/tests/net/test_orca_header.py
+++ b/tests/net/test_orca_header.py
@@ -1,15 +1,16 @@
 import unittest
 
-from peatlead.net.orca import read_report, write_report
+from peatlead.net.orca import format_load_report, parse_load_report
 
 
 class OrcaHeaderTest(unittest.TestCase):
     def test_load_reports_are_read_in_all_published_forms(self):
         self.assertEqual(
-            read_report(write_report({"util": 0.25, "waiting": 3})), {"util": 0.25, "waiting": 3.0}
+            parse_load_report(format_load_report({"util": 0.25, "waiting": 3})),
+            {"util": 0.25, "waiting": 3.0},
         )
         self.assertEqual(
-            read_report('JSON {"cpu_utilization": 0.5, "named_metrics": {"waiting": 2}}'),
+            parse_load_report('JSON {"cpu_utilization": 0.5, "named_metrics": {"waiting": 2}}'),
             {"util": 0.5, "waiting": 2.0},
         )
         for value in (
@@ -21,4 +22,4 @@
             "JSON [1]",
             "TEXT cpu_utilization=-1",
         ):
-            self.assertEqual(read_report(value), {})
+            self.assertEqual(parse_load_report(value), {})
--- a/tests/platform/test_endpoint_watch.py
+++ b/tests/platform/test_endpoint_watch.py
@@ -105,7 +105,7 @@
             await until(lambda: platform.controller.planner.endpoints[1].phase == "draining", 20)
             await until(lambda: platform.controller.watch.previous is None)
             for connection in later.connections:
-                connection.cut("over")
+                connection.abort("over")
             later.servers[0].close()
 
         run_with_platform(case)
--- a/tests/platform/test_messages.py
+++ b/tests/platform/test_messages.py
@@ -96,11 +96,11 @@
         self.assertEqual(
             [
                 (entry.name, entry.address, entry.port, entry.started)
-                for entry in endpoint_list.hosts
+                for entry in endpoint_list.endpoints
             ],
             [("s-0", "127.3.1.1", 9, 5.0)],
         )
-        self.assertEqual(len(endpoint_list.bad), 2)
+        self.assertEqual(len(endpoint_list.entry_errors), 2)
         for malformed in (
             b"",
             b"{}",
--- a/tests/platform/test_sessions.py
+++ b/tests/platform/test_sessions.py
@@ -31,7 +31,7 @@
                 ),
                 (1, 1),
             )
-            new.cut("gone")
+            new.abort("gone")
             await until(lambda: not platform.controller.planner.connected)
 
         run_with_platform(case)
--- a/tests/platform/test_shutdown.py
+++ b/tests/platform/test_shutdown.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from peatlead.net.streams import Lines
+from peatlead.net.streams import LineStream
 from peatlead.platform.controller import PlatformController
 from peatlead.platform.messages import (
     Address,
@@ -78,7 +78,7 @@
             await until(other.ended.done)
             with self.assertRaises(OSError):
                 await asyncio.get_running_loop().create_connection(
-                    Lines, "127.3.0.2", platform.port
+                    LineStream, "127.3.0.2", platform.port
                 )
 
         run_with_platform(case)
--- a/tests/platform/test_telemetry.py
+++ b/tests/platform/test_telemetry.py
@@ -63,7 +63,7 @@
             await until(
                 lambda: any(["s-2", 0.0] in part.get("endpoints", ()) for part in proxy.messages)
             )
-            proxy.cut("over")
+            proxy.abort("over")
             await until(
                 lambda: any(event == "proxies" and fields["left"] for event, fields in platform.log)
             )
--- a/tests/platforms.py
+++ b/tests/platforms.py
@@ -3,8 +3,8 @@
 import asyncio
 import json
 
-from peatlead.net.http import Server
-from peatlead.net.streams import Lines
+from peatlead.net.http import ServerConnection
+from peatlead.net.streams import LineStream
 from peatlead.platform.configuration import Configuration
 from peatlead.platform.controller import PlatformController
 from peatlead.platform.messages import Address, read_endpoint_list
@@ -50,7 +50,7 @@
     return read_endpoint_list(json.dumps(body).encode(), WALL_TIME)
 
 
-class DiscoveryConnection(Server):
+class DiscoveryConnection(ServerConnection):
     """One connection to a FakeDiscovery."""
 
     def __init__(self, discovery):
@@ -97,7 +97,7 @@
             answer = self.answer(path)
             if answer is not None:
                 self.held_requests.remove(request)
-                connection.answer(200, [], json.dumps(answer).encode())
+                connection.respond(200, [], json.dumps(answer).encode())
 
     def answer(self, path):
         """The answer to a request, or None while it has to wait."""
@@ -110,7 +110,7 @@
         return {"generation": self.version, "reset": False, "instances": self.changes}
 
 
-class FakePeer(Lines):
+class FakePeer(LineStream):
     """A proxy, a collector or another peer of the controller."""
 
     def __init__(self):
@@ -164,7 +164,7 @@
         for server in self.discovery.servers:
             server.close()
         for stream in [*self.peers, *self.discovery.connections]:
-            stream.cut("over")
+            stream.abort("over")
 
     def move_discovery(self, port_offset):
         """Reload a configuration whose discovery address is `port_offset` ports on."""
--- a/tests/sources/test_endpoint_cache.py
+++ b/tests/sources/test_endpoint_cache.py
@@ -13,32 +13,32 @@
     def test_a_truncated_or_corrupted_file_is_rejected(self):
         with tempfile.TemporaryDirectory() as folder:
             cache = EndpointCache(f"{folder}/list")
-            self.assertIsNone(cache.recall()[0])
+            self.assertIsNone(cache.load()[0])
             listing = read_document(document(HOST))
-            cache.keep(listing)
-            self.assertEqual(cache.recall()[0], listing._replace(scope="remembered"))
+            cache.save(listing)
+            self.assertEqual(cache.load()[0], listing._replace(scope="remembered"))
             whole = Path(f"{folder}/list").read_bytes()
             for cut in range(len(whole)):
                 Path(f"{folder}/list").write_bytes(whole[:cut])
-                self.assertIsNone(cache.recall()[0])
+                self.assertIsNone(cache.load()[0])
             for position in range(0, len(whole), 3):
                 Path(f"{folder}/list").write_bytes(
                     whole[:position] + bytes([whole[position] ^ 4]) + whole[position + 1 :]
                 )
-                self.assertIsNone(cache.recall()[0])
+                self.assertIsNone(cache.load()[0])
             Path(f"{folder}/list").write_bytes(
                 whole.replace(b"peatlead-list 1", b"peatlead-list 9")
             )
-            self.assertEqual(cache.recall()[1], "not a list of this format")
+            self.assertEqual(cache.load()[1], "not a list of this format")
 
     def test_a_crash_during_a_write_leaves_the_previous_list(self):
         with tempfile.TemporaryDirectory() as folder:
             cache = EndpointCache(f"{folder}/list")
-            cache.keep(read_document(document(HOST, version=1)))
+            cache.save(read_document(document(HOST, version=1)))
             real, os.replace = os.replace, lambda *_: (_ for _ in ()).throw(OSError("power lost"))
             try:
                 with self.assertRaises(OSError):
-                    cache.keep(read_document(document(HOST, version=2)))
+                    cache.save(read_document(document(HOST, version=2)))
             finally:
                 os.replace = real
-            self.assertEqual(cache.recall()[0].version, 1)
+            self.assertEqual(cache.load()[0].version, 1)
--- a/tests/sources/test_endpoint_list.py
+++ b/tests/sources/test_endpoint_list.py
@@ -17,4 +17,6 @@
             {**HOST, "weight": "1"},
         ]
         listing = read_document(document(HOST, *invalid, HOST))
-        self.assertEqual(([h.name for h in listing.hosts], len(listing.bad)), (["h1"], 8))
+        self.assertEqual(
+            ([h.name for h in listing.endpoints], len(listing.entry_errors)), (["h1"], 8)
+        )
--- a/tests/standin/test_dns_clients.py
+++ b/tests/standin/test_dns_clients.py
@@ -7,7 +7,7 @@
 from peatlead.standin.dns_clients import Client
 from peatlead.standin.resolvers import Resolver
 
-from ..standin_fleet import MemoryRecorder, play
+from ..standin_fleet import MemoryRecorder, run_with_standins
 
 
 class ClientsAndResolversTest(unittest.TestCase):
@@ -25,10 +25,12 @@
         async def case(world):
             lifetimes = {}
             for kind in ("keeps", "twice", "tenfold", "least"):
-                resolver = Resolver(kind, "127.20.9.1", [], world.chance, MemoryRecorder())
+                resolver = Resolver(kind, "127.20.9.1", [], world.random, MemoryRecorder())
                 resolver.loop = asyncio.get_running_loop()
                 cached = resolver.store("n", "", ["a"], 1)
                 lifetimes[kind] = round(cached.until - resolver.loop.time(), 1)
             return lifetimes
 
-        self.assertEqual(play(case), {"keeps": 1.0, "twice": 2.0, "tenfold": 10.0, "least": 5.0})
+        self.assertEqual(
+            run_with_standins(case), {"keeps": 1.0, "twice": 2.0, "tenfold": 10.0, "least": 5.0}
+        )
--- a/tests/standin_fleet.py
+++ b/tests/standin_fleet.py
@@ -84,7 +84,7 @@
     def row(self, kind, at, *fields):
         self.rows.append((kind, at, *fields))
 
-    def of(self, kind):
+    def rows_of(self, kind):
         return [row for row in self.rows if row[0] == kind]
 
 
@@ -96,16 +96,16 @@
         self.port = free_port()
         self.record = MemoryRecorder()
         self.settings = settings(self.port, f"{folder}/nodes.json", script)
-        self.chance = Random(4)
+        self.random = Random(4)
         self.pods = Pods()
-        self.hosts = []  # the stand-in endpoints
-        self.stewards = []  # the controllers
+        self.endpoints = []  # the stand-in endpoints
+        self.controllers = []  # the controllers
         self.log = []  # (event, fields) of all controllers
-        self.closing = []  # called at the end
+        self.cleanups = []  # called at the end
         self.plans = [self._plan(number, deep, cold) for number in range(hosts)]
         self.phases = {plan.name: "ready" for plan in self.plans}  # as the list has them
-        self.version = 0  # of the list
-        self.extra = []  # more entries of the list
+        self.list_version = 0  # of the list
+        self.extra_entries = []  # more entries of the list
 
     def _plan(self, number, deep, cold):
         return Plan(
@@ -128,14 +128,14 @@
     async def begin(self):
         """Starts the endpoints and writes the first list."""
         for plan in self.plans:
-            self.hosts.append(Host(plan, self.chance, self.record, self.pods))
-            await self.hosts[-1].begin()
-        self.write()
+            self.endpoints.append(Host(plan, self.random, self.record, self.pods))
+            await self.endpoints[-1].begin()
+        self.write_list()
         return self
 
-    def write(self, data=None):
+    def write_list(self, data=None):
         """Writes the list as `phases` and `extra` have it, or `data` in its place."""
-        self.version += 1
+        self.list_version += 1
         hosts = [
             {
                 "name": plan.name,
@@ -146,23 +146,27 @@
             for plan in self.plans
             if plan.name in self.phases
         ]
-        document = {"version": self.version, "written": 50.0, "hosts": hosts + self.extra}
+        document = {
+            "version": self.list_version,
+            "written": 50.0,
+            "hosts": hosts + self.extra_entries,
+        }
         path = self.folder / "nodes.json"
         new_path = path.with_suffix(".new")
         new_path.write_bytes(json.dumps(document).encode() if data is None else data)
         new_path.replace(path)
 
-    async def shake(self, many, every):
+    async def change_list_repeatedly(self, many, every):
         """The list changes again and again; h1 drains in the end, all others are ready."""
         for number in range(many):
             name = f"h{number % 3 + 1}"
             self.phases[name] = "draining" if self.phases[name] == "ready" else "ready"
-            self.write()
+            self.write_list()
             await asyncio.sleep(every)
         self.phases.update(h1="draining", h2="ready", h3="ready")
-        self.write()
+        self.write_list()
 
-    async def steward(self, name="ns1", planner=Planner):
+    async def start_controller(self, name="ns1", planner=Planner):
         """Starts a controller of the settings."""
         controller = Controller(
             self.settings,
@@ -171,11 +175,11 @@
             planner,
             str(self.folder / "state"),
         )
-        self.stewards.append(controller)
+        self.controllers.append(controller)
         await controller.start()
         return controller
 
-    def named(self, steward, view="desk0", many=24):
+    def answered_endpoints(self, steward, view="desk0", many=24):
         """The names of the endpoints in many answers to a view; addresses of no endpoint as they are."""
         client = CLIENT_OF_VIEW[view]
         addresses = set()
@@ -188,15 +192,15 @@
 
     def end(self):
         """Stops all that was started."""
-        for controller in self.stewards:
+        for controller in self.controllers:
             controller.stop()
-        for host in self.hosts:
-            host.stop()
-        for close in self.closing:
+        for endpoint in self.endpoints:
+            endpoint.stop()
+        for close in self.cleanups:
             close()
 
 
-def play(case, **more):
+def run_with_standins(case, **more):
     """Runs `case(world)` in a world that has begun."""
 
     async def whole():
--- a/tests/transcripts/test_platform_transcripts.py
+++ b/tests/transcripts/test_platform_transcripts.py
@@ -102,8 +102,8 @@
 def plain_listing(listing):
     return [
         *fields_of(listing, LISTING),
-        len(listing.bad),
-        [fields_of(entry, ENTRY) for entry in listing.hosts],
+        len(listing.entry_errors),
+        [fields_of(entry, ENTRY) for entry in listing.endpoints],
     ]
 
 
