--- a/peatlead/net/errors.py
+++ b/peatlead/net/errors.py
@@ -1,11 +1,11 @@
-"""Classification of operating system errors: caused by this machine, or by the peer.
+"""Classification of operating system errors: caused by this machine or by the peer, or transient.
 
 Source: socket(2), connect(2), accept(2) and open(2) of the Linux manual pages.
 """
 
 import errno
 
-# This machine lacks a descriptor, buffer, memory, port or route: the peer was not asked at all.
+# This machine lacks a descriptor, buffer, memory, port or route; the peer was not contacted.
 LOCAL_SHORTAGE_ERRNOS = frozenset(
     {
         errno.EMFILE,
@@ -19,15 +19,15 @@
         errno.EINTR,
     }
 )
-# A call that opens a listener or a file may succeed a moment after one of these.
+# Errors after which opening a listener or a file may succeed on a retry.
 TRANSIENT_ERRNOS = LOCAL_SHORTAGE_ERRNOS | {errno.EADDRINUSE, errno.EIO, errno.ESTALE}
 
 
 def is_local_shortage(error: OSError) -> bool:
-    """Return whether the error was caused by this machine and says nothing about the peer."""
+    """Return whether the error is a shortage on this machine, which says nothing about the peer."""
     return error.errno in LOCAL_SHORTAGE_ERRNOS
 
 
 def is_transient(error: OSError) -> bool:
-    """Return whether the error is transient: the same call may succeed a moment later."""
+    """Return whether opening a listener or a file may succeed on a retry after the error."""
     return error.errno in TRANSIENT_ERRNOS
--- a/peatlead/net/http/__init__.py
+++ b/peatlead/net/http/__init__.py
@@ -1,8 +1,8 @@
 """HTTP/1.1 (RFC 9112) on `Stream`: `ClientConnection` and `ServerConnection`.
 
-httptools (llhttp) parses messages; heads are written here. Heads, bodies and pipelined requests are
-bounded. The parser is in C because h11, in Python, took half of the time of a simulated day
-(docs/results/lab.md).
+Messages are parsed by httptools, a wrapper of the C library llhttp, and encoded by this package. A
+parser in Python would dominate the run time of simulations (docs/results/lab.md). The sizes of
+heads and bodies and the number of pipelined requests are limited.
 """
 
 from .client import ClientConnection, RequestFailedError, RequestOutcome, Response, connect
--- a/peatlead/net/http/client.py
+++ b/peatlead/net/http/client.py
@@ -1,4 +1,4 @@
-"""The client's side of HTTP/1.1: one request at a time on a connection that may be reused."""
+"""HTTP/1.1 client: one request at a time on a connection that may be reused."""
 
 import asyncio
 from collections.abc import Sequence
@@ -16,27 +16,31 @@
     HttpError,
     Message,
     encode_message,
-    feed,
+    feed_parser,
 )
 
-FIRST_FINAL_STATUS = 200  # responses below are informational (RFC 9110 section 15.2)
+FIRST_FINAL_STATUS = 200  # lower statuses are informational (RFC 9110, section 15.2)
 
 
 class RequestOutcome(StrEnum):
     """Why a request got no response."""
 
-    UNREACHABLE = "unreachable"  # the connection was refused or has no route
-    DENIED = "denied"  # this machine had no means to connect: nothing is known about the server
+    UNREACHABLE = "unreachable"  # the connection was refused or reset, or the host has no route
+    DENIED = "denied"  # a shortage on this machine; nothing is known about the server
     TIMED_OUT = "timed out"
-    BROKEN = "broken"  # the connection ended, or the peer did not speak HTTP
+    BROKEN = "broken"  # the connection ended, or the response was not valid HTTP
 
 
 class RequestFailedError(HttpError):
-    """A request got no response. `sent`: whether some of its bytes may have reached the server."""
+    """A request got no response.
+
+    `outcome` is the value of a RequestOutcome. `sent` tells whether any byte of the request may
+    have reached the server.
+    """
 
     def __init__(self, outcome: RequestOutcome, sent: bool) -> None:
         super().__init__(outcome.value)
-        self.outcome: str = outcome.value  # a plain string: it is recorded and sent on as it stands
+        self.outcome: str = outcome.value  # a plain string, as in recordings and messages
         self.sent = sent
 
 
@@ -46,36 +50,36 @@
     status: int
     headers: dict[str, str]  # by lower-case name
     body: bytes
-    keep_alive: bool  # whether the connection can be used again
+    keep_alive: bool  # whether the connection can be reused
 
 
 class ResponseMessage(Message):
-    """The response that an exchange is receiving."""
+    """The response that a client connection is receiving."""
 
-    def __init__(self, exchange: "ClientConnection") -> None:
+    def __init__(self, connection: "ClientConnection") -> None:
         super().__init__()
-        self.exchange = exchange
+        self.connection = connection
 
     def on_message_complete(self) -> None:
-        """Hand the response to the exchange."""
-        self.exchange.finish()
+        """Pass the response to the connection."""
+        self.connection.finish_response()
 
 
 class ClientConnection(Stream):
-    """A client's connection; `await ask(...)` sends one request and returns its response."""
+    """A client's connection to a server, for one request at a time."""
 
     def __init__(self) -> None:
         super().__init__()
         self.response = ResponseMessage(self)
         self.parser = httptools.HttpResponseParser(self.response)
-        self.pending: asyncio.Future[Response] | None = None
-        self.sent = False  # whether the current request was given to the transport
+        self.pending: asyncio.Future[Response] | None = None  # for the current request
+        self.sent = False  # whether the current request was written to the transport
         self.keep_alive = True
-        self.received_bytes = 0  # since the current request
+        self.received_bytes = 0  # since the start of the current request
 
     @property
     def usable(self) -> bool:
-        """Whether another request can be sent on this connection."""
+        """Whether the connection can carry another request."""
         return self.keep_alive and self.transport is not None and not self.transport.is_closing()
 
     async def send_request(
@@ -83,7 +87,7 @@
     ) -> Response:
         """Send a request and return its response; raises RequestFailedError.
 
-        `deadline` is a time of the event loop's clock.
+        `deadline` is a time of the event loop's clock, in seconds.
         """
         loop = asyncio.get_running_loop()
         self.sent = False
@@ -100,12 +104,12 @@
             self.pending = None
 
     def time_out(self) -> None:
-        """Fail the request at its deadline."""
+        """Fail the request and abort the connection at the deadline."""
         self.fail(RequestOutcome.TIMED_OUT)
         self.abort("late")
 
     def fail(self, outcome: RequestOutcome) -> None:
-        """Fail the pending request, if any; the connection is not used again."""
+        """Fail the pending request, if any, and mark the connection as not reusable."""
         self.keep_alive = False
         if self.pending is not None and not self.pending.done():
             self.pending.set_exception(RequestFailedError(outcome, self.sent))
@@ -113,19 +117,20 @@
     def received(self, data: bytes) -> None:
         """Parse the response.
 
-        An unsolicited response ends the connection: it would be taken for the next request's.
+        Data without a pending request aborts the connection: the data would otherwise be taken for
+        the response to the next request.
         """
         self.received_bytes += len(data)
         if (
             self.pending is None
             or self.received_bytes > MAX_BODY_BYTES + MAX_HEAD_BYTES
-            or feed(self.parser, data) is not None
+            or feed_parser(self.parser, data) is not None
         ):
             self.fail(RequestOutcome.BROKEN)
             self.abort("not HTTP")
 
-    def finish(self) -> None:
-        """Complete the pending request with the response that was parsed."""
+    def finish_response(self) -> None:
+        """Complete the pending request with the parsed response; skip informational responses."""
         status = self.parser.get_status_code()
         if status < FIRST_FINAL_STATUS:
             return
@@ -147,16 +152,16 @@
     deadline: float,
     local: str | None = None,
 ) -> ClientConnection:
-    """Open a connection to (host, port), from the address `local` if given.
+    """Open a connection to (host, port), from the local address `local` if given.
 
-    `deadline` is a time of the event loop's clock. Raises RequestFailedError.
+    `deadline` is a time of the event loop's clock, in seconds. Raises RequestFailedError.
     """
     try:
         opening = loop.create_connection(
             ClientConnection, *address, local_addr=(local, 0) if local else None
         )
-        _, stream = await with_timeout(max(0.0, deadline - loop.time()), opening)
-        return stream
+        _, connection = await with_timeout(max(0.0, deadline - loop.time()), opening)
+        return connection
     except TimeoutError:
         raise RequestFailedError(RequestOutcome.TIMED_OUT, False) from None
     except OSError as error:
--- a/peatlead/net/http/message.py
+++ b/peatlead/net/http/message.py
@@ -1,4 +1,4 @@
-"""Writing HTTP messages, and collecting the parts of one that is being parsed, within bounds."""
+"""Encoding of HTTP/1.1 messages, and collection of parsed messages within size limits."""
 
 from collections.abc import Sequence
 from http import HTTPStatus
@@ -7,20 +7,21 @@
 import httptools
 
 MAX_BODY_BYTES = 4 << 20
-MAX_HEAD_BYTES = 64 << 10  # the target with all header names and values
+MAX_HEAD_BYTES = 64 << 10  # request target plus all header names and values
 
-# Repeated with different values, these would let two readers see two different messages.
+# Headers that must not be repeated. With several values, an intermediary and the server could
+# disagree on where a message ends or which host it is for (RFC 9112, sections 3.2 and 6.3).
 SINGLE_HEADERS = ("host", "content-length")
 
 Header = tuple[str, str]  # name, value
 
 
 class HttpError(Exception):
-    """Base of the errors of this package."""
+    """Base class of this package's errors."""
 
 
 class InvalidMessageError(HttpError):
-    """A message is malformed, too large or not supported; `status` is sent in response."""
+    """A message is malformed, too large or not supported; `status` is the response's status."""
 
     def __init__(self, status: HTTPStatus) -> None:
         super().__init__(status)
@@ -28,20 +29,21 @@
 
 
 def encode_message(first_line: str, headers: Sequence[Header], body: bytes) -> bytes:
-    """Return a message's bytes.
+    """Return the bytes of a message.
 
-    Raises ValueError if a name or value contains a line end: it could add a header or a request.
+    Raises ValueError if the first line or a header contains a CR or LF, which could inject a header
+    or a request.
     """
     header_lines = [f"{name}: {value}\r\n" for name, value in headers]
     head = "".join([first_line, "\r\n", *header_lines, "\r\n"])
     line_count = len(headers) + 2
     if head.count("\n") != line_count or head.count("\r") != line_count:
-        raise ValueError("expected no line ends within a header")
+        raise ValueError("expected no CR or LF in the first line or a header")
     return head.encode("latin-1") + body
 
 
 class Message:
-    """Collects the parts of one message after the other from httptools' callbacks.
+    """Collects one message at a time from httptools' callbacks.
 
     Subclasses override `on_message_complete`.
     """
@@ -51,7 +53,7 @@
 
     def on_message_begin(self) -> None:
         """Start a new message."""
-        self.target = b""  # of a request
+        self.target = b""  # stays empty in a response
         self.headers: dict[str, str] = {}  # by lower-case name
         self.body: list[bytes] = []
         self.body_bytes = 0
@@ -63,7 +65,7 @@
         self.target += data
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Add a header; raises InvalidMessageError for an ambiguous repetition."""
+        """Add a header; raises InvalidMessageError if one of SINGLE_HEADERS is repeated."""
         self.count_head(len(name) + len(value))
         key = name.decode("latin-1").lower()
         if key in self.headers and key in SINGLE_HEADERS:
@@ -71,24 +73,24 @@
         self.headers[key] = value.decode("latin-1")
 
     def count_head(self, size: int) -> None:
-        """Count bytes of the head; raises InvalidMessageError past the bound."""
+        """Count bytes of the head; raises InvalidMessageError above MAX_HEAD_BYTES."""
         self.head_bytes += size
         if self.head_bytes > MAX_HEAD_BYTES:
             raise InvalidMessageError(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
 
     def on_body(self, data: bytes) -> None:
-        """Append to the body; raises InvalidMessageError past the bound."""
+        """Append to the body; raises InvalidMessageError above MAX_BODY_BYTES."""
         self.body_bytes += len(data)
         if self.body_bytes > MAX_BODY_BYTES:
             raise InvalidMessageError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
         self.body.append(data)
 
     def on_message_complete(self) -> None:
-        """Handle the end of the message."""
+        """Handle a complete message."""
 
 
-def feed(parser: Any, data: bytes) -> HTTPStatus | None:
-    """Parse data; return None, or the status that describes what is wrong with it."""
+def feed_parser(parser: Any, data: bytes) -> HTTPStatus | None:
+    """Parse data; return the status to respond with if the data is invalid, else None."""
     try:
         parser.feed_data(data)
     except httptools.HttpParserCallbackError as error:
--- a/peatlead/net/http/server.py
+++ b/peatlead/net/http/server.py
@@ -1,4 +1,4 @@
-"""The server's side of HTTP/1.1: requests of one connection, answered one at a time."""
+"""HTTP/1.1 server: the requests of one connection, served one at a time."""
 
 from collections import deque
 from collections.abc import Sequence
@@ -8,9 +8,9 @@
 import httptools
 
 from ..streams import Stream
-from .message import Header, InvalidMessageError, Message, encode_message, feed
+from .message import Header, InvalidMessageError, Message, encode_message, feed_parser
 
-MAX_PIPELINED_REQUESTS = 16  # received while another is being served
+MAX_PIPELINED_REQUESTS = 16  # that wait while another request is served
 REASON_PHRASES = {status.value: status.phrase for status in HTTPStatus}
 
 
@@ -21,54 +21,54 @@
     target: str
     headers: dict[str, str]  # by lower-case name
     body: bytes
-    keep_alive: bool  # whether further requests may follow on the connection
+    keep_alive: bool  # whether the client may send further requests on the connection
 
 
 class RequestMessage(Message):
-    """The request that a server's connection is receiving."""
+    """The request that a server connection is receiving."""
 
-    def __init__(self, server: "ServerConnection") -> None:
+    def __init__(self, connection: "ServerConnection") -> None:
         super().__init__()
-        self.server = server
+        self.connection = connection
 
     def on_message_complete(self) -> None:
-        """Hand the request to the server."""
-        self.server.enqueue(self)
+        """Pass the request to the connection."""
+        self.connection.enqueue(self)
 
 
 class ServerConnection(Stream):
     """A server's connection to one client.
 
-    `serve` is called for one request at a time and is followed by a call of `answer`. Pipelined
-    requests wait, up to `MAX_PIPELINED_REQUESTS`.
+    Subclasses override `serve`, which is called for one request at a time; each call must be
+    followed by a call of `respond`. Up to `MAX_PIPELINED_REQUESTS` further requests wait.
     """
 
-    def __init__(self, idle: float) -> None:
-        super().__init__(idle)
+    def __init__(self, idle_timeout: float) -> None:
+        super().__init__(idle_timeout)
         self.parser = httptools.HttpRequestParser(RequestMessage(self))
         self.pipelined: deque[Request] = deque()
-        self.serving = False  # a request was handed to `serve` and not answered yet
-        self.input_ended = False  # what the client sends from now on is ignored
-        self.error_status: HTTPStatus | None = None  # of an invalid request, not answered yet
+        self.serving = False  # whether `serve` was called and `respond` was not yet
+        self.input_ended = False  # whether further data from the client is ignored
+        self.error_status: HTTPStatus | None = None  # to reject an invalid request with
 
     def serve(self, method: str, path: str, headers: dict[str, str], body: bytes) -> None:
-        """Handle one request; its response is given to `answer`, now or later."""
+        """Handle one request and call `respond` for it, now or later."""
 
     def received(self, data: bytes) -> None:
-        """Parse requests and serve the first of them."""
+        """Parse requests and serve the next one, unless another is being served."""
         if self.input_ended:
             return
-        self.error_status = feed(self.parser, data)
+        self.error_status = feed_parser(self.parser, data)
         self.input_ended = self.error_status is not None
         self.serve_next()
 
     def enqueue(self, message: Message) -> None:
-        """Add a complete request to those to serve; raises InvalidMessageError."""
+        """Queue a complete request; raises InvalidMessageError."""
         if len(self.pipelined) >= MAX_PIPELINED_REQUESTS:
             raise InvalidMessageError(HTTPStatus.TOO_MANY_REQUESTS)
         if "host" not in message.headers and self.parser.get_http_version() == "1.1":
             raise InvalidMessageError(HTTPStatus.BAD_REQUEST)
-        if self.parser.should_upgrade():  # the following bytes would be of another protocol
+        if self.parser.should_upgrade():  # other protocols are not supported
             raise InvalidMessageError(HTTPStatus.NOT_IMPLEMENTED)
         request = Request(
             method=self.parser.get_method().decode("latin-1"),
@@ -80,7 +80,7 @@
         self.pipelined.append(request)
 
     def serve_next(self) -> None:
-        """Serve the next request; reject an invalid one after all before it were answered."""
+        """Serve the next request; reject an invalid one after the responses to all before it."""
         while self.pipelined and not self.serving and self.transport is not None:
             request = self.pipelined.popleft()
             self.serving = True
@@ -90,7 +90,7 @@
             self.reject(self.error_status)
 
     def reject(self, status: HTTPStatus) -> None:
-        """Answer an invalid request and close the connection."""
+        """Respond to an invalid request and close the connection."""
         status_line = f"HTTP/1.1 {status.value} {status.phrase}"
         headers = [("content-length", "0"), ("connection", "close")]
         self.send(encode_message(status_line, headers, b""))
@@ -99,11 +99,11 @@
     def respond(
         self, status: int, headers: Sequence[Header], body: bytes, last: bool = False
     ) -> None:
-        """Respond to the request being served; `last` closes the connection after it."""
+        """Respond to the request being served; with `last`, close the connection afterwards."""
         if self.transport is None:
             return
-        more_to_answer = bool(self.pipelined) or self.error_status is not None
-        last = last or (self.input_ended and not more_to_answer)
+        more_pending = bool(self.pipelined) or self.error_status is not None
+        last = last or (self.input_ended and not more_pending)
         all_headers = [*headers, ("content-length", str(len(body)))]
         if last:
             all_headers.append(("connection", "close"))
@@ -114,5 +114,5 @@
             self.input_ended = True
             self.pipelined.clear()
             self.close()
-        elif more_to_answer:
+        elif more_pending:
             self.loop.call_soon(self.serve_next)
--- a/peatlead/net/in_memory_transport.py
+++ b/peatlead/net/in_memory_transport.py
@@ -3,11 +3,11 @@
 import asyncio
 from typing import Any
 
-PEER_ADDRESS = ("127.0.0.1", 1)  # reported as the peer's name
+PEER_ADDRESS = ("127.0.0.1", 1)  # host and port returned by `get_extra_info`
 
 
 class InMemoryTransport(asyncio.Transport):
-    """Collects everything that a protocol writes."""
+    """Collects the bytes that a protocol writes."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -19,11 +19,11 @@
         self.out += data
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
-        """Return the peer's address, whatever is asked for."""
+        """Return the peer's address for every name."""
         return PEER_ADDRESS
 
     def get_write_buffer_size(self) -> int:
-        """Return 0: everything is written at once."""
+        """Return 0: written data is never buffered."""
         return 0
 
     def is_closing(self) -> bool:
--- a/peatlead/net/orca.py
+++ b/peatlead/net/orca.py
@@ -1,7 +1,7 @@
-"""Load reports in ORCA form: the `endpoint-load-metrics` response header, as TEXT or JSON.
+"""ORCA load reports in the `endpoint-load-metrics` response header.
 
 Source: the Open Request Cost Aggregation specification (xds.data.orca.v3.OrcaLoadReport). The
-header's value is `TEXT name=value, ...` or `JSON {...}`. Times are in seconds, utilizations are
+header's value is `TEXT name=value, ...` or `JSON {...}`. Rates are per second; utilizations are
 fractions of 1.
 """
 
@@ -19,28 +19,28 @@
 }
 METRIC_OF_FIELD = {field: metric for metric, field in FIELD_OF_METRIC.items()}
 
-LoadReport = dict[str, float]  # by the report fields' names of the settings
+LoadReport = dict[str, float]  # by field name as in the settings, such as "util"
 
 
 def format_load_report(report: LoadReport) -> str:
-    """Return the header's value for a report."""
+    """Return the header's value for a report, in the TEXT format."""
     return "TEXT " + ", ".join(
         f"{METRIC_OF_FIELD[field]}={value:.6g}" for field, value in sorted(report.items())
     )
 
 
 def parse_load_report(value: str) -> LoadReport:
-    """Parse a header's value; metrics that are unknown, not numbers or out of range are ignored."""
-    form, _, body = value.strip().partition(" ")
-    if form.upper() == "TEXT":
-        return read_text(body)
-    if form.upper() == "JSON":
-        return read_json(body)
+    """Parse a header's value; ignore metrics that are unknown, not numbers or out of range."""
+    encoding, _, body = value.strip().partition(" ")
+    if encoding.upper() == "TEXT":
+        return parse_text(body)
+    if encoding.upper() == "JSON":
+        return parse_json(body)
     return {}
 
 
-def read_text(body: str) -> LoadReport:
-    """Parse the TEXT form."""
+def parse_text(body: str) -> LoadReport:
+    """Parse the TEXT format."""
     report: LoadReport = {}
     for pair in body.split(","):
         metric, _, number = pair.partition("=")
@@ -48,8 +48,8 @@
     return report
 
 
-def read_json(body: str) -> LoadReport:
-    """Parse the JSON form, whose named metrics are in an inner object."""
+def parse_json(body: str) -> LoadReport:
+    """Parse the JSON format; named metrics are in a nested object."""
     try:
         document = msgspec.json.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError):
@@ -59,8 +59,8 @@
         return report
     for metric, number in document.items():
         if isinstance(number, dict):
-            for inner_metric, inner_number in number.items():
-                add_metric(report, f"{metric}.{inner_metric}", inner_number)
+            for nested_metric, nested_number in number.items():
+                add_metric(report, f"{metric}.{nested_metric}", nested_number)
         else:
             add_metric(report, metric, number)
     return report
--- a/peatlead/net/streams.py
+++ b/peatlead/net/streams.py
@@ -1,4 +1,4 @@
-"""Stream connections: a BufferedProtocol with bounded buffers both ways and an idle timeout."""
+"""Stream connections with bounded buffers in both directions and an idle timeout."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -6,21 +6,22 @@
 
 Result = TypeVar("Result")
 
-READ_BUFFER_BYTES = 64 << 10  # read at a time
-MAX_UNSENT_BYTES = 1 << 20  # default bound of what a peer leaves unread
-MAX_LINE_BYTES = 1 << 20  # default bound of a line's length
+READ_BUFFER_BYTES = 64 << 10  # maximum size of one read
+MAX_UNSENT_BYTES = 1 << 20  # default limit of the write buffer
+MAX_LINE_BYTES = 1 << 20  # default limit
 
-# All streams share one read buffer: asyncio fills it and hands it over within one callback, and
-# what is stored is copied. A buffer for each stream would take 200 MB with 3,000 proxies.
+# All streams share one read buffer. asyncio fills the buffer and calls `buffer_updated` in the same
+# callback, and `buffer_updated` copies the data. One buffer per stream would take 200 MB with 3,000
+# proxies.
 READ_BUFFER = bytearray(READ_BUFFER_BYTES)
 READ_VIEW = memoryview(READ_BUFFER)
 
 
 async def with_timeout(seconds: float, awaitable: Awaitable[Result]) -> Result:
-    """Await with a timeout; raises asyncio.TimeoutError.
+    """Await with a timeout in seconds; raises TimeoutError.
 
-    `asyncio.wait_for` schedules differently in Python 3.11 than in later versions, which would make
-    the same simulated day differ between them.
+    `asyncio.wait_for` is not used: its scheduling changed after Python 3.11, so that a simulation
+    would give different results on different versions of Python.
     """
     async with asyncio.timeout(seconds):
         return await awaitable
@@ -29,20 +30,19 @@
 class Stream(asyncio.BufferedProtocol):
     """One connection. Subclasses override `opened`, `received` and `ended`.
 
-    The connection is cut after `idle` seconds without a byte in either direction (0: never), and
-    when the peer leaves more than `max_unsent_bytes` bytes unread, so that a slow reader costs its
-    own connection and no unbounded memory.
+    The connection is aborted after `idle_timeout` seconds without a byte in either direction (0: no
+    timeout), and when more than `max_unsent_bytes` bytes wait for the peer to read them.
     """
 
     loop: asyncio.AbstractEventLoop  # set when the connection is made
 
-    def __init__(self, idle: float = 0.0, max_unsent_bytes: int = MAX_UNSENT_BYTES) -> None:
-        self.idle = idle
+    def __init__(self, idle_timeout: float = 0.0, max_unsent_bytes: int = MAX_UNSENT_BYTES) -> None:
+        self.idle_timeout = idle_timeout
         self.max_unsent_bytes = max_unsent_bytes
         self.transport: asyncio.Transport | None = None  # None before and after the connection
         self.peer: Any = None  # the peer's address: (host, port), or longer for IPv6
         self.last_activity = 0.0  # loop time of the last activity
-        self.timer: asyncio.TimerHandle | None = None  # checks for idleness
+        self.timer: asyncio.TimerHandle | None = None  # for the next check of the idle timeout
         self.close_reason: str | None = None  # why this side ended the connection
 
     def opened(self) -> None:
@@ -55,7 +55,7 @@
         """Handle the end of the connection."""
 
     def send(self, data: bytes) -> bool:
-        """Write the data; return False if the stream has ended or the peer reads too slowly."""
+        """Write the data; return False if the connection is closed or the peer reads too slowly."""
         if self.transport is None or self.transport.is_closing():
             return False
         self.last_activity = self.loop.time()
@@ -66,12 +66,12 @@
         return True
 
     def close(self) -> None:
-        """End the connection once buffered data has been sent."""
+        """Close the connection after sending buffered data."""
         if self.transport is not None:
             self.transport.close()
 
     def abort(self, reason: str) -> None:
-        """End the connection immediately; buffered data is lost."""
+        """Close the connection immediately; buffered data is lost."""
         self.close_reason = self.close_reason or reason
         if self.transport is not None:
             self.transport.abort()
@@ -82,8 +82,8 @@
         self.transport = cast(asyncio.Transport, transport)
         self.peer = transport.get_extra_info("peername")
         self.last_activity = self.loop.time()
-        if self.idle:
-            self.timer = self.loop.call_later(self.idle, self.check_idle)
+        if self.idle_timeout:
+            self.timer = self.loop.call_later(self.idle_timeout, self.check_idle)
         self.opened()
 
     def get_buffer(self, sizehint: int) -> bytearray:
@@ -91,12 +91,12 @@
         return READ_BUFFER
 
     def buffer_updated(self, size: int) -> None:
-        """Hand a copy of the bytes read to `received` (asyncio callback)."""
+        """Pass a copy of the bytes read to `received` (asyncio callback)."""
         self.last_activity = self.loop.time()
         self.received(bytes(READ_VIEW[:size]))
 
     def eof_received(self) -> bool:
-        """Close the connection when the peer has closed its side (asyncio callback)."""
+        """Return False: close the connection when the peer closes its side (asyncio callback)."""
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
@@ -107,11 +107,11 @@
         self.ended(self.close_reason or (type(error).__name__ if error else "closed"))
 
     def check_idle(self) -> None:
-        """Cut an idle connection, or check again when it could next be idle.
+        """Abort the connection if it was idle for too long; else schedule the next check.
 
-        There is one timer per stream, and activity does not reset it.
+        Activity does not restart the timer, which keeps sending and receiving cheap.
         """
-        remaining = self.last_activity + self.idle - self.loop.time()
+        remaining = self.last_activity + self.idle_timeout - self.loop.time()
         if remaining > 0:
             self.timer = self.loop.call_later(remaining, self.check_idle)
         else:
@@ -119,15 +119,15 @@
 
 
 class ConnectionSet:
-    """The open streams of a listener, bounded: past the bound, the longest idle one is cut."""
+    """The open streams of a listener. When the set is full, the longest idle stream is aborted."""
 
     def __init__(self, max_connections: int) -> None:
         self.max_connections = max_connections
         self.streams: dict[Stream, bool] = {}  # used as an ordered set
-        self.evicted = 0  # streams cut to make room
+        self.evicted = 0  # number of streams aborted because the set was full
 
     def add(self, stream: Stream) -> None:
-        """Add a stream, evicting the longest idle one if the set is full."""
+        """Add a stream; abort the longest idle one if the set is full."""
         if len(self.streams) >= self.max_connections:
             longest_idle = min(self.streams, key=lambda other: other.last_activity)
             del self.streams[longest_idle]
@@ -153,28 +153,29 @@
 
     def __init__(
         self,
-        idle: float = 0.0,
+        idle_timeout: float = 0.0,
         max_line_bytes: int = MAX_LINE_BYTES,
         max_unsent_bytes: int = MAX_UNSENT_BYTES,
     ) -> None:
-        super().__init__(idle, max_unsent_bytes)
+        super().__init__(idle_timeout, max_unsent_bytes)
         self.max_line_bytes = max_line_bytes
-        self.part = bytearray()  # the start of a line whose end has not arrived
+        self.partial_line = bytearray()  # the start of a line that is not complete
 
     def line(self, data: bytes) -> None:
         """Handle one line, without its newline."""
 
     def received(self, data: bytes) -> None:
-        """Split the data into lines; a line that is too long cuts the connection.
+        """Split the data into lines; abort the connection if a line is too long.
 
-        Earlier bytes of a partial line are not scanned again: a long line may come byte by byte.
+        Only the new data is searched for newlines, so that the cost of a line that arrives in many
+        small pieces stays linear.
         """
         first, *rest = data.split(b"\n")
-        self.part += first
+        self.partial_line += first
         if rest:
-            complete = [bytes(self.part), *rest[:-1]]
-            self.part = bytearray(rest[-1])
+            complete = [bytes(self.partial_line), *rest[:-1]]
+            self.partial_line = bytearray(rest[-1])
             for line in complete:
                 self.line(line)
-        if len(self.part) > self.max_line_bytes:
+        if len(self.partial_line) > self.max_line_bytes:
             self.abort("line too long")
--- a/peatlead/platform/sessions.py
+++ b/peatlead/platform/sessions.py
@@ -161,7 +161,7 @@
     def finish(self) -> None:
         """Ignore all input from now on."""
         self.finished = True
-        self.part = bytearray()
+        self.partial_line = bytearray()
 
     def abort(self, reason: str) -> None:
         """End the connection at once."""
--- a/tests/net/test_connect_errors.py
+++ b/tests/net/test_connect_errors.py
@@ -1,4 +1,4 @@
-"""Outcomes of connections that can't be opened."""
+"""Outcomes of failed connection attempts."""
 
 import asyncio
 import errno
@@ -10,12 +10,12 @@
 from ..standin_fleet import run
 
 
-class ConnectErrors(unittest.TestCase):
-    def outcome(self, number):
+class ConnectErrorsTest(unittest.TestCase):
+    def connect_outcome(self, number):
         async def case():
             loop = asyncio.get_running_loop()
             with mock.patch.object(
-                loop, "create_connection", side_effect=OSError(number, "planted")
+                loop, "create_connection", side_effect=OSError(number, "simulated error")
             ):
                 with self.assertRaises(RequestFailedError) as raised:
                     await connect(loop, ("127.0.0.1", 9), loop.time() + 1.0)
@@ -23,7 +23,7 @@
 
         return run(case())
 
-    def test_a_local_shortage_is_no_outcome_of_the_peer(self):
+    def test_a_local_shortage_is_reported_as_denied_and_not_as_unreachable(self):
         for name in (
             "EMFILE",
             "ENFILE",
@@ -33,7 +33,7 @@
             "ENETUNREACH",
             "EINTR",
         ):
-            self.assertEqual(self.outcome(getattr(errno, name)), "denied", name)
+            self.assertEqual(self.connect_outcome(getattr(errno, name)), "denied", name)
         for name in ("ECONNREFUSED", "EHOSTUNREACH", "ECONNRESET"):
-            self.assertEqual(self.outcome(getattr(errno, name)), "unreachable", name)
-        self.assertEqual(self.outcome(errno.ETIMEDOUT), "timed out")
+            self.assertEqual(self.connect_outcome(getattr(errno, name)), "unreachable", name)
+        self.assertEqual(self.connect_outcome(errno.ETIMEDOUT), "timed out")
--- a/tests/net/test_http.py
+++ b/tests/net/test_http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1: requests as a server receives them, responses as a client does."""
+"""HTTP/1.1 requests received by a server, and responses received by a client."""
 
 import asyncio
 import unittest
@@ -9,7 +9,7 @@
 
 
 class RecordingServer(ServerConnection):
-    """Records the requests; a test answers them."""
+    """Records requests; the tests respond to them."""
 
     def __init__(self):
         super().__init__(0.0)
@@ -19,13 +19,13 @@
         self.served.append(request)
 
 
-class ServerTest(unittest.IsolatedAsyncioTestCase):
+class ServerConnectionTest(unittest.IsolatedAsyncioTestCase):
     def start(self):
         server, transport = RecordingServer(), InMemoryTransport()
         server.connection_made(transport)
         return server, transport
 
-    async def test_a_request_received_byte_by_byte_is_one_request(self):
+    async def test_a_request_received_byte_by_byte_is_served_once(self):
         server, _ = self.start()
         request = b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc"
         for index in range(len(request)):
@@ -45,7 +45,7 @@
         self.assertTrue(transport.closed)
         self.assertLess(transport.out.index(b"one"), transport.out.index(b"two"))
 
-    async def test_too_many_pipelined_requests_are_rejected_after_those_accepted(self):
+    async def test_too_many_pipelined_requests_are_rejected_after_the_responses_to_the_others(self):
         server, transport = self.start()
         server.received(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n" * (http.MAX_PIPELINED_REQUESTS + 3))
         self.assertEqual((len(server.served), transport.out), (1, b""))
@@ -58,7 +58,7 @@
             [http.MAX_PIPELINED_REQUESTS, 1],
         )
 
-    async def test_an_invalid_request_is_rejected_with_the_status_of_its_fault(self):
+    async def test_an_invalid_request_is_rejected_with_the_matching_status(self):
         long_header = b"x: " + b"y" * 3000 + b"\r\n"
         for request, status in (
             (b"GET / HTTP/1.1\r\n\r\n", 400),
@@ -81,7 +81,7 @@
             self.assertEqual(transport.out.split(b" ")[1:2], [b"%d" % status], request[:60])
             self.assertTrue(transport.closed)
 
-    async def test_a_body_past_its_bound_is_rejected_and_not_served(self):
+    async def test_a_body_above_the_size_limit_is_rejected_and_not_served(self):
         server, transport = self.start()
         server.received(
             b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n" % (http.MAX_BODY_BYTES + 1)
@@ -92,22 +92,22 @@
         self.assertEqual(server.served, [])
 
 
-class ClientTest(unittest.IsolatedAsyncioTestCase):
-    async def ask(self, *chunks, deadline=1.0):
-        """An exchange that received these chunks in response to a request, and the request's task."""
-        exchange, transport = ClientConnection(), InMemoryTransport()
-        exchange.connection_made(transport)
+class ClientConnectionTest(unittest.IsolatedAsyncioTestCase):
+    async def start_request(self, *chunks, deadline=1.0):
+        """Return a connection that received the chunks after a request, and the request's task."""
+        connection, transport = ClientConnection(), InMemoryTransport()
+        connection.connection_made(transport)
         loop = asyncio.get_running_loop()
         task = loop.create_task(
-            exchange.send_request("GET", "/", [("host", "x")], b"", loop.time() + deadline)
+            connection.send_request("GET", "/", [("host", "x")], b"", loop.time() + deadline)
         )
         await asyncio.sleep(0)
         for data in chunks:
-            exchange.received(data)
-        return exchange, task
+            connection.received(data)
+        return connection, task
 
     async def test_a_connection_is_reused_until_the_server_closes_it(self):
-        exchange, task = await self.ask(
+        connection, task = await self.start_request(
             b"HTTP/1.1 200 OK\r\nA: b\r\nContent-Le", b"ngth: 2\r\n\r\nhi"
         )
         response = await task
@@ -117,31 +117,31 @@
         )
         loop = asyncio.get_running_loop()
         task = loop.create_task(
-            exchange.send_request("GET", "/", [("host", "x")], b"", loop.time() + 1)
+            connection.send_request("GET", "/", [("host", "x")], b"", loop.time() + 1)
         )
         await asyncio.sleep(0)
-        exchange.received(b"HTTP/1.1 503 No\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
-        self.assertEqual(((await task).status, exchange.usable), (503, False))
+        connection.received(b"HTTP/1.1 503 No\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
+        self.assertEqual(((await task).status, connection.usable), (503, False))
 
     async def test_an_unsolicited_response_makes_the_connection_unusable(self):
-        exchange, task = await self.ask(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+        connection, task = await self.start_request(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         await task
-        exchange.received(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate")
-        self.assertFalse(exchange.usable)
+        connection.received(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate")
+        self.assertFalse(connection.usable)
 
-    async def test_a_timeout_and_a_peer_that_speaks_no_http_fail_the_request(self):
-        _, task = await self.ask(deadline=0.01)
+    async def test_a_timeout_and_a_response_that_is_not_http_fail_the_request(self):
+        _, task = await self.start_request(deadline=0.01)
         with self.assertRaises(RequestFailedError) as timed_out:
             await task
         self.assertEqual(
             (timed_out.exception.outcome, timed_out.exception.sent), ("timed out", True)
         )
-        _, task = await self.ask(b"SSH-2.0\r\n")
+        _, task = await self.start_request(b"SSH-2.0\r\n")
         with self.assertRaises(RequestFailedError) as broken:
             await task
         self.assertEqual(broken.exception.outcome, "broken")
 
-    async def test_a_header_value_cannot_add_a_line(self):
+    async def test_a_header_value_with_a_line_break_is_an_error(self):
         for value in ("a\r\nreq-id: 2", "a\nb", "a\rb"):
             with self.assertRaises(ValueError):
                 encode_message("GET / HTTP/1.1", [("host", value)], b"")
--- a/tests/net/test_listener.py
+++ b/tests/net/test_listener.py
@@ -1,4 +1,4 @@
-"""Accepting connections during shortages."""
+"""The listener accepts connections despite errors of accept(2)."""
 
 import asyncio
 import errno
@@ -6,21 +6,21 @@
 import unittest
 from unittest import mock
 
-from peatlead.net.listener import PAUSE, Listener
+from peatlead.net.listener import MIN_PAUSE, Listener
 
 from ..standin_fleet import run, until
 
 
-class FailingListener:
-    """A listening socket whose first accepts fail with the errors of `plan`, 0 for none."""
+class FailingSocket:
+    """A listening socket whose first accepts fail with the given errnos; 0 means no error."""
 
-    def __init__(self, real, plan):
-        self.real, self.plan = real, list(plan)
+    def __init__(self, real, errnos):
+        self.real, self.errnos = real, list(errnos)
 
     def accept(self):
-        number = self.plan.pop(0) if self.plan else 0
+        number = self.errnos.pop(0) if self.errnos else 0
         if number:
-            raise OSError(number, "planted")
+            raise OSError(number, "simulated error")
         return self.real.accept()
 
     def fileno(self):
@@ -30,9 +30,9 @@
         self.real.close()
 
 
-class Accepting(unittest.TestCase):
-    def accept_all(self, plan, peers):
-        """Return the events and the listener once all of so many peers were accepted."""
+class ListenerTest(unittest.TestCase):
+    def accept_all(self, errnos, peers):
+        """Return the logged events and the listener once `peers` connections were accepted."""
         events = []
 
         async def case():
@@ -40,7 +40,7 @@
                 real.setblocking(False)
                 accepted = []
                 listener = Listener(
-                    FailingListener(real, plan),
+                    FailingSocket(real, errnos),
                     lambda: accepted.append(1) or asyncio.Protocol(),
                     8,
                     lambda event, **fields: events.append(event),
@@ -56,32 +56,34 @@
         listener = run(case())
         return events, listener
 
-    def test_the_failure_of_one_connection_delays_no_other(self):
-        plan = [
+    def test_an_error_of_one_connection_does_not_delay_the_others(self):
+        errnos = [
             getattr(errno, name)
             for name in ("ECONNABORTED", "EPROTO", "EPERM", "ENETDOWN", "EHOSTUNREACH")
         ]
-        events, _ = self.accept_all(plan, 20)
+        events, _ = self.accept_all(errnos, 20)
         self.assertEqual(events, [])
 
-    def test_a_shortage_is_logged_once_and_the_next_one_starts_with_the_shortest_pause(self):
-        # asyncio's own server pauses for a second each time, in which drains would be late.
+    def test_each_shortage_is_logged_once_and_resets_the_pause_when_it_ends(self):
+        # asyncio's own server would pause for a second after each of these errors.
         events, listener = self.accept_all(
             [errno.ENFILE, errno.ENOBUFS, 0, errno.EMFILE, 0, errno.ENOMEM], 20
         )
-        self.assertEqual(events, ["accept put off", "accept goes on"] * 3)
-        self.assertEqual(listener.pause, PAUSE)
+        self.assertEqual(
+            events, ["accepting connections paused", "accepting connections resumed"] * 3
+        )
+        self.assertEqual(listener.pause, MIN_PAUSE)
 
-    def test_a_lasting_shortage_is_retried_less_often_up_to_a_bound(self):
-        with mock.patch("peatlead.net.listener.PAUSE_MOST", 0.04):
+    def test_a_lasting_shortage_is_logged_once_and_accepting_resumes(self):
+        with mock.patch("peatlead.net.listener.MAX_PAUSE", 0.04):
             events, listener = self.accept_all([errno.EMFILE] * 6, 1)
-        self.assertEqual(events, ["accept put off", "accept goes on"])
+        self.assertEqual(events, ["accepting connections paused", "accepting connections resumed"])
 
-    def test_a_listener_closed_during_its_pause_stays_closed(self):
+    def test_a_listener_closed_during_a_pause_does_not_resume(self):
         async def case():
             with socket.create_server(("127.0.0.1", 0)) as real:
                 real.setblocking(False)
-                failing = FailingListener(real, [errno.EMFILE] * 9)
+                failing = FailingSocket(real, [errno.EMFILE] * 9)
                 listener = Listener(failing, asyncio.Protocol, 8, lambda *_, **__: None)
                 with socket.create_connection(real.getsockname()):
                     await until(lambda: listener.timer is not None)
--- a/tests/net/test_orca_header.py
+++ b/tests/net/test_orca_header.py
@@ -1,10 +1,12 @@
+"""ORCA load reports in the response header."""
+
 import unittest
 
 from peatlead.net.orca import format_load_report, parse_load_report
 
 
 class OrcaHeaderTest(unittest.TestCase):
-    def test_load_reports_are_read_in_all_published_forms(self):
+    def test_text_and_json_reports_are_parsed_and_invalid_ones_are_empty(self):
         self.assertEqual(
             parse_load_report(format_load_report({"util": 0.25, "waiting": 3})),
             {"util": 0.25, "waiting": 3.0},
--- a/tests/platform/test_program.py
+++ b/tests/platform/test_program.py
@@ -174,7 +174,7 @@
             preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (40, 40))
         )
         herd = [socket.create_connection(("127.3.0.3", self.port), 30) for _ in range(80)]
-        self.read(program, "accept put off")
+        self.read(program, "accepting connections paused")
         for connection in herd:
             connection.close()
         self.assertEqual(self.check_liveness(), '{"msg":"alive"}\n')
--- a/tests/platform/test_sessions.py
+++ b/tests/platform/test_sessions.py
@@ -128,7 +128,8 @@
             collector.send(report[:-1] + b" " * 300_000)
             await until(
                 lambda: any(
-                    len(session.part) > 300_000 for session in platform.controller.listener.sessions
+                    len(session.partial_line) > 300_000
+                    for session in platform.controller.listener.sessions
                 )
             )
             for byte in b"}\n":
