--- a/peatlead/health/__init__.py
+++ b/peatlead/health/__init__.py
@@ -1,1 +1,1 @@
-"""Endpoint health: active probes, and the request counts that endpoints report."""
+"""Endpoint health: active probes and the request counts that endpoints report."""
--- a/peatlead/health/load_report_counts.py
+++ b/peatlead/health/load_report_counts.py
@@ -1,14 +1,16 @@
-"""Aggregates the request counts that endpoints report into the planner's stats. No I/O, no clock.
+"""Aggregation of the request counts that endpoints report. No I/O, no clock.
 
-DNS clients report nothing. What is known about their attempts is counted by the endpoints: how many
-requests came from which network, and whether they were answered, failed, were denied (the endpoint
-was full), were shed (by the admission level) or were abandoned by a client that gave up. A hung
-endpoint that passes shallow probes still counts abandoned requests. An endpoint that does not
-respond at all is detected by probes.
+DNS clients send no reports, so the endpoints count requests by client network: how many were
+answered, failed, were denied because the endpoint was full, were shed by admission control, or were
+abandoned by the client. An endpoint that hangs but passes shallow probes still counts abandoned
+requests. Probes detect an endpoint that does not respond at all.
 
-An endpoint's report is a JSON document: {"boot": text, "kinds": [name], "networks": {"10.1.2.0":
-[[taken, done, errored, denied, abandoned, shed, seconds of the done] for each request class]}} with
-counts since its start.
+An endpoint's report is a JSON document with counts since the start of the endpoint:
+
+    {"boot": text, "kinds": [name, ...], "networks": {"10.1.2.0": [row, ...], ...}}
+
+There is one row for each request class of `kinds`: [received, done, errored, denied, abandoned,
+shed, seconds], where `seconds` is the summed response time of the requests done.
 """
 
 from collections.abc import Callable, Sequence
@@ -19,34 +21,34 @@
 
 from .. import interface
 
-FIELDS = 7  # counters for each network and request class
-MAX_NETWORKS = 20_000  # in one report
+COUNTERS_PER_ROW = 7  # for one client network and request class
+MAX_NETWORKS = 20_000  # client networks in one report
 
 Counters = list[float]
 
 
 class EndpointReport(msgspec.Struct):
-    """The document of an endpoint; field names are those of the document."""
+    """An endpoint's report; field names are those of the JSON document."""
 
-    boot: str  # differs after each start of the endpoint
+    boot: str  # identifies one run of the endpoint process
     kinds: list[str]  # names of request classes
-    networks: dict[str, list[Counters]]  # by client network, in the order of `kinds`
+    networks: dict[str, list[Counters]]  # by client network; rows in the order of `kinds`
 
 
 class ClientView(Protocol):
-    """The view that a client network belongs to, as far as needed here."""
+    """The attributes of a client network's view that are used here."""
 
     @property
     def index(self) -> int:
-        """Position in the controller's list of views."""
+        """Index in the controller's list of views."""
 
     @property
     def zone(self) -> int:
-        """The planner's index of the view's zone."""
+        """The planner's index of the zone."""
 
 
 class ReportedCounts(NamedTuple):
-    """The last counts of an endpoint."""
+    """The counts in an endpoint's last report."""
 
     boot: str
     networks: dict[str, list[Counters]]
@@ -58,7 +60,7 @@
 
     attempts: float = 0.0
     errors: float = 0.0
-    seconds: float = 0.0  # response times of the successful attempts, summed
+    seconds: float = 0.0  # summed response time of the successful attempts
 
 
 @dataclass(slots=True)
@@ -70,7 +72,7 @@
 
 
 def parse_endpoint_report(body: bytes) -> EndpointReport | None:
-    """Parse an endpoint's report; return None if it is invalid or too large."""
+    """Parse an endpoint's report; return None if the report is invalid or too large."""
     try:
         report = msgspec.json.decode(body, type=EndpointReport)
     except msgspec.MsgspecError:
@@ -81,29 +83,29 @@
 
 
 class LoadReportCounts:
-    """Collects the increments of reported counts until the next round of stats.
+    """Sums the increments of reported counts over a reporting interval.
 
-    `kinds` holds the request classes' names in the planner's order. `view_of(network)` returns the
-    view of a client network given as text, or None. `zone` is the zone of this controller's probes,
-    `every` the seconds of a round.
+    `class_names` holds the names of the request classes in the planner's order. `view_of(network)`
+    returns the view of a client network given as text, or None. `probe_zone` is the zone that this
+    controller probes from. `interval` is in seconds.
     """
 
     def __init__(
         self,
-        kinds: Sequence[str],
+        class_names: Sequence[str],
         view_of: Callable[[str], ClientView | None],
-        zone: int,
-        every: float,
+        probe_zone: int,
+        interval: float,
     ) -> None:
-        self.request_classes = {name: index for index, name in enumerate(kinds)}
+        self.request_classes = {name: index for index, name in enumerate(class_names)}
         self.view_of = view_of
-        self.zone = zone
-        self.every = every
+        self.probe_zone = probe_zone
+        self.interval = interval
         self.last_counts: dict[int, ReportedCounts] = {}  # by endpoint
-        self.endpoint_totals: dict[tuple[int, int], EndpointTotals] = {}  # by endpoint and zone
-        self.request_totals: dict[tuple[int, int], RequestTotals] = {}  # by view index and class
+        self.endpoint_totals: dict[tuple[int, int], EndpointTotals] = {}  # by endpoint, zone
+        self.request_totals: dict[tuple[int, int], RequestTotals] = {}  # by view index, class
         self.load_reports: dict[int, interface.LoadReport] = {}  # by endpoint
-        self.round_start: float | None = None
+        self.interval_start: float | None = None  # seconds
 
     def add_report(
         self,
@@ -111,9 +113,10 @@
         report: EndpointReport | None,
         load_report: interface.LoadReport | None,
     ) -> None:
-        """Add an endpoint's report and load report, as far as a probe returned them.
+        """Add an endpoint's report and its load report, or None for either that is missing.
 
-        The first report is only a baseline: its counts go back to the endpoint's start.
+        The first report of an endpoint serves only as the baseline of the next one, because its
+        counts go back to the start of the endpoint.
         """
         if load_report is not None:
             self.load_reports[endpoint] = load_report
@@ -130,23 +133,27 @@
     def add_network(
         self,
         endpoint: int,
-        kinds: Sequence[str],
+        class_names: Sequence[str],
         network: str,
         rows: list[Counters],
         baseline_rows: list[Counters] | None,
     ) -> None:
-        """Add one network's increments; invalid rows and unknown classes are ignored."""
+        """Add the increments of one client network; ignore invalid rows and unknown classes."""
         view = self.view_of(network)
         if view is None:
             return
-        for index, name in enumerate(kinds[: len(rows)]):
+        for index, name in enumerate(class_names[: len(rows)]):
             request_class = self.request_classes.get(name)
-            if request_class is None or len(rows[index]) != FIELDS:
+            if request_class is None or len(rows[index]) != COUNTERS_PER_ROW:
                 continue
-            baseline = [0.0] * FIELDS
-            if baseline_rows and index < len(baseline_rows) and len(baseline_rows[index]) == FIELDS:
+            baseline = [0.0] * COUNTERS_PER_ROW
+            if (
+                baseline_rows
+                and index < len(baseline_rows)
+                and len(baseline_rows[index]) == COUNTERS_PER_ROW
+            ):
                 baseline = baseline_rows[index]
-            # A counter that went back counts as unchanged.
+            # A counter that decreased without a restart counts as unchanged.
             increments = [max(0.0, new - old) for new, old in zip(rows[index], baseline)]
             self.add_increments(endpoint, view, request_class, increments)
 
@@ -154,52 +161,60 @@
         self, endpoint: int, view: ClientView, request_class: int, increments: Counters
     ) -> None:
         """Add the increments of one network and request class to the totals."""
-        taken, done, errored, denied, abandoned, _, seconds = increments
+        received, done, errored, denied, abandoned, _, seconds = increments
         if done + errored + denied + abandoned:
-            attempts = self.endpoint_totals.setdefault((endpoint, view.zone), EndpointTotals())
-            attempts.attempts += done + errored + denied + abandoned
-            attempts.errors += errored + denied + abandoned
-            attempts.seconds += seconds
-        if taken:
-            requests = self.request_totals.setdefault((view.index, request_class), RequestTotals())
-            requests.requests += taken
-            requests.unanswered += max(0.0, taken - done)
+            endpoint_totals = self.endpoint_totals.setdefault(
+                (endpoint, view.zone), EndpointTotals()
+            )
+            endpoint_totals.attempts += done + errored + denied + abandoned
+            endpoint_totals.errors += errored + denied + abandoned
+            endpoint_totals.seconds += seconds
+        if received:
+            request_totals = self.request_totals.setdefault(
+                (view.index, request_class), RequestTotals()
+            )
+            request_totals.requests += received
+            request_totals.unanswered += max(0.0, received - done)
 
     def add_probe(self, endpoint: int, passed: bool, duration: float) -> None:
-        """Count a passed probe as an attempt if the endpoint had no other in this round.
+        """Count a passed probe as an attempt if the endpoint has no other attempt yet.
 
-        An idle endpoint would otherwise look as if nothing were known about it.
+        Without this, the planner would get no statistics of an idle endpoint. `duration` is in
+        seconds.
         """
         if passed and not any(endpoint == other for other, _ in self.endpoint_totals):
-            self.endpoint_totals[endpoint, self.zone] = EndpointTotals(1.0, 0.0, duration)
+            self.endpoint_totals[endpoint, self.probe_zone] = EndpointTotals(1.0, 0.0, duration)
 
     def events_due(
-        self, now: float, numbers: Sequence[int]
+        self, now: float, proxy_numbers: Sequence[int]
     ) -> list[interface.RequestStats | interface.EndpointStats]:
-        """Return the events of the round if it has ended and there are any.
+        """Return the planner's events of the interval and start the next one, or return [].
 
-        `numbers` holds the planner's proxy number of each view index.
+        An interval ends after `interval` seconds, once there is something to report.
+        `proxy_numbers` holds the planner's proxy number of each view index. `now` is in seconds.
         """
-        if self.round_start is None:
-            self.round_start = now
-        window = now - self.round_start
-        if window < self.every or not (self.endpoint_totals or self.request_totals):
+        if self.interval_start is None:
+            self.interval_start = now
+        window = now - self.interval_start
+        if window < self.interval or not (self.endpoint_totals or self.request_totals):
             return []
         events: list[interface.RequestStats | interface.EndpointStats] = [
-            *self.request_stats(window, numbers),
+            *self.request_stats(window, proxy_numbers),
             *self.endpoint_stats(window),
         ]
         self.endpoint_totals = {}
         self.request_totals = {}
         self.load_reports = {}
-        self.round_start = now
+        self.interval_start = now
         return events
 
-    def request_stats(self, window: float, numbers: Sequence[int]) -> list[interface.RequestStats]:
-        """Return the stats of requests by view and class."""
+    def request_stats(
+        self, window: float, proxy_numbers: Sequence[int]
+    ) -> list[interface.RequestStats]:
+        """Return request statistics by view and request class."""
         return [
             interface.RequestStats(
-                proxy=numbers[view],
+                proxy=proxy_numbers[view],
                 request_class=request_class,
                 requests=int(totals.requests),
                 unanswered=int(totals.unanswered),
@@ -211,7 +226,7 @@
         ]
 
     def endpoint_stats(self, window: float) -> list[interface.EndpointStats]:
-        """Return the stats of attempts by endpoint and zone."""
+        """Return attempt statistics by endpoint and client zone."""
         return [
             interface.EndpointStats(
                 endpoint=endpoint,
--- a/peatlead/health/prober.py
+++ b/peatlead/health/prober.py
@@ -1,7 +1,8 @@
-"""Active health checks: probes over HTTP/1.1, bounded in number, each with a deadline.
+"""Active health checks: HTTP/1.1 probes with a deadline and a limit on concurrent probes.
 
-Each probe opens a new connection, as a new client would: an endpoint that accepts no further
-connections fails it. Additional headers and the reading of responses are up to the caller.
+Each probe opens a new connection, as a new client would, so that an endpoint that accepts no
+further connections fails its probe. The caller supplies additional headers and interprets the
+responses.
 """
 
 import asyncio
@@ -14,28 +15,28 @@
 
 
 class ProbeSettings(TypedDict):
-    """The settings that a prober uses; their names are those of the settings file."""
+    """The settings that a prober uses, with the names of the settings file."""
 
     path: str
-    deadline: float  # seconds for a whole probe
-    at_once: int  # probes in flight
-    waiting_most: int  # probes that wait for one in flight
+    deadline: float  # timeout of a whole probe, in seconds
+    at_once: int  # maximum number of probes in flight
+    waiting_most: int  # maximum number of queued probes
 
 
 class QueuedProbe(NamedTuple):
-    """A probe that waits for one in flight."""
+    """A probe that has not started."""
 
     endpoint: int
-    address: tuple[str, int]
+    address: tuple[str, int]  # host, port
 
 
 class Prober:
     """Probes endpoints and passes each result to a callback.
 
-    It calls `on_result(endpoint, outcome, duration, load report, request counts)`.
-
-    `read(response)` returns the outcome, the load report and the request counts; these are None if
-    the response holds none. `headers()` returns additional headers. `local` is the address to probe
+    `on_result(endpoint, outcome, duration, load_report, request_counts)` is called after each
+    probe; the duration is in seconds. `parse_response(response)` returns the outcome, the load
+    report and the request counts; the last two are None if the response has none.
+    `extra_headers()` returns additional request headers. `local_address` is the address to probe
     from, if any.
     """
 
@@ -43,34 +44,34 @@
         self,
         settings: ProbeSettings,
         on_result: Callable[[int, str, float, LoadReport | None, Any], object],
-        read: Callable[[Response], tuple[str, LoadReport | None, Any]],
-        headers: Callable[[], Iterable[Header]] = list,
-        local: str | None = None,
+        parse_response: Callable[[Response], tuple[str, LoadReport | None, Any]],
+        extra_headers: Callable[[], Iterable[Header]] = list,
+        local_address: str | None = None,
     ) -> None:
         self.settings = settings
         self.on_result = on_result
-        self.read = read
-        self.headers = headers
-        self.local = local
-        self.waiting: deque[QueuedProbe] = deque()
-        self.tasks: dict[int, asyncio.Task[None]] = {}  # by endpoint
-        self.dropped = 0  # probes that found the queue full
+        self.parse_response = parse_response
+        self.extra_headers = extra_headers
+        self.local_address = local_address
+        self.queue: deque[QueuedProbe] = deque()
+        self.tasks: dict[int, asyncio.Task[None]] = {}  # probes in flight, by endpoint
+        self.dropped = 0  # number of probes dropped because the queue was full
 
     def probe(self, endpoint: int, address: tuple[str, int]) -> None:
-        """Start a probe or queue it, unless one of the endpoint is in flight or queued."""
-        if endpoint in self.tasks or any(endpoint == queued.endpoint for queued in self.waiting):
+        """Start or queue a probe, unless a probe of the endpoint is in flight or queued."""
+        if endpoint in self.tasks or any(endpoint == queued.endpoint for queued in self.queue):
             return
-        if len(self.waiting) >= self.settings["waiting_most"]:
-            self.dropped += 1  # the planner orders it again in a second
+        if len(self.queue) >= self.settings["waiting_most"]:
+            self.dropped += 1  # the planner orders another probe later
             return
-        self.waiting.append(QueuedProbe(endpoint, address))
+        self.queue.append(QueuedProbe(endpoint, address))
         self.start_queued()
 
     def start_queued(self) -> None:
-        """Start queued probes as far as the bound of those in flight allows."""
+        """Start queued probes while fewer than `at_once` probes are in flight."""
         loop = asyncio.get_running_loop()
-        while self.waiting and len(self.tasks) < self.settings["at_once"]:
-            endpoint, address = self.waiting.popleft()
+        while self.queue and len(self.tasks) < self.settings["at_once"]:
+            endpoint, address = self.queue.popleft()
             self.tasks[endpoint] = loop.create_task(
                 self.run_probe(endpoint, address), name=f"probe {endpoint}"
             )
@@ -79,26 +80,26 @@
         """Send one probe and report its result."""
         loop = asyncio.get_running_loop()
         start = loop.time()
-        report = counts = stream = None
+        load_report = request_counts = connection = None
         deadline = start + self.settings["deadline"]
         try:
-            stream = await connect(loop, address, deadline, self.local)
-            headers = [("host", address[0]), ("connection", "close"), *self.headers()]
-            response = await stream.send_request(
+            connection = await connect(loop, address, deadline, self.local_address)
+            headers = [("host", address[0]), ("connection", "close"), *self.extra_headers()]
+            response = await connection.send_request(
                 "GET", self.settings["path"], headers, b"", deadline
             )
-            outcome, report, counts = self.read(response)
+            outcome, load_report, request_counts = self.parse_response(response)
         except RequestFailedError as error:
             outcome = error.outcome
         finally:
-            if stream is not None:
-                stream.abort("probe done")
+            if connection is not None:
+                connection.abort("probe done")
             self.tasks.pop(endpoint, None)
-        self.on_result(endpoint, outcome, loop.time() - start, report, counts)
+        self.on_result(endpoint, outcome, loop.time() - start, load_report, request_counts)
         self.start_queued()
 
     def stop(self) -> None:
-        """Cancel all probes."""
-        self.waiting.clear()
+        """Cancel all probes, queued or in flight."""
+        self.queue.clear()
         for task in list(self.tasks.values()):
             task.cancel()
--- a/peatlead/sources/__init__.py
+++ b/peatlead/sources/__init__.py
@@ -1,1 +1,1 @@
-"""Endpoint lists: the names, zones and phases of endpoints, and where they come from."""
+"""Endpoint lists (names, zones and phases of endpoints), their sources and their cache."""
--- a/peatlead/sources/endpoint_cache.py
+++ b/peatlead/sources/endpoint_cache.py
@@ -1,4 +1,4 @@
-"""The last whole endpoint list, cached on disk."""
+"""A cache on disk of the last complete endpoint list."""
 
 import os
 from pathlib import Path
@@ -9,21 +9,22 @@
 from .endpoint_list import EndpointList, EndpointListError, read_document
 
 MAGIC = b"peatlead-list"
-FORMAT = 1  # version of the file form
+FORMAT = 1  # version of the file format
 
 
 class EndpointCache:
-    """Caches the last whole list, so that a controller can start while its source is unavailable.
+    """Caches the last complete list for starts of the controller while its source is unavailable.
 
-    The file is a line `peatlead-list FORMAT CHECKSUM` followed by the document. It is replaced by
-    renaming, so that a crash leaves the previous file. A file that fails its check is ignored.
+    The file has a header line, `peatlead-list FORMAT CHECKSUM`, followed by a JSON document. The
+    file is replaced by a rename, so that a crash leaves the previous file intact. A file with a
+    wrong header or checksum is ignored.
     """
 
     def __init__(self, path: str | None) -> None:
-        self.path = Path(path) if path else None  # None: nothing is cached
+        self.path = Path(path) if path else None  # None: the cache is disabled
 
     def save(self, endpoint_list: EndpointList) -> None:
-        """Replace the cached list; raises OSError."""
+        """Replace the cached list, unless the cache is disabled; raises OSError."""
         if self.path is None:
             return
         body = msgspec.json.encode(
@@ -34,11 +35,11 @@
                 "hosts": endpoint_list.endpoints,
             }
         )
-        head = b"%s %d %s\n" % (MAGIC, FORMAT, checksum(body))
+        header = b"%s %d %s\n" % (MAGIC, FORMAT, checksum(body))
         temporary_path = self.path.with_name(self.path.name + ".new")
         self.path.parent.mkdir(parents=True, exist_ok=True)
         with open(temporary_path, "wb") as file:
-            file.write(head + body)
+            file.write(header + body)
             file.flush()
             os.fsync(file.fileno())
         os.replace(temporary_path, self.path)
@@ -48,14 +49,14 @@
         if self.path is None:
             return None, "no folder is set"
         try:
-            head, _, body = self.path.read_bytes().partition(b"\n")
+            header, _, body = self.path.read_bytes().partition(b"\n")
         except OSError as error:
             return None, error.strerror or str(error)
-        words = head.split(b" ")
+        words = header.split(b" ")
         if len(words) != 3 or words[:2] != [MAGIC, b"%d" % FORMAT]:
-            return None, "not a list of this format"
+            return None, "the header is not that of a cached list of this version"
         if words[2] != checksum(body):
-            return None, "the checksum does not fit: torn or changed"
+            return None, "the checksum is wrong: the file is truncated or corrupted"
         try:
             return read_document(body)._replace(scope="remembered"), ""
         except EndpointListError as error:
--- a/peatlead/sources/endpoint_list.py
+++ b/peatlead/sources/endpoint_list.py
@@ -1,7 +1,7 @@
-"""Endpoint lists in the one form that every source delivers. No I/O.
+"""Endpoint lists as delivered by every source, and their JSON format. No I/O.
 
-A source calls its `tell` with an `EndpointList`. Endpoint ids, clocks and events are up to the
-controller.
+A source passes an `EndpointList` to a callback. The controller assigns endpoint ids, maps times to
+its own clock and emits the events.
 """
 
 from ipaddress import ip_address
@@ -11,17 +11,18 @@
 
 PHASES = ("ready", "draining", "gone")
 DOCUMENT_SCOPES = ("whole", "changes")
-MAX_ENDPOINTS = 20_000  # endpoints in one list
-MAX_LABEL_LENGTH = 63  # of a name (RFC 1035 section 2.3.4)
-WEIGHT_LIMIT = 1e6  # weights are below
+MAX_ENDPOINTS = 20_000  # in one list
+MAX_LABEL_LENGTH = 63  # characters (RFC 1035, section 2.3.4)
+WEIGHT_LIMIT = 1e6  # exclusive upper bound
 
-# "whole": all endpoints; "changes": those that changed; "remembered": a whole list from the cache;
+# Value of an interface.ListScope, as in stored lists and recordings. "whole": all endpoints;
+# "changes": the endpoints that changed; "remembered": all endpoints, read from the cache;
 # "unavailable": no list could be read.
-Scope = str  # a value of interface.ListScope; plain text, as lists are stored and recorded
+Scope = str
 
 
 class ListedEndpoint(msgspec.Struct, frozen=True):
-    """One endpoint as a list describes it. Field names are those of the stored and file forms."""
+    """One entry of a list; field names are those of the list file and the cache."""
 
     name: str  # one DNS label, lower case
     zone: str
@@ -31,25 +32,25 @@
     machine: str = ""
     pod: int = 0
     weight: float = 1.0
-    started: float = 0.0  # seconds on the list's own clock
-    port: int = 0  # 0: the list gives no port for each endpoint
+    started: float = 0.0  # start time in seconds, by the clock of `EndpointList.written`
+    port: int = 0  # 0: the list gives no port
 
 
 class EndpointList(NamedTuple):
-    """A list, or the news that there is none."""
+    """An endpoint list, or with scope "unavailable" the information that none could be read."""
 
     scope: Scope
     version: int
-    written: float  # seconds on the list's own clock
+    written: float  # time of writing in seconds, by the clock of the list's author
     endpoints: tuple[ListedEndpoint, ...]
-    entry_errors: tuple[str, ...] = ()  # why entries were left out, one text each
+    entry_errors: tuple[str, ...] = ()  # one message for each invalid entry
     unusable_names: tuple[
         str | None, ...
     ] = ()  # names of unusable entries; None: the name is unusable too
 
 
 class Document(msgspec.Struct):
-    """A list's file form. Entries are checked one by one."""
+    """The JSON document of a list; `hosts` holds the entries, each checked on its own."""
 
     version: int
     hosts: list[Any]
@@ -58,13 +59,13 @@
 
 
 class EndpointListError(Exception):
-    """The data is not a list: truncated, empty or something else."""
+    """The data is not an endpoint list, for example because it is truncated or empty."""
 
 
 def read_document(data: bytes) -> EndpointList:
     """Parse a JSON document; raises EndpointListError.
 
-    An invalid entry is left out and reported in `bad`; the others are used.
+    An invalid entry is left out and reported in `entry_errors`; the other entries are used.
     """
     document = decode_document(data)
     endpoints: dict[str, ListedEndpoint] = {}
@@ -87,7 +88,7 @@
 
 
 def decode_document(data: bytes) -> Document:
-    """Decode a document and check everything but its entries; raises EndpointListError."""
+    """Decode a document and check everything except its entries; raises EndpointListError."""
     if not data.strip():
         raise EndpointListError("the file is empty")
     try:
@@ -104,13 +105,15 @@
 
 
 def check_entry(entry: ListedEndpoint) -> ListedEndpoint:
-    """Return a valid entry with its name in lower case; raises ValueError."""
+    """Check an entry and return it with its name in lower case; raises ValueError."""
     if entry.phase not in PHASES:
         raise ValueError(f"expected a phase of {', '.join(PHASES)}, got {entry.phase!r}")
     if not is_label(entry.name):
         raise ValueError(f"expected a name of one label, got {entry.name!r}")
     if not 0 < entry.weight < WEIGHT_LIMIT:
-        raise ValueError(f"expected a weight above 0, got {entry.weight!r}")
+        raise ValueError(
+            f"expected a weight above 0 and below {WEIGHT_LIMIT:g}, got {entry.weight!r}"
+        )
     if not (entry.address or entry.address6):
         raise ValueError(f"{entry.name}: expected an address")
     for address, version in ((entry.address, 4), (entry.address6, 6)):
--- a/peatlead/sources/file_watch.py
+++ b/peatlead/sources/file_watch.py
@@ -1,8 +1,8 @@
-"""An endpoint list in a JSON file that is polled.
+"""A source that polls an endpoint list in a JSON file.
 
-The file may be read while it is being written: reading is retried, and the list is reported as
-unavailable only after `patience` seconds. A version older than the last is not taken: files are
-restored from backups, and copies lag behind.
+The file may be incomplete while it is being written, so the source retries and reports the list as
+unavailable only after a timeout. A list with an older version than the last one is ignored, since
+the file may have been restored from a backup or copied late.
 """
 
 import asyncio
@@ -14,7 +14,7 @@
 
 
 class FileStamp(NamedTuple):
-    """What changes with a file's content."""
+    """File attributes that change when the file is written or replaced."""
 
     modified_ns: int
     size: int
@@ -22,10 +22,11 @@
 
 
 class FileSource:
-    """Polls the file and calls `on_update(EndpointList)` for each update.
+    """Polls the file and calls `on_update(endpoint_list)` for each update.
 
-    `settings`: path, every (seconds between polls) and patience (seconds). `log(event, **fields)`
-    is called for what was not taken.
+    `settings` has the keys `path`, `every` (seconds between polls) and `patience` (seconds until an
+    unreadable file is reported as unavailable). `log(event, **fields)` is called for invalid
+    entries, ignored lists and read errors.
     """
 
     def __init__(
@@ -35,18 +36,18 @@
         log: Callable[..., object],
     ) -> None:
         self.path = Path(settings["path"])
-        self.every: float = settings["every"]
-        self.patience: float = settings["patience"]
+        self.poll_interval: float = settings["every"]  # seconds
+        self.unavailable_timeout: float = settings["patience"]  # seconds
         self.on_update = on_update
         self.log = log
-        self.last_stamp: FileStamp | None = None  # of the last file that was read
-        self.version: int | None = None  # of the last list that was taken
-        self.unreadable_since: float | None = None
+        self.last_stamp: FileStamp | None = None  # of the file that was last read
+        self.version: int | None = None  # of the last accepted list
+        self.unreadable_since: float | None = None  # seconds
         self.reported_unavailable = False
         self.task: asyncio.Task[None] | None = None
 
     def set_known_version(self, version: int) -> None:
-        """Set the version known from the cache: an older list is not taken."""
+        """Set the version of the cached list; older lists are ignored."""
         self.version = version
 
     def start(self) -> None:
@@ -59,13 +60,13 @@
             self.task.cancel()
 
     async def poll(self) -> None:
-        """Look at the file periodically, until cancelled."""
+        """Check the file every `poll_interval` seconds until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
-            self.look(loop.time())
-            await asyncio.sleep(self.every)
+            self.check_file(loop.time())
+            await asyncio.sleep(self.poll_interval)
 
-    def look(self, now: float) -> None:
+    def check_file(self, now: float) -> None:
         """Read the file if it has changed; `now` is in seconds."""
         try:
             status = self.path.stat()
@@ -79,20 +80,20 @@
         self.last_stamp = stamp
         self.unreadable_since = None
         self.reported_unavailable = False
-        self.take(endpoint_list)
+        self.accept(endpoint_list)
 
     def fetch(self, now: float) -> None:
-        """Read the file again, changed or not."""
+        """Read the file whether or not it has changed; `now` is in seconds."""
         self.last_stamp = None
-        self.look(now)
+        self.check_file(now)
 
-    def take(self, endpoint_list: EndpointList) -> None:
-        """Pass a list on unless it is older than the last."""
+    def accept(self, endpoint_list: EndpointList) -> None:
+        """Call `on_update` with a list, unless its version is older than the last."""
         for error in endpoint_list.entry_errors:
             self.log("list entry left out", path=str(self.path), why=error)
         if self.version is not None and endpoint_list.version < self.version:
             self.log(
-                "older list not taken",
+                "older list ignored",
                 path=str(self.path),
                 version=endpoint_list.version,
                 last=self.version,
@@ -102,10 +103,13 @@
         self.on_update(endpoint_list)
 
     def handle_unreadable(self, now: float, error: Exception) -> None:
-        """Report the list as unavailable, once, when it was unreadable for too long."""
+        """Report the list as unavailable, once, after `unavailable_timeout` seconds of errors."""
         if self.unreadable_since is None:
             self.unreadable_since = now
             self.log("list not readable", path=str(self.path), why=str(error))
-        elif now - self.unreadable_since >= self.patience and not self.reported_unavailable:
+        elif (
+            now - self.unreadable_since >= self.unavailable_timeout
+            and not self.reported_unavailable
+        ):
             self.reported_unavailable = True
             self.on_update(EndpointList("unavailable", self.version or 0, 0.0, ()))
--- a/tests/controller/test_pinned_tables.py
+++ b/tests/controller/test_pinned_tables.py
@@ -138,7 +138,7 @@
             await asyncio.sleep(0.05)
             world.write_list(old)
             restarted = await world.start_controller()
-            await until(lambda: any(event == "older list not taken" for event, _ in world.log))
+            await until(lambda: any(event == "older list ignored" for event, _ in world.log))
             await until(lambda: world.answered_endpoints(restarted) == {"h1", "h2", "h3"})
 
         run_with_standins(case)
--- a/tests/health/test_load_report_counts.py
+++ b/tests/health/test_load_report_counts.py
@@ -1,3 +1,5 @@
+"""Aggregation of the request counts that endpoints report."""
+
 import unittest
 
 from peatlead import interface
@@ -17,11 +19,12 @@
         return counts
 
     def report(self, boot="b", **rows):
+        """Return a report of one request class; a key such as "10_1_0_0" stands for a network."""
         return EndpointReport(
             boot, ["look"], {network.replace("_", "."): [row] for network, row in rows.items()}
         )
 
-    def test_stats_are_the_difference_of_counters_by_zone_of_the_view(self):
+    def test_stats_are_counter_increments_by_view_and_by_zone_of_the_view(self):
         counts = self.make_counts()
         counts.add_report(3, self.report(**{"10_1_0_0": [10, 9, 1, 0, 0, 0, 4.5]}), {"util": 0.4})
         counts.add_report(
@@ -42,7 +45,7 @@
             ],
         )
 
-    def test_counters_restart_with_a_new_process_and_decreasing_ones_are_ignored(self):
+    def test_counters_restart_with_a_new_process_and_decreases_are_ignored(self):
         counts = self.make_counts()
         counts.add_report(3, self.report(**{"10_1_0_0": [100, 90, 0, 0, 0, 0, 9.0]}), None)
         counts.add_report(3, self.report("c", **{"10_1_0_0": [4, 4, 0, 0, 0, 0, 1.0]}), None)
@@ -54,7 +57,7 @@
         ]
         self.assertEqual((stats.attempts, stats.errors), (4, 0))
 
-    def test_requests_given_up_by_clients_count_as_errors(self):
+    def test_requests_abandoned_by_clients_count_as_errors(self):
         counts = self.make_counts()
         counts.add_report(3, self.report(**{"10_1_0_0": [0, 0, 0, 0, 0, 0, 0.0]}), None)
         counts.add_report(3, self.report(**{"10_1_0_0": [9, 0, 0, 0, 8, 0, 0.0]}), None)
@@ -65,7 +68,7 @@
         ]
         self.assertEqual((stats.attempts, stats.errors), (8, 8))
 
-    def test_a_passed_health_check_counts_for_an_idle_endpoint(self):
+    def test_a_passed_probe_counts_as_an_attempt_at_an_idle_endpoint(self):
         counts = self.make_counts()
         counts.add_probe(3, True, 0.01)
         counts.add_probe(4, False, 0.8)
--- a/tests/sources/documents.py
+++ b/tests/sources/documents.py
@@ -1,4 +1,4 @@
-"""Endpoint lists as JSON documents."""
+"""Endpoint lists as JSON documents, for tests."""
 
 import json
 
@@ -12,4 +12,5 @@
 
 
 def document(*hosts, version=1, written=100.0):
+    """Return an endpoint list with these entries as JSON."""
     return json.dumps({"version": version, "written": written, "hosts": hosts}).encode()
--- a/tests/sources/test_endpoint_cache.py
+++ b/tests/sources/test_endpoint_cache.py
@@ -1,3 +1,5 @@
+"""The cache of the last endpoint list."""
+
 import os
 import tempfile
 import unittest
@@ -14,12 +16,12 @@
         with tempfile.TemporaryDirectory() as folder:
             cache = EndpointCache(f"{folder}/list")
             self.assertIsNone(cache.load()[0])
-            listing = read_document(document(HOST))
-            cache.save(listing)
-            self.assertEqual(cache.load()[0], listing._replace(scope="remembered"))
+            endpoint_list = read_document(document(HOST))
+            cache.save(endpoint_list)
+            self.assertEqual(cache.load()[0], endpoint_list._replace(scope="remembered"))
             whole = Path(f"{folder}/list").read_bytes()
-            for cut in range(len(whole)):
-                Path(f"{folder}/list").write_bytes(whole[:cut])
+            for size in range(len(whole)):
+                Path(f"{folder}/list").write_bytes(whole[:size])
                 self.assertIsNone(cache.load()[0])
             for position in range(0, len(whole), 3):
                 Path(f"{folder}/list").write_bytes(
@@ -29,16 +31,21 @@
             Path(f"{folder}/list").write_bytes(
                 whole.replace(b"peatlead-list 1", b"peatlead-list 9")
             )
-            self.assertEqual(cache.load()[1], "not a list of this format")
+            self.assertEqual(
+                cache.load()[1], "the header is not that of a cached list of this version"
+            )
 
     def test_a_crash_during_a_write_leaves_the_previous_list(self):
         with tempfile.TemporaryDirectory() as folder:
             cache = EndpointCache(f"{folder}/list")
             cache.save(read_document(document(HOST, version=1)))
-            real, os.replace = os.replace, lambda *_: (_ for _ in ()).throw(OSError("power lost"))
+            original, os.replace = (
+                os.replace,
+                lambda *_: (_ for _ in ()).throw(OSError("simulated error")),
+            )
             try:
                 with self.assertRaises(OSError):
                     cache.save(read_document(document(HOST, version=2)))
             finally:
-                os.replace = real
+                os.replace = original
             self.assertEqual(cache.load()[0].version, 1)
--- a/tests/sources/test_endpoint_list.py
+++ b/tests/sources/test_endpoint_list.py
@@ -1,3 +1,5 @@
+"""Parsing of endpoint lists."""
+
 import unittest
 
 from peatlead.sources.endpoint_list import read_document
@@ -6,7 +8,7 @@
 
 
 class EndpointListTest(unittest.TestCase):
-    def test_invalid_entries_do_not_affect_valid_ones(self):
+    def test_invalid_entries_are_left_out_and_reported(self):
         invalid = [
             {**HOST, "name": "a.b"},
             {**HOST, "phase": "well"},
@@ -16,7 +18,8 @@
             7,
             {**HOST, "weight": "1"},
         ]
-        listing = read_document(document(HOST, *invalid, HOST))
+        endpoint_list = read_document(document(HOST, *invalid, HOST))
         self.assertEqual(
-            ([h.name for h in listing.endpoints], len(listing.entry_errors)), (["h1"], 8)
+            ([entry.name for entry in endpoint_list.endpoints], len(endpoint_list.entry_errors)),
+            (["h1"], 8),
         )
--- a/tests/sources/test_file_watch.py
+++ b/tests/sources/test_file_watch.py
@@ -1,3 +1,5 @@
+"""The source that polls an endpoint list in a file."""
+
 import tempfile
 import unittest
 from pathlib import Path
@@ -10,36 +12,36 @@
 
 class FileSourceTest(unittest.TestCase):
     def make_source(self, path):
-        listings, log = [], []
+        updates, events = [], []
         source = FileSource(
             {"path": str(path), "every": 0.1, "patience": 1.0},
-            listings.append,
-            lambda event, **_: log.append(event),
+            updates.append,
+            lambda event, **_: events.append(event),
         )
-        return source, listings, log
+        return source, updates, events
 
     def test_a_truncated_list_is_reported_unavailable_once(self):
         whole = document(HOST)
-        for cut in range(0, len(whole) - 1):
+        for size in range(0, len(whole) - 1):
             with self.assertRaises(EndpointListError):
-                read_document(whole[:cut])
+                read_document(whole[:size])
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "n.json"
-            source, listings, log = self.make_source(path)
+            source, updates, events = self.make_source(path)
             path.write_bytes(whole[:30])
             for now in (0.0, 0.5, 1.2, 3.0):
-                source.look(now)
-            self.assertEqual([listing.scope for listing in listings], ["unavailable"])
+                source.check_file(now)
+            self.assertEqual([update.scope for update in updates], ["unavailable"])
             path.write_bytes(whole)
-            source.look(3.1)
-            self.assertEqual(listings[-1].scope, "whole")
+            source.check_file(3.1)
+            self.assertEqual(updates[-1].scope, "whole")
 
-    def test_an_older_version_is_rejected(self):
+    def test_a_list_with_an_older_version_is_ignored(self):
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "n.json"
-            source, listings, log = self.make_source(path)
+            source, updates, events = self.make_source(path)
             for version in (5, 4, 6):
                 path.write_bytes(document(HOST, version=version) + b" " * version)
-                source.look(0.0)
-            self.assertEqual([listing.version for listing in listings], [5, 6])
-            self.assertIn("older list not taken", log)
+                source.check_file(0.0)
+            self.assertEqual([update.version for update in updates], [5, 6])
+            self.assertIn("older list ignored", events)
