--- a/peatlead/settings/__init__.py
+++ b/peatlead/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings: a Starlark script that calls a few builtins; checked whole before anything is used."""
+"""Settings: a Starlark script that calls builtins, checked completely before it is used."""
 
 from .errors import SettingsError
 from .loader import load_settings, read_settings
--- a/peatlead/settings/checks.py
+++ b/peatlead/settings/checks.py
@@ -1,4 +1,4 @@
-"""Checks of single values: each returns the value as it is stored, or raises ValueError."""
+"""Checks of single values: each returns the normalized value or raises ValueError."""
 
 from collections.abc import Callable
 from ipaddress import ip_address, ip_network
@@ -7,15 +7,15 @@
 
 from .fields import Check, expectation_error
 
-LONGEST_DOMAIN = 200  # characters; leaves place for the labels that go before it (255 in all)
-LONGEST_LABEL = 63  # characters (RFC 1035, section 2.3.4)
+MAX_DOMAIN_LENGTH = 200  # characters; the rest of the 255 is for labels in front (RFC 1035)
+MAX_LABEL_LENGTH = 63  # characters (RFC 1035, section 2.3.4)
 KEY_BYTES = 32
 
 
 def number(
     minimum: Optional[float] = None, maximum: Optional[float] = None, whole: bool = False
 ) -> Callable[[Any], float]:
-    """A check for a number within bounds; with `whole`, for an integer."""
+    """Return a check for a number from `minimum` to `maximum`; with `whole`, for an integer."""
 
     def check(value: Any) -> float:
         if not _is_number(value, whole):
@@ -30,7 +30,7 @@
 
 
 def _is_number(value: Any, whole: bool) -> bool:
-    if isinstance(value, bool):  # an integer to Python
+    if isinstance(value, bool):  # bool is a subclass of int
         return False
     if isinstance(value, float):
         return not whole and not isnan(value)
@@ -42,21 +42,21 @@
 
 
 def text(value: Any) -> str:
-    """A string that is not empty."""
+    """Check for a string that is not empty."""
     if not isinstance(value, str) or not value:
         raise expectation_error("a text that is not empty", value)
     return value
 
 
 def flag(value: Any) -> bool:
-    """True or False."""
+    """Check for True or False."""
     if not isinstance(value, bool):
         raise expectation_error("True or False", value)
     return value
 
 
 def one_of(*choices: Any) -> Check:
-    """A check for one of the values."""
+    """Return a check for one of the values."""
 
     def check(value: Any) -> Any:
         if value not in choices:
@@ -67,7 +67,7 @@
 
 
 def list_of(check_item: Check, minimum: int = 0) -> Callable[[Any], list[Any]]:
-    """A check for a list of at least `minimum` items that each pass a check."""
+    """Return a check for a list of at least `minimum` items that each pass `check_item`."""
 
     def check(value: Any) -> list[Any]:
         if not isinstance(value, (list, tuple)) or len(value) < minimum:
@@ -78,27 +78,27 @@
 
 
 def domain(value: Any) -> str:
-    """A domain name in lower case without the last dot (RFC 1035, section 2.3.1)."""
+    """Check for a domain name; return it in lower case without the trailing dot (RFC 1035)."""
     labels = text(value).rstrip(".").lower().split(".")
-    if len(value) > LONGEST_DOMAIN or not all(map(_is_label, labels)):
+    if len(value) > MAX_DOMAIN_LENGTH or not all(map(_is_label, labels)):
         raise expectation_error("a domain name of letters, digits and hyphens", value)
     return ".".join(labels)
 
 
 def _is_label(label: str) -> bool:
-    letters = label.replace("-", "").replace("_", "")
-    return 0 < len(label) <= LONGEST_LABEL and letters.isalnum()
+    alphanumerics = label.replace("-", "").replace("_", "")
+    return 0 < len(label) <= MAX_LABEL_LENGTH and alphanumerics.isalnum()
 
 
 def label(value: Any) -> str:
-    """One label of a domain name."""
+    """Check for one label of a domain name; return it in lower case."""
     if "." in text(value):
         raise expectation_error("one label without dots", value)
     return domain(value)
 
 
 def address(value: Any) -> str:
-    """An IP address, in its canonical form."""
+    """Check for an IP address; return it in canonical form."""
     try:
         return str(ip_address(value))
     except ValueError:
@@ -106,7 +106,7 @@
 
 
 def network(value: Any) -> str:
-    """An IP network, in its canonical form."""
+    """Check for an IP network; return it in canonical form."""
     try:
         return str(ip_network(value))
     except ValueError:
@@ -116,7 +116,7 @@
 
 
 def address_and_port(value: Any) -> tuple[str, int]:
-    """`ADDRESS:PORT` as the address and the port; an IPv6 address stands in brackets."""
+    """Check for `ADDRESS:PORT`, with an IPv6 address in brackets; return address and port."""
     host, _, port = text(value).rpartition(":")
     if not port.isdigit() or not 0 < int(port) < 65536:
         raise expectation_error("ADDRESS:PORT", value)
@@ -124,15 +124,15 @@
 
 
 def secret_key(value: Any) -> str:
-    """A key in hexadecimal digits."""
+    """Check for a key of KEY_BYTES bytes in hexadecimal digits."""
     try:
         if len(bytes.fromhex(text(value))) == KEY_BYTES:
             return text(value)
     except ValueError:
         pass
-    raise ValueError("expected 64 hex digits")  # without the value: it is a secret
+    raise ValueError("expected 64 hex digits")  # without the value, which is a secret
 
 
 seconds = number(0.0, 86400.0)
-positive_seconds = number(0.001, 86400.0)  # a time that is not 0
+positive_seconds = number(0.001, 86400.0)
 fraction = number(0.0, 1.0)
--- a/peatlead/settings/consistency.py
+++ b/peatlead/settings/consistency.py
@@ -1,4 +1,4 @@
-"""What no single value shows: names that must exist, and times that must fit each other."""
+"""Checks across several values: names that must exist, and times that depend on each other."""
 
 from collections.abc import Collection, Iterable
 from typing import Any
@@ -6,14 +6,14 @@
 from .errors import SettingsError
 from .fields import expectation_error
 
-Settings = dict[str, Any]  # by builtin: its values, or a list of them where it may be repeated
+Settings = dict[str, Any]  # values by builtin; a list of values for a repeated builtin
 
-NEEDED_BUILTINS = ("zone", "request_kind", "service", "steward")
+REQUIRED_BUILTINS = ("zone", "request_kind", "service", "steward")
 NAMED_BUILTINS = ("zone", "request_kind", "view", "steward")
 
 
 def check_consistency(name: str, settings: Settings) -> None:
-    """Raise SettingsError with the first contradiction; `name` is the script's."""
+    """Raise SettingsError for the first inconsistency; `name` is the script's file name."""
     try:
         for check in CHECKS:
             check(settings)
@@ -22,7 +22,7 @@
 
 
 def require_unique(names: Iterable[str], what: str) -> None:
-    """Raise ValueError where a name stands twice."""
+    """Raise ValueError if a name occurs twice; `what` describes the names."""
     seen = set()
     for name in names:
         if name in seen:
@@ -31,14 +31,14 @@
 
 
 def require_known(names: Iterable[str], known: Collection[str], what: str) -> None:
-    """Raise ValueError where a name isn't one of the known."""
+    """Raise ValueError if a name is not one of the known names; `what` is the setting."""
     for name in names:
         if name not in known:
             raise ValueError(f"{what}: expected one of {', '.join(sorted(known))}, got {name!r}")
 
 
 def _check_presence(settings: Settings) -> None:
-    for builtin in NEEDED_BUILTINS:
+    for builtin in REQUIRED_BUILTINS:
         if not settings[builtin]:
             raise ValueError(f"expected at least 1 {builtin}(...)")
 
@@ -52,18 +52,21 @@
 def _check_request_classes(settings: Settings) -> None:
     zones = _zones(settings)
     for request_class in settings["request_kind"]:
-        place = f"request_kind {request_class['name']}.only_zones"
-        require_known(request_class["only_zones"], zones, place)
+        setting = f"request_kind {request_class['name']}.only_zones"
+        require_known(request_class["only_zones"], zones, setting)
 
 
 def _check_services(settings: Settings) -> None:
-    only_zones = {each["name"]: each["only_zones"] for each in settings["request_kind"]}
+    only_zones = {
+        request_class["name"]: request_class["only_zones"]
+        for request_class in settings["request_kind"]
+    }
     for service in settings["service"]:
         require_known(service["kinds"], only_zones, f"service {service['label']}.kinds")
         if len({tuple(only_zones[name]) for name in service["kinds"]}) > 1:
             raise ValueError(
-                f"service {service['label']}: expected kinds that are open to the same zones: "
-                "a name has one answer for all of them"
+                f"service {service['label']}: expected kinds with the same only_zones: "
+                "one DNS answer serves all kinds of a service"
             )
 
 
@@ -85,7 +88,7 @@
     served = (settings["view"], settings["dns"]["open_views"], settings["grpc"]["proxies"])
     if not any(served):
         raise ValueError(
-            "expected a view(...), dns.open_views or grpc.proxies: nobody could be served"
+            "expected a view(...), dns.open_views or grpc.proxies: without them no client is served"
         )
 
 
@@ -93,25 +96,26 @@
     controllers = settings["steward"]
     peers = [controller for controller in controllers if controller["peer"]]
     if peers and len(peers) < len(controllers):
-        raise ValueError("steward.peer: expected for all stewards of a fleet, or for none")
+        raise ValueError("steward.peer: expected for all stewards of a fleet or for none")
     if peers and not settings["fleet"]["keys"]:
-        raise ValueError("fleet.keys: expected at least one key: members' messages are sealed")
+        raise ValueError("fleet.keys: expected at least one key for messages between stewards")
 
 
 def _check_lifetime(settings: Settings) -> None:
-    """Answers must expire within the drain grace.
+    """Check that answers expire within the drain grace period.
 
-    An answer that was given just before the news of a drain came through may be used for its whole
-    lifetime after it: the delay of the channel, that of the list and the lifetime must fit into the
-    grace together.
+    A client may use an answer for its whole lifetime (TTL). The delay of reading the list, the
+    delay of the channel and the lifetime together must not exceed the grace period.
     """
     limits = settings["limits"]
     lifetime = settings["dns"]["lifetime"]
-    longest = limits["drain_grace"] - limits["push_delay_most"] - settings["node_list"]["every"]
-    if lifetime > longest:
+    max_lifetime = (
+        limits["drain_grace"] - limits["push_delay_most"] - settings["node_list"]["every"]
+    )
+    if lifetime > max_lifetime:
         raise ValueError(
-            f"dns.lifetime: expected at most {max(0, int(longest))}, got {lifetime}: drain_grace "
-            f"less push_delay_most and node_list.every leaves {longest:.2f} s"
+            f"dns.lifetime: expected at most {max(0, int(max_lifetime))}, got {lifetime}: "
+            f"drain_grace less push_delay_most and node_list.every leaves {max_lifetime:.2f} s"
         )
 
 
@@ -119,7 +123,7 @@
     return {zone["name"] for zone in settings["zone"]}
 
 
-CHECKS = (  # in the order in which their errors take precedence
+CHECKS = (  # in order of precedence of their errors
     _check_presence,
     _check_names,
     _check_request_classes,
--- a/peatlead/settings/errors.py
+++ b/peatlead/settings/errors.py
@@ -1,5 +1,5 @@
-"""Errors of settings scripts."""
+"""Errors in settings scripts."""
 
 
 class SettingsError(Exception):
-    """The script cannot be used; the text is `FILE:LINE: what was expected`."""
+    """The script is invalid; the message is `FILE:LINE: description`."""
--- a/peatlead/settings/fields.py
+++ b/peatlead/settings/fields.py
@@ -1,28 +1,28 @@
-"""What one named value of a builtin is: its check, its default and its meaning."""
+"""Fields: the named values that the builtins of a script take."""
 
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-REQUIRED = object()  # as a default: the value must be given
+REQUIRED = object()  # the default of a field that must be given
 
-Check = Callable[[Any], Any]  # returns the value as it is stored, or raises ValueError
+Check = Callable[[Any], Any]  # returns the normalized value or raises ValueError
 
 
 class Field(NamedTuple):
-    """One named value that a builtin of a script takes."""
+    """One named value: its check, default and description."""
 
     check: Check
     default: Any
     description: str
 
 
-Schema = dict[str, dict[str, Field]]  # by builtin and field
+Schema = dict[str, dict[str, Field]]  # by builtin name and field name
 
 
 def expectation_error(what: str, value: object) -> ValueError:
-    """The error of a check.
+    """Return the error of a failed check.
 
-    It is a plain ValueError, since it passes through the Starlark interpreter, which names an
-    error's class in its report.
+    A ValueError is used because the Starlark interpreter includes the name of the class in its
+    error report, from which starlark_runner removes it.
     """
     return ValueError(f"expected {what}, got {value!r}")
--- a/peatlead/settings/loader.py
+++ b/peatlead/settings/loader.py
@@ -1,6 +1,6 @@
-"""Loads settings: runs the script, then checks its values one by one and as a whole.
+"""Loading of settings: runs the script, checks each value, then checks the settings as a whole.
 
-Each error names file, line and what was expected.
+Each error message names the file, the line and what was expected.
 """
 
 from pathlib import Path
@@ -12,26 +12,31 @@
 from .schema import REPEATED_BUILTINS, SINGLE_BUILTINS
 from .starlark_runner import Call, run_script
 
-LARGEST_SCRIPT = 4_000_000  # bytes; a larger one is a mistake
+MAX_SCRIPT_BYTES = 4_000_000
 
 
 def read_settings(path: Union[str, Path]) -> Settings:
-    """The checked settings of the script in a file."""
+    """Return the settings of a script file; raises SettingsError."""
     try:
         data = Path(path).read_bytes()
-        if len(data) > LARGEST_SCRIPT:
+        if len(data) > MAX_SCRIPT_BYTES:
             raise SettingsError(
-                f"{path}:1: expected at most {LARGEST_SCRIPT} bytes, got {len(data)}"
+                f"{path}:1: expected at most {MAX_SCRIPT_BYTES} bytes, got {len(data)}"
             )
         return load_settings(str(path), data.decode("utf-8"))
     except OSError as error:
         raise SettingsError(f"{path}:1: expected a readable file: {error.strerror}") from None
     except UnicodeDecodeError as error:
-        raise SettingsError(f"{path}:1: expected UTF-8, byte {error.start} is not") from None
+        raise SettingsError(
+            f"{path}:1: expected UTF-8, got an invalid byte at offset {error.start}"
+        ) from None
 
 
 def load_settings(name: str, source: str) -> Settings:
-    """The checked settings of a script that is given as text; `name` stands in errors."""
+    """Return the settings of a script given as text; raises SettingsError.
+
+    `name` is the file name in error messages.
+    """
     calls = run_script(name, source, {**SINGLE_BUILTINS, **REPEATED_BUILTINS})
     settings: Settings = {
         builtin: [call.values for call in calls if call.builtin == builtin]
@@ -44,7 +49,7 @@
 
 
 def _single_values(name: str, builtin: str, calls: list[Call]) -> dict[str, Any]:
-    """The values of a builtin that may be called once: its defaults where it isn't called."""
+    """Return the values of a builtin that may be called once, or its defaults."""
     fields = SINGLE_BUILTINS[builtin]
     given = [call.values for call in calls if call.builtin == builtin]
     if len(given) > 1:
--- a/peatlead/settings/starlark_runner.py
+++ b/peatlead/settings/starlark_runner.py
@@ -1,4 +1,4 @@
-"""Runs a Starlark script whose builtins take named values, and checks each value."""
+"""Runs Starlark scripts whose builtins take named values, and checks each value."""
 
 from collections.abc import Callable
 from typing import Any, NamedTuple
@@ -10,14 +10,17 @@
 
 
 class Call(NamedTuple):
-    """One call of a builtin, with all its fields: those that weren't given have their defaults."""
+    """One call of a builtin; `values` holds all its fields, with defaults where not given."""
 
     builtin: str
     values: dict[str, Any]
 
 
 def run_script(name: str, source: str, schema: Schema) -> list[Call]:
-    """The script's calls of the schema's builtins, in their order; `name` stands in errors."""
+    """Run a script and return its calls of the schema's builtins in order; raises SettingsError.
+
+    `name` is the file name in error messages.
+    """
     calls: list[Call] = []
     module = starlark.Module()
     for builtin, fields in schema.items():
@@ -26,12 +29,12 @@
         program = starlark.parse(name, source, starlark.Dialect.extended())
         starlark.eval(module, program, starlark.Globals.standard())
     except starlark.StarlarkError as error:
-        raise SettingsError(_locate(name, str(error))) from None
+        raise SettingsError(_message_with_line(name, str(error))) from None
     return calls
 
 
 def _recorder(calls: list[Call], builtin: str, fields: dict[str, Field]) -> Callable[..., None]:
-    """The function that the script calls under the builtin's name."""
+    """Return the function that a script calls under the builtin's name."""
 
     def record(*positional: Any, **named: Any) -> None:
         calls.append(Call(builtin, _check_fields(builtin, fields, positional, named)))
@@ -42,9 +45,11 @@
 def _check_fields(
     builtin: str, fields: dict[str, Field], positional: tuple[Any, ...], named: dict[str, Any]
 ) -> dict[str, Any]:
-    """The values of all fields, or ValueError with the first that is wrong."""
+    """Return the values of all fields; raises ValueError for the first invalid one."""
     if positional:
-        raise ValueError(f"{builtin}: expected every value by name, got {positional[0]!r} by place")
+        raise ValueError(
+            f"{builtin}: expected every value by name, got {positional[0]!r} by position"
+        )
     values = {
         name: _check_field(f"{builtin}.{name}", field, name in named, named.pop(name, None))
         for name, field in fields.items()
@@ -65,12 +70,12 @@
     return field.default
 
 
-def _locate(name: str, report: str) -> str:
-    """`FILE:LINE: text` out of Starlark's report, whose last arrow points at the place."""
+def _message_with_line(name: str, report: str) -> str:
+    """Return `FILE:LINE: text` for Starlark's report, whose last arrow points at the location."""
     line, text = "1", report.strip().splitlines()[0]
-    for row in map(str.strip, report.splitlines()):
-        if row.startswith("--> "):
-            line = row.rsplit(":", 2)[1]
-        elif row.startswith("error: "):
-            text = row.removeprefix("error: ").removeprefix("ValueError: ")
+    for report_line in map(str.strip, report.splitlines()):
+        if report_line.startswith("--> "):
+            line = report_line.rsplit(":", 2)[1]
+        elif report_line.startswith("error: "):
+            text = report_line.removeprefix("error: ").removeprefix("ValueError: ")
     return f"{name}:{line}: {text}"
--- a/tests/settings/test_day_script.py
+++ b/tests/settings/test_day_script.py
@@ -1,3 +1,5 @@
+"""Loading of scenario scripts (day scripts)."""
+
 import unittest
 
 from peatlead.scenario.script import load_day
@@ -5,9 +7,9 @@
 
 
 class DayScriptTest(unittest.TestCase):
-    def test_a_day_script_gives_its_events_by_time_and_checks_their_values(self):
+    def test_faults_are_sorted_by_time_and_their_values_are_checked(self):
         day = load_day("d.star", "silent(at = 3, part = 0.2)\nburst(at = 1)\nday(length = 5)")
-        self.assertEqual([event["verb"] for event in day["troubles"]], ["burst", "silent"])
+        self.assertEqual([fault["verb"] for fault in day["troubles"]], ["burst", "silent"])
         for script, expected in (
             ("silent(part = 2)", "d.star:1: silent.part: expected a number from 0.0 to 1.0"),
             ("quiet()", "Variable `quiet` not found"),
--- a/tests/settings/test_loader.py
+++ b/tests/settings/test_loader.py
@@ -1,3 +1,5 @@
+"""Loading of settings scripts and the errors in them."""
+
 import unittest
 
 from peatlead.settings import SettingsError, load_settings, read_settings
@@ -6,13 +8,14 @@
 
 
 class LoaderTest(unittest.TestCase):
-    def error_after(self, old, new):
+    def load_error(self, old, new):
+        """Return the error of loading the test script with `old` replaced by `new`."""
         script = SCRIPT.format(port=5300, control=5301, path="/x")
         with self.assertRaises(SettingsError) as caught:
             load_settings("s.star", script.replace(old, new))
         return str(caught.exception)
 
-    def test_an_error_names_the_file_the_line_and_what_was_expected(self):
+    def test_an_error_has_the_file_the_line_and_what_was_expected(self):
         for old, new, expected in (
             (
                 "lifetime = 1",
@@ -42,9 +45,9 @@
             ("127.1.0.1:5300", "127.1.0.1", "s.star:13: steward.listen: expected ADDRESS:PORT"),
         ):
             with self.subTest(new):
-                self.assertIn(expected, self.error_after(old, new))
+                self.assertIn(expected, self.load_error(old, new))
 
-    def test_values_that_contradict_each_other_are_errors(self):
+    def test_inconsistent_values_are_errors(self):
         for old, new, expected in (
             (
                 "lifetime = 1",
@@ -70,7 +73,7 @@
             ),
         ):
             with self.subTest(new):
-                self.assertIn(expected, self.error_after(old, new))
+                self.assertIn(expected, self.load_error(old, new))
 
     def test_a_missing_file_and_an_empty_script_are_errors(self):
         with self.assertRaisesRegex(SettingsError, "expected a readable file"):
