--- a/tests/lab/test_hunt.py
+++ b/tests/lab/test_hunt.py
@@ -1,4 +1,4 @@
-"""The search for faults over seeds."""
+"""The search for faults over random seeds."""
 
 import unittest
 
@@ -9,8 +9,8 @@
 from ..seeded_faults import SEEDED_FAULTS, seeds_until_found
 
 
-class Hunt(unittest.TestCase):
-    def test_shrinking_keeps_only_faults_that_matter(self):
+class FaultSearchTest(unittest.TestCase):
+    def test_shrinking_keeps_only_the_faults_that_cause_the_finding(self):
         scenario = draw(3, "dns")
         scenario["troubles"] = [
             {"verb": verb, "at": float(at), "length": 1.0}
@@ -19,24 +19,24 @@
             )
         ]
 
-        class Played:
+        class SimulatedDay:
             def __init__(self, day):
-                verbs = [t["verb"] for t in day["troubles"]]
-                bad = "hung" in verbs and "list_old" in verbs and day["day"]["length"] > 12
-                self.finds = ["rule 3 drains kept: x"] if bad else []
+                verbs = [fault["verb"] for fault in day["troubles"]]
+                fails = "hung" in verbs and "list_old" in verbs and day["day"]["length"] > 12
+                self.finds = ["rule 3 drains kept: x"] if fails else []
 
-        small = shrink(scenario, 3, ["rule 3 drains kept: y"], lambda day, seed: Played(day))
-        self.assertEqual([t["verb"] for t in small["troubles"]], ["hung", "list_old"])
+        small = shrink(scenario, 3, ["rule 3 drains kept: y"], lambda day, seed: SimulatedDay(day))
+        self.assertEqual([fault["verb"] for fault in small["troubles"]], ["hung", "list_old"])
         self.assertEqual(small["day"]["length"], 14.0)
         self.assertEqual(symptom(["at 1.2 s in ns1: KeyError('x') (f)"]), {"ns1: KeyError"})
 
-    def test_few_seeds_of_both_kinds_break_no_rule(self):
+    def test_a_few_seeds_of_both_kinds_break_no_rule(self):
         for seed in range(4):
             for kind in ("fleet", "dns"):
                 self.assertEqual(play_day(draw(seed, kind, 10.0), seed).finds, [], (seed, kind))
 
-    def test_planted_bugs_are_found(self):
-        """Those that few seeds find; all of them, with the seeds they took: docs/results/lab.md."""
+    def test_seeded_faults_are_found(self):
+        """Only faults that a few seeds find; docs/results/lab.md has the seeds needed for all."""
         for name in (
             "the fence of an agent is not checked",
             "an error when a host leaves",
--- a/tests/seeded_faults.py
+++ b/tests/seeded_faults.py
@@ -1,7 +1,7 @@
-"""Seeded faults: patches that break the software on purpose, for the lab's search to find.
+"""Seeded faults: patches that break the software on purpose, to test the lab's fault search.
 
-`python -m tests.seeded_faults [SEEDS]` plays random days until each fault is found, and prints how
-many seeds that took.
+`python -m tests.seeded_faults [SEEDS]` simulates random scenarios until each fault is found, and
+prints how many seeds were needed. SEEDS is the maximum number of seeds per fault.
 """
 
 import contextlib
@@ -21,13 +21,13 @@
 
 
 @contextlib.contextmanager
-def fence_not_checked():
-    """Proxies apply orders of earlier owners."""
-    real = Agent.take
+def ownership_not_checked():
+    """Proxies apply commands of earlier owners."""
+    original = Agent.take
 
     def take(self, call, steward, data):
         self.current = call
-        real(self, call, steward, data)
+        original(self, call, steward, data)
 
     with (
         mock.patch.object(Fence, "allows", lambda self, *_: True),
@@ -36,86 +36,86 @@
         yield
 
 
-def takes_endpoint_away(order):
-    """Whether an order takes an endpoint out of tables."""
-    if type(order) is interface.SetEntry:
-        return not order.weight
-    return type(order) is interface.WithdrawEndpoint
+def withdraws_endpoint(command):
+    """Return whether a planner command withdraws an endpoint from tables."""
+    if type(command) is interface.SetEntry:
+        return not command.weight
+    return type(command) is interface.WithdrawEndpoint
 
 
 def withdrawals_forgotten():
-    """Orders that take endpoints away are not published."""
-    real = Publisher.take
+    """Withdrawals of endpoints are not published."""
+    original = Publisher.take
 
-    def take(self, orders):
-        return real(self, [order for order in orders if not takes_endpoint_away(order)])
+    def take(self, commands):
+        return original(self, [command for command in commands if not withdraws_endpoint(command)])
 
     return mock.patch.object(Publisher, "take", take)
 
 
-def cold_bound_ignored():
-    """Endpoints that warm up get many times their weight."""
-    real = warmup_thinning.WarmupThinning.decide
+def warmup_limit_ignored():
+    """Endpoints that are warming up get 50 times their listed weight."""
+    original = warmup_thinning.WarmupThinning.decide
 
     def decide(self, changed, listed, heard=()):
         changed = {
             view: {host: 50.0 * listed[host] / max(0.01, weight) for host, weight in table.items()}
             for view, table in changed.items()
         }
-        return real(self, changed, listed, heard)
+        return original(self, changed, listed, heard)
 
     return mock.patch.object(warmup_thinning.WarmupThinning, "decide", decide)
 
 
 def lifetime_too_long():
-    """Answers may be cached for much longer than the settings say."""
-    real = Controller.start
+    """Answers have a much longer lifetime (TTL) than in the settings."""
+    original = Controller.start
 
     async def start(self):
         self.answers.lifetime = 30
-        await real(self)
+        await original(self)
 
     return mock.patch.object(Controller, "start", start)
 
 
 def retried_after_any_failure():
     """Proxies retry requests that must not be sent twice."""
-    real = Publisher.admit
+    original = Publisher.admit
 
-    def admit(self, out, order):
-        real(self, out, order._replace(retry_policy="once"))
+    def admit(self, out, command):
+        original(self, out, command._replace(retry_policy="once"))
 
     return mock.patch.object(Publisher, "admit", admit)
 
 
-def error_when_an_endpoint_leaves():
-    """An exception is raised where a withdrawal is applied."""
-    real = ViewState.apply
+def error_on_withdrawal():
+    """Applying a withdrawal raises an exception."""
+    original = ViewState.apply
 
     def apply(self, ops):
         if any(op[0] == "withdrawn" and value for op, value in ops.items()):
             raise KeyError("planted")
-        real(self, ops)
+        original(self, ops)
 
     return mock.patch.object(ViewState, "apply", apply)
 
 
-def tables_emptied_by_a_drain():
-    """One withdrawal takes all endpoints out of a table."""
-    real = ViewState.lines
+def tables_emptied_by_withdrawal():
+    """One withdrawal removes all endpoints from a table."""
+    original = ViewState.lines
     return mock.patch.object(
-        ViewState, "lines", lambda self, kind: {} if self.withdrawn else real(self, kind)
+        ViewState, "lines", lambda self, kind: {} if self.withdrawn else original(self, kind)
     )
 
 
-def channel_without_pace():
-    """Every table is published again each round, whatever the channel's capacity."""
+def channel_rate_ignored():
+    """Every table is published again in each round, whatever the capacity of the channel."""
     from peatlead.planner.planner import Planner
 
-    real = Planner.on_timer
+    original = Planner.on_timer
 
     def on_timer(self, event):
-        real(self, event)
+        original(self, event)
         for proxy in self.context.joined:
             if proxy.assigned:
                 self.commands += [
@@ -126,22 +126,25 @@
     return mock.patch.object(Planner, "on_timer", on_timer)
 
 
-SEEDED_FAULTS = {  # name: (patch, kind of day that shows it)
-    "the fence of an agent is not checked": (fence_not_checked, "fleet"),
+SEEDED_FAULTS = {  # name: (patch, kind of scenario in which the fault shows)
+    "the fence of an agent is not checked": (ownership_not_checked, "fleet"),
     "withdrawals are forgotten": (withdrawals_forgotten, "fleet"),
-    "the cold bound is ignored": (cold_bound_ignored, "dns"),
+    "the cold bound is ignored": (warmup_limit_ignored, "dns"),
     "lifetimes are too long": (lifetime_too_long, "dns"),
     "non-replayable reqs are tried again": (retried_after_any_failure, "fleet"),
-    "an error when a host leaves": (error_when_an_endpoint_leaves, "dns"),
-    "a drain empties tables": (tables_emptied_by_a_drain, "dns"),
-    "the channel's pace is not looked at": (channel_without_pace, "fleet"),
+    "an error when a host leaves": (error_on_withdrawal, "dns"),
+    "a drain empties tables": (tables_emptied_by_withdrawal, "dns"),
+    "the channel's pace is not looked at": (channel_rate_ignored, "fleet"),
 }
 
 
-def seeds_until_found(name, most=200, length=16.0):
-    """(seeds needed, findings), or (None, []) where `most` seeds were not enough."""
+def seeds_until_found(name, max_seeds=200, length=16.0):
+    """Return (seeds needed, findings), or (None, []) if `max_seeds` seeds found nothing.
+
+    `length` is the simulated time of each scenario in seconds.
+    """
     patch, kind = SEEDED_FAULTS[name]
-    for seed in range(most):
+    for seed in range(max_seeds):
         with patch():
             findings = play_day(draw(seed, kind, length), seed).finds
         if findings:
@@ -150,7 +153,7 @@
 
 
 if __name__ == "__main__":
-    most_seeds = int(sys.argv[1]) if len(sys.argv) > 1 else 200
+    max_seeds = int(sys.argv[1]) if len(sys.argv) > 1 else 200
     for fault in SEEDED_FAULTS:
-        seeds, findings = seeds_until_found(fault, most_seeds)
+        seeds, findings = seeds_until_found(fault, max_seeds)
         print(json.dumps({"planted": fault, "seeds": seeds, "found": findings[:1]}), flush=True)
--- a/tests/standin_fleet.py
+++ b/tests/standin_fleet.py
@@ -1,4 +1,4 @@
-"""Settings, and a small world of stand-in endpoints and controllers, that tests build on."""
+"""Test support: settings, and a small fleet of stand-in endpoints and controllers."""
 
 import asyncio
 import json
@@ -7,7 +7,7 @@
 from random import Random
 
 import dns.message
-from hypothesis import settings as effort
+from hypothesis import settings as hypothesis_settings
 
 from peatlead.controller.controller import Controller
 from peatlead.planner.planner import Planner
@@ -15,8 +15,8 @@
 from peatlead.settings import load_settings
 from peatlead.standin.hosts import Host, Plan, Pods
 
-effort.register_profile("steady", derandomize=True, deadline=None, max_examples=60)
-effort.load_profile("steady")  # the same verdict every time
+hypothesis_settings.register_profile("steady", derandomize=True, deadline=None, max_examples=60)
+hypothesis_settings.load_profile("steady")  # property tests give the same result on every run
 
 SCRIPT = """
 zone(name = "north")
@@ -46,37 +46,37 @@
 
 
 def settings(port=5300, path="/nowhere/nodes.json", script=SCRIPT, more=""):
-    """The settings of a script whose ports and list file are filled in."""
+    """Return the settings of `script` with its ports and list file filled in, plus the text `more`."""
     text = script.format(port=port, control=port + 1, grpc=port + 2, path=path)
     return load_settings("test.star", text + more)
 
 
-def run(case, deadline=90.0):
-    """Runs a coroutine on a loop of its own; an exception in any callback fails the test."""
+def run(case, timeout=90.0):
+    """Run a coroutine in a new event loop; an exception in any callback fails the test."""
     errors = []
 
-    async def whole():
+    async def run_case():
         asyncio.get_running_loop().set_exception_handler(lambda _, context: errors.append(context))
-        return await asyncio.wait_for(case, deadline)
+        return await asyncio.wait_for(case, timeout)
 
-    result = asyncio.run(whole())
+    result = asyncio.run(run_case())
     if errors:
         raise AssertionError(errors)
     return result
 
 
-async def until(true, deadline=8.0):
-    """Waits for a condition; how long it takes is never asserted: a busy machine gets three times as long."""
+async def until(condition, timeout=8.0):
+    """Wait until `condition()` is true; fail after three times `timeout`, for busy machines."""
     loop = asyncio.get_running_loop()
-    end = loop.time() + 3 * deadline
-    while not true():
+    end = loop.time() + 3 * timeout
+    while not condition():
         if loop.time() > end:
-            raise AssertionError("it did not come true")
+            raise AssertionError(f"condition still false after {3 * timeout} s")
         await asyncio.sleep(0.01)
 
 
 class MemoryRecorder:
-    """In a recorder's place: keeps rows in memory."""
+    """Replaces a Recorder and keeps the rows in memory."""
 
     def __init__(self):
         self.rows = []
@@ -88,24 +88,24 @@
         return [row for row in self.rows if row[0] == kind]
 
 
-class World:
-    """Stand-in endpoints, a list file and controllers in one loop, on a port of their own."""
+class StandinFleet:
+    """Stand-in endpoints, an endpoint list file and controllers in one event loop, on a free port."""
 
-    def __init__(self, folder, hosts=4, deep=True, cold=False, script=SCRIPT):
+    def __init__(self, folder, endpoints=4, deep=True, cold=False, script=SCRIPT):
         self.folder = Path(folder)
         self.port = free_port()
         self.record = MemoryRecorder()
         self.settings = settings(self.port, f"{folder}/nodes.json", script)
         self.random = Random(4)
         self.pods = Pods()
-        self.endpoints = []  # the stand-in endpoints
-        self.controllers = []  # the controllers
+        self.endpoints = []  # Host objects
+        self.controllers = []
         self.log = []  # (event, fields) of all controllers
-        self.cleanups = []  # called at the end
-        self.plans = [self._plan(number, deep, cold) for number in range(hosts)]
-        self.phases = {plan.name: "ready" for plan in self.plans}  # as the list has them
-        self.list_version = 0  # of the list
-        self.extra_entries = []  # more entries of the list
+        self.cleanups = []  # functions that `stop` calls
+        self.plans = [self._plan(number, deep, cold) for number in range(endpoints)]
+        self.phases = {plan.name: "ready" for plan in self.plans}  # in the list, by name
+        self.list_version = 0
+        self.extra_entries = []  # entries of the list that are no stand-in endpoints
 
     def _plan(self, number, deep, cold):
         return Plan(
@@ -125,8 +125,8 @@
             cold=cold,
         )
 
-    async def begin(self):
-        """Starts the endpoints and writes the first list."""
+    async def start(self):
+        """Start the endpoints and write the first list."""
         for plan in self.plans:
             self.endpoints.append(Host(plan, self.random, self.record, self.pods))
             await self.endpoints[-1].begin()
@@ -134,9 +134,9 @@
         return self
 
     def write_list(self, data=None):
-        """Writes the list as `phases` and `extra` have it, or `data` in its place."""
+        """Write the list of `phases` and `extra_entries`, or the bytes `data` instead."""
         self.list_version += 1
-        hosts = [
+        entries = [
             {
                 "name": plan.name,
                 "zone": plan.zone,
@@ -149,25 +149,25 @@
         document = {
             "version": self.list_version,
             "written": 50.0,
-            "hosts": hosts + self.extra_entries,
+            "hosts": entries + self.extra_entries,
         }
         path = self.folder / "nodes.json"
         new_path = path.with_suffix(".new")
         new_path.write_bytes(json.dumps(document).encode() if data is None else data)
         new_path.replace(path)
 
-    async def change_list_repeatedly(self, many, every):
-        """The list changes again and again; h1 drains in the end, all others are ready."""
-        for number in range(many):
+    async def change_list_repeatedly(self, times, interval):
+        """Change phases `times` times; at the end h1 is draining and all others are ready."""
+        for number in range(times):
             name = f"h{number % 3 + 1}"
             self.phases[name] = "draining" if self.phases[name] == "ready" else "ready"
             self.write_list()
-            await asyncio.sleep(every)
+            await asyncio.sleep(interval)
         self.phases.update(h1="draining", h2="ready", h3="ready")
         self.write_list()
 
     async def start_controller(self, name="ns1", planner=Planner):
-        """Starts a controller of the settings."""
+        """Start and return the controller with this name in the settings."""
         controller = Controller(
             self.settings,
             name,
@@ -179,37 +179,40 @@
         await controller.start()
         return controller
 
-    def answered_endpoints(self, steward, view="desk0", many=24):
-        """The names of the endpoints in many answers to a view; addresses of no endpoint as they are."""
+    def answered_endpoints(self, controller, view="desk0", queries=24):
+        """Return the names of the endpoints in the answers to a view's client.
+
+        An address that belongs to no endpoint is returned as it is.
+        """
         client = CLIENT_OF_VIEW[view]
         addresses = set()
-        for _ in range(many):
+        for _ in range(queries):
             query = dns.message.make_query("api.example.org", "A").to_wire()
-            answer = dns.message.from_wire(steward.answers.respond(query, client))
+            answer = dns.message.from_wire(controller.answers.respond(query, client))
             addresses |= {str(record) for rrset in answer.answer for record in rrset}
         name_of = {plan.address: plan.name for plan in self.plans}
         return {name_of.get(address, address) for address in addresses}
 
-    def end(self):
-        """Stops all that was started."""
+    def stop(self):
+        """Stop controllers and endpoints, then call the cleanup functions."""
         for controller in self.controllers:
             controller.stop()
         for endpoint in self.endpoints:
             endpoint.stop()
-        for close in self.cleanups:
-            close()
+        for cleanup in self.cleanups:
+            cleanup()
 
 
-def run_with_standins(case, **more):
-    """Runs `case(world)` in a world that has begun."""
+def run_with_standins(case, **options):
+    """Run `case(fleet)` with a started StandinFleet of these options."""
 
-    async def whole():
+    async def run_case():
         with tempfile.TemporaryDirectory() as folder:
-            world = await World(folder, **more).begin()
+            fleet = await StandinFleet(folder, **options).start()
             try:
-                return await case(world)
+                return await case(fleet)
             finally:
-                world.end()
+                fleet.stop()
                 await asyncio.sleep(0.02)
 
-    return run(whole())
+    return run(run_case())
