--- a/peatlead/adapter.py
+++ b/peatlead/adapter.py
@@ -18,8 +18,8 @@
 from .wire.event_translator import EventTranslator
 from .wire.layouts import EVENT_NAMES
 from .wire.reply_records import ReplyRecord
-from .wire.settings import settings_from
-from .wire.units import MICROSECONDS
+from .wire.settings import settings_from_environment
+from .wire.units import MICROSECONDS_PER_SECOND
 
 EXIT_MALFORMED_INPUT = 2
 
@@ -28,7 +28,7 @@
     """One controller: its own planner and its own ids; nothing is shared with another."""
 
     def __init__(self, record: Attach) -> None:
-        settings = settings_from(record.environment)
+        settings = settings_from_environment(record.environment)
         endpoint_ids = EndpointIds()
         self.event_translator = EventTranslator(endpoint_ids, settings["report_fields"])
         self.command_translator = CommandTranslator(record.instance, endpoint_ids)
@@ -58,7 +58,7 @@
     reply: list[ReplyRecord] = []
     for number in dict.fromkeys(record.instance for record in records):
         if number in instances:
-            reply.extend(instances[number].decide(clock_us / MICROSECONDS))
+            reply.extend(instances[number].decide(clock_us / MICROSECONDS_PER_SECOND))
     return reply
 
 
--- a/peatlead/benchmarks/tables_controllers.py
+++ b/peatlead/benchmarks/tables_controllers.py
@@ -48,14 +48,14 @@
 
 def write_log(folder: str, versions: int) -> None:
     """Write a log of versions into the controller's state."""
-    log = TableLog(f"{folder}/state/tables-ns1", Store(), None, sync_every=1e9)
+    log = TableLog(f"{folder}/state/tables-ns1", Store(), None, sync_interval=1e9)
     log.start(0.0)
     for index in range(versions):
         name = f"agent{index % 200}"
         changed = {line_key("look", "north", f"10.0.0.{index % 24}", 80): index + 1}
         version = Version(1, index + 1)
         cause = "h7 drains, list 12"
-        log.publish(name, log.store.commit(name, version, time.time(), (cause,), changed))
+        log.record_version(name, log.store.commit(name, version, time.time(), (cause,), changed))
         log.flush(0.0)
     log.close()
 
@@ -139,7 +139,7 @@
                 time.sleep(0.03)
             end(child, signal.SIGKILL)
             store = Store()
-            problems = TableLog(f"{folder}/state/tables-ns1", store, None).recall()
+            problems = TableLog(f"{folder}/state/tables-ns1", store, None).restore()
             faults += [f"{file}: {reason}" for file, reason in problems if "torn" not in reason]
             if store.entry_count < newest:
                 faults.append(f"{newest} versions, then {store.entry_count}")
--- a/peatlead/benchmarks/tables_log.py
+++ b/peatlead/benchmarks/tables_log.py
@@ -33,8 +33,8 @@
 def write_until_killed(folder: str, seed: int) -> None:
     """Publish versions without end, and print the serial of each that is written."""
     rng = Random(seed)
-    log = TableLog(folder, Store(), None, sync_every=0.05)
-    log.recall()
+    log = TableLog(folder, Store(), None, sync_interval=0.05)
+    log.restore()
     log.start(0.0)
     serial = newest_serial(log.store)
     while True:
@@ -43,7 +43,7 @@
         changed = {f"line/k/z/h{rng.randrange(8)}:1": serial}
         version = Version(1, serial)
         entry = log.store.commit(name, version, float(serial), (f"cause {serial}",), changed)
-        log.publish(name, entry)
+        log.record_version(name, entry)
         log.flush(time.monotonic())
         sys.stdout.write(f"{serial}\n")
         sys.stdout.flush()
@@ -51,7 +51,7 @@
 
 def newest_serial(store: Store) -> int:
     """Return the largest serial of all histories."""
-    return max((history.last.serial for history in store.histories.values()), default=0)
+    return max((history.newest_version.serial for history in store.histories.values()), default=0)
 
 
 def kill_writer(folder: str, seed: int, life: float) -> int:
@@ -71,7 +71,7 @@
 def read_log(folder: str) -> ReadResult:
     """Read a log and check it."""
     store = Store()
-    problems = TableLog(folder, store, None).recall()
+    problems = TableLog(folder, store, None).restore()
     torn = sum(TORN in problem.reason for problem in problems)
     faults = [problem.reason for problem in problems if TORN not in problem.reason]
     for history in store.histories.values():
@@ -113,7 +113,9 @@
             changed = changes(log.store.history(name).items, state)
             version = Version(1, index + 1)
             cause = "h7 drains, list 12"
-            log.publish(name, log.store.commit(name, version, float(index), (cause,), changed))
+            log.record_version(
+                name, log.store.commit(name, version, float(index), (cause,), changed)
+            )
             if index % VERSIONS_PER_FLUSH == VERSIONS_PER_FLUSH - 1:
                 log.flush(0.0)
     log.flush(0.0)
@@ -122,7 +124,7 @@
 def measure_read() -> None:
     """Print how long 10,000 versions take to write and to read."""
     with tempfile.TemporaryDirectory() as folder:
-        log = TableLog(folder, Store(), None, sync_every=1e9)
+        log = TableLog(folder, Store(), None, sync_interval=1e9)
         log.start(0.0)
         start = time.perf_counter()
         write_versions(log)
@@ -131,7 +133,7 @@
         log.close()
         start = time.perf_counter()
         store = Store()
-        problems = TableLog(folder, store, None).recall()
+        problems = TableLog(folder, store, None).restore()
         print(
             f"10,000 versions: written in {written:.2f} s, {size / 10_000:.0f} bytes each on disk; "
             f"read in {time.perf_counter() - start:.2f} s, {store.entry_count} versions, "
--- a/peatlead/controller/operator_queries.py
+++ b/peatlead/controller/operator_queries.py
@@ -134,7 +134,7 @@
             "members": self._describe_members(gossip),
             "messages": dict(gossip.counts),
             **(proxies.status() if proxies else {}),
-            "pins": sorted(controller.published.pins.standing()),
+            "pins": sorted(controller.published.pins.unended()),
             "owned": self._owned_proxies(gossip),
         }
 
--- a/peatlead/controller/pin_commands.py
+++ b/peatlead/controller/pin_commands.py
@@ -5,7 +5,7 @@
 
 from ..tables.guard import GuardedTable
 from ..tables.history import Store
-from ..tables.pins import ActivePin, Pin, check
+from ..tables.pins import ActivePin, Pin, validate_pin
 from .control_socket import Answer
 from .pin_control import PinControl
 from .pin_targets import PinTargets
@@ -145,10 +145,10 @@
 
     def _add_guard_result(self, answer: Answer, table: GuardedTable) -> None:
         name_of = self._controller.published.name_of
-        for endpoint, reason in table.taken.items():
+        for endpoint, reason in table.restricted.items():
             name = name_of(endpoint) if endpoint >= 0 else "an unknown address"
             answer["taken"][name] = reason
-        answer["filled"] += [name_of(endpoint) for endpoint in table.filled]
+        answer["filled"] += [name_of(endpoint) for endpoint in table.added]
 
 
 def trial_pin(request: PinRequest) -> Pin:
@@ -165,5 +165,5 @@
         age=0.0,
         remaining=request.length,
     )
-    check(pin)
+    validate_pin(pin)
     return pin
--- a/peatlead/controller/pin_control.py
+++ b/peatlead/controller/pin_control.py
@@ -43,27 +43,27 @@
 
     def log_standing(self, now: float) -> None:
         """Log each pin in force with its remaining seconds."""
-        for active in self.pins.standing().values():
-            left = round(active.until - now, 1)
+        for active in self.pins.unended().values():
+            left = round(active.expires_at - now, 1)
             self._controller.log("tables pinned", pin=active.pin.id, left=left)
 
     def expire(self, now: float) -> None:
         """End the pins whose time is over."""
-        for pin_id in self.pins.tick(now):
+        for pin_id in self.pins.expire(now):
             self._controller.log("pin ran out", pin=pin_id)
             self.store(now)
 
     def refresh(self, now: float) -> None:
         """Store and announce the pins again when that is due."""
-        if self.pins.held and now - self._stored_at >= STORE_INTERVAL:
+        if self.pins.by_id and now - self._stored_at >= STORE_INTERVAL:
             self.store(now)
-        if self.pins.held and now - self._announced_at >= GOSSIP_INTERVAL:
+        if self.pins.by_id and now - self._announced_at >= GOSSIP_INTERVAL:
             self.announce(now)
 
     def store(self, now: float) -> None:
         """Append the pins, with their present ages, to the table log."""
         self._stored_at = now
-        self._log.note(NOTE_KEY, encode_pins(self.pins.snapshot(now)))
+        self._log.record_note(NOTE_KEY, encode_pins(self.pins.snapshot(now)))
 
     def announce(self, now: float) -> None:
         """Send all pins to the other controllers."""
@@ -90,7 +90,7 @@
 
     def pin_of(self, name: str, zone: str) -> ActivePin | None:
         """Return the pin that holds a proxy or view now."""
-        if not self.pins.held:
+        if not self.pins.by_id:
             return None
         active: ActivePin | None = self.pins.pin_for(self._controller.loop.time(), name, zone)
         return active
--- a/peatlead/controller/pin_targets.py
+++ b/peatlead/controller/pin_targets.py
@@ -15,7 +15,7 @@
 from ..tables.history import Store, UnknownVersionError
 from ..tables.pins import ActivePin, Pins
 from ..tables.table_log import TableLog
-from ..tables.version import NONE, Version, parse_line_key, parse_version
+from ..tables.version import NO_VERSION, Version, parse_line_key, parse_version
 from .published_items import LineWeights, TableItems, line_items
 
 if TYPE_CHECKING:
@@ -87,13 +87,13 @@
 
     def recall(self) -> None:
         """Take up the targets of an earlier start. Raises MsgspecError or ValueError."""
-        for key in [key for key in self._log.noted if key.startswith(NOTE_PREFIX)]:
+        for key in [key for key in self._log.notes if key.startswith(NOTE_PREFIX)]:
             _, pin_id, name = key.split("/", 2)
-            if pin_id in self._pins.held:
-                lines = msgspec.msgpack.decode(self._log.noted[key], type=LineWeights)
+            if pin_id in self._pins.by_id:
+                lines = msgspec.msgpack.decode(self._log.notes[key], type=LineWeights)
                 self._lines[pin_id, name] = lines
             else:
-                self._log.note(key, None)
+                self._log.record_note(key, None)
 
     def lines(self, active: ActivePin, name: str) -> LineWeights:
         """Return the lines that a pin holds a proxy to, looked up at the first call."""
@@ -105,16 +105,16 @@
     def find(self, active: ActivePin, name: str) -> PastTable | None:
         """Return the table that a pin names for a proxy, or None where it is not known here."""
         history = self._store.histories.get(name)
-        if history is None or history.last == NONE:
+        if history is None or history.newest_version == NO_VERSION:
             return None
         pin = active.pin
         try:
             if pin.target == "held":
-                return PastTable(history.last, dict(history.items))
+                return PastTable(history.newest_version, dict(history.items))
             if pin.target == "version":
                 version = parse_version(pin.to)
                 return PastTable(version, history.at_version(version))
-            age = self._controller.loop.time() - active.base
+            age = self._controller.loop.time() - active.created_at
             return PastTable(*history.at_time(self._wall() - age - float(pin.to)))
         except UnknownVersionError:
             return None
@@ -128,7 +128,7 @@
         if not self._controller.fleet:
             return
         joined = {name for _, name, _ in self._controller.recipients.everyone()}
-        for active in self._pins.standing().values():
+        for active in self._pins.unended().values():
             if active.pin.target != "back":
                 continue
             for name in sorted(self._store.histories, key=joined.__contains__):
@@ -143,7 +143,7 @@
         for key in due[:ANNOUNCEMENTS_EACH_ROUND]:
             self._announced[key] = True
             pin_id, name = key
-            active = self._pins.held.get(pin_id)
+            active = self._pins.by_id.get(pin_id)
             past = self.find(active, name) if active else None
             if past is None:
                 continue
@@ -159,25 +159,25 @@
             self._controller.log("wish refused", why=str(error))
             return
         pin_id, name = key
-        if pin_id not in self._pins.held or len(self.offered) > OFFERED_LIMIT:
+        if pin_id not in self._pins.by_id or len(self.offered) > OFFERED_LIMIT:
             return
         known = self.offered.get(key)
-        if past.version <= (known.version if known else NONE):
+        if past.version <= (known.version if known else NO_VERSION):
             return
         self.offered[key] = past
-        own = self.find(self._pins.held[pin_id], name)
+        own = self.find(self._pins.by_id[pin_id], name)
         if key in self._lines and (own is None or own.version < past.version):
             self._keep(key, past.items)
             self.unknown.discard(key)
 
     def forget_ended(self) -> None:
         """Drop all that belongs to pins which are no longer remembered."""
-        held = self._pins.held
+        held = self._pins.by_id
         self._announced = {key: sent for key, sent in self._announced.items() if key[0] in held}
         self.offered = {key: past for key, past in self.offered.items() if key[0] in held}
         for key in [key for key in self._lines if key[0] not in held]:
             del self._lines[key]
-            self._log.note(note_key(key), None)
+            self._log.record_note(note_key(key), None)
         self.unknown = {key for key in self.unknown if key[0] in held}
 
     def _first_lines(self, active: ActivePin, name: str) -> LineWeights:
@@ -195,4 +195,4 @@
 
     def _keep(self, key: TargetKey, lines: LineWeights) -> None:
         self._lines[key] = lines
-        self._log.note(note_key(key), msgspec.msgpack.encode(lines))
+        self._log.record_note(note_key(key), msgspec.msgpack.encode(lines))
--- a/peatlead/controller/pinned_tables.py
+++ b/peatlead/controller/pinned_tables.py
@@ -6,10 +6,10 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from ..sources.endpoint_list import ListedEndpoint
-from ..tables.guard import RAMPED, GuardContext, GuardedTable, guard
+from ..tables.guard import RAMPED_FRACTION, GuardContext, GuardedTable, guard
 from ..tables.history import Store
 from ..tables.pins import REPUBLISH_INTERVAL, ActivePin
-from ..tables.version import SCALE, changes, line_key, parse_line_key, quantize_weight
+from ..tables.version import WEIGHT_SCALE, changes, line_key, parse_line_key, quantize_weight
 from .message import PIN_CHECK, Operations
 from .pin_control import PinControl
 from .pin_targets import PinTargets
@@ -130,7 +130,7 @@
             line_class, _, address, _ = parse_line_key(key)
             if line_class == request_class:
                 endpoint = self._endpoints.by_address.get(address, UNLISTED_ENDPOINT)
-                past[endpoint] = value / SCALE
+                past[endpoint] = value / WEIGHT_SCALE
         if not past:  # nothing is known of this request class
             return GuardedTable(dict(planned), {}, ())
         table: GuardedTable = guard(past, planned, self._endpoints.context())
@@ -173,9 +173,9 @@
         self._controller.messages.send_due()
 
     def _endpoint_sets_changed(self) -> bool:
-        fractions = self._endpoints.context().parts
+        fractions = self._endpoints.context().fractions
         ramping = frozenset(
-            endpoint for endpoint, fraction in fractions.items() if fraction < RAMPED
+            endpoint for endpoint, fraction in fractions.items() if fraction < RAMPED_FRACTION
         )
         before = self._endpoint_sets
         self._endpoint_sets = frozenset(fractions), ramping
--- a/peatlead/controller/proxies.py
+++ b/peatlead/controller/proxies.py
@@ -18,7 +18,7 @@
 from ..grpc.server import GrpcServer
 from ..grpc.session import Session
 from ..sources.endpoint_list import ListedEndpoint
-from ..tables.version import NONE, PARTS, Version, line_key, quantize_weight
+from ..tables.version import NO_VERSION, PARTS, Version, line_key, quantize_weight
 from .message import Message
 from .overload import ReportsRead
 from .proxy_admission import Admission, Metadata, ProxyAdmission
@@ -41,7 +41,7 @@
 class ProxyProgress:
     """How far a session has come with what it was sent."""
 
-    acknowledged: Version = NONE  # the newest version that the proxy has applied
+    acknowledged: Version = NO_VERSION  # the newest version that the proxy has applied
     causes: dict[str, None] = field(default_factory=dict)  # of what was not sent yet, in order
 
 
--- a/peatlead/controller/publication.py
+++ b/peatlead/controller/publication.py
@@ -61,7 +61,7 @@
             self.store,
             controller.log,
             bounds["sync_every"],
-            disk_most=int(bounds["disk_most"]),
+            disk_bytes_max=int(bounds["disk_most"]),
         )
         self.causes = ChangeCauses(self.name_of, self._listed_weight_of)
         self._endpoints = EndpointFacts(controller)
@@ -109,11 +109,11 @@
 
     def recall(self, now: float) -> None:
         """Read what was published before this start, and begin to write."""
-        for file, reason in self.log.recall():
+        for file, reason in self.log.restore():
             self._controller.log("tables: part of the log not taken", file=file, why=reason)
-        notes = self.log.noted
+        notes = self.log.notes
         self._boots = int(notes.get(BOOTS_NOTE, b"0")) + 1
-        self.log.note(BOOTS_NOTE, b"%d" % self._boots)
+        self.log.record_note(BOOTS_NOTE, b"%d" % self._boots)
         try:
             self._pin_control.recall(now, notes)
             self.targets.recall()
@@ -129,13 +129,13 @@
         self.targets.forget_ended()
         self._pin_control.refresh(now)
         self.targets.send_announcements()
-        if self.pins.held or self.covered:
+        if self.pins.by_id or self.covered:
             self._pinned_tables.enforce(now)
         self.log.flush(now)
 
     def stop(self, now: float) -> None:
         """Write all that is still in memory and close the log."""
-        if self.pins.held:
+        if self.pins.by_id:
             self._pin_control.store(now)
         self.log.flush(now)
         try:
@@ -145,12 +145,12 @@
 
     def zone_serial(self) -> int:
         """Return the DNS zone's newest serial on record, 0 for none."""
-        stored: bytes = self.log.noted.get(SERIAL_NOTE, b"0")
+        stored: bytes = self.log.notes.get(SERIAL_NOTE, b"0")
         return int(stored) if stored.isdigit() else 0
 
     def store_zone_serial(self, serial: int) -> None:
         """Put the DNS zone's newest serial on record."""
-        self.log.note(SERIAL_NOTE, b"%d" % serial)
+        self.log.record_note(SERIAL_NOTE, b"%d" % serial)
         self.log.flush(self._controller.loop.time())
 
     # Other controllers.
@@ -164,7 +164,7 @@
             return
         if changed:
             self.targets.announce_known()
-            self._controller.log("pins heard", standing=sorted(self.pins.standing()))
+            self._controller.log("pins heard", standing=sorted(self.pins.unended()))
 
     def receive_target(self, payload: bytes) -> None:
         """Take a pin's target from another controller."""
@@ -176,21 +176,21 @@
         """Commit what a proxy held when it joined, so that this can be returned to."""
         history = self.store.history(name)
         version = Version(epoch, 0)
-        if version > history.last:
+        if version > history.newest_version:
             causes = (f"joined, holding {len(lines)} lines",)
             self._commit(name, version, causes, changes(line_items(history.items), lines))
 
     def newest_epoch(self, name: str) -> int:
         """Return the epoch of a proxy's newest version, 0 for none."""
         history = self.store.histories.get(name)
-        return history.last.epoch if history else 0
+        return history.newest_version.epoch if history else 0
 
     def record_sent(
         self, name: str, version: Version, parts: Collection[str], items: TableItems, causes: Causes
     ) -> None:
         """Commit a version of some parts of a proxy's tables, which are `items` now."""
         history = self.store.history(name)
-        if version <= history.last:
+        if version <= history.newest_version:
             return  # of a stream that a newer one has replaced
         before: TableItems = {
             key: value for key, value in history.items.items() if part_of(key) in parts
@@ -202,13 +202,17 @@
         history = self.store.history(name)
         changed_items = changes(history.items, items)
         if changed_items:
-            serial = history.last.serial + 1 if history.last.epoch == self._boots else 1
+            serial = (
+                history.newest_version.serial + 1
+                if history.newest_version.epoch == self._boots
+                else 1
+            )
             self._commit(name, Version(self._boots, serial), causes, changed_items)
 
     def record_leave(self, name: str) -> None:
         """Take that a proxy has gone; its history is kept for a while."""
-        self.store.left(name)
-        self.log.left(name)
+        self.store.mark_disconnected(name)
+        self.log.record_disconnect(name)
 
     # Tables.
 
@@ -252,7 +256,7 @@
         self, name: str, version: Version, causes: Causes, changed: Mapping[str, Any]
     ) -> None:
         entry = self.store.commit(name, version, self._wall(), causes, changed)
-        self.log.publish(name, entry)
+        self.log.record_version(name, entry)
 
     def _listed_weight_of(self, endpoint: int) -> float:
         weight: float = self._controller.endpoint_lists.weights.get(endpoint, 0.0)
--- a/peatlead/controller/published_items.py
+++ b/peatlead/controller/published_items.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from ..tables.version import SCALE, changes, parse_line_key
+from ..tables.version import WEIGHT_SCALE, changes, parse_line_key
 
 LINE_PREFIX = "line/"
 
@@ -59,7 +59,7 @@
             "item": f"line/{request_class}",
             "host": self._name_of(endpoint) if endpoint is not None else address,
             "zone": zone,
-            "value": None if value is None else value / SCALE,
+            "value": None if value is None else value / WEIGHT_SCALE,
         }
 
     def difference(
--- a/peatlead/controller/table_queries.py
+++ b/peatlead/controller/table_queries.py
@@ -8,7 +8,7 @@
 
 from ..tables.history import History, UnknownVersionError
 from ..tables.pins import ActivePin, PinError
-from ..tables.version import NONE, Digest, Version, parse_version
+from ..tables.version import NO_VERSION, Digest, Version, parse_version
 from .control_socket import Answer, Question
 from .pin_commands import Arguments, PinCommands
 from .published_items import ItemFormatter, line_items
@@ -67,7 +67,7 @@
             name, _ = self._history_of(name)
         since = float(arguments.get("since") or 0.0)
         until = float(arguments.get("until") or LATEST)
-        published = self._publication.store.between(since, until, name)
+        published = self._publication.store.entries_between(since, until, name)
         limit = min(VERSIONS_SHOWN, int(arguments.get("most") or VERSIONS_SHOWN_UNASKED))
         shown = published[-limit:]
         return {
@@ -75,9 +75,9 @@
                 {
                     "proxy": proxy,
                     "version": str(entry.version),
-                    "at": entry.at,
+                    "at": entry.published_at,
                     "causes": list(entry.causes),
-                    "changes": len(entry.moved),
+                    "changes": len(entry.item_changes),
                     "digest": entry.digest,
                 }
                 for proxy, entry in shown
@@ -89,7 +89,7 @@
         """Return a proxy's items at a version, by default the newest."""
         name, history = self._history_of(arguments["proxy"])
         asked_version = arguments.get("version")
-        version = parse_version(asked_version) if asked_version else history.last
+        version = parse_version(asked_version) if asked_version else history.newest_version
         items = history.at_version(version)
         active = self._publication.pin_of(name, self._controller.recipients.zone_of(name))
         return {
@@ -104,7 +104,7 @@
         """Return what differs between two versions of a proxy's tables."""
         name, history = self._history_of(arguments["proxy"])
         versions = [parse_version(arguments[side]) for side in ("one", "other")]
-        if NONE in versions:
+        if NO_VERSION in versions:
             raise PinError("expected two versions, EPOCH.SERIAL each")
         before, after = (history.at_version(version) for version in versions)
         return {"proxy": name, "changes": self._formatter.difference(before, after)}
@@ -117,7 +117,11 @@
             history = self._publication.store.histories.get(name)
             if history and history.entries and not name.startswith(VIEW_PREFIX):
                 digest = Digest(line_items(history.items))
-                ends[name] = [*history.last, str(digest), now - history.entries[-1].at]
+                ends[name] = [
+                    *history.newest_version,
+                    str(digest),
+                    now - history.entries[-1].published_at,
+                ]
         return {"steward": self._controller.me["name"], "ends": ends}
 
     def status(self, arguments: Arguments) -> Answer:
@@ -130,13 +134,13 @@
             "steward": self._controller.me["name"],
             "proxies": len(self._controller.recipients.everyone()),
             "versions": store.entry_count,
-            "bytes": store.size,
+            "bytes": store.memory_bytes,
             "dropped": store.dropped,
-            "kept on disk": log.broken is None,
-            "why not": log.broken,
-            "not kept": log.lost,
-            "disk": sum(log.segments.values()),
-            "pins": [self._pin_status(now, active) for _, active in sorted(pins.held.items())],
+            "kept on disk": log.failure is None,
+            "why not": log.failure,
+            "not kept": log.lost_versions,
+            "disk": sum(log.segment_sizes.values()),
+            "pins": [self._pin_status(now, active) for _, active in sorted(pins.by_id.items())],
             "holders": self.proxy_versions() if arguments.get("proxies") else [],
         }
 
@@ -149,7 +153,7 @@
         for number, name, zone in self._controller.recipients.everyone():
             history = self._publication.store.histories.get(name)
             active = self._publication.pin_of(name, zone)
-            sent = history.last if history else NONE
+            sent = history.newest_version if history else NO_VERSION
             proxies.append(
                 {
                     "proxy": name,
@@ -187,8 +191,8 @@
             "target": pin.target,
             "to": pin.to,
             "by": pin.by,
-            "age": now - active.base,
-            "left": max(0.0, active.until - now),
+            "age": now - active.created_at,
+            "left": max(0.0, active.expires_at - now),
             "over": pin.over,
             "ended": None if active.ended_at is None else now - active.ended_at,
             "holds here": held_here,
--- a/peatlead/grpc/incremental.py
+++ b/peatlead/grpc/incremental.py
@@ -21,7 +21,7 @@
 from google.protobuf.any_pb2 import Any
 
 from ..tables.replica import BASE, DIGEST
-from ..tables.version import WHOLE, Digest, Stamp, Version, changes, parse_stamp
+from ..tables.version import WHOLE_STATE, Digest, Stamp, Version, changes, parse_stamp
 from .discovery import MAX_ERROR_TEXT, MAX_SUBSCRIPTIONS, Refused
 from .resources import (
     ENDPOINTS,
@@ -207,7 +207,7 @@
         subscription.wholes += 1
         self.wholes += 1
         in_flight = self._next_in_flight(wanted, Digest(wanted))
-        return self._respond(type_url, subscription, in_flight, WHOLE, wanted)
+        return self._respond(type_url, subscription, in_flight, WHOLE_STATE, wanted)
 
     def _next_in_flight(self, items: Items, digest: Digest) -> InFlight:
         self.serial += 1
--- a/peatlead/grpc/proxy_node.py
+++ b/peatlead/grpc/proxy_node.py
@@ -6,7 +6,7 @@
 
 from typing import Any, NamedTuple
 
-from ..tables.version import SCALE, parse_line_key, parse_version
+from ..tables.version import WEIGHT_SCALE, parse_line_key, parse_version
 from .resources import LINES, WeightedEndpoint, parse_resource_name
 
 MAX_HELD = 2000  # endpoints of a request class that a proxy may report
@@ -96,7 +96,7 @@
         try:
             key = parse_resource_name(LINES, name)
             request_class, zone, address, port = parse_line_key(key)
-            line = WeightedEndpoint(address, port, zone, int(version) / SCALE)
+            line = WeightedEndpoint(address, port, zone, int(version) / WEIGHT_SCALE)
         except ValueError:
             continue  # of another control plane
         held.setdefault(request_class, []).append(line)
--- a/peatlead/grpc/resources.py
+++ b/peatlead/grpc/resources.py
@@ -16,7 +16,7 @@
 from google.protobuf.message import DecodeError
 
 from ..interface import RetryPolicy
-from ..tables.version import MILLION, SCALE, parse_line_key, quantize_weight
+from ..tables.version import MILLION, WEIGHT_SCALE, parse_line_key, quantize_weight
 from .encoder import DROP_CATEGORY, WeightedAddress, assemble_assignment
 
 # Type URLs.
@@ -108,7 +108,9 @@
     valid_port = 0 < socket_address.port_value <= MAX_PORT
     if not socket_address.address or not valid_port or not weight:
         raise ResourceError(f"{cluster}: expected an address, a port and a weight above 0")
-    return WeightedEndpoint(socket_address.address, socket_address.port_value, zone, weight / SCALE)
+    return WeightedEndpoint(
+        socket_address.address, socket_address.port_value, zone, weight / WEIGHT_SCALE
+    )
 
 
 def _admitted_fraction(policy: Any) -> float:
--- a/peatlead/grpc/session.py
+++ b/peatlead/grpc/session.py
@@ -10,7 +10,7 @@
 from google.protobuf.message import DecodeError
 
 from ..interface import RetryPolicy
-from ..tables.version import MILLION, NONE, PARTS, Version, line_key, quantize_weight
+from ..tables.version import MILLION, NO_VERSION, PARTS, Version, line_key, quantize_weight
 from .call import Call
 from .discovery import Discovery, Resources
 from .framing import StatusCode
@@ -60,7 +60,7 @@
         self.levels: dict[str, float] = {}  # admitted fraction by request class
         self.retries: dict[str, str] = {}  # retry policy by request class
         self.causes: dict[Any, None] = {}  # of what is sent next
-        self.held: Version = NONE  # acknowledged
+        self.held: Version = NO_VERSION  # acknowledged
         self.report_at: Optional[float] = None  # when its last load report was processed
         self.reports = 0  # load reports that have come
         call.message = self._on_message
--- a/peatlead/platform/configuration.py
+++ b/peatlead/platform/configuration.py
@@ -10,7 +10,7 @@
 from ..interface import ListScope
 from ..net.errors import is_transient
 from ..sources.endpoint_list import EndpointList
-from ..wire.settings import settings_from
+from ..wire.settings import settings_from_environment
 from .messages import (
     Address,
     ConfigurationDocument,
@@ -95,7 +95,7 @@
 def settings_of(document: ConfigurationDocument, path: str) -> Settings:
     """Return the planner's settings, with defaults. Raises ConfigurationError."""
     try:
-        given = settings_from(document.settings)
+        given = settings_from_environment(document.settings)
         settings: Settings = {
             **DEFAULT_SETTINGS,
             **{name: value for name, value in given.items() if value is not None},
--- a/peatlead/standin/xds_proxies.py
+++ b/peatlead/standin/xds_proxies.py
@@ -32,7 +32,7 @@
 from ..grpc.server import DELTA, DISCOVERY, LOADS
 from ..invariants.record import Recorder
 from ..tables.replica import APPLIED, OLD, Replica
-from ..tables.version import MILLION, SCALE, Version, parse_line_key, parse_version
+from ..tables.version import MILLION, WEIGHT_SCALE, Version, parse_line_key, parse_version
 from .proxy_plan import Plan
 from .proxy_requests import ProxyTables, RequestSender
 
@@ -290,7 +290,7 @@
 
     def _send_first_deltas(self, call: Call, hops: int) -> None:
         """Subscribe to all parts of the tables, naming the versions of what it holds."""
-        self.holder.raise_fence(Version(*self.fence.newest))
+        self.holder.reject_up_to(Version(*self.fence.newest))
         for type_url, part in PART_BY_TYPE.items():
             request = discovery_pb2.DeltaDiscoveryRequest(
                 type_url=type_url, resource_names_subscribe=["*"]
@@ -365,7 +365,7 @@
             type_url, changes, stamp = decode_delta(response)
             version = stamp.version
             part = PART_BY_TYPE[type_url]
-            outcome = str(self.holder.take(part, stamp, changes))
+            outcome = str(self.holder.apply_delta(part, stamp, changes))
         except ValueError as problem:
             outcome = str(problem)
         if outcome == OLD:
@@ -396,7 +396,7 @@
         lines: dict[str, list[WeightedEndpoint]] = {name: [] for name in self._class_names()}
         for key, weight in self.holder.parts["line"].items():
             request_class, zone, address, port = parse_line_key(key)
-            entry = WeightedEndpoint(address, port, zone, cast(int, weight) / SCALE)
+            entry = WeightedEndpoint(address, port, zone, cast(int, weight) / WEIGHT_SCALE)
             lines.setdefault(request_class, []).append(entry)
         self.tables.lines = lines
         for key, fraction in self.holder.parts["level"].items():
@@ -421,7 +421,7 @@
             controller,
             *version,
             str(self.holder.digests["line"]),
-            self.holder.sound("line"),
+            self.holder.is_consistent("line"),
             sorted(self.tables.addresses()),
         )
 
--- a/peatlead/tables/active_pin.py
+++ b/peatlead/tables/active_pin.py
@@ -15,12 +15,12 @@
     Ages and remaining times are counted from when a pin was received: no clocks are compared.
     """
 
-    __slots__ = ("pin", "base", "until", "ended_at")
+    __slots__ = ("pin", "created_at", "expires_at", "ended_at")
 
     def __init__(self, pin: Pin, now: float) -> None:
         self.pin = pin
-        self.base = now - pin.age  # when it was made
-        self.until = now + pin.remaining
+        self.created_at = now - pin.age  # when it was made
+        self.expires_at = now + pin.remaining
         self.ended_at = None if pin.ended_ago is None else now - pin.ended_ago
 
     @property
@@ -32,8 +32,8 @@
         """Return the pin with its durations as of `now`, to be stored or sent."""
         return msgspec.structs.replace(
             self.pin,
-            age=now - self.base,
-            remaining=max(0.0, self.until - now),
+            age=now - self.created_at,
+            remaining=max(0.0, self.expires_at - now),
             ended_ago=None if self.ended_at is None else now - self.ended_at,
         )
 
@@ -56,7 +56,7 @@
             if position >= share:
                 return False
             position /= share
-        if self._extent(now - self.base) <= position:
+        if self._extent(now - self.created_at) <= position:
             return False
         return self.ended_at is None or self._extent(now - self.ended_at) <= position
 
@@ -74,4 +74,4 @@
     @property
     def settles_at(self) -> float:
         """When the rollout, or its undoing, is complete."""
-        return (self.base if self.ended_at is None else self.ended_at) + self.pin.over
+        return (self.created_at if self.ended_at is None else self.ended_at) + self.pin.over
--- a/peatlead/tables/change_causes.py
+++ b/peatlead/tables/change_causes.py
@@ -10,7 +10,7 @@
 from typing import Any, NamedTuple, Optional
 
 from ..interface import EndpointPhase
-from .guard import RAMPED
+from .guard import RAMPED_FRACTION
 
 CAUSES_MAX = 6  # of one version; the rest is counted
 ASSIGNED_CAUSE = "put on its table"
@@ -101,7 +101,7 @@
     def _cause_of_weight(self, endpoint: int, weight: Optional[float]) -> str:
         name = self._name_of(endpoint)
         listed = self._listed_weight(endpoint)
-        if weight and listed and weight < listed * RAMPED:
+        if weight and listed and weight < listed * RAMPED_FRACTION:
             return f"{name} ramps, {weight / listed:.2f} of its weight"
         event = self.last_events.get(endpoint) or ("in" if weight else "out")
         return f"{name} {event}"
--- a/peatlead/tables/digest.py
+++ b/peatlead/tables/digest.py
@@ -18,7 +18,7 @@
 SHOWN_SHIFT = 128  # bits: the upper half of a digest is published
 
 
-class Hashes:
+class HashCache:
     """A cache of item hashes, since the same few thousand items recur.
 
     When `capacity` is reached all of them are dropped.
@@ -40,7 +40,7 @@
         return item_hash
 
 
-HASHES = Hashes()
+HASHES = HashCache()
 
 
 class Digest:
--- a/peatlead/tables/guard.py
+++ b/peatlead/tables/guard.py
@@ -23,12 +23,12 @@
 from ..interface import EndpointPhase
 
 KEPT_WEIGHT_MIN = 0.5  # of the pinned table's weight
-RAMPED = 0.999  # of the listed weight: an endpoint with this has finished its ramp
+RAMPED_FRACTION = 0.999  # of the listed weight: an endpoint with this has finished its ramp
 
 Table = Mapping[int, float]  # endpoint -> weight
 
 
-class RemovalReason(StrEnum):
+class RestrictionReason(StrEnum):
     """Why an endpoint is not as pinned. The values are shown to operators."""
 
     DRAINING = "drains"
@@ -50,41 +50,43 @@
 
     phases: Mapping[int, str]
     withdrawn: AbstractSet[int]
-    parts: Mapping[int, float]
+    fractions: Mapping[int, float]
 
 
 class GuardedTable(NamedTuple):
     """A table to publish: its lines, what is not as pinned and why, and what was added."""
 
     lines: dict[int, float]
-    taken: dict[int, RemovalReason]
-    filled: tuple[int, ...]
+    restricted: dict[int, RestrictionReason]
+    added: tuple[int, ...]
 
 
 class _Restored(NamedTuple):
     """What of a pinned table may come back."""
 
     lines: dict[int, float]
-    taken: dict[int, RemovalReason]
+    restricted: dict[int, RestrictionReason]
     ramping: list[int]  # endpoints whose weight the planner's table decides
 
 
 def guard(pinned: Table, planned: Table, context: GuardContext) -> GuardedTable:
     """Return the table to publish, given the pinned table and what the planner wants now."""
-    lines, taken, ramping = _restore(pinned, planned, context)
+    lines, restricted, ramping = _restore(pinned, planned, context)
     filled: tuple[int, ...] = ()
     if fsum(lines.values()) < KEPT_WEIGHT_MIN * fsum(pinned.values()):
         filled = tuple(
             endpoint for endpoint in planned if endpoint not in lines and endpoint not in ramping
         )
         lines.update((endpoint, planned[endpoint]) for endpoint in filled)
-    ramped = {endpoint for endpoint in lines if context.parts.get(endpoint, 1.0) >= RAMPED}
+    ramped = {
+        endpoint for endpoint in lines if context.fractions.get(endpoint, 1.0) >= RAMPED_FRACTION
+    }
     if not ramped:
         added = tuple(endpoint for endpoint in planned if endpoint not in pinned)
-        return GuardedTable(dict(planned), taken, added)
+        return GuardedTable(dict(planned), restricted, added)
     ramping += [endpoint for endpoint in lines if endpoint not in ramped]
     _limit_ramping(lines, ramping, planned)
-    return GuardedTable(lines, taken, filled)
+    return GuardedTable(lines, restricted, filled)
 
 
 def _restore(pinned: Table, planned: Table, context: GuardContext) -> _Restored:
@@ -95,31 +97,31 @@
         if reason is None:
             restored.lines[endpoint] = weight
         else:
-            restored.taken[endpoint] = reason
-        if reason is RemovalReason.RAMPING:
+            restored.restricted[endpoint] = reason
+        if reason is RestrictionReason.RAMPING:
             restored.ramping.append(endpoint)
     return restored
 
 
 def _removal_reason(
     endpoint: int, planned: Table, context: GuardContext
-) -> Optional[RemovalReason]:
+) -> Optional[RestrictionReason]:
     """Return why an endpoint may not come back with its pinned weight, or None."""
     phase = context.phases.get(endpoint)
-    reason: Optional[RemovalReason] = None
+    reason: Optional[RestrictionReason] = None
     if phase == EndpointPhase.DRAINING:
-        reason = RemovalReason.DRAINING
+        reason = RestrictionReason.DRAINING
     elif phase == EndpointPhase.GONE:
-        reason = RemovalReason.GONE
+        reason = RestrictionReason.GONE
     elif phase != EndpointPhase.READY:
-        reason = RemovalReason.UNLISTED
+        reason = RestrictionReason.UNLISTED
     elif endpoint in context.withdrawn:
-        reason = RemovalReason.WITHDRAWN
-    elif endpoint not in context.parts:
-        reason = RemovalReason.DROPPED
-    elif context.parts[endpoint] < RAMPED:
+        reason = RestrictionReason.WITHDRAWN
+    elif endpoint not in context.fractions:
+        reason = RestrictionReason.DROPPED
+    elif context.fractions[endpoint] < RAMPED_FRACTION:
         here = endpoint in planned
-        reason = RemovalReason.RAMPING if here else RemovalReason.RAMPING_ELSEWHERE
+        reason = RestrictionReason.RAMPING if here else RestrictionReason.RAMPING_ELSEWHERE
     return reason
 
 
--- a/peatlead/tables/history.py
+++ b/peatlead/tables/history.py
@@ -49,45 +49,47 @@
         self.age_max = age_max
         self.proxies_max = proxies_max
         self.histories: dict[str, History] = {}
-        self.gone: OrderedDict[str, bool] = OrderedDict()  # disconnected proxies, first left first
+        self.disconnected: OrderedDict[str, bool] = (
+            OrderedDict()
+        )  # disconnected proxies, first left first
         # (name, version) of all entries, oldest first; also of those that were dropped out of turn.
-        self.order: deque[tuple[str, Version]] = deque()
+        self.publication_order: deque[tuple[str, Version]] = deque()
         self.entry_count = 0
-        self.size = 0  # bytes of memory, approximately
+        self.memory_bytes = 0  # bytes of memory, approximately
         self.dropped = 0  # entries dropped since the start
 
     def history(self, name: str) -> History:
         """Return a connected proxy's history, new where there is none."""
-        self.gone.pop(name, None)
+        self.disconnected.pop(name, None)
         history = self.histories.get(name)
         if history is None:
             history = self.histories[name] = History()
             self._bound_proxies()
         return history
 
-    def left(self, name: str) -> None:
+    def mark_disconnected(self, name: str) -> None:
         """Mark a proxy as disconnected: its history stays until others need the place."""
         if name in self.histories:
-            self.gone[name] = True
-            self.gone.move_to_end(name)
+            self.disconnected[name] = True
+            self.disconnected.move_to_end(name)
 
     def commit(
         self,
         name: str,
         version: Version,
-        at: float,
+        published_at: float,
         causes: Iterable[str],
-        moved: Mapping[str, Optional[ItemValue]],
+        item_changes: Mapping[str, Optional[ItemValue]],
     ) -> HistoryEntry:
         """Add a proxy's version and drop what exceeds the bounds. Raises VersionOrderError."""
         history = self.history(name)
-        entry = history.commit(version, at, causes, moved)
-        self.order.append((name, version))
+        entry = history.commit(version, published_at, causes, item_changes)
+        self.publication_order.append((name, version))
         self.entry_count += 1
-        self.size += entry.size
+        self.memory_bytes += entry.memory_bytes
         if len(history.entries) > self.versions_per_proxy:
             self._drop_oldest(history)
-        self._bound_entries(at)
+        self._bound_entries(published_at)
         self._compact()
         return entry
 
@@ -98,10 +100,10 @@
             self._drop_oldest(history)
         history.items = dict(items)
         history.digest = Digest(items)
-        history.last = version
-        history.base = version
+        history.newest_version = version
+        history.oldest_restorable = version
 
-    def reaches(self, name: str, version: Version) -> bool:
+    def has_entry_up_to(self, name: str, version: Version) -> bool:
         """Return whether an entry of that version, or of an older one of that proxy, is stored."""
         history = self.histories.get(name)
         return bool(history and history.entries and history.entries[0].version <= version)
@@ -112,7 +114,7 @@
         while history and history.entries and history.entries[0].version <= version:
             self._drop_oldest(history)
 
-    def between(
+    def entries_between(
         self, since: float = 0.0, until: float = float("inf"), name: Optional[str] = None
     ) -> list[StoredEntry]:
         """Return entries of a span of wall-clock time, in order of publication."""
@@ -120,20 +122,20 @@
             proxy: iter(history.entries) for proxy, history in self.histories.items()
         }
         selected = []
-        for proxy, version in self.order:
+        for proxy, version in self.publication_order:
             if proxy not in remaining or name not in (None, proxy):
                 continue
             entry = next((one for one in remaining[proxy] if one.version >= version), None)
             if entry is not None and entry.version > version:  # this one was dropped out of turn
                 remaining[proxy] = chain((entry,), remaining[proxy])
-            elif entry is not None and since <= entry.at <= until:
+            elif entry is not None and since <= entry.published_at <= until:
                 selected.append(StoredEntry(proxy, entry))
         return selected
 
     def _drop_oldest(self, history: History) -> None:
         entry = history.drop_oldest()
         self.entry_count -= 1
-        self.size -= entry.size
+        self.memory_bytes -= entry.memory_bytes
         self.dropped += 1
 
     def _bound_entries(self, now: float) -> None:
@@ -141,8 +143,8 @@
 
         With a clock that was set back no entry is too old; the other bounds still hold.
         """
-        while self.order and self._oldest_is_due(now):
-            name, version = self.order.popleft()
+        while self.publication_order and self._oldest_is_due(now):
+            name, version = self.publication_order.popleft()
             history = self.histories.get(name)
             if history and history.entries and history.entries[0].version == version:
                 self._drop_oldest(history)
@@ -153,20 +155,20 @@
         return (
             oldest is None
             or self.entry_count > self.versions_max
-            or self.size > self.bytes_max
-            or oldest.at < now - self.age_max
+            or self.memory_bytes > self.bytes_max
+            or oldest.published_at < now - self.age_max
         )
 
     def _oldest(self) -> Optional[HistoryEntry]:
-        name, version = self.order[0]
+        name, version = self.publication_order[0]
         history = self.histories.get(name)
         if history and history.entries and history.entries[0].version == version:
             return history.entries[0]
         return None
 
     def _bound_proxies(self) -> None:
-        while len(self.histories) > self.proxies_max and self.gone:
-            name, _ = self.gone.popitem(last=False)
+        while len(self.histories) > self.proxies_max and self.disconnected:
+            name, _ = self.disconnected.popitem(last=False)
             history = self.histories.pop(name)
             while history.entries:
                 self._drop_oldest(history)
@@ -176,12 +178,14 @@
 
         They would pile up behind one old entry that is still stored.
         """
-        if len(self.order) <= 2 * self.entry_count + COMPACTION_SLACK:
+        if len(self.publication_order) <= 2 * self.entry_count + COMPACTION_SLACK:
             return
         stored = {
             name: {entry.version for entry in history.entries}
             for name, history in self.histories.items()
         }
-        self.order = deque(
-            (name, version) for name, version in self.order if version in stored.get(name, ())
+        self.publication_order = deque(
+            (name, version)
+            for name, version in self.publication_order
+            if version in stored.get(name, ())
         )
--- a/peatlead/tables/items.py
+++ b/peatlead/tables/items.py
@@ -24,7 +24,7 @@
 
 
 PARTS: tuple[str, ...] = tuple(part.value for part in TablePart)
-SCALE = 1000  # published weights are whole thousandths
+WEIGHT_SCALE = 1000  # published weights are whole thousandths
 MILLION = 1_000_000  # published admitted fractions are whole millionths
 PORT_MAX = 65535
 KEY_SHOWN_MAX = 200  # characters of a malformed key that an error repeats
@@ -71,7 +71,7 @@
 
     It is at least 1: an endpoint in a table is never weightless.
     """
-    return max(1, round(weight * SCALE))
+    return max(1, round(weight * WEIGHT_SCALE))
 
 
 def changes(old: Mapping[str, Value], new: Mapping[str, Value]) -> dict[str, Optional[Value]]:
--- a/peatlead/tables/log_recovery.py
+++ b/peatlead/tables/log_recovery.py
@@ -28,7 +28,7 @@
             set_note(self._notes, record.key, record.value)
             return None
         if isinstance(record, RemovedRecord):
-            self._store.left(record.name)
+            self._store.mark_disconnected(record.name)
             return None
         version = Version(record.epoch, record.serial)
         history = self._store.history(record.name)
@@ -40,8 +40,8 @@
     def _apply_published(
         self, record: PublishedRecord, history: History, version: Version
     ) -> Optional[str]:
-        if version <= history.last:
-            return f"{record.name}: {version} after {history.last}"
+        if version <= history.newest_version:
+            return f"{record.name}: {version} after {history.newest_version}"
         self._store.commit(record.name, version, record.at, record.causes, record.changes)
         return None
 
@@ -49,16 +49,16 @@
         self, record: SnapshotRecord, history: History, version: Version
     ) -> Optional[str]:
         """Apply a snapshot; one version stands for all that are missing before it."""
-        if version == history.last:
+        if version == history.newest_version:
             if history.items == record.items:
                 return None
             return f"{record.name}: two states of {version}"
-        if version < history.last:
-            return f"{record.name}: a state of {version} after {history.last}"
-        if not history.last.epoch:
+        if version < history.newest_version:
+            return f"{record.name}: a state of {version} after {history.newest_version}"
+        if not history.newest_version.epoch:
             self._store.restart(record.name, version, record.items)
             return None
-        at = history.entries[-1].at if history.entries else 0.0
+        at = history.entries[-1].published_at if history.entries else 0.0
         missing = changes(history.items, record.items)
         self._store.commit(record.name, version, at, (GAP_CAUSE,), missing)
         return f"{record.name}: what led to {version} was not kept"
--- a/peatlead/tables/pin.py
+++ b/peatlead/tables/pin.py
@@ -78,7 +78,7 @@
         return 0.0
 
 
-def check(pin: Pin) -> None:
+def validate_pin(pin: Pin) -> None:
     """Raise PinError where a pin's fields are out of range or contradict each other."""
     if pin.whom not in tuple(PinScope):
         raise PinError(f"expected all, a zone, a share or a proxy, got {pin.whom!r}")
--- a/peatlead/tables/pins.py
+++ b/peatlead/tables/pins.py
@@ -14,7 +14,7 @@
 
 from .active_pin import ActivePin
 from .errors import PinError
-from .pin import Pin, PinScope, PinTarget, check, decode_pins, encode_pins, rollout_position
+from .pin import Pin, PinScope, PinTarget, decode_pins, encode_pins, rollout_position, validate_pin
 
 __all__ = [
     "REPUBLISH_INTERVAL",
@@ -24,7 +24,7 @@
     "PinScope",
     "PinTarget",
     "Pins",
-    "check",
+    "validate_pin",
     "decode_pins",
     "rollout_position",
     "encode_pins",
@@ -50,7 +50,7 @@
     def __init__(self, me: str, start: str = "") -> None:
         self.me = me
         self.start = start
-        self.held: dict[str, ActivePin] = {}
+        self.by_id: dict[str, ActivePin] = {}
         self._newest_sequence = 0
 
     def make(
@@ -65,7 +65,7 @@
         by: str = "",
     ) -> Pin:
         """Make a pin that ends after `length` seconds. Raises PinError."""
-        if len(self.standing()) >= PINS_MAX:
+        if len(self.unended()) >= PINS_MAX:
             raise PinError(f"expected at most {PINS_MAX} pins at a time: resume one first")
         sequence = self._next_sequence()
         pin = Pin(
@@ -81,20 +81,20 @@
             remaining=length,
             by=by,
         )
-        check(pin)
-        self.held[pin.id] = ActivePin(pin, now)
+        validate_pin(pin)
+        self.by_id[pin.id] = ActivePin(pin, now)
         return pin
 
     def _next_sequence(self) -> int:
-        known = [active.pin.sequence for active in self.held.values()]
+        known = [active.pin.sequence for active in self.by_id.values()]
         self._newest_sequence = 1 + max([self._newest_sequence, *known])
         return self._newest_sequence
 
     def resume(self, now: float, pin_id: str, over: Optional[float] = None) -> Pin:
         """End a pin, by stages over `over` seconds or as it was rolled out. Raises PinError."""
-        active = self.held.get(pin_id)
+        active = self.by_id.get(pin_id)
         if active is None:
-            known = ", ".join(sorted(self.standing())) or "no pin at all"
+            known = ", ".join(sorted(self.unended())) or "no pin at all"
             raise PinError(f"expected one of {known}, got {pin_id!r}")
         if active.ended_at is None:
             active.end(now, over)
@@ -106,18 +106,18 @@
         for pin in pins:
             if not self._is_newer(pin):
                 continue
-            self.held[pin.id] = ActivePin(pin, now)
+            self.by_id[pin.id] = ActivePin(pin, now)
             changed = True
         return changed
 
-    def tick(self, now: float) -> list[str]:
+    def expire(self, now: float) -> list[str]:
         """End pins whose time is over and forget old ones; return the ids of the former."""
-        expired = [active for active in self.standing().values() if now >= active.until]
+        expired = [active for active in self.unended().values() if now >= active.expires_at]
         for active in expired:
             active.end(now)
-        self.held = {
+        self.by_id = {
             pin_id: active
-            for pin_id, active in self.held.items()
+            for pin_id, active in self.by_id.items()
             if active.ended_at is None or now - active.ended_at < FORGET_AFTER + active.pin.over
         }
         return [active.pin.id for active in expired]
@@ -125,30 +125,30 @@
     def pin_for(self, now: float, name: str, zone: str) -> Optional[ActivePin]:
         """Return the pin that counts for a proxy now, if any."""
         chosen: Optional[ActivePin] = None
-        for active in self.held.values():
+        for active in self.by_id.values():
             if (chosen is None or active.precedence > chosen.precedence) and active.covers(
                 now, name, zone
             ):
                 chosen = active
         return chosen
 
-    def standing(self) -> dict[str, ActivePin]:
+    def unended(self) -> dict[str, ActivePin]:
         """Return the pins that have not ended, by id."""
-        return {pin_id: active for pin_id, active in self.held.items() if active.ended_at is None}
+        return {pin_id: active for pin_id, active in self.by_id.items() if active.ended_at is None}
 
     def snapshot(self, now: float) -> list[Pin]:
         """Return all pins in order of id, as they are to be stored or sent now."""
-        return [active.as_pin(now) for _, active in sorted(self.held.items())]
+        return [active.as_pin(now) for _, active in sorted(self.by_id.items())]
 
     def _is_newer(self, pin: Pin) -> bool:
         """Return whether a received pin is valid and replaces, or adds to, what is known."""
         try:
-            check(msgspec.structs.replace(pin, remaining=max(pin.remaining, REMAINING_MIN)))
+            validate_pin(msgspec.structs.replace(pin, remaining=max(pin.remaining, REMAINING_MIN)))
         except PinError:
             return False
-        known = self.held.get(pin.id)
+        known = self.by_id.get(pin.id)
         if known is None:
-            return len(self.held) < KNOWN_PINS_MAX
+            return len(self.by_id) < KNOWN_PINS_MAX
         return _merge_order(pin) > _merge_order(known.pin)
 
 
--- a/peatlead/tables/proxy_history.py
+++ b/peatlead/tables/proxy_history.py
@@ -13,7 +13,7 @@
 from .digest import Digest
 from .errors import UnknownVersionError, VersionOrderError
 from .items import Items, ItemValue, changes
-from .version import NONE, Version
+from .version import NO_VERSION, Version
 
 ENTRY_BYTES = 260  # memory of an entry without its changes, approximately
 CHANGE_BYTES = 88  # memory of one change, approximately
@@ -28,45 +28,47 @@
     """One version. `at` is the wall-clock time of its publication in seconds."""
 
     version: Version
-    at: float
+    published_at: float
     causes: tuple[str, ...]
-    moved: tuple[ItemChange, ...]
+    item_changes: tuple[ItemChange, ...]
     digest: str
 
     @property
-    def size(self) -> int:
+    def memory_bytes(self) -> int:
         """Memory in bytes, approximately."""
-        return ENTRY_BYTES + CHANGE_BYTES * len(self.moved)
+        return ENTRY_BYTES + CHANGE_BYTES * len(self.item_changes)
 
 
 class History:
     """One proxy's versions, newest last."""
 
-    __slots__ = ("items", "entries", "digest", "last", "base")
+    __slots__ = ("items", "entries", "digest", "newest_version", "oldest_restorable")
 
     def __init__(self) -> None:
         self.items: Items = {}  # the newest state
         self.entries: deque[HistoryEntry] = deque()
         self.digest = Digest()
-        self.last = NONE  # the newest version, whether its entry is stored or not
-        self.base = NONE  # the version before the oldest entry: the farthest that can be restored
+        self.newest_version = NO_VERSION  # the newest version, whether its entry is stored or not
+        self.oldest_restorable = (
+            NO_VERSION  # the version before the oldest entry: the farthest that can be restored
+        )
 
     def commit(
         self,
         version: Version,
-        at: float,
+        published_at: float,
         causes: Iterable[str],
-        moved: Mapping[str, Optional[ItemValue]],
+        item_changes: Mapping[str, Optional[ItemValue]],
     ) -> HistoryEntry:
         """Add a version that sets the items in `moved`, or removes them where None.
 
         Raises VersionOrderError where it does not come after the newest version.
         """
-        if version <= self.last:
-            raise VersionOrderError(f"expected a version past {self.last}, got {version}")
+        if version <= self.newest_version:
+            raise VersionOrderError(f"expected a version past {self.newest_version}, got {version}")
         items = self.items
         changed = []
-        for key, new in moved.items():
+        for key, new in item_changes.items():
             old = items.get(key)
             if old == new:
                 continue
@@ -76,22 +78,24 @@
                 del items[key]
             else:
                 items[key] = new
-        entry = HistoryEntry(version, at, tuple(causes), tuple(changed), str(self.digest))
+        entry = HistoryEntry(version, published_at, tuple(causes), tuple(changed), str(self.digest))
         self.entries.append(entry)
-        self.last = version
+        self.newest_version = version
         return entry
 
     def drop_oldest(self) -> HistoryEntry:
         """Remove the oldest entry and return it."""
         entry = self.entries.popleft()
-        self.base = entry.version
+        self.oldest_restorable = entry.version
         return entry
 
     def at_version(self, version: Version) -> Items:
         """Return the items as of a version. Raises UnknownVersionError."""
-        if version == self.last:
+        if version == self.newest_version:
             return dict(self.items)
-        if version != self.base and all(entry.version != version for entry in self.entries):
+        if version != self.oldest_restorable and all(
+            entry.version != version for entry in self.entries
+        ):
             raise UnknownVersionError(str(version))
         items = dict(self.items)
         for entry in reversed(self.entries):
@@ -108,7 +112,7 @@
         """
         items = dict(self.items)
         for entry in reversed(self.entries):
-            if entry.at <= when:
+            if entry.published_at <= when:
                 return entry.version, items
             _undo(items, entry)
         raise UnknownVersionError(f"nothing of {when:.3f} is kept")
@@ -127,7 +131,7 @@
 
 
 def _undo(items: Items, entry: HistoryEntry) -> None:
-    for key, before, _ in entry.moved:
+    for key, before, _ in entry.item_changes:
         if before is None:
             items.pop(key, None)
         else:
--- a/peatlead/tables/replica.py
+++ b/peatlead/tables/replica.py
@@ -11,7 +11,7 @@
 
 from .digest import Digest
 from .items import PARTS, Items, ItemValue
-from .version import NONE, WHOLE, Stamp, Version
+from .version import NO_VERSION, WHOLE_STATE, Stamp, Version
 
 
 class DeltaOutcome(StrEnum):
@@ -39,15 +39,15 @@
     def __init__(self) -> None:
         self.parts: dict[str, Items] = {part: {} for part in PARTS}
         self.digests = {part: Digest() for part in PARTS}
-        self.newest = NONE
+        self.newest_version = NO_VERSION
 
-    def take(
+    def apply_delta(
         self, part: str, stamp: Stamp, moved: Mapping[str, Optional[ItemValue]]
     ) -> DeltaOutcome:
         """Apply a delta that sets the items in `moved`, or removes them where None."""
-        if stamp.version <= self.newest:
+        if stamp.version <= self.newest_version:
             return DeltaOutcome.OLD
-        if stamp.base == WHOLE:
+        if stamp.base == WHOLE_STATE:
             items: Items = {}
             digest = Digest()
         elif stamp.base == str(self.digests[part]):
@@ -60,16 +60,16 @@
             return DeltaOutcome.DIGEST
         self.parts[part] = items
         self.digests[part] = digest
-        self.newest = stamp.version
+        self.newest_version = stamp.version
         return DeltaOutcome.APPLIED
 
-    def sound(self, part: str) -> bool:
+    def is_consistent(self, part: str) -> bool:
         """Return whether a part's items still have the digest that was kept of them."""
         return str(Digest(self.parts[part])) == str(self.digests[part])
 
-    def raise_fence(self, version: Version) -> None:
+    def reject_up_to(self, version: Version) -> None:
         """Refuse versions up to this one from now on."""
-        self.newest = max(self.newest, version)
+        self.newest_version = max(self.newest_version, version)
 
 
 def _apply(items: Items, digest: Digest, moved: Mapping[str, Optional[ItemValue]]) -> None:
--- a/peatlead/tables/table_log.py
+++ b/peatlead/tables/table_log.py
@@ -1,10 +1,11 @@
 """The tables' log on disk: numbered segments in a folder, read back after a restart.
 
 A process that is killed loses nothing that was written; a machine that fails loses at most what
-was written since the last sync (`sync_every` seconds). A file is never appended to after a
+was written since the last sync (`sync_interval` seconds). A file is never appended to after a
 restart: reading cuts off and reports what a crash left at its end, and a new segment begins with a
 snapshot of all that is known. Where the disk is full or read-only the log reports it and retries
-every `retry_every` seconds; publishing goes on, and versions of that time are counted in `lost`.
+every `retry_interval` seconds; publishing goes on, and versions of that time are counted in
+`lost_versions`.
 """
 
 import contextlib
@@ -42,8 +43,9 @@
 class TableLog:
     """The log of a store's versions and of a few notes.
 
-    The life of one: `recall()`, `start()`, then `publish()`, `left()` and `note()` with a
-    `flush()` at every step, and `close()`. Without a folder nothing is stored.
+    The order of calls: `restore()`, `start()`, then `record_version()`, `record_disconnect()` and
+    `record_note()` with a `flush()` at every step, and `close()`. Without a folder nothing is
+    stored.
     """
 
     def __init__(
@@ -51,57 +53,59 @@
         folder: Union[str, Path, None],
         store: Store,
         log: Optional[EventLogger],
-        sync_every: float = 1.0,
-        retry_every: float = 5.0,
-        disk_most: int = 64 << 20,
+        sync_interval: float = 1.0,
+        retry_interval: float = 5.0,
+        disk_bytes_max: int = 64 << 20,
     ) -> None:
         self.folder = Path(folder) if folder else None
         self.store = store
-        self.sync_every = sync_every  # seconds between syncs
-        self.retry_every = retry_every  # seconds between attempts after a failure
-        self.disk_most = disk_most  # bytes of all segments together
-        self.noted: dict[str, bytes] = {}  # notes that survive restarts
+        self.sync_interval = sync_interval  # seconds between syncs
+        self.retry_interval = retry_interval  # seconds between attempts after a failure
+        self.disk_bytes_max = disk_bytes_max  # bytes of all segments together
+        self.notes: dict[str, bytes] = {}  # notes that survive restarts
         self.segment: Optional[SegmentFile] = None
         self.number = 0  # of the newest segment
-        self.segments: dict[int, int] = {}  # number -> bytes
-        self.broken = None if folder else NO_FOLDER  # why nothing is stored now
-        self.lost = 0  # versions that were not stored one by one
+        self.segment_sizes: dict[int, int] = {}  # number -> bytes
+        self.failure = None if folder else NO_FOLDER  # why nothing is stored now
+        self.lost_versions = 0  # versions that were not stored one by one
         self._log_event = log or _discard_event
         self._waiting: list[Record] = []  # not yet written
         self._published: dict[int, dict[str, Version]] = {}  # number -> newest versions in it
         self._synced_at = 0.0
         self._retry_at = 0.0
 
-    def recall(self) -> list[ReadProblem]:
+    def restore(self) -> list[ReadProblem]:
         """Read all segments into the store and the notes; return what was wrong in them."""
         if self.folder is None:
             return []
-        reader = LogReader(self.folder, self.store, self.noted)
+        reader = LogReader(self.folder, self.store, self.notes)
         reader.read()
         self.number = reader.newest
-        self.segments = reader.sizes
+        self.segment_sizes = reader.sizes
         self._published = reader.published
         return reader.problems
 
-    def publish(self, name: str, entry: HistoryEntry) -> None:
+    def record_version(self, name: str, entry: HistoryEntry) -> None:
         """Record a version that was committed to the store."""
         if self.folder is None:
             return
-        changed: ItemChanges = {key: after for key, _, after in entry.moved}
-        self._record(PublishedRecord(name, *entry.version, entry.at, list(entry.causes), changed))
+        changed: ItemChanges = {key: after for key, _, after in entry.item_changes}
+        self._record(
+            PublishedRecord(name, *entry.version, entry.published_at, list(entry.causes), changed)
+        )
 
-    def left(self, name: str) -> None:
+    def record_disconnect(self, name: str) -> None:
         """Record that a proxy has disconnected."""
         self._record(RemovedRecord(name))
 
-    def note(self, key: str, value: Optional[bytes]) -> None:
+    def record_note(self, key: str, value: Optional[bytes]) -> None:
         """Record a note; None removes it."""
-        if self.noted.get(key) != value:
-            set_note(self.noted, key, value)
+        if self.notes.get(key) != value:
+            set_note(self.notes, key, value)
             self._record(NoteRecord(key, value))
 
     def start(self, now: float) -> None:
-        """Begin a new segment, after `recall()` and before anything is published."""
+        """Begin a new segment, after `restore()` and before anything is published."""
         if self.folder is None:
             return
         try:
@@ -114,13 +118,13 @@
         """Write what waits. Called at every step of the controller; waits for the disk alone."""
         if self.folder is None:
             return
-        if self.broken is not None and now < self._retry_at:
+        if self.failure is not None and now < self._retry_at:
             self._drop_waiting()
             return
         try:
             segment = self.segment or self._begin_segment(self.folder)
             self._write_waiting(segment)
-            if segment.unsynced and now - self._synced_at >= self.sync_every:
+            if segment.unsynced and now - self._synced_at >= self.sync_interval:
                 segment.sync()
                 self._synced_at = now
             if segment.size > SEGMENT_BYTES_MAX:
@@ -154,22 +158,22 @@
 
     def _write(self, segment: SegmentFile, records: list[Record]) -> None:
         segment.write_records(records)
-        self.segments[self.number] = segment.size
+        self.segment_sizes[self.number] = segment.size
 
     def _fail(self, now: float, error: OSError) -> None:
         """Memory stays as it is: the next segment that can be begun has a snapshot of it."""
         reason = error.strerror or str(error)
-        if self.broken is None:
+        if self.failure is None:
             self._log_event("tables are not kept", why=reason)
-        self.broken = reason
-        self._retry_at = now + self.retry_every
+        self.failure = reason
+        self._retry_at = now + self.retry_interval
         self._drop_waiting()
         with contextlib.suppress(OSError):  # `broken` has the reason already
             self.close()
 
     def _drop_waiting(self) -> None:
         """Give up single versions: the snapshot that begins the next segment has their sum."""
-        self.lost += sum(isinstance(record, PublishedRecord) for record in self._waiting)
+        self.lost_versions += sum(isinstance(record, PublishedRecord) for record in self._waiting)
         self._waiting = []
 
     def _begin_segment(self, folder: Path) -> SegmentFile:
@@ -178,15 +182,15 @@
         number = self.number + 1
         segment = self.segment = SegmentFile(_segment_path(folder, number))
         self.number = number
-        self.segments[number] = 0
+        self.segment_sizes[number] = 0
         self._published[number] = {}
         segment.write_head()
         self._drop_waiting()
         for records in self._snapshot():
             self._write(segment, records)
-        if self.broken is not None:
-            self._log_event("tables are kept again", lost=self.lost)
-            self.broken = None
+        if self.failure is not None:
+            self._log_event("tables are kept again", lost=self.lost_versions)
+            self.failure = None
         return segment
 
     def _snapshot(self) -> Iterator[list[Record]]:
@@ -194,12 +198,12 @@
         histories = list(self.store.histories.items())
         for start in range(0, len(histories), SNAPSHOTS_PER_FRAME):
             yield [
-                SnapshotRecord(name, *history.last, history.items)
+                SnapshotRecord(name, *history.newest_version, history.items)
                 for name, history in histories[start : start + SNAPSHOTS_PER_FRAME]
             ]
         yield [
-            *(NoteRecord(key, value) for key, value in sorted(self.noted.items())),
-            *(RemovedRecord(name) for name in self.store.gone),
+            *(NoteRecord(key, value) for key, value in sorted(self.notes.items())),
+            *(RemovedRecord(name) for name in self.store.disconnected),
         ]
 
     def _prune(self, folder: Path) -> None:
@@ -207,9 +211,9 @@
 
         Past the disk bound their versions are dropped first.
         """
-        while len(self.segments) > 1:
-            oldest = min(self.segments)
-            if sum(self.segments.values()) > self.disk_most:
+        while len(self.segment_sizes) > 1:
+            oldest = min(self.segment_sizes)
+            if sum(self.segment_sizes.values()) > self.disk_bytes_max:
                 for name, version in self._published[oldest].items():
                     self.store.drop_up_to(name, version)
             if oldest == self.number or self._is_needed(oldest):
@@ -219,13 +223,14 @@
             except OSError as error:
                 self._log_event("old tables not removed", why=error.strerror)
                 return
-            del self.segments[oldest]
+            del self.segment_sizes[oldest]
             del self._published[oldest]
 
     def _is_needed(self, number: int) -> bool:
         """Return whether the store still has a version of a segment, or an older one."""
         return any(
-            self.store.reaches(name, version) for name, version in self._published[number].items()
+            self.store.has_entry_up_to(name, version)
+            for name, version in self._published[number].items()
         )
 
 
--- a/peatlead/tables/version.py
+++ b/peatlead/tables/version.py
@@ -5,12 +5,12 @@
 
 from typing import NamedTuple
 
-from .digest import Digest, Hashes
+from .digest import Digest, HashCache
 from .errors import StampFormatError
 from .items import (
     MILLION,
     PARTS,
-    SCALE,
+    WEIGHT_SCALE,
     changes,
     line_key,
     parse_line_key,
@@ -20,12 +20,12 @@
 
 __all__ = [
     "MILLION",
-    "NONE",
+    "NO_VERSION",
     "PARTS",
-    "SCALE",
-    "WHOLE",
+    "WEIGHT_SCALE",
+    "WHOLE_STATE",
     "Digest",
-    "Hashes",
+    "HashCache",
     "Stamp",
     "Version",
     "changes",
@@ -53,23 +53,24 @@
         return f"{self.epoch}.{self.serial}"
 
 
-NONE = Version(0, 0)  # before every published version
-WHOLE = "none"  # a stamp's base where the delta carries the whole state
+NO_VERSION = Version(0, 0)  # before every published version
+WHOLE_STATE = "none"  # a stamp's base where the delta carries the whole state
 
 
 def parse_version(text: str) -> Version:
-    """Parse a version; NONE where the text is none."""
+    """Parse a version; NO_VERSION where the text is none."""
     epoch, dot, serial = text.partition(".")
     if dot and epoch.isdigit() and serial.isdigit() and len(text) < VERSION_TEXT_MAX:
         return Version(int(epoch), int(serial))
-    return NONE
+    return NO_VERSION
 
 
 class Stamp(NamedTuple):
     """What goes with a delta.
 
-    `version` is the version it leads to, `base` the digest of the state it applies to (WHOLE: any,
-    since the delta replaces it) and `digest` the digest of the state it results in.
+    `version` is the version it leads to, `base` the digest of the state it applies to
+    (WHOLE_STATE: any, since the delta replaces it) and `digest` the digest of the state it results
+    in.
     """
 
     version: Version
@@ -86,7 +87,7 @@
     version = parse_version(words[0])
     if (
         len(words) != len(Stamp._fields)
-        or version == NONE
+        or version == NO_VERSION
         or not words[1].startswith(BASE_PREFIX)
         or not words[2].startswith(DIGEST_PREFIX)
     ):
--- a/peatlead/wire/command_translator.py
+++ b/peatlead/wire/command_translator.py
@@ -7,7 +7,7 @@
 from ..interface import RetryPolicy
 from . import reply_records
 from .endpoint_ids import EndpointIds
-from .units import MICROSECONDS
+from .units import MICROSECONDS_PER_SECOND
 
 RETRY_POLICIES: dict[str, int] = {
     RetryPolicy.NEVER: 0,
@@ -19,7 +19,9 @@
 ALL_PEERS = 65535  # in place of an instance's number
 NONCES = 65536  # nonces have 16 bits on the wire
 SHORTEST_TIMER = 1  # microseconds
-LONGEST_TIMER = 70 * 60 * MICROSECONDS  # what a 32-bit number of microseconds holds, rounded down
+LONGEST_TIMER = (
+    70 * 60 * MICROSECONDS_PER_SECOND
+)  # what a 32-bit number of microseconds holds, rounded down
 LONGEST_TEXT = 2000  # bytes of a log line or an error
 
 
@@ -90,7 +92,7 @@
 
     def wake_me(self, command: interface.SetTimer) -> reply_records.WakeMe:
         """Set a timer, within the bounds of the wire."""
-        delay_us = round(command.delay * MICROSECONDS)
+        delay_us = round(command.delay * MICROSECONDS_PER_SECOND)
         bounded = max(SHORTEST_TIMER, min(LONGEST_TIMER, delay_us))
         return reply_records.WakeMe(self.instance, command.token, bounded)
 
--- a/peatlead/wire/event_translator.py
+++ b/peatlead/wire/event_translator.py
@@ -7,7 +7,7 @@
 from ..interface import EndpointPhase, HealthCheckOutcome, ListScope, LoadReport
 from . import event_records
 from .endpoint_ids import EndpointIds
-from .units import MICROSECONDS
+from .units import MICROSECONDS_PER_SECOND
 
 SCOPES = {
     0: ListScope.CHANGES,
@@ -58,7 +58,7 @@
             entry.cell,
             PHASES.get(entry.phase, EndpointPhase.GONE),
             entry.weight,
-            entry.started_us / MICROSECONDS,
+            entry.started_us / MICROSECONDS_PER_SECOND,
         )
 
     def endpoint_update(self, record: event_records.Topology) -> interface.EndpointUpdate:
@@ -76,8 +76,8 @@
             record.zone,
             record.attempts,
             record.errors,
-            record.window_us / MICROSECONDS,
-            record.mean_latency_us / MICROSECONDS,
+            record.window_us / MICROSECONDS_PER_SECOND,
+            record.mean_latency_us / MICROSECONDS_PER_SECOND,
             self.load_report(record.load_report),
         )
 
@@ -88,7 +88,7 @@
             record.request_class,
             record.requests,
             record.unanswered,
-            record.window_us / MICROSECONDS,
+            record.window_us / MICROSECONDS_PER_SECOND,
         )
 
     def health_check_result(self, record: event_records.CheckResult) -> interface.HealthCheckResult:
@@ -96,7 +96,7 @@
         return interface.HealthCheckResult(
             self.endpoint_ids.id_of(record.address),
             OUTCOMES.get(record.outcome, HealthCheckOutcome.ERRORED),
-            record.duration_us / MICROSECONDS,
+            record.duration_us / MICROSECONDS_PER_SECOND,
             self.load_report(record.load_report),
         )
 
@@ -112,7 +112,9 @@
 
     def acknowledged(self, record: event_records.CaughtUp) -> interface.Acknowledged:
         """A proxy's acknowledgement."""
-        return interface.Acknowledged(record.proxy, record.nonce, record.duration_us / MICROSECONDS)
+        return interface.Acknowledged(
+            record.proxy, record.nonce, record.duration_us / MICROSECONDS_PER_SECOND
+        )
 
     def timer_fired(self, record: event_records.Wake) -> interface.TimerFired:
         """A timer that is due."""
@@ -139,7 +141,7 @@
             record.request_class,
             record.requests,
             record.unanswered,
-            record.window_us / MICROSECONDS,
+            record.window_us / MICROSECONDS_PER_SECOND,
         )
 
 
--- a/peatlead/wire/settings.py
+++ b/peatlead/wire/settings.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from .units import MICROSECONDS
+from .units import MICROSECONDS_PER_SECOND
 
 Settings = dict[str, Any]
 
@@ -107,7 +107,7 @@
 DEDUPLICATION_SCOPES = {"cell": "cell", "zone": "zone"}
 
 
-def settings_from(environment: Mapping[str, Any]) -> Settings:
+def settings_from_environment(environment: Mapping[str, Any]) -> Settings:
     """The settings as one flat map; keys of the environment that are not known are skipped.
 
     Raises AttributeError, KeyError, TypeError or ValueError where a value has a wrong type.
@@ -156,4 +156,4 @@
         return value
     if not isinstance(value, (int, float)):
         raise ValueError(f"{key}: expected a time, got {value!r}")
-    return value / MICROSECONDS
+    return value / MICROSECONDS_PER_SECOND
--- a/peatlead/wire/units.py
+++ b/peatlead/wire/units.py
@@ -1,3 +1,3 @@
 """Units of the wire."""
 
-MICROSECONDS = 1_000_000  # in a second
+MICROSECONDS_PER_SECOND = 1_000_000  # in a second
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -47,24 +47,24 @@
         self.log = TableLog(
             folder, Store(age_max=1e12), lambda event, **more: self.said.append((event, more))
         )
-        self.wrong = self.log.recall()
+        self.wrong = self.log.restore()
 
     def newest(self):
         """{proxy: (epoch, serial)}"""
-        return {name: tuple(one.last) for name, one in self.log.store.histories.items()}
+        return {name: tuple(one.newest_version) for name, one in self.log.store.histories.items()}
 
     def proxies(self):
         return {
             name: {
-                "newest": list(one.last),
+                "newest": list(one.newest_version),
                 "items": one.items,
                 "digest": str(one.digest),
                 "versions": [
                     [
                         *entry.version,
-                        entry.at,
+                        entry.published_at,
                         list(entry.causes),
-                        [list(moved) for moved in entry.moved],
+                        [list(moved) for moved in entry.item_changes],
                         entry.digest,
                     ]
                     for entry in one.entries
@@ -74,16 +74,16 @@
         }
 
     def gone(self):
-        return list(self.log.store.gone)
+        return list(self.log.store.disconnected)
 
     def notes(self):
-        return self.log.noted
+        return self.log.notes
 
     def segments(self):
-        return sorted(self.log.segments)
+        return sorted(self.log.segment_sizes)
 
     def publish(self, name, epoch, serial, changed):
-        self.log.publish(
+        self.log.record_version(
             name, self.log.store.commit(name, Version(epoch, serial), 99.0, ("test",), changed)
         )
 
@@ -95,7 +95,7 @@
         self.log.close()
 
     def note(self, key, value):
-        self.log.note(key, value)
+        self.log.record_note(key, value)
 
 
 def pins_of(data):
--- a/tests/controller/test_pin_targets.py
+++ b/tests/controller/test_pin_targets.py
@@ -33,7 +33,7 @@
         self.log = TableLog(None, self.store, controller.log)
         self.targets = PinTargets(controller, self.pins, self.store, self.log, lambda: 1000.0)
         pin = self.pins.make(100.0, "all", target="back", to="60")
-        self.active = self.pins.held[pin.id]
+        self.active = self.pins.by_id[pin.id]
 
     def announce(self, version, weight, pin_id=None):
         key = pin_id or self.active.pin.id, PROXY
@@ -71,8 +71,8 @@
         self.announce(Version(2, 1), 100)
         self.targets.lines(self.active, PROXY)
         note = f"wish/{self.active.pin.id}/{PROXY}"
-        self.assertEqual(msgspec.msgpack.decode(self.log.noted[note]), {LINE: 100})
-        self.pins.held.clear()
+        self.assertEqual(msgspec.msgpack.decode(self.log.notes[note]), {LINE: 100})
+        self.pins.by_id.clear()
         self.targets.forget_ended()
-        self.assertNotIn(note, self.log.noted)
+        self.assertNotIn(note, self.log.notes)
         self.assertFalse(self.targets.offered)
--- a/tests/controller/test_pinned_tables.py
+++ b/tests/controller/test_pinned_tables.py
@@ -47,7 +47,7 @@
                 to=before,
             )
             self.assertEqual(dry["each"][0]["taken"], {"h0": "drains"})
-            self.assertFalse(controller.published.pins.held)
+            self.assertFalse(controller.published.pins.by_id)
             ask(
                 controller,
                 "pin",
@@ -119,7 +119,7 @@
             controller.stop()
             await asyncio.sleep(0.05)  # its sockets are closed by the loop
             restarted = await world.steward()
-            self.assertIn(pin, restarted.published.pins.standing())
+            self.assertIn(pin, restarted.published.pins.unended())
             self.assertGreaterEqual(restarted.published.store.entry_count, versions)
             await until(lambda: len(world.named(restarted)) == 4)
             self.assertEqual(ask(restarted, "status")["pins"][0]["target not known"], [])
@@ -158,7 +158,7 @@
                 ("log", {"since": "x"}),
             ):
                 self.assertIn("error", ask(controller, do, **args), (do, args))
-            self.assertFalse(controller.published.pins.held)
+            self.assertFalse(controller.published.pins.by_id)
 
         play(case)
 
--- a/tests/grpc/test_discovery.py
+++ b/tests/grpc/test_discovery.py
@@ -6,7 +6,7 @@
 
 from peatlead.grpc.discovery import Discovery
 from peatlead.grpc.resources import ENDPOINTS
-from peatlead.tables.version import NONE, Version, parse_version
+from peatlead.tables.version import NO_VERSION, Version, parse_version
 
 
 class DiscoveryTest(unittest.TestCase):
@@ -46,6 +46,6 @@
 
     def test_foreign_versions_are_read_as_none(self):
         self.assertEqual(
-            [parse_version(t) for t in ("", "3", "a.b", "1.2.3", "9" * 50 + ".1")], [NONE] * 5
+            [parse_version(t) for t in ("", "3", "a.b", "1.2.3", "9" * 50 + ".1")], [NO_VERSION] * 5
         )
         self.assertEqual(parse_version("12.3"), Version(12, 3))
--- a/tests/grpc/test_incremental.py
+++ b/tests/grpc/test_incremental.py
@@ -62,7 +62,7 @@
                 )
 
             await until(same)
-            self.assertTrue(proxy.holder.sound("line"))
+            self.assertTrue(proxy.holder.is_consistent("line"))
             self.assertNotIn(
                 "127.10.9.2", {line.address for lines in proxy.lines.values() for line in lines}
             )
--- a/tests/tables/test_guard.py
+++ b/tests/tables/test_guard.py
@@ -13,11 +13,11 @@
 TABLES = st.dictionaries(st.sampled_from(ENDPOINTS), st.sampled_from([0.5, 1.0, 2.0]), max_size=6)
 
 
-def context(phases=None, withdrawn=(), parts=None):
+def context(phases=None, withdrawn=(), fractions=None):
     return GuardContext(
         phases or dict.fromkeys(ENDPOINTS, "ready"),
         frozenset(withdrawn),
-        dict.fromkeys(ENDPOINTS, 1.0) if parts is None else parts,
+        dict.fromkeys(ENDPOINTS, 1.0) if fractions is None else fractions,
     )
 
 
@@ -28,12 +28,12 @@
         guarded = guard(
             pinned,
             {0: 1.0},
-            context(phases, withdrawn=(4,), parts={0: 1.0, 1: 1.0, 2: 1.0, 4: 1.0}),
+            context(phases, withdrawn=(4,), fractions={0: 1.0, 1: 1.0, 2: 1.0, 4: 1.0}),
         )
         self.assertEqual(guarded.lines, {0: 1.0})
-        self.assertEqual(set(guarded.taken), {1, 2, 3, 4, 5})
-        self.assertIn("drains", guarded.taken[1])
-        self.assertIn("dropped", guarded.taken[3])
+        self.assertEqual(set(guarded.restricted), {1, 2, 3, 4, 5})
+        self.assertIn("drains", guarded.restricted[1])
+        self.assertIn("dropped", guarded.restricted[3])
 
     def test_endpoints_added_since_stay_out_and_old_weights_are_restored(self):
         self.assertEqual(
@@ -41,10 +41,12 @@
         )
 
     def test_a_ramping_endpoint_gets_at_most_the_share_the_planner_gives_it(self):
-        parts = {**dict.fromkeys(ENDPOINTS, 1.0), 3: 0.12}
-        guarded = guard({0: 1.0, 3: 1.0}, {0: 1.0, 1: 1.0, 3: 0.12}, context(parts=parts))
+        fractions = {**dict.fromkeys(ENDPOINTS, 1.0), 3: 0.12}
+        guarded = guard({0: 1.0, 3: 1.0}, {0: 1.0, 1: 1.0, 3: 0.12}, context(fractions=fractions))
         self.assertAlmostEqual(guarded.lines[3] / sum(guarded.lines.values()), 0.12 / 2.12)
-        self.assertNotIn(3, guard({0: 1.0, 3: 1.0}, {0: 1.0, 1: 1.0}, context(parts=parts)).lines)
+        self.assertNotIn(
+            3, guard({0: 1.0, 3: 1.0}, {0: 1.0, 1: 1.0}, context(fractions=fractions)).lines
+        )
 
     def test_a_small_rest_is_filled_up_and_an_empty_one_replaced_by_the_planners_table(self):
         phases = {**dict.fromkeys(ENDPOINTS, "ready"), 1: "gone", 2: "gone"}
@@ -67,7 +69,7 @@
         dropped -= planned.keys()  # what the planner's table names, it names somewhere
         known = context(
             {endpoint: "gone" if endpoint in gone else "ready" for endpoint in ENDPOINTS},
-            parts={
+            fractions={
                 endpoint: 0.2 if endpoint in ramping else 1.0
                 for endpoint in ENDPOINTS
                 if endpoint not in dropped
--- a/tests/tables/test_history.py
+++ b/tests/tables/test_history.py
@@ -60,7 +60,9 @@
         for index, wall_time in enumerate((1000.0, 1010.0, 200.0, 210.0, 220.0)):
             store.commit("p", Version(1, index + 1), wall_time, (), {"level/k": index})
         self.assertEqual(store.entry_count, 5)
-        self.assertEqual([entry.version.serial for _, entry in store.between()], [1, 2, 3, 4, 5])
+        self.assertEqual(
+            [entry.version.serial for _, entry in store.entries_between()], [1, 2, 3, 4, 5]
+        )
         self.assertEqual(store.histories["p"].at_time(215.0)[0], Version(1, 4))
 
 
@@ -92,7 +94,7 @@
         for name in "abc":
             store.commit(name, Version(1, 1), 0.0, (), {"level/k": 1})
         for name in "ba":
-            store.left(name)
+            store.mark_disconnected(name)
         store.history("d")
         self.assertEqual(sorted(store.histories), ["a", "c", "d"])
         store.history("a")  # connected again
@@ -106,5 +108,5 @@
         store.commit("idle", Version(1, 1), 0.0, (), {"level/k": 1})
         for serial in range(1, 5001):
             store.commit("busy", Version(1, serial), 0.0, (), {"level/k": serial})
-        self.assertLess(len(store.order), 1200)
-        self.assertEqual(len(store.between()), 11)
+        self.assertLess(len(store.publication_order), 1200)
+        self.assertEqual(len(store.entries_between()), 11)
--- a/tests/tables/test_pins.py
+++ b/tests/tables/test_pins.py
@@ -36,8 +36,8 @@
     def test_a_pin_ends_by_time_and_by_hand_in_stages(self):
         pins = Pins("ns1")
         pin = pins.make(0.0, "all", over=0.0, length=60.0)
-        self.assertEqual(pins.tick(59.0), [])
-        self.assertEqual(pins.tick(60.0), [pin.id])
+        self.assertEqual(pins.expire(59.0), [])
+        self.assertEqual(pins.expire(60.0), [pin.id])
         self.assertIsNone(pins.pin_for(60.0, "x", "a"))
         pin = pins.make(100.0, "all", over=10.0)
         pins.resume(150.0, pin.id)
@@ -74,8 +74,8 @@
             now = float(index)
             if step == "make":
                 nodes[one].make(now, "all", over=0.0)
-            elif step == "resume" and nodes[one].standing():
-                nodes[one].resume(now, sorted(nodes[one].standing())[0])
+            elif step == "resume" and nodes[one].unended():
+                nodes[one].resume(now, sorted(nodes[one].unended())[0])
             elif step == "send":
                 nodes[other].merge(now, nodes[one].snapshot(now))
         for _ in range(3):
@@ -83,7 +83,7 @@
                 for other in nodes:
                     other.merge(99.0, one.snapshot(99.0))
         views = [
-            {key: (held.pin.revision, held.ended_at is None) for key, held in node.held.items()}
+            {key: (held.pin.revision, held.ended_at is None) for key, held in node.by_id.items()}
             for node in nodes
         ]
         self.assertEqual(views[0], views[1])
@@ -129,7 +129,7 @@
         ):
             with self.assertRaises(PinError):
                 pins.make(0.0, **invalid)
-        self.assertFalse(pins.held)
+        self.assertFalse(pins.by_id)
         for _ in range(32):
             pins.make(0.0, "all")
         with self.assertRaises(PinError):
--- a/tests/tables/test_replica.py
+++ b/tests/tables/test_replica.py
@@ -11,7 +11,7 @@
 from peatlead.grpc.incremental import MAX_FULL_RESYNCS, PART_BY_TYPE, Incremental, decode_delta
 from peatlead.grpc.resources import LINES, resource_name
 from peatlead.tables.replica import APPLIED, BASE, DIGEST, OLD, Replica
-from peatlead.tables.version import WHOLE, Digest, Stamp, Version, changes
+from peatlead.tables.version import WHOLE_STATE, Digest, Stamp, Version, changes
 
 from .. import places  # noqa: F401  (it loads the profile of hypothesis)
 
@@ -39,7 +39,7 @@
             "ns1",
             lambda version, parts: None,
         )
-        self.replica.raise_fence(Version(epoch - 1, 1 << 40))
+        self.replica.reject_up_to(Version(epoch - 1, 1 << 40))
         first = discovery_pb2.DeltaDiscoveryRequest(type_url=LINES, resource_names_subscribe=["*"])
         for key, value in self.replica.parts["line"].items():
             first.initial_resource_versions[resource_name(key)] = str(value)
@@ -53,7 +53,7 @@
         type_url, moved, stamp = decode_delta(
             discovery_pb2.DeltaDiscoveryResponse.FromString(response.SerializeToString())
         )
-        outcome = self.replica.take(PART_BY_TYPE[type_url], stamp, moved)
+        outcome = self.replica.apply_delta(PART_BY_TYPE[type_url], stamp, moved)
         if answer and outcome != OLD:
             request = discovery_pb2.DeltaDiscoveryRequest(
                 type_url=type_url, response_nonce=response.nonce
@@ -108,12 +108,12 @@
         self.change({line(number): 1000 for number in range(5)})
         self.settle()
         self.replica.parts["line"][line(2)] = 9  # a bit flipped: the digest it keeps does not know
-        self.assertFalse(self.replica.sound("line"))
+        self.assertFalse(self.replica.is_consistent("line"))
         self.change({**self.wanted, line(2): 2000})
         self.assertEqual(self.deliver(self.responses.popleft()), DIGEST)
         self.settle()
         self.assertEqual((self.held_items(), self.sender.wholes), (self.wanted, 1))
-        self.assertTrue(self.replica.sound("line"))
+        self.assertTrue(self.replica.is_consistent("line"))
 
     def test_a_proxy_that_always_refuses_is_reported_and_retried_a_bounded_number_of_times(self):
         self.change({line(1): 1000})
@@ -135,11 +135,14 @@
         self.settle()
         before = dict(self.held_items())
         unknown_base = Stamp(Version(1, 50), "0" * 32, str(Digest(line(9, 1))))
-        self.assertEqual(self.replica.take("line", unknown_base, line(9, 1)), BASE)
-        repeated = Stamp(Version(1, 1), WHOLE, str(Digest(line(9, 1))))
-        self.assertEqual(self.replica.take("line", repeated, line(9, 1)), OLD)
+        self.assertEqual(self.replica.apply_delta("line", unknown_base, line(9, 1)), BASE)
+        repeated = Stamp(Version(1, 1), WHOLE_STATE, str(Digest(line(9, 1))))
+        self.assertEqual(self.replica.apply_delta("line", repeated, line(9, 1)), OLD)
         self.assertEqual(
-            self.replica.take("line", Stamp(Version(2, 1), WHOLE, "f" * 32), line(9, 1)), DIGEST
+            self.replica.apply_delta(
+                "line", Stamp(Version(2, 1), WHOLE_STATE, "f" * 32), line(9, 1)
+            ),
+            DIGEST,
         )
         self.assertEqual(self.held_items(), before)
 
@@ -171,11 +174,11 @@
                 delivered.append(response)
                 outcome = self.deliver(response)
                 if outcome == APPLIED:
-                    # A flipped entry that no delta touches is found by `sound` alone, never by `take`: until then
+                    # A flipped entry that no delta touches is found by `is_consistent` alone, never by `apply_delta`: until then
                     # the digest that the replica reports must be a known one, and after it the content as well.
                     known = published | {str(Digest({})): True}
                     self.assertIn(str(self.replica.digests["line"]), known)
-                    if self.replica.sound("line"):
+                    if self.replica.is_consistent("line"):
                         self.assertIn(str(Digest(self.held_items())), known)
                 if step == "twice":
                     # A delta that was refused is refused again, for the same reason; one that was
@@ -199,7 +202,7 @@
             elif step == "reconnect":
                 epoch += 2
                 self.connect(epoch)
-        if not self.replica.sound("line"):  # it finds out by itself or by the next delta
+        if not self.replica.is_consistent("line"):  # it finds out by itself or by the next delta
             self.replica.parts["line"], self.replica.digests["line"] = {}, Digest()
             self.connect(epoch + 2)
         self.change({**self.wanted, line(9): 7})
--- a/tests/tables/test_table_log.py
+++ b/tests/tables/test_table_log.py
@@ -26,7 +26,7 @@
             self.folder, Store(**bounds), lambda event, **more: self.events.append((event, more))
         )
         self.addCleanup(log.close)
-        problems = log.recall()
+        problems = log.restore()
         log.start(0.0)
         return log, problems
 
@@ -37,7 +37,7 @@
 
     def publish(self, log, count, name="p", first=1, at=0.0):
         for serial in range(first, first + count):
-            log.publish(
+            log.record_version(
                 name,
                 log.store.commit(
                     name,
@@ -52,8 +52,8 @@
     def assert_same_history(self, first, second, name="p"):
         mine, theirs = first.store.histories[name], second.store.histories[name]
         self.assertEqual(
-            (mine.items, mine.last, str(mine.digest)),
-            (theirs.items, theirs.last, str(theirs.digest)),
+            (mine.items, mine.newest_version, str(mine.digest)),
+            (theirs.items, theirs.newest_version, str(theirs.digest)),
         )
         self.assertEqual(list(mine.entries), list(theirs.entries))
 
@@ -61,12 +61,12 @@
         log, _ = self.open()
         for batch in range(4):
             self.publish(log, 10, first=batch * 10 + 1)
-        log.note("boots", b"7")
+        log.record_note("boots", b"7")
         log.flush(1.0)
         restarted, problems = self.open()  # the first was killed: it never closed its file
         self.assertEqual(problems, [])
         self.assert_same_history(log, restarted)
-        self.assertEqual(restarted.noted, {"boots": b"7"})
+        self.assertEqual(restarted.notes, {"boots": b"7"})
         third, problems = self.open()
         self.assertEqual(problems, [])
         self.assert_same_history(log, third)
@@ -81,7 +81,7 @@
         for size in range(0, len(whole), 7):
             path.write_bytes(whole[:size])
             reader = TableLog(self.folder, Store(), None)
-            reader.recall()
+            reader.restore()
             found = list(reader.store.histories["p"].entries) if reader.store.histories else []
             self.assertEqual(found, full[: len(found)])
             self.assertEqual(len(found) % 3, 0)
@@ -99,7 +99,7 @@
                 whole[:at] + bytes([whole[at] ^ 1 << rng.randrange(8)]) + whole[at + 1 :]
             )
             reader = TableLog(self.folder, Store(), None)
-            problems = reader.recall()
+            problems = reader.restore()
             self.assertTrue(problems, f"a flip at byte {at} went unseen")
             found = list(reader.store.histories["p"].entries) if reader.store.histories else []
             self.assertEqual(found, full[: len(found)])
@@ -152,7 +152,7 @@
         restarted, problems = self.open()
         self.assertTrue(any("checksum" in reason for _, reason in problems))
         mine, theirs = log.store.histories["p"], restarted.store.histories["p"]
-        self.assertEqual((mine.items, mine.last), (theirs.items, theirs.last))
+        self.assertEqual((mine.items, mine.newest_version), (theirs.items, theirs.newest_version))
         known = {entry.version for entry in theirs.entries}
         self.assertLess(len(known), len(mine.entries))
         for version in known:
@@ -171,7 +171,7 @@
     def test_past_the_disk_bound_the_oldest_versions_and_segments_are_dropped(self):
         self.limit_segments(900)
         log, _ = self.open()
-        log.disk_most = 3000
+        log.disk_bytes_max = 3000
         for batch in range(200):
             self.publish(log, 3, first=batch * 3 + 1)
         self.assertLess(sum(path.stat().st_size for path in self.folder.glob("*.log")), 4500)
@@ -197,11 +197,13 @@
 
         log.segment.file = FullDisk()
         self.publish(log, 5, first=6, at=1.0)
-        self.assertIn("No space", log.broken)
+        self.assertIn("No space", log.failure)
         self.publish(log, 5, first=11, at=2.0)
-        self.assertEqual(log.store.histories["p"].last, Version(1, 15))  # publishing goes on
+        self.assertEqual(
+            log.store.histories["p"].newest_version, Version(1, 15)
+        )  # publishing goes on
         self.publish(log, 2, first=16, at=7.0)
-        self.assertIsNone(log.broken)
+        self.assertIsNone(log.failure)
         self.assertEqual(
             [event for event, _ in self.events], ["tables are not kept", "tables are kept again"]
         )
@@ -209,7 +211,7 @@
         restarted, problems = self.open()
         self.assertTrue(any("torn" in reason for _, reason in problems))
         mine, theirs = log.store.histories["p"], restarted.store.histories["p"]
-        self.assertEqual((mine.items, mine.last), (theirs.items, theirs.last))
+        self.assertEqual((mine.items, mine.newest_version), (theirs.items, theirs.newest_version))
         self.assertEqual(theirs.at_version(Version(1, 3)), mine.at_version(Version(1, 3)))
 
     def test_a_folder_that_cannot_be_created_is_reported_and_publishing_goes_on(self):
@@ -217,8 +219,8 @@
         self.folder = Path(self.temporary.name, "file", "tables")
         log, _ = self.open()
         self.publish(log, 3)
-        self.assertTrue(log.broken)
-        self.assertEqual(log.store.histories["p"].last, Version(1, 3))
+        self.assertTrue(log.failure)
+        self.assertEqual(log.store.histories["p"].newest_version, Version(1, 3))
 
     def test_a_restored_backup_is_read_as_it_is_and_versions_go_on(self):
         log, _ = self.open()
@@ -228,6 +230,6 @@
         for path, data in backup.items():
             path.write_bytes(data)
         restarted, _ = self.open()
-        self.assertEqual(restarted.store.histories["p"].last, Version(1, 5))
+        self.assertEqual(restarted.store.histories["p"].newest_version, Version(1, 5))
         # The proxy has seen 1.10: it joins with a higher epoch, and versions go on from there.
         restarted.store.commit("p", Version(2, 1), 3.0, (), {"level/k": 1})
--- a/tests/transcripts/test_tables_transcripts.py
+++ b/tests/transcripts/test_tables_transcripts.py
@@ -58,25 +58,25 @@
     mine = pins.Pins("ns1", "-start")
     for one in made:
         mine.make(now, *one)
-    mine.resume(now + 1.5, sorted(mine.held)[0])
+    mine.resume(now + 1.5, sorted(mine.by_id)[0])
     return encode_pins(mine.snapshot(later))
 
 
 def open_log(folder):
     """A log in a folder, read and begun: ([what was wrong], log)."""
     made = table_log.TableLog(folder, history.Store(), lambda *_, **__: None)
-    wrong = made.recall()
+    wrong = made.restore()
     made.start(0.0)
     return wrong, made
 
 
 def commit(log, name, epoch, serial, at, causes, moved):
     entry = log.store.commit(name, version.Version(epoch, serial), at, causes, moved)
-    log.publish(name, entry)
+    log.record_version(name, entry)
 
 
 def keep(log, key, value):
-    log.note(key, value)
+    log.record_note(key, value)
 
 
 def end(log, now):
@@ -88,10 +88,10 @@
     """{proxy: [version, items]} and what was noted, as plain values."""
     return [
         {
-            name: [str(one.last), sorted(one.items.items())]
+            name: [str(one.newest_version), sorted(one.items.items())]
             for name, one in sorted(log.store.histories.items())
         },
-        {key: value.hex() for key, value in sorted(log.noted.items())},
+        {key: value.hex() for key, value in sorted(log.notes.items())},
     ]
 
 
--- a/tests/transcripts/test_xds_transcripts.py
+++ b/tests/transcripts/test_xds_transcripts.py
@@ -129,7 +129,7 @@
             discovery_pb2.DeltaDiscoveryResponse.FromString(data)
         )
         part = incremental.PART_BY_TYPE[url]
-        outcome = self.holder.take(part, stamp, moved)
+        outcome = self.holder.apply_delta(part, stamp, moved)
         return [outcome, sorted(self.holder.parts[part].items())]
 
 
--- a/tests/wire/test_translators.py
+++ b/tests/wire/test_translators.py
@@ -5,14 +5,14 @@
 from peatlead.wire.command_translator import CommandTranslator
 from peatlead.wire.endpoint_ids import EndpointIds
 from peatlead.wire.event_translator import EventTranslator
-from peatlead.wire.settings import settings_from
+from peatlead.wire.settings import settings_from_environment
 
 ADDRESS = b"\1\2\3\4\0\7"
 
 
 class TranslatorsTest(unittest.TestCase):
     def test_endpoints_are_small_integers_inside_and_addresses_outside(self):
-        settings = settings_from({"stats": {"fields": ["busy"]}})
+        settings = settings_from_environment({"stats": {"fields": ["busy"]}})
         endpoint_ids = EndpointIds()
         event = EventTranslator(endpoint_ids, settings["report_fields"]).translate(
             event_records.Tally(
