--- a/peatlead/adapter.py
+++ b/peatlead/adapter.py
@@ -1,7 +1,7 @@
-"""`python -m peatlead.adapter`: one isolated planner an instance, on the simulator's wire.
+"""`python -m peatlead.adapter`: runs planners for the simulator, one per controller instance.
 
-Batches come on standard input; each is answered by one reply on standard output. The adapter ends
-with 0 at the end of its input, and with 2 where the input isn't the wire's.
+Reads batches of event records from standard input and writes one reply per batch to standard
+output. Exits with 0 at the end of the input, and with 2 where the input violates the protocol.
 """
 
 import gc
@@ -25,7 +25,7 @@
 
 
 class Instance:
-    """One controller: its own planner and its own ids; nothing is shared with another."""
+    """One controller instance. It shares no state with other instances."""
 
     def __init__(self, record: Attach) -> None:
         settings = settings_from_environment(record.environment)
@@ -33,44 +33,50 @@
         self.event_translator = EventTranslator(endpoint_ids, settings["report_fields"])
         self.command_translator = CommandTranslator(record.instance, endpoint_ids)
         self.planner = Planner(settings, record.seed)
-        self.pending: list[Event] = []  # events of the batch that is read
+        self.pending: list[Event] = []  # events of the current batch
 
     def submit(self, record: EventRecord) -> None:
-        """Keep a record's event until `decide`."""
+        """Queue the event of a record for the next `decide`."""
         self.pending.append(self.event_translator.translate(record))
 
     def decide(self, now: float) -> list[ReplyRecord]:
-        """The planner's commands on the pending events; `now` is in seconds."""
+        """Return the planner's commands for the queued events; `now` is in seconds.
+
+        An exception of the planner becomes a `Broken` record.
+        """
         events, self.pending = self.pending, []
         try:
             commands = self.planner.decide(now, events)
             return [self.command_translator.translate(command) for command in commands]
-        except Exception as error:  # of any kind: it must reach the report of this instance alone
-            return [self.command_translator.broken(error)]
+        except Exception as error:  # any kind: the other instances continue
+            return [self.command_translator.error_record(error)]
 
 
 def process_batch(
     instances: dict[int, Instance], clock_us: int, records: Sequence[EventRecord]
 ) -> list[ReplyRecord]:
-    """The reply to one batch; starts and ends of instances change `instances`."""
-    for number, record in enumerate(records):
-        _submit(instances, number, record)
+    """Return the reply to one batch. Adds started instances to `instances` and removes ended ones.
+
+    Raises WireFormatError where a record names an instance that is not running.
+    """
+    for record_number, record in enumerate(records):
+        _submit(instances, record_number, record)
     reply: list[ReplyRecord] = []
-    for number in dict.fromkeys(record.instance for record in records):
-        if number in instances:
-            reply.extend(instances[number].decide(clock_us / MICROSECONDS_PER_SECOND))
+    for instance_number in dict.fromkeys(record.instance for record in records):
+        if instance_number in instances:
+            reply.extend(instances[instance_number].decide(clock_us / MICROSECONDS_PER_SECOND))
     return reply
 
 
-def _submit(instances: dict[int, Instance], number: int, record: EventRecord) -> None:
-    """Start or end the record's instance, or hand the record to it."""
+def _submit(instances: dict[int, Instance], record_number: int, record: EventRecord) -> None:
+    """Start or end the record's instance, or pass the record to it. Raises WireFormatError."""
     if isinstance(record, Attach):
         instances[record.instance] = Instance(record)
         return
     if record.instance not in instances:
         raise WireFormatError(
-            f"record {number}: {EVENT_NAMES[type(record)]} for instance {record.instance}, "
-            "which was never started"
+            f"record {record_number}: {EVENT_NAMES[type(record)]} for instance {record.instance}, "
+            "which is not running"
         )
     if isinstance(record, Shutdown):
         del instances[record.instance]
@@ -79,7 +85,7 @@
 
 
 def main() -> int:
-    """Answer batches until the input ends; returns the exit code."""
+    """Answer batches until the input ends. Return the exit code."""
     instances: dict[int, Instance] = {}
     gc.freeze()
     try:
--- a/peatlead/wire/__init__.py
+++ b/peatlead/wire/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's wire: its binary codec, and its records' translation to the interface."""
+"""Binary protocol of the simulator: framing, records, and their mapping to planner types."""
--- a/peatlead/wire/codec.py
+++ b/peatlead/wire/codec.py
@@ -1,4 +1,7 @@
-"""Frames of the wire: batches of records that come in, and the reply to each."""
+"""Framing of the wire protocol: reads batches of event records and writes replies.
+
+All header fields are big-endian.
+"""
 
 import struct
 from collections.abc import Sequence
@@ -10,50 +13,53 @@
 from .reply_packer import PACKERS
 from .reply_records import ReplyRecord
 
-BATCH_HEADER = struct.Struct(">IIQ")  # records, bytes of the body, clock in microseconds
-REPLY_HEADER = struct.Struct(">II")  # bytes of the body, records
+BATCH_HEADER = struct.Struct(">IIQ")  # record count, body size in bytes, clock in microseconds
+REPLY_HEADER = struct.Struct(">II")  # body size in bytes, record count
 
 
 class Batch(NamedTuple):
-    """The records that came together, and the simulator's clock in microseconds."""
+    """The event records of one batch, and the simulator's clock in microseconds."""
 
     clock_us: int
     records: list[EventRecord]
 
 
 def read_batch(stream: BinaryIO) -> Optional[Batch]:
-    """The next batch, or None at the end of the input."""
+    """Read the next batch. Return None at the end of the input; raises WireFormatError."""
     header = _read_exactly(stream, BATCH_HEADER.size, "batch header")
     if header is None:
         return None
-    count, length, clock_us = BATCH_HEADER.unpack(header)
-    body = _read_exactly(stream, length, "batch")
+    record_count, body_size, clock_us = BATCH_HEADER.unpack(header)
+    body = _read_exactly(stream, body_size, "batch")
     if body is None:
-        raise WireFormatError(f"truncated batch: 0 of {length} bytes")
+        raise WireFormatError(f"truncated batch: 0 of {body_size} bytes")
     reader = RecordReader(body)
-    records = [reader.read_record(number) for number in range(count)]
+    records = [reader.read_record(number) for number in range(record_count)]
     if reader.offset != len(body):
         raise WireFormatError(
-            f"{len(body) - reader.offset} bytes left over at byte {reader.offset} "
-            f"after {count} records"
+            f"{len(body) - reader.offset} unread bytes at byte {reader.offset} of the batch "
+            f"after {record_count} records"
         )
     return Batch(clock_us, records)
 
 
 def _read_exactly(stream: BinaryIO, size: int, what: str) -> Optional[bytes]:
-    """Bytes of that size, or None at a clean end before the first byte."""
+    """Read `size` bytes. Return None where the input ends before the first byte.
+
+    Raises WireFormatError, which mentions `what`, where the input ends after the first byte.
+    """
     data = stream.read(size)
     if not data and size:
         return None
     while len(data) < size:
-        more = stream.read(size - len(data))
-        if not more:
+        chunk = stream.read(size - len(data))
+        if not chunk:
             raise WireFormatError(f"truncated {what}: {len(data)} of {size} bytes")
-        data += more
+        data += chunk
     return data
 
 
 def write_reply(records: Sequence[ReplyRecord]) -> bytes:
-    """A whole reply, with its header."""
+    """Return an encoded reply: the header, then the records."""
     body = b"".join([PACKERS[type(record)].pack(record) for record in records])
     return REPLY_HEADER.pack(len(body), len(records)) + body
--- a/peatlead/wire/command_translator.py
+++ b/peatlead/wire/command_translator.py
@@ -1,4 +1,4 @@
-"""From the planner's commands to the records of the wire's reply."""
+"""Converts planner commands to reply records of the wire."""
 
 from collections.abc import Callable, Iterable
 from typing import Any
@@ -15,33 +15,31 @@
     RetryPolicy.ONCE: 2,
     RetryPolicy.TWICE: 3,
 }
-ALL_TABLES = 65535  # in place of a table's number
-ALL_PEERS = 65535  # in place of an instance's number
-NONCES = 65536  # nonces have 16 bits on the wire
-SHORTEST_TIMER = 1  # microseconds
-LONGEST_TIMER = (
-    70 * 60 * MICROSECONDS_PER_SECOND
-)  # what a 32-bit number of microseconds holds, rounded down
-LONGEST_TEXT = 2000  # bytes of a log line or an error
+ALL_TABLES = 65535  # as a table number
+ALL_PEERS = 65535  # as an instance number
+NONCE_MODULUS = 65536  # nonces have 16 bits on the wire
+TIMER_MIN_US = 1
+TIMER_MAX_US = 70 * 60 * MICROSECONDS_PER_SECOND  # fits into 32 bits
+TEXT_BYTES_MAX = 2000  # UTF-8 bytes of a log line or an error
 
 
 class CommandTranslator:
-    """Translates the commands of one instance's planner."""
+    """Converts the commands of one instance's planner."""
 
     def __init__(self, instance: int, endpoint_ids: EndpointIds) -> None:
         self.instance = instance
         self.endpoint_ids = endpoint_ids
 
     def translate(self, command: interface.Command) -> reply_records.ReplyRecord:
-        """The record of a command."""
-        return TRANSLATIONS[type(command)](self, command)
+        """Return the record of a command."""
+        return TRANSLATORS[type(command)](self, command)
 
-    def broken(self, error: Exception) -> reply_records.Broken:
-        """The record that reports an error of the planner."""
+    def error_record(self, error: Exception) -> reply_records.Broken:
+        """Return the record that reports an exception of the planner."""
         return reply_records.Broken(self.instance, _encode_text(f"{type(error).__name__}: {error}"))
 
     def upsert(self, command: interface.SetEntry) -> reply_records.Upsert:
-        """Set one endpoint's weight in a table."""
+        """Set an endpoint's weight in a table; weight 0 removes the entry."""
         address = self.endpoint_ids.address_of(command.endpoint)
         return reply_records.Upsert(self.instance, command.table, address, command.weight)
 
@@ -50,17 +48,17 @@
         return reply_records.Blank(self.instance, command.table)
 
     def attach_table(self, command: interface.AssignTable) -> reply_records.AttachTable:
-        """Route request classes of a proxy by a table."""
+        """Route some request classes of a proxy by a table."""
         classes = _bit_mask(command.request_classes)
         return reply_records.AttachTable(self.instance, classes, command.proxy, command.table)
 
     def cordon(self, command: interface.WithdrawEndpoint) -> reply_records.Cordon:
-        """Withdraw an endpoint, or restore it."""
+        """Withdraw an endpoint from the tables that proxies hold, or restore it."""
         address = self.endpoint_ids.address_of(command.endpoint)
         return reply_records.Cordon(self.instance, address, int(command.withdrawn))
 
     def gate_class(self, command: interface.SetAdmission) -> reply_records.GateClass:
-        """Admit a fraction of the requests of some classes."""
+        """Admit a fraction of the requests of some classes, and set their retry policy."""
         return reply_records.GateClass(
             self.instance,
             _bit_mask(command.request_classes),
@@ -70,31 +68,33 @@
         )
 
     def nonce(self, command: interface.RequestAcknowledgement) -> reply_records.Nonce:
-        """Ask proxies to acknowledge a nonce."""
-        return reply_records.Nonce(self.instance, command.nonce % NONCES, int(command.all_proxies))
+        """Ask the proxies that this reply changes, or all proxies, to acknowledge a nonce."""
+        return reply_records.Nonce(
+            self.instance, command.nonce % NONCE_MODULUS, int(command.all_proxies)
+        )
 
     def test(self, command: interface.CheckHealth) -> reply_records.Test:
-        """Start a health check."""
+        """Start a health check of an endpoint."""
         return reply_records.Test(self.instance, self.endpoint_ids.address_of(command.endpoint))
 
     def get_list(self, command: interface.FetchEndpoints) -> reply_records.GetList:
-        """Ask for the endpoint list once."""
+        """Request the endpoint list once."""
         return reply_records.GetList(self.instance)
 
     def observe(self, command: interface.WatchEndpoints) -> reply_records.Observe:
-        """Start or stop to watch the endpoint list."""
+        """Start or stop watching the endpoint list."""
         return reply_records.Observe(self.instance, int(command.enabled))
 
     def write_peer(self, command: interface.SendGossip) -> reply_records.WritePeer:
-        """Send a note to one instance, or to all."""
+        """Send a gossip message to one instance or to all."""
         peer = ALL_PEERS if command.peer is None else command.peer
         return reply_records.WritePeer(self.instance, peer, command.payload)
 
     def wake_me(self, command: interface.SetTimer) -> reply_records.WakeMe:
-        """Set a timer, within the bounds of the wire."""
+        """Set a timer; the delay is limited to what the wire can carry."""
         delay_us = round(command.delay * MICROSECONDS_PER_SECOND)
-        bounded = max(SHORTEST_TIMER, min(LONGEST_TIMER, delay_us))
-        return reply_records.WakeMe(self.instance, command.token, bounded)
+        limited_us = max(TIMER_MIN_US, min(TIMER_MAX_US, delay_us))
+        return reply_records.WakeMe(self.instance, command.token, limited_us)
 
     def journal_line(self, command: interface.LogMessage) -> reply_records.JournalLine:
         """Write a line to the log."""
@@ -106,10 +106,10 @@
 
 
 def _encode_text(text: str) -> bytes:
-    return text.encode("utf-8")[:LONGEST_TEXT]
+    return text.encode("utf-8")[:TEXT_BYTES_MAX]
 
 
-TRANSLATIONS: dict[type[Any], Callable[[CommandTranslator, Any], reply_records.ReplyRecord]] = {
+TRANSLATORS: dict[type[Any], Callable[[CommandTranslator, Any], reply_records.ReplyRecord]] = {
     interface.SetEntry: CommandTranslator.upsert,
     interface.ClearTable: CommandTranslator.blank,
     interface.AssignTable: CommandTranslator.attach_table,
--- a/peatlead/wire/endpoint_ids.py
+++ b/peatlead/wire/endpoint_ids.py
@@ -1,17 +1,17 @@
-"""One instance's ids of endpoints: addresses on the wire, small integers in the planner."""
+"""Maps the addresses that the wire uses to the small integer ids that the planner uses."""
 
 
 class EndpointIds:
-    """Gives each address the next integer when it is first met."""
+    """The ids of one instance's endpoints, assigned in the order in which addresses are seen."""
 
     __slots__ = ("addresses", "ids")
 
     def __init__(self) -> None:
-        self.addresses: list[bytes] = []  # by id
-        self.ids: dict[bytes, int] = {}
+        self.addresses: list[bytes] = []  # indexed by id
+        self.ids: dict[bytes, int] = {}  # address -> id
 
     def id_of(self, address: bytes) -> int:
-        """The id of an address, a new one where it has none yet."""
+        """Return the id of an address; an address without an id gets the next free one."""
         endpoint = self.ids.get(address)
         if endpoint is None:
             endpoint = self.ids[address] = len(self.addresses)
@@ -19,5 +19,5 @@
         return endpoint
 
     def address_of(self, endpoint: int) -> bytes:
-        """The address that has the id; IndexError where none has."""
+        """Return the address of an endpoint. Raises IndexError where the id is not assigned."""
         return self.addresses[endpoint]
--- a/peatlead/wire/errors.py
+++ b/peatlead/wire/errors.py
@@ -1,5 +1,5 @@
-"""Errors of the wire."""
+"""Errors of the wire protocol."""
 
 
 class WireFormatError(Exception):
-    """The stream holds something that is not the wire; the text says what and where."""
+    """Input that violates the wire protocol; the message names the problem and its position."""
--- a/peatlead/wire/event_reader.py
+++ b/peatlead/wire/event_reader.py
@@ -1,4 +1,4 @@
-"""Reads the records of a batch, with the place of whatever isn't one in the error."""
+"""Decodes the event records of a batch. Errors name the record and the position of the problem."""
 
 import json
 import struct
@@ -6,24 +6,31 @@
 
 from .errors import WireFormatError
 from .event_records import EventRecord, TopologyEntry
-from .layouts import EVENT_LAYOUTS, FIXED, TOPOLOGY_ENTRY, EventLayout, FieldType, FixedFields
+from .layouts import (
+    EVENT_LAYOUTS,
+    FIXED_SIZE_STRUCTS,
+    TOPOLOGY_ENTRY,
+    EventLayout,
+    FieldType,
+    FixedFields,
+)
 
 
 class EventReader(NamedTuple):
-    """How the records of one type are read: fields of a fixed size, then at most one other."""
+    """How to read the records of one type: the fixed-size fields, then at most one other field."""
 
     layout: EventLayout
-    fixed: FixedFields
-    last: Optional[FieldType]  # the field of a variable size
+    fixed_fields: FixedFields
+    variable_field: Optional[FieldType]  # the last field, where its size varies
 
 
 def _event_reader(layout: EventLayout) -> EventReader:
-    if layout.fields[-1] in FIXED:
+    if layout.fields[-1] in FIXED_SIZE_STRUCTS:
         return EventReader(layout, FixedFields(layout.fields), None)
     return EventReader(layout, FixedFields(layout.fields[:-1]), layout.fields[-1])
 
 
-CODE = FixedFields([FieldType.U16])
+RECORD_CODE = FixedFields([FieldType.U16])
 COUNT_8 = FixedFields([FieldType.U8])
 COUNT_16 = FixedFields([FieldType.U16])
 COUNT_32 = FixedFields([FieldType.U32])
@@ -31,73 +38,76 @@
 
 
 class RecordReader:
-    """Reads the records of one batch's body in turn."""
+    """Reads the records of one batch's body in order."""
 
-    __slots__ = ("body", "offset", "number", "start")
+    __slots__ = ("body", "offset", "record_number", "record_start")
 
     def __init__(self, body: bytes) -> None:
         self.body = body
-        self.offset = 0  # of the byte that is read next
-        self.number = 0  # of the record that is read, for errors
-        self.start = 0  # its first byte
+        self.offset = 0  # of the next byte to read
+        self.record_number = 0  # index of the current record, for errors
+        self.record_start = 0  # offset of the current record, for errors
 
     def read_record(self, number: int) -> EventRecord:
-        """The next record; `number` is its place in the batch."""
-        self.number = number
-        self.start = self.offset
-        (code,) = self._unpack(CODE)
+        """Read the next record, whose index in the batch is `number`. Raises WireFormatError."""
+        self.record_number = number
+        self.record_start = self.offset
+        (code,) = self._read_fixed(RECORD_CODE)
         reader = EVENT_READERS.get(code)
         if reader is None:
-            raise WireFormatError(f"record {number} at byte {self.start}: unknown code {code}")
-        values = self._unpack(reader.fixed)
-        if reader.last is None:
-            return reader.layout.record(*values)
-        return reader.layout.record(*values, self._read_variable(reader.last))
+            raise WireFormatError(
+                f"record {number} at byte {self.record_start}: unknown code {code}"
+            )
+        values = self._read_fixed(reader.fixed_fields)
+        if reader.variable_field is None:
+            return reader.layout.record_type(*values)
+        return reader.layout.record_type(*values, self._read_variable(reader.variable_field))
 
     def _read_variable(self, field: FieldType) -> Any:
-        """The value of a field whose size comes before it."""
+        """Read a field that starts with its count or size."""
         if field is FieldType.FLOATS:
-            (count,) = self._unpack(COUNT_8)
-            return struct.unpack(f">{count}f", self._take(4 * count))
+            (count,) = self._read_fixed(COUNT_8)
+            return struct.unpack(f">{count}f", self._read_bytes(4 * count))
         if field is FieldType.ENTRIES:
-            (count,) = self._unpack(COUNT_32)
-            rows = TOPOLOGY_ENTRY.iter_unpack(self._take(TOPOLOGY_ENTRY.size * count))
+            (count,) = self._read_fixed(COUNT_32)
+            rows = TOPOLOGY_ENTRY.iter_unpack(self._read_bytes(TOPOLOGY_ENTRY.size * count))
             return list(map(TopologyEntry._make, rows))
         if field is FieldType.BYTES:
-            (size,) = self._unpack(COUNT_16)
-            return self._take(size)
-        (size,) = self._unpack(COUNT_32)
-        return self._parse_json(self._take(size))
+            (size,) = self._read_fixed(COUNT_16)
+            return self._read_bytes(size)
+        (size,) = self._read_fixed(COUNT_32)
+        return self._parse_json(self._read_bytes(size))
 
-    def _unpack(self, fields: FixedFields) -> tuple[Any, ...]:
-        end = self.offset + fields.all.size
+    def _read_fixed(self, fields: FixedFields) -> tuple[Any, ...]:
+        end = self.offset + fields.combined_struct.size
         if end > len(self.body):
-            place = fields.overrun(self.offset, len(self.body))
+            position = fields.overrun_offset(self.offset, len(self.body))
             raise WireFormatError(
-                f"record {self.number} at byte {self.start} overruns its batch at byte {place}"
+                f"record {self.record_number} at byte {self.record_start}: "
+                f"the field at byte {position} overruns the batch of {len(self.body)} bytes"
             )
-        values = fields.all.unpack_from(self.body, self.offset)
+        values = fields.combined_struct.unpack_from(self.body, self.offset)
         self.offset = end
         return values
 
-    def _take(self, size: int) -> bytes:
-        """The bytes of a field whose size has been read."""
+    def _read_bytes(self, size: int) -> bytes:
+        """Read the content of a variable-size field, whose size in bytes is known."""
         end = self.offset + size
         if end > len(self.body):
             raise WireFormatError(
-                f"record {self.number} at byte {self.start}: a count of {size} "
-                f"overruns the batch at {self.offset}"
+                f"record {self.record_number} at byte {self.record_start}: the field of {size} "
+                f"bytes at byte {self.offset} overruns the batch of {len(self.body)} bytes"
             )
         data = self.body[self.offset : end]
         self.offset = end
         return data
 
     def _parse_json(self, data: bytes) -> dict[str, Any]:
-        place = f"record {self.number} at byte {self.start}"
+        position = f"record {self.record_number} at byte {self.record_start}"
         try:
             value = json.loads(data.decode("utf-8"))
         except ValueError as error:
-            raise WireFormatError(f"{place}: settings are not JSON: {error}") from None
+            raise WireFormatError(f"{position}: settings are not JSON: {error}") from None
         if not isinstance(value, dict):
-            raise WireFormatError(f"{place}: settings are not a JSON object")
+            raise WireFormatError(f"{position}: settings are not a JSON object")
         return value
--- a/peatlead/wire/event_records.py
+++ b/peatlead/wire/event_records.py
@@ -1,14 +1,14 @@
-"""The records that the simulator sends, in the order of their fields on the wire.
+"""Event records that the simulator sends, with their fields in wire order.
 
-Classes bear the wire's names for the records, so that they are found in its documentation; fields
-bear the names that the rest of this program uses. Times that end in `_us` are microseconds.
+Classes have the record names of the wire protocol; fields have the names that the rest of peatlead
+uses. Fields that end in `_us` are in microseconds.
 """
 
 from typing import Any, NamedTuple, Union
 
 
 class Attach(NamedTuple):
-    """An instance starts, with its settings and the seed of its random draws."""
+    """An instance starts, with its settings and its random seed."""
 
     instance: int
     seed: int
@@ -34,7 +34,7 @@
 
 
 class Topology(NamedTuple):
-    """The endpoint list, or a part of it."""
+    """The endpoint list, or the changed part of it; `scope` tells which."""
 
     instance: int
     scope: int
@@ -43,7 +43,7 @@
 
 
 class Tally(NamedTuple):
-    """What the proxies of one zone met at an endpoint."""
+    """Attempts, errors and latency that the proxies of one zone observed at an endpoint."""
 
     instance: int
     address: bytes
@@ -56,7 +56,7 @@
 
 
 class Intake(NamedTuple):
-    """Requests of one class that reached a proxy."""
+    """Requests of one class that a proxy received."""
 
     instance: int
     requests: int
@@ -94,7 +94,7 @@
 
 
 class CaughtUp(NamedTuple):
-    """A proxy acknowledges a nonce."""
+    """A proxy has acknowledged a nonce."""
 
     instance: int
     nonce: int
@@ -103,14 +103,14 @@
 
 
 class Wake(NamedTuple):
-    """A timer is due."""
+    """A timer has fired."""
 
     instance: int
     token: int
 
 
 class Inbox(NamedTuple):
-    """A note from another instance."""
+    """A gossip message from another instance."""
 
     instance: int
     sender: int
@@ -118,7 +118,7 @@
 
 
 class Given(NamedTuple):
-    """A key range's table was given to the instance or taken from it."""
+    """A key range's table was assigned to the instance or withdrawn from it."""
 
     instance: int
     table: int
@@ -135,7 +135,7 @@
 
 
 class WeightSeen(NamedTuple):
-    """Requests of one class to a key range."""
+    """Requests of one class for a key range."""
 
     instance: int
     request_class: int
--- a/peatlead/wire/event_translator.py
+++ b/peatlead/wire/event_translator.py
@@ -1,4 +1,4 @@
-"""From the wire's records to the planner's events: ids, units and the values of enumerations."""
+"""Converts event records of the wire to planner events: ids, units and enumeration values."""
 
 from collections.abc import Callable, Sequence
 from typing import Any, Optional
@@ -31,9 +31,9 @@
 
 
 class EventTranslator:
-    """Translates the records of one instance.
+    """Converts the event records of one instance.
 
-    `report_fields` are the metrics of a load report, in the order in which the wire has them.
+    `report_fields` names the metrics of a load report, in wire order.
     """
 
     def __init__(self, endpoint_ids: EndpointIds, report_fields: Sequence[str]) -> None:
@@ -41,15 +41,15 @@
         self.report_fields = report_fields
 
     def translate(self, record: event_records.EventRecord) -> interface.Event:
-        """The event of a record; KeyError for `Attach` and `Shutdown`, which are none."""
-        return TRANSLATIONS[type(record)](self, record)
+        """Return the event of a record. Raises KeyError for `Attach` and `Shutdown`."""
+        return TRANSLATORS[type(record)](self, record)
 
     def load_report(self, values: tuple[float, ...]) -> Optional[LoadReport]:
-        """The metrics by name; None where the record has no report."""
+        """Return the metrics by name, or None where the record has no load report."""
         return dict(zip(self.report_fields, values)) if values else None
 
     def endpoint(self, entry: event_records.TopologyEntry) -> interface.Endpoint:
-        """One endpoint of the list; one in an unknown phase is taken for gone."""
+        """Return one endpoint of the list; an unknown phase is treated as gone."""
         return interface.Endpoint(
             self.endpoint_ids.id_of(entry.address),
             entry.address,
@@ -62,7 +62,7 @@
         )
 
     def endpoint_update(self, record: event_records.Topology) -> interface.EndpointUpdate:
-        """The endpoint list; one of an unknown scope is taken for unavailable."""
+        """Return an endpoint list update; an unknown scope is treated as unavailable."""
         return interface.EndpointUpdate(
             SCOPES.get(record.scope, ListScope.UNAVAILABLE),
             record.version,
@@ -70,7 +70,7 @@
         )
 
     def endpoint_stats(self, record: event_records.Tally) -> interface.EndpointStats:
-        """What proxies met at an endpoint."""
+        """Return the statistics of an endpoint."""
         return interface.EndpointStats(
             self.endpoint_ids.id_of(record.address),
             record.zone,
@@ -82,7 +82,7 @@
         )
 
     def request_stats(self, record: event_records.Intake) -> interface.RequestStats:
-        """Requests that reached a proxy."""
+        """Return the request statistics of a proxy."""
         return interface.RequestStats(
             record.proxy,
             record.request_class,
@@ -92,7 +92,7 @@
         )
 
     def health_check_result(self, record: event_records.CheckResult) -> interface.HealthCheckResult:
-        """The end of a health check; an unknown outcome is taken for an error."""
+        """Return the result of a health check; an unknown outcome is treated as an error."""
         return interface.HealthCheckResult(
             self.endpoint_ids.id_of(record.address),
             OUTCOMES.get(record.outcome, HealthCheckOutcome.ERRORED),
@@ -101,41 +101,41 @@
         )
 
     def proxy_connected(self, record: event_records.CheckedIn) -> interface.ProxyConnected:
-        """A proxy's connect."""
+        """Return the event of a proxy that has connected."""
         return interface.ProxyConnected(
             record.proxy, record.zone, record.request_rate, bool(record.bootstrap_only)
         )
 
     def proxy_disconnected(self, record: event_records.Left) -> interface.ProxyDisconnected:
-        """A proxy's disconnect."""
+        """Return the event of a proxy that has disconnected."""
         return interface.ProxyDisconnected(record.proxy)
 
     def acknowledged(self, record: event_records.CaughtUp) -> interface.Acknowledged:
-        """A proxy's acknowledgement."""
+        """Return the event of a proxy that has acknowledged a nonce."""
         return interface.Acknowledged(
             record.proxy, record.nonce, record.duration_us / MICROSECONDS_PER_SECOND
         )
 
     def timer_fired(self, record: event_records.Wake) -> interface.TimerFired:
-        """A timer that is due."""
+        """Return the event of a timer that has fired."""
         return interface.TimerFired(record.token)
 
     def gossip_received(self, record: event_records.Inbox) -> interface.GossipReceived:
-        """A note from another instance."""
+        """Return the gossip message of another instance."""
         return interface.GossipReceived(record.sender, record.payload)
 
     def key_range_assigned(self, record: event_records.Given) -> interface.KeyRangeAssigned:
-        """A key range's table, given or taken."""
+        """Return the assignment of a key range's table, or its withdrawal."""
         return interface.KeyRangeAssigned(record.table, bool(record.assigned))
 
     def key_range_entry(self, record: event_records.InStore) -> interface.KeyRangeEntry:
-        """A stored entry of a key range's table."""
+        """Return a stored entry of a key range's table."""
         return interface.KeyRangeEntry(
             record.table, self.endpoint_ids.id_of(record.address), record.weight
         )
 
     def key_range_stats(self, record: event_records.WeightSeen) -> interface.KeyRangeStats:
-        """Requests to a key range."""
+        """Return the request statistics of a key range."""
         return interface.KeyRangeStats(
             record.table,
             record.request_class,
@@ -145,7 +145,7 @@
         )
 
 
-TRANSLATIONS: dict[type[Any], Callable[[EventTranslator, Any], interface.Event]] = {
+TRANSLATORS: dict[type[Any], Callable[[EventTranslator, Any], interface.Event]] = {
     event_records.Topology: EventTranslator.endpoint_update,
     event_records.Tally: EventTranslator.endpoint_stats,
     event_records.Intake: EventTranslator.request_stats,
--- a/peatlead/wire/layouts.py
+++ b/peatlead/wire/layouts.py
@@ -1,4 +1,4 @@
-"""How each record lies on the wire: its code, its name and the types of its fields, in order."""
+"""The binary layout of each record: its code, its name and the types of its fields in order."""
 
 import struct
 from collections.abc import Callable, Sequence
@@ -11,18 +11,18 @@
 
 
 class FieldType(StrEnum):
-    """The type of one field; all numbers are big-endian."""
+    """The type of a field. All numbers are big-endian."""
 
     U8 = "u8"
     U16 = "u16"
     U32 = "u32"
     U64 = "u64"
     F32 = "f32"
-    ADDRESS = "host"  # 6 bytes: IPv4 address and port
-    BYTES = "bytes"  # their number in 16 bits, then the bytes
-    FLOATS = "floats"  # their number in 8 bits, then f32 each
-    ENTRIES = "entries"  # their number in 32 bits, then `TOPOLOGY_ENTRY` each
-    JSON = "json"  # the length in 32 bits, then a JSON object in UTF-8
+    ADDRESS = "host"  # 6 bytes: IPv4 address, port
+    BYTES = "bytes"  # 16-bit length, then the bytes
+    FLOATS = "floats"  # 8-bit count, then that many f32
+    ENTRIES = "entries"  # 32-bit count, then that many `TOPOLOGY_ENTRY`
+    JSON = "json"  # 32-bit length in bytes, then a JSON object in UTF-8
 
 
 U8 = FieldType.U8
@@ -36,8 +36,7 @@
 ENTRIES = FieldType.ENTRIES
 JSON = FieldType.JSON
 
-# Fields of a fixed size.
-FIXED = {
+FIXED_SIZE_STRUCTS = {
     U8: struct.Struct(">B"),
     U16: struct.Struct(">H"),
     U32: struct.Struct(">I"),
@@ -45,38 +44,38 @@
     F32: struct.Struct(">f"),
     ADDRESS: struct.Struct(">6s"),
 }
-TOPOLOGY_ENTRY = struct.Struct(">6sBHHBfQ")  # the fields of `event_records.TopologyEntry`
+TOPOLOGY_ENTRY = struct.Struct(">6sBHHBfQ")  # in the order of `event_records.TopologyEntry`
 
 
 class FixedFields:
-    """Consecutive fields of a fixed size, which are read and written at once."""
+    """Consecutive fixed-size fields, read and written with one struct."""
 
-    __slots__ = ("structs", "all")
+    __slots__ = ("field_structs", "combined_struct")
 
     def __init__(self, fields: Sequence[FieldType]) -> None:
-        self.structs = [FIXED[field] for field in fields]
-        formats = [each.format.removeprefix(">") for each in self.structs]
-        self.all = struct.Struct(">" + "".join(formats))
-
-    def overrun(self, offset: int, end: int) -> int:
-        """Where the first field begins that doesn't end by `end`, with the fields from `offset`."""
-        for each in self.structs:
-            if offset + each.size > end:
+        self.field_structs = [FIXED_SIZE_STRUCTS[field] for field in fields]
+        formats = [field_struct.format.removeprefix(">") for field_struct in self.field_structs]
+        self.combined_struct = struct.Struct(">" + "".join(formats))
+
+    def overrun_offset(self, offset: int, end: int) -> int:
+        """Return where the first field starts that extends past `end`, for fields at `offset`."""
+        for field_struct in self.field_structs:
+            if offset + field_struct.size > end:
                 break
-            offset += each.size
+            offset += field_struct.size
         return offset
 
 
 class EventLayout(NamedTuple):
-    """The layout of a record that the simulator sends."""
+    """The layout of a record that the simulator sends. Its code is the key in `EVENT_LAYOUTS`."""
 
     name: str
-    record: Callable[..., EventRecord]
+    record_type: Callable[..., EventRecord]
     fields: tuple[FieldType, ...]
 
 
 class ReplyLayout(NamedTuple):
-    """The layout of a record of the reply."""
+    """The layout of a record in a reply."""
 
     code: int
     name: str
@@ -116,4 +115,4 @@
     reply_records.Nonce: ReplyLayout(1120, "NONCE", (U32, U32, U8)),
 }
 
-EVENT_NAMES = {layout.record: layout.name for layout in EVENT_LAYOUTS.values()}
+EVENT_NAMES = {layout.record_type: layout.name for layout in EVENT_LAYOUTS.values()}
--- a/peatlead/wire/reply_packer.py
+++ b/peatlead/wire/reply_packer.py
@@ -1,4 +1,4 @@
-"""Packs the records of a reply."""
+"""Encodes the records of a reply."""
 
 from typing import Any
 
@@ -7,26 +7,27 @@
 
 
 class ReplyPacker:
-    """Packs the records of one type.
+    """Encodes the records of one type.
 
-    All fields are packed at once; only the last one may be `BYTES`, which follow their length.
+    All fixed-size fields are packed with one struct. Only the last field may be `BYTES`: a 16-bit
+    length and the content.
     """
 
-    __slots__ = ("code", "head", "ends_with_bytes")
+    __slots__ = ("code", "fixed_struct", "ends_with_bytes")
 
     def __init__(self, layout: ReplyLayout) -> None:
         self.code = layout.code
         self.ends_with_bytes = layout.fields[-1] is FieldType.BYTES
         fixed = layout.fields[:-1] + (FieldType.U16,) if self.ends_with_bytes else layout.fields
-        self.head = FixedFields((FieldType.U16, *fixed)).all  # the code, then the fields
+        self.fixed_struct = FixedFields((FieldType.U16, *fixed)).combined_struct  # code, fields
 
     def pack(self, record: ReplyRecord) -> bytes:
-        """The record with its code."""
+        """Return the encoded record, which starts with its code."""
         if not self.ends_with_bytes:
-            return self.head.pack(self.code, *record)
+            return self.fixed_struct.pack(self.code, *record)
         values: tuple[Any, ...] = record
-        data: bytes = values[-1]
-        return self.head.pack(self.code, *values[:-1], len(data)) + data
+        content: bytes = values[-1]
+        return self.fixed_struct.pack(self.code, *values[:-1], len(content)) + content
 
 
-PACKERS = {record: ReplyPacker(layout) for record, layout in REPLY_LAYOUTS.items()}
+PACKERS = {record_type: ReplyPacker(layout) for record_type, layout in REPLY_LAYOUTS.items()}
--- a/peatlead/wire/reply_records.py
+++ b/peatlead/wire/reply_records.py
@@ -1,15 +1,14 @@
-"""The records of a reply, in the order of their fields on the wire.
+"""Reply records, with their fields in wire order.
 
-Classes bear the wire's names for the records, so that they are found in its documentation; fields
-bear the names that the rest of this program uses. `request_classes` is a bit
-mask; times that end in `_us` are microseconds.
+Classes have the record names of the wire protocol; fields have the names that the rest of peatlead
+uses. `request_classes` is a bit mask. Fields that end in `_us` are in microseconds.
 """
 
 from typing import NamedTuple, Union
 
 
 class Upsert(NamedTuple):
-    """Set one endpoint's weight in a table."""
+    """Set an endpoint's weight in a table; weight 0 removes the entry."""
 
     instance: int
     table: int
@@ -25,7 +24,7 @@
 
 
 class AttachTable(NamedTuple):
-    """Route request classes of a proxy by a table."""
+    """Route some request classes of a proxy by a table."""
 
     instance: int
     request_classes: int
@@ -34,7 +33,7 @@
 
 
 class Cordon(NamedTuple):
-    """Withdraw an endpoint, or restore it."""
+    """Withdraw an endpoint from the tables that proxies hold, or restore it."""
 
     instance: int
     address: bytes
@@ -42,7 +41,7 @@
 
 
 class GateClass(NamedTuple):
-    """Admit a fraction of the requests of some classes."""
+    """Admit a fraction of the requests of some classes, and set their retry policy."""
 
     instance: int
     request_classes: int
@@ -52,7 +51,7 @@
 
 
 class Nonce(NamedTuple):
-    """Ask proxies to acknowledge a nonce."""
+    """Ask the proxies that this reply changes, or all proxies, to acknowledge a nonce."""
 
     instance: int
     nonce: int
@@ -60,27 +59,27 @@
 
 
 class Test(NamedTuple):
-    """Start a health check."""
+    """Start a health check of an endpoint."""
 
     instance: int
     address: bytes
 
 
 class GetList(NamedTuple):
-    """Ask for the endpoint list once."""
+    """Request the endpoint list once."""
 
     instance: int
 
 
 class Observe(NamedTuple):
-    """Start or stop to watch the endpoint list."""
+    """Start or stop watching the endpoint list."""
 
     instance: int
     enabled: int
 
 
 class WritePeer(NamedTuple):
-    """Send a note to another instance."""
+    """Send a gossip message to one instance or to all."""
 
     instance: int
     peer: int
@@ -96,14 +95,14 @@
 
 
 class JournalLine(NamedTuple):
-    """Write a line to the log; the text is UTF-8."""
+    """Write a line to the log; `text` is UTF-8."""
 
     instance: int
     text: bytes
 
 
 class Broken(NamedTuple):
-    """The instance's planner raised an error; the text is UTF-8."""
+    """The instance's planner raised an exception; `text` is UTF-8."""
 
     instance: int
     text: bytes
--- a/peatlead/wire/settings.py
+++ b/peatlead/wire/settings.py
@@ -1,8 +1,8 @@
-"""The planner's settings, out of the environment that the wire gives an instance.
+"""Converts the environment that the wire gives an instance to the planner's settings.
 
-The environment is a JSON object whose keys are the wire's; `settings_from` gives one flat map under
-this program's names. A key of the environment that ends in `Us` is a time in microseconds; here all
-times are seconds.
+The environment is a JSON object with the key names of the wire protocol. The settings are one flat
+map with the planner's names. Environment values whose key ends in `Us` are in microseconds; all
+times in the settings are in seconds.
 """
 
 from collections.abc import Mapping
@@ -12,7 +12,7 @@
 
 Settings = dict[str, Any]
 
-# Where a setting stands in the environment, and what it is called here.
+# Path in the environment -> name of the setting.
 SETTING_NAMES = {
     "balancers": "stewards",
     "rank": "rank",
@@ -79,7 +79,7 @@
     "stats.fields": "report_fields",
 }
 
-# The same for the settings of one request class.
+# Key of a request class in the environment -> name of its setting.
 REQUEST_CLASS_SETTING_NAMES = {
     "name": "name",
     "targetUs": "response_target",
@@ -93,7 +93,7 @@
     "onlyZones": "only_zones",
     "onlyKinds": "only_machines",
 }
-# What endpoints report, by the environment's names for the metrics.
+# Name of a load report metric in the environment -> its name in the planner.
 REPORT_METRICS = {
     "rif": "holding",
     "q": "waiting",
@@ -108,40 +108,42 @@
 
 
 def settings_from_environment(environment: Mapping[str, Any]) -> Settings:
-    """The settings as one flat map; keys of the environment that are not known are skipped.
+    """Return the settings as one flat map. Unknown keys of the environment are ignored.
 
-    Raises AttributeError, KeyError, TypeError or ValueError where a value has a wrong type.
+    Raises AttributeError, KeyError, TypeError or ValueError where a value has the wrong type.
     """
     settings: Settings = {}
     for path, name in SETTING_NAMES.items():
         group, _, key = path.rpartition(".")
         values = environment.get(group, {}) if group else environment
         if key in values:
-            settings[name] = _in_seconds(key, values[key])
+            settings[name] = _convert_value(key, values[key])
     settings["report_fields"] = [
         REPORT_METRICS.get(metric, metric) for metric in settings.get("report_fields", ())
     ]
     pick: Any = settings.get("pick")
     settings["pick"] = PICK_POLICIES.get(pick, pick)
-    own_zone = settings.pop("own_zone_only", ())
-    writes = settings.pop("writes", ())
+    own_zone_flags = settings.pop("own_zone_only", ())
+    write_flags = settings.pop("writes", ())
     settings["req_kinds"] = []
-    for index, values in enumerate(environment.get("classes", ())):
-        request_class = _request_class_settings(values)
-        request_class["own_zone"] = bool(own_zone[index]) if index < len(own_zone) else False
-        request_class["write"] = bool(writes[index]) if index < len(writes) else True
+    for index, class_environment in enumerate(environment.get("classes", ())):
+        request_class = _request_class_settings(class_environment)
+        request_class["own_zone"] = (
+            bool(own_zone_flags[index]) if index < len(own_zone_flags) else False
+        )
+        request_class["write"] = bool(write_flags[index]) if index < len(write_flags) else True
         settings["req_kinds"].append(request_class)
     return settings
 
 
-def _request_class_settings(values: Mapping[str, Any]) -> Settings:
-    """The settings of one request class, with the values of those that are not given."""
+def _request_class_settings(environment: Mapping[str, Any]) -> Settings:
+    """Return the settings of one request class, with defaults for those that are missing."""
     settings: Settings = {
-        name: _in_seconds(key, values[key])
+        name: _convert_value(key, environment[key])
         for key, name in REQUEST_CLASS_SETTING_NAMES.items()
-        if key in values
+        if key in environment
     }
-    # A class without a response target has its deadline for one.
+    # The response target defaults to the client timeout.
     settings.setdefault("response_target", settings.get("client_timeout"))
     settings.setdefault("gain", 1.0)
     settings["repeat"] = REPEAT_POLICIES.get(settings.get("repeat", ""), "non-replayable")
@@ -151,9 +153,10 @@
     return settings
 
 
-def _in_seconds(key: str, value: Any) -> Any:
+def _convert_value(key: str, value: Any) -> Any:
+    """Return the value, converted to seconds where the key ends in `Us`. Raises ValueError."""
     if not key.endswith("Us"):
         return value
     if not isinstance(value, (int, float)):
-        raise ValueError(f"{key}: expected a time, got {value!r}")
+        raise ValueError(f"{key}: expected a time in microseconds, got {value!r}")
     return value / MICROSECONDS_PER_SECOND
--- a/peatlead/wire/units.py
+++ b/peatlead/wire/units.py
@@ -1,3 +1,3 @@
-"""Units of the wire."""
+"""Unit conversions of the wire protocol."""
 
-MICROSECONDS_PER_SECOND = 1_000_000  # in a second
+MICROSECONDS_PER_SECOND = 1_000_000
--- a/tests/wire/test_adapter.py
+++ b/tests/wire/test_adapter.py
@@ -8,11 +8,11 @@
 
 
 class ProcessBatchTest(unittest.TestCase):
-    def test_an_event_for_an_instance_that_was_never_started_is_a_format_error(self):
+    def test_event_for_an_instance_that_is_not_running_raises_an_error(self):
         with self.assertRaisesRegex(WireFormatError, "record 0: WAKE for instance 3"):
             adapter.process_batch({}, 0, [WAKE])
 
-    def test_an_error_of_a_planner_is_reported_for_its_instance_alone(self):
+    def test_planner_exception_is_reported_for_its_instance(self):
         instance = adapter.Instance(event_records.Attach(instance=3, seed=1, environment={}))
         instance.planner.decide = lambda now, events: 1 // 0
         [record] = adapter.process_batch({3: instance}, 0, [WAKE])
--- a/tests/wire/test_settings.py
+++ b/tests/wire/test_settings.py
@@ -3,8 +3,8 @@
 from peatlead.wire.settings import settings_from_environment
 
 
-class SettingsFromTest(unittest.TestCase):
-    def test_settings_get_our_names_and_seconds_and_unknown_keys_are_skipped(self):
+class SettingsFromEnvironmentTest(unittest.TestCase):
+    def test_settings_are_renamed_and_converted_to_seconds_and_unknown_keys_ignored(self):
         settings = settings_from_environment(
             {
                 "familyInfo": {"emptyForUs": 3000000, "new": 1},
--- a/tests/wire/test_translators.py
+++ b/tests/wire/test_translators.py
@@ -11,7 +11,7 @@
 
 
 class TranslatorsTest(unittest.TestCase):
-    def test_endpoints_are_small_integers_inside_and_addresses_outside(self):
+    def test_endpoints_have_ids_in_the_planner_and_addresses_on_the_wire(self):
         settings = settings_from_environment({"stats": {"fields": ["busy"]}})
         endpoint_ids = EndpointIds()
         event = EventTranslator(endpoint_ids, settings["report_fields"]).translate(
