--- a/peatlead/controller/pin_commands.py
+++ b/peatlead/controller/pin_commands.py
@@ -137,7 +137,7 @@
         after: LineWeights = {}
         for request_class, planned in self._controller.recipients.planned_tables(number):
             table = self._tables.guarded(line_items(past.items), request_class, planned)
-            after.update(self._tables.items_of_lines(request_class, table.lines))
+            after.update(self._tables.items_of_lines(request_class, table.weights))
             self._add_guard_result(answer, table)
         published = line_items(self._store.histories[name].items)
         answer["changes"] = self._formatter.difference(published, after)
--- a/peatlead/controller/pinned_tables.py
+++ b/peatlead/controller/pinned_tables.py
@@ -118,7 +118,7 @@
         if active is None:
             return planned
         target = self._targets.lines(active, name)
-        lines: EndpointWeights = self.guarded(target, request_class, planned).lines
+        lines: EndpointWeights = self.guarded(target, request_class, planned).weights
         return lines
 
     def guarded(
--- a/peatlead/tables/guard.py
+++ b/peatlead/tables/guard.py
@@ -56,7 +56,7 @@
 class GuardedTable(NamedTuple):
     """A table to publish: its lines, what is not as pinned and why, and what was added."""
 
-    lines: dict[int, float]
+    weights: dict[int, float]
     restricted: dict[int, RestrictionReason]
     added: tuple[int, ...]
 
@@ -64,29 +64,29 @@
 class _Restored(NamedTuple):
     """What of a pinned table may come back."""
 
-    lines: dict[int, float]
+    weights: dict[int, float]
     restricted: dict[int, RestrictionReason]
     ramping: list[int]  # endpoints whose weight the planner's table decides
 
 
 def guard(pinned: Table, planned: Table, context: GuardContext) -> GuardedTable:
     """Return the table to publish, given the pinned table and what the planner wants now."""
-    lines, restricted, ramping = _restore(pinned, planned, context)
+    weights, restricted, ramping = _restore(pinned, planned, context)
     filled: tuple[int, ...] = ()
-    if fsum(lines.values()) < KEPT_WEIGHT_MIN * fsum(pinned.values()):
+    if fsum(weights.values()) < KEPT_WEIGHT_MIN * fsum(pinned.values()):
         filled = tuple(
-            endpoint for endpoint in planned if endpoint not in lines and endpoint not in ramping
+            endpoint for endpoint in planned if endpoint not in weights and endpoint not in ramping
         )
-        lines.update((endpoint, planned[endpoint]) for endpoint in filled)
+        weights.update((endpoint, planned[endpoint]) for endpoint in filled)
     ramped = {
-        endpoint for endpoint in lines if context.fractions.get(endpoint, 1.0) >= RAMPED_FRACTION
+        endpoint for endpoint in weights if context.fractions.get(endpoint, 1.0) >= RAMPED_FRACTION
     }
     if not ramped:
         added = tuple(endpoint for endpoint in planned if endpoint not in pinned)
         return GuardedTable(dict(planned), restricted, added)
-    ramping += [endpoint for endpoint in lines if endpoint not in ramped]
-    _limit_ramping(lines, ramping, planned)
-    return GuardedTable(lines, restricted, filled)
+    ramping += [endpoint for endpoint in weights if endpoint not in ramped]
+    _limit_ramping(weights, ramping, planned)
+    return GuardedTable(weights, restricted, filled)
 
 
 def _restore(pinned: Table, planned: Table, context: GuardContext) -> _Restored:
@@ -95,7 +95,7 @@
     for endpoint, weight in pinned.items():
         reason = _removal_reason(endpoint, planned, context)
         if reason is None:
-            restored.lines[endpoint] = weight
+            restored.weights[endpoint] = weight
         else:
             restored.restricted[endpoint] = reason
         if reason is RestrictionReason.RAMPING:
@@ -125,13 +125,13 @@
     return reason
 
 
-def _limit_ramping(lines: dict[int, float], ramping: Collection[int], planned: Table) -> None:
+def _limit_ramping(weights: dict[int, float], ramping: Collection[int], planned: Table) -> None:
     """Give ramping endpoints no greater fraction than the planner's table gives them."""
-    ramped_now = fsum(weight for endpoint, weight in lines.items() if endpoint not in ramping)
+    ramped_now = fsum(weight for endpoint, weight in weights.items() if endpoint not in ramping)
     ramped_planned = fsum(weight for endpoint, weight in planned.items() if endpoint not in ramping)
     # Ramping weights count in the whole too: scaled like the others' sum they keep their fraction.
     scale = 1.0
     if ramped_planned and ramped_now < ramped_planned:
         scale = ramped_now / ramped_planned
     for endpoint in ramping:
-        lines[endpoint] = planned[endpoint] * scale
+        weights[endpoint] = planned[endpoint] * scale
--- a/tests/tables/test_guard.py
+++ b/tests/tables/test_guard.py
@@ -30,31 +30,31 @@
             {0: 1.0},
             context(phases, withdrawn=(4,), fractions={0: 1.0, 1: 1.0, 2: 1.0, 4: 1.0}),
         )
-        self.assertEqual(guarded.lines, {0: 1.0})
+        self.assertEqual(guarded.weights, {0: 1.0})
         self.assertEqual(set(guarded.restricted), {1, 2, 3, 4, 5})
         self.assertIn("drains", guarded.restricted[1])
         self.assertIn("dropped", guarded.restricted[3])
 
     def test_endpoints_added_since_stay_out_and_old_weights_are_restored(self):
         self.assertEqual(
-            guard({0: 2.0, 1: 1.0}, {0: 1.0, 1: 1.0, 5: 4.0}, context()).lines, {0: 2.0, 1: 1.0}
+            guard({0: 2.0, 1: 1.0}, {0: 1.0, 1: 1.0, 5: 4.0}, context()).weights, {0: 2.0, 1: 1.0}
         )
 
     def test_a_ramping_endpoint_gets_at_most_the_share_the_planner_gives_it(self):
         fractions = {**dict.fromkeys(ENDPOINTS, 1.0), 3: 0.12}
         guarded = guard({0: 1.0, 3: 1.0}, {0: 1.0, 1: 1.0, 3: 0.12}, context(fractions=fractions))
-        self.assertAlmostEqual(guarded.lines[3] / sum(guarded.lines.values()), 0.12 / 2.12)
+        self.assertAlmostEqual(guarded.weights[3] / sum(guarded.weights.values()), 0.12 / 2.12)
         self.assertNotIn(
-            3, guard({0: 1.0, 3: 1.0}, {0: 1.0, 1: 1.0}, context(fractions=fractions)).lines
+            3, guard({0: 1.0, 3: 1.0}, {0: 1.0, 1: 1.0}, context(fractions=fractions)).weights
         )
 
     def test_a_small_rest_is_filled_up_and_an_empty_one_replaced_by_the_planners_table(self):
         phases = {**dict.fromkeys(ENDPOINTS, "ready"), 1: "gone", 2: "gone"}
         pinned = {0: 1.0, 1: 1.0, 2: 1.0}
         self.assertEqual(
-            guard(pinned, {4: 1.0, 5: 1.0}, context(phases)).lines, {0: 1.0, 4: 1.0, 5: 1.0}
+            guard(pinned, {4: 1.0, 5: 1.0}, context(phases)).weights, {0: 1.0, 4: 1.0, 5: 1.0}
         )
-        self.assertEqual(guard({1: 1.0, 2: 1.0}, {4: 1.0}, context(phases)).lines, {4: 1.0})
+        self.assertEqual(guard({1: 1.0, 2: 1.0}, {4: 1.0}, context(phases)).weights, {4: 1.0})
 
     @given(
         TABLES,
@@ -75,7 +75,7 @@
                 if endpoint not in dropped
             },
         )
-        lines = guard(pinned, planned, known).lines
+        lines = guard(pinned, planned, known).weights
         self.assertEqual(bool(lines), bool(lines) if pinned else bool(planned))
         if planned:
             self.assertTrue(lines)
