--- a/peatlead/controller/publication.py
+++ b/peatlead/controller/publication.py
@@ -141,7 +141,7 @@
         try:
             self.log.close()
         except OSError as error:
-            self._controller.log("tables are not kept", why=error.strerror)
+            self._controller.log("table log write failed", why=error.strerror)
 
     def zone_serial(self) -> int:
         """Return the DNS zone's newest serial on record, 0 for none."""
--- a/peatlead/tables/table_log.py
+++ b/peatlead/tables/table_log.py
@@ -164,7 +164,7 @@
         """Memory stays as it is: the next segment that can be begun has a snapshot of it."""
         reason = error.strerror or str(error)
         if self.failure is None:
-            self._log_event("tables are not kept", why=reason)
+            self._log_event("table log write failed", why=reason)
         self.failure = reason
         self._retry_at = now + self.retry_interval
         self._drop_waiting()
@@ -189,7 +189,7 @@
         for records in self._snapshot():
             self._write(segment, records)
         if self.failure is not None:
-            self._log_event("tables are kept again", lost=self.lost_versions)
+            self._log_event("table log writable again", lost=self.lost_versions)
             self.failure = None
         return segment
 
@@ -221,7 +221,7 @@
             try:
                 _segment_path(folder, oldest).unlink()
             except OSError as error:
-                self._log_event("old tables not removed", why=error.strerror)
+                self._log_event("old table log segment not removed", why=error.strerror)
                 return
             del self.segment_sizes[oldest]
             del self._published[oldest]
--- a/tests/tables/test_table_log.py
+++ b/tests/tables/test_table_log.py
@@ -205,7 +205,8 @@
         self.publish(log, 2, first=16, at=7.0)
         self.assertIsNone(log.failure)
         self.assertEqual(
-            [event for event, _ in self.events], ["tables are not kept", "tables are kept again"]
+            [event for event, _ in self.events],
+            ["table log write failed", "table log writable again"],
         )
         self.publish(log, 1, first=18, at=8.0)
         restarted, problems = self.open()
