--- a/peatlead/tables/__init__.py
+++ b/peatlead/tables/__init__.py
@@ -1,1 +1,1 @@
-"""Versioned tables: what each proxy was published, on disk too, and pins to past versions."""
+"""Versioned tables: the published history of each proxy, its log on disk, and pins."""
--- a/peatlead/tables/digest.py
+++ b/peatlead/tables/digest.py
@@ -1,9 +1,9 @@
 """Incremental digests over maps of items.
 
-The digest is the sum of one hash per item, modulo 2^256: an incremental hash of a set, AdHash of
-Bellare and Micciancio (1997). To add, change or remove an item costs one or two hashes, whatever
-the size of the map. It detects errors, not forgery: who may send at all is the transport's
-responsibility.
+The digest is the sum of one hash per item, modulo 2^256. This is AdHash, the incremental hash of a
+set by Bellare and Micciancio (1997). Adding, changing or removing an item costs one or two hashes,
+independent of the size of the map. The digest detects errors, not forgery: the transport
+authenticates the sender.
 """
 
 from collections.abc import Mapping
@@ -15,13 +15,13 @@
 
 MODULUS = 1 << 256
 HASH_BYTES = 32
-SHOWN_SHIFT = 128  # bits: the upper half of a digest is published
+TEXT_SHIFT_BITS = 128  # the text form has the upper half of the digest
 
 
 class HashCache:
-    """A cache of item hashes, since the same few thousand items recur.
+    """A cache of item hashes; it is cleared when it holds `capacity` entries.
 
-    When `capacity` is reached all of them are dropped.
+    The tables of different proxies have many items in common.
     """
 
     def __init__(self, capacity: int = 50_000) -> None:
@@ -29,7 +29,7 @@
         self._cached: dict[tuple[str, ItemValue], int] = {}
 
     def hash_of(self, key: str, value: ItemValue) -> int:
-        """Return an item's hash."""
+        """Return the hash of an item."""
         cached = self._cached.get((key, value))
         if cached is not None:
             return cached
@@ -40,11 +40,11 @@
         return item_hash
 
 
-HASHES = HashCache()
+HASH_CACHE = HashCache()
 
 
 class Digest:
-    """The running digest of a map of items. Its text is 128 bits in hexadecimal."""
+    """The running digest of a map of items. `str()` returns 128 bits in hexadecimal."""
 
     __slots__ = ("total",)
 
@@ -54,11 +54,11 @@
             self.update(key, None, value)
 
     def update(self, key: str, old: Optional[ItemValue], new: Optional[ItemValue]) -> None:
-        """Apply the change of one item; None stands for an absent item."""
+        """Apply the change of one item from `old` to `new`; None stands for an absent item."""
         if old is not None:
-            self.total -= HASHES.hash_of(key, old)
+            self.total -= HASH_CACHE.hash_of(key, old)
         if new is not None:
-            self.total += HASHES.hash_of(key, new)
+            self.total += HASH_CACHE.hash_of(key, new)
         self.total %= MODULUS
 
     def copy(self) -> "Digest":
@@ -68,4 +68,4 @@
         return duplicate
 
     def __str__(self) -> str:
-        return f"{self.total >> SHOWN_SHIFT:032x}"
+        return f"{self.total >> TEXT_SHIFT_BITS:032x}"
--- a/peatlead/tables/errors.py
+++ b/peatlead/tables/errors.py
@@ -1,33 +1,33 @@
-"""The errors of versioned tables, from one root."""
+"""Exceptions of versioned tables; all of them derive from `TablesError`."""
 
 
 class TablesError(Exception):
-    """Root of this package's errors."""
+    """Base class of this package's exceptions."""
 
 
 class UnknownVersionError(TablesError):
-    """A version that is not stored: it never existed, or it has been dropped."""
+    """A version that is not stored: either it never existed or it was dropped."""
 
 
 class VersionOrderError(TablesError, ValueError):
-    """A version that does not come after the newest one of its proxy."""
+    """A version that is not newer than the newest version of its proxy."""
 
 
 class KeyFormatError(TablesError, ValueError):
-    """Text that is no key of a line."""
+    """Text that is not a valid line key."""
 
 
 class StampFormatError(TablesError, ValueError):
-    """Text that is no stamp of a delta."""
+    """Text that is not a valid delta stamp."""
 
 
 class SegmentError(TablesError):
-    """Bytes at which the reading of a log segment ends."""
+    """Damage in a log segment; nothing after it can be read."""
 
 
 class PinError(TablesError):
-    """An operator's request for a pin that cannot be met; the message says what was expected."""
+    """An invalid pin request of an operator; the message says what was expected."""
 
 
 class PinFormatError(TablesError, ValueError):
-    """Bytes that are no list of pins."""
+    """Bytes that are not a valid list of pins."""
--- a/peatlead/tables/history.py
+++ b/peatlead/tables/history.py
@@ -1,8 +1,8 @@
-"""All proxies' histories, within bounds. Time is an argument; nothing is read or written.
+"""The histories of all proxies, with limits. No I/O and no clock: times are arguments.
 
-Entries are bounded by number for each proxy and in all, by age and by memory. The oldest entry of
-all proxies is dropped first, never a connected proxy's newest state. Of disconnected proxies the
-one that left first is forgotten first, once there are more than `proxies_max` in all.
+Entries are limited in number (per proxy and in total), in age and in memory; the oldest entry of
+all proxies is dropped first. The newest state of a connected proxy is always kept. Above
+`proxies_max` histories, those of disconnected proxies are dropped, the earliest disconnected first.
 """
 
 from collections import OrderedDict, deque
@@ -22,17 +22,17 @@
 
 
 class StoredEntry(NamedTuple):
-    """An entry and whose it is."""
+    """An entry and the name of its proxy."""
 
     name: str
     entry: HistoryEntry
 
 
 class Store:
-    """The histories of all proxies by name, with their bounds.
+    """The histories of all proxies by name.
 
-    Bounds: `versions_per_proxy` and `versions_max` entries, `bytes_max` of memory approximately,
-    `age_max` seconds, `proxies_max` histories.
+    Limits: `versions_per_proxy` entries per proxy and `versions_max` in total, `bytes_max` of
+    memory (approximate), `age_max` seconds since publication, `proxies_max` histories.
     """
 
     def __init__(
@@ -49,26 +49,24 @@
         self.age_max = age_max
         self.proxies_max = proxies_max
         self.histories: dict[str, History] = {}
-        self.disconnected: OrderedDict[str, bool] = (
-            OrderedDict()
-        )  # disconnected proxies, first left first
-        # (name, version) of all entries, oldest first; also of those that were dropped out of turn.
+        self.disconnected: OrderedDict[str, bool] = OrderedDict()  # earliest disconnected first
+        # (name, version) of all entries, oldest first. May refer to entries that were dropped.
         self.publication_order: deque[tuple[str, Version]] = deque()
         self.entry_count = 0
-        self.memory_bytes = 0  # bytes of memory, approximately
+        self.memory_bytes = 0  # approximate
         self.dropped = 0  # entries dropped since the start
 
     def history(self, name: str) -> History:
-        """Return a connected proxy's history, new where there is none."""
+        """Return the history of a connected proxy; creates the history of a new proxy."""
         self.disconnected.pop(name, None)
         history = self.histories.get(name)
         if history is None:
             history = self.histories[name] = History()
-            self._bound_proxies()
+            self._drop_excess_histories()
         return history
 
     def mark_disconnected(self, name: str) -> None:
-        """Mark a proxy as disconnected: its history stays until others need the place."""
+        """Mark a proxy as disconnected: above `proxies_max` its history is dropped."""
         if name in self.histories:
             self.disconnected[name] = True
             self.disconnected.move_to_end(name)
@@ -81,7 +79,10 @@
         causes: Iterable[str],
         item_changes: Mapping[str, Optional[ItemValue]],
     ) -> HistoryEntry:
-        """Add a proxy's version and drop what exceeds the bounds. Raises VersionOrderError."""
+        """Add a version of a proxy and drop what exceeds the limits.
+
+        `published_at` is wall-clock time in seconds. Raises VersionOrderError.
+        """
         history = self.history(name)
         entry = history.commit(version, published_at, causes, item_changes)
         self.publication_order.append((name, version))
@@ -89,12 +90,12 @@
         self.memory_bytes += entry.memory_bytes
         if len(history.entries) > self.versions_per_proxy:
             self._drop_oldest(history)
-        self._bound_entries(published_at)
+        self._drop_excess_entries(published_at)
         self._compact()
         return entry
 
     def restart(self, name: str, version: Version, items: Mapping[str, ItemValue]) -> None:
-        """Begin a proxy's history anew at a state whose previous versions are not known."""
+        """Replace a proxy's history by a state whose previous versions are unknown."""
         history = self.history(name)
         while history.entries:
             self._drop_oldest(history)
@@ -104,12 +105,12 @@
         history.oldest_restorable = version
 
     def has_entry_up_to(self, name: str, version: Version) -> bool:
-        """Return whether an entry of that version, or of an older one of that proxy, is stored."""
+        """Return whether the proxy has a stored entry of this version or an older one."""
         history = self.histories.get(name)
         return bool(history and history.entries and history.entries[0].version <= version)
 
     def drop_up_to(self, name: str, version: Version) -> None:
-        """Drop a proxy's entries up to a version."""
+        """Drop the proxy's entries up to and including a version."""
         history = self.histories.get(name)
         while history and history.entries and history.entries[0].version <= version:
             self._drop_oldest(history)
@@ -117,7 +118,10 @@
     def entries_between(
         self, since: float = 0.0, until: float = float("inf"), name: Optional[str] = None
     ) -> list[StoredEntry]:
-        """Return entries of a span of wall-clock time, in order of publication."""
+        """Return the entries published in a span of wall-clock time, in publication order.
+
+        `name` limits the result to one proxy.
+        """
         remaining: dict[str, Iterator[HistoryEntry]] = {
             proxy: iter(history.entries) for proxy, history in self.histories.items()
         }
@@ -125,8 +129,10 @@
         for proxy, version in self.publication_order:
             if proxy not in remaining or name not in (None, proxy):
                 continue
-            entry = next((one for one in remaining[proxy] if one.version >= version), None)
-            if entry is not None and entry.version > version:  # this one was dropped out of turn
+            entry = next(
+                (candidate for candidate in remaining[proxy] if candidate.version >= version), None
+            )
+            if entry is not None and entry.version > version:  # the entry of `version` was dropped
                 remaining[proxy] = chain((entry,), remaining[proxy])
             elif entry is not None and since <= entry.published_at <= until:
                 selected.append(StoredEntry(proxy, entry))
@@ -138,20 +144,20 @@
         self.memory_bytes -= entry.memory_bytes
         self.dropped += 1
 
-    def _bound_entries(self, now: float) -> None:
-        """Drop entries past the bounds.
+    def _drop_excess_entries(self, now: float) -> None:
+        """Drop the oldest entries while a limit is exceeded.
 
-        With a clock that was set back no entry is too old; the other bounds still hold.
+        Where the clock was set back, no entry exceeds the age limit; the other limits still apply.
         """
-        while self.publication_order and self._oldest_is_due(now):
+        while self.publication_order and self._should_drop_oldest(now):
             name, version = self.publication_order.popleft()
             history = self.histories.get(name)
             if history and history.entries and history.entries[0].version == version:
                 self._drop_oldest(history)
 
-    def _oldest_is_due(self, now: float) -> bool:
-        """Return whether the oldest reference should go: past the bounds, or dropped before."""
-        oldest = self._oldest()
+    def _should_drop_oldest(self, now: float) -> bool:
+        """Return whether a limit is exceeded, or the oldest reference is to a dropped entry."""
+        oldest = self._oldest_entry()
         return (
             oldest is None
             or self.entry_count > self.versions_max
@@ -159,14 +165,16 @@
             or oldest.published_at < now - self.age_max
         )
 
-    def _oldest(self) -> Optional[HistoryEntry]:
+    def _oldest_entry(self) -> Optional[HistoryEntry]:
+        """Return the entry of the oldest reference, or None where that entry was dropped."""
         name, version = self.publication_order[0]
         history = self.histories.get(name)
         if history and history.entries and history.entries[0].version == version:
             return history.entries[0]
         return None
 
-    def _bound_proxies(self) -> None:
+    def _drop_excess_histories(self) -> None:
+        """Drop histories of disconnected proxies while there are more than `proxies_max`."""
         while len(self.histories) > self.proxies_max and self.disconnected:
             name, _ = self.disconnected.popitem(last=False)
             history = self.histories.pop(name)
@@ -174,9 +182,9 @@
                 self._drop_oldest(history)
 
     def _compact(self) -> None:
-        """Remove references to dropped entries.
+        """Remove references to dropped entries once there are too many.
 
-        They would pile up behind one old entry that is still stored.
+        Otherwise they accumulate behind an old entry that is still stored.
         """
         if len(self.publication_order) <= 2 * self.entry_count + COMPACTION_SLACK:
             return
--- a/peatlead/tables/log_reader.py
+++ b/peatlead/tables/log_reader.py
@@ -1,4 +1,4 @@
-"""Reads the segments of a tables' log from its folder."""
+"""Reads the segments of a table log from its folder."""
 
 from pathlib import Path
 from typing import NamedTuple
@@ -10,7 +10,7 @@
 
 
 class ReadProblem(NamedTuple):
-    """What was wrong in a file of the log."""
+    """A problem in a file of the log."""
 
     file: str
     reason: str
@@ -20,15 +20,16 @@
     """Reads all segments into a store and a map of notes, oldest first."""
 
     def __init__(self, folder: Path, store: Store, notes: dict[str, bytes]) -> None:
-        self.newest = 0  # number of the newest segment, 0 for none
-        self.sizes: dict[int, int] = {}  # number -> intact bytes
-        self.published: dict[int, dict[str, Version]] = {}  # number -> newest versions in it
+        self.newest_number = 0  # of the newest segment; 0 where there is none
+        self.sizes: dict[int, int] = {}  # segment number -> intact bytes
+        # Segment number -> newest version of each proxy in the segment.
+        self.published: dict[int, dict[str, Version]] = {}
         self.problems: list[ReadProblem] = []
         self._folder = folder
         self._recovery = LogRecovery(store, notes)
 
     def read(self) -> None:
-        """Read what can be read; everything else goes into `problems`."""
+        """Read all that is readable; adds an entry to `problems` for everything else."""
         try:
             paths = sorted(self._folder.glob("*.log"))
         except OSError as error:
@@ -45,10 +46,10 @@
             self.problems.append(ReadProblem(path.name, str(error)))
             return
         number = int(path.stem)
-        self.newest = max(self.newest, number)
+        self.newest_number = max(self.newest_number, number)
         if segment.damage:
             self.problems.append(ReadProblem(path.name, segment.damage))
-        if segment.intact_bytes:  # else another format or release: the file is not touched
+        if segment.intact_bytes:  # 0 for files of other formats, which are left alone
             self._apply(path.name, number, segment)
 
     def _apply(self, file: str, number: int, segment: Segment) -> None:
--- a/peatlead/tables/log_records.py
+++ b/peatlead/tables/log_records.py
@@ -1,13 +1,13 @@
-"""The records of the tables' log and their framing. Bytes in, records out; no I/O.
+"""The records of the table log and their encoding. No I/O.
 
-A segment is a line `peatlead-tables FORMAT` and then frames: 4 bytes of length (big-endian), 8
-bytes of checksum and that many bytes of one zstandard stream, flushed at each frame, which holds
-msgpack lists of records. A frame's checksum also covers the checksum before it, so that frames
-that are missing, repeated or from another segment are detected. Reading ends at the first frame
-that is not intact.
+A segment is a header line `peatlead-tables FORMAT`, followed by frames. A frame is a 4-byte
+big-endian body length, an 8-byte checksum and the body. The bodies of a segment form one zstandard
+stream, flushed after each frame; each body holds one msgpack list of records. A checksum is the
+BLAKE3 hash of the previous frame's checksum and the body, so that missing, repeated and foreign
+frames are detected. Reading ends at the first damaged frame.
 
-Each segment begins with a snapshot of every proxy and can be read without the others; older
-segments hold the previous versions.
+Each segment starts with a snapshot of all proxies and can be read alone; older segments hold the
+versions before.
 """
 
 import struct
@@ -20,19 +20,23 @@
 
 from .errors import SegmentError
 
-FORMAT = 1
-HEAD = b"peatlead-tables %d\n"
-HEAD_WORD = HEAD.split()[0]
-HEAD_BYTES_MAX = 64  # a first line that is longer is none of ours
-FRAME = struct.Struct(">I8s")  # length, checksum
+FORMAT_VERSION = 1
+HEADER_LINE = b"peatlead-tables %d\n"
+HEADER_MAGIC = HEADER_LINE.split()[0]
+HEADER_BYTES_MAX = 64
+FRAME_HEADER = struct.Struct(">I8s")  # body length, checksum
 CHECKSUM_BYTES = 8
-FRAME_BYTES_MAX = 16 << 20  # a longer frame is a damaged length
-INFLATED_BYTES_MAX = 256 << 20  # of a whole segment
+FRAME_BYTES_MAX = 16 << 20  # a greater length counts as damaged
+DECOMPRESSED_BYTES_MAX = 256 << 20  # of a segment
 COMPRESSION_LEVEL = 3
 
 
 class PublishedRecord(msgspec.Struct, array_like=True, tag="p"):
-    """One version: `changes` maps keys to new values, or to None where the item was removed."""
+    """A published version of one proxy.
+
+    `at` is wall-clock time in seconds. `changes` maps keys to new values, None where the item was
+    removed.
+    """
 
     name: str
     epoch: int
@@ -43,7 +47,7 @@
 
 
 class SnapshotRecord(msgspec.Struct, array_like=True, tag="w"):
-    """A proxy's newest state, at the start of a segment."""
+    """The newest state of one proxy, at the start of a segment."""
 
     name: str
     epoch: int
@@ -52,47 +56,50 @@
 
 
 class RemovedRecord(msgspec.Struct, array_like=True, tag="g"):
-    """A proxy that has disconnected."""
+    """A proxy has disconnected."""
 
     name: str
 
 
 class NoteRecord(msgspec.Struct, array_like=True, tag="n"):
-    """A small value that must survive a restart: the newest of a key counts, None removes it."""
+    """A small value that survives restarts. A later record of the same key replaces it.
+
+    The value None removes the key.
+    """
 
     key: str
     value: Optional[bytes]
 
 
 Record = Union[PublishedRecord, SnapshotRecord, RemovedRecord, NoteRecord]
-RECORDS = msgspec.msgpack.Decoder(list[Record])
-ENCODER = msgspec.msgpack.Encoder()
+RECORD_DECODER = msgspec.msgpack.Decoder(list[Record])
+RECORD_ENCODER = msgspec.msgpack.Encoder()
 
 
 class RecordFramer:
-    """Turns the records of one segment into bytes."""
+    """Encodes the frames of one segment."""
 
     def __init__(self) -> None:
         self._compressor = zstandard.ZstdCompressor(level=COMPRESSION_LEVEL).compressobj()
         self._checksum = b""  # of the previous frame
 
-    def head(self) -> bytes:
-        """Return the segment's first line."""
-        return HEAD % FORMAT
+    def header_line(self) -> bytes:
+        """Return the first line of the segment."""
+        return HEADER_LINE % FORMAT_VERSION
 
     def frame(self, records: Sequence[Record]) -> bytes:
-        """Return the next frame, which holds these records."""
-        body = self._compressor.compress(ENCODER.encode(records))
+        """Return the next frame, with these records."""
+        body = self._compressor.compress(RECORD_ENCODER.encode(records))
         body += self._compressor.flush(zstandard.COMPRESSOBJ_FLUSH_BLOCK)
         self._checksum = blake3(self._checksum + body).digest(CHECKSUM_BYTES)
-        return FRAME.pack(len(body), self._checksum) + body
+        return FRAME_HEADER.pack(len(body), self._checksum) + body
 
 
 class Segment(NamedTuple):
-    """The intact records of a segment.
+    """The readable records of a segment.
 
-    `intact_bytes` is the end of its last intact frame; `damage` says what ended the reading, "" at
-    the end of data.
+    `intact_bytes` is the end of the last intact frame. `damage` says why reading stopped, or is ""
+    where the whole segment was read.
     """
 
     records: list[Record]
@@ -101,9 +108,9 @@
 
 
 def read_segment(data: bytes) -> Segment:
-    """Read a segment from arbitrary bytes."""
+    """Read a segment up to its end or the first damage, which `Segment.damage` describes."""
     try:
-        start = _check_head(data)
+        start = _check_header_line(data)
     except SegmentError as error:
         return Segment([], 0, str(error))
     reader = _FrameReader(data, start)
@@ -116,58 +123,60 @@
     return Segment(records, reader.position, "")
 
 
-def _check_head(data: bytes) -> int:
-    """Return where the frames begin. Raises SegmentError where the first line is not ours."""
-    head = data[: data.find(b"\n", 0, HEAD_BYTES_MAX) + 1]
-    if head == HEAD % FORMAT:
-        return len(head)
-    words = head.split()
-    if len(words) == 2 and words[0] == HEAD_WORD and words[1].isdigit():
-        raise SegmentError(f"format {int(words[1])}: expected {FORMAT}")
-    raise SegmentError("not a log of tables")
+def _check_header_line(data: bytes) -> int:
+    """Return the offset of the first frame. Raises SegmentError for any other format."""
+    line = data[: data.find(b"\n", 0, HEADER_BYTES_MAX) + 1]
+    if line == HEADER_LINE % FORMAT_VERSION:
+        return len(line)
+    words = line.split()
+    if len(words) == 2 and words[0] == HEADER_MAGIC and words[1].isdigit():
+        raise SegmentError(f"format {int(words[1])}: expected {FORMAT_VERSION}")
+    raise SegmentError("not a table log")
 
 
 class _FrameReader:
-    """Reads frame after frame; `position` is the end of the last intact one."""
+    """Reads the frames of a segment in order; `position` is the end of the last intact frame."""
 
     def __init__(self, data: bytes, position: int) -> None:
         self.position = position
         self._data = data
         self._decompressor = zstandard.ZstdDecompressor().decompressobj()
         self._checksum = b""  # of the previous frame
-        self._inflated = 0  # bytes so far
+        self._decompressed_bytes = 0  # so far
 
     def read_frame(self) -> list[Record]:
-        """Return the next frame's records. Raises SegmentError where it is not intact."""
+        """Return the records of the next frame. Raises SegmentError where the frame is damaged."""
         body = self._read_body()
         records = self._decode(body)
-        self.position += FRAME.size + len(body)
+        self.position += FRAME_HEADER.size + len(body)
         return records
 
     def _read_body(self) -> bytes:
-        at = self.position
-        if len(self._data) - at < FRAME.size:
-            raise SegmentError(f"torn in a frame's head at byte {at}")
-        size, expected = FRAME.unpack_from(self._data, at)
+        offset = self.position
+        if len(self._data) - offset < FRAME_HEADER.size:
+            raise SegmentError(f"torn frame header at byte {offset}")
+        size, expected = FRAME_HEADER.unpack_from(self._data, offset)
         if size > FRAME_BYTES_MAX:
-            frame = f"a frame of {size} bytes at byte {at}"
-            raise SegmentError(f"{frame}: the length is not to be believed")
-        body = self._data[at + FRAME.size : at + FRAME.size + size]
+            frame = f"frame length {size} at byte {offset}"
+            raise SegmentError(f"{frame}: expected at most {FRAME_BYTES_MAX} bytes")
+        body = self._data[offset + FRAME_HEADER.size : offset + FRAME_HEADER.size + size]
         if len(body) < size:
-            raise SegmentError(f"torn in a frame at byte {at}: {len(body)} of {size} bytes")
+            raise SegmentError(f"torn frame at byte {offset}: {len(body)} of {size} bytes")
         self._checksum = blake3(self._checksum + body).digest(CHECKSUM_BYTES)
         if self._checksum != expected:
-            problem = f"the checksum does not fit at byte {at}"
-            raise SegmentError(f"{problem}: changed, or out of its place")
+            problem = f"wrong checksum of the frame at byte {offset}"
+            raise SegmentError(f"{problem}: the frame is damaged or out of sequence")
         return body
 
     def _decode(self, body: bytes) -> list[Record]:
-        at = self.position
+        offset = self.position
         try:
-            plain = self._decompressor.decompress(body)
-            self._inflated += len(plain)
-            if self._inflated > INFLATED_BYTES_MAX:
-                raise SegmentError(f"over {INFLATED_BYTES_MAX} bytes unpacked at byte {at}")
-            return RECORDS.decode(plain)
+            decompressed = self._decompressor.decompress(body)
+            self._decompressed_bytes += len(decompressed)
+            if self._decompressed_bytes > DECOMPRESSED_BYTES_MAX:
+                raise SegmentError(
+                    f"more than {DECOMPRESSED_BYTES_MAX} decompressed bytes at byte {offset}"
+                )
+            return RECORD_DECODER.decode(decompressed)
         except (zstandard.ZstdError, msgspec.MsgspecError) as error:
-            raise SegmentError(f"a frame that cannot be read at byte {at}: {error}") from None
+            raise SegmentError(f"unreadable frame at byte {offset}: {error}") from None
--- a/peatlead/tables/log_recovery.py
+++ b/peatlead/tables/log_recovery.py
@@ -1,4 +1,4 @@
-"""Applies the records of a tables' log to a store of histories, oldest first. No I/O."""
+"""Rebuilds a store of histories from the records of a table log. No I/O."""
 
 from typing import Optional
 
@@ -8,21 +8,20 @@
 from .proxy_history import History
 from .version import Version
 
-GAP_CAUSE = "what led to it was not kept"
+GAP_CAUSE = "previous versions are missing in the log"
 
 
 class LogRecovery:
-    """Applies records to a store and a map of notes."""
+    """Applies records, oldest first, to a store and a map of notes."""
 
     def __init__(self, store: Store, notes: dict[str, bytes]) -> None:
         self._store = store
         self._notes = notes
 
     def apply(self, record: Record, published: dict[str, Version]) -> Optional[str]:
-        """Apply one record; return what about it contradicts the records before, if anything.
+        """Apply one record. Return how it contradicts earlier records, or None.
 
-        The newest published version of each proxy goes into `published`, which describes the
-        record's segment.
+        `published` collects the newest published version of each proxy in the record's segment.
         """
         if isinstance(record, NoteRecord):
             set_note(self._notes, record.key, record.value)
@@ -41,27 +40,27 @@
         self, record: PublishedRecord, history: History, version: Version
     ) -> Optional[str]:
         if version <= history.newest_version:
-            return f"{record.name}: {version} after {history.newest_version}"
+            return f"{record.name}: version {version} after {history.newest_version}"
         self._store.commit(record.name, version, record.at, record.causes, record.changes)
         return None
 
     def _apply_snapshot(
         self, record: SnapshotRecord, history: History, version: Version
     ) -> Optional[str]:
-        """Apply a snapshot; one version stands for all that are missing before it."""
+        """Apply a snapshot. Missing versions before the snapshot become one version."""
         if version == history.newest_version:
             if history.items == record.items:
                 return None
-            return f"{record.name}: two states of {version}"
+            return f"{record.name}: two different states of version {version}"
         if version < history.newest_version:
-            return f"{record.name}: a state of {version} after {history.newest_version}"
+            return f"{record.name}: snapshot of version {version} after {history.newest_version}"
         if not history.newest_version.epoch:
             self._store.restart(record.name, version, record.items)
             return None
         at = history.entries[-1].published_at if history.entries else 0.0
         missing = changes(history.items, record.items)
         self._store.commit(record.name, version, at, (GAP_CAUSE,), missing)
-        return f"{record.name}: what led to {version} was not kept"
+        return f"{record.name}: versions before {version} are missing"
 
 
 def set_note(notes: dict[str, bytes], key: str, value: Optional[bytes]) -> None:
--- a/peatlead/tables/proxy_history.py
+++ b/peatlead/tables/proxy_history.py
@@ -1,9 +1,9 @@
-"""The history of one proxy's published tables. Time is an argument; nothing is read or written.
+"""The history of one proxy's published tables. No I/O and no clock: times are arguments.
 
-An entry stores what a version changed: each item's value before and after. The newest state is
-stored whole, and an older one is found by undoing entries from it. So a version costs only its own
-changes, and the oldest entry can be dropped by itself. `peatlead.benchmarks.tables` compares this
-with plain copies.
+The newest state is stored in full. Each entry stores the items that its version changed, with their
+values before and after, and older states are computed by undoing entries. A version therefore needs
+memory only for its changes, and the oldest entry can be dropped without the others.
+`peatlead.benchmarks.tables` compares this with full copies.
 """
 
 from collections import deque
@@ -15,17 +15,17 @@
 from .items import Items, ItemValue, changes
 from .version import NO_VERSION, Version
 
-ENTRY_BYTES = 260  # memory of an entry without its changes, approximately
-CHANGE_BYTES = 88  # memory of one change, approximately
+ENTRY_BYTES = 260  # approximate memory of an entry without its changes
+CHANGE_BYTES = 88  # approximate memory of one change
 
 
-# Key, value before and value after; None stands for an absent item. Plain tuples: histories hold
-# them by the hundred thousand, and NamedTuples make each commit slower.
+# Key, value before, value after; None stands for an absent item. A plain tuple, because histories
+# hold hundreds of thousands of them and a NamedTuple is slower to create.
 ItemChange = tuple[str, Optional[ItemValue], Optional[ItemValue]]
 
 
 class HistoryEntry(NamedTuple):
-    """One version. `at` is the wall-clock time of its publication in seconds."""
+    """One published version. `published_at` is wall-clock time in seconds."""
 
     version: Version
     published_at: float
@@ -35,12 +35,12 @@
 
     @property
     def memory_bytes(self) -> int:
-        """Memory in bytes, approximately."""
+        """The approximate memory of the entry."""
         return ENTRY_BYTES + CHANGE_BYTES * len(self.item_changes)
 
 
 class History:
-    """One proxy's versions, newest last."""
+    """The published versions of one proxy, oldest first."""
 
     __slots__ = ("items", "entries", "digest", "newest_version", "oldest_restorable")
 
@@ -48,10 +48,8 @@
         self.items: Items = {}  # the newest state
         self.entries: deque[HistoryEntry] = deque()
         self.digest = Digest()
-        self.newest_version = NO_VERSION  # the newest version, whether its entry is stored or not
-        self.oldest_restorable = (
-            NO_VERSION  # the version before the oldest entry: the farthest that can be restored
-        )
+        self.newest_version = NO_VERSION  # its entry may have been dropped
+        self.oldest_restorable = NO_VERSION  # the version before the oldest stored entry
 
     def commit(
         self,
@@ -60,25 +58,29 @@
         causes: Iterable[str],
         item_changes: Mapping[str, Optional[ItemValue]],
     ) -> HistoryEntry:
-        """Add a version that sets the items in `moved`, or removes them where None.
+        """Add a version that sets the items in `item_changes`; None removes an item.
 
-        Raises VersionOrderError where it does not come after the newest version.
+        Raises VersionOrderError where the version is not newer than the newest one.
         """
         if version <= self.newest_version:
-            raise VersionOrderError(f"expected a version past {self.newest_version}, got {version}")
+            raise VersionOrderError(
+                f"expected a version newer than {self.newest_version}, got {version}"
+            )
         items = self.items
-        changed = []
+        recorded = []
         for key, new in item_changes.items():
             old = items.get(key)
             if old == new:
                 continue
-            changed.append((key, old, new))
+            recorded.append((key, old, new))
             self.digest.update(key, old, new)
             if new is None:
                 del items[key]
             else:
                 items[key] = new
-        entry = HistoryEntry(version, published_at, tuple(causes), tuple(changed), str(self.digest))
+        entry = HistoryEntry(
+            version, published_at, tuple(causes), tuple(recorded), str(self.digest)
+        )
         self.entries.append(entry)
         self.newest_version = version
         return entry
@@ -90,7 +92,7 @@
         return entry
 
     def at_version(self, version: Version) -> Items:
-        """Return the items as of a version. Raises UnknownVersionError."""
+        """Return the items at a version. Raises UnknownVersionError."""
         if version == self.newest_version:
             return dict(self.items)
         if version != self.oldest_restorable and all(
@@ -104,33 +106,36 @@
             _undo(items, entry)
         return items
 
-    def at_time(self, when: float) -> tuple[Version, Items]:
-        """Return the version and items as of a wall-clock time.
+    def at_time(self, wall_time: float) -> tuple[Version, Items]:
+        """Return the newest version published at or before `wall_time`, and its items.
 
-        Where clocks stepped, it is the newest version that bears no later time. Raises
-        UnknownVersionError.
+        Raises UnknownVersionError where no such version is stored.
         """
         items = dict(self.items)
         for entry in reversed(self.entries):
-            if entry.published_at <= when:
+            if entry.published_at <= wall_time:
                 return entry.version, items
             _undo(items, entry)
-        raise UnknownVersionError(f"nothing of {when:.3f} is kept")
+        raise UnknownVersionError(f"no version published at or before {wall_time:.3f}")
 
     def diff(
         self, first: Version, second: Version
     ) -> dict[str, tuple[Optional[ItemValue], Optional[ItemValue]]]:
-        """Return {key: (value, value)} of the items that differ. Raises UnknownVersionError."""
+        """Return the items that differ: key -> (value in `first`, value in `second`).
+
+        Raises UnknownVersionError.
+        """
         before = self.at_version(first)
         after = self.at_version(second)
         return {key: (before.get(key), after.get(key)) for key in sorted(changes(before, after))}
 
     def digest_at(self, version: Version) -> Optional[str]:
-        """Return the digest of a version whose entry is stored, else None."""
+        """Return the digest of a version, or None where its entry is not stored."""
         return next((entry.digest for entry in self.entries if entry.version == version), None)
 
 
 def _undo(items: Items, entry: HistoryEntry) -> None:
+    """Turn the items at an entry's version into the items before that version."""
     for key, before, _ in entry.item_changes:
         if before is None:
             items.pop(key, None)
--- a/peatlead/tables/segment_file.py
+++ b/peatlead/tables/segment_file.py
@@ -1,4 +1,4 @@
-"""The file of one log segment, open for appending."""
+"""The file of one segment of the table log, open for writing."""
 
 import os
 from collections.abc import Sequence
@@ -8,36 +8,36 @@
 
 
 class SegmentFile:
-    """A new segment's file. All methods raise OSError."""
+    """The file of a new segment. The constructor and all methods raise OSError."""
 
     def __init__(self, path: Path) -> None:
         self.file = path.open("xb", buffering=0)
-        self.size = 0  # bytes written
-        self.unsynced = False  # whether bytes were written since the last sync
+        self.size = 0  # in bytes
+        self.unsynced = False  # whether there are writes since the last sync
         self._framer = RecordFramer()
 
-    def write_head(self) -> None:
-        """Write the segment's first line."""
-        self._write_all(self._framer.head())
+    def write_header_line(self) -> None:
+        """Write the first line of the segment."""
+        self._write_all(self._framer.header_line())
 
     def write_records(self, records: Sequence[Record]) -> None:
-        """Write one frame of records."""
+        """Write the records as one frame."""
         self._write_all(self._framer.frame(records))
 
     def sync(self) -> None:
-        """Wait until all that was written is on the disk."""
+        """Flush all writes to the disk (fsync)."""
         os.fsync(self.file.fileno())
         self.unsynced = False
 
     def close(self) -> None:
-        """Sync and close; the file is closed even where the sync fails."""
+        """Sync and close the file. The file is closed even if the sync fails."""
         try:
             self.sync()
         finally:
             self.file.close()
 
     def _write_all(self, data: bytes) -> None:
-        """Write all of it. An error midway leaves a torn end, which reading cuts off."""
+        """Write all data. An error midway leaves a torn frame, which readers ignore."""
         remaining = memoryview(data)
         while remaining:
             written = self.file.write(remaining)
--- a/peatlead/tables/table_log.py
+++ b/peatlead/tables/table_log.py
@@ -1,10 +1,10 @@
-"""The tables' log on disk: numbered segments in a folder, read back after a restart.
+"""The table log on disk: numbered segment files in a folder, which are read after a restart.
 
-A process that is killed loses nothing that was written; a machine that fails loses at most what
-was written since the last sync (`sync_interval` seconds). A file is never appended to after a
-restart: reading cuts off and reports what a crash left at its end, and a new segment begins with a
-snapshot of all that is known. Where the disk is full or read-only the log reports it and retries
-every `retry_interval` seconds; publishing goes on, and versions of that time are counted in
+A killed process loses nothing that was written. A failed machine loses at most the writes since the
+last sync, which runs every `sync_interval` seconds. After a restart the log never appends to an old
+file: it ignores and reports the damaged end that a crash may leave, and starts a new segment with a
+snapshot of the whole state. While writes fail, for instance on a full disk, the log retries every
+`retry_interval` seconds; publishing continues, and versions that are not written are counted in
 `lost_versions`.
 """
 
@@ -28,24 +28,24 @@
 from .segment_file import SegmentFile
 from .version import Version
 
-SEGMENT_BYTES_MAX = 2 << 20  # past this size a new segment begins
-SNAPSHOTS_PER_FRAME = 200  # proxies
+SEGMENT_BYTES_MAX = 2 << 20  # above this size a new segment is started
+SNAPSHOTS_PER_FRAME = 200
 NO_FOLDER = "no folder is set"
 
 
 class EventLogger(Protocol):
-    """Where operators' log lines go."""
+    """A function that logs events for operators."""
 
     def __call__(self, event: str, /, **fields: object) -> None:
         """Log an event with its fields."""
 
 
 class TableLog:
-    """The log of a store's versions and of a few notes.
+    """Logs the versions of a store, and notes: small values that survive restarts.
 
-    The order of calls: `restore()`, `start()`, then `record_version()`, `record_disconnect()` and
-    `record_note()` with a `flush()` at every step, and `close()`. Without a folder nothing is
-    stored.
+    Call `restore()` and `start()` first, then `record_version()`, `record_disconnect()` and
+    `record_note()`, with a `flush()` at every step of the controller, and `close()` at the end.
+    Without a folder nothing is stored.
     """
 
     def __init__(
@@ -61,26 +61,27 @@
         self.store = store
         self.sync_interval = sync_interval  # seconds between syncs
         self.retry_interval = retry_interval  # seconds between attempts after a failure
-        self.disk_bytes_max = disk_bytes_max  # bytes of all segments together
-        self.notes: dict[str, bytes] = {}  # notes that survive restarts
+        self.disk_bytes_max = disk_bytes_max  # of all segments together
+        self.notes: dict[str, bytes] = {}
         self.segment: Optional[SegmentFile] = None
-        self.number = 0  # of the newest segment
-        self.segment_sizes: dict[int, int] = {}  # number -> bytes
-        self.failure = None if folder else NO_FOLDER  # why nothing is stored now
-        self.lost_versions = 0  # versions that were not stored one by one
+        self.newest_number = 0  # of the newest segment
+        self.segment_sizes: dict[int, int] = {}  # segment number -> bytes
+        self.failure = None if folder else NO_FOLDER  # why writing fails now
+        self.lost_versions = 0  # versions that are only part of a later snapshot
         self._log_event = log or _discard_event
-        self._waiting: list[Record] = []  # not yet written
-        self._published: dict[int, dict[str, Version]] = {}  # number -> newest versions in it
+        self._pending: list[Record] = []  # not written yet
+        # Segment number -> newest version of each proxy in the segment.
+        self._published: dict[int, dict[str, Version]] = {}
         self._synced_at = 0.0
         self._retry_at = 0.0
 
     def restore(self) -> list[ReadProblem]:
-        """Read all segments into the store and the notes; return what was wrong in them."""
+        """Read all segments into the store and the notes. Return the problems in the files."""
         if self.folder is None:
             return []
         reader = LogReader(self.folder, self.store, self.notes)
         reader.read()
-        self.number = reader.newest
+        self.newest_number = reader.newest_number
         self.segment_sizes = reader.sizes
         self._published = reader.published
         return reader.problems
@@ -99,38 +100,38 @@
         self._record(RemovedRecord(name))
 
     def record_note(self, key: str, value: Optional[bytes]) -> None:
-        """Record a note; None removes it."""
+        """Set a note and record it; None removes the note."""
         if self.notes.get(key) != value:
             set_note(self.notes, key, value)
             self._record(NoteRecord(key, value))
 
     def start(self, now: float) -> None:
-        """Begin a new segment, after `restore()` and before anything is published."""
+        """Start a new segment. Call it after `restore()` and before the first version."""
         if self.folder is None:
             return
         try:
-            self._begin_segment(self.folder)
+            self._start_segment(self.folder)
             self._prune(self.folder)
         except OSError as error:
             self._fail(now, error)
 
     def flush(self, now: float) -> None:
-        """Write what waits. Called at every step of the controller; waits for the disk alone."""
+        """Write the pending records, and sync where that is due. Blocks on disk I/O."""
         if self.folder is None:
             return
         if self.failure is not None and now < self._retry_at:
-            self._drop_waiting()
+            self._drop_pending()
             return
         try:
-            segment = self.segment or self._begin_segment(self.folder)
-            self._write_waiting(segment)
+            segment = self.segment or self._start_segment(self.folder)
+            self._write_pending(segment)
             if segment.unsynced and now - self._synced_at >= self.sync_interval:
                 segment.sync()
                 self._synced_at = now
             if segment.size > SEGMENT_BYTES_MAX:
                 self.close()
-                # Now, while nothing waits: the snapshot would replace the single versions.
-                self._begin_segment(self.folder)
+                # No record is pending here: the snapshot would replace pending versions.
+                self._start_segment(self.folder)
                 self._prune(self.folder)
         except OSError as error:
             self._fail(now, error)
@@ -144,48 +145,48 @@
 
     def _record(self, record: Record) -> None:
         if self.folder is not None:
-            self._waiting.append(record)
+            self._pending.append(record)
 
-    def _write_waiting(self, segment: SegmentFile) -> None:
-        if not self._waiting:
+    def _write_pending(self, segment: SegmentFile) -> None:
+        if not self._pending:
             return
-        self._write(segment, self._waiting)
-        published = self._published[self.number]
-        for record in self._waiting:
+        self._write(segment, self._pending)
+        published = self._published[self.newest_number]
+        for record in self._pending:
             if isinstance(record, PublishedRecord):
                 published[record.name] = Version(record.epoch, record.serial)
-        self._waiting = []
+        self._pending = []
 
     def _write(self, segment: SegmentFile, records: list[Record]) -> None:
         segment.write_records(records)
-        self.segment_sizes[self.number] = segment.size
+        self.segment_sizes[self.newest_number] = segment.size
 
     def _fail(self, now: float, error: OSError) -> None:
-        """Memory stays as it is: the next segment that can be begun has a snapshot of it."""
+        """Close the segment and schedule a retry: a new segment with a snapshot of the state."""
         reason = error.strerror or str(error)
         if self.failure is None:
             self._log_event("table log write failed", why=reason)
         self.failure = reason
         self._retry_at = now + self.retry_interval
-        self._drop_waiting()
-        with contextlib.suppress(OSError):  # `broken` has the reason already
+        self._drop_pending()
+        with contextlib.suppress(OSError):  # `failure` has the reason already
             self.close()
 
-    def _drop_waiting(self) -> None:
-        """Give up single versions: the snapshot that begins the next segment has their sum."""
-        self.lost_versions += sum(isinstance(record, PublishedRecord) for record in self._waiting)
-        self._waiting = []
+    def _drop_pending(self) -> None:
+        """Drop the pending records: the snapshot in the next segment includes their result."""
+        self.lost_versions += sum(isinstance(record, PublishedRecord) for record in self._pending)
+        self._pending = []
 
-    def _begin_segment(self, folder: Path) -> SegmentFile:
-        """Begin a new segment with a snapshot of the newest state."""
+    def _start_segment(self, folder: Path) -> SegmentFile:
+        """Start a new segment with a snapshot of the newest state. Raises OSError."""
         folder.mkdir(parents=True, exist_ok=True)
-        number = self.number + 1
+        number = self.newest_number + 1
         segment = self.segment = SegmentFile(_segment_path(folder, number))
-        self.number = number
+        self.newest_number = number
         self.segment_sizes[number] = 0
         self._published[number] = {}
-        segment.write_head()
-        self._drop_waiting()
+        segment.write_header_line()
+        self._drop_pending()
         for records in self._snapshot():
             self._write(segment, records)
         if self.failure is not None:
@@ -194,7 +195,7 @@
         return segment
 
     def _snapshot(self) -> Iterator[list[Record]]:
-        """Yield the records of each frame: all states, then notes and disconnected proxies."""
+        """Yield the records of each frame: the proxies' states, then notes and disconnections."""
         histories = list(self.store.histories.items())
         for start in range(0, len(histories), SNAPSHOTS_PER_FRAME):
             yield [
@@ -207,16 +208,16 @@
         ]
 
     def _prune(self, folder: Path) -> None:
-        """Remove the oldest segments that no stored version needs.
+        """Remove the oldest segments, as long as no version in the store is in them.
 
-        Past the disk bound their versions are dropped first.
+        Above `disk_bytes_max` the store drops the versions of the oldest segment first.
         """
         while len(self.segment_sizes) > 1:
             oldest = min(self.segment_sizes)
             if sum(self.segment_sizes.values()) > self.disk_bytes_max:
                 for name, version in self._published[oldest].items():
                     self.store.drop_up_to(name, version)
-            if oldest == self.number or self._is_needed(oldest):
+            if oldest == self.newest_number or self._is_needed(oldest):
                 return
             try:
                 _segment_path(folder, oldest).unlink()
@@ -227,7 +228,7 @@
             del self._published[oldest]
 
     def _is_needed(self, number: int) -> bool:
-        """Return whether the store still has a version of a segment, or an older one."""
+        """Return whether the store has versions of this segment or of older ones."""
         return any(
             self.store.has_entry_up_to(name, version)
             for name, version in self._published[number].items()
@@ -239,4 +240,4 @@
 
 
 def _discard_event(event: str, /, **fields: object) -> None:
-    """Log nothing."""
+    """Ignore an event."""
--- a/peatlead/tables/version.py
+++ b/peatlead/tables/version.py
@@ -1,6 +1,6 @@
-"""Versions of published tables, and the stamps that go with deltas.
+"""Versions of published tables, and the stamps of deltas.
 
-Keys, weights and digests live in `items` and `digest`; they are re-exported here.
+The names of `items` and `digest` that other packages use are re-exported here.
 """
 
 from typing import NamedTuple
@@ -37,14 +37,14 @@
     "quantize_weight",
 ]
 
-VERSION_TEXT_MAX = 40  # characters: longer text is not converted to numbers
-STAMP_SHOWN_MAX = 200  # characters of a malformed stamp that an error repeats
+VERSION_CHARACTERS_MAX = 40  # longer text is not parsed
+STAMP_CHARACTERS_SHOWN_MAX = 200  # of a malformed stamp in an error message
 BASE_PREFIX = "base="
 DIGEST_PREFIX = "digest="
 
 
 class Version(NamedTuple):
-    """An owner's epoch and the serial within it: ordered, and written `EPOCH.SERIAL`."""
+    """The owner's epoch and the serial number in it. Ordered; `str()` returns `EPOCH.SERIAL`."""
 
     epoch: int
     serial: int
@@ -53,24 +53,23 @@
         return f"{self.epoch}.{self.serial}"
 
 
-NO_VERSION = Version(0, 0)  # before every published version
-WHOLE_STATE = "none"  # a stamp's base where the delta carries the whole state
+NO_VERSION = Version(0, 0)  # older than every published version
+WHOLE_STATE = "none"  # base of a delta that replaces the whole state
 
 
 def parse_version(text: str) -> Version:
-    """Parse a version; NO_VERSION where the text is none."""
+    """Parse a version. Return NO_VERSION where the text is not a version."""
     epoch, dot, serial = text.partition(".")
-    if dot and epoch.isdigit() and serial.isdigit() and len(text) < VERSION_TEXT_MAX:
+    if dot and epoch.isdigit() and serial.isdigit() and len(text) < VERSION_CHARACTERS_MAX:
         return Version(int(epoch), int(serial))
     return NO_VERSION
 
 
 class Stamp(NamedTuple):
-    """What goes with a delta.
+    """The version and digests of a delta.
 
-    `version` is the version it leads to, `base` the digest of the state it applies to
-    (WHOLE_STATE: any, since the delta replaces it) and `digest` the digest of the state it results
-    in.
+    `version` is the version of the resulting state and `digest` its digest. `base` is the digest of
+    the state that the delta applies to, or WHOLE_STATE where the delta replaces any state.
     """
 
     version: Version
@@ -82,7 +81,7 @@
 
 
 def parse_stamp(text: str) -> Stamp:
-    """Parse a stamp. Raises StampFormatError with what was expected."""
+    """Parse a stamp. Raises StampFormatError."""
     words = text.split(" ")
     version = parse_version(words[0])
     if (
@@ -92,5 +91,5 @@
         or not words[2].startswith(DIGEST_PREFIX)
     ):
         expected = "expected VERSION base=DIGEST digest=DIGEST"
-        raise StampFormatError(f"{expected}, got {text[:STAMP_SHOWN_MAX]!r}")
+        raise StampFormatError(f"{expected}, got {text[:STAMP_CHARACTERS_SHOWN_MAX]!r}")
     return Stamp(version, words[1].removeprefix(BASE_PREFIX), words[2].removeprefix(DIGEST_PREFIX))
--- a/tests/tables/test_table_log.py
+++ b/tests/tables/test_table_log.py
@@ -111,7 +111,7 @@
             for at in (1, 2, 3)
         ]
         foreign = other.frame([PublishedRecord("p", 1, 9, 0.0, [], {"level/k": 9})])
-        head = framer.head()
+        head = framer.header_line()
         self.assertEqual(len(read_segment(head + b"".join(frames)).records), 3)
         for frames_read in (
             [frames[0], frames[0]],
@@ -133,7 +133,7 @@
         ):
             (self.folder / name).write_bytes(data)
         log, problems = self.open()
-        foreign = "not a log of tables"
+        foreign = "not a table log"
         self.assertEqual(
             [reason for _, reason in problems], ["format 0: expected 1", foreign, foreign]
         )
--- a/tests/transcripts/test_tables_transcripts.py
+++ b/tests/transcripts/test_tables_transcripts.py
@@ -31,16 +31,16 @@
 
 
 def encode(record):
-    return log_records.ENCODER.encode([record])
+    return log_records.RECORD_ENCODER.encode([record])
 
 
 def decode(data):
-    return log_records.RECORDS.decode(data)
+    return log_records.RECORD_DECODER.decode(data)
 
 
 def segment(frames):
     framer = log_records.RecordFramer()
-    return framer.head() + b"".join(framer.frame(one) for one in frames)
+    return framer.header_line() + b"".join(framer.frame(one) for one in frames)
 
 
 def read(data):
