--- a/peatlead/tables/active_pin.py
+++ b/peatlead/tables/active_pin.py
@@ -1,35 +1,36 @@
-"""A pin on a controller's own clock."""
+"""A pin with its times on the clock of one controller."""
 
 from typing import Optional
 
 import msgspec
 
-from .pin import Pin, PinScope, rollout_position, share_of
+from .pin import Pin, PinScope, rollout_position, share_fraction
 
-EVERYONE = 2.0  # a rollout's extent that is past every position
+ROLLOUT_COMPLETE = 2.0  # greater than every rollout position
 
 
 class ActivePin:
-    """A pin that this controller knows, with its moments on this controller's monotonic clock.
+    """A pin known to this controller, ended or not, with its times on a monotonic clock.
 
-    Ages and remaining times are counted from when a pin was received: no clocks are compared.
+    The times are computed from the age and the remaining time at the moment the pin is received, so
+    that the clocks of different controllers are never compared.
     """
 
     __slots__ = ("pin", "created_at", "expires_at", "ended_at")
 
     def __init__(self, pin: Pin, now: float) -> None:
         self.pin = pin
-        self.created_at = now - pin.age  # when it was made
+        self.created_at = now - pin.age
         self.expires_at = now + pin.remaining
         self.ended_at = None if pin.ended_ago is None else now - pin.ended_ago
 
     @property
     def precedence(self) -> tuple[int, str]:
-        """Of several pins on one proxy the one with the greatest precedence counts."""
+        """The rank among pins on the same proxy: the pin with the greatest precedence applies."""
         return self.pin.sequence, self.pin.id
 
     def as_pin(self, now: float) -> Pin:
-        """Return the pin with its durations as of `now`, to be stored or sent."""
+        """Return the pin with its durations at `now`, for storage or gossip."""
         return msgspec.structs.replace(
             self.pin,
             age=now - self.created_at,
@@ -38,7 +39,7 @@
         )
 
     def end(self, now: float, over: Optional[float] = None) -> None:
-        """End the pin, by stages over `over` seconds or as it was rolled out."""
+        """End the pin in stages over `over` seconds, by default over the rollout's duration."""
         self.ended_at = now
         self.pin = msgspec.structs.replace(
             self.pin,
@@ -47,31 +48,34 @@
         )
 
     def covers(self, now: float, name: str, zone: str) -> bool:
-        """Return whether the pin holds a proxy now."""
-        if not self._names(name, zone):
+        """Return whether the pin applies to a proxy now."""
+        if not self._selects(name, zone):
             return False
         position = rollout_position(self.pin, name)
         if self.pin.whom == PinScope.SHARE:
-            share = share_of(self.pin)
+            share = share_fraction(self.pin)
             if position >= share:
                 return False
             position /= share
-        if self._extent(now - self.created_at) <= position:
+        if self._rollout_progress(now - self.created_at) <= position:
             return False
-        return self.ended_at is None or self._extent(now - self.ended_at) <= position
+        return self.ended_at is None or self._rollout_progress(now - self.ended_at) <= position
 
-    def _names(self, name: str, zone: str) -> bool:
+    def _selects(self, name: str, zone: str) -> bool:
+        """Return whether the proxy is in the pin's scope; the caller checks PinScope.SHARE."""
         if self.pin.whom == PinScope.PROXY:
             return name == self.pin.which
         if self.pin.whom == PinScope.ZONE:
             return zone == self.pin.which
         return True
 
-    def _extent(self, age: float) -> float:
-        """Return how far a rollout of that age has come; EVERYONE once it is complete."""
-        return EVERYONE if self.pin.over <= 0 or age >= self.pin.over else age / self.pin.over
+    def _rollout_progress(self, age: float) -> float:
+        """Return the position that a rollout of this age has reached, or ROLLOUT_COMPLETE."""
+        return (
+            ROLLOUT_COMPLETE if self.pin.over <= 0 or age >= self.pin.over else age / self.pin.over
+        )
 
     @property
     def settles_at(self) -> float:
-        """When the rollout, or its undoing, is complete."""
+        """When the rollout, or the staged end, is complete."""
         return (self.created_at if self.ended_at is None else self.ended_at) + self.pin.over
--- a/peatlead/tables/guard.py
+++ b/peatlead/tables/guard.py
@@ -1,17 +1,14 @@
-"""What a pinned proxy may be given now. No I/O: facts in, a table out.
+"""Restricts the past table of a pinned proxy to what is safe to publish now. No I/O.
 
-A table of the past is applied only as far as the present allows. In order:
+`guard` applies these rules in order:
 
-1. An endpoint that is withdrawn, not listed as ready, or named in no table of the planner is not
-   revived.
-2. An endpoint that is still ramping gets what the planner's own table for this proxy gives it, and
-   never a greater fraction of the table than there: the sum over all proxies is then no more than
-   planned.
-3. Where less than KEPT_WEIGHT_MIN of the pinned weight is left, too few endpoints would carry a
-   proxy's load: the endpoints of the planner's table are added.
-4. Where no endpoint that has finished its ramp is left, the planner's table applies as a whole.
-
-`guard` is the only entry point.
+1. An endpoint is left out if it is withdrawn, not listed as ready, or in no table of the planner.
+2. An endpoint that is still ramping up gets its weight in the planner's table for this proxy, and
+   at most the same fraction of the table as there. The endpoint's load from all proxies therefore
+   stays within the plan.
+3. If less than KEPT_WEIGHT_FRACTION_MIN of the pinned weight is left, too few endpoints would take
+   the proxy's load: the endpoints of the planner's table are added.
+4. If no endpoint that has finished its ramp is left, the planner's table is used instead.
 """
 
 from collections.abc import Collection, Mapping
@@ -22,14 +19,14 @@
 
 from ..interface import EndpointPhase
 
-KEPT_WEIGHT_MIN = 0.5  # of the pinned table's weight
-RAMPED_FRACTION = 0.999  # of the listed weight: an endpoint with this has finished its ramp
+KEPT_WEIGHT_FRACTION_MIN = 0.5  # of the pinned table's total weight
+RAMPED_FRACTION = 0.999  # of the listed weight: at or above it the ramp is finished
 
 Table = Mapping[int, float]  # endpoint -> weight
 
 
 class RestrictionReason(StrEnum):
-    """Why an endpoint is not as pinned. The values are shown to operators."""
+    """Why an endpoint does not get its pinned weight. The values are shown to operators."""
 
     DRAINING = "drains"
     GONE = "is gone"
@@ -41,11 +38,11 @@
 
 
 class GuardContext(NamedTuple):
-    """The facts about the present.
+    """The current state of all endpoints.
 
-    `phases` holds each listed endpoint's phase and `withdrawn` the endpoints that are withdrawn.
-    `parts` holds, for endpoints that the planner names at all, the greatest fraction of the listed
-    weight that any table gives them.
+    `phases` has the phase of each listed endpoint, `withdrawn` the withdrawn endpoints. `fractions`
+    has, for each endpoint in a table of the planner, its greatest weight in any table as a fraction
+    of its listed weight.
     """
 
     phases: Mapping[int, str]
@@ -54,59 +51,63 @@
 
 
 class GuardedTable(NamedTuple):
-    """A table to publish: its lines, what is not as pinned and why, and what was added."""
+    """A table to publish.
+
+    `restricted` has the endpoints that do not get their pinned weight, with the reason. `added` has
+    the endpoints that come from the planner's table.
+    """
 
     weights: dict[int, float]
     restricted: dict[int, RestrictionReason]
     added: tuple[int, ...]
 
 
-class _Restored(NamedTuple):
-    """What of a pinned table may come back."""
+class _PermittedTable(NamedTuple):
+    """The permitted part of a pinned table."""
 
     weights: dict[int, float]
     restricted: dict[int, RestrictionReason]
-    ramping: list[int]  # endpoints whose weight the planner's table decides
+    ramping: list[int]  # endpoints that get their weight from the planner's table
 
 
 def guard(pinned: Table, planned: Table, context: GuardContext) -> GuardedTable:
-    """Return the table to publish, given the pinned table and what the planner wants now."""
-    weights, restricted, ramping = _restore(pinned, planned, context)
-    filled: tuple[int, ...] = ()
-    if fsum(weights.values()) < KEPT_WEIGHT_MIN * fsum(pinned.values()):
-        filled = tuple(
+    """Return the table to publish, given the pinned table and the planner's present table."""
+    weights, restricted, ramping = _apply_restrictions(pinned, planned, context)
+    supplement: tuple[int, ...] = ()
+    if fsum(weights.values()) < KEPT_WEIGHT_FRACTION_MIN * fsum(pinned.values()):
+        supplement = tuple(
             endpoint for endpoint in planned if endpoint not in weights and endpoint not in ramping
         )
-        weights.update((endpoint, planned[endpoint]) for endpoint in filled)
+        weights.update((endpoint, planned[endpoint]) for endpoint in supplement)
     ramped = {
         endpoint for endpoint in weights if context.fractions.get(endpoint, 1.0) >= RAMPED_FRACTION
     }
     if not ramped:
-        added = tuple(endpoint for endpoint in planned if endpoint not in pinned)
-        return GuardedTable(dict(planned), restricted, added)
+        unpinned = tuple(endpoint for endpoint in planned if endpoint not in pinned)
+        return GuardedTable(dict(planned), restricted, unpinned)
     ramping += [endpoint for endpoint in weights if endpoint not in ramped]
     _limit_ramping(weights, ramping, planned)
-    return GuardedTable(weights, restricted, filled)
+    return GuardedTable(weights, restricted, supplement)
 
 
-def _restore(pinned: Table, planned: Table, context: GuardContext) -> _Restored:
-    """Split a pinned table into what comes back as it was, what does not, and what still ramps."""
-    restored = _Restored({}, {}, [])
+def _apply_restrictions(pinned: Table, planned: Table, context: GuardContext) -> _PermittedTable:
+    """Split a pinned table into unrestricted, restricted and still ramping endpoints."""
+    permitted = _PermittedTable({}, {}, [])
     for endpoint, weight in pinned.items():
-        reason = _removal_reason(endpoint, planned, context)
+        reason = _restriction_reason(endpoint, planned, context)
         if reason is None:
-            restored.weights[endpoint] = weight
+            permitted.weights[endpoint] = weight
         else:
-            restored.restricted[endpoint] = reason
+            permitted.restricted[endpoint] = reason
         if reason is RestrictionReason.RAMPING:
-            restored.ramping.append(endpoint)
-    return restored
+            permitted.ramping.append(endpoint)
+    return permitted
 
 
-def _removal_reason(
+def _restriction_reason(
     endpoint: int, planned: Table, context: GuardContext
 ) -> Optional[RestrictionReason]:
-    """Return why an endpoint may not come back with its pinned weight, or None."""
+    """Return why an endpoint may not get its pinned weight, or None."""
     phase = context.phases.get(endpoint)
     reason: Optional[RestrictionReason] = None
     if phase == EndpointPhase.DRAINING:
@@ -120,16 +121,16 @@
     elif endpoint not in context.fractions:
         reason = RestrictionReason.DROPPED
     elif context.fractions[endpoint] < RAMPED_FRACTION:
-        here = endpoint in planned
-        reason = RestrictionReason.RAMPING if here else RestrictionReason.RAMPING_ELSEWHERE
+        is_planned = endpoint in planned
+        reason = RestrictionReason.RAMPING if is_planned else RestrictionReason.RAMPING_ELSEWHERE
     return reason
 
 
 def _limit_ramping(weights: dict[int, float], ramping: Collection[int], planned: Table) -> None:
-    """Give ramping endpoints no greater fraction than the planner's table gives them."""
+    """Limit ramping endpoints to their fraction of the planner's table."""
     ramped_now = fsum(weight for endpoint, weight in weights.items() if endpoint not in ramping)
     ramped_planned = fsum(weight for endpoint, weight in planned.items() if endpoint not in ramping)
-    # Ramping weights count in the whole too: scaled like the others' sum they keep their fraction.
+    # Scaled like the total of the other weights, ramping weights keep their fraction of the table.
     scale = 1.0
     if ramped_planned and ramped_now < ramped_planned:
         scale = ramped_now / ramped_planned
--- a/peatlead/tables/pin.py
+++ b/peatlead/tables/pin.py
@@ -1,11 +1,11 @@
-"""A pin: an operator's order that holds proxies to a table of the past. No I/O, no clock.
+"""Pins: operators' orders to serve past tables to some proxies. No I/O and no clock.
 
-A pin names proxies, the state they are held to, and for how long. It takes effect in a staged
-rollout: each proxy has a position between 0 and 1, a hash of the pin's id and the proxy's name,
-and the pin has reached all positions below its age divided by `over`. Its end is staged alike. So
-a rollout has no state of its own: after a restart or a takeover the same proxies are pinned.
+A pin selects proxies, the past state that they get, and a duration. It takes effect in a staged
+rollout: the hash of the pin's id and a proxy's name gives the proxy a position from 0 to 1, and the
+pin applies to the positions below its age divided by `over`. Its end is staged in the same way. The
+rollout needs no stored state: after a restart or a takeover the same proxies are pinned.
 
-Pins are stored and gossiped as msgpack maps; the field names of that format are kept by `rename`.
+Pins are stored and gossiped as msgpack maps. `rename` maps fields to the names of that format.
 """
 
 from collections.abc import Sequence
@@ -17,26 +17,26 @@
 
 from .errors import PinError, PinFormatError
 
-ROLLOUT_MAX = 3600.0  # seconds
-LENGTH_MAX = 7 * 86_400.0  # seconds until a pin ends at the latest
-POSITION_BYTES = 6  # of the hash that gives a rollout position
+ROLLOUT_MAX = 3600.0  # seconds from the first proxy to the last
+DURATION_MAX = 7 * 86_400.0  # seconds until a pin ends
+POSITION_BYTES = 6  # of the hash that determines a rollout position
 
 
 class PinScope(StrEnum):
-    """Which proxies a pin names."""
+    """Which proxies a pin selects. The comments explain `Pin.which`."""
 
     ALL = "all"
-    ZONE = "zone"  # `which`: the zone's name
-    SHARE = "share"  # `which`: a fraction of all proxies, above 0 and up to 1
-    PROXY = "proxy"  # `which`: the proxy's name
+    ZONE = "zone"  # the zone's name
+    SHARE = "share"  # a fraction of all proxies, above 0 and up to 1
+    PROXY = "proxy"  # the proxy's name
 
 
 class PinTarget(StrEnum):
-    """What state proxies are held to."""
+    """Which state a pin gives the proxies. The comments explain `Pin.to`."""
 
-    HELD = "held"  # what they hold
-    BACK = "back"  # `to`: what they held that number of seconds before the pin was made
-    VERSION = "version"  # `to`: a version of one proxy
+    HELD = "held"  # no argument; the state of the proxy when the pin reaches it
+    BACK = "back"  # seconds; the state at that time before the pin was made
+    VERSION = "version"  # a version of the proxy; only with PinScope.PROXY
 
 
 class Pin(
@@ -44,34 +44,34 @@
     frozen=True,
     rename={"sequence": "stamp", "revision": "rev", "remaining": "left", "ended_ago": "ended"},
 ):
-    """A pin as it is stored and gossiped. Durations are in seconds, as of the moment of encoding.
+    """A pin as it is stored and gossiped. Durations are in seconds, at the time of encoding.
 
-    Scope and target stay plain texts: a pin with an unknown one is skipped, not a reason to refuse
-    a whole list.
+    `whom` and `target` are plain strings, so that a list with an unknown value can be decoded; the
+    pin with the unknown value is then ignored.
     """
 
-    id: str  # maker and number
-    sequence: int  # greater than that of all pins its maker knew
-    revision: int  # of this pin, increased by each change
+    id: str  # the creating controller's name and a number
+    sequence: int  # greater than those of all pins that the creating controller knew
+    revision: int  # increased by each change of this pin
     whom: str  # a PinScope
-    which: str  # the scope's argument
+    which: str  # the argument of the scope
     target: str  # a PinTarget
-    to: str  # the target's argument
-    over: float  # from the first to the last proxy
-    age: float
-    remaining: float
-    ended_ago: Optional[float] = None  # None: it has not ended
-    by: str = ""  # the operator, for people to read
+    to: str  # the argument of the target
+    over: float  # rollout duration, from the first proxy to the last
+    age: float  # since the pin was made
+    remaining: float  # until the pin ends
+    ended_ago: Optional[float] = None  # since the pin ended; None while it has not ended
+    by: str = ""  # the operator, for display
 
 
 def rollout_position(pin: Pin, name: str) -> float:
-    """Return a proxy's position in a pin's rollout: 0 to 1, the same at every controller."""
+    """Return a proxy's position in a pin's rollout, 0 to 1. It is the same at all controllers."""
     digest = blake3(f"{pin.id}\0{name}".encode()).digest(POSITION_BYTES)
     return int.from_bytes(digest, "big") / (1 << 8 * POSITION_BYTES)
 
 
-def share_of(pin: Pin) -> float:
-    """Return the fraction that a pin with PinScope.SHARE names; 0 where it is no number."""
+def share_fraction(pin: Pin) -> float:
+    """Return the fraction of proxies of a PinScope.SHARE pin; 0 where `which` is not a number."""
     try:
         return float(pin.which)
     except ValueError:
@@ -79,17 +79,17 @@
 
 
 def validate_pin(pin: Pin) -> None:
-    """Raise PinError where a pin's fields are out of range or contradict each other."""
+    """Raise PinError where a field is invalid or two fields contradict each other."""
     if pin.whom not in tuple(PinScope):
         raise PinError(f"expected all, a zone, a share or a proxy, got {pin.whom!r}")
-    if pin.whom == PinScope.SHARE and not 0 < share_of(pin) <= 1:
+    if pin.whom == PinScope.SHARE and not 0 < share_fraction(pin) <= 1:
         raise PinError(f"expected a share above 0 and up to 1, got {pin.which!r}")
     if pin.target not in tuple(PinTarget):
         raise PinError(f"expected held, back or version, got {pin.target!r}")
     if pin.target == PinTarget.VERSION and pin.whom != PinScope.PROXY:
-        raise PinError("expected one proxy: a version is one proxy's")
-    if not 0 <= pin.over <= ROLLOUT_MAX or not 0 < pin.remaining <= LENGTH_MAX:
-        expected = "expected stages of up to an hour and an end within a week"
+        raise PinError("expected a pin of one proxy: a version belongs to one proxy")
+    if not 0 <= pin.over <= ROLLOUT_MAX or not 0 < pin.remaining <= DURATION_MAX:
+        expected = "expected a rollout of up to an hour and a duration of up to a week"
         raise PinError(f"{expected}, got {pin.over} s and {pin.remaining} s")
 
 
@@ -98,7 +98,7 @@
     try:
         return msgspec.msgpack.decode(data, type=list[Pin])
     except msgspec.MsgspecError as error:
-        raise PinFormatError(f"expected pins: {error}") from None
+        raise PinFormatError(f"expected a list of pins: {error}") from None
 
 
 def encode_pins(pins: Sequence[Pin]) -> bytes:
--- a/peatlead/tables/pins.py
+++ b/peatlead/tables/pins.py
@@ -1,10 +1,10 @@
-"""The pins that one controller knows, merged with what other controllers send. No I/O, no clock.
+"""The pins that a controller knows, merged with those of other controllers. No I/O and no clock.
 
-Each pin has a revision that only increases. Where two revisions are equal (two operators changed
-it at once, at two controllers) the one that has ended, or whose rollout is longer, wins at every
-controller. Of two pins on one proxy the one made later counts.
+The revision of a pin only increases. If two controllers change a pin at the same time, both changes
+have the same revision; all controllers then keep the state that has ended, or else the one with the
+longer rollout. If two pins apply to a proxy, the one made later takes effect.
 
-A pin and its encoding live in `pin` and `active_pin`; they are re-exported here.
+The names of `pin` and `active_pin` that other packages use are re-exported here.
 """
 
 from collections.abc import Iterable
@@ -31,25 +31,25 @@
 ]
 
 PINS_MAX = 32  # pins that have not ended
-KNOWN_PINS_MAX = 4 * PINS_MAX  # ended ones too: they are remembered, so that none is revived
-FORGET_AFTER = 600.0  # seconds that an ended pin is remembered after its rollout
-REMAINING_MIN = 0.001  # seconds: an ended pin's remaining time of 0 is valid
-REPUBLISH_INTERVAL = (
-    1.5  # seconds between two updates of a pinned proxy, unless an endpoint must be removed
-)
+KNOWN_PINS_MAX = 4 * PINS_MAX  # including ended pins
+FORGET_AFTER = 600.0  # seconds after the end and its rollout until a pin is removed
+REMAINING_MIN = 0.001  # seconds; stands for 0 when a received ended pin is validated
+# Seconds between two updates of a pinned proxy, except for updates that remove an endpoint.
+REPUBLISH_INTERVAL = 1.5
 
 
 class Pins:
-    """One controller's pins by id.
+    """The pins known to one controller, by id.
 
-    `me` is the controller's name. `start` differs between its starts, so that a new pin of a
-    controller that lost its pins is not taken for an ended one that other controllers still
-    remember.
+    Ended pins are remembered for a while, so that an older state from another controller does not
+    revive them. Pin ids contain `controller_name` and `start_suffix`. The suffix differs between
+    starts of a controller: if the controller lost its pins, a new pin must not get the id of an
+    ended pin that other controllers remember.
     """
 
-    def __init__(self, me: str, start: str = "") -> None:
-        self.me = me
-        self.start = start
+    def __init__(self, controller_name: str, start_suffix: str = "") -> None:
+        self.controller_name = controller_name
+        self.start_suffix = start_suffix
         self.by_id: dict[str, ActivePin] = {}
         self._newest_sequence = 0
 
@@ -66,10 +66,12 @@
     ) -> Pin:
         """Make a pin that ends after `length` seconds. Raises PinError."""
         if len(self.unended()) >= PINS_MAX:
-            raise PinError(f"expected at most {PINS_MAX} pins at a time: resume one first")
+            raise PinError(
+                f"expected at most {PINS_MAX} pins at a time: end one with `resume` first"
+            )
         sequence = self._next_sequence()
         pin = Pin(
-            id=f"{self.me}-{sequence}{self.start}",
+            id=f"{self.controller_name}-{sequence}{self.start_suffix}",
             sequence=sequence,
             revision=1,
             whom=whom,
@@ -91,10 +93,13 @@
         return self._newest_sequence
 
     def resume(self, now: float, pin_id: str, over: Optional[float] = None) -> Pin:
-        """End a pin, by stages over `over` seconds or as it was rolled out. Raises PinError."""
+        """End a pin in stages over `over` seconds, by default over the rollout's duration.
+
+        Raises PinError where the pin is not known.
+        """
         active = self.by_id.get(pin_id)
         if active is None:
-            known = ", ".join(sorted(self.unended())) or "no pin at all"
+            known = ", ".join(sorted(self.unended())) or "no pin"
             raise PinError(f"expected one of {known}, got {pin_id!r}")
         if active.ended_at is None:
             active.end(now, over)
@@ -111,7 +116,7 @@
         return changed
 
     def expire(self, now: float) -> list[str]:
-        """End pins whose time is over and forget old ones; return the ids of the former."""
+        """End expired pins and remove pins that ended long ago. Return the expired pins' ids."""
         expired = [active for active in self.unended().values() if now >= active.expires_at]
         for active in expired:
             active.end(now)
@@ -123,7 +128,7 @@
         return [active.pin.id for active in expired]
 
     def pin_for(self, now: float, name: str, zone: str) -> Optional[ActivePin]:
-        """Return the pin that counts for a proxy now, if any."""
+        """Return the pin that applies to a proxy now, or None."""
         chosen: Optional[ActivePin] = None
         for active in self.by_id.values():
             if (chosen is None or active.precedence > chosen.precedence) and active.covers(
@@ -137,11 +142,11 @@
         return {pin_id: active for pin_id, active in self.by_id.items() if active.ended_at is None}
 
     def snapshot(self, now: float) -> list[Pin]:
-        """Return all pins in order of id, as they are to be stored or sent now."""
+        """Return all pins in order of id, with their durations at `now`."""
         return [active.as_pin(now) for _, active in sorted(self.by_id.items())]
 
     def _is_newer(self, pin: Pin) -> bool:
-        """Return whether a received pin is valid and replaces, or adds to, what is known."""
+        """Return whether a received pin is valid, and new or newer than the known state."""
         try:
             validate_pin(msgspec.structs.replace(pin, remaining=max(pin.remaining, REMAINING_MIN)))
         except PinError:
@@ -153,5 +158,5 @@
 
 
 def _merge_order(pin: Pin) -> tuple[int, bool, float]:
-    """Of two states of one pin the greater wins."""
+    """Return the sort key of a pin's state: of two states, the greater one is kept."""
     return pin.revision, pin.ended_ago is not None, pin.over
--- a/peatlead/tables/replica.py
+++ b/peatlead/tables/replica.py
@@ -1,8 +1,8 @@
 """A proxy's replica of its versioned tables. No I/O.
 
-A delta is applied as a whole or not at all: it is applied to a copy, the copy's digest is compared
-with the stamp's, and only then does the copy replace the state. A delta that does not fit is
-refused with the reason, and the sender continues from what the proxy has, or with the whole state.
+A delta is applied atomically: it is applied to a copy, and the copy replaces the state only if its
+digest equals the digest in the stamp. Otherwise the delta is refused with a reason, and the sender
+continues with a delta from the proxy's actual state or with the whole state.
 """
 
 from collections.abc import Mapping
@@ -15,12 +15,12 @@
 
 
 class DeltaOutcome(StrEnum):
-    """What became of a delta. The values are sent to the controller as the reason of a refusal."""
+    """The result of applying a delta. Refusals send the value to the controller as the reason."""
 
     APPLIED = "applied"
-    OLD = "old"  # not newer than what was seen: ignored without an answer
-    BASE = "base differs"  # the delta is for another state than the replica's
-    DIGEST = "digest differs"  # the result would not be what the sender meant
+    OLD = "old"  # not newer than the replica's version: ignored without an answer
+    BASE = "base differs"  # the delta applies to a state other than the replica's
+    DIGEST = "digest differs"  # the resulting state would differ from the sender's
 
 
 APPLIED = DeltaOutcome.APPLIED
@@ -30,10 +30,10 @@
 
 
 class Replica:
-    """The replica's state by part, and the newest version that it has seen.
+    """The replica's state by part.
 
-    Older versions are refused, so that a controller that has lost ownership cannot overwrite the
-    state; see `peatlead.fleet.ownership`.
+    Versions up to `newest_version` are refused, so that a controller that has lost ownership of the
+    proxy cannot overwrite the state; see `peatlead.fleet.ownership`.
     """
 
     def __init__(self) -> None:
@@ -42,9 +42,9 @@
         self.newest_version = NO_VERSION
 
     def apply_delta(
-        self, part: str, stamp: Stamp, moved: Mapping[str, Optional[ItemValue]]
+        self, part: str, stamp: Stamp, item_changes: Mapping[str, Optional[ItemValue]]
     ) -> DeltaOutcome:
-        """Apply a delta that sets the items in `moved`, or removes them where None."""
+        """Apply a delta that sets the items in `item_changes`; None removes an item."""
         if stamp.version <= self.newest_version:
             return DeltaOutcome.OLD
         if stamp.base == WHOLE_STATE:
@@ -55,7 +55,7 @@
             digest = self.digests[part].copy()
         else:
             return DeltaOutcome.BASE
-        _apply(items, digest, moved)
+        _apply_changes(items, digest, item_changes)
         if str(digest) != stamp.digest:
             return DeltaOutcome.DIGEST
         self.parts[part] = items
@@ -64,16 +64,18 @@
         return DeltaOutcome.APPLIED
 
     def is_consistent(self, part: str) -> bool:
-        """Return whether a part's items still have the digest that was kept of them."""
+        """Return whether the items of a part still match the stored digest of that part."""
         return str(Digest(self.parts[part])) == str(self.digests[part])
 
     def reject_up_to(self, version: Version) -> None:
-        """Refuse versions up to this one from now on."""
+        """Refuse versions up to and including this one from now on."""
         self.newest_version = max(self.newest_version, version)
 
 
-def _apply(items: Items, digest: Digest, moved: Mapping[str, Optional[ItemValue]]) -> None:
-    for key, value in moved.items():
+def _apply_changes(
+    items: Items, digest: Digest, item_changes: Mapping[str, Optional[ItemValue]]
+) -> None:
+    for key, value in item_changes.items():
         digest.update(key, items.get(key), value)
         if value is None:
             items.pop(key, None)
