--- a/tests/tables/test_guard.py
+++ b/tests/tables/test_guard.py
@@ -1,4 +1,4 @@
-"""The guard between a pinned table and what is published."""
+"""The guard, which restricts the past tables of pinned proxies."""
 
 import unittest
 
@@ -7,7 +7,7 @@
 
 from peatlead.tables.guard import GuardContext, guard
 
-from .. import places  # noqa: F401  (it loads the profile of hypothesis)
+from .. import places  # noqa: F401  (loads the hypothesis profile)
 
 ENDPOINTS = range(6)
 TABLES = st.dictionaries(st.sampled_from(ENDPOINTS), st.sampled_from([0.5, 1.0, 2.0]), max_size=6)
@@ -22,7 +22,7 @@
 
 
 class GuardTest(unittest.TestCase):
-    def test_draining_gone_dropped_and_unlisted_endpoints_are_not_revived(self):
+    def test_draining_gone_withdrawn_dropped_and_unlisted_endpoints_are_left_out(self):
         phases = {0: "ready", 1: "draining", 2: "gone", 3: "ready", 4: "ready"}
         pinned = dict.fromkeys(range(6), 1.0)
         guarded = guard(
@@ -35,12 +35,12 @@
         self.assertIn("drains", guarded.restricted[1])
         self.assertIn("dropped", guarded.restricted[3])
 
-    def test_endpoints_added_since_stay_out_and_old_weights_are_restored(self):
+    def test_old_weights_are_restored_without_endpoints_that_were_added_later(self):
         self.assertEqual(
             guard({0: 2.0, 1: 1.0}, {0: 1.0, 1: 1.0, 5: 4.0}, context()).weights, {0: 2.0, 1: 1.0}
         )
 
-    def test_a_ramping_endpoint_gets_at_most_the_share_the_planner_gives_it(self):
+    def test_ramping_endpoint_gets_at_most_its_fraction_of_the_planners_table(self):
         fractions = {**dict.fromkeys(ENDPOINTS, 1.0), 3: 0.12}
         guarded = guard({0: 1.0, 3: 1.0}, {0: 1.0, 1: 1.0, 3: 0.12}, context(fractions=fractions))
         self.assertAlmostEqual(guarded.weights[3] / sum(guarded.weights.values()), 0.12 / 2.12)
@@ -48,7 +48,7 @@
             3, guard({0: 1.0, 3: 1.0}, {0: 1.0, 1: 1.0}, context(fractions=fractions)).weights
         )
 
-    def test_a_small_rest_is_filled_up_and_an_empty_one_replaced_by_the_planners_table(self):
+    def test_planners_endpoints_are_added_if_little_weight_is_left_or_replace_an_empty_table(self):
         phases = {**dict.fromkeys(ENDPOINTS, "ready"), 1: "gone", 2: "gone"}
         pinned = {0: 1.0, 1: 1.0, 2: 1.0}
         self.assertEqual(
@@ -63,11 +63,11 @@
         st.sets(st.sampled_from(ENDPOINTS)),
         st.sets(st.sampled_from(ENDPOINTS)),
     )
-    def test_never_empty_never_reviving_and_never_ramping_faster_than_the_planner(
+    def test_tables_are_not_empty_revive_no_endpoint_and_do_not_exceed_planned_ramps(
         self, pinned, planned, gone, dropped, ramping
     ):
-        dropped -= planned.keys()  # what the planner's table names, it names somewhere
-        known = context(
+        dropped -= planned.keys()  # an endpoint in the planner's table is not dropped
+        facts = context(
             {endpoint: "gone" if endpoint in gone else "ready" for endpoint in ENDPOINTS},
             fractions={
                 endpoint: 0.2 if endpoint in ramping else 1.0
@@ -75,15 +75,15 @@
                 if endpoint not in dropped
             },
         )
-        lines = guard(pinned, planned, known).weights
-        self.assertEqual(bool(lines), bool(lines) if pinned else bool(planned))
+        weights = guard(pinned, planned, facts).weights
+        self.assertEqual(bool(weights), bool(weights) if pinned else bool(planned))
         if planned:
-            self.assertTrue(lines)
-        for endpoint in lines:
+            self.assertTrue(weights)
+        for endpoint in weights:
             self.assertTrue(
-                endpoint in planned or endpoint not in gone | dropped, (endpoint, lines)
+                endpoint in planned or endpoint not in gone | dropped, (endpoint, weights)
             )
-        for endpoint in ramping & lines.keys():
-            part = lines[endpoint] / sum(lines.values())
+        for endpoint in ramping & weights.keys():
+            fraction = weights[endpoint] / sum(weights.values())
             self.assertIn(endpoint, planned)
-            self.assertLessEqual(part, planned[endpoint] / sum(planned.values()) + 1e-9)
+            self.assertLessEqual(fraction, planned[endpoint] / sum(planned.values()) + 1e-9)
--- a/tests/tables/test_history.py
+++ b/tests/tables/test_history.py
@@ -1,4 +1,4 @@
-"""Histories of proxies and their bounds."""
+"""Histories of proxies and their limits."""
 
 import unittest
 
@@ -15,7 +15,7 @@
 
 
 def store_of(states, store=None, name="p", epoch=1):
-    """A store with one version for each state, a second apart."""
+    """Return a store with one version per state, published a second apart."""
     store = store or Store()
     for index, state in enumerate(states):
         store.commit(
@@ -30,7 +30,7 @@
 
 class HistoryTest(unittest.TestCase):
     @given(STATES)
-    def test_every_version_is_restored_with_its_digest(self, states):
+    def test_every_version_can_be_restored_with_its_digest(self, states):
         history = store_of(states).histories["p"]
         for index, state in enumerate(states):
             version = Version(1, index + 1)
@@ -39,23 +39,23 @@
             self.assertEqual(history.at_time(index + 0.5), (version, state))
 
     @given(STATES, st.randoms())
-    def test_the_digest_depends_on_the_state_alone(self, states, rng):
+    def test_digest_depends_on_the_state_only(self, states, rng):
         last = states[-1]
         other = store_of([*rng.sample(states, len(states)), last])
         self.assertEqual(
             str(store_of(states).histories["p"].digest), str(other.histories["p"].digest)
         )
 
-    def test_versions_only_increase(self):
+    def test_older_versions_are_rejected(self):
         history = History()
         history.commit(Version(2, 5), 0.0, (), {"level/k": 1})
-        for old in (Version(2, 5), Version(2, 4), Version(1, 900)):
+        for old_version in (Version(2, 5), Version(2, 4), Version(1, 900)):
             with self.assertRaises(ValueError):
-                history.commit(old, 1.0, (), {"level/k": 2})
+                history.commit(old_version, 1.0, (), {"level/k": 2})
         history.commit(Version(3, 1), 1.0, (), {"level/k": 2})
         self.assertEqual(history.items, {"level/k": 2})
 
-    def test_a_clock_set_back_changes_neither_order_nor_bounds(self):
+    def test_clock_set_back_changes_neither_order_nor_limits(self):
         store = Store(age_max=50.0)
         for index, wall_time in enumerate((1000.0, 1010.0, 200.0, 210.0, 220.0)):
             store.commit("p", Version(1, index + 1), wall_time, (), {"level/k": index})
@@ -66,30 +66,30 @@
         self.assertEqual(store.histories["p"].at_time(215.0)[0], Version(1, 4))
 
 
-class StoreBoundsTest(unittest.TestCase):
-    def test_bounds_drop_the_oldest_entries_and_never_the_newest_state(self):
-        for bounds in (
+class StoreLimitsTest(unittest.TestCase):
+    def test_limits_drop_the_oldest_entries_but_not_the_newest_state(self):
+        for limits in (
             {"versions_per_proxy": 3},
             {"versions_max": 3},
             {"age_max": 2.5},
             {"bytes_max": 1100},
         ):
-            store = store_of([{"level/k": level} for level in range(1, 11)], Store(**bounds))
+            store = store_of([{"level/k": level} for level in range(1, 11)], Store(**limits))
             history = store.histories["p"]
             self.assertEqual(
-                [entry.version.serial for entry in history.entries], [8, 9, 10], bounds
+                [entry.version.serial for entry in history.entries], [8, 9, 10], limits
             )
             self.assertEqual(history.items, {"level/k": 10})
             self.assertEqual(
                 history.at_version(Version(1, 7)), {"level/k": 7}
-            )  # the farthest that can be restored
+            )  # the oldest restorable version
             with self.assertRaises(UnknownVersionError):
                 history.at_version(Version(1, 6))
             with self.assertRaises(UnknownVersionError):
                 history.at_time(5.0)
             self.assertEqual((store.entry_count, store.dropped), (3, 7))
 
-    def test_of_disconnected_proxies_the_first_that_left_is_forgotten_first(self):
+    def test_history_of_the_earliest_disconnected_proxy_is_dropped_first(self):
         store = Store(proxies_max=3)
         for name in "abc":
             store.commit(name, Version(1, 1), 0.0, (), {"level/k": 1})
@@ -97,13 +97,13 @@
             store.mark_disconnected(name)
         store.history("d")
         self.assertEqual(sorted(store.histories), ["a", "c", "d"])
-        store.history("a")  # connected again
+        store.history("a")  # reconnected
         store.history("e")
         self.assertEqual(
             sorted(store.histories), ["a", "c", "d", "e"]
-        )  # connected proxies are never forgotten
+        )  # histories of connected proxies stay
 
-    def test_references_to_dropped_entries_do_not_pile_up_behind_an_old_entry(self):
+    def test_references_to_dropped_entries_do_not_accumulate_behind_an_old_entry(self):
         store = Store(versions_per_proxy=10)
         store.commit("idle", Version(1, 1), 0.0, (), {"level/k": 1})
         for serial in range(1, 5001):
--- a/tests/tables/test_pins.py
+++ b/tests/tables/test_pins.py
@@ -1,4 +1,4 @@
-"""Pins: their rollout, their end, and their exchange among controllers."""
+"""Pins: staged rollout and end, and exchange between controllers."""
 
 import unittest
 
@@ -7,11 +7,11 @@
 
 from peatlead.tables.pins import PinError, Pins, decode_pins, encode_pins, rollout_position
 
-from .. import places  # noqa: F401  (it loads the profile of hypothesis)
+from .. import places  # noqa: F401  (loads the hypothesis profile)
 
 
 class PinsTest(unittest.TestCase):
-    def test_a_rollout_reaches_the_same_proxies_everywhere_and_finally_all(self):
+    def test_rollout_is_the_same_at_all_controllers_and_finally_covers_all_proxies(self):
         pins, other = Pins("ns1"), Pins("ns2")
         pin = pins.make(10.0, "all", over=10.0)
         other.merge(500.0, decode_pins(encode_pins(pins.snapshot(13.0))))
@@ -21,7 +21,7 @@
         self.assertEqual(early, {name for name in names if rollout_position(pin, name) < 0.3})
         self.assertEqual(len([name for name in names if pins.pin_for(20.0, name, "a")]), 200)
 
-    def test_scopes_are_one_proxy_a_zone_and_a_share(self):
+    def test_scopes_select_one_proxy_a_zone_or_a_share(self):
         pins = Pins("ns1")
         pins.make(0.0, "zone", "a", over=0.0)
         self.assertTrue(pins.pin_for(0.0, "x", "a"))
@@ -33,7 +33,7 @@
         count = sum(bool(share.pin_for(0.0, f"proxy{number}", "a")) for number in range(1000))
         self.assertTrue(200 < count < 300, count)
 
-    def test_a_pin_ends_by_time_and_by_hand_in_stages(self):
+    def test_pin_ends_by_expiry_or_by_an_operator_in_stages(self):
         pins = Pins("ns1")
         pin = pins.make(0.0, "all", over=0.0, length=60.0)
         self.assertEqual(pins.expire(59.0), [])
@@ -47,16 +47,16 @@
         self.assertTrue(70 < len(unpinned) < 130, len(unpinned))
         self.assertFalse(any(pins.pin_for(160.0, f"proxy{number}", "a") for number in range(200)))
 
-    def test_of_two_pins_the_later_counts_and_its_end_uncovers_the_other(self):
+    def test_later_of_two_pins_applies_until_its_end_and_then_the_other(self):
         one, other = Pins("ns1"), Pins("ns2")
         first = one.make(0.0, "all", over=0.0)
         second = other.make(0.0, "all", target="back", to="9", over=0.0)
         one.merge(1.0, other.snapshot(1.0))
         other.merge(1.0, one.snapshot(1.0))
         self.assertEqual(one.pin_for(1.0, "x", "a").pin.id, other.pin_for(1.0, "x", "a").pin.id)
-        counts = one.pin_for(1.0, "x", "a").pin.id
-        one.resume(2.0, counts)
-        self.assertEqual({one.pin_for(2.0, "x", "a").pin.id, counts}, {first.id, second.id})
+        later_id = one.pin_for(1.0, "x", "a").pin.id
+        one.resume(2.0, later_id)
+        self.assertEqual({one.pin_for(2.0, "x", "a").pin.id, later_id}, {first.id, second.id})
 
     @given(
         st.lists(
@@ -69,38 +69,44 @@
         )
     )
     def test_controllers_agree_after_exchanging_pins_in_any_order(self, steps):
-        nodes = [Pins(f"ns{number}") for number in range(3)]
+        controllers = [Pins(f"ns{number}") for number in range(3)]
         for index, (step, one, other) in enumerate(steps):
             now = float(index)
             if step == "make":
-                nodes[one].make(now, "all", over=0.0)
-            elif step == "resume" and nodes[one].unended():
-                nodes[one].resume(now, sorted(nodes[one].unended())[0])
+                controllers[one].make(now, "all", over=0.0)
+            elif step == "resume" and controllers[one].unended():
+                controllers[one].resume(now, sorted(controllers[one].unended())[0])
             elif step == "send":
-                nodes[other].merge(now, nodes[one].snapshot(now))
+                controllers[other].merge(now, controllers[one].snapshot(now))
         for _ in range(3):
-            for one in nodes:
-                for other in nodes:
+            for one in controllers:
+                for other in controllers:
                     other.merge(99.0, one.snapshot(99.0))
-        views = [
-            {key: (held.pin.revision, held.ended_at is None) for key, held in node.by_id.items()}
-            for node in nodes
+        states = [
+            {
+                key: (active.pin.revision, active.ended_at is None)
+                for key, active in controller.by_id.items()
+            }
+            for controller in controllers
         ]
-        self.assertEqual(views[0], views[1])
-        self.assertEqual(views[1], views[2])
+        self.assertEqual(states[0], states[1])
+        self.assertEqual(states[1], states[2])
         self.assertEqual(
             *[
-                {(found.pin.id if found else None) for found in [node.pin_for(99.0, "x", "a")]}
-                for node in nodes[:2]
+                {
+                    (found.pin.id if found else None)
+                    for found in [controller.pin_for(99.0, "x", "a")]
+                }
+                for controller in controllers[:2]
             ]
         )
 
-    def test_a_new_pin_of_a_controller_that_lost_its_pins_is_not_taken_for_an_ended_one(self):
+    def test_new_pin_after_the_loss_of_stored_pins_differs_from_ended_pins(self):
         first, other = Pins("ns1", "-a"), Pins("ns2", "-b")
         pin = first.make(0.0, "all", over=0.0)
         first.resume(1.0, pin.id)
         other.merge(1.0, first.snapshot(1.0))
-        restarted = Pins("ns1", "-c")  # restarted, its disk gone
+        restarted = Pins("ns1", "-c")  # restarted with an empty disk
         made = restarted.make(2.0, "all", over=0.0)
         restarted.merge(2.0, other.snapshot(2.0))
         other.merge(2.0, restarted.snapshot(2.0))
@@ -117,7 +123,7 @@
         self.assertFalse(pins.merge(2.0, old.snapshot(2.0)))
         self.assertIsNone(pins.pin_for(2.0, "x", "a"))
 
-    def test_invalid_pins_are_refused(self):
+    def test_invalid_pins_are_rejected(self):
         pins = Pins("ns1")
         for invalid in (
             {"whom": "some"},
--- a/tests/tables/test_replica.py
+++ b/tests/tables/test_replica.py
@@ -1,4 +1,4 @@
-"""Deltas between a controller and a proxy's replica."""
+"""Deltas from a controller to the replica of a proxy."""
 
 import random
 import unittest
@@ -13,7 +13,7 @@
 from peatlead.tables.replica import APPLIED, BASE, DIGEST, OLD, Replica
 from peatlead.tables.version import WHOLE_STATE, Digest, Stamp, Version, changes
 
-from .. import places  # noqa: F401  (it loads the profile of hypothesis)
+from .. import places  # noqa: F401  (loads the hypothesis profile)
 
 
 def line(number, weight=None):
@@ -25,14 +25,14 @@
 
 
 class DeltasTest(unittest.TestCase):
-    """A controller's `Incremental` sends, a proxy's `Replica` receives, with faults in between."""
+    """`Incremental` of a controller sends deltas to the `Replica` of a proxy, with faults."""
 
     def setUp(self):
         self.wanted, self.replica = {}, Replica()
         self.connect(1)
 
     def connect(self, epoch):
-        """Open a new stream: what was in flight is lost; the proxy sends what it holds."""
+        """Open a new stream: messages in flight are lost; the proxy sends the versions of its items."""
         self.sender = Incremental(
             epoch,
             lambda part: self.wanted if part == "line" else {},
@@ -40,20 +40,22 @@
             lambda version, parts: None,
         )
         self.replica.reject_up_to(Version(epoch - 1, 1 << 40))
-        first = discovery_pb2.DeltaDiscoveryRequest(type_url=LINES, resource_names_subscribe=["*"])
+        first_request = discovery_pb2.DeltaDiscoveryRequest(
+            type_url=LINES, resource_names_subscribe=["*"]
+        )
         for key, value in self.replica.parts["line"].items():
-            first.initial_resource_versions[resource_name(key)] = str(value)
-        self.responses, self.requests = deque(self.sender.take(first)), deque()
+            first_request.initial_resource_versions[resource_name(key)] = str(value)
+        self.responses, self.requests = deque(self.sender.take(first_request)), deque()
 
     def change(self, wanted):
         self.wanted = wanted
         self.responses.extend(self.sender.changed(LINES))
 
     def deliver(self, response, answer=True):
-        type_url, moved, stamp = decode_delta(
+        type_url, item_changes, stamp = decode_delta(
             discovery_pb2.DeltaDiscoveryResponse.FromString(response.SerializeToString())
         )
-        outcome = self.replica.apply_delta(PART_BY_TYPE[type_url], stamp, moved)
+        outcome = self.replica.apply_delta(PART_BY_TYPE[type_url], stamp, item_changes)
         if answer and outcome != OLD:
             request = discovery_pb2.DeltaDiscoveryRequest(
                 type_url=type_url, response_nonce=response.nonce
@@ -83,17 +85,17 @@
         self.settle()
         self.assertEqual((self.sender.sent, self.held_items()), (12, self.wanted))
 
-    def test_versions_missed_while_one_is_in_flight_are_sent_as_their_sum(self):
+    def test_changes_during_a_delta_in_flight_are_sent_as_one_delta(self):
         self.change({line(1): 1000})
-        late = self.responses.popleft()
+        first_delta = self.responses.popleft()
         for weight in (1, 2, 3):
             self.change({line(1): 1000, line(2): weight})
-        self.assertFalse(self.responses)  # one is under way at a time
-        self.deliver(late)
+        self.assertFalse(self.responses)  # at most one delta is in flight
+        self.deliver(first_delta)
         self.settle()
         self.assertEqual((self.held_items(), self.sender.sent), (self.wanted, 2))
 
-    def test_a_proxy_that_returns_to_another_owner_gets_only_what_differs(self):
+    def test_proxy_that_joins_another_owner_gets_only_the_difference(self):
         self.change({line(number): 1000 for number in range(5)})
         self.settle()
         self.wanted = {line(number): 1000 for number in range(1, 7)}
@@ -104,10 +106,10 @@
         self.settle()
         self.assertEqual(self.held_items(), self.wanted)
 
-    def test_corrupted_state_is_detected_and_replaced_as_a_whole(self):
+    def test_corrupted_state_is_detected_and_replaced(self):
         self.change({line(number): 1000 for number in range(5)})
         self.settle()
-        self.replica.parts["line"][line(2)] = 9  # a bit flipped: the digest it keeps does not know
+        self.replica.parts["line"][line(2)] = 9  # the stored digest stays the same
         self.assertFalse(self.replica.is_consistent("line"))
         self.change({**self.wanted, line(2): 2000})
         self.assertEqual(self.deliver(self.responses.popleft()), DIGEST)
@@ -115,7 +117,7 @@
         self.assertEqual((self.held_items(), self.sender.wholes), (self.wanted, 1))
         self.assertTrue(self.replica.is_consistent("line"))
 
-    def test_a_proxy_that_always_refuses_is_reported_and_retried_a_bounded_number_of_times(self):
+    def test_proxy_that_refuses_all_deltas_is_reported_and_retried_a_limited_number_of_times(self):
         self.change({line(1): 1000})
         for _ in range(20):
             if not self.responses:
@@ -127,10 +129,10 @@
             request.error_detail.message = DIGEST
             self.responses.extend(self.sender.take(request))
         self.assertEqual(len(self.sender.refusals), MAX_FULL_RESYNCS + 1)
-        self.change({line(1): 2000})  # a new state is tried again
+        self.change({line(1): 2000})  # a new state is sent again
         self.assertTrue(self.responses)
 
-    def test_deltas_with_unknown_base_and_repeated_deltas_change_nothing(self):
+    def test_deltas_with_an_unknown_base_and_repeated_deltas_change_nothing(self):
         self.change({line(1): 1000})
         self.settle()
         before = dict(self.held_items())
@@ -157,7 +159,7 @@
     )
     @example(["change", "deliver", "flip", "reconnect", "twice"], 0)
     @example(["change"] * 7 + ["deliver", "flip", "change", "answer", "deliver"], 2218)
-    def test_despite_late_repeated_reordered_lost_or_corrupted_deltas_the_replica_converges(
+    def test_replica_converges_despite_late_repeated_reordered_or_lost_deltas_and_corruption(
         self, steps, seed
     ):
         self.setUp()
@@ -174,24 +176,24 @@
                 delivered.append(response)
                 outcome = self.deliver(response)
                 if outcome == APPLIED:
-                    # A flipped entry that no delta touches is found by `is_consistent` alone, never by `apply_delta`: until then
-                    # the digest that the replica reports must be a known one, and after it the content as well.
+                    # Only `is_consistent` detects a corrupted item that no delta changes. The reported
+                    # digest must belong to a published state in any case, the items only if consistent.
                     known = published | {str(Digest({})): True}
                     self.assertIn(str(self.replica.digests["line"]), known)
                     if self.replica.is_consistent("line"):
                         self.assertIn(str(Digest(self.held_items())), known)
                 if step == "twice":
-                    # A delta that was refused is refused again, for the same reason; one that was
-                    # applied is old by now. Either way the second one changes nothing.
+                    # A refused delta is refused again for the same reason; an applied delta is old
+                    # the second time. Neither changes the state.
                     before = self.held_items().copy(), str(self.replica.digests["line"])
-                    again = self.deliver(response, answer=False)
-                    self.assertEqual(again, OLD if outcome == APPLIED else outcome)
+                    second_outcome = self.deliver(response, answer=False)
+                    self.assertEqual(second_outcome, OLD if outcome == APPLIED else outcome)
                     self.assertEqual((self.held_items(), str(self.replica.digests["line"])), before)
             elif step == "answer" and self.requests:
                 self.responses.extend(self.sender.take(self.requests.popleft()))
             elif step == "drop" and self.responses:
                 epoch += 2
-                self.connect(epoch)  # over TCP what is lost ends the stream
+                self.connect(epoch)  # over TCP a lost message ends the stream
             elif step == "swap" and delivered:
                 self.assertIn(
                     self.deliver(rng.choice(delivered), answer=False), (OLD, BASE, DIGEST)
@@ -202,7 +204,7 @@
             elif step == "reconnect":
                 epoch += 2
                 self.connect(epoch)
-        if not self.replica.is_consistent("line"):  # it finds out by itself or by the next delta
+        if not self.replica.is_consistent("line"):  # the proxy detects the corruption
             self.replica.parts["line"], self.replica.digests["line"] = {}, Digest()
             self.connect(epoch + 2)
         self.change({**self.wanted, line(9): 7})
--- a/tests/tables/test_table_log.py
+++ b/tests/tables/test_table_log.py
@@ -1,4 +1,4 @@
-"""The tables' log on disk: restarts, damage, bounds and failing disks."""
+"""The table log on disk: restarts, damage, size limits and failing disks."""
 
 import errno
 import os
@@ -21,9 +21,11 @@
         self.addCleanup(self.temporary.cleanup)
         self.folder, self.events = Path(self.temporary.name) / "tables", []
 
-    def open(self, **bounds):
+    def open(self, **limits):
         log = TableLog(
-            self.folder, Store(**bounds), lambda event, **more: self.events.append((event, more))
+            self.folder,
+            Store(**limits),
+            lambda event, **fields: self.events.append((event, fields)),
         )
         self.addCleanup(log.close)
         problems = log.restore()
@@ -50,20 +52,20 @@
         log.flush(at)
 
     def assert_same_history(self, first, second, name="p"):
-        mine, theirs = first.store.histories[name], second.store.histories[name]
+        expected, actual = first.store.histories[name], second.store.histories[name]
         self.assertEqual(
-            (mine.items, mine.newest_version, str(mine.digest)),
-            (theirs.items, theirs.newest_version, str(theirs.digest)),
+            (expected.items, expected.newest_version, str(expected.digest)),
+            (actual.items, actual.newest_version, str(actual.digest)),
         )
-        self.assertEqual(list(mine.entries), list(theirs.entries))
+        self.assertEqual(list(expected.entries), list(actual.entries))
 
-    def test_a_restarted_controller_restores_what_it_published(self):
+    def test_restart_restores_versions_and_notes(self):
         log, _ = self.open()
         for batch in range(4):
             self.publish(log, 10, first=batch * 10 + 1)
         log.record_note("boots", b"7")
         log.flush(1.0)
-        restarted, problems = self.open()  # the first was killed: it never closed its file
+        restarted, problems = self.open()  # the first log was killed: its file was never closed
         self.assertEqual(problems, [])
         self.assert_same_history(log, restarted)
         self.assertEqual(restarted.notes, {"boots": b"7"})
@@ -71,7 +73,7 @@
         self.assertEqual(problems, [])
         self.assert_same_history(log, third)
 
-    def test_a_segment_torn_anywhere_is_read_up_to_there(self):
+    def test_truncated_segment_is_read_up_to_the_last_whole_frame(self):
         log, _ = self.open()
         for batch in range(6):
             self.publish(log, 3, first=batch * 3 + 1)
@@ -86,7 +88,7 @@
             self.assertEqual(found, full[: len(found)])
             self.assertEqual(len(found) % 3, 0)
 
-    def test_any_flipped_bit_is_detected_and_ends_the_reading(self):
+    def test_any_flipped_bit_is_detected_and_ends_reading(self):
         log, _ = self.open()
         for batch in range(5):
             self.publish(log, 3, first=batch * 3 + 1)
@@ -94,36 +96,38 @@
         whole, full = path.read_bytes(), list(log.store.histories["p"].entries)
         rng = random.Random(5)
         for _ in range(200):
-            at = rng.randrange(len(whole))
+            offset = rng.randrange(len(whole))
             path.write_bytes(
-                whole[:at] + bytes([whole[at] ^ 1 << rng.randrange(8)]) + whole[at + 1 :]
+                whole[:offset]
+                + bytes([whole[offset] ^ 1 << rng.randrange(8)])
+                + whole[offset + 1 :]
             )
             reader = TableLog(self.folder, Store(), None)
             problems = reader.restore()
-            self.assertTrue(problems, f"a flip at byte {at} went unseen")
+            self.assertTrue(problems, f"flipped bit at byte {offset} was not detected")
             found = list(reader.store.histories["p"].entries) if reader.store.histories else []
             self.assertEqual(found, full[: len(found)])
 
-    def test_repeated_missing_and_foreign_frames_fail_the_checksum(self):
+    def test_repeated_missing_and_foreign_frames_have_wrong_checksums(self):
         framer, other = RecordFramer(), RecordFramer()
         frames = [
-            framer.frame([PublishedRecord("p", 1, at, 0.0, [], {"level/k": at})])
-            for at in (1, 2, 3)
+            framer.frame([PublishedRecord("p", 1, serial, 0.0, [], {"level/k": serial})])
+            for serial in (1, 2, 3)
         ]
         foreign = other.frame([PublishedRecord("p", 1, 9, 0.0, [], {"level/k": 9})])
-        head = framer.header_line()
-        self.assertEqual(len(read_segment(head + b"".join(frames)).records), 3)
+        header_line = framer.header_line()
+        self.assertEqual(len(read_segment(header_line + b"".join(frames)).records), 3)
         for frames_read in (
             [frames[0], frames[0]],
             [frames[0], frames[2]],
             [frames[0], foreign],
             [frames[1]],
         ):
-            read = read_segment(head + b"".join(frames_read))
-            self.assertLessEqual(len(read.records), 1)
-            self.assertIn("checksum", read.damage)
+            segment = read_segment(header_line + b"".join(frames_read))
+            self.assertLessEqual(len(segment.records), 1)
+            self.assertIn("checksum", segment.damage)
 
-    def test_files_of_other_formats_are_reported_and_not_touched(self):
+    def test_files_of_other_formats_are_reported_and_not_changed(self):
         self.folder.mkdir()
         for name, data in (
             ("00000001.log", b"peatlead-tables 0\nwhatever"),
@@ -140,7 +144,7 @@
         self.publish(log, 2)
         self.assertEqual((self.folder / "00000002.log").read_bytes(), b"junk")
 
-    def test_a_damaged_middle_segment_costs_only_its_own_versions(self):
+    def test_damaged_segment_loses_only_its_own_versions(self):
         self.limit_segments(600)
         log, _ = self.open()
         for batch in range(40):
@@ -151,12 +155,14 @@
         files[1].write_bytes(data[: len(data) // 2] + b"\0" + data[len(data) // 2 + 1 :])
         restarted, problems = self.open()
         self.assertTrue(any("checksum" in reason for _, reason in problems))
-        mine, theirs = log.store.histories["p"], restarted.store.histories["p"]
-        self.assertEqual((mine.items, mine.newest_version), (theirs.items, theirs.newest_version))
-        known = {entry.version for entry in theirs.entries}
-        self.assertLess(len(known), len(mine.entries))
+        original, restored = log.store.histories["p"], restarted.store.histories["p"]
+        self.assertEqual(
+            (original.items, original.newest_version), (restored.items, restored.newest_version)
+        )
+        known = {entry.version for entry in restored.entries}
+        self.assertLess(len(known), len(original.entries))
         for version in known:
-            self.assertEqual(theirs.at_version(version), mine.at_version(version))
+            self.assertEqual(restored.at_version(version), original.at_version(version))
 
     def test_pruning_keeps_all_segments_that_stored_versions_need(self):
         self.limit_segments(900)
@@ -168,7 +174,7 @@
         self.assertEqual(problems, [])
         self.assert_same_history(log, restarted)
 
-    def test_past_the_disk_bound_the_oldest_versions_and_segments_are_dropped(self):
+    def test_disk_limit_drops_the_oldest_versions_and_segments(self):
         self.limit_segments(900)
         log, _ = self.open()
         log.disk_bytes_max = 3000
@@ -178,10 +184,10 @@
         restarted, _ = self.open()
         self.assert_same_history(log, restarted)
 
-    def test_a_full_disk_loses_versions_on_disk_and_nothing_in_memory(self):
+    def test_full_disk_loses_versions_on_disk_but_none_in_memory(self):
         log, _ = self.open()
         self.publish(log, 5)
-        real = log.segment.file
+        segment_file = log.segment.file
 
         class FullDisk:
             capacity = 30
@@ -190,10 +196,10 @@
                 if not self.capacity:
                     raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
                 data, self.capacity = data[: self.capacity], 0
-                return real.write(data)
+                return segment_file.write(data)
 
             def __getattr__(self, name):
-                return getattr(real, name)
+                return getattr(segment_file, name)
 
         log.segment.file = FullDisk()
         self.publish(log, 5, first=6, at=1.0)
@@ -201,7 +207,7 @@
         self.publish(log, 5, first=11, at=2.0)
         self.assertEqual(
             log.store.histories["p"].newest_version, Version(1, 15)
-        )  # publishing goes on
+        )  # publishing continues
         self.publish(log, 2, first=16, at=7.0)
         self.assertIsNone(log.failure)
         self.assertEqual(
@@ -211,11 +217,13 @@
         self.publish(log, 1, first=18, at=8.0)
         restarted, problems = self.open()
         self.assertTrue(any("torn" in reason for _, reason in problems))
-        mine, theirs = log.store.histories["p"], restarted.store.histories["p"]
-        self.assertEqual((mine.items, mine.newest_version), (theirs.items, theirs.newest_version))
-        self.assertEqual(theirs.at_version(Version(1, 3)), mine.at_version(Version(1, 3)))
+        original, restored = log.store.histories["p"], restarted.store.histories["p"]
+        self.assertEqual(
+            (original.items, original.newest_version), (restored.items, restored.newest_version)
+        )
+        self.assertEqual(restored.at_version(Version(1, 3)), original.at_version(Version(1, 3)))
 
-    def test_a_folder_that_cannot_be_created_is_reported_and_publishing_goes_on(self):
+    def test_publishing_continues_where_the_folder_cannot_be_created(self):
         Path(self.temporary.name, "file").write_text("x")
         self.folder = Path(self.temporary.name, "file", "tables")
         log, _ = self.open()
@@ -223,7 +231,7 @@
         self.assertTrue(log.failure)
         self.assertEqual(log.store.histories["p"].newest_version, Version(1, 3))
 
-    def test_a_restored_backup_is_read_as_it_is_and_versions_go_on(self):
+    def test_restored_backup_is_read_and_new_versions_continue(self):
         log, _ = self.open()
         self.publish(log, 5)
         backup = {path: path.read_bytes() for path in self.folder.glob("*.log")}
@@ -232,5 +240,5 @@
             path.write_bytes(data)
         restarted, _ = self.open()
         self.assertEqual(restarted.store.histories["p"].newest_version, Version(1, 5))
-        # The proxy has seen 1.10: it joins with a higher epoch, and versions go on from there.
+        # The proxy has version 1.10, so that it joins with a higher epoch.
         restarted.store.commit("p", Version(2, 1), 3.0, (), {"level/k": 1})
--- a/tests/tables/test_versions.py
+++ b/tests/tables/test_versions.py
@@ -1,4 +1,4 @@
-"""Keys, digests and stamps."""
+"""Line keys, digests and stamps of published tables."""
 
 import unittest
 
@@ -6,7 +6,7 @@
 
 
 class DigestTest(unittest.TestCase):
-    def test_changed_removed_swapped_and_added_items_change_the_digest(self):
+    def test_any_change_of_items_changes_the_digest(self):
         items = {line_key("k", "z", "10.0.0.1", 1): 1000, line_key("k", "z", "10.0.0.2", 1): 2000}
         first, second = items
         others = [
@@ -19,7 +19,7 @@
 
 
 class LineKeyTest(unittest.TestCase):
-    def test_keys_are_parsed_and_malformed_ones_refused(self):
+    def test_line_keys_are_parsed_and_malformed_keys_are_rejected(self):
         for address in ("10.0.0.1", "2001:db8::7"):
             self.assertEqual(
                 parse_line_key(line_key("k", "a/b", address, 80)), ("k", "a/b", address, 80)
@@ -38,7 +38,7 @@
 
 
 class StampTest(unittest.TestCase):
-    def test_stamps_are_parsed_and_malformed_ones_refused(self):
+    def test_stamps_are_parsed_and_malformed_stamps_are_rejected(self):
         stamp = Stamp(Version(3, 4), "a" * 32, "b" * 32)
         self.assertEqual(parse_stamp(str(stamp)), stamp)
         for malformed in (
--- a/tests/transcripts/test_tables_transcripts.py
+++ b/tests/transcripts/test_tables_transcripts.py
@@ -1,8 +1,8 @@
-"""The tables' log and operators' pins, as literal bytes and as recorded in tests/data/wire/tables.json.
+"""The formats of the table log and of pins: literal bytes, and the recording tests/data/wire/tables.json.
 
-Compressed bytes differ by the library's version, so that a segment's frames are compared by what they hold; a
-recorded segment is read back. A change of the format that is meant is recorded anew by
-`python -m tests.transcripts.test_tables_transcripts`; a renaming must pass on the old record.
+Compressed bytes depend on the version of the zstandard library, so frames are compared after decompression.
+After an intended change of the format, record again with `python -m tests.transcripts.test_tables_transcripts`;
+other changes must pass with the existing recording.
 """
 
 import struct
@@ -18,7 +18,7 @@
 
 from . import recorded
 
-# Adapter: all internal names that these tests use. Structs are made by position.
+# Adapter: the tests use names of the program only in this section, and create structs by position.
 
 PublishedRecord, SnapshotRecord, RemovedRecord, NoteRecord, Pin = (
     log_records.PublishedRecord,
@@ -27,7 +27,7 @@
     log_records.NoteRecord,
     pins.Pin,
 )
-decode_pins, encode_pins, BAD_PINS = pins.decode_pins, pins.encode_pins, ValueError
+decode_pins, encode_pins, PIN_ERROR = pins.decode_pins, pins.encode_pins, ValueError
 
 
 def encode(record):
@@ -38,58 +38,60 @@
     return log_records.RECORD_DECODER.decode(data)
 
 
-def segment(frames):
+def encode_segment(frames):
     framer = log_records.RecordFramer()
-    return framer.header_line() + b"".join(framer.frame(one) for one in frames)
+    return framer.header_line() + b"".join(framer.frame(records) for records in frames)
 
 
-def read(data):
-    """[[records as bytes], sound bytes, whether all was read]."""
-    found, sound, why = log_records.read_segment(data)
-    return [[encode(one).hex() for one in found], sound, not why]
+def read_segment(data):
+    """Return [encoded records, number of intact bytes, whether everything was read]."""
+    records, intact_bytes, damage = log_records.read_segment(data)
+    return [[encode(record).hex() for record in records], intact_bytes, not damage]
 
 
-def pin_places(pin, names):
+def rollout_positions(pin, names):
     return [round(pins.rollout_position(pin, name) * (1 << 48)) for name in names]
 
 
-def told_pins(now, made, later):
-    """Bytes of what a controller tells of its pins: made at `now`, told `later`; the first resumed in between."""
-    mine = pins.Pins("ns1", "-start")
-    for one in made:
-        mine.make(now, *one)
-    mine.resume(now + 1.5, sorted(mine.by_id)[0])
-    return encode_pins(mine.snapshot(later))
+def encoded_snapshot(now, pin_arguments, later):
+    """Return the encoded pins of a controller at `later`: made at `now`, the first one ended in between."""
+    known_pins = pins.Pins("ns1", "-start")
+    for arguments in pin_arguments:
+        known_pins.make(now, *arguments)
+    known_pins.resume(now + 1.5, sorted(known_pins.by_id)[0])
+    return encode_pins(known_pins.snapshot(later))
 
 
 def open_log(folder):
-    """A log in a folder, read and begun: ([what was wrong], log)."""
-    made = table_log.TableLog(folder, history.Store(), lambda *_, **__: None)
-    wrong = made.restore()
-    made.start(0.0)
-    return wrong, made
+    """Restore and start a log in a folder. Return (problems, log)."""
+    log = table_log.TableLog(folder, history.Store(), lambda *_, **__: None)
+    problems = log.restore()
+    log.start(0.0)
+    return problems, log
 
 
-def commit(log, name, epoch, serial, at, causes, moved):
-    entry = log.store.commit(name, version.Version(epoch, serial), at, causes, moved)
+def commit(log, name, epoch, serial, published_at, causes, item_changes):
+    entry = log.store.commit(
+        name, version.Version(epoch, serial), published_at, causes, item_changes
+    )
     log.record_version(name, entry)
 
 
-def keep(log, key, value):
+def record_note(log, key, value):
     log.record_note(key, value)
 
 
-def end(log, now):
+def flush_and_close(log, now):
     log.flush(now)
     log.close()
 
 
-def state(log):
-    """{proxy: [version, items]} and what was noted, as plain values."""
+def stored_state(log):
+    """Return [{proxy: [version, items]}, notes] as plain values."""
     return [
         {
-            name: [str(one.newest_version), sorted(one.items.items())]
-            for name, one in sorted(log.store.histories.items())
+            name: [str(proxy.newest_version), sorted(proxy.items.items())]
+            for name, proxy in sorted(log.store.histories.items())
         },
         {key: value.hex() for key, value in sorted(log.notes.items())},
     ]
@@ -123,20 +125,25 @@
     + b"\xa5ended\xc0\xa2by\xa2me",
     Pin("ns1-1", 1, 2, "zone", "north", "back", "30", 10.0, 0.5, 60.0, None, "me"),
 )
-MADE = (
+PIN_ARGUMENTS = (
     ("all",),
     ("zone", "north", "back", "30", 0.0, 60.0, "me"),
     ("share", "0.25", "held", "", 5.0),
     ("proxy", "p7", "version", "3.9"),
 )
-FRAMES = [[one for _, one in RECORDS[:2]], [RECORDS[2][1]], [], [one for _, one in RECORDS[3:]]]
+FRAMES = [
+    [record for _, record in RECORDS[:2]],
+    [RECORDS[2][1]],
+    [],
+    [record for _, record in RECORDS[3:]],
+]
 
 
-def odd_segments(data):
-    """Damaged forms of a segment, and what is read of each."""
+def read_damaged_segments(data):
+    """Return what is read of a segment and of damaged copies of that segment."""
     return [
-        read(one)
-        for one in (
+        read_segment(damaged)
+        for damaged in (
             data,
             data[:-1],
             data[:40],
@@ -151,66 +158,73 @@
 
 
 def transcript():
-    made = segment(FRAMES)
+    segment = encode_segment(FRAMES)
     return {
-        "segment": recorded.text(made),
-        "read": odd_segments(made),
-        "pins": told_pins(100.0, MADE, 104.25).hex(),
-        "places": pin_places(PIN[1], ["p0", "p1", "é"]),
+        "segment": recorded.text(segment),
+        "read": read_damaged_segments(segment),
+        "pins": encoded_snapshot(100.0, PIN_ARGUMENTS, 104.25).hex(),
+        "places": rollout_positions(PIN[1], ["p0", "p1", "é"]),
     }
 
 
-def unpacked(data):
-    """A segment's first line and [plain bytes of a frame]; checks each frame's chained hash."""
-    end_of_head = data.index(b"\n") + 1
-    unzip, chain, found, at = zstandard.ZstdDecompressor().decompressobj(), b"", [], end_of_head
-    while at < len(data):
-        size, told = struct.unpack_from(">I8s", data, at)
-        body = data[at + 12 : at + 12 + size]
-        chain = blake3(chain + body).digest(8)
-        assert chain == told
-        found.append(unzip.decompress(body))
-        at += 12 + size
-    return data[:end_of_head], found
+def decompress_segment(data):
+    """Return a segment's first line and its decompressed frames; checks the chained checksums."""
+    header_end = data.index(b"\n") + 1
+    decompressor, checksum, frames, offset = (
+        zstandard.ZstdDecompressor().decompressobj(),
+        b"",
+        [],
+        header_end,
+    )
+    while offset < len(data):
+        size, expected = struct.unpack_from(">I8s", data, offset)
+        body = data[offset + 12 : offset + 12 + size]
+        checksum = blake3(checksum + body).digest(8)
+        assert checksum == expected
+        frames.append(decompressor.decompress(body))
+        offset += 12 + size
+    return data[:header_end], frames
 
 
 class LiteralBytes(unittest.TestCase):
-    def test_each_log_record_is_its_literal_bytes_out_and_in(self):
+    def test_log_records_are_encoded_to_and_decoded_from_literal_bytes(self):
         for data, record in RECORDS:
             self.assertEqual(encode(record), data)
-            [found] = decode(data)
-            self.assertIs(type(found), type(record))
-            self.assertEqual(encode(found), data)
+            [decoded] = decode(data)
+            self.assertIs(type(decoded), type(record))
+            self.assertEqual(encode(decoded), data)
 
-    def test_an_unknown_record_is_refused(self):
+    def test_unknown_record_type_is_rejected(self):
         with self.assertRaises(msgspec.ValidationError):
             decode(b"\x91\x92\xa1x\xa2p0")
 
-    def test_a_pin_is_its_literal_bytes_out_and_in(self):
+    def test_pin_is_encoded_to_and_decoded_from_literal_bytes(self):
         self.assertEqual(encode_pins([PIN[1]]), PIN[0])
         self.assertEqual(encode_pins(decode_pins(PIN[0])), PIN[0])
         self.assertEqual(decode_pins(PIN[0]), [PIN[1]])
 
-    def test_a_pin_without_its_last_fields_is_read(self):
+    def test_pin_without_its_last_fields_is_decoded(self):
         short = b"\x91\x8a" + PIN[0][2 : PIN[0].index(b"\xa5ended")]
-        [found] = decode_pins(short)
-        self.assertEqual(encode_pins([found]), PIN[0].replace(b"\xa2by\xa2me", b"\xa2by\xa0"))
+        [decoded] = decode_pins(short)
+        self.assertEqual(encode_pins([decoded]), PIN[0].replace(b"\xa2by\xa2me", b"\xa2by\xa0"))
         for data in (b"", b"\xc0", b"\x91\x80", short[:-1]):
-            with self.assertRaises(BAD_PINS):
+            with self.assertRaises(PIN_ERROR):
                 decode_pins(data)
 
 
 class Transcripts(unittest.TestCase):
-    def test_the_recorded_segment_pins_and_places_are_met_again(self):
-        kept, found = recorded.read("tables"), transcript()
-        data = recorded.b64decode(kept["segment"])
-        self.assertEqual(odd_segments(data), kept["read"])
-        self.assertEqual((found["pins"], found["places"]), (kept["pins"], kept["places"]))
-        self.assertEqual(unpacked(segment(FRAMES)), unpacked(data))
-
-    def test_a_segment_is_a_line_and_frames_of_the_records_bytes(self):
-        head, frames = unpacked(segment(FRAMES))
-        self.assertEqual(head, b"peatlead-tables 1\n")
+    def test_segment_pins_and_positions_equal_the_recording(self):
+        recording, actual = recorded.read("tables"), transcript()
+        data = recorded.b64decode(recording["segment"])
+        self.assertEqual(read_damaged_segments(data), recording["read"])
+        self.assertEqual(
+            (actual["pins"], actual["places"]), (recording["pins"], recording["places"])
+        )
+        self.assertEqual(decompress_segment(encode_segment(FRAMES)), decompress_segment(data))
+
+    def test_segment_is_a_header_line_and_frames_of_encoded_records(self):
+        first_line, frames = decompress_segment(encode_segment(FRAMES))
+        self.assertEqual(first_line, b"peatlead-tables 1\n")
         self.assertEqual(
             frames,
             [
@@ -221,16 +235,16 @@
             ],
         )
 
-    def test_a_log_on_disk_is_written_in_numbered_files_and_read_back(self):
+    def test_log_is_written_to_numbered_files_and_read_back(self):
         with tempfile.TemporaryDirectory() as folder:
-            wrong, log = open_log(folder)
-            self.assertEqual(wrong, [])
+            problems, log = open_log(folder)
+            self.assertEqual(problems, [])
             commit(log, "p0", 3, 1, 1.5, ("list",), {"line/a": 5, "retry/b": "once"})
             commit(log, "p0", 3, 2, 2.5, ("list", "load"), {"line/a": None})
-            keep(log, "pins", PIN[0])
-            end(log, 5.0)
-            head, frames = unpacked((Path(folder) / "00000001.log").read_bytes())
-            self.assertEqual(head, b"peatlead-tables 1\n")
+            record_note(log, "pins", PIN[0])
+            flush_and_close(log, 5.0)
+            first_line, frames = decompress_segment((Path(folder) / "00000001.log").read_bytes())
+            self.assertEqual(first_line, b"peatlead-tables 1\n")
             self.assertEqual(
                 frames[-1].hex(),
                 (
@@ -244,14 +258,15 @@
                     b"\x93\xa1n\xa4pins\xc4" + bytes([len(PIN[0])]) + PIN[0]
                 ).hex(),
             )
-            wrong, log = open_log(folder)
-            end(log, 6.0)
-            self.assertEqual(wrong, [])
+            problems, log = open_log(folder)
+            flush_and_close(log, 6.0)
+            self.assertEqual(problems, [])
             self.assertEqual(
-                state(log), [{"p0": ["3.2", [("retry/b", "once")]]}, {"pins": PIN[0].hex()}]
+                stored_state(log), [{"p0": ["3.2", [("retry/b", "once")]]}, {"pins": PIN[0].hex()}]
             )
             self.assertEqual(
-                sorted(one.name for one in Path(folder).iterdir()), ["00000001.log", "00000002.log"]
+                sorted(path.name for path in Path(folder).iterdir()),
+                ["00000001.log", "00000002.log"],
             )
 
 
