--- a/peatlead/tables/guard.py
+++ b/peatlead/tables/guard.py
@@ -3,9 +3,9 @@
 `guard` applies these rules in order:
 
 1. An endpoint is left out if it is withdrawn, not listed as ready, or in no table of the planner.
-2. An endpoint that is still ramping up gets its weight in the planner's table for this proxy, and
-   at most the same fraction of the table as there. The endpoint's load from all proxies therefore
-   stays within the plan.
+2. An endpoint that is still ramping up gets its weight in the planner's table for this proxy, or
+   none if it is not in that table, and at most the same fraction of the table as there. The load of
+   the endpoint from all proxies therefore stays within the plan.
 3. If less than KEPT_WEIGHT_FRACTION_MIN of the pinned weight is left, too few endpoints would take
    the proxy's load: the endpoints of the planner's table are added.
 4. If no endpoint that has finished its ramp is left, the planner's table is used instead.
--- a/peatlead/tables/log_recovery.py
+++ b/peatlead/tables/log_recovery.py
@@ -8,7 +8,7 @@
 from .proxy_history import History
 from .version import Version
 
-GAP_CAUSE = "previous versions are missing in the log"
+GAP_CAUSE = "some previous versions are missing in the log"
 
 
 class LogRecovery:
@@ -57,10 +57,10 @@
         if not history.newest_version.epoch:
             self._store.restart(record.name, version, record.items)
             return None
-        at = history.entries[-1].published_at if history.entries else 0.0
+        published_at = history.entries[-1].published_at if history.entries else 0.0
         missing = changes(history.items, record.items)
-        self._store.commit(record.name, version, at, (GAP_CAUSE,), missing)
-        return f"{record.name}: versions before {version} are missing"
+        self._store.commit(record.name, version, published_at, (GAP_CAUSE,), missing)
+        return f"{record.name}: some versions before {version} are missing"
 
 
 def set_note(notes: dict[str, bytes], key: str, value: Optional[bytes]) -> None:
--- a/peatlead/tables/pins.py
+++ b/peatlead/tables/pins.py
@@ -32,8 +32,10 @@
 
 PINS_MAX = 32  # pins that have not ended
 KNOWN_PINS_MAX = 4 * PINS_MAX  # including ended pins
-FORGET_AFTER = 600.0  # seconds after the end and its rollout until a pin is removed
-REMAINING_MIN = 0.001  # seconds; stands for 0 when a received ended pin is validated
+FORGET_AFTER = 600.0  # seconds that an ended pin is remembered after its staged end
+REMAINING_MIN = (
+    0.001  # seconds; replaces 0 in the validation of received pins, since ended pins have 0
+)
 # Seconds between two updates of a pinned proxy, except for updates that remove an endpoint.
 REPUBLISH_INTERVAL = 1.5
 
@@ -99,8 +101,8 @@
         """
         active = self.by_id.get(pin_id)
         if active is None:
-            known = ", ".join(sorted(self.unended())) or "no pin"
-            raise PinError(f"expected one of {known}, got {pin_id!r}")
+            known = ", ".join(sorted(self.unended())) or "(no pins)"
+            raise PinError(f"expected the id of a pin, one of {known}, got {pin_id!r}")
         if active.ended_at is None:
             active.end(now, over)
         return active.as_pin(now)
--- a/peatlead/wire/command_translator.py
+++ b/peatlead/wire/command_translator.py
@@ -15,8 +15,8 @@
     RetryPolicy.ONCE: 2,
     RetryPolicy.TWICE: 3,
 }
-ALL_TABLES = 65535  # as a table number
-ALL_PEERS = 65535  # as an instance number
+ALL_TABLES = 65535  # the table number that stands for all tables
+ALL_PEERS = 65535  # the instance number that stands for all peers
 NONCE_MODULUS = 65536  # nonces have 16 bits on the wire
 TIMER_MIN_US = 1
 TIMER_MAX_US = 70 * 60 * MICROSECONDS_PER_SECOND  # fits into 32 bits
