--- a/peatlead/benchmarks/paced_runs.py
+++ b/peatlead/benchmarks/paced_runs.py
@@ -103,8 +103,8 @@
                 load[number] = load.get(number, 0.0) + self.request_rate * weight / total
         usual = self.request_rate * self.proxies / self.endpoints
         for endpoint in self.planner.endpoints.values():
-            if endpoint.cold_from is not None and endpoint.phase == "ready":
-                warm = min(1.0, (self.now - endpoint.cold_from) / SETTINGS["warm_after"])
+            if endpoint.cold_since is not None and endpoint.phase == "ready":
+                warm = min(1.0, (self.now - endpoint.cold_since) / SETTINGS["warm_after"])
                 able = SETTINGS["cold_share"] + (1 - SETTINGS["cold_share"]) * warm
                 part = load.get(endpoint.id, 0.0) / usual * UTILIZATION
                 part /= able * SETTINGS["tip_multiple"]
--- a/peatlead/controller/endpoint_lists.py
+++ b/peatlead/controller/endpoint_lists.py
@@ -69,7 +69,7 @@
         change = controller.published.endpoint_listed(index, entry)
         if change is not None:
             causes = controller.published.causes
-            causes.phases({index: change}, list_version)
+            causes.note_phase_changes({index: change}, list_version)
             controller.propagation.note(now, index, causes.last_events[index])
         controller.answers.know(index, entry.name, entry.address, entry.address6)
         if controller.proxies:
--- a/peatlead/controller/operator_queries.py
+++ b/peatlead/controller/operator_queries.py
@@ -29,8 +29,8 @@
     return {
         "phase": endpoint.phase,
         "usable": endpoint.usable,
-        "share": endpoint.share,
-        "reach": endpoint.reach,
+        "share": endpoint.weight_fraction,
+        "reach": endpoint.traffic_fraction,
         "cold for s": None if endpoint.cold_for is None else round(endpoint.cold_for, 1),
         "out for s more": None if endpoint.ejected_for is None else round(endpoint.ejected_for, 1),
         "tries": round(endpoint.attempts, 1),
--- a/peatlead/planner/channel_backlog.py
+++ b/peatlead/planner/channel_backlog.py
@@ -36,7 +36,7 @@
     __slots__ = (
         "message_overhead",
         "expiry",
-        "unanswered",
+        "unacknowledged_entries",
         "batches",
         "now",
         "nonce",
@@ -47,7 +47,7 @@
     def __init__(self, message_overhead: float, expiry: float) -> None:
         self.message_overhead = message_overhead
         self.expiry = expiry
-        self.unanswered = 0.0  # entries of the batches that are written
+        self.unacknowledged_entries = 0.0  # entries of the batches that are written
         self.batches: deque[Batch] = deque()  # the oldest first
         self.now = 0.0
         self.nonce = 0  # of the last batch that wrote anything
@@ -57,7 +57,7 @@
     @property
     def entries(self) -> float:
         """All entries that are taken to wait, those of the open batch among them."""
-        return self.unanswered + self.open_entries
+        return self.unacknowledged_entries + self.open_entries
 
     def advance(self, now: float) -> None:
         """Begin a batch at `now`, in seconds; batches that are past the expiry are dropped."""
@@ -84,7 +84,7 @@
             return 0
         self.nonce = self.nonce % LARGEST_NONCE + 1
         self.batches.append(Batch(self.nonce, self.now, self.open_batch))
-        self.unanswered += self.open_entries
+        self.unacknowledged_entries += self.open_entries
         self.open_batch = {}
         self.open_entries = 0.0
         return self.nonce
@@ -99,14 +99,14 @@
             return
         while self.batches[0] is not batch:
             self._drop_oldest()
-        self.unanswered -= batch.entries.pop(proxy, 0.0)
+        self.unacknowledged_entries -= batch.entries.pop(proxy, 0.0)
         self._drop_empty()
 
     def disconnect(self, proxy: int) -> None:
         """Take out all that was written to a proxy whose stream has ended: it isn't sent."""
         self.open_entries -= self.open_batch.pop(proxy, 0.0)
         for batch in self.batches:
-            self.unanswered -= batch.entries.pop(proxy, 0.0)
+            self.unacknowledged_entries -= batch.entries.pop(proxy, 0.0)
         self._drop_empty()
 
     def _drop_empty(self) -> None:
@@ -114,6 +114,6 @@
             self._drop_oldest()
 
     def _drop_oldest(self) -> None:
-        self.unanswered -= sum(self.batches.popleft().entries.values())
+        self.unacknowledged_entries -= sum(self.batches.popleft().entries.values())
         if not self.batches:
-            self.unanswered = 0.0  # what rounding has left
+            self.unacknowledged_entries = 0.0  # what rounding has left
--- a/peatlead/planner/context.py
+++ b/peatlead/planner/context.py
@@ -28,7 +28,7 @@
         self.proxies: dict[int, ProxyState] = {}  # all that ever connected
         self.connected: dict[int, ProxyState] = {}
         self.unassigned: dict[int, ProxyState] = {}  # connected, and without tables yet
-        self.holders = SubscriberIndex()  # which proxies' tables name an endpoint
+        self.subscriber_index = SubscriberIndex()  # which proxies' tables name an endpoint
         self.proxies_expected = max(
             1.0, settings.get("proxies", 1) / max(1, settings.get("stewards", 1))
         )  # of this controller
--- a/peatlead/planner/endpoint_lifecycle.py
+++ b/peatlead/planner/endpoint_lifecycle.py
@@ -36,7 +36,7 @@
         endpoint.failed_checks = 0
         endpoint.clear_evidence(now)
         cold = now - started_at < self.context.settings["warm_after"]
-        endpoint.cold_from = started_at if cold else None
+        endpoint.cold_since = started_at if cold else None
         if ramp_warm or cold:
             self.slow_start.begin_cold(endpoint)
 
@@ -56,7 +56,7 @@
     def _remove_entries(self, endpoint: EndpointState) -> None:
         """Proxies that disconnected still hold what they held."""
         proxies = self.context.proxies
-        holders = self.context.holders.subscribers(endpoint.id)
+        holders = self.context.subscriber_index.subscribers(endpoint.id)
         for proxy in [proxies[number] for number in holders]:
             for group in range(len(proxy.entries)):
                 self.writer.set_entry(proxy, group, endpoint.id, 0.0)
--- a/peatlead/planner/endpoint_pools.py
+++ b/peatlead/planner/endpoint_pools.py
@@ -106,7 +106,9 @@
         admits = self.groups[group].admits
         by_zone: dict[int, list[EndpointState]] = {}
         for endpoint in self.context.endpoints.values():
-            settled = endpoint.withdrawn or (endpoint.phase == READY and endpoint.cold_from is None)
+            settled = endpoint.withdrawn or (
+                endpoint.phase == READY and endpoint.cold_since is None
+            )
             if settled and admits(endpoint):
                 by_zone.setdefault(endpoint.zone, []).append(endpoint)
         return {zone: RendezvousPool(endpoints) for zone, endpoints in sorted(by_zone.items())}
--- a/peatlead/planner/endpoint_state.py
+++ b/peatlead/planner/endpoint_state.py
@@ -56,14 +56,14 @@
         self.unusable_since = now  # when it last stopped being usable
 
         # Slow start.
-        self.cold_from: Optional[float] = None  # when its present cold start began
+        self.cold_since: Optional[float] = None  # when its present cold start began
         self.ramp = 1.0  # part of its weight that the ramp permits
         self.next_step_at = 0.0
         self.step_wait = 0.0  # seconds between the ramp's steps
-        self.share = 1.0  # part of its weight that is published
+        self.weight_fraction = 1.0  # part of its weight that is published
 
         # Relief.
-        self.reach = 1.0  # part of its holders' requests that may come
+        self.traffic_fraction = 1.0  # part of its holders' requests that may come
         self.excluded_proxies: set[int] = set()  # those that do without it
         self.reach_restored_at = 0.0  # when the next step of reach comes back
         self.relief_wait = FIRST_RELIEF_WAIT
--- a/peatlead/planner/endpoint_summary.py
+++ b/peatlead/planner/endpoint_summary.py
@@ -10,8 +10,8 @@
 
     phase: str
     usable: bool  # whether tables may name it
-    share: float  # part of its weight that is published
-    reach: float  # part of its subscribers' requests that may come
+    weight_fraction: float  # part of its weight that is published
+    traffic_fraction: float  # part of its subscribers' requests that may come
     cold_for: Optional[float]  # seconds since its present cold start began; None once it is warm
     ejected_for: Optional[float]  # seconds until it returns; None unless it is ejected
     attempts: float  # faded, of the last round, as are the errors
@@ -23,13 +23,13 @@
 
 def summarize(endpoint: EndpointState, subscribers: int, now: float) -> EndpointSummary:
     """The summary of an endpoint at `now`, in seconds of the planner's clock."""
-    cold_from, ejected_until = endpoint.cold_from, endpoint.ejected_until
+    cold_since, ejected_until = endpoint.cold_since, endpoint.ejected_until
     return EndpointSummary(
         phase=endpoint.phase,
         usable=endpoint.usable,
-        share=endpoint.share,
-        reach=endpoint.reach,
-        cold_for=None if cold_from is None else now - cold_from,
+        weight_fraction=endpoint.weight_fraction,
+        traffic_fraction=endpoint.traffic_fraction,
+        cold_for=None if cold_since is None else now - cold_since,
         ejected_for=None if ejected_until is None else ejected_until - now,
         attempts=endpoint.attempts,
         errors=endpoint.errors,
--- a/peatlead/planner/fleet_load.py
+++ b/peatlead/planner/fleet_load.py
@@ -92,6 +92,6 @@
         """Where proxies avoid what fails them, what ramping endpoints lack weighs on the others."""
         avoids = self.context.settings.get("fails_to_shun")
         if avoids and (admitted < 1 or self.utilization > BUSY):
-            shares = [endpoint.share for endpoint in ready if endpoint.usable]
+            shares = [endpoint.weight_fraction for endpoint in ready if endpoint.usable]
             return fsum(shares) / max(1, len(ready))
         return 1.0
--- a/peatlead/planner/gossip.py
+++ b/peatlead/planner/gossip.py
@@ -76,4 +76,4 @@
 
     def _covers_this_process(self, endpoint: EndpointState) -> bool:
         """Whether counts of the last cycle are those of the present process."""
-        return self.context.now - self.statistics.cycle > (endpoint.cold_from or NEVER)
+        return self.context.now - self.statistics.cycle > (endpoint.cold_since or NEVER)
--- a/peatlead/planner/load_relief.py
+++ b/peatlead/planner/load_relief.py
@@ -37,7 +37,7 @@
         now = self.context.now
         if (
             now - endpoint.relieved_at < RELIEF_GAP
-            or endpoint.reach <= 1 - LEAST_STEPS * REACH_STEP
+            or endpoint.traffic_fraction <= 1 - LEAST_STEPS * REACH_STEP
             or self._mean_reach_is_low(ready)
         ):
             return
@@ -45,12 +45,14 @@
         endpoint.relieved_at = now
         doubled = min(LONGEST_WAIT, endpoint.relief_wait * 2)
         endpoint.relief_wait = FIRST_RELIEF_WAIT if calm else doubled
-        self.set_reach(endpoint, endpoint.reach - REACH_STEP)
+        self.set_reach(endpoint, endpoint.traffic_fraction - REACH_STEP)
 
     def _mean_reach_is_low(self, ready: list[EndpointState]) -> bool:
         """Whether the others could not take the endpoint's part."""
-        reach = fsum([endpoint.reach for endpoint in ready if endpoint.usable])
-        return reach < len(ready) * LEAST_MEAN_REACH
+        traffic_fraction = fsum(
+            [endpoint.traffic_fraction for endpoint in ready if endpoint.usable]
+        )
+        return traffic_fraction < len(ready) * LEAST_MEAN_REACH
 
     def restore_now(self, endpoint: EndpointState) -> None:
         """Give a step back at once: its part weighs on the others by now."""
@@ -59,15 +61,15 @@
 
     def restore_if_due(self, endpoint: EndpointState) -> None:
         """Give a step of reach back once its wait has passed."""
-        if endpoint.reach < 1 and self.context.now >= endpoint.reach_restored_at:
-            self.set_reach(endpoint, min(1.0, endpoint.reach + REACH_STEP))
+        if endpoint.traffic_fraction < 1 and self.context.now >= endpoint.reach_restored_at:
+            self.set_reach(endpoint, min(1.0, endpoint.traffic_fraction + REACH_STEP))
 
-    def set_reach(self, endpoint: EndpointState, reach: float) -> None:
+    def set_reach(self, endpoint: EndpointState, traffic_fraction: float) -> None:
         """Exclude so many proxies, by their requests: those that rank the endpoint lowest."""
-        endpoint.reach = reach
+        endpoint.traffic_fraction = traffic_fraction
         endpoint.reach_restored_at = self.context.now + endpoint.relief_wait
         holders = self._holders(endpoint)
-        excess = (1 - reach) * fsum([proxy.request_rate for proxy in holders])
+        excess = (1 - traffic_fraction) * fsum([proxy.request_rate for proxy in holders])
         endpoint.excluded_proxies = set()
         name_hash = endpoint.name_hash
         for proxy in sorted(holders, key=lambda proxy: rank(proxy.key, name_hash), reverse=True):
@@ -76,11 +78,11 @@
                 excess -= proxy.request_rate
         self.schedule.activate(endpoint)
         self.changes.mark(endpoint)
-        self.context.log(f"host {endpoint.id} reach {reach}")
+        self.context.log(f"host {endpoint.id} reach {traffic_fraction}")
 
     def _holders(self, endpoint: EndpointState) -> list[ProxyState]:
         """The connected proxies that hold it, or would if they weren't excluded."""
         connected = self.context.connected
         excluded = dict.fromkeys(sorted(endpoint.excluded_proxies))
-        numbers = {**self.context.holders.subscribers(endpoint.id), **excluded}
+        numbers = {**self.context.subscriber_index.subscribers(endpoint.id), **excluded}
         return [connected[number] for number in numbers if number in connected]
--- a/peatlead/planner/load_statistics.py
+++ b/peatlead/planner/load_statistics.py
@@ -60,8 +60,8 @@
     def _from_before_start(self, event: EndpointStats, endpoint: EndpointState) -> bool:
         """Whether the report covers the process that ran there before the present one."""
         return (
-            endpoint.cold_from is not None
-            and self.context.now - event.window - REPORT_DELAY < endpoint.cold_from
+            endpoint.cold_since is not None
+            and self.context.now - event.window - REPORT_DELAY < endpoint.cold_since
         )
 
     def _add(self, event: EndpointStats, endpoint: EndpointState) -> None:
--- a/peatlead/planner/planner.py
+++ b/peatlead/planner/planner.py
@@ -167,7 +167,7 @@
         endpoint = self.context.endpoints.get(endpoint_id)
         if endpoint is None:
             return None
-        subscribers = len(self.context.holders.subscribers(endpoint_id))
+        subscribers = len(self.context.subscriber_index.subscribers(endpoint_id))
         return summarize(endpoint, subscribers, now)
 
     def on_timer(self, event: interface.TimerFired) -> None:
@@ -210,14 +210,14 @@
         """Do what time alone brings an endpoint: its return, next step, next health check."""
         if endpoint.ejected_until is not None:
             self.outliers.restore_if_due(endpoint)
-        if endpoint.reach < 1:
+        if endpoint.traffic_fraction < 1:
             self.relief.restore_if_due(endpoint)
         self.slow_start.advance(endpoint)
         self.health_checks.check_if_due(endpoint)
         if (
             endpoint.ejected_until is None
-            and endpoint.cold_from is None
-            and endpoint.reach >= 1
+            and endpoint.cold_since is None
+            and endpoint.traffic_fraction >= 1
             and endpoint.ramp >= 1
         ):
             self.schedule.deactivate(endpoint)  # only its next check is due by time
--- a/peatlead/planner/removals.py
+++ b/peatlead/planner/removals.py
@@ -54,7 +54,7 @@
 
     def _holders_of(self, endpoints: set[int]) -> list[ProxyState]:
         connected = self.context.connected
-        numbers = self.context.holders.subscribers_of_any(sorted(endpoints))
+        numbers = self.context.subscriber_index.subscribers_of_any(sorted(endpoints))
         holders = [connected[number] for number in numbers if number in connected]
         return [proxy for proxy in holders if proxy.assigned]
 
--- a/peatlead/planner/shuffle_sharding.py
+++ b/peatlead/planner/shuffle_sharding.py
@@ -39,7 +39,8 @@
         endpoint
         for position, endpoint in enumerate(endpoints)
         if position == 0
-        or fsum([before.weight * before.share for before in endpoints[:position]]) < weight
+        or fsum([before.weight * before.weight_fraction for before in endpoints[:position]])
+        < weight
     ]
 
 
@@ -119,7 +120,9 @@
             proxy.beyond_shards = True
             members = [endpoint for pool in shard.zones.values() for endpoint in pool]
         weights = {
-            endpoint.id: endpoint.weight * endpoint.share for endpoint in members if endpoint.share
+            endpoint.id: endpoint.weight * endpoint.weight_fraction
+            for endpoint in members
+            if endpoint.weight_fraction
         }
         return weights or {endpoint.id: endpoint.weight for endpoint in members}
 
@@ -160,7 +163,7 @@
                     [
                         endpoint
                         for endpoint in pool
-                        if endpoint.usable and endpoint.cold_from is None
+                        if endpoint.usable and endpoint.cold_since is None
                     ]
                 )
                 for zone, pool in self.pools.open_endpoints(group, None).items()
--- a/peatlead/planner/slow_start.py
+++ b/peatlead/planner/slow_start.py
@@ -41,7 +41,7 @@
         endpoint.ramp = FIRST_RAMP
         endpoint.next_step_at = self.context.now + wait
         endpoint.step_wait = wait
-        endpoint.share = self.share(endpoint)
+        endpoint.weight_fraction = self.target_weight_fraction(endpoint)
 
     def begin_cold(self, endpoint: EndpointState) -> None:
         """Ramp one that has just started.
@@ -57,31 +57,36 @@
         if endpoint.ramp < 1.0 and now >= endpoint.next_step_at:
             endpoint.ramp += RAMP_STEP
             endpoint.next_step_at = now + endpoint.step_wait
-        cold_from = endpoint.cold_from
-        if cold_from is not None and now - cold_from > self.context.settings["warm_after"]:
-            endpoint.cold_from = None
-        share = endpoint.ramp if endpoint.cold_from is None else self.share(endpoint)
-        if share != endpoint.share:
-            self.changes.reductions_pending |= share < endpoint.share
-            endpoint.share = share
+        cold_since = endpoint.cold_since
+        if cold_since is not None and now - cold_since > self.context.settings["warm_after"]:
+            endpoint.cold_since = None
+        weight_fraction = (
+            endpoint.ramp if endpoint.cold_since is None else self.target_weight_fraction(endpoint)
+        )
+        if weight_fraction != endpoint.weight_fraction:
+            self.changes.reductions_pending |= weight_fraction < endpoint.weight_fraction
+            endpoint.weight_fraction = weight_fraction
             self.changes.mark(endpoint)
 
-    def share(self, endpoint: EndpointState) -> float:
+    def target_weight_fraction(self, endpoint: EndpointState) -> float:
         """The part of its weight that the endpoint should have now.
 
         A cold one gets none in a saturated fleet whose proxies avoid what fails them: in an
         overload they would avoid all full endpoints and send everything to the empty one.
         """
         settings = self.context.settings
-        if endpoint.cold_from is None:
+        if endpoint.cold_since is None:
             return endpoint.ramp
         avoided = settings.get("fails_to_shun")
         if self.fleet_load.saturated and avoided:
             return 0.0
         first = settings["cold_share"]
-        age = (self.context.now - endpoint.cold_from) / settings["warm_after"]
+        age = (self.context.now - endpoint.cold_since) / settings["warm_after"]
         able = first + (1 - first) * min(1.0, age)
         part = TIPPING_PART_AVOIDED if avoided else TIPPING_PART
         most = self.fleet_load.mean_share * part * settings["tip_multiple"] * able
         limit = min(endpoint.ramp, most)
-        return max([share for share in COLD_SHARES if share <= limit], default=0.0)
+        return max(
+            [weight_fraction for weight_fraction in COLD_SHARES if weight_fraction <= limit],
+            default=0.0,
+        )
--- a/peatlead/planner/statistics.py
+++ b/peatlead/planner/statistics.py
@@ -9,8 +9,8 @@
     """What `cold_and_warm_weight` reads of an endpoint."""
 
     weight: float
-    share: float  # of the weight, 0 to 1, that a warming endpoint gets
-    cold_from: Optional[float]  # seconds; None once it is warm
+    weight_fraction: float  # of the weight, 0 to 1, that a warming endpoint gets
+    cold_since: Optional[float]  # seconds; None once it is warm
 
 
 def median(values: Sequence[float]) -> float:
@@ -40,6 +40,6 @@
     cold: list[float] = []
     warm: list[float] = []
     for endpoint in endpoints:
-        side = warm if endpoint.cold_from is None else cold
-        side.append(endpoint.weight * endpoint.share)
+        side = warm if endpoint.cold_since is None else cold
+        side.append(endpoint.weight * endpoint.weight_fraction)
     return fsum(cold), fsum(warm)
--- a/peatlead/planner/table_writer.py
+++ b/peatlead/planner/table_writer.py
@@ -55,10 +55,10 @@
         entries = proxy.entries[group]
         old = entries.pop(endpoint, None)
         if old:
-            context.holders.remove(endpoint, proxy.number)
+            context.subscriber_index.remove(endpoint, proxy.number)
         if weight:
             entries[endpoint] = weight
-            context.holders.add(endpoint, proxy.number)
+            context.subscriber_index.add(endpoint, proxy.number)
         context.commands.append(SetEntry(proxy.first_table + group, endpoint, weight))
         if proxy.assigned:
             # One that the proxy may avoid since a withdrawal is restored with its first entry.
--- a/peatlead/planner/withdrawals.py
+++ b/peatlead/planner/withdrawals.py
@@ -55,7 +55,9 @@
     def _withdraw(self, endpoint: EndpointState) -> None:
         context = self.context
         endpoint.unusable_since = context.now
-        endpoint.notified_proxies = dict.fromkeys(context.holders.subscribers(endpoint.id), True)
+        endpoint.notified_proxies = dict.fromkeys(
+            context.subscriber_index.subscribers(endpoint.id), True
+        )
         self.new.append(endpoint.id)
         self.count += 1
         for (
--- a/peatlead/planner/zone_capacity.py
+++ b/peatlead/planner/zone_capacity.py
@@ -36,7 +36,7 @@
 
 def capacity(endpoints: list[EndpointState]) -> float:
     """The weight that the endpoints have by their shares."""
-    return fsum([endpoint.weight * endpoint.share for endpoint in endpoints])
+    return fsum([endpoint.weight * endpoint.weight_fraction for endpoint in endpoints])
 
 
 class ZoneCapacity:
@@ -124,7 +124,7 @@
         by_weight = fsum(rates.values()) / max(TINY, capacity(usable))
         load = {endpoint.zone: 0.0 for endpoint in self.context.endpoints.values()}
         for endpoint in usable:
-            load[endpoint.zone] += endpoint.weight * endpoint.share * by_weight
+            load[endpoint.zone] += endpoint.weight * endpoint.weight_fraction * by_weight
         return load
 
     def _group_capacities(self) -> list[GroupCapacity]:
--- a/peatlead/tables/change_causes.py
+++ b/peatlead/tables/change_causes.py
@@ -51,7 +51,9 @@
         self._listed_weight = listed_of
         self.last_events: dict[int, str] = {}  # endpoint -> its last event
 
-    def phases(self, members: Mapping[int, tuple[Optional[str], str]], version: object) -> None:
+    def note_phase_changes(
+        self, members: Mapping[int, tuple[Optional[str], str]], version: object
+    ) -> None:
         """Store changes of phase in a version of the endpoint list: {endpoint: (before, after)}."""
         for endpoint, (before, after) in members.items():
             previous = f" (was {before})" if before else ""
--- a/tests/controller/test_operator_queries.py
+++ b/tests/controller/test_operator_queries.py
@@ -35,7 +35,7 @@
             await until(lambda: controller.queries.why(question)["holders"], 5.0)
             unknown = controller.queries.why(Question("why", host="none"))
             endpoint = controller.registry.index["h2"]
-            holders = len(controller.planner.context.holders.subscribers(endpoint))
+            holders = len(controller.planner.context.subscriber_index.subscribers(endpoint))
             return controller.queries.why(question), unknown, holders
 
         answer, unknown, holders = play(case)
--- a/tests/planner/test_channel_backlog.py
+++ b/tests/planner/test_channel_backlog.py
@@ -29,10 +29,10 @@
         for proxy, nonce in (("b", 2), ("a", 1), ("a", 1), ("b", 7), ("c", 2), ("b", 2), ("a", 0)):
             backlog.acknowledge(proxy, nonce)
             self.assertEqual(
-                backlog.unanswered, 57
+                backlog.unacknowledged_entries, 57
             )  # b's acknowledgement covers the first batch and its own message, no more
         backlog.acknowledge("a", 2)
-        self.assertEqual(backlog.unanswered, 0.0)
+        self.assertEqual(backlog.unacknowledged_entries, 0.0)
         backlog = self.backlog_of((1, 50))
         backlog.advance(11.5)
         self.assertEqual(backlog.entries, 0.0)
@@ -42,9 +42,9 @@
         backlog = self.backlog_of((1, 50), (2, 50))
         backlog.add("a", 3, True)
         backlog.disconnect("a")
-        self.assertEqual((backlog.unanswered, backlog.open_entries), (2 * 57, 0))
+        self.assertEqual((backlog.unacknowledged_entries, backlog.open_entries), (2 * 57, 0))
         backlog.disconnect("b")
-        self.assertEqual((backlog.unanswered, len(backlog.batches)), (0.0, 0))
+        self.assertEqual((backlog.unacknowledged_entries, len(backlog.batches)), (0.0, 0))
         self.assertEqual(backlog.end_batch(), 0)
 
     def test_an_open_batch_counts_and_an_empty_one_has_no_nonce(self):
@@ -63,4 +63,4 @@
         self.assertEqual(last, 1)
         self.assertLessEqual(len(backlog.batches), 11)
         backlog.acknowledge("a", 1)
-        self.assertEqual(backlog.unanswered, 0.0)
+        self.assertEqual(backlog.unacknowledged_entries, 0.0)
--- a/tests/planner/test_endpoint_updates.py
+++ b/tests/planner/test_endpoint_updates.py
@@ -21,7 +21,7 @@
                 planner.decide(102.0 + number + after / 10, [interface.TimerFired(0), passed])
         self.assertLess(len(planner.endpoints), 75)
         known = set(planner.endpoints)
-        self.assertEqual(set(planner.context.holders.by_endpoint) - known, set())
+        self.assertEqual(set(planner.context.subscriber_index.by_endpoint) - known, set())
         self.assertEqual(set(planner.schedule.active) - known, set())
         self.assertTrue(planner.proxies[0].entries[0])
 
--- a/tests/planner/test_load_shedding.py
+++ b/tests/planner/test_load_shedding.py
@@ -4,7 +4,7 @@
 
 
 class LoadSheddingTest(unittest.TestCase):
-    def admitted_after(self, share):
+    def admitted_after(self, weight_fraction):
         """What is admitted a few late rounds after a cut, with all endpoints at a share of their weight."""
         planner = make_planner(report_fields=["util"], fails_to_shun=3)
         shedding = planner.load_shedding
@@ -13,7 +13,7 @@
         shedding.severity = 1.0
         shedding.next_at = 0.0
         for endpoint in planner.endpoints.values():
-            endpoint.share = endpoint.ramp = share
+            endpoint.weight_fraction = endpoint.ramp = weight_fraction
             endpoint.next_step_at = 1e9
         late = 0.35 * planner.demand.mean_target()
         for _ in range(4):
--- a/tests/planner/test_planner_at_scale.py
+++ b/tests/planner/test_planner_at_scale.py
@@ -91,7 +91,7 @@
             self.drive(planner, Random(seed))
             for host in planner.endpoints:
                 self.assertEqual(
-                    set(planner.context.holders.subscribers(host)),
+                    set(planner.context.subscriber_index.subscribers(host)),
                     {
                         p.number
                         for p in planner.proxies.values()
@@ -109,7 +109,7 @@
         while now < 130:
             now += 0.1
             planner.decide(now, [interface.TimerFired(0)])
-        self.assertEqual((planner.endpoints[3].share, planner.schedule.active), (1.0, {}))
+        self.assertEqual((planner.endpoints[3].weight_fraction, planner.schedule.active), (1.0, {}))
 
     def test_each_ready_endpoint_is_probed_about_once_a_second(self):
         planner, now, probes = make_planner(), 100.0, Counter()
@@ -217,7 +217,7 @@
             commands = planner.decide(now, [interface.TimerFired(CONTINUE_TIMER)])
         now += 60
         planner.decide(now, [interface.TimerFired(0)])
-        planner.endpoints[3].share = 0.5
+        planner.endpoints[3].weight_fraction = 0.5
         planner.changes.mark(planner.endpoints[3])
         planner.changes.reductions_pending = True
         batches = 0
@@ -241,7 +241,7 @@
         self.assertLess(figures["queue, deepest part"], 1.0)
         self.assertLessEqual(figures["messages a proxy in 10 s, most"], 30)
         run.ticks(100)
-        self.assertEqual({host.share for host in run.planner.endpoints.values()}, {1.0})
+        self.assertEqual({host.weight_fraction for host in run.planner.endpoints.values()}, {1.0})
 
     def test_proxy_numbers_may_have_64_bits(self):
         planner = self.planner_for(3)
@@ -265,13 +265,16 @@
         planner.decide(100.0, [interface.ProxyConnected(0, 0, 1.0, True)])
         proxy = planner.proxies[0]
         for host in proxy.entries[0]:
-            planner.endpoints[host].cold_from, planner.endpoints[host].share = 100.0, 0.25
+            planner.endpoints[host].cold_since, planner.endpoints[host].weight_fraction = (
+                100.0,
+                0.25,
+            )
         lines = planner.sharding.table(proxy, 0)
         cold = sum(
             weight
             for host, weight in lines.items()
-            if planner.endpoints[host].cold_from is not None
+            if planner.endpoints[host].cold_since is not None
         )
-        warm = [host for host in lines if planner.endpoints[host].cold_from is None]
+        warm = [host for host in lines if planner.endpoints[host].cold_since is None]
         self.assertTrue(0 < len(warm) <= MAX_WARM_JOINING)
         self.assertTrue(proxy.beyond_shards and cold <= 0.5 * sum(lines.values()))
--- a/tests/planner/test_removals.py
+++ b/tests/planner/test_removals.py
@@ -19,8 +19,8 @@
         planner = make_planner()
         proxy = planner.proxies[0]
         proxy.entries[0] = {0: 0.06, 1: 1.0}
-        planner.endpoints[0].cold_from = 100.0
-        planner.endpoints[0].share = 0.06
+        planner.endpoints[0].cold_since = 100.0
+        planner.endpoints[0].weight_fraction = 0.06
         planner.endpoints[1].phase = "gone"
         planner.changes.removals_pending = True
         planner.removals.remove_unusable()
@@ -33,6 +33,6 @@
         proxy.entries[0] = {0: 1.0}
         planner.endpoints[0].phase = "gone"
         planner.changes.removals_pending = True
-        planner.budget.backlog.unanswered = planner.settings["queue_most"]
+        planner.budget.backlog.unacknowledged_entries = planner.settings["queue_most"]
         planner.removals.remove_unusable()
         self.assertTrue(proxy.entries[0])
--- a/tests/planner/test_shuffle_sharding.py
+++ b/tests/planner/test_shuffle_sharding.py
@@ -18,8 +18,8 @@
             for endpoint in chosen
         ]
         for endpoint in shard[:2]:
-            endpoint.cold_from = 100.0
-            endpoint.share = 0.37
+            endpoint.cold_since = 100.0
+            endpoint.weight_fraction = 0.37
         planner.changes.mark_all()
         planner.sharding.end_batch()
         table = planner.sharding.table(proxy, 0)
@@ -27,7 +27,7 @@
         cold = sum(
             weight
             for number, weight in table.items()
-            if planner.endpoints[number].cold_from is not None
+            if planner.endpoints[number].cold_since is not None
         )
         self.assertLessEqual(cold, 0.2 * whole + 1e-9)
         self.assertLess(whole, max(len(shard), 0.74 / 0.2) + 1.0)
@@ -68,19 +68,19 @@
         proxy = planner.proxies[0]
         for endpoint in planner.endpoints.values():
             if endpoint.zone == proxy.zone:
-                endpoint.cold_from = 100.0
-                endpoint.share = 0.06
+                endpoint.cold_since = 100.0
+                endpoint.weight_fraction = 0.06
         table = planner.sharding.table(proxy, 0)
-        self.assertTrue(any(planner.endpoints[number].cold_from is None for number in table))
+        self.assertTrue(any(planner.endpoints[number].cold_since is None for number in table))
         for endpoint in planner.endpoints.values():
-            endpoint.cold_from = 100.0 if endpoint.id else None
+            endpoint.cold_since = 100.0 if endpoint.id else None
         self.assertIn(0, planner.sharding.table(proxy, 0))
 
     def test_a_table_is_cold_heavy_once_cold_endpoints_hold_a_fifth(self):
         planner = make_planner()
         endpoints = list(planner.endpoints.values())
-        endpoints[0].cold_from = 100.0
-        endpoints[0].share = 0.37
+        endpoints[0].cold_since = 100.0
+        endpoints[0].weight_fraction = 0.37
         self.assertTrue(planner.sharding.is_cold_heavy(endpoints[:2]))
         self.assertFalse(planner.sharding.is_cold_heavy(endpoints[:4]))
 
--- a/tests/planner/test_slow_start.py
+++ b/tests/planner/test_slow_start.py
@@ -13,17 +13,17 @@
         planner.decide(200.1, [interface.HealthCheckResult(50, "ok", 0.01, None)])
         for tick in range(2, 14):
             planner.decide(200.0 + tick / 10, [interface.TimerFired(0)])
-        self.assertEqual(planner.endpoints[50].share, 1.0)
+        self.assertEqual(planner.endpoints[50].weight_fraction, 1.0)
 
     def test_a_cold_endpoint_gets_a_part_of_what_tips_it_and_none_in_a_saturated_fleet(self):
         planner = make_planner()
         endpoint = planner.endpoints[0]
-        planner.now = endpoint.cold_from = 100.0
+        planner.now = endpoint.cold_since = 100.0
         endpoint.ramp = 1.0
-        share = planner.slow_start.share(endpoint)
-        self.assertLessEqual(share, 0.3 * 4.0 * 0.2 + 1e-9)
+        weight_fraction = planner.slow_start.target_weight_fraction(endpoint)
+        self.assertLessEqual(weight_fraction, 0.3 * 4.0 * 0.2 + 1e-9)
         planner.fleet_load.mean_share = 0.5
-        self.assertLess(planner.slow_start.share(endpoint), share)
+        self.assertLess(planner.slow_start.target_weight_fraction(endpoint), weight_fraction)
         planner.settings["fails_to_shun"] = 3
         planner.fleet_load.saturated = True
-        self.assertEqual(planner.slow_start.share(endpoint), 0.0)
+        self.assertEqual(planner.slow_start.target_weight_fraction(endpoint), 0.0)
--- a/tests/planner/test_staged_updates.py
+++ b/tests/planner/test_staged_updates.py
@@ -12,9 +12,9 @@
         for tick in range(200):
             planner.decide(101.0 + tick, [interface.TimerFired(0)])
         endpoint = planner.endpoints[0]
-        holders = set(planner.context.holders.subscribers(0))
+        holders = set(planner.context.subscriber_index.subscribers(0))
         self.assertLess(len(holders), 40)
-        endpoint.share = 0.5
+        endpoint.weight_fraction = 0.5
         planner.changes.mark(endpoint)
         staged = set()
         stages = 0
--- a/tests/planner/test_withdrawals.py
+++ b/tests/planner/test_withdrawals.py
@@ -16,7 +16,7 @@
         planner.decide(
             101.0, [interface.EndpointUpdate("changes", 2, (make_endpoint(3, 1, "draining"),))]
         )
-        planner.budget.backlog.unanswered = planner.settings["queue_most"]
+        planner.budget.backlog.unacknowledged_entries = planner.settings["queue_most"]
         commands = planner.decide(101.0, [interface.ProxyConnected(9, 0, 10.0, True)])
         self.assertFalse(of_type(commands, interface.AssignTable))
         self.assertIn(interface.WithdrawEndpoint(3, True, (9,)), commands)
@@ -33,7 +33,7 @@
     def test_a_drain_is_not_sent_to_so_many_waiting_proxies_that_it_fills_the_queue(self):
         # One controller with 1,100 waiting proxies and 30 draining endpoints: 45,011 entries where 45,000 may wait.
         planner = make_planner(endpoints=60, channel_rate=100.0, queue_most=400.0)
-        planner.budget.backlog.unanswered = 180.0
+        planner.budget.backlog.unacknowledged_entries = 180.0
         planner.decide(
             101.0,
             [interface.ProxyConnected(number, number % 2, 10.0, False) for number in range(10, 40)],
@@ -53,7 +53,7 @@
             list(publisher.take([interface.WithdrawEndpoint(3, True, (10, 12))])[0]), [10]
         )
         self.assertEqual(list(publisher.take([interface.WithdrawEndpoint(3, True)])[0]), [11])
-        planner.budget.backlog.unanswered = 0.0
+        planner.budget.backlog.unacknowledged_entries = 0.0
         planner.budget.backlog.batches.clear()
         commands = [
             command
--- a/tests/platform/test_push.py
+++ b/tests/platform/test_push.py
@@ -92,7 +92,7 @@
                 **platform.controller.planner.settings,
                 "queue_most": 1000.0,
             }
-            platform.controller.planner.budget.backlog.unanswered = 410.0
+            platform.controller.planner.budget.backlog.unacknowledged_entries = 410.0
             platform.discovery.publish(instance(2, lifecycle="leaving"))
             await until(lambda: any(part.get("eject") == ["s-2"] for part in proxy.messages))
             self.assertFalse(any(part.get("full") for part in proxy.messages + cold.messages))
--- a/tests/tables/test_change_causes.py
+++ b/tests/tables/test_change_causes.py
@@ -10,7 +10,7 @@
         self.causes = ChangeCauses(lambda endpoint: f"h{endpoint}", lambda endpoint: 1.0)
 
     def test_a_phase_change_is_the_cause_of_a_changed_weight(self):
-        self.causes.phases({1: ("ready", "draining"), 2: (None, "ready")}, 12)
+        self.causes.note_phase_changes({1: ("ready", "draining"), 2: (None, "ready")}, 12)
         self.assertEqual(
             self.causes.causes_of({("line", 0, 1): 0.0, ("line", 0, 2): 1.0}),
             ("h1 drains, list 12 (was ready)", "h2 listed, list 12"),
