--- a/peatlead/benchmarks/tables_controllers.py
+++ b/peatlead/benchmarks/tables_controllers.py
@@ -19,7 +19,7 @@
 LANES = 8  # controllers at a time
 START_LANE = 90  # addresses of the controller whose start is measured
 STARTS = 5
-STARTED = "steward started"  # event of the controller's log
+STARTED = "controller started"  # event of the controller's log
 SETTINGS = """
 zone(name = "north")
 dns(zone = "example.org", port = {port}, lifetime = 1, open_views = 16)
--- a/peatlead/controller/controller.py
+++ b/peatlead/controller/controller.py
@@ -168,7 +168,7 @@
             self.publisher.join(view.number)
             self.proxy_joined(view.number, view.zone, view.rate, True)
         self.endpoint_lists.source.start()
-        self.log("steward started", listen=str(self.me["listen"]), views=len(self.numbers))
+        self.log("controller started", listen=str(self.me["listen"]), views=len(self.numbers))
 
     def _create_secondaries(self) -> Secondaries:
         names = [entry["name"] for entry in self.settings["steward"]]
@@ -198,7 +198,7 @@
         if self.secondaries:
             self.secondaries.close()
         self.published.stop(self.loop.time())
-        self.log("steward stopped", why=why, decided=self.decided)
+        self.log("controller stopped", why=why, decided=self.decided)
         self.ended.set_result(why)
 
     # Steps of the batch loop.
--- a/peatlead/platform/controller.py
+++ b/peatlead/platform/controller.py
@@ -121,7 +121,7 @@
         """Log what this controller goes by."""
         shown = [name for name in REQUIRED_SETTINGS if name not in ("zones", "proxies")]
         self.log(
-            "steward started",
+            "controller started",
             name=self.configuration.name,
             listen=str(self.configuration.listen),
             proxies=self.settings["proxies"],
@@ -164,7 +164,7 @@
         self.ended.set_result(self.stop_reason)
         self.listener.cut()
         self.log(
-            "steward stopped",
+            "controller stopped",
             why=self.stop_reason,
             decided=self.decided,
             slowest=round(self.slowest, 3),
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -66,10 +66,10 @@
             events = []
             for line in child.stderr:
                 events.append(json.loads(line)["event"])
-                if events[-1] == "steward started":
+                if events[-1] == "controller started":
                     child.send_signal(signal.SIGTERM)
             child.stderr.close()
-            self.assertEqual((child.wait(10), events[-1]), (0, "steward stopped"))
+            self.assertEqual((child.wait(10), events[-1]), (0, "controller stopped"))
 
 
 class TablesCommandsTest(unittest.TestCase):
--- a/tests/platform/test_program.py
+++ b/tests/platform/test_program.py
@@ -99,7 +99,7 @@
         )
         self.addCleanup(program.stderr.close)
         self.addCleanup(program.kill)
-        self.read(program, "steward started")
+        self.read(program, "controller started")
         return program
 
     def read(self, program, event):
@@ -150,7 +150,7 @@
         self.assertEqual(record["differs"], ["drain_grace"])
         self.assertEqual(self.check_liveness(), '{"msg":"alive"}\n')
         program.terminate()
-        self.assertEqual(self.read(program, "steward stopped")["why"], "stopped")
+        self.assertEqual(self.read(program, "controller stopped")["why"], "stopped")
         self.assertEqual(program.wait(60), 0)
 
     def test_sigterm_before_the_loop_runs_exits_with_0_and_sighup_is_ignored(self):
--- a/tests/transcripts/recorded.py
+++ b/tests/transcripts/recorded.py
@@ -7,7 +7,7 @@
 FOLDER = Path(__file__).parent.parent / "data" / "wire"
 
 
-def text(data):
+def to_base64(data):
     return b64encode(data).decode()
 
 
--- a/tests/transcripts/test_dns_transcripts.py
+++ b/tests/transcripts/test_dns_transcripts.py
@@ -138,7 +138,9 @@
 
 def told(data):
     """An answer's bytes; of a long one, its length and SHA-256."""
-    return recorded.text(data) if len(data) <= LONG else f"{len(data)} {sha256(data).hexdigest()}"
+    return (
+        recorded.to_base64(data) if len(data) <= LONG else f"{len(data)} {sha256(data).hexdigest()}"
+    )
 
 
 class Asking:
--- a/tests/transcripts/test_gossip_transcripts.py
+++ b/tests/transcripts/test_gossip_transcripts.py
@@ -250,7 +250,7 @@
             self.at = at
 
         def sendto(self, data, address):
-            datagrams.append([round(clock.now * 1000), self.at, recorded.text(data)])
+            datagrams.append([round(clock.now * 1000), self.at, recorded.to_base64(data)])
             way.append((self.at, tuple(address), data))
 
     made = [make_node(only, at, clock, Wire(at), told) for at in range(2)]
@@ -282,7 +282,7 @@
     long, seen = run_members(7, 30, 5, LONG)
     sealed, told = node_transcript()
     return {
-        "datagrams": [[*one[:3], recorded.text(one[3])] for one in datagrams],
+        "datagrams": [[*one[:3], recorded.to_base64(one[3])] for one in datagrams],
         "changes": changes,
         "long run": {
             "datagrams": len(long),
--- a/tests/transcripts/test_tables_transcripts.py
+++ b/tests/transcripts/test_tables_transcripts.py
@@ -153,7 +153,7 @@
 def transcript():
     made = segment(FRAMES)
     return {
-        "segment": recorded.text(made),
+        "segment": recorded.to_base64(made),
         "read": odd_segments(made),
         "pins": told_pins(100.0, MADE, 104.25).hex(),
         "places": pin_places(PIN[1], ["p0", "p1", "é"]),
--- a/tests/transcripts/test_xds_transcripts.py
+++ b/tests/transcripts/test_xds_transcripts.py
@@ -310,10 +310,10 @@
 
     def take(**fields):
         data = request(**fields)
-        found.append([data.hex(), [recorded.text(one) for one in stream.take(data)]])
+        found.append([data.hex(), [recorded.to_base64(one) for one in stream.take(data)]])
 
     def changed(url):
-        found.append([url, [recorded.text(one) for one in stream.changed(url)]])
+        found.append([url, [recorded.to_base64(one) for one in stream.changed(url)]])
 
     take(
         type_url=TABLES,
@@ -348,7 +348,7 @@
             told = discovery_pb2.DeltaDiscoveryResponse.FromString(data)
             nonces[told.type_url] = told.nonce
         found.append(
-            [what, [recorded.text(one) for one in sent], [proxy.take(one) for one in sent]]
+            [what, [recorded.to_base64(one) for one in sent], [proxy.take(one) for one in sent]]
         )
 
     def take(**fields):
@@ -405,7 +405,7 @@
             LINE + "odd": "2",
         },
     )
-    return [len(data), [recorded.text(one) for one in DeltaStream(4, state).take(data)]]
+    return [len(data), [recorded.to_base64(one) for one in DeltaStream(4, state).take(data)]]
 
 
 def load_report():
