--- a/tests/transcripts/test_tables_transcripts.py
+++ b/tests/transcripts/test_tables_transcripts.py
@@ -160,7 +160,7 @@
 def transcript():
     segment = encode_segment(FRAMES)
     return {
-        "segment": recorded.text(segment),
+        "segment": recorded.to_base64(segment),
         "read": read_damaged_segments(segment),
         "pins": encoded_snapshot(100.0, PIN_ARGUMENTS, 104.25).hex(),
         "places": rollout_positions(PIN[1], ["p0", "p1", "é"]),
