--- a/peatlead/platform/__init__.py
+++ b/peatlead/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The controller on the platform's protocol (docs/operators/platform.md)."""
+"""A controller that speaks the platform's protocol (docs/operators/platform.md)."""
--- a/peatlead/platform/__main__.py
+++ b/peatlead/platform/__main__.py
@@ -1,14 +1,14 @@
-"""`python -m peatlead.platform`: one controller on the platform, until SIGTERM.
+"""`python -m peatlead.platform`: runs one controller on the platform until SIGTERM or SIGINT.
 
-NODE_CONFIG names its configuration file. Exits with 0 after SIGTERM or SIGINT, with 1 where it
-can't start, and with 3 where the planner failed too often.
+The environment variable NODE_CONFIG contains the path of the configuration file. The exit code is 0
+after SIGTERM or SIGINT, 1 if the controller can't start, and 3 if the planner failed too often.
 """
 
 import sys
 
-# Nothing here uses TLS or OpenSSL's hashes, and asyncio and hashlib do without these modules. They
-# would take 5 of the 32 MB that a controller may use, so they are blocked before any other import
-# (hence the exceptions from E402, imports at the top, below).
+# Blocks the import of OpenSSL's modules, which would take 5 of the 32 MB that a controller may use.
+# The controller needs neither TLS nor OpenSSL's hashes, and asyncio and hashlib work without these
+# modules. The block must precede all other imports, which therefore need `noqa: E402`.
 sys.modules["ssl"] = None  # type: ignore[assignment]
 sys.modules["_hashlib"] = None  # type: ignore[assignment]
 
@@ -25,21 +25,21 @@
 from .messages import ENCODER  # noqa: E402
 from .startup import read_with_retries  # noqa: E402
 
-STANDARD_ERROR = 2  # file descriptor
+STDERR_FD = 2  # file descriptor
 EXIT_OK = 0
 EXIT_CANNOT_START = 1
 EXIT_PLANNER_FAILED = 3
 
 
 def log(event: str, /, **fields: Any) -> None:
-    """Write one JSON object a line to standard error; a reader that is gone is no error."""
+    """Write a log event to standard error as a line of JSON; write errors are ignored."""
     record = {"at": round(time.time(), 3), "event": event, **fields}
     with contextlib.suppress(OSError):
-        os.write(STANDARD_ERROR, ENCODER.encode(record) + b"\n")
+        os.write(STDERR_FD, ENCODER.encode(record) + b"\n")
 
 
-def log_callback_error(_: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-    """Log a callback that raised; the controller goes on, and deadlines clean up after it."""
+def log_callback_exception(_: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+    """Log an exception in a callback of the event loop; the controller continues."""
     log("callback failed", why=context.get("message"), error=repr(context.get("exception")))
 
 
@@ -50,16 +50,16 @@
         return read_configuration(os.environ, time.time())
 
     loop = asyncio.get_running_loop()
-    loop.set_exception_handler(log_callback_error)
+    loop.set_exception_handler(log_callback_exception)
     try:
         configuration = await read_with_retries(read, log)
         controller = PlatformController(configuration, read, log, time.time)
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, controller.stop)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, controller.stop)
         loop.add_signal_handler(signal.SIGHUP, controller.reload)
         await controller.start()
-    except (ConfigurationError, OSError) as problem:
-        log("cannot start", why=str(problem))
+    except (ConfigurationError, OSError) as error:
+        log("cannot start", why=str(error))
         return EXIT_CANNOT_START
     gc.collect()
     gc.freeze()
@@ -68,8 +68,9 @@
 
 
 if __name__ == "__main__":
-    # Until the event loop handles signals, SIGTERM ends a process that owes nothing yet, and SIGHUP
-    # concerns a file that is yet to be read.
+    # These handlers apply until the event loop handles signals. On SIGTERM the process can exit at
+    # once, since it has no connections yet. SIGHUP is ignored, since the configuration has not been
+    # read yet.
     signal.signal(signal.SIGTERM, lambda *_: os._exit(EXIT_OK))
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     sys.exit(asyncio.run(serve()))
--- a/peatlead/platform/clock.py
+++ b/peatlead/platform/clock.py
@@ -1,9 +1,10 @@
-"""Ages by the wall clock, which may be stepped by seconds or hours while the loop's clock goes on.
+"""Ages of endpoints by the wall clock, which may be stepped by seconds or hours.
 
-The platform's endpoints give their start as Unix time, stamped by the wall clock as it stood then.
-The last offsets between the two clocks are kept, and an endpoint is taken to be as young as any of
-them makes it: a warm endpoint that counts as cold gets less traffic for a while, while a cold one
-that counts as warm would be overloaded.
+Discovery gives the start of an endpoint as Unix time, taken from a wall clock that may have been
+stepped since. `WallClock` therefore keeps the last offsets between the wall clock and the event
+loop's monotonic clock, computes an age with each of them, and returns the smallest. An age that is
+too small only reduces the endpoint's traffic for a while; an age that is too large would overload
+an endpoint that is still cold.
 """
 
 from collections import deque
@@ -11,34 +12,35 @@
 
 from .shared_types import Log
 
-# Seconds that an offset must differ from the last one to be a step; less is slew.
-MINIMUM_STEP = 0.25
-OFFSETS_KEPT = 8
-# Seconds that an endpoint may seem to start in the future by the same clock.
+MIN_STEP = 0.25  # seconds; a smaller change of the offset is slew
+MAX_OFFSETS = 8  # offsets kept
+# Seconds by which a start may be in the future; an offset that puts the start later is not used.
 FUTURE_TOLERANCE = 1.0
 
 
 class WallClock:
-    """Unix time and ages; `wall()` gives Unix seconds, `loop_time()` the event loop's."""
+    """Gives Unix time and ages; both `unix_time()` and `loop_time()` return seconds."""
 
-    def __init__(self, wall: Callable[[], float], loop_time: Callable[[], float], log: Log) -> None:
-        self.wall = wall
+    def __init__(
+        self, unix_time: Callable[[], float], loop_time: Callable[[], float], log: Log
+    ) -> None:
+        self.unix_time = unix_time
         self.loop_time = loop_time
         self.log = log
-        self.offsets = deque([wall() - loop_time()], OFFSETS_KEPT)
+        self.offsets = deque([unix_time() - loop_time()], MAX_OFFSETS)
 
     def now(self) -> float:
-        """Return Unix seconds by the clock as it stands; a step since the last call is recorded."""
-        wall_time = self.wall()
+        """Return the Unix time in seconds; a step of the wall clock is recorded and logged."""
+        wall_time = self.unix_time()
         previous = self.offsets[-1]
         offset = wall_time - self.loop_time()
-        if abs(offset - previous) > MINIMUM_STEP:
+        if abs(offset - previous) > MIN_STEP:
             self.offsets.append(offset)
             self.log("wall clock stepped", by=round(offset - previous, 3))
         return wall_time
 
     def age(self, started_at: float) -> float:
-        """Return the seconds since a Unix time: the least of what the kept offsets make it."""
+        """Return the smallest age, in seconds, that the kept offsets give for a Unix time."""
         self.now()
         ages = [self.loop_time() + offset - started_at for offset in self.offsets]
         return max(0.0, min((age for age in ages if age >= -FUTURE_TOLERANCE), default=0.0))
--- a/peatlead/platform/configuration.py
+++ b/peatlead/platform/configuration.py
@@ -1,7 +1,7 @@
-"""The configuration of a controller on the platform: the file that NODE_CONFIG names.
+"""Reading of a controller's configuration, from the file whose path is in NODE_CONFIG.
 
-It is read at the start and again at SIGHUP. Every field is checked before anything is opened;
-`ConfigurationError` says which one is wrong and what was expected.
+The file is read at the start and again after SIGHUP. All fields are validated before anything is
+opened; `ConfigurationError` names the invalid field and says what was expected.
 """
 
 from collections.abc import Mapping
@@ -25,7 +25,7 @@
 
 
 class ConfigurationError(Exception):
-    """There is no valid configuration; `transient`: the file may be readable a moment later."""
+    """The configuration can't be read or is invalid; if `transient`, a retry may succeed."""
 
     def __init__(self, reason: str, transient: bool = False) -> None:
         super().__init__(reason)
@@ -35,8 +35,8 @@
 class Configuration(NamedTuple):
     """A valid configuration.
 
-    `sockets`: file descriptors that the process may hold; `settings`: the planner's;
-    `remembered_list`: the endpoint list as this controller last had it.
+    `sockets` is the maximum number of open file descriptors, `settings` are the planner's settings,
+    and `remembered_list` is the last endpoint list that this controller received.
     """
 
     name: str
@@ -49,59 +49,61 @@
 
 
 def read_configuration(environ: Mapping[str, str], unix_time: float) -> Configuration:
-    """Read and check the file. Raises ConfigurationError."""
+    """Read and validate the configuration file. Raises ConfigurationError."""
     path = environ.get(PATH_VARIABLE)
     if not path:
         raise ConfigurationError(
-            f"{PATH_VARIABLE}: expected the path of a configuration, it is not set"
+            f"{PATH_VARIABLE}: not set, expected the path of the configuration file"
         )
     data = read_file(path)
     try:
         document = read_configuration_document(data)
-        remembered_list = remembered_list_of(document, unix_time)
+        remembered_list = read_remembered_list(document, unix_time)
         listen = read_address(document.listen)
         discovery = read_address(document.discovery)
         seed = int(document.seed, 16)
-    except ValueError as problem:  # malformed messages among them
-        raise ConfigurationError(f"{path}: {problem}") from None
+    except ValueError as error:  # includes MalformedMessageError
+        raise ConfigurationError(f"{path}: {error}") from None
     return Configuration(
         name=document.name,
         listen=listen,
         discovery=discovery,
         seed=seed,
         sockets=document.limits.sockets,
-        settings=settings_of(document, path),
+        settings=read_settings(document, path),
         remembered_list=remembered_list,
     )
 
 
 def read_file(path: str) -> bytes:
-    """Return the file's bytes. Raises ConfigurationError."""
+    """Return the contents of the file. Raises ConfigurationError."""
     try:
         with open(path, "rb") as file:
             return file.read()
-    except OSError as problem:
-        raise ConfigurationError(f"{path}: {problem.strerror}", is_transient(problem)) from None
+    except OSError as error:
+        raise ConfigurationError(f"{path}: {error.strerror}", is_transient(error)) from None
 
 
-def remembered_list_of(document: ConfigurationDocument, unix_time: float) -> Optional[EndpointList]:
-    """Return the stored endpoint list, if there is one. Raises MalformedMessageError."""
+def read_remembered_list(
+    document: ConfigurationDocument, unix_time: float
+) -> Optional[EndpointList]:
+    """Parse the file's endpoint list, if it contains one. Raises MalformedMessageError."""
     if not bytes(document.remembered_list):
         return None
     endpoint_list = read_endpoint_list(bytes(document.remembered_list), unix_time)
     return endpoint_list._replace(scope=ListScope.REMEMBERED)
 
 
-def settings_of(document: ConfigurationDocument, path: str) -> Settings:
-    """Return the planner's settings, with defaults. Raises ConfigurationError."""
+def read_settings(document: ConfigurationDocument, path: str) -> Settings:
+    """Return the planner's settings, including defaults. Raises ConfigurationError."""
     try:
-        given = settings_from(document.settings)
+        given_settings = settings_from(document.settings)
         settings: Settings = {
             **DEFAULT_SETTINGS,
-            **{name: value for name, value in given.items() if value is not None},
+            **{name: value for name, value in given_settings.items() if value is not None},
         }
-    except (AttributeError, KeyError, TypeError, ValueError) as problem:
-        raise ConfigurationError(f"{path}: settings: {problem!r}") from None
+    except (AttributeError, KeyError, TypeError, ValueError) as error:
+        raise ConfigurationError(f"{path}: settings: {error!r}") from None
     errors = settings_errors(settings)
     if errors:
         raise ConfigurationError(f"{path}: settings: {errors[0]}")
--- a/peatlead/platform/controller.py
+++ b/peatlead/platform/controller.py
@@ -1,7 +1,7 @@
 """The controller on the platform: connects sessions, discovery and health checks to a planner.
 
-Nothing is decided here. A batch sends one message to each proxy that it concerns, written at once:
-the platform's channel paces them, and the planner counts what waits there.
+All decisions are the planner's. Each batch writes at most one message to each proxy, immediately:
+the platform's channel limits the rate, and the planner counts the entries that wait in it.
 """
 
 from collections.abc import Callable, Mapping, Sequence
@@ -18,7 +18,7 @@
 from .configuration import Configuration
 from .endpoint_tracker import EndpointTracker
 from .endpoint_watch import EndpointWatch
-from .health_checks import concurrent_checks, make_prober
+from .health_checks import make_prober, max_concurrent_checks
 from .messages import CollectorHello, ProxyHello
 from .push import PushComposer
 from .reload import ConfigurationReload, differences
@@ -32,22 +32,24 @@
 from .startup import open_with_retries
 from .telemetry import Telemetry
 
-STOPPED = "stopped"  # the reason of an end that was asked for
-# Seconds that a liveness check waits for the first list, where none with endpoints is remembered.
+STOPPED = "stopped"  # reason of a requested stop
+# Seconds until liveness checks are answered without an endpoint list.
 FIRST_LIST_TIMEOUT = 1.0
-# Seconds that peers have to read what was written before the end; the platform grants 0.7.
+# Seconds that peers have to read buffered data when the controller stops; the platform allows 0.7
+# seconds for the whole stop.
 STOP_TIMEOUT = 0.4
 SWEEP_INTERVAL = 5.0  # seconds between searches for endpoints that the planner has forgotten
-DIFFERENCES_LOGGED = 20  # of a new configuration
+MAX_DIFFERENCES_LOGGED = 20  # differing names of a new configuration
 
-MakePlanner = Callable[[Settings, int], Planner]  # of the settings and a seed
+MakePlanner = Callable[[Settings, int], Planner]  # takes the settings and a seed
 
 
 class PlatformController(BatchLoop):
     """One controller of the platform's fleet.
 
-    `read_configuration()` returns the configuration anew, or raises ConfigurationError. `wall()`
-    gives Unix seconds, by which only endpoints' ages go: all other times are the event loop's.
+    `read_configuration()` reads the configuration again, or raises ConfigurationError.
+    `unix_time()` returns seconds; it is used only for the endpoints' ages and for the time of
+    endpoint lists. All other times are on the event loop's clock.
     """
 
     planner: Planner
@@ -57,7 +59,7 @@
         configuration: Configuration,
         read_configuration: Callable[[], Configuration],
         log: Log,
-        wall: Callable[[], float],
+        unix_time: Callable[[], float],
         make_planner: MakePlanner = Planner,
     ) -> None:
         settings = configuration.settings
@@ -68,38 +70,38 @@
         self.ready = False  # whether liveness checks are answered
         self.stopping = False
         self.stop_reason = STOPPED
-        self.failures = RestartBudget()
+        self.restart_budget = RestartBudget()
         self.class_names = [request_class["name"] for request_class in settings["req_kinds"]]
-        self.proxy_sessions: dict[int, Session] = {}  # the newest stream of each proxy
+        self.proxy_sessions: dict[int, Session] = {}  # newest session of each proxy
         self.telemetry = Telemetry(log)
-        self.clock = WallClock(wall, self.loop.time, log)
+        self.wall_clock = WallClock(unix_time, self.loop.time, log)
         self.reloader = ConfigurationReload(read_configuration, self.apply_configuration, log)
-        self.endpoints = EndpointTracker(settings, self.clock.age, log)
-        self.reports = ReportTranslator(
-            self.endpoints.registry, self.class_names, settings["proxies"]
+        self.endpoint_tracker = EndpointTracker(settings, self.wall_clock.age, log)
+        self.report_translator = ReportTranslator(
+            self.endpoint_tracker.registry, self.class_names, settings["proxies"]
         )
-        self.push = PushComposer(self.endpoints, self.class_names)
+        self.push_composer = PushComposer(self.endpoint_tracker, self.class_names)
         self.open_transports()
 
     def open_transports(self) -> None:
-        """Create, but not yet start, the listener, the watch and the health checks."""
+        """Create the listener, the watch and the prober without starting them."""
         configuration = self.configuration
-        concurrency = concurrent_checks(configuration.sockets)
-        self.listener = SessionListener(self, configuration.sockets, concurrency)
+        max_checks = max_concurrent_checks(configuration.sockets)
+        self.listener = SessionListener(self, configuration.sockets, max_checks)
         self.watch = EndpointWatch(
             configuration.discovery,
             self.on_endpoint_list,
             self.log,
-            self.clock.now,
+            self.wall_clock.now,
             Random(configuration.seed ^ 1),
         )
-        self.prober = make_prober(self.settings, concurrency, self.on_health_check)
+        self.prober = make_prober(self.settings, max_checks, self.on_health_check)
         self.command_handlers[interface.CheckHealth] = self.check_health
 
-    # Start and end.
+    # Start and stop.
 
     async def start(self) -> None:
-        """Open the sockets and begin to serve. Raises OSError."""
+        """Open the listener and start to serve. Raises OSError."""
         await open_with_retries(
             self.listener, self.configuration.listen, lambda: self.stopping, self.log
         )
@@ -118,15 +120,15 @@
         self.log_start()
 
     def log_start(self) -> None:
-        """Log what this controller goes by."""
-        shown = [name for name in REQUIRED_SETTINGS if name not in ("zones", "proxies")]
+        """Log the start and the main settings."""
+        logged_settings = [name for name in REQUIRED_SETTINGS if name not in ("zones", "proxies")]
         self.log(
             "controller started",
             name=self.configuration.name,
             listen=str(self.configuration.listen),
             proxies=self.settings["proxies"],
             kinds=self.class_names,
-            limits={name: self.settings[name] for name in shown},
+            limits={name: self.settings[name] for name in logged_settings},
         )
 
     def become_ready(self) -> None:
@@ -136,10 +138,10 @@
             self.listener.answer_pending_checks()
 
     def stop(self, why: str = STOPPED) -> None:
-        """End the controller.
+        """Stop the controller.
 
-        Events that have come are decided on and what follows is written; each stream ends when
-        that has been sent, or after `STOP_TIMEOUT`.
+        For a requested stop, events in the inbox are still decided on and their messages written.
+        Each connection is closed when its buffered data has been sent, or after `STOP_TIMEOUT`.
         """
         if self.stopping:
             return
@@ -154,11 +156,11 @@
         self.listener.close()
 
     def all_sessions_ended(self) -> None:
-        """Finish early: nobody is left to read what was written."""
+        """Finish before `STOP_TIMEOUT`, since no connection is left."""
         self.finish()
 
     def finish(self) -> None:
-        """End what is left of the connections, and set the result of `ended`."""
+        """Cut the remaining connections, and set the result of `ended`."""
         if self.ended.done():
             return
         self.ended.set_result(self.stop_reason)
@@ -174,33 +176,33 @@
     # Batches.
 
     def submit(self, event: interface.Event) -> None:
-        """Add an event to the next batch, unless the controller stops."""
+        """Add an event to the next batch, unless the controller is stopping."""
         if not self.stopping:
             super().submit(event)
 
     def step(self) -> None:
-        """Run one batch, unless the controller stops."""
+        """Run one batch, unless the controller is stopping."""
         if not self.stopping:
             super().step()
 
-    def failed(self, problem: Exception) -> None:
-        """Replace a planner that raised, or stop if that has happened too often."""
+    def failed(self, error: Exception) -> None:
+        """Replace a planner that raised an exception, or stop if that happened too often."""
         now = self.loop.time()
-        self.failures.record_failure(now)
-        if self.failures.exhausted:
-            self.stop(f"decide failed: {problem!r}")
+        self.restart_budget.record_failure(now)
+        if self.restart_budget.exhausted:
+            self.stop(f"decide failed: {error!r}")
             return
         self.restart_planner(now)
 
     def restart_planner(self, now: float) -> None:
-        """Begin with a new planner from the list and the streams, as after a restart.
+        """Start a new planner with the known endpoints and proxies, as after a restart.
 
-        What the old planner had half decided is lost.
+        Unfinished decisions of the old planner are lost.
         """
-        seed = self.configuration.seed + self.failures.count
+        seed = self.configuration.seed + self.restart_budget.failure_count
         self.planner = self.make_planner(self.settings, seed)
         self.publisher = Publisher()
-        self.submit(self.endpoints.remembered(now))
+        self.submit(self.endpoint_tracker.known_endpoints(now))
         for proxy, session in self.proxy_sessions.items():
             self.publisher.join(proxy, enforces_admission=True)
             self.submit(interface.ProxyConnected(proxy, session.zone, session.request_rate, False))
@@ -208,28 +210,29 @@
     def offer(
         self,
         now: float,
-        orders: Sequence[interface.Command],
+        commands: Sequence[interface.Command],
         messages: Mapping[int, Operations],
-        marks: Mapping[int, Sequence[int]],
+        nonces: Mapping[int, Sequence[int]],
     ) -> None:
-        """Write a batch's messages; of several nonces the last one covers the others."""
+        """Write a batch's messages; the last nonce of a proxy covers its earlier ones."""
         for proxy, operations in messages.items():
             session = self.proxy_sessions.get(proxy)
             if session is not None:
-                nonce = marks[proxy][-1] if proxy in marks else None
+                nonce = nonces[proxy][-1] if proxy in nonces else None
                 self.send_push(proxy, session, operations, nonce)
 
     def send_push(
         self, proxy: int, session: Session, operations: Operations, nonce: Optional[int]
     ) -> None:
-        """Write one message, or end the stream if that fails.
+        """Write one message, or cut the connection if the message can't be composed.
 
-        The proxy would lack what the planner takes it to hold; on a new stream it gets everything.
+        Without the message, the proxy's tables would differ from what the planner assumes. The
+        proxy is sent whole tables again after it has reconnected.
         """
         try:
-            data = self.push.compose(self.publisher, proxy, session, operations, nonce)
-        except Exception as problem:
-            self.log("message not written", proxy=proxy, error=repr(problem))
+            data = self.push_composer.compose(self.publisher, proxy, session, operations, nonce)
+        except Exception as error:
+            self.log("message not written", proxy=proxy, error=repr(error))
             session.cut(EndReason.PUSH_FAILED)
             return
         if data:
@@ -237,7 +240,7 @@
             self.telemetry.message_written(proxy, operations)
 
     def after(self, now: float, events: Sequence[interface.Event]) -> None:
-        """Log what happened in the batch."""
+        """Log the events of the batch."""
         self.telemetry.end_batch(now, self.planner)
 
     # Configuration.
@@ -247,37 +250,37 @@
         self.reloader.request()
 
     def apply_configuration(self, configuration: Configuration) -> None:
-        """Follow discovery's address; all else that differs needs a restart and is logged."""
-        differing = differences(self.configuration, configuration)
-        if differing:
+        """Apply discovery's address; other differences need a restart and are only logged."""
+        differing_names = differences(self.configuration, configuration)
+        if differing_names:
             self.log(
-                "new configuration: all but discovery's address is for the next start",
-                differs=differing[:DIFFERENCES_LOGGED],
+                "configuration changes need a restart",
+                differs=differing_names[:MAX_DIFFERENCES_LOGGED],
             )
-        self.log("discovery's address", place=str(configuration.discovery))
-        self.watch.move(configuration.discovery)
+        self.log("discovery address set", place=str(configuration.discovery))
+        self.watch.change_address(configuration.discovery)
 
     # Endpoints.
 
     def on_endpoint_list(self, endpoint_list: EndpointList) -> None:
-        """Handle a list or changes."""
-        self.submit(self.endpoints.apply(endpoint_list, self.loop.time()))
+        """Handle a whole list or changes from discovery, or the remembered list."""
+        self.submit(self.endpoint_tracker.apply(endpoint_list, self.loop.time()))
         if endpoint_list.scope != interface.ListScope.REMEMBERED:
             self.become_ready()
 
     def sweep(self) -> None:
-        """Forget the endpoints that the planner has forgotten, except while events wait."""
+        """Forget the endpoints that the planner has forgotten, unless events wait in the inbox."""
         self.loop.call_later(SWEEP_INTERVAL, self.sweep)
         if self.inbox:
             return
-        for endpoint in self.endpoints.forget_unused(self.planner.endpoints):
+        for endpoint in self.endpoint_tracker.forget_unused(self.planner.endpoints):
             self.publisher.forget(endpoint)
             for session in self.proxy_sessions.values():
                 session.restored.discard(endpoint)
 
     def check_health(self, command: interface.CheckHealth) -> None:
-        """Start a health check that the planner asked for."""
-        entry = self.endpoints.registry.entries[command.endpoint]
+        """Start a health check that the planner requested."""
+        entry = self.endpoint_tracker.registry.entries[command.endpoint]
         self.prober.probe(command.endpoint, (entry.address, entry.port))
 
     def on_health_check(
@@ -288,14 +291,17 @@
         load_report: Optional[interface.LoadReport],
         _: None,
     ) -> None:
-        """Handle the end of a health check."""
+        """Pass the result of a health check to the planner."""
         self.submit(interface.HealthCheckResult(endpoint, outcome, duration, load_report))
 
-    # Sessions, as SessionOwner describes.
+    # Sessions; these methods implement SessionOwner.
 
     def accept_proxy(self, session: Session, hello: ProxyHello) -> Optional[int]:
-        """Return the proxy's number, or None if there is no such proxy or zone."""
-        zone = self.endpoints.registry.zones.get(hello.zone)
+        """Return the proxy's number, or None if the proxy or its zone is unknown.
+
+        A repeated hello must name the proxy that has joined on the session.
+        """
+        zone = self.endpoint_tracker.registry.zones.get(hello.zone)
         is_same = session.proxy is None or session.proxy == hello.proxy
         if not is_same or hello.proxy >= self.settings["proxies"] or zone is None:
             return None
@@ -306,10 +312,10 @@
 
     def accept_collector(self, hello: CollectorHello) -> bool:
         """Return whether the collector's zone exists."""
-        return hello.zone in self.endpoints.registry.zones
+        return hello.zone in self.endpoint_tracker.registry.zones
 
     def session_joined(self, session: Session) -> None:
-        """Handle a new stream of a proxy, which may come before the old one is seen to end."""
+        """Handle a new stream of a proxy; a stream of the same proxy that is still open is cut."""
         proxy = session.proxy
         if proxy is None:
             return
@@ -337,13 +343,13 @@
         self.submit(interface.ProxyDisconnected(proxy))
 
     def message_received(self, session: Session, message: Report) -> None:
-        """Handle a report or an acknowledgement; one that names what does not exist is ignored."""
-        event = self.reports.to_event(session.proxy, message)
+        """Handle a report or an acknowledgement; those with unknown names are ignored."""
+        event = self.report_translator.to_event(session.proxy, message)
         if event is None:
             self.listener.count(Incident.UNKNOWN_NAME)
         elif type(event) is interface.Acknowledged:
             self.telemetry.acknowledged(event.duration)
-            # One comes for each message: a batch for each would be most of the work.
+            # Each message is acknowledged: a batch for each acknowledgement would be too expensive.
             self.submit_later(event)
         else:
             self.submit(event)
--- a/peatlead/platform/endpoint_tracker.py
+++ b/peatlead/platform/endpoint_tracker.py
@@ -1,4 +1,4 @@
-"""The endpoint lists that discovery sends, and what has to be remembered between them."""
+"""State of the endpoints across the endpoint lists that discovery sends."""
 
 from collections.abc import Callable, Container
 from typing import Optional
@@ -8,11 +8,11 @@
 from ..sources.endpoint_list import EndpointList, ListedEndpoint
 from .shared_types import Log, Settings
 
-FORGOTTEN_LIMIT = 20_000  # names of endpoints that went, in case one comes back
+MAX_FORGOTTEN_NAMES = 20_000  # names that are kept after their endpoints were forgotten
 
 
 class EndpointTracker:
-    """Turns endpoint lists into the planner's events; `age_of` gives seconds since a Unix time."""
+    """Converts endpoint lists to planner events; `age_of` returns the seconds since a Unix time."""
 
     def __init__(self, settings: Settings, age_of: Callable[[float], float], log: Log) -> None:
         self.log = log
@@ -23,10 +23,10 @@
             assume_old=True,
             age_of=age_of,
         )
-        # Endpoints that were ever not as they are now: a proxy may still eject them on the word
-        # of a controller that it was connected to before.
+        # Endpoints that may have been in another phase before. A proxy may still eject such an
+        # endpoint, because a controller that it was connected to before told it to.
         self.possibly_ejected: set[int] = set()
-        self.forgotten: dict[str, bool] = {}  # an ordered set of names
+        self.forgotten_names: dict[str, bool] = {}  # names, as an ordered set
 
     def name_of(self, endpoint: int) -> str:
         """Return an endpoint's name."""
@@ -34,8 +34,8 @@
         return name
 
     def apply(self, endpoint_list: EndpointList, now: float) -> EndpointUpdate:
-        """Record a list and return the planner's event; `now` is in the loop's seconds."""
-        endpoint_list = self.with_unread_endpoints(endpoint_list)
+        """Apply a list and return the event for the planner; `now` is on the loop's clock."""
+        endpoint_list = self.keep_endpoints_with_unusable_entries(endpoint_list)
         previous = {entry.name: self.phase_of(entry.name) for entry in endpoint_list.hosts}
         is_first = not self.registry.listed
         update: EndpointUpdate = self.registry.endpoint_update(endpoint_list, now)
@@ -51,11 +51,11 @@
             has_changed = may_have_changed(entry, previous[entry.name], is_change)
             if endpoint is not None and was_known and has_changed:
                 self.possibly_ejected.add(endpoint)
-        self.log_list(endpoint_list)
+        self.log_applied_list(endpoint_list)
         return update
 
-    def remembered(self, now: float) -> EndpointUpdate:
-        """Return the event that gives a new planner all listed endpoints."""
+    def known_endpoints(self, now: float) -> EndpointUpdate:
+        """Return an event with all known endpoints, for a new planner."""
         entries = tuple(self.registry.entries.values())
         update: EndpointUpdate = self.registry.endpoint_update(
             EndpointList(ListScope.REMEMBERED, 0, 0.0, entries), now
@@ -63,47 +63,48 @@
         return update
 
     def forget_unused(self, used: Container[int]) -> list[int]:
-        """Forget the endpoints that the planner no longer knows, and return them.
+        """Forget the endpoints that are not in `used`, and return them.
 
-        Otherwise names of successors would add up.
+        Without this, the registry would grow with each endpoint that replaces another one.
         """
-        unused = [endpoint for endpoint in self.registry.entries if endpoint not in used]
-        for endpoint in unused:
+        unused_endpoints = [endpoint for endpoint in self.registry.entries if endpoint not in used]
+        for endpoint in unused_endpoints:
             name = self.name_of(endpoint)
-            self.forgotten.pop(name, None)
-            self.forgotten[name] = True
+            self.forgotten_names.pop(name, None)
+            self.forgotten_names[name] = True
             self.registry.forget(endpoint)
             self.possibly_ejected.discard(endpoint)
-        while len(self.forgotten) > FORGOTTEN_LIMIT:
-            del self.forgotten[next(iter(self.forgotten))]
-        return unused
+        while len(self.forgotten_names) > MAX_FORGOTTEN_NAMES:
+            del self.forgotten_names[next(iter(self.forgotten_names))]
+        return unused_endpoints
 
-    def with_unread_endpoints(self, endpoint_list: EndpointList) -> EndpointList:
-        """Add the known entries of endpoints whose new entries can't be used to a whole list.
+    def keep_endpoints_with_unusable_entries(self, endpoint_list: EndpointList) -> EndpointList:
+        """Return the list with the previous entries of endpoints whose new entries are unusable.
 
-        A whole list removes what it does not name. Where not even an entry's name can be read,
-        nothing is removed.
+        A whole list removes the endpoints that it does not contain, and an unusable entry must not
+        remove its endpoint. If an entry's name is unusable too, the result is a list of changes,
+        which removes no endpoint.
         """
-        unknown_zone = [
+        in_unknown_zone = [
             entry for entry in endpoint_list.hosts if entry.zone not in self.registry.zones
         ]
-        unread = [*endpoint_list.unread, *(entry.name for entry in unknown_zone)]
-        if endpoint_list.scope != ListScope.WHOLE or not unread:
+        unusable_names = [*endpoint_list.unread, *(entry.name for entry in in_unknown_zone)]
+        if endpoint_list.scope != ListScope.WHOLE or not unusable_names:
             return endpoint_list
-        kept = [
+        previous_entries = [
             self.registry.entries[self.registry.index[name]]
-            for name in unread
+            for name in unusable_names
             if name is not None and name in self.registry.index
         ]
-        kept_names = {entry.name for entry in kept}
-        others = [entry for entry in endpoint_list.hosts if entry.name not in kept_names]
+        previous_names = {entry.name for entry in previous_entries}
+        other_entries = [entry for entry in endpoint_list.hosts if entry.name not in previous_names]
         return endpoint_list._replace(
-            scope=ListScope.CHANGES if None in unread else ListScope.WHOLE,
-            hosts=(*kept, *others),
+            scope=ListScope.CHANGES if None in unusable_names else ListScope.WHOLE,
+            hosts=(*previous_entries, *other_entries),
         )
 
     def phase_of(self, name: str) -> Optional[str]:
-        """Return the phase that an endpoint is known with, if it is known."""
+        """Return the phase of an endpoint's last entry, or None if the endpoint is unknown."""
         endpoint = self.registry.index.get(name)
         if endpoint is None:
             return None
@@ -111,11 +112,11 @@
         return phase
 
     def was_listed_before(self, name: str, previous_phase: Optional[str]) -> bool:
-        """Whether an endpoint has ever been listed: nobody ejects one that has not."""
-        return previous_phase is not None or name in self.forgotten
+        """Return whether an endpoint was listed before: only then may a proxy eject it."""
+        return previous_phase is not None or name in self.forgotten_names
 
-    def log_list(self, endpoint_list: EndpointList) -> None:
-        """Log that a list was applied."""
+    def log_applied_list(self, endpoint_list: EndpointList) -> None:
+        """Log the size of a list that was applied."""
         ready = sum(entry.phase == EndpointPhase.READY for entry in endpoint_list.hosts)
         self.log(
             "list",
@@ -127,6 +128,9 @@
 
 
 def may_have_changed(entry: ListedEndpoint, previous_phase: Optional[str], is_change: bool) -> bool:
-    """Whether an endpoint may have been in another phase; one update may sum up several."""
+    """Return whether an endpoint may have been in another phase since the previous list.
+
+    An update may combine several changes of an endpoint.
+    """
     phases = {previous_phase, entry.phase}
     return bool(entry.started or is_change or phases - {None, EndpointPhase.READY})
--- a/peatlead/platform/endpoint_watch.py
+++ b/peatlead/platform/endpoint_watch.py
@@ -1,8 +1,8 @@
-"""The watch on the platform's endpoint list: HTTP/1.1 long polls, one after the other.
+"""Watches the platform's endpoint list by HTTP/1.1 long polls, one after the other.
 
-A poll is answered as soon as the list has changed. It waits only `POLL_WAIT`, so that a connection
-that has gone silent is noticed soon, while a change that it held back still counts as late and not
-as missed.
+Discovery answers a poll as soon as the list has changed, and after `POLL_WAIT` at the latest. The
+wait is short so that a dead connection is noticed early enough: a change that was delayed by it
+then counts as late and not as missed.
 """
 
 import asyncio
@@ -16,24 +16,24 @@
 from .messages import Address, MalformedMessageError, read_endpoint_list
 from .shared_types import Log
 
-POLL_WAIT = 2.0  # seconds that a poll waits for a change
-ANSWER_TOLERANCE = 0.75  # seconds after which an answer is overdue
+POLL_WAIT = 2.0  # seconds that discovery waits for a change before it answers a poll
+ANSWER_TIMEOUT = 0.75  # seconds, in addition to the wait of the poll
 CONNECT_TIMEOUT = 0.5  # seconds
-# Seconds until the next attempt after a failure, doubled each time, up to the limit.
-RETRY_DELAY = 0.05
-RETRY_DELAY_LIMIT = 0.5
-DOUBLINGS_LIMIT = 8  # of the delay; more would only make the number large
-ERRORS_LOGGED = 5  # of one list's entries
+# Seconds between a failed poll and the next one; the delay doubles after each failure.
+INITIAL_RETRY_DELAY = 0.05
+MAX_RETRY_DELAY = 0.5
+MAX_DOUBLINGS = 8  # keeps the exponent small
+MAX_ERRORS_LOGGED = 5  # invalid entries of one list
 PATH = "/v1/endpoints"
-OK = 200
+HTTP_OK = 200
 
 
 class EndpointWatch:
-    """Follows the list at an address that may move.
+    """Watches the endpoint list at an address that may change.
 
-    `on_list` gets each list, whole ones and changes, in order; `wall()` gives Unix seconds. An
-    address that was left is still polled until the new one has answered: it may have changes that
-    the new one is yet to get.
+    `on_list` is called with each whole list and each list of changes, in order; `unix_time()`
+    returns seconds. After a change of the address, the previous address is polled until the new one
+    has answered, since it may have changes that the new address does not have yet.
     """
 
     def __init__(
@@ -41,21 +41,21 @@
         address: Address,
         on_list: Callable[[EndpointList], None],
         log: Log,
-        wall: Callable[[], float],
+        unix_time: Callable[[], float],
         rng: Random,
     ) -> None:
         self.address = address
         self.on_list = on_list
         self.log = log
-        self.wall = wall
-        self.rng = rng  # for the delays between attempts
-        self.version: Optional[int] = None  # of the newest list; None asks for the whole list
+        self.unix_time = unix_time
+        self.rng = rng  # for the jitter of retry delays
+        self.version: Optional[int] = None  # of the last list; None requests the whole list
         self.current: Optional[Poller] = None
-        self.previous: Optional[Poller] = None  # of the address that was left
+        self.previous: Optional[Poller] = None  # of the previous address
 
     @property
     def failures(self) -> int:
-        """How many polls of the current address have failed in a row."""
+        """Number of consecutive failed polls of the current address."""
         return self.current.failures if self.current is not None else 0
 
     def start(self) -> None:
@@ -69,26 +69,26 @@
                 poller.stop()
         self.previous = None
 
-    def move(self, address: Address) -> None:
-        """Poll another address from now on, for what is newer than the known list."""
+    def change_address(self, address: Address) -> None:
+        """Poll another address, for changes since the last list."""
         if address == self.address:
             return
         if self.current is not None:
-            self.leave(self.current)
+            self.retire(self.current)
         self.address = address
         self.start()
 
-    def leave(self, poller: "Poller") -> None:
-        """Keep a poller until the next address has answered, if its own ever did."""
-        if not poller.answered:
+    def retire(self, poller: "Poller") -> None:
+        """Keep a poller until the new address answers; stop it now if it has never succeeded."""
+        if not poller.has_succeeded:
             poller.stop()
             return
         if self.previous is not None:
             self.previous.stop()
         self.previous = poller
 
-    def accept(self, poller: "Poller", endpoint_list: EndpointList) -> None:
-        """Handle an answer; its version is the one that the next poll asks from."""
+    def handle_list(self, poller: "Poller", endpoint_list: EndpointList) -> None:
+        """Handle an answer; the next poll requests the changes since the answer's version."""
         is_whole = endpoint_list.scope == ListScope.WHOLE
         if poller is not self.current:
             if self.version is None or endpoint_list.version <= self.version:
@@ -96,11 +96,15 @@
         elif self.previous is not None:
             self.previous.stop()
             self.previous = None
-        for error in endpoint_list.bad[:ERRORS_LOGGED]:
+        for error in endpoint_list.bad[:MAX_ERRORS_LOGGED]:
             self.log("list entry left out", why=error)
         if not is_whole and self.version is not None and endpoint_list.version < self.version:
-            self.log("discovery went back", version=endpoint_list.version, known=self.version)
-            self.version = None  # since when the changes count is not known
+            self.log(
+                "discovery answered with an older version",
+                version=endpoint_list.version,
+                known=self.version,
+            )
+            self.version = None  # the changes since an older version can't be applied
             return
         self.version = endpoint_list.version
         if endpoint_list.hosts or is_whole:
@@ -108,80 +112,77 @@
 
 
 class Poller:
-    """Polls one address until it is stopped, or, once the address was left, until a poll fails."""
+    """Polls one address until it is stopped, or until a poll of a previous address fails."""
 
     def __init__(self, watch: EndpointWatch, address: Address) -> None:
         self.watch = watch
         self.address = address
         self.connection: Optional[Exchange] = None
-        self.failures = 0  # in a row
-        self.answered = False  # whether a poll has ever succeeded
+        self.failures = 0  # consecutive
+        self.has_succeeded = False  # whether any poll has succeeded
         loop = asyncio.get_running_loop()
-        self.task = loop.create_task(self.run(), name=f"watch {address}")
+        self.task = loop.create_task(self.poll_repeatedly(), name=f"watch {address}")
 
     def stop(self) -> None:
         """Stop polling."""
         self.task.cancel()
-        self.hang_up()
+        self.close_connection()
 
-    def hang_up(self) -> None:
-        """End the connection, if there is one."""
+    def close_connection(self) -> None:
+        """Close the connection, if there is one."""
         if self.connection is not None:
             self.connection.cut("done")
             self.connection = None
 
-    async def run(self) -> None:
-        """Poll and hand over the answers."""
+    async def poll_repeatedly(self) -> None:
+        """Poll in a loop and pass the answers to the watch."""
         while True:
             try:
-                self.watch.accept(self, await self.poll())
+                self.watch.handle_list(self, await self.poll())
                 self.record_success()
-            except (RequestFailedError, MalformedMessageError) as problem:
+            except (RequestFailedError, MalformedMessageError) as error:
                 if self is not self.watch.current:
-                    self.hang_up()
+                    self.close_connection()
                     return
-                await self.back_off(str(problem))
-            except Exception as problem:  # asking for the whole list again beats a watch that ends
+                await self.back_off(str(error))
+            except Exception as error:  # the watch must go on: it requests the whole list again
                 self.watch.version = None
-                await self.back_off(f"news not taken: {problem!r}")
+                await self.back_off(f"endpoint list not applied: {error!r}")
 
     def record_success(self) -> None:
-        """Log the end of a series of failures."""
+        """Log the end of a series of failures, and reset their count."""
         if self.failures:
-            self.watch.log("discovery answers", failures=self.failures)
+            self.watch.log("discovery polls succeed again", failures=self.failures)
         self.failures = 0
-        self.answered = True
+        self.has_succeeded = True
 
     async def back_off(self, reason: str) -> None:
-        """Wait before the next attempt; the first failure of a series is logged."""
-        self.hang_up()
+        """Wait before the next poll; only the first of several consecutive failures is logged."""
+        self.close_connection()
         if not self.failures:
-            self.watch.log("discovery does not answer", why=reason, place=str(self.address))
+            self.watch.log("discovery poll failed", why=reason, place=str(self.address))
         self.failures += 1
-        doublings = min(DOUBLINGS_LIMIT, self.failures - 1)
-        delay = min(RETRY_DELAY_LIMIT, RETRY_DELAY * 2**doublings)
+        doublings = min(MAX_DOUBLINGS, self.failures - 1)
+        delay = min(MAX_RETRY_DELAY, INITIAL_RETRY_DELAY * 2**doublings)
         await asyncio.sleep(delay * self.watch.rng.uniform(0.5, 1.0))
 
     async def poll(self) -> EndpointList:
-        """Return the answer of the next poll.
-
-        Raises RequestFailedError or MalformedMessageError.
-        """
+        """Send a poll and return the answer. Raises RequestFailedError or MalformedMessageError."""
         loop = asyncio.get_running_loop()
         version = self.watch.version
-        connection = await self.connected(loop)
-        # An address that has not answered yet is asked not to wait: that shows that it works.
-        wait = POLL_WAIT if self.answered and version is not None else 0.0
+        connection = await self.usable_connection(loop)
+        # The first poll of an address does not wait, which shows early whether the address works.
+        wait = POLL_WAIT if self.has_succeeded and version is not None else 0.0
         path = PATH if version is None else f"{PATH}?after={version}&wait_ms={round(wait * 1000)}"
         headers = [("host", str(self.address))]
-        deadline = loop.time() + ANSWER_TOLERANCE + wait
-        answer = await connection.ask("GET", path, headers, b"", deadline)
-        if answer.status != OK:
-            raise MalformedMessageError(f"expected 200, got {answer.status}")
-        return read_endpoint_list(answer.body, self.watch.wall())
-
-    async def connected(self, loop: asyncio.AbstractEventLoop) -> Exchange:
-        """Return the connection, a new one if the last can't be used. Raises RequestFailedError."""
+        deadline = loop.time() + ANSWER_TIMEOUT + wait
+        response = await connection.ask("GET", path, headers, b"", deadline)
+        if response.status != HTTP_OK:
+            raise MalformedMessageError(f"expected HTTP status {HTTP_OK}, got {response.status}")
+        return read_endpoint_list(response.body, self.watch.unix_time())
+
+    async def usable_connection(self, loop: asyncio.AbstractEventLoop) -> Exchange:
+        """Return a usable connection, opening it if necessary. Raises RequestFailedError."""
         if self.connection is None or not self.connection.usable:
             self.connection = None
             self.connection = await connect(loop, self.address, loop.time() + CONNECT_TIMEOUT)
--- a/peatlead/platform/health_checks.py
+++ b/peatlead/platform/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks of endpoints: HTTP requests whose answers carry a load report."""
+"""Health checks of endpoints: HTTP requests whose responses contain a load report."""
 
 from collections.abc import Callable
 from typing import Optional, Protocol
@@ -8,52 +8,53 @@
 from .messages import read_load_report
 from .shared_types import Settings
 
-CONCURRENT_CHECKS = 24
-# Where file descriptors are few, connections of proxies come first: one check for so many.
+MAX_CONCURRENT_CHECKS = 24
+# With few file descriptors, there is one concurrent check for this number of descriptors; the
+# others are left to connections of proxies.
 DESCRIPTORS_PER_CHECK = 16
-PENDING_CHECKS_LIMIT = 1000
+MAX_PENDING_CHECKS = 1000
 CHECK_PATH = "/status/load"
-DEFAULT_TIMEOUT = 0.25  # seconds for a whole check
-OUTCOMES = {200: HealthCheckOutcome.OK, 503: HealthCheckOutcome.ERRORED}
+DEFAULT_TIMEOUT = 0.25  # seconds, for the whole check
+OUTCOME_BY_STATUS = {200: HealthCheckOutcome.OK, 503: HealthCheckOutcome.ERRORED}
 
-# Takes the endpoint, outcome, duration in seconds, load report, and None.
+# Called with the endpoint, the outcome, the duration in seconds, the load report, and None.
 OnResult = Callable[[int, str, float, Optional[LoadReport], None], None]
 
 
-class HttpAnswer(Protocol):
-    """What of an HTTP answer matters here."""
+class HttpResponse(Protocol):
+    """The part of an HTTP response that health checks use."""
 
     @property
     def status(self) -> int:
-        """The status code."""
+        """The HTTP status code."""
         ...
 
     @property
     def body(self) -> bytes:
-        """The whole body."""
+        """The response's body."""
         ...
 
 
-def concurrent_checks(sockets: int) -> int:
-    """Return how many checks may be out at a time with so many file descriptors."""
-    return min(CONCURRENT_CHECKS, max(1, sockets // DESCRIPTORS_PER_CHECK))
+def max_concurrent_checks(sockets: int) -> int:
+    """Return the maximum number of concurrent checks for a number of file descriptors."""
+    return min(MAX_CONCURRENT_CHECKS, max(1, sockets // DESCRIPTORS_PER_CHECK))
 
 
-def make_prober(settings: Settings, concurrency: int, on_result: OnResult) -> Prober:
-    """Return a prober of the platform's endpoints."""
+def make_prober(settings: Settings, max_checks: int, on_result: OnResult) -> Prober:
+    """Return a prober for the platform's endpoints."""
     return Prober(
         {
             "path": CHECK_PATH,
             "deadline": settings.get("connect_timeout", DEFAULT_TIMEOUT),
-            "at_once": concurrency,
-            "waiting_most": PENDING_CHECKS_LIMIT,
+            "at_once": max_checks,
+            "waiting_most": MAX_PENDING_CHECKS,
         },
         on_result,
-        read_answer,
+        read_response,
     )
 
 
-def read_answer(answer: HttpAnswer) -> tuple[HealthCheckOutcome, Optional[LoadReport], None]:
-    """Return the outcome and the load report; the platform's endpoints report nothing else."""
-    outcome = OUTCOMES.get(answer.status, HealthCheckOutcome.ERRORED)
-    return outcome, read_load_report(answer.body), None
+def read_response(response: HttpResponse) -> tuple[HealthCheckOutcome, Optional[LoadReport], None]:
+    """Return the outcome, the load report, and None in place of request counts."""
+    outcome = OUTCOME_BY_STATUS.get(response.status, HealthCheckOutcome.ERRORED)
+    return outcome, read_load_report(response.body), None
--- a/peatlead/platform/messages/__init__.py
+++ b/peatlead/platform/messages/__init__.py
@@ -1,11 +1,11 @@
-"""The messages of the platform's protocol, parsed into typed values and written. No I/O.
+"""Parsing and encoding of the messages of the platform's protocol. No I/O.
 
-The platform's names and units (milliseconds, `endpoint`, `rtt`, `route`) stay in this package.
-Whatever is received is validated as a whole before any of it is used: `MalformedMessageError` where
-it is no message at all, `InvalidFieldError` where a message has a field that is missing, of another
-type or out of range.
+The platform's field names (`endpoint`, `rtt`, `route`) and its milliseconds are used only in this
+package. Each received message is validated as a whole before any of its fields is used. Parsing
+raises `MalformedMessageError` if the bytes are not a message, and `InvalidFieldError` if a field is
+missing, has the wrong type or is out of range.
 
-Source: the platform's pages on its protocol and its deployment.
+Source: the platform's documentation of its protocol and its deployment.
 """
 
 from .address import Address, read_address
@@ -26,7 +26,7 @@
 from .outbound import (
     ALIVE,
     ENCODER,
-    LINE_LIMIT,
+    MAX_LINE_BYTES,
     RETRY_POLICY_CODES,
     Admission,
     TableUpdate,
@@ -37,7 +37,7 @@
 __all__ = [
     "ALIVE",
     "ENCODER",
-    "LINE_LIMIT",
+    "MAX_LINE_BYTES",
     "RETRY_POLICY_CODES",
     "Acknowledgement",
     "Address",
--- a/peatlead/platform/messages/address.py
+++ b/peatlead/platform/messages/address.py
@@ -1,8 +1,8 @@
-"""Addresses as the platform writes them: `10.0.0.4:8080`."""
+"""Network addresses in the platform's notation, such as `10.0.0.4:8080`."""
 
 from typing import NamedTuple
 
-PORT_LIMIT = 1 << 16
+PORT_UPPER_BOUND = 1 << 16  # exclusive
 
 
 class Address(NamedTuple):
@@ -16,8 +16,8 @@
 
 
 def read_address(text: str) -> Address:
-    """Parse ADDRESS:PORT; raises ValueError."""
+    """Parse ADDRESS:PORT. Raises ValueError."""
     host, _, port = text.rpartition(":")
-    if not (host and port.isascii() and port.isdigit() and 0 < int(port) < PORT_LIMIT):
+    if not (host and port.isascii() and port.isdigit() and 0 < int(port) < PORT_UPPER_BOUND):
         raise ValueError(f"expected ADDRESS:PORT, got {text!r}")
     return Address(host, int(port))
--- a/peatlead/platform/messages/configuration_document.py
+++ b/peatlead/platform/messages/configuration_document.py
@@ -1,4 +1,4 @@
-"""The configuration file of a controller on the platform, as JSON."""
+"""The JSON format of the configuration file of a controller on the platform."""
 
 from typing import Annotated, Any
 
@@ -9,17 +9,17 @@
 
 
 class Limits(Struct, frozen=True):
-    """What the process may use; `sockets` are file descriptors."""
+    """Limits of the process; `sockets` is the maximum number of open file descriptors."""
 
     sockets: Annotated[int, Meta(ge=32)] = 1024
 
 
 class ConfigurationDocument(Struct):
-    """The file's fields, of the right types but not checked further.
+    """The fields of the configuration file; only their types have been checked.
 
-    `listen` and `discovery` are ADDRESS:PORT; `seed` is hexadecimal; `remembered_list` is the
-    endpoint list as this controller last had it, as discovery writes lists, and empty where there
-    is none.
+    `listen` and `discovery` are ADDRESS:PORT, and `seed` is hexadecimal. `remembered_list` is the
+    last endpoint list that this controller received, in the JSON format of discovery's answers; it
+    is empty if the file contains no list.
     """
 
     name: str
@@ -32,8 +32,8 @@
 
 
 def read_configuration_document(data: bytes) -> ConfigurationDocument:
-    """Parse the file. Raises MalformedMessageError."""
+    """Parse the contents of a configuration file. Raises MalformedMessageError."""
     try:
         return json.decode(data, type=ConfigurationDocument)
-    except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as problem:
-        raise MalformedMessageError(f"not a configuration: {problem}") from None
+    except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
+        raise MalformedMessageError(f"not a configuration: {error}") from None
--- a/peatlead/platform/messages/errors.py
+++ b/peatlead/platform/messages/errors.py
@@ -1,13 +1,13 @@
-"""Errors of the platform's messages."""
+"""Exceptions for messages that can't be used."""
 
 
 class MessageError(ValueError):
-    """A message can't be used; its text is a sentence for the sender."""
+    """A message can't be used. The exception's text is written for the message's sender."""
 
 
 class MalformedMessageError(MessageError):
-    """The bytes are no message, not even a JSON object. What follows on that stream is lost too."""
+    """The bytes can't be parsed as a message; the rest of their stream can't be used either."""
 
 
 class InvalidFieldError(MessageError):
-    """A field, which may be the message's type, is invalid; the messages around it are good."""
+    """A message has an invalid type or field; later messages of the stream can be used."""
--- a/peatlead/platform/messages/inbound.py
+++ b/peatlead/platform/messages/inbound.py
@@ -1,6 +1,6 @@
-"""Messages that proxies, collectors and other peers send, one JSON object a line.
+"""Messages from proxies, collectors and other peers: one JSON object per line.
 
-The classes' fields are renamed; `field(name=...)` gives the name on the wire.
+Where a field's name differs from its name on the wire, `field(name=...)` gives the latter.
 """
 
 from typing import Annotated, Optional, Union
@@ -12,19 +12,22 @@
 from .errors import InvalidFieldError, MalformedMessageError
 from .load_reports import Metrics, to_load_report
 
-MILLISECONDS = 1000  # in a second
+MILLISECONDS_PER_SECOND = 1000
 
 RequestCount = Annotated[float, Meta(ge=0, le=1e7)]
 Milliseconds = Annotated[float, Meta(ge=0, le=1e7)]
 Interval = Annotated[float, Meta(gt=0, le=1e7)]  # milliseconds
-RequestRate = Annotated[float, Meta(ge=0, le=1e9)]  # requests a second
+RequestRate = Annotated[float, Meta(ge=0, le=1e9)]  # requests per second
 ProxyNumber = Annotated[int, Meta(ge=0, le=1 << 31)]
 Nonce = Annotated[int, Meta(ge=0, le=1 << 32)]
 Name = Annotated[str, Meta(min_length=1, max_length=255)]
 
 
 class ProxyHello(Struct, tag="hello", tag_field="msg"):
-    """The first message of a proxy's stream; with `bootstrap_only`, it holds no table yet."""
+    """The first message of a proxy's stream.
+
+    `bootstrap_only` means that the proxy has not received a table from any controller yet.
+    """
 
     proxy: ProxyNumber = field(name="node")
     zone: Name = field(name="locality")
@@ -33,13 +36,16 @@
 
 
 class CollectorHello(Struct, tag="agent", tag_field="msg"):
-    """The first message of a collector, which reports for all proxies of a zone."""
+    """The first message of a collector, which sends the reports of all proxies of a zone."""
 
     zone: Name = field(name="locality")
 
 
 class EndpointOutcomes(Struct, tag="outcomes", tag_field="msg"):
-    """The outcomes of a zone's attempts at one endpoint; `rtt` is of those that succeeded."""
+    """The outcomes of the attempts of a zone's proxies at one endpoint.
+
+    `interval` is in milliseconds; `rtt` is the mean, in milliseconds, of the successful attempts.
+    """
 
     zone: Name = field(name="locality")
     endpoint: Name
@@ -51,22 +57,22 @@
 
     @property
     def window(self) -> float:
-        """Seconds that the counts cover."""
-        return self.interval / MILLISECONDS
+        """Length of the period that the counts cover, in seconds."""
+        return self.interval / MILLISECONDS_PER_SECOND
 
     @property
     def mean_latency(self) -> float:
-        """Seconds, of the attempts that succeeded."""
-        return self.rtt / MILLISECONDS
+        """Mean latency of the successful attempts, in seconds."""
+        return self.rtt / MILLISECONDS_PER_SECOND
 
     @property
     def load_report(self) -> Optional[LoadReport]:
-        """The endpoint's load under the planner's names of metrics."""
+        """The endpoint's load report with the planner's metric names."""
         return to_load_report(self.metrics)
 
 
 class RequestDemand(Struct, tag="demand", tag_field="msg"):
-    """Requests of one class that reached a proxy."""
+    """Counts of the requests of one class that a proxy received."""
 
     proxy: ProxyNumber = field(name="node")
     request_class: Name = field(name="route")
@@ -76,12 +82,12 @@
 
     @property
     def window(self) -> float:
-        """Seconds that the counts cover."""
-        return self.interval / MILLISECONDS
+        """Length of the period that the counts cover, in seconds."""
+        return self.interval / MILLISECONDS_PER_SECOND
 
 
 class Acknowledgement(Struct, tag="ack", tag_field="msg"):
-    """A proxy has applied all messages up to the one that carried the nonce."""
+    """A proxy has applied every message up to and including the one with this nonce."""
 
     proxy: ProxyNumber = field(name="node")
     nonce: Nonce
@@ -89,12 +95,12 @@
 
     @property
     def duration(self) -> float:
-        """Seconds since the message was written."""
-        return self.latency / MILLISECONDS
+        """Seconds from the sending of the message to its application."""
+        return self.latency / MILLISECONDS_PER_SECOND
 
 
 class LivenessCheck(Struct, tag="probe", tag_field="msg"):
-    """A peer asks whether the controller serves."""
+    """A peer asks whether the controller is ready to serve."""
 
 
 InboundMessage = Union[
@@ -104,19 +110,16 @@
 
 
 def read_message(line: bytes) -> InboundMessage:
-    """Parse one line.
-
-    Raises MalformedMessageError or InvalidFieldError with a sentence for the sender.
-    """
+    """Parse one line. Raises MalformedMessageError or InvalidFieldError."""
     try:
         message = MESSAGE_DECODER.decode(line)
-    except msgspec.ValidationError as problem:
+    except msgspec.ValidationError as error:
         if is_json_object(line):
-            raise InvalidFieldError(str(problem)) from None
-        raise MalformedMessageError(str(problem)) from None
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as problem:
-        raise MalformedMessageError(str(problem)) from None
-    if type(message) is EndpointOutcomes:  # isinstance() takes longer; most are acknowledgements
+            raise InvalidFieldError(str(error)) from None
+        raise MalformedMessageError(str(error)) from None
+    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
+        raise MalformedMessageError(str(error)) from None
+    if type(message) is EndpointOutcomes:  # faster than isinstance() on this hot path
         consistent = message.errors <= message.attempts
     elif type(message) is RequestDemand:
         consistent = message.unanswered <= message.requests
@@ -128,9 +131,10 @@
 
 
 def is_json_object(line: bytes) -> bool:
-    """Whether all of the line is one JSON object.
+    """Return whether the whole line is one JSON object.
 
-    The decoder reports a field of the wrong type before it has read the rest, which may be no JSON.
+    The decoder reports a field of the wrong type before it has read the rest of the line, which may
+    not be valid JSON.
     """
     try:
         return isinstance(json.decode(line), dict)
--- a/peatlead/platform/messages/load_reports.py
+++ b/peatlead/platform/messages/load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports of endpoints: from the platform's names of metrics to the planner's."""
+"""Load reports of endpoints: translation of the platform's metric names to the planner's."""
 
 from collections.abc import Mapping
 from typing import Annotated, Optional
@@ -9,8 +9,8 @@
 from ...interface import LoadReport
 from ...wire.settings import REPORT_METRICS
 
-# Reports use the settings' names of the metrics, as the simulator's wire does; the platform's own
-# examples use others.
+# The planner's name of each metric. Reports on the platform use the metric names of the settings,
+# REPORT_METRICS; the examples in the platform's documentation use the other names.
 METRIC_NAMES: dict[str, str] = {
     "inflight": "holding",
     "queue": "waiting",
@@ -25,7 +25,7 @@
 
 
 def to_load_report(metrics: Optional[Mapping[str, Optional[float]]]) -> Optional[LoadReport]:
-    """Return the planner's load report of the metrics that it knows, or None if there are none."""
+    """Return a load report of the metrics with known names, or None if there are none."""
     if not metrics:
         return None
     load_report = {
@@ -37,9 +37,9 @@
 
 
 def read_load_report(body: bytes) -> Optional[LoadReport]:
-    """Parse the body of an answered health check.
+    """Parse the body of a health check's response.
 
-    A malformed body counts as no report: the endpoint has answered, and that is what was checked.
+    A malformed body counts as no load report and does not fail the health check.
     """
     try:
         return to_load_report(json.decode(body, type=Metrics))
--- a/peatlead/platform/messages/outbound.py
+++ b/peatlead/platform/messages/outbound.py
@@ -1,7 +1,8 @@
-"""Messages that the controller sends: table updates, errors, answers to liveness checks.
+"""Messages from the controller: table updates, errors and answers to liveness checks.
 
-A push message is one JSON object a line. One that would be longer than a line may be is split into
-parts, of which all but the last have `"continued": true`; the receiver applies them together.
+A message is one JSON object per line. A push message that would exceed `MAX_LINE_BYTES` is split
+into parts of one line each. All parts except the last contain `"continued": true`, and the receiver
+applies all of them together.
 """
 
 from collections.abc import Sequence
@@ -11,13 +12,13 @@
 
 from ...interface import RetryPolicy
 
-LINE_LIMIT = 1 << 20  # bytes of one line, in either direction
-PARTS_LIMIT = 64  # parts that one push message may have
-ENTRIES_PER_PART = 10_000  # of 100 bytes at most, so that a part stays within LINE_LIMIT
-MINIMUM_WEIGHT = 1e-6  # a smaller weight would be rounded to 0, which removes the entry
-WEIGHT_DIGITS = 6  # decimal places of a weight
-ERROR_TEXT_LIMIT = 200  # characters
-# Keyed by the values of RetryPolicy: a plain string finds its code too.
+MAX_LINE_BYTES = 1 << 20  # in either direction
+MAX_PARTS = 64  # parts of one push message
+MAX_ENTRIES_PER_PART = 10_000  # an entry takes at most 100 bytes: a part fits in MAX_LINE_BYTES
+MIN_WEIGHT = 1e-6  # a smaller weight would be rounded to 0, which removes the entry
+WEIGHT_DECIMAL_PLACES = 6
+MAX_ERROR_LENGTH = 200  # characters
+# By RetryPolicy; the plain string of a policy's value is found too.
 RETRY_POLICY_CODES: dict[str, int] = {
     RetryPolicy.NEVER: 0,
     RetryPolicy.UNSTARTED: 1,
@@ -27,22 +28,22 @@
 ALIVE = b'{"msg":"alive"}\n'
 ENCODER = json.Encoder()
 
-Part = dict[str, Any]  # one line of a push message, by the wire's names
+Part = dict[str, Any]  # one line of a push message; the keys are the names on the wire
 
 
 class Admission(NamedTuple):
-    """The fraction (0 to 1) of requests to admit, and the retry policy for them."""
+    """The fraction of requests to admit (0 to 1), and the retry policy of admitted requests."""
 
     fraction: float
     retry_policy: str
 
 
 class TableUpdate(NamedTuple):
-    """One change of the tables of a proxy.
+    """A change of a proxy's table for some request classes.
 
-    `request_classes` are their names, None for all; `whole`: the entries replace the table;
-    `entries` are (endpoint's name, weight), where weight 0 removes the entry; `admission` is None
-    where it stays.
+    `request_classes` contains the names of the classes; None means all classes. With `whole`, the
+    entries replace the table, otherwise they are merged into it. Each entry is an endpoint's name
+    and weight; weight 0 removes the entry. `admission` is None if it does not change.
     """
 
     request_classes: Optional[tuple[str, ...]]
@@ -52,8 +53,8 @@
 
 
 def write_error(reason: str) -> bytes:
-    """Return the message that tells a peer why its connection is refused."""
-    return ENCODER.encode({"msg": "error", "why": reason[:ERROR_TEXT_LIMIT]}) + b"\n"
+    """Encode the message that tells a peer why its connection is refused."""
+    return ENCODER.encode({"msg": "error", "why": reason[:MAX_ERROR_LENGTH]}) + b"\n"
 
 
 def write_push(
@@ -62,27 +63,27 @@
     restored: Sequence[str],
     nonce: Optional[int],
 ) -> bytes:
-    """Return the bytes of one push message, empty where it says nothing.
+    """Encode one push message; the result is empty if there is nothing to send.
 
-    `ejected` and `restored` are endpoints' names; `nonce` is to be acknowledged. Raises ValueError
-    for a message of too many parts.
+    `ejected` and `restored` contain endpoint names. The proxy acknowledges `nonce` after it has
+    applied the message. Raises ValueError if the message needs more than `MAX_PARTS` parts.
     """
     parts: list[Part] = []
     for update in updates:
-        parts.extend(parts_of(update))
-    add_to_last_part(parts, ejected, restored, nonce)
-    if len(parts) > PARTS_LIMIT:
-        raise ValueError(f"expected at most {PARTS_LIMIT} parts of a message, made {len(parts)}")
+        parts.extend(split_update(update))
+    add_message_fields(parts, ejected, restored, nonce)
+    if len(parts) > MAX_PARTS:
+        raise ValueError(f"expected at most {MAX_PARTS} parts in a message, got {len(parts)}")
     for part in parts[:-1]:
         part["continued"] = True
     return b"".join(ENCODER.encode(part) + b"\n" for part in parts)
 
 
-def parts_of(update: TableUpdate) -> list[Part]:
-    """Return the parts that carry an update: the first one says how the entries are meant."""
+def split_update(update: TableUpdate) -> list[Part]:
+    """Return the parts of an update; `full` and the admission are only in the first part."""
     entry_count = len(update.entries)
     parts = []
-    for start in range(0, entry_count or 1, ENTRIES_PER_PART):
+    for start in range(0, entry_count or 1, MAX_ENTRIES_PER_PART):
         is_first = start == 0
         part: Part = {"msg": "push"}
         if update.request_classes is not None:
@@ -91,8 +92,8 @@
             part["full"] = True
         if entry_count or update.whole:
             part["endpoints"] = [
-                (name, weight and max(MINIMUM_WEIGHT, round(weight, WEIGHT_DIGITS)))
-                for name, weight in update.entries[start : start + ENTRIES_PER_PART]
+                (name, weight and max(MIN_WEIGHT, round(weight, WEIGHT_DECIMAL_PLACES)))
+                for name, weight in update.entries[start : start + MAX_ENTRIES_PER_PART]
             ]
         if update.admission is not None and is_first:
             fraction, retry_policy = update.admission
@@ -102,10 +103,10 @@
     return parts
 
 
-def add_to_last_part(
+def add_message_fields(
     parts: list[Part], ejected: Sequence[str], restored: Sequence[str], nonce: Optional[int]
 ) -> None:
-    """Add what concerns the whole message to its last part, or make a part of it."""
+    """Add the fields that concern the whole message to its last part, or append a part for them."""
     fields: Part = {}
     if ejected:
         fields["eject"] = ejected
--- a/peatlead/platform/push.py
+++ b/peatlead/platform/push.py
@@ -1,8 +1,9 @@
-"""Composition of the push message that a batch sends to one proxy.
+"""Composes the push message that a batch sends to one proxy.
 
-What a proxy ejects outlives its streams, and any controller's word may have ejected it. A new table
-entry for such an endpoint would have no effect, so each stream keeps which endpoints were restored
-on it, and the others are restored with the first entry that names them.
+A proxy keeps an endpoint ejected after its stream has ended, and any controller may have ejected
+it; a table entry has no effect while its endpoint is ejected. Each session therefore records which
+endpoints were restored on its stream. The first entry for another endpoint also restores it, if it
+may be ejected.
 """
 
 from collections.abc import Iterable, Set
@@ -16,17 +17,17 @@
 
 
 class Ejections(NamedTuple):
-    """Names of endpoints that a proxy must eject from now on, and of those that it must restore."""
+    """Names of the endpoints that a proxy must eject, and of those that it must restore."""
 
     ejected: list[str]
     restored: list[str]
 
 
 class PushComposer:
-    """Turns operations into messages; `class_names` are all request classes by number."""
+    """Converts operations to messages; `class_names` is indexed by request class number."""
 
-    def __init__(self, endpoints: EndpointTracker, class_names: list[str]) -> None:
-        self.endpoints = endpoints
+    def __init__(self, endpoint_tracker: EndpointTracker, class_names: list[str]) -> None:
+        self.endpoint_tracker = endpoint_tracker
         self.class_names = class_names
 
     def compose(
@@ -37,84 +38,100 @@
         operations: Operations,
         nonce: Optional[int],
     ) -> bytes:
-        """Return the message's bytes, empty where it says nothing; records what it restores."""
+        """Return the encoded message, empty if there is nothing to send.
+
+        Restored and ejected endpoints are recorded in the session.
+        """
         ejections = self.ejections(session, operations)
         updates = self.table_updates(publisher, proxy, operations)
         return write_push(updates, ejections.ejected, ejections.restored, nonce)
 
     def ejections(self, session: Session, operations: Operations) -> Ejections:
-        """Return whom the proxy must eject and restore, and record it in its session."""
-        result = Ejections([], [])
+        """Return the endpoints to eject and to restore, and record them in the session."""
+        ejections = Ejections([], [])
         for key, value in operations.items():
             if key[0] == WITHDRAWN:
                 endpoint = key[1]
                 if value:
-                    result.ejected.append(self.endpoints.name_of(endpoint))
+                    ejections.ejected.append(self.endpoint_tracker.name_of(endpoint))
                     session.restored.discard(endpoint)
                 elif endpoint not in session.restored:
-                    result.restored.append(self.endpoints.name_of(endpoint))
+                    ejections.restored.append(self.endpoint_tracker.name_of(endpoint))
                     session.restored.add(endpoint)
             elif key[0] == ENTRY and value:
                 endpoint = key[2]
                 if endpoint not in session.restored:
-                    if endpoint in self.endpoints.possibly_ejected:
-                        result.restored.append(self.endpoints.name_of(endpoint))
+                    if endpoint in self.endpoint_tracker.possibly_ejected:
+                        ejections.restored.append(self.endpoint_tracker.name_of(endpoint))
                     session.restored.add(endpoint)
-        return result
+        return ejections
 
     def table_updates(
         self, publisher: Publisher, proxy: int, operations: Operations
     ) -> list[TableUpdate]:
-        """Return the updates of entries, then those of admissions.
+        """Return the updates of entries, followed by those of admissions.
 
-        The tables that the proxy's request classes were assigned to in this batch are sent whole.
+        A table is sent whole if a request class was assigned to it in this batch.
         """
-        assigned: dict[int, int] = publisher.bound.get(proxy, {})  # table of each request class
-        whole = {table for key, table in operations.items() if key[0] == ASSIGNMENT}
-        admissions = admissions_of(publisher, assigned, whole, operations)
-        entries = self.entries_by_table(whole, operations)
-        users: dict[int, list[int]] = {}  # request classes of each table
-        for request_class, table in sorted(assigned.items()):
-            users.setdefault(table, []).append(request_class)
+        table_by_class: dict[int, int] = publisher.bound.get(proxy, {})
+        whole_tables = {table for key, table in operations.items() if key[0] == ASSIGNMENT}
+        admissions = classes_by_admission(publisher, table_by_class, whole_tables, operations)
+        entries = self.entries_by_table(whole_tables, operations)
+        classes_by_table: dict[int, list[int]] = {}
+        for request_class, table in sorted(table_by_class.items()):
+            classes_by_table.setdefault(table, []).append(request_class)
         updates = [
-            TableUpdate(self.names_of(users[table]), table in whole, table_entries, None)
+            TableUpdate(
+                self.names_unless_all(classes_by_table[table]),
+                table in whole_tables,
+                table_entries,
+                None,
+            )
             for table, table_entries in entries.items()
-            if table in users
+            if table in classes_by_table
         ]
         for admission, request_classes in admissions.items():
-            updates.append(TableUpdate(self.names_of(request_classes), False, [], admission))
+            updates.append(
+                TableUpdate(self.names_unless_all(request_classes), False, [], admission)
+            )
         return updates
 
     def entries_by_table(
-        self, whole: Set[int], operations: Operations
+        self, whole_tables: Set[int], operations: Operations
     ) -> dict[TableId, list[tuple[str, float]]]:
-        """Return the entries to send, whole tables first; those need no removals."""
-        entries: dict[TableId, list[tuple[str, float]]] = {table: [] for table in sorted(whole)}
-        listed = self.endpoints.registry.entries
+        """Return the entries to send, whole tables first; a whole table omits removals."""
+        entries: dict[TableId, list[tuple[str, float]]] = {
+            table: [] for table in sorted(whole_tables)
+        }
+        endpoint_entries = self.endpoint_tracker.registry.entries
         for key, weight in operations.items():
-            if key[0] == ENTRY and (weight or key[1] not in whole):
+            if key[0] == ENTRY and (weight or key[1] not in whole_tables):
                 _, table, endpoint = key
-                entries.setdefault(table, []).append((listed[endpoint].name, weight))
+                entries.setdefault(table, []).append((endpoint_entries[endpoint].name, weight))
         return entries
 
-    def names_of(self, request_classes: Iterable[int]) -> Optional[tuple[str, ...]]:
-        """Return the request classes' names, or None for all of them, which is shorter."""
+    def names_unless_all(self, request_classes: Iterable[int]) -> Optional[tuple[str, ...]]:
+        """Return the names of the request classes, or None if they are all classes."""
         names = tuple(self.class_names[number] for number in request_classes)
         return None if len(names) == len(self.class_names) else names
 
 
-def admissions_of(
-    publisher: Publisher, assigned: dict[int, int], whole: Set[int], operations: Operations
+def classes_by_admission(
+    publisher: Publisher,
+    table_by_class: dict[int, int],
+    whole_tables: Set[int],
+    operations: Operations,
 ) -> dict[Admission, list[int]]:
     """Return the admissions to send, each with its request classes.
 
-    Those that a proxy forgets because its whole table is replaced are sent again.
+    A proxy discards the admission of a request class when the whole table of the class is replaced;
+    such admissions are sent again.
     """
-    by_class = {key[1]: value for key, value in operations.items() if key[0] == ADMISSION}
-    for request_class, table in assigned.items():
-        if table in whole and request_class in publisher.levels:
-            by_class[request_class] = publisher.levels[request_class]
-    by_admission: dict[Admission, list[int]] = {}
-    for request_class, admission in sorted(by_class.items()):
-        by_admission.setdefault(Admission(*admission), []).append(request_class)
-    return by_admission
+    admission_by_class = {key[1]: value for key, value in operations.items() if key[0] == ADMISSION}
+    for request_class, table in table_by_class.items():
+        if table in whole_tables and request_class in publisher.levels:
+            admission_by_class[request_class] = publisher.levels[request_class]
+    classes_of_admission: dict[Admission, list[int]] = {}
+    for request_class, admission in sorted(admission_by_class.items()):
+        classes_of_admission.setdefault(Admission(*admission), []).append(request_class)
+    return classes_of_admission
--- a/peatlead/platform/reload.py
+++ b/peatlead/platform/reload.py
@@ -1,4 +1,4 @@
-"""Rereading of the configuration at SIGHUP."""
+"""Rereading of the configuration after SIGHUP."""
 
 import asyncio
 from collections.abc import Callable
@@ -7,17 +7,19 @@
 from .configuration import Configuration, ConfigurationError
 from .shared_types import Log
 
-# Seconds until a file that can't be read is tried again, doubled each time, up to the limit.
-RETRY_DELAY = 0.2
-RETRY_DELAY_LIMIT = 6.4
+# Seconds between attempts to read the file; the delay doubles after each attempt, and there is no
+# further attempt after the maximum.
+INITIAL_RETRY_DELAY = 0.2
+MAX_RETRY_DELAY = 6.4
 COMPARED_FIELDS = ("name", "listen", "sockets")
 
 
 class ConfigurationReload:
-    """Reads the configuration again on request, and retries for a while where that fails.
+    """Reads the configuration again on request, and retries for a while after a failure.
 
-    A file that can't be read now may be half written; to miss the move of discovery's address
-    would be to miss it for good. `read` raises ConfigurationError; `apply` gets what it returns.
+    The retries cover a file that is only half written at the time of the request: without them, the
+    controller would miss a change of discovery's address. `read` returns the configuration or
+    raises ConfigurationError; `apply` is called with the configuration.
     """
 
     def __init__(
@@ -30,14 +32,14 @@
         self.apply = apply
         self.log = log
         self.loop = asyncio.get_running_loop()
-        self.timer: Optional[asyncio.TimerHandle] = None  # of the next attempt
-        self.delay = RETRY_DELAY
+        self.timer: Optional[asyncio.TimerHandle] = None  # for the next attempt
+        self.delay = INITIAL_RETRY_DELAY
         self.stopped = False
 
     def request(self) -> None:
-        """Read now, whatever came of earlier requests."""
+        """Read the configuration now; this replaces the retries of an earlier request."""
         self.cancel_retry()
-        self.delay = RETRY_DELAY
+        self.delay = INITIAL_RETRY_DELAY
         self.attempt()
 
     def stop(self) -> None:
@@ -52,29 +54,31 @@
             self.timer = None
 
     def attempt(self) -> None:
-        """Read and apply the configuration, or schedule the next attempt."""
+        """Read and apply the configuration, or schedule a retry."""
         self.timer = None
         if self.stopped:
             return
         try:
             configuration = self.read()
-        except ConfigurationError as problem:
-            self.retry(problem)
+        except ConfigurationError as error:
+            self.schedule_retry(error)
             return
         self.apply(configuration)
 
-    def retry(self, problem: ConfigurationError) -> None:
-        """Schedule the next attempt; the first failure of a request is logged."""
-        if self.delay == RETRY_DELAY:
-            self.log("new configuration not taken", why=str(problem))
-        if self.delay <= RETRY_DELAY_LIMIT:
+    def schedule_retry(self, error: ConfigurationError) -> None:
+        """Schedule the next attempt; only the first failure of a request is logged."""
+        if self.delay == INITIAL_RETRY_DELAY:
+            self.log("configuration reload failed", why=str(error))
+        if self.delay <= MAX_RETRY_DELAY:
             self.timer = self.loop.call_later(self.delay, self.attempt)
             self.delay *= 2
 
 
 def differences(old: Configuration, new: Configuration) -> list[str]:
-    """Return the names of fields and settings that differ, discovery's address aside."""
-    fields = [name for name in COMPARED_FIELDS if getattr(new, name) != getattr(old, name)]
-    names = {**new.settings, **old.settings}
-    settings = [name for name in names if new.settings.get(name) != old.settings.get(name)]
-    return fields + sorted(settings)
+    """Return the names of the fields and settings that differ, except discovery's address."""
+    changed_fields = [name for name in COMPARED_FIELDS if getattr(new, name) != getattr(old, name)]
+    setting_names = {**new.settings, **old.settings}
+    changed_settings = [
+        name for name in setting_names if new.settings.get(name) != old.settings.get(name)
+    ]
+    return changed_fields + sorted(changed_settings)
--- a/peatlead/platform/reports.py
+++ b/peatlead/platform/reports.py
@@ -1,4 +1,4 @@
-"""Translation of peers' reports into the planner's events."""
+"""Translation of reports from peers into planner events."""
 
 from typing import Optional, Union
 
@@ -11,30 +11,32 @@
 
 
 class ReportTranslator:
-    """Replaces the names in reports by the numbers that the planner uses."""
+    """Converts reports to events, with the planner's numbers in place of names."""
 
     def __init__(
-        self, registry: EndpointRegistry, request_classes: list[str], proxies: int
+        self, registry: EndpointRegistry, class_names: list[str], proxy_count: int
     ) -> None:
         self.registry = registry
-        self.class_numbers = {name: number for number, name in enumerate(request_classes)}
-        self.proxies = proxies  # how many there are
+        self.class_numbers = {name: number for number, name in enumerate(class_names)}
+        self.proxy_count = proxy_count
 
     def to_event(self, sender: Optional[int], report: Report) -> Optional[ReportEvent]:
-        """Return the event, or None for a report that names what does not exist.
+        """Return the event, or None if the report is not valid for its sender.
 
-        `sender` is the number of the proxy that reports, None for a collector.
+        This is the case if it names an unknown endpoint, zone, request class or proxy, or if a
+        proxy sent it for another proxy. `sender` is the number of the sending proxy, or None for a
+        collector.
         """
         if type(report) is Acknowledgement:
-            return acknowledged(sender, report)
+            return to_acknowledged(sender, report)
         if type(report) is EndpointOutcomes:
-            return self.endpoint_stats(report)
+            return self.to_endpoint_stats(report)
         if type(report) is RequestDemand:
-            return self.request_stats(sender, report)
+            return self.to_request_stats(sender, report)
         return None
 
-    def endpoint_stats(self, report: EndpointOutcomes) -> Optional[interface.EndpointStats]:
-        """Return what a zone's proxies met at an endpoint."""
+    def to_endpoint_stats(self, report: EndpointOutcomes) -> Optional[interface.EndpointStats]:
+        """Convert a zone's report on an endpoint; None if either is unknown."""
         endpoint = self.registry.index.get(report.endpoint)
         zone = self.registry.zones.get(report.zone)
         if endpoint is None or zone is None:
@@ -49,12 +51,12 @@
             report.load_report,
         )
 
-    def request_stats(
+    def to_request_stats(
         self, sender: Optional[int], report: RequestDemand
     ) -> Optional[interface.RequestStats]:
-        """Return a proxy's requests; a collector may report on any proxy, a proxy on itself."""
+        """Convert a report on a proxy's requests, which may come from that proxy or a collector."""
         class_number = self.class_numbers.get(report.request_class)
-        if class_number is None or report.proxy >= self.proxies:
+        if class_number is None or report.proxy >= self.proxy_count:
             return None
         if sender not in (None, report.proxy):
             return None
@@ -67,10 +69,10 @@
         )
 
 
-def acknowledged(
+def to_acknowledged(
     sender: Optional[int], report: Acknowledgement
 ) -> Optional[interface.Acknowledged]:
-    """Return a proxy's acknowledgement, which only that proxy may send."""
+    """Convert an acknowledgement, which only the proxy that it names may send."""
     if report.proxy != sender:
         return None
     return interface.Acknowledged(report.proxy, report.nonce, report.duration)
--- a/peatlead/platform/restart_budget.py
+++ b/peatlead/platform/restart_budget.py
@@ -1,26 +1,26 @@
-"""How often a planner may fail and be replaced before the controller gives up."""
+"""Limit on how often a failed planner is replaced before the controller stops."""
 
-RESTARTS_LIMIT = 3
+MAX_RESTARTS = 3  # within WINDOW
 WINDOW = 60.0  # seconds
 
 
 class RestartBudget:
-    """Counts failures of the planner within the last `WINDOW` seconds."""
+    """Counts the planner's failures within the last `WINDOW` seconds."""
 
     def __init__(self) -> None:
-        self.failures: list[float] = []  # their times, on the loop's clock
+        self.failure_times: list[float] = []  # seconds on the loop's clock
 
     def record_failure(self, now: float) -> None:
-        """Record a failure and forget those before the window."""
-        self.failures = [time for time in self.failures if time > now - WINDOW]
-        self.failures.append(now)
+        """Record a failure and discard those that are older than the window."""
+        self.failure_times = [time for time in self.failure_times if time > now - WINDOW]
+        self.failure_times.append(now)
 
     @property
-    def count(self) -> int:
-        """How many failures there were within the window."""
-        return len(self.failures)
+    def failure_count(self) -> int:
+        """Number of failures within the window."""
+        return len(self.failure_times)
 
     @property
     def exhausted(self) -> bool:
-        """Whether the planner has failed too often to be replaced once more."""
-        return self.count > RESTARTS_LIMIT
+        """Whether the planner has failed more often than it may be replaced."""
+        return self.failure_count > MAX_RESTARTS
--- a/peatlead/platform/session_listener.py
+++ b/peatlead/platform/session_listener.py
@@ -1,4 +1,4 @@
-"""The controller's listening address: accepts connections and bounds how many there are."""
+"""Accepts the connections of peers, and limits their number."""
 
 import socket
 from typing import Optional
@@ -8,85 +8,88 @@
 from .session_owner import EndReason, Incident, SessionOwner
 from .sessions import Session
 
-# Seconds of silence after which a zone's collector is cut when another one of that zone joins.
-COLLECTOR_SILENCE_LIMIT = 15.0
-ACCEPTS_PER_TURN = 8  # connections accepted in one turn of the event loop
-LISTEN_BACKLOG = 1024  # connections that may wait meanwhile
+# Seconds of idleness after which a collector is cut when another collector of its zone joins.
+COLLECTOR_SILENCE_TIMEOUT = 15.0
+MAX_ACCEPTS_PER_TURN = 8  # connections accepted in one turn of the event loop
+LISTEN_BACKLOG = 1024  # connections that wait to be accepted
 RESERVED_DESCRIPTORS = 14  # for the listener, the event loop, discovery and files
-MINIMUM_CONNECTIONS = 8  # connections allowed, however few descriptors there are
+MIN_CONNECTIONS = 8  # lower bound of the connection limit
 
 
 class SessionListener:
-    """All connections of the listening address, within a limit.
+    """The connections of the listening address, limited in number.
 
-    Past the limit, the connection that has waited longest without joining is cut, or the new one
-    where all have joined.
+    Each connection past the limit causes one to be cut: the oldest that has not joined, or the new
+    one if all others have joined. `reserved_descriptors` is the number of file descriptors that
+    other parts of the controller use.
     """
 
-    def __init__(self, owner: SessionOwner, sockets: int, reserved: int) -> None:
-        available = sockets - RESERVED_DESCRIPTORS - ACCEPTS_PER_TURN - reserved
+    def __init__(self, owner: SessionOwner, sockets: int, reserved_descriptors: int) -> None:
+        available_descriptors = (
+            sockets - RESERVED_DESCRIPTORS - MAX_ACCEPTS_PER_TURN - reserved_descriptors
+        )
         self.owner = owner
-        self.limit = max(MINIMUM_CONNECTIONS, available)
-        # Both are ordered sets.
+        self.max_connections = max(MIN_CONNECTIONS, available_descriptors)
+        # Both are used as ordered sets.
         self.sessions: dict[Session, bool] = {}
         self.unjoined: dict[Session, bool] = {}
-        self.counts: dict[str, int] = {}  # of incidents and of the ends of proxies' streams
+        self.counts: dict[str, int] = {}  # of incidents, and of ends of proxies' streams by reason
         self.server: Optional[Listener] = None
         self.closed = False
 
     async def open(self, address: Address) -> None:
-        """Start to listen. Raises OSError."""
+        """Listen on an address. Raises OSError."""
         family = socket.AF_INET6 if ":" in address.host else socket.AF_INET
-        listening = socket.socket(family, socket.SOCK_STREAM)
+        listening_socket = socket.socket(family, socket.SOCK_STREAM)
         try:
-            listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            listening.setblocking(False)
-            listening.bind(address)
-            # A burst of connecting proxies waits in the backlog: accepted at once, it would
-            # exceed the limit.
-            listening.listen(LISTEN_BACKLOG)
+            listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            listening_socket.setblocking(False)
+            listening_socket.bind(address)
+            # In a burst, connections wait in the backlog: accepting them all at once would exceed
+            # the limit.
+            listening_socket.listen(LISTEN_BACKLOG)
             self.server = Listener(
-                listening, lambda: Session(self), ACCEPTS_PER_TURN, self.owner.log
+                listening_socket, lambda: Session(self), MAX_ACCEPTS_PER_TURN, self.owner.log
             )
         except OSError:
-            listening.close()
+            listening_socket.close()
             raise
 
     def close(self) -> None:
-        """Accept no further connection, and end the others once what was written has been sent."""
+        """Accept no further connections, and close the others after sending buffered data."""
         self.closed = True
         if self.server is not None:
             self.server.close()
         for session in list(self.sessions):
-            session.leave()
+            session.close_gracefully()
         if not self.sessions:
             self.owner.all_sessions_ended()
 
     def cut(self) -> None:
-        """End all connections at once."""
+        """Cut all connections immediately."""
         for session in list(self.sessions):
             session.cut(EndReason.CONTROLLER_STOPS)
 
-    def cut_silent_collectors(self, newest: Session) -> None:
-        """Cut collectors of the newest one's zone that have fallen silent.
+    def cut_silent_collectors(self, new_collector: Session) -> None:
+        """Cut the idle collectors of a new collector's zone.
 
-        A machine that vanished never ends its connection.
+        The connection of a machine that failed may never end otherwise.
         """
-        silent_since = newest.loop.time() - COLLECTOR_SILENCE_LIMIT
+        silent_since = new_collector.loop.time() - COLLECTOR_SILENCE_TIMEOUT
         for session in list(self.sessions):
-            same_zone = session.collector_zone == newest.collector_zone
-            if session is not newest and same_zone and session.last_activity < silent_since:
+            same_zone = session.collector_zone == new_collector.collector_zone
+            if session is not new_collector and same_zone and session.last_activity < silent_since:
                 session.cut(EndReason.SILENT)
 
     def add(self, session: Session) -> None:
-        """Add a new connection, and cut one past the limit."""
+        """Add a new connection, and cut one if the limit is exceeded."""
         if self.closed:
             session.cut(EndReason.CONTROLLER_STOPS)
-        if len(self.sessions) >= self.limit:
-            oldest = next(iter(self.unjoined), session)
-            self.unjoined.pop(oldest, None)
+        if len(self.sessions) >= self.max_connections:
+            session_to_cut = next(iter(self.unjoined), session)
+            self.unjoined.pop(session_to_cut, None)
             self.count(Incident.EVICTED)
-            oldest.cut(EndReason.TOO_MANY_CONNECTIONS)
+            session_to_cut.cut(EndReason.TOO_MANY_CONNECTIONS)
         self.sessions[session] = True
         self.unjoined[session] = True
 
@@ -101,12 +104,12 @@
             self.owner.all_sessions_ended()
 
     def answer_pending_checks(self) -> None:
-        """Answer the liveness checks that came before the controller was ready."""
+        """Answer the liveness checks that arrived before the controller was ready."""
         for session in list(self.sessions):
             if session.pending_checks:
                 session.send(ALIVE * session.pending_checks)
                 session.pending_checks = 0
 
-    def count(self, what: str) -> None:
-        """Count an incident or an end: of both there are few kinds."""
-        self.counts[what] = self.counts.get(what, 0) + 1
+    def count(self, name: str) -> None:
+        """Count an incident or the end of a stream."""
+        self.counts[name] = self.counts.get(name, 0) + 1
--- a/peatlead/platform/session_owner.py
+++ b/peatlead/platform/session_owner.py
@@ -1,4 +1,4 @@
-"""What sessions need of the controller that owns them, and the words that both share."""
+"""The interface between sessions and the controller that owns them."""
 
 from enum import StrEnum
 from typing import TYPE_CHECKING, Any, Optional, Protocol, Union
@@ -18,27 +18,27 @@
 
 
 class EndReason(StrEnum):
-    """Why the controller ends a connection; ends by the peer have the network's reasons."""
+    """Why the controller cut a connection; `net.streams` gives the other reasons."""
 
-    REPLACED = "joined anew"
+    REPLACED = "replaced by a newer connection"
     PUSH_FAILED = "message not written"
     SILENT = "silent"
     TOO_MANY_CONNECTIONS = "too many connections"
-    CONTROLLER_STOPS = "the steward ends"
-    REFUSAL_UNREAD = "did not read why it was refused"
+    CONTROLLER_STOPS = "controller stops"
+    REFUSAL_UNREAD = "refusal not read"
 
 
 class Incident(StrEnum):
-    """What the listener counts, besides the ends of proxies' streams by reason."""
+    """Names of the counts of a listener, in addition to the ends of proxies' streams."""
 
     INVALID_FIELD = "spoilt"
     REFUSED = "refused"
     EVICTED = "evicted"
-    UNKNOWN_NAME = "names nothing"
+    UNKNOWN_NAME = "unknown name"
 
 
 class SessionOwner(Protocol):
-    """What a listener needs of the controller."""
+    """The part of the controller that a listener and its sessions use."""
 
     ready: bool  # whether liveness checks may be answered
 
@@ -47,7 +47,7 @@
         ...
 
     def accept_proxy(self, session: "Session", hello: ProxyHello) -> Optional[int]:
-        """Return the proxy's number, or None if there is no such proxy."""
+        """Return the proxy's number, or None if the hello is not acceptable."""
         ...
 
     def accept_collector(self, hello: CollectorHello) -> bool:
@@ -55,7 +55,7 @@
         ...
 
     def session_joined(self, session: "Session") -> None:
-        """Handle a new stream of the proxy `session.proxy`."""
+        """Handle the start of a stream of the proxy `session.proxy`."""
         ...
 
     def session_left(self, session: "Session", reason: str) -> None:
@@ -63,7 +63,7 @@
         ...
 
     def message_received(self, session: "Session", message: Report) -> None:
-        """Handle a report of a joined peer."""
+        """Handle a report or an acknowledgement from a peer that has joined."""
         ...
 
     def all_sessions_ended(self) -> None:
--- a/peatlead/platform/sessions.py
+++ b/peatlead/platform/sessions.py
@@ -1,7 +1,7 @@
 """Connections of proxies, collectors and other peers.
 
-This module enforces deadlines and bounds and rejects invalid messages; what a joined peer reports
-goes to the `SessionOwner`.
+This module enforces timeouts and size limits, and rejects invalid messages. Reports from peers that
+have joined are passed to the `SessionOwner`.
 """
 
 import asyncio
@@ -10,7 +10,7 @@
 from ..net.streams import Lines
 from .messages import (
     ALIVE,
-    LINE_LIMIT,
+    MAX_LINE_BYTES,
     Acknowledgement,
     CollectorHello,
     EndpointOutcomes,
@@ -28,61 +28,64 @@
 if TYPE_CHECKING:
     from .session_listener import SessionListener
 
-JOIN_TIMEOUT = 1.3  # seconds in which a peer must join, or it is refused
-REFUSAL_TIMEOUT = 1.0  # seconds that a refused peer may take to read the reason
-# Bytes of a line before joining; a hello takes some hundred. After it, a line may be LINE_LIMIT.
-HELLO_LINE_LIMIT = 4096
-UNREAD_LIMIT = 128 << 10  # bytes that a peer may leave unread
-PENDING_CHECKS_LIMIT = 8  # liveness checks of a connection that wait for the controller to be ready
+JOIN_TIMEOUT = 1.3  # seconds after which a peer that has not joined is refused
+REFUSAL_TIMEOUT = 1.0  # seconds after which a refused connection that is still open is cut
+# Bytes of a line before joining; the limit is MAX_LINE_BYTES afterwards.
+MAX_HELLO_LINE_BYTES = 4096
+MAX_UNREAD_BYTES = 128 << 10  # buffered bytes that the peer has not read
+MAX_PENDING_CHECKS = 8  # unanswered liveness checks of one connection
 
 
 class Session(Lines):
     """One connection, of a proxy, a collector or a peer that has not joined."""
 
     loop: asyncio.AbstractEventLoop
-    deadline: asyncio.TimerHandle  # for joining; after a refusal, for reading the reason
+    timeout_timer: asyncio.TimerHandle  # JOIN_TIMEOUT; after a refusal, REFUSAL_TIMEOUT
 
     def __init__(self, listener: "SessionListener") -> None:
-        super().__init__(longest=HELLO_LINE_LIMIT, waiting_most=UNREAD_LIMIT)
+        super().__init__(longest=MAX_HELLO_LINE_BYTES, waiting_most=MAX_UNREAD_BYTES)
         self.listener = listener
-        self.proxy: Optional[int] = None  # the number of the proxy that joined on it
-        self.collector_zone: Optional[str] = None  # the zone of the collector that joined on it
+        self.proxy: Optional[int] = None  # number of the proxy that joined
+        self.collector_zone: Optional[str] = None  # zone of the collector that joined
         self.joined = False
-        self.finished = False  # nothing that is received counts any more
+        self.ignores_input = False
         self.pending_checks = 0  # liveness checks to answer once the controller is ready
-        # Of a proxy, as its hello says: the index of its zone, requests a second, whether it has
-        # no table yet.
-        self.zone = 0
-        self.request_rate = 0.0
-        self.bootstrap_only = True
-        # Endpoints that were restored on this stream, so that the proxy no longer ejects them.
+        # From the proxy's hello.
+        self.zone = 0  # index of the zone
+        self.request_rate = 0.0  # requests per second
+        self.bootstrap_only = True  # whether the proxy has no table of any controller yet
+        # Endpoints that the proxy does not eject, since they were restored on this stream.
         self.restored: set[int] = set()
 
     def opened(self) -> None:
-        """Start the deadline for joining."""
-        self.deadline = self.loop.call_later(
+        """Start the timeout for joining."""
+        self.timeout_timer = self.loop.call_later(
             JOIN_TIMEOUT, self.refuse, "expected a message that joins"
         )
         self.listener.add(self)
 
     def received(self, data: bytes) -> None:
-        """Split what was read into lines."""
-        if not self.finished:
+        """Split received bytes into lines, unless input is ignored."""
+        if not self.ignores_input:
             super().received(data)
 
     def line(self, data: bytes) -> None:
-        """Handle one line: an invalid field costs the message, anything worse the connection."""
-        if self.finished or not data.strip():
+        """Handle one line.
+
+        A malformed message is refused. A message with an invalid field is ignored, but refused if
+        the peer has not joined.
+        """
+        if self.ignores_input or not data.strip():
             return
         try:
             message = read_message(data)
-        except InvalidFieldError as problem:
+        except InvalidFieldError as error:
             self.listener.count(Incident.INVALID_FIELD)
             if not self.joined:
-                self.refuse(str(problem))
+                self.refuse(str(error))
             return
-        except MalformedMessageError as problem:
-            self.refuse(str(problem))
+        except MalformedMessageError as error:
+            self.refuse(str(error))
             return
         self.handle(message)
 
@@ -101,14 +104,14 @@
             self.join_as_collector(message)
 
     def answer_liveness_check(self) -> None:
-        """Answer now, or as soon as the controller is ready."""
+        """Answer a liveness check now, or as soon as the controller is ready."""
         if self.listener.owner.ready:
             self.send(ALIVE)
-        elif self.pending_checks < PENDING_CHECKS_LIMIT:
+        elif self.pending_checks < MAX_PENDING_CHECKS:
             self.pending_checks += 1
 
     def join_as_collector(self, hello: CollectorHello) -> None:
-        """Join, or join again with another zone."""
+        """Join as a collector, or change the zone of a collector that has joined."""
         if self.proxy is not None or not self.listener.owner.accept_collector(hello):
             self.refuse("expected a collector's zone")
             return
@@ -119,7 +122,7 @@
             self.listener.cut_silent_collectors(self)
 
     def join_as_proxy(self, hello: ProxyHello) -> None:
-        """Join; a repeated hello only updates what the proxy says of itself."""
+        """Join as a proxy; a repeated hello only updates the zone, rate and `bootstrap_only`."""
         is_collector = self.joined and self.proxy is None
         proxy = None if is_collector else self.listener.owner.accept_proxy(self, hello)
         if proxy is None:
@@ -132,44 +135,43 @@
         self.listener.owner.session_joined(self)
 
     def finish_joining(self) -> None:
-        """Lift the bounds of a connection that has not joined."""
+        """End the join timeout and the limits of a connection that has not joined."""
         self.joined = True
-        self.longest = LINE_LIMIT
-        self.deadline.cancel()
+        self.longest = MAX_LINE_BYTES
+        self.timeout_timer.cancel()
         self.listener.unjoined.pop(self, None)
 
     def refuse(self, reason: str) -> None:
-        """Send an error and end the connection; nothing further is read."""
-        if self.finished:
+        """Send an error, close the connection and ignore further input."""
+        if self.ignores_input:
             return
-        self.finish()
+        self.ignore_input()
         self.listener.count(Incident.REFUSED)
         self.send(write_error(reason))
-        self.deadline.cancel()
-        self.deadline = self.loop.call_later(REFUSAL_TIMEOUT, self.cut, EndReason.REFUSAL_UNREAD)
+        self.timeout_timer.cancel()
+        self.timeout_timer = self.loop.call_later(
+            REFUSAL_TIMEOUT, self.cut, EndReason.REFUSAL_UNREAD
+        )
         self.close()
 
-    def leave(self) -> None:
-        """End this side of the connection, since the controller stops.
-
-        What was written is still sent, and nothing further is read.
-        """
-        self.finish()
+    def close_gracefully(self) -> None:
+        """Ignore further input, and close the sending direction after buffered data."""
+        self.ignore_input()
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write_eof()
 
-    def finish(self) -> None:
-        """Ignore all input from now on."""
-        self.finished = True
+    def ignore_input(self) -> None:
+        """Ignore all further input."""
+        self.ignores_input = True
         self.part = bytearray()
 
     def cut(self, reason: str) -> None:
-        """End the connection at once."""
-        self.finished = True
+        """Cut the connection immediately and ignore further input."""
+        self.ignores_input = True
         super().cut(reason)
 
     def ended(self, reason: str) -> None:
         """Handle the end of the connection."""
-        self.finish()
-        self.deadline.cancel()
+        self.ignore_input()
+        self.timeout_timer.cancel()
         self.listener.remove(self, reason)
--- a/peatlead/platform/shared_types.py
+++ b/peatlead/platform/shared_types.py
@@ -6,7 +6,7 @@
 
 
 class Log(Protocol):
-    """Writes one event with its fields."""
+    """Writes a log event with its fields."""
 
     def __call__(self, event: str, /, **fields: Any) -> None:
         """Write the event."""
--- a/peatlead/platform/startup.py
+++ b/peatlead/platform/startup.py
@@ -1,7 +1,7 @@
-"""Steps of the start that are tried again after errors that may pass.
+"""Steps of the start that are retried after transient errors.
 
-A shortage of descriptors or memory, or an address that is still in use, is no reason to run without
-a controller.
+Transient errors are, for example, a shortage of file descriptors or memory, or a listening address
+that is still in use.
 """
 
 import asyncio
@@ -13,41 +13,41 @@
 from .session_listener import SessionListener
 from .shared_types import Log
 
-START_TIMEOUT = 20.0  # seconds after which an error is final
+START_TIMEOUT = 20.0  # seconds; a transient error after this time is raised
 READ_RETRY_DELAY = 0.5  # seconds between attempts to read the configuration
-# Seconds between attempts to listen, doubled each time, up to the limit.
-LISTEN_RETRY_DELAY = 0.05
-LISTEN_RETRY_DELAY_LIMIT = 0.5
+# Seconds between attempts to listen; the delay doubles after each attempt.
+INITIAL_LISTEN_RETRY_DELAY = 0.05
+MAX_LISTEN_RETRY_DELAY = 0.5
 
 
 async def read_with_retries(read: Callable[[], Configuration], log: Log) -> Configuration:
-    """Read the configuration, trying again after a transient error. Raises ConfigurationError."""
+    """Read the configuration; retry after transient errors. Raises ConfigurationError."""
     loop = asyncio.get_running_loop()
     deadline = loop.time() + START_TIMEOUT
     while True:
         try:
             return read()
-        except ConfigurationError as problem:
-            if not problem.transient or loop.time() > deadline:
+        except ConfigurationError as error:
+            if not error.transient or loop.time() > deadline:
                 raise
-            log("configuration put off", why=str(problem))
+            log("configuration not readable, will retry", why=str(error))
         await asyncio.sleep(READ_RETRY_DELAY)
 
 
 async def open_with_retries(
     listener: SessionListener, address: Address, is_stopping: Callable[[], bool], log: Log
 ) -> None:
-    """Open the listener, trying again after a transient error. Raises OSError."""
+    """Open the listener; retry after transient errors. Raises OSError."""
     loop = asyncio.get_running_loop()
     deadline = loop.time() + START_TIMEOUT
-    delay = LISTEN_RETRY_DELAY
+    delay = INITIAL_LISTEN_RETRY_DELAY
     while not is_stopping():
         try:
             await listener.open(address)
             return
-        except OSError as problem:
-            if not is_transient(problem) or loop.time() > deadline:
+        except OSError as error:
+            if not is_transient(error) or loop.time() > deadline:
                 raise
-            log("listener put off", why=problem.strerror, wait=delay)
+            log("listening failed, will retry", why=error.strerror, wait=delay)
         await asyncio.sleep(delay)
-        delay = min(LISTEN_RETRY_DELAY_LIMIT, 2 * delay)
+        delay = min(MAX_LISTEN_RETRY_DELAY, 2 * delay)
--- a/peatlead/platform/telemetry.py
+++ b/peatlead/platform/telemetry.py
@@ -1,16 +1,17 @@
-"""Log events of proxies and of the channel.
+"""Log events about proxies and about the channel between the controller and its proxies.
 
-They allow to follow a proxy through all controllers.
+With the events of all controllers, an operator can follow one proxy through the fleet.
 
     telemetry = Telemetry(log)
     telemetry.proxy_joined(7, has_table=True)
     telemetry.message_written(7, operations)
     telemetry.end_batch(now, planner)
 
-Two events are written. `proxies`: one for each batch in which proxies joined, left or were sent a
-whole table, with their numbers. `channel`: once every `STATUS_INTERVAL` seconds while proxies wait
-for tables or entries wait in the channel, with the planner's status and the counts since the
-previous such event. docs/on-call.md describes how to read them.
+There are two kinds of events. `proxies` is logged for each batch in which proxies joined, left or
+were sent a whole table, and contains the numbers of these proxies. `channel` contains the planner's
+status and the counts since the previous `channel` event. It is logged at most once in
+`STATUS_INTERVAL` seconds, and only if proxies wait for tables, entries wait in the channel or there
+are new counts. docs/on-call.md describes how to read the events.
 """
 
 from typing import Protocol
@@ -19,65 +20,66 @@
 from ..interface import PlannerStatus
 from .shared_types import Log
 
-STATUS_INTERVAL = 1.0  # seconds between two `channel` events
-DIGITS = 3  # decimal places of the numbers in an event
+STATUS_INTERVAL = 1.0  # minimum seconds between two `channel` events
+DECIMAL_PLACES = 3  # of the numbers in a `channel` event
 
 
-class HasStatus(Protocol):
-    """A planner, as far as telemetry needs it."""
+class StatusProvider(Protocol):
+    """The part of a planner that telemetry uses."""
 
     def status(self, now: float) -> PlannerStatus:
-        """Return the planner's state at a time of the loop's clock."""
+        """Return the planner's status; `now` is in seconds on the loop's clock."""
         ...
 
 
 class Telemetry:
-    """Collects what happens in a batch and logs it; all times are seconds on the loop's clock."""
+    """Collects and logs the events of each batch; all times are seconds on the loop's clock."""
 
     def __init__(self, log: Log) -> None:
         self.log = log
-        self.joined: list[int] = []  # proxies, since the last `proxies` event, as the next two
+        # Numbers of proxies, since the last `proxies` event.
+        self.joined: list[int] = []
         self.left: dict[str, list[int]] = {}  # by reason
         self.tables: list[int] = []  # proxies that were sent a whole table
-        self.counts: dict[str, float] = {}  # since the last `channel` event
+        self.counts: dict[str, float] = {}  # by name, since the last `channel` event
         self.next_status_at = 0.0
 
     def count(self, name: str, amount: int = 1) -> None:
-        """Add to a count of the next `channel` event."""
+        """Increase a count of the next `channel` event."""
         self.counts[name] = self.counts.get(name, 0) + amount
 
     def proxy_joined(self, proxy: int, has_table: bool) -> None:
-        """Record that a proxy's stream has begun."""
+        """Record the start of a proxy's stream."""
         self.joined.append(proxy)
         self.count("joined_with_table" if has_table else "joined_without_table")
 
     def proxy_left(self, proxy: int, reason: str) -> None:
-        """Record that a proxy's stream has ended."""
+        """Record the end of a proxy's stream."""
         self.left.setdefault(reason, []).append(proxy)
         self.count("left")
 
     def message_written(self, proxy: int, operations: Operations) -> None:
-        """Record a push message."""
-        kinds = [key[0] for key in operations]
+        """Record that a push message was written to a proxy."""
+        operation_kinds = [key[0] for key in operations]
         items = operations.items()
-        removed = sum(key[0] == ENTRY and not value for key, value in items)
-        ejected = sum(key[0] == WITHDRAWN and bool(value) for key, value in items)
+        removed_count = sum(key[0] == ENTRY and not value for key, value in items)
+        ejected_count = sum(key[0] == WITHDRAWN and bool(value) for key, value in items)
         self.count("messages")
-        self.count("lines", kinds.count(ENTRY))
-        self.count("removed_lines", removed)
-        self.count("shut_out", ejected)
-        self.count("levels", kinds.count(ADMISSION))
-        if ASSIGNMENT in kinds:
+        self.count("lines", operation_kinds.count(ENTRY))
+        self.count("removed_lines", removed_count)
+        self.count("shut_out", ejected_count)
+        self.count("levels", operation_kinds.count(ADMISSION))
+        if ASSIGNMENT in operation_kinds:
             self.tables.append(proxy)
             self.count("tables")
 
     def acknowledged(self, duration: float) -> None:
-        """Record that a proxy acknowledged a nonce `duration` seconds after it was written."""
+        """Record an acknowledgement that came `duration` seconds after the message was written."""
         self.count("answers")
         self.counts["slowest_answer"] = max(duration, self.counts.get("slowest_answer", 0.0))
 
-    def end_batch(self, now: float, planner: HasStatus) -> None:
-        """Log what is due once all messages of a batch have been written."""
+    def end_batch(self, now: float, planner: StatusProvider) -> None:
+        """Log the due events after all messages of a batch have been written."""
         if self.joined or self.left or self.tables:
             self.log_proxies()
         if now >= self.next_status_at:
@@ -92,9 +94,9 @@
         self.tables = []
 
     def log_status(self, status: PlannerStatus) -> None:
-        """Log the planner's status, except while nothing happens."""
+        """Log the planner's status and the counts, unless nothing waits and nothing was counted."""
         if not (status.unassigned_proxies or status.queued_entries or self.counts):
             return
-        fields = {name: round(value, DIGITS) for name, value in status._asdict().items()}
+        fields = {name: round(value, DECIMAL_PLACES) for name, value in status._asdict().items()}
         self.log("channel", **fields, since=self.counts)
         self.counts = {}
--- a/tests/platform/test_clock.py
+++ b/tests/platform/test_clock.py
@@ -1,9 +1,9 @@
-"""Ages of endpoints while the wall clock is stepped."""
+"""Ages of endpoints across steps of the wall clock."""
 
 import asyncio
 import unittest
 
-from peatlead.platform.clock import OFFSETS_KEPT, WallClock
+from peatlead.platform.clock import MAX_OFFSETS, WallClock
 
 from ..places import run, until
 from ..platforms import (
@@ -13,51 +13,51 @@
 
 
 class Ages(unittest.TestCase):
-    """The loop's clock stands at `self.loop`, the wall clock `self.ahead` before it."""
+    """The event loop's time is `self.loop_time`; the wall clock is ahead of it by `self.offset`."""
 
     def setUp(self):
-        self.loop, self.ahead, self.steps = 100.0, 1.9e9, []
+        self.loop_time, self.offset, self.logged_steps = 100.0, 1.9e9, []
         self.clock = WallClock(
-            lambda: self.loop + self.ahead,
-            lambda: self.loop,
-            lambda event, **fields: self.steps.append(fields["by"]),
+            lambda: self.loop_time + self.offset,
+            lambda: self.loop_time,
+            lambda event, **fields: self.logged_steps.append(fields["by"]),
         )
 
-    def test_an_age_is_a_span_of_real_time_however_the_wall_clock_is_stepped(self):
+    def test_ages_never_exceed_elapsed_time_when_the_wall_clock_is_stepped(self):
         for step in (3600.0, -3600.0, 2.5, -30.0):
-            # Starts that are stamped before the step and after it.
-            before = self.loop + self.ahead
-            self.loop += 5.0
-            self.ahead += step
-            after = self.loop + self.ahead
-            self.loop += 3.0
-            self.assertLessEqual(self.clock.age(before), 8.0, step)
-            self.assertLessEqual(self.clock.age(after), 3.0, step)
-        self.assertEqual(self.steps, [3600.0, -3600.0, 2.5, -30.0])
+            # Starts from the wall clock before the step and after it.
+            start_before_step = self.loop_time + self.offset
+            self.loop_time += 5.0
+            self.offset += step
+            start_after_step = self.loop_time + self.offset
+            self.loop_time += 3.0
+            self.assertLessEqual(self.clock.age(start_before_step), 8.0, step)
+            self.assertLessEqual(self.clock.age(start_after_step), 3.0, step)
+        self.assertEqual(self.logged_steps, [3600.0, -3600.0, 2.5, -30.0])
 
-    def test_without_a_step_ages_are_exact_and_slew_is_no_step(self):
-        self.loop += 50.0
+    def test_ages_are_exact_without_a_step_and_slew_is_not_a_step(self):
+        self.loop_time += 50.0
         self.assertAlmostEqual(self.clock.age(1.9e9 + 90.0), 60.0, 3)
-        self.ahead += 0.2
+        self.offset += 0.2
         self.assertAlmostEqual(self.clock.age(1.9e9 + 140.0), 10.0, 3)
-        self.assertEqual(self.steps, [])
+        self.assertEqual(self.logged_steps, [])
 
-    def test_a_start_in_the_future_is_now(self):
+    def test_an_endpoint_that_starts_in_the_future_has_age_0(self):
         self.assertEqual(self.clock.age(2.0e9), 0.0)
 
-    def test_the_kept_offsets_are_bounded(self):
+    def test_the_number_of_kept_offsets_is_limited(self):
         for _ in range(100):
-            self.ahead += 7.0
+            self.offset += 7.0
             self.clock.now()
-        self.assertEqual(len(self.clock.offsets), OFFSETS_KEPT)
+        self.assertEqual(len(self.clock.offsets), MAX_OFFSETS)
 
     def test_an_endpoint_started_after_the_clock_was_set_back_counts_as_cold(self):
-        wall = [2e9]
+        wall_clock = [2e9]
 
         async def case(platform):
             await until(lambda: platform.controller.watch.version == 1)
-            wall[0] -= 3600.0
-            platform.discovery.publish(instance(7, started=1000 * (wall[0] - 1.0)))
+            wall_clock[0] -= 3600.0
+            platform.discovery.publish(instance(7, started=1000 * (wall_clock[0] - 1.0)))
             await until(
                 lambda: any(
                     endpoint.name == b"s-7"
@@ -72,7 +72,7 @@
             return endpoint.cold_from is not None
 
         async def run_case():
-            platform = await PlatformFixture().start(wall=lambda: wall[0])
+            platform = await PlatformFixture().start(unix_time=lambda: wall_clock[0])
             try:
                 return await case(platform)
             finally:
--- a/tests/platform/test_configuration.py
+++ b/tests/platform/test_configuration.py
@@ -19,9 +19,9 @@
 
 
 class ConfigurationFile(unittest.TestCase):
-    def test_an_incomplete_configuration_is_refused_with_what_is_missing(self):
-        with tempfile.TemporaryDirectory() as folder:
-            path = f"{folder}/config.json"
+    def test_an_invalid_configuration_raises_an_error_that_names_the_problem(self):
+        with tempfile.TemporaryDirectory() as directory:
+            path = f"{directory}/config.json"
             for text, expected in (
                 ("{", "not a configuration"),
                 ('{"name":"n"}', "listen"),
@@ -34,17 +34,17 @@
         with self.assertRaisesRegex(ConfigurationError, "NODE_CONFIG"):
             read_configuration({}, 0.0)
 
-    def test_a_transient_read_error_is_distinguished_from_a_missing_file(self):
+    def test_read_errors_are_marked_as_transient_or_permanent(self):
         expected = {errno.EIO: True, errno.EMFILE: True, errno.ENOENT: False, errno.EACCES: False}
-        for number, transient in expected.items():
-            with mock.patch("builtins.open", side_effect=OSError(number, "planted")):
+        for error_number, transient in expected.items():
+            with mock.patch("builtins.open", side_effect=OSError(error_number, "planted")):
                 with self.assertRaises(ConfigurationError) as raised:
                     read_configuration({"NODE_CONFIG": "/config.json"}, 0.0)
             self.assertEqual(raised.exception.transient, transient)
 
 
 class PlannerSettings(unittest.TestCase):
-    def test_each_invalid_setting_is_named(self):
+    def test_errors_name_the_invalid_setting(self):
         self.assertEqual(settings_errors(SETTINGS), [])
         for name, value, expected in (
             ("channel_rate", "fast", "channel_rate"),
@@ -66,7 +66,7 @@
                 settings_errors({**SETTINGS, "req_kinds": [{**request_class, **change}]})[0],
             )
         self.assertIn(
-            "a name of its own",
+            "a unique name",
             settings_errors({**SETTINGS, "req_kinds": [request_class, request_class]})[0],
         )
 
@@ -89,7 +89,7 @@
             )
             self.assertEqual(other.controller.proxy_sessions[8].zone, 0)
             second.send_message(msg="demand", node=8, route="pay", total=1, errors=0, interval=1000)
-            await until(lambda: other.controller.listener.counts.get("names nothing"))
+            await until(lambda: other.controller.listener.counts.get("unknown name"))
             other.stop()
 
         run_with_platform(case)
--- a/tests/platform/test_drains.py
+++ b/tests/platform/test_drains.py
@@ -1,5 +1,5 @@
-"""Drains on real processes: a draining endpoint leaves every proxy's table within the grace period,
-whatever happens to controllers meanwhile (docs/incidents/2026-12-02-drains-after-a-herd.md)."""
+"""Drains with real controller processes: every proxy's table loses a draining endpoint within the
+grace period, also while controllers fail (docs/incidents/2026-12-02-drains-after-a-herd.md)."""
 
 import asyncio
 import tempfile
@@ -10,9 +10,9 @@
 
 from ..places import run, until
 
-GRACE = 3.0  # seconds
-GRACE_EXTENSION = 0.3  # seconds that the platform's pages grant besides
-# Entries a second: the tables of 240 proxies that join at once take 0.6 of the grace period.
+DRAIN_GRACE = 3.0  # seconds
+GRACE_TOLERANCE = 0.3  # additional seconds that the platform allows
+# Entries per second. At this rate, the tables of 240 proxies take 0.6 of the grace period.
 CHANNEL_RATE = 3200.0
 
 
@@ -40,23 +40,23 @@
         "emptyForUs": 4400000,
         "lateMostUs": 300000,
     },
-    "obligations": {"drainGraceUs": 1e6 * GRACE, "warmAfterUs": 15000000},
+    "obligations": {"drainGraceUs": 1e6 * DRAIN_GRACE, "warmAfterUs": 15000000},
 }
 
 
-def run_with_fleet(case, **plan):
-    """Run `case(fleet)` once all proxies hold tables, and return the report on drains."""
+def run_with_fleet(case, **plan_options):
+    """Run `case(fleet)` once all proxies have tables, and return the drain report."""
 
     async def run_case():
         with tempfile.TemporaryDirectory() as folder:
-            fleet = Fleet(SETTINGS, FleetPlan(4, 320, 40, free_port(), **plan), folder)
+            fleet = Fleet(SETTINGS, FleetPlan(4, 320, 40, free_port(), **plan_options), folder)
             try:
                 await fleet.start()
                 await until(lambda: all(state.ordered for state in fleet.proxies), 20.0)
                 await case(fleet)
                 await until(lambda: not fleet.still_held(), 30.0)
                 await asyncio.sleep(0.5)
-                return fleet.drain_report(GRACE + GRACE_EXTENSION)
+                return fleet.drain_report(DRAIN_GRACE + GRACE_TOLERANCE)
             finally:
                 fleet.stop()
                 await asyncio.sleep(0.05)
@@ -68,16 +68,16 @@
     fleet.list_hosts([fleet.host(number, "leaving") for number in endpoints])
 
 
-class Releases(unittest.TestCase):
-    def assert_grace_kept(self, report):
+class Drains(unittest.TestCase):
+    def assert_no_late_removals(self, report):
         self.assertEqual(report.late, [])
         self.assertLessEqual(report.most_waiting, SETTINGS["familyInfo"]["pendingMax"])
 
-    def test_a_controller_that_takes_over_all_proxies_removes_drained_endpoints_within_the_grace(
+    def test_a_controller_that_takes_over_all_proxies_removes_draining_endpoints_in_time(
         self,
     ):
-        # Three of four controllers are killed while endpoints drain in steps: as in the incident,
-        # the last one writes whole tables to three quarters of the fleet and removals to the rest.
+        # Three of four controllers are killed while endpoints drain in steps. The last one writes
+        # whole tables to three quarters of the proxies and removals to the others.
         async def case(fleet):
             drain(fleet, range(6))
             await asyncio.sleep(0.2)
@@ -88,10 +88,10 @@
             await asyncio.sleep(1.2)
             drain(fleet, range(12, 18))
 
-        self.assert_grace_kept(run_with_fleet(case))
+        self.assert_no_late_removals(run_with_fleet(case))
 
-    def test_a_restarted_controller_removes_what_drained_while_it_was_away(self):
-        # Its proxies connect to the others and return with their tables; endpoints go on draining.
+    def test_a_restarted_controller_removes_endpoints_that_drained_during_its_absence(self):
+        # The proxies of the killed controller connect to the others and return with their tables.
         async def case(fleet):
             drain(fleet, range(6))
             await asyncio.sleep(0.3)
@@ -104,9 +104,9 @@
             await asyncio.sleep(1.0)
             drain(fleet, range(10, 14))
 
-        self.assert_grace_kept(run_with_fleet(case, rehome=1.0))
+        self.assert_no_late_removals(run_with_fleet(case, rehome=1.0))
 
-    def test_controllers_restarted_at_once_remove_what_drained_meanwhile(self):
+    def test_simultaneously_restarted_controllers_remove_endpoints_that_drained_meanwhile(self):
         async def case(fleet):
             drain(fleet, range(6))
             await asyncio.sleep(0.3)
@@ -118,4 +118,4 @@
             await asyncio.sleep(1.0)
             drain(fleet, range(10, 14))
 
-        self.assert_grace_kept(run_with_fleet(case))
+        self.assert_no_late_removals(run_with_fleet(case))
--- a/tests/platform/test_endpoint_tracker.py
+++ b/tests/platform/test_endpoint_tracker.py
@@ -1,4 +1,4 @@
-"""Endpoint lists and what is remembered between them."""
+"""Application of endpoint lists."""
 
 import unittest
 
@@ -11,11 +11,11 @@
 
 
 class Lists(unittest.TestCase):
-    def test_an_invalid_entry_of_a_whole_list_leaves_its_endpoint_as_it_was(self):
+    def test_an_invalid_entry_of_a_whole_list_does_not_change_its_endpoint(self):
         async def case(platform):
             await until(lambda: platform.controller.watch.version == 1)
             entries = [instance(number, f"z{number % 2}") for number in range(4)]
-            for entry, phase in (
+            for entry, expected_phase in (
                 ({**entries[1], "lifecycle": 7}, "ready"),
                 ({**entries[1], "zone": "nowhere"}, "ready"),
                 ({"zone": "z1"}, "ready"),
@@ -24,25 +24,27 @@
                 platform.controller.on_endpoint_list(
                     endpoint_list(
                         9,
-                        *[other for other in entries if other is not entries[1]],
+                        *[unchanged for unchanged in entries if unchanged is not entries[1]],
                         *[entry] * (entry is not None),
                         whole=True,
                     )
                 )
                 await until(lambda: not platform.controller.inbox)
-                self.assertEqual(platform.controller.planner.endpoints[1].phase, phase, entry)
+                self.assertEqual(
+                    platform.controller.planner.endpoints[1].phase, expected_phase, entry
+                )
 
         run_with_platform(case)
 
     def test_a_health_check_of_a_forgotten_endpoint_is_ignored(self):
         async def case(platform):
             await until(lambda: platform.controller.watch.version == 1)
-            platform.controller.endpoints.registry.forget(3)
+            platform.controller.endpoint_tracker.registry.forget(3)
             del platform.controller.planner.endpoints[3]
             platform.controller.on_health_check(3, "timed out", 0.2, None, None)
             platform.controller.on_endpoint_list(endpoint_list(2, instance(3, "z1")))
             await until(
-                lambda: platform.controller.endpoints.registry.index["s-3"] == 4
+                lambda: platform.controller.endpoint_tracker.registry.index["s-3"] == 4
                 and 4 in platform.controller.planner.endpoints
             )
 
--- a/tests/platform/test_endpoint_watch.py
+++ b/tests/platform/test_endpoint_watch.py
@@ -1,4 +1,4 @@
-"""The watch on discovery's endpoint list."""
+"""Polling of discovery's endpoint list."""
 
 import unittest
 from unittest import mock
@@ -30,10 +30,10 @@
             await until(lambda: platform.controller.watch.version == 1)
             platform.discovery.silent = True
             await until(lambda: len(platform.discovery.request_paths) > 2)
-            before = len(platform.discovery.connections)
+            connections_before = len(platform.discovery.connections)
             await until(
-                lambda: len(platform.discovery.connections) > before
-            )  # past its deadline, though nothing has ended
+                lambda: len(platform.discovery.connections) > connections_before
+            )  # the watch opens a new connection after the timeout, though the old one is open
             platform.discovery.silent = False
             platform.discovery.version = 2
             platform.discovery.changes = [instance(0, lifecycle="leaving")]
@@ -41,7 +41,7 @@
 
         run_with_platform(case)
 
-    def test_a_connection_closed_within_an_answer_loses_no_change(self):
+    def test_a_change_is_not_lost_when_the_connection_closes_within_an_answer(self):
         async def case(platform):
             await until(
                 lambda: platform.controller.watch.version == 1 and platform.discovery.held_requests
@@ -54,70 +54,77 @@
 
         run_with_platform(case)
 
-    def test_after_a_version_that_went_back_only_a_whole_list_is_applied(self):
+    def test_after_an_answer_with_an_older_version_the_whole_list_is_requested(self):
         async def case(platform):
             platform.discovery.version = 5
             await until(lambda: platform.controller.watch.version in (1, 5))
             platform.discovery.publish(instance(0, lifecycle="leaving"))
             await until(lambda: platform.controller.watch.version == 6)
-            whole = platform.discovery.request_paths.count("/v1/endpoints")
+            whole_list_requests = platform.discovery.request_paths.count("/v1/endpoints")
             platform.discovery.instances[0] = instance(0, lifecycle="leaving")
             platform.discovery.version, platform.discovery.changes = 3, [instance(0)]
             platform.discovery.answer_requests()
-            await until(lambda: platform.discovery.request_paths.count("/v1/endpoints") > whole)
+            await until(
+                lambda: platform.discovery.request_paths.count("/v1/endpoints")
+                > whole_list_requests
+            )
             await until(lambda: platform.controller.watch.version == 3)
             self.assertEqual(platform.controller.planner.endpoints[0].phase, "draining")
 
         run_with_platform(case)
 
-    def test_changes_during_a_long_decision_come_with_the_next_poll(self):
+    def test_a_change_during_a_decision_is_received_with_the_next_poll(self):
         async def case(platform):
             await until(lambda: platform.controller.watch.version == 1)
             decide, interruptions = platform.controller.planner.decide, []
 
-            def once(now, events):
+            def decide_with_interruption(now, events):
                 if not interruptions:
-                    # The poll that waited is lost meanwhile.
+                    # The pending poll is lost during the decision.
                     interruptions.append(platform.discovery.held_requests.clear())
                     platform.discovery.publish(instance(0, lifecycle="leaving"))
                 return decide(now, events)
 
-            with mock.patch.object(platform.controller.planner, "decide", once):
+            with mock.patch.object(platform.controller.planner, "decide", decide_with_interruption):
                 await until(lambda: platform.controller.planner.endpoints[0].phase == "draining")
 
         run_with_platform(case)
 
 
-class MovedAddress(unittest.TestCase):
+class ChangedAddress(unittest.TestCase):
     def test_the_old_address_is_polled_until_the_new_one_has_answered(self):
         async def case(platform):
             await until(lambda: platform.controller.watch.version == 1)
-            later = type(platform.discovery)(platform.discovery.instances)
-            later.silent = True
-            await later.open(platform.port + 1)
-            platform.move_discovery(1)
-            await until(lambda: later.request_paths)
+            new_discovery = type(platform.discovery)(platform.discovery.instances)
+            new_discovery.silent = True
+            await new_discovery.open(platform.port + 1)
+            platform.change_discovery_port(1)
+            await until(lambda: new_discovery.request_paths)
             platform.discovery.publish(
                 instance(0, lifecycle="leaving")
-            )  # known to the old one alone
+            )  # only at the previous address
             await until(lambda: platform.controller.planner.endpoints[0].phase == "draining")
-            later.silent, later.version, later.changes = False, 3, [instance(1, "z1", "leaving")]
+            new_discovery.silent, new_discovery.version, new_discovery.changes = (
+                False,
+                3,
+                [instance(1, "z1", "leaving")],
+            )
             await until(lambda: platform.controller.planner.endpoints[1].phase == "draining", 20)
             await until(lambda: platform.controller.watch.previous is None)
-            for connection in later.connections:
+            for connection in new_discovery.connections:
                 connection.cut("over")
-            later.servers[0].close()
+            new_discovery.servers[0].close()
 
         run_with_platform(case)
 
-    def test_an_address_that_never_answered_is_left_at_once_and_the_previous_one_kept(self):
+    def test_an_address_that_never_answered_is_dropped_and_the_previous_one_is_kept(self):
         async def case(platform):
             await until(lambda: platform.controller.watch.version == 1)
-            platform.move_discovery(1)  # refuses
-            platform.move_discovery(2)  # refuses too: a second SIGHUP in a row
+            platform.change_discovery_port(1)  # connection refused
+            platform.change_discovery_port(2)  # connection refused again
             platform.discovery.publish(instance(0, lifecycle="leaving"))
             await until(lambda: platform.controller.planner.endpoints[0].phase == "draining")
-            platform.move_discovery(0)
+            platform.change_discovery_port(0)
             await until(lambda: platform.controller.watch.previous is None)
             platform.discovery.publish(instance(1, "z1", "leaving"))
             await until(lambda: platform.controller.planner.endpoints[1].phase == "draining")
--- a/tests/platform/test_messages.py
+++ b/tests/platform/test_messages.py
@@ -1,10 +1,9 @@
-"""Parsing and writing of the platform's messages."""
+"""Parsing and encoding of the platform's messages."""
 
 import json
 import unittest
 
-from hypothesis import given
-from hypothesis import strategies as some
+from hypothesis import given, strategies
 
 from peatlead.platform import messages
 from peatlead.platform.messages import (
@@ -22,9 +21,9 @@
 )
 
 
-class Reading(unittest.TestCase):
+class Parsing(unittest.TestCase):
     def test_load_reports_use_the_metric_names_of_the_settings(self):
-        # Under the names of the platform's pages alone, every endpoint's load would count as 0.
+        # Without these names, reports would be ignored and every endpoint's load would count as 0.
         report = read_message(json.dumps(OUTCOMES).encode())
         self.assertEqual(
             messages.to_load_report(report.metrics),
@@ -54,7 +53,11 @@
                 read_message(json.dumps({**OUTCOMES, **change}).encode())
         for field in ("msg", "locality", "endpoint", "total", "interval"):
             with self.assertRaises(InvalidFieldError, msg=field):
-                read_message(json.dumps({k: v for k, v in OUTCOMES.items() if k != field}).encode())
+                read_message(
+                    json.dumps(
+                        {name: value for name, value in OUTCOMES.items() if name != field}
+                    ).encode()
+                )
         for data in (
             b"GET / HTTP/1.1",
             b"\xff\xfe",
@@ -67,20 +70,25 @@
                 read_message(data)
 
     @given(
-        some.binary(max_size=60)
-        | some.recursive(
-            some.none() | some.booleans() | some.floats() | some.text(max_size=5),
-            lambda inner: some.lists(inner)
-            | some.dictionaries(some.sampled_from(["msg", "node", "total", "metrics"]), inner),
+        strategies.binary(max_size=60)
+        | strategies.recursive(
+            strategies.none()
+            | strategies.booleans()
+            | strategies.floats()
+            | strategies.text(max_size=5),
+            lambda children: strategies.lists(children)
+            | strategies.dictionaries(
+                strategies.sampled_from(["msg", "node", "total", "metrics"]), children
+            ),
         ).map(lambda value: json.dumps(value).encode())
     )
-    def test_any_bytes_are_a_message_or_one_of_two_errors(self, data):
+    def test_any_bytes_are_parsed_or_raise_one_of_two_errors(self, data):
         try:
             read_message(data)
         except (InvalidFieldError, MalformedMessageError):
             pass
 
-    def test_an_invalid_list_entry_is_left_out_and_a_malformed_list_raises(self):
+    def test_an_invalid_list_entry_is_left_out_and_a_malformed_list_raises_an_error(self):
         body = json.dumps(
             {
                 "generation": 4,
@@ -112,8 +120,8 @@
                 read_endpoint_list(malformed, 9.0)
 
 
-class Writing(unittest.TestCase):
-    def test_a_long_table_is_split_into_parts_and_all_but_the_last_say_continued(self):
+class Encoding(unittest.TestCase):
+    def test_a_long_table_is_split_and_all_parts_except_the_last_are_marked_as_continued(self):
         entries = [(f"s-{number}", 1.0) for number in range(25_000)]
         tables = [
             TableUpdate(None, True, entries, None),
--- a/tests/platform/test_planner_restart.py
+++ b/tests/platform/test_planner_restart.py
@@ -1,11 +1,11 @@
-"""Planners that raise."""
+"""Replacement of a planner that raises an exception."""
 
 import unittest
 from unittest import mock
 
 from peatlead import interface
 from peatlead.planner.planner import Planner
-from peatlead.platform.restart_budget import RESTARTS_LIMIT
+from peatlead.platform.restart_budget import MAX_RESTARTS
 
 from ..places import until
 from ..platforms import (
@@ -17,17 +17,19 @@
 
 
 class PlannerRestart(unittest.TestCase):
-    def test_a_planner_that_raises_is_replaced_and_the_streams_are_served(self):
+    def test_a_planner_that_raises_is_replaced_and_its_proxies_are_served(self):
         async def case(platform):
             proxy, planner = await platform.proxy_with_table(), platform.controller.planner
             with mock.patch.object(planner, "decide", side_effect=KeyError("planted")):
                 platform.controller.submit(interface.ProxyDisconnected(3))
                 await until(lambda: platform.controller.planner is not planner)
             await until(lambda: whole_tables(proxy) == 2, 20)
-            before = platform.controller.decided
+            decided_before = platform.controller.decided
             platform.discovery.publish(instance(1, "z1", "leaving"))
             await until(lambda: "s-1" in removed_endpoints(proxy))
-            await until(lambda: platform.controller.decided > before + 5)  # its timers go on
+            await until(
+                lambda: platform.controller.decided > decided_before + 5
+            )  # the timers of the new planner run
             self.assertIsNone(proxy.end_reason)
 
         run_with_platform(case)
@@ -43,13 +45,13 @@
 
         run_with_platform(case)
 
-    def test_a_planner_that_fails_repeatedly_stops_the_controller(self):
+    def test_a_planner_that_fails_too_often_stops_the_controller(self):
         async def case(platform):
             await until(lambda: platform.controller.watch.version)
             with mock.patch.object(Planner, "decide", side_effect=KeyError("planted")):
                 platform.controller.submit(interface.ProxyDisconnected(3))
                 await until(platform.controller.ended.done)
             self.assertIn("planted", platform.controller.ended.result())
-            self.assertEqual(platform.controller.failures.count, RESTARTS_LIMIT + 1)
+            self.assertEqual(platform.controller.restart_budget.failure_count, MAX_RESTARTS + 1)
 
         run_with_platform(case)
--- a/tests/platform/test_program.py
+++ b/tests/platform/test_program.py
@@ -1,4 +1,4 @@
-"""The program as the platform starts it."""
+"""The program `python -m peatlead.platform` in a process of its own."""
 
 import json
 import os
@@ -47,10 +47,10 @@
 class Imports(unittest.TestCase):
     def test_packages_that_the_platform_does_not_use_are_not_imported(self):
         code = "import peatlead.platform.__main__, sys; print(*[m for m in sys.modules if sys.modules[m]])"
-        finished = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-c", code], capture_output=True, text=True, timeout=60
         )
-        loaded = set(finished.stdout.split())
+        loaded = set(completed.stdout.split())
         self.assertIn("peatlead.platform.controller", loaded)
         self.assertEqual(
             loaded
@@ -75,12 +75,12 @@
 
 
 class Program(unittest.TestCase):
-    """Started with settings that leave out all that they may."""
+    """Runs the program with only the required settings."""
 
-    def start(self, **limits):
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
-        self.port, self.path = free_port(), Path(folder.name, "config.json")
+    def start(self, **popen_options):
+        directory = tempfile.TemporaryDirectory()
+        self.addCleanup(directory.cleanup)
+        self.port, self.path = free_port(), Path(directory.name, "config.json")
         self.document = {
             "name": "n0",
             "listen": f"127.3.0.3:{self.port}",
@@ -95,26 +95,26 @@
             stderr=subprocess.PIPE,
             text=True,
             env={**os.environ, "NODE_CONFIG": str(self.path)},
-            **limits,
+            **popen_options,
         )
         self.addCleanup(program.stderr.close)
         self.addCleanup(program.kill)
-        self.read(program, "controller started")
+        self.read_event(program, "controller started")
         return program
 
-    def read(self, program, event):
+    def read_event(self, program, event):
         for line in program.stderr:
             if json.loads(line)["event"] == event:
                 return json.loads(line)
-        self.fail(f"it ended without logging {event!r}")
+        self.fail(f"the program ended without logging {event!r}")
 
     def check_liveness(self):
         with socket.create_connection(("127.3.0.3", self.port), 30) as connection:
             connection.sendall(b'{"msg":"probe"}\n')
             return connection.makefile().readline()
 
-    def test_without_a_configuration_it_logs_one_line_and_exits_with_1(self):
-        finished = subprocess.run(
+    def test_without_a_configuration_the_program_logs_one_event_and_exits_with_1(self):
+        completed = subprocess.run(
             [sys.executable, "-m", "peatlead.platform"],
             capture_output=True,
             text=True,
@@ -122,21 +122,22 @@
             env={key: value for key, value in os.environ.items() if key != "NODE_CONFIG"},
         )
         self.assertEqual(
-            (finished.returncode, json.loads(finished.stderr)["event"]), (1, "cannot start")
+            (completed.returncode, json.loads(completed.stderr)["event"]), (1, "cannot start")
         )
 
-    def test_an_invalid_file_at_a_reload_is_logged_and_the_program_goes_on(self):
+    def test_an_invalid_file_at_a_reload_is_logged_and_the_program_continues(self):
         program = self.start()
         self.path.write_text('{"name":')
         program.send_signal(signal.SIGHUP)
         self.assertIn(
-            "not a configuration", self.read(program, "new configuration not taken")["why"]
+            "not a configuration", self.read_event(program, "configuration reload failed")["why"]
         )
         self.document["settings"] = {**SETTINGS, "locality": 9}
         self.path.write_text(json.dumps(self.document))
         program.send_signal(signal.SIGHUP)
         self.assertIn(
-            "zone: expected one of 1", self.read(program, "new configuration not taken")["why"]
+            "zone: expected an index below 1",
+            self.read_event(program, "configuration reload failed")["why"],
         )
         self.document["settings"] = {
             **SETTINGS,
@@ -144,18 +145,16 @@
         }
         self.path.write_text(json.dumps(self.document))
         program.send_signal(signal.SIGHUP)
-        record = self.read(
-            program, "new configuration: all but discovery's address is for the next start"
-        )
+        record = self.read_event(program, "configuration changes need a restart")
         self.assertEqual(record["differs"], ["drain_grace"])
         self.assertEqual(self.check_liveness(), '{"msg":"alive"}\n')
         program.terminate()
-        self.assertEqual(self.read(program, "controller stopped")["why"], "stopped")
+        self.assertEqual(self.read_event(program, "controller stopped")["why"], "stopped")
         self.assertEqual(program.wait(60), 0)
 
-    def test_sigterm_before_the_loop_runs_exits_with_0_and_sighup_is_ignored(self):
-        with tempfile.TemporaryDirectory() as folder:
-            path = f"{folder}/config.json"
+    def test_before_the_event_loop_runs_sigterm_exits_with_0_and_sighup_is_ignored(self):
+        with tempfile.TemporaryDirectory() as directory:
+            path = f"{directory}/config.json"
             os.mkfifo(path)
             program = subprocess.Popen(
                 [sys.executable, "-m", "peatlead.platform"],
@@ -164,18 +163,18 @@
             )
             self.addCleanup(program.stderr.close)
             self.addCleanup(program.kill)
-            with open(path, "wb"):  # it reads its configuration now
+            with open(path, "wb"):  # the program is reading its configuration now
                 program.send_signal(signal.SIGHUP)
                 program.terminate()
                 self.assertEqual(program.wait(60), 0)
 
-    def test_exhausted_descriptors_are_survived_and_later_peers_served(self):
+    def test_peers_are_served_after_a_shortage_of_file_descriptors(self):
         program = self.start(
             preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (40, 40))
         )
-        herd = [socket.create_connection(("127.3.0.3", self.port), 30) for _ in range(80)]
-        self.read(program, "accept put off")
-        for connection in herd:
+        connections = [socket.create_connection(("127.3.0.3", self.port), 30) for _ in range(80)]
+        self.read_event(program, "accept put off")
+        for connection in connections:
             connection.close()
         self.assertEqual(self.check_liveness(), '{"msg":"alive"}\n')
         program.terminate()
--- a/tests/platform/test_push.py
+++ b/tests/platform/test_push.py
@@ -1,4 +1,4 @@
-"""What proxies are sent: tables, admissions, ejections and restorations."""
+"""Messages to proxies: tables, admissions, ejections and restorations."""
 
 import asyncio
 import unittest
@@ -17,7 +17,7 @@
 
 
 class Tables(unittest.TestCase):
-    def test_a_proxy_that_joins_is_sent_one_whole_table_and_its_admission(self):
+    def test_a_joining_proxy_receives_one_whole_table_and_its_admission(self):
         async def case(platform):
             proxy = await platform.connect_proxy()
             await until(
@@ -33,14 +33,15 @@
         self.assertNotIn("restore", {key for part in (first, *rest) for key in part})
         self.assertEqual([part["admit"] for part in (first, *rest) if "admit" in part], [1.0])
 
-    def test_request_classes_that_stay_in_their_zone_have_a_table_of_their_own(self):
+    def test_request_classes_limited_to_their_zone_have_a_separate_table(self):
         async def case(platform):
             proxy = await platform.connect_proxy()
             await until(lambda: sum(part.get("full", False) for part in proxy.messages) == 2)
             return [part for part in proxy.messages if part.get("full")]
 
         request_classes = [
-            {**one, "own_zone": one["name"] == "pay"} for one in SETTINGS["req_kinds"]
+            {**request_class, "own_zone": request_class["name"] == "pay"}
+            for request_class in SETTINGS["req_kinds"]
         ]
         tables = run_with_platform(case, req_kinds=request_classes)
         endpoints_by_class = {
@@ -54,11 +55,13 @@
 
 
 class Ejections(unittest.TestCase):
-    def test_a_proxy_with_a_table_is_sent_a_removal_for_a_drain_and_an_entry_for_the_return(self):
-        # An ejection besides would be one more entry in the channel for each proxy and endpoint.
+    def test_a_proxy_with_a_table_receives_a_removal_for_a_drain_and_an_entry_for_the_return(self):
+        # An additional ejection would cost one more entry of the channel per proxy and endpoint.
         async def case(platform):
             proxy = await platform.connect_proxy()
-            state = ProxyState(0, "z0", [kind["name"] for kind in SETTINGS["req_kinds"]])
+            state = ProxyState(
+                0, "z0", [request_class["name"] for request_class in SETTINGS["req_kinds"]]
+            )
             await until(lambda: proxy.messages)
             platform.discovery.publish(instance(2, lifecycle="leaving"))
             await until(
@@ -77,13 +80,13 @@
 
         run_with_platform(case)
 
-    def test_a_proxy_that_waits_for_its_table_is_sent_an_ejection_for_a_drain(self):
+    def test_a_proxy_that_waits_for_its_table_receives_an_ejection_for_a_drain(self):
         async def case(platform):
             platform.controller.planner.settings = {
                 **platform.controller.planner.settings,
                 "queue_most": 0.0,
-            }  # no room for any table
-            proxy, cold = (
+            }  # no table fits in the queue
+            proxy, cold_proxy = (
                 await platform.connect_proxy(0, cold=False),
                 await platform.connect_proxy(1, "z1"),
             )
@@ -95,22 +98,24 @@
             platform.controller.planner.budget.backlog.unanswered = 410.0
             platform.discovery.publish(instance(2, lifecycle="leaving"))
             await until(lambda: any(part.get("eject") == ["s-2"] for part in proxy.messages))
-            self.assertFalse(any(part.get("full") for part in proxy.messages + cold.messages))
+            self.assertFalse(any(part.get("full") for part in proxy.messages + cold_proxy.messages))
 
         run_with_platform(case)
 
     def test_an_endpoint_that_another_controller_ejected_is_restored_with_its_entry(self):
-        # A proxy's ejections outlive its streams: one that another controller sent must be undone.
+        # A proxy keeps ejections after its stream has ended, also those of another controller.
         async def case(platform):
             await (await platform.connect_proxy(1)).loop.create_task(asyncio.sleep(0.05))
             platform.discovery.publish(instance(1, "z1", "leaving"))
-            await until(lambda: platform.controller.endpoints.possibly_ejected)
+            await until(lambda: platform.controller.endpoint_tracker.possibly_ejected)
             platform.discovery.publish(instance(1, "z1", started=1.9e12))
-            late = await platform.connect_proxy(0, cold=False)
-            await until(lambda: any("endpoints" in part for part in late.messages), 20)
-            await until(lambda: any(part.get("restore") == ["s-1"] for part in late.messages), 20)
+            late_proxy = await platform.connect_proxy(0, cold=False)
+            await until(lambda: any("endpoints" in part for part in late_proxy.messages), 20)
+            await until(
+                lambda: any(part.get("restore") == ["s-1"] for part in late_proxy.messages), 20
+            )
             self.assertNotIn(
-                "s-0", {name for part in late.messages for name in part.get("restore", ())}
+                "s-0", {name for part in late_proxy.messages for name in part.get("restore", ())}
             )
 
         run_with_platform(case)
@@ -119,15 +124,15 @@
         async def case(platform):
             await until(lambda: platform.controller.watch.version == 1)
             platform.discovery.publish(instance(7, started=1.9e12))
-            await until(lambda: "s-7" in platform.controller.endpoints.registry.index)
-            self.assertEqual(platform.controller.endpoints.possibly_ejected, set())
+            await until(lambda: "s-7" in platform.controller.endpoint_tracker.registry.index)
+            self.assertEqual(platform.controller.endpoint_tracker.possibly_ejected, set())
             platform.discovery.publish(
                 instance(1, "z1")
-            )  # it may have gone and come back meanwhile
-            await until(lambda: platform.controller.endpoints.possibly_ejected)
-            platform.controller.endpoints.forgotten["s-8"] = True
+            )  # it may have left and returned since the previous list
+            await until(lambda: platform.controller.endpoint_tracker.possibly_ejected)
+            platform.controller.endpoint_tracker.forgotten_names["s-8"] = True
             platform.discovery.publish(instance(8))
-            await until(lambda: len(platform.controller.endpoints.possibly_ejected) == 2)
+            await until(lambda: len(platform.controller.endpoint_tracker.possibly_ejected) == 2)
             proxy = await platform.proxy_with_table(2)
             self.assertEqual(
                 {name for part in proxy.messages for name in part.get("restore", ())},
@@ -156,19 +161,21 @@
 
 
 class Failures(unittest.TestCase):
-    def test_a_message_that_cannot_be_written_ends_its_stream_but_no_timer(self):
+    def test_a_message_that_cannot_be_composed_ends_its_stream_and_timers_continue(self):
         async def case(platform):
             proxy, other = await platform.proxy_with_table(0), await platform.proxy_with_table(1)
-            tables = platform.controller.push.table_updates
-            platform.controller.push.table_updates = lambda publisher, number, ops: (
-                1 / 0 if number == 0 else tables(publisher, number, ops)
+            tables = platform.controller.push_composer.table_updates
+            platform.controller.push_composer.table_updates = (
+                lambda publisher, number, operations: (
+                    1 / 0 if number == 0 else tables(publisher, number, operations)
+                )
             )
             platform.discovery.publish(instance(1, "z1", "leaving"))
             await until(lambda: proxy.end_reason and "s-1" in removed_endpoints(other))
-            platform.controller.push.table_updates = tables
-            again = await platform.proxy_with_table(0)
-            before = platform.controller.decided
-            await until(lambda: platform.controller.decided > before + 3)
-            self.assertIsNone(again.end_reason)
+            platform.controller.push_composer.table_updates = tables
+            new_stream = await platform.proxy_with_table(0)
+            decided_before = platform.controller.decided
+            await until(lambda: platform.controller.decided > decided_before + 3)
+            self.assertIsNone(new_stream.end_reason)
 
         run_with_platform(case)
--- a/tests/platform/test_reload.py
+++ b/tests/platform/test_reload.py
@@ -1,4 +1,4 @@
-"""Rereading of the configuration at SIGHUP."""
+"""Rereading of the configuration after SIGHUP."""
 
 import unittest
 from unittest import mock
@@ -17,16 +17,16 @@
 
 
 class Reload(unittest.TestCase):
-    def test_a_new_configuration_moves_the_watch_and_keeps_the_list(self):
+    def test_a_new_discovery_address_is_polled_and_the_list_is_kept(self):
         async def case(platform):
             await until(lambda: platform.controller.watch.version == 1)
             await platform.discovery.open(platform.port + 1)
             platform.configuration = platform.configuration._replace(
                 discovery=Address(DISCOVERY_HOST, platform.port + 1)
             )
-            before = len(platform.discovery.connections)
+            connections_before = len(platform.discovery.connections)
             platform.controller.reload()
-            await until(lambda: len(platform.discovery.connections) > before)
+            await until(lambda: len(platform.discovery.connections) > connections_before)
             platform.discovery.publish(instance(0, lifecycle="leaving"))
             await until(lambda: platform.controller.planner.endpoints[0].phase == "draining")
             self.assertNotIn("/v1/endpoints", platform.discovery.request_paths[1:])
@@ -41,17 +41,17 @@
             await until(lambda: platform.controller.watch.version == 1)
             platform.controller.reloader.read = fail
             platform.controller.reload()
-            self.assertEqual(platform.log[-1], ("new configuration not taken", {"why": "torn"}))
+            self.assertEqual(platform.log[-1], ("configuration reload failed", {"why": "torn"}))
             platform.discovery.publish(instance(0, lifecycle="leaving"))
             await until(lambda: platform.controller.planner.endpoints[0].phase == "draining")
 
         run_with_platform(case)
 
-    def test_a_reload_that_could_not_read_its_file_is_retried(self):
-        # Without a retry, the controller would lose discovery once the old address closes.
+    def test_a_failed_reload_is_retried(self):
+        # Without retries, the controller would keep polling the previous address.
         async def case(platform):
             await until(lambda: platform.controller.watch.version == 1)
-            moved = platform.configuration._replace(
+            new_configuration = platform.configuration._replace(
                 discovery=Address(DISCOVERY_HOST, platform.port + 1)
             )
             with mock.patch.object(
@@ -60,14 +60,16 @@
                 side_effect=[
                     ConfigurationError("half written"),
                     ConfigurationError("half written"),
-                    moved,
+                    new_configuration,
                 ],
             ):
                 platform.controller.reload()
-                await until(lambda: platform.controller.watch.address == moved.discovery)
-            refused = [
-                fields for event, fields in platform.log if event == "new configuration not taken"
+                await until(
+                    lambda: platform.controller.watch.address == new_configuration.discovery
+                )
+            failures = [
+                fields for event, fields in platform.log if event == "configuration reload failed"
             ]
-            self.assertEqual(refused, [{"why": "half written"}])
+            self.assertEqual(failures, [{"why": "half written"}])
 
         run_with_platform(case)
--- a/tests/platform/test_reports.py
+++ b/tests/platform/test_reports.py
@@ -1,4 +1,4 @@
-"""Reports of proxies and collectors."""
+"""Reports from proxies and collectors."""
 
 import unittest
 
--- a/tests/platform/test_resource_shortages.py
+++ b/tests/platform/test_resource_shortages.py
@@ -1,4 +1,4 @@
-"""Shortages of the controller's own machine."""
+"""Shortages of resources on the controller's machine."""
 
 import errno
 import unittest
@@ -16,7 +16,7 @@
 
 
 class HealthChecks(unittest.TestCase):
-    def test_checks_that_could_not_be_sent_eject_no_endpoint(self):
+    def test_health_checks_that_could_not_be_sent_eject_no_endpoint(self):
         planner_under_test = make_planner(tries_told=False, report_fields=[])
         for tick in range(100):
             results = [
@@ -30,24 +30,26 @@
 
 
 class Listening(unittest.TestCase):
-    def test_a_listener_that_cannot_be_opened_yet_is_retried(self):
-        real, attempts = SessionListener.open, []
+    def test_listening_is_retried_after_a_transient_error(self):
+        original_open, attempts = SessionListener.open, []
 
         async def fail_twice(listener, address):
             attempts.append(address)
             if len(attempts) < 3:
                 raise OSError(errno.ENOBUFS, "no buffers")
-            await real(listener, address)
+            await original_open(listener, address)
 
         async def case(platform):
             proxy = await platform.connect_proxy()
             await until(lambda: proxy.messages)
-            self.assertEqual(sum(event == "listener put off" for event, _ in platform.log), 2)
+            self.assertEqual(
+                sum(event == "listening failed, will retry" for event, _ in platform.log), 2
+            )
 
         with mock.patch.object(SessionListener, "open", fail_twice):
             run_with_platform(case)
 
-    def test_a_listener_that_may_not_be_opened_fails_the_start_at_once(self):
+    def test_a_permanent_error_of_listening_fails_the_start_immediately(self):
         async def case():
             platform = PlatformFixture()
             with mock.patch.object(
--- a/tests/platform/test_sessions.py
+++ b/tests/platform/test_sessions.py
@@ -1,4 +1,4 @@
-"""Connections: joining, bounds, and peers that misbehave."""
+"""Connections: joining, limits and misbehaving peers."""
 
 import json
 import socket
@@ -20,10 +20,10 @@
 class Joining(unittest.TestCase):
     def test_a_new_stream_of_a_proxy_replaces_the_old_one(self):
         async def case(platform):
-            old = await platform.connect_proxy()
-            await until(lambda: old.messages)
-            new = await platform.connect_proxy()
-            await until(lambda: new.messages and old.end_reason)
+            old_proxy = await platform.connect_proxy()
+            await until(lambda: old_proxy.messages)
+            new_proxy = await platform.connect_proxy()
+            await until(lambda: new_proxy.messages and old_proxy.end_reason)
             self.assertEqual(
                 (
                     len(platform.controller.proxy_sessions),
@@ -31,7 +31,7 @@
                 ),
                 (1, 1),
             )
-            new.cut("gone")
+            new_proxy.cut("gone")
             await until(lambda: not platform.controller.planner.connected)
 
         run_with_platform(case)
@@ -49,7 +49,7 @@
 
     def test_a_silent_collector_is_cut_when_another_of_its_zone_joins(self):
         async def case(platform):
-            silent, other, live = [
+            silent_collector, other_collector, live_collector = [
                 await platform.connect_collector(zone) for zone in ("z0", "z1", "z0")
             ]
             await until(
@@ -58,18 +58,19 @@
             )
             for session in list(platform.controller.listener.sessions)[:2]:
                 session.last_activity -= 60.0
-            late = await platform.connect_collector()
-            await until(lambda: silent.end_reason)
+            late_peer = await platform.connect_collector()
+            await until(lambda: silent_collector.end_reason)
             self.assertEqual(
-                (other.end_reason, live.end_reason, late.end_reason), (None, None, None)
+                (other_collector.end_reason, live_collector.end_reason, late_peer.end_reason),
+                (None, None, None),
             )
 
         run_with_platform(case)
 
 
 class MisbehavingPeers(unittest.TestCase):
-    def test_each_bad_peer_is_refused_or_cut_while_a_proxy_is_served(self):
-        openings = [
+    def test_misbehaving_peers_are_refused_or_cut_and_a_proxy_is_served(self):
+        first_messages = [
             b"GET / HTTP/1.1\r\nhost: x\r\n\r\n",
             b"\x16\x03\x01" * 30 + b"\n",
             b'{"msg":"hello","node":99,"locality":"z0"}\n',
@@ -83,8 +84,8 @@
         ]
 
         async def case(platform):
-            peers = [await platform.connect() for _ in openings]
-            for peer, data in zip(peers, openings):
+            peers = [await platform.connect() for _ in first_messages]
+            for peer, data in zip(peers, first_messages):
                 peer.send(data)
             proxy = await platform.connect_proxy()
             await until(lambda: proxy.messages)
@@ -95,22 +96,22 @@
 
         run_with_platform(case)
 
-    def test_many_silent_connections_cost_no_proxy_its_stream(self):
+    def test_many_silent_connections_do_not_end_the_stream_of_a_proxy(self):
         async def case(platform):
             proxy = await platform.connect_proxy()
             await until(lambda: proxy.messages)
             listener = platform.controller.listener
-            for _ in range(listener.limit + 28):
+            for _ in range(listener.max_connections + 28):
                 await platform.connect()
-            late = await platform.connect_proxy(1)
-            await until(lambda: late.messages)
-            self.assertLessEqual(len(listener.sessions), listener.limit + 1)
+            late_peer = await platform.connect_proxy(1)
+            await until(lambda: late_peer.messages)
+            self.assertLessEqual(len(listener.sessions), listener.max_connections + 1)
             self.assertIsNone(proxy.end_reason)
             self.assertGreater(listener.counts["evicted"], 0)
 
         run_with_platform(case, sockets=96)
 
-    def test_a_long_message_may_arrive_byte_by_byte(self):
+    def test_a_long_message_may_arrive_in_single_bytes(self):
         async def case(platform):
             events, submit_event = [], platform.controller.submit
             platform.controller.submit = lambda event: (events.append(event), submit_event(event))
@@ -134,12 +135,12 @@
             for byte in b"}\n":
                 collector.send(bytes((byte,)))
             await until(lambda: any(type(event) is interface.EndpointStats for event in events))
-            collector.send(b" " * (messages.LINE_LIMIT + 2))
+            collector.send(b" " * (messages.MAX_LINE_BYTES + 2))
             await until(lambda: collector.end_reason)
 
         run_with_platform(case)
 
-    def test_a_reset_after_accept_or_within_a_line_leaves_nothing_behind(self):
+    def test_a_reset_after_accept_or_within_a_line_leaves_no_session(self):
         async def case(platform):
             for data in [b""] * 20 + [
                 b'{"msg":"hel',
@@ -148,7 +149,7 @@
                 connection = socket.create_connection((CONTROLLER_HOST, platform.port))
                 connection.sendall(data)
                 connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-                connection.close()  # a reset, whatever had been read of it
+                connection.close()  # sends a reset
             proxy = await platform.proxy_with_table()
             await until(
                 lambda: list(platform.controller.listener.sessions)
@@ -164,7 +165,7 @@
         async def case(platform):
             await platform.proxy_with_table()
             session = platform.controller.proxy_sessions[0]
-            with mock.patch.object(session, "close"):  # as while bytes wait that nobody reads
+            with mock.patch.object(session, "close"):  # as if unread bytes kept the connection open
                 session.line(b"no sense")
                 await until(lambda: not platform.controller.planner.connected)
 
--- a/tests/platform/test_shutdown.py
+++ b/tests/platform/test_shutdown.py
@@ -1,4 +1,4 @@
-"""The end of a controller (docs/endings.md)."""
+"""Stopping a controller (docs/endings.md)."""
 
 import asyncio
 import unittest
@@ -20,12 +20,12 @@
 
 
 class Shutdown(unittest.TestCase):
-    def test_events_received_before_the_end_are_decided_on_and_written(self):
+    def test_events_received_before_the_stop_are_decided_on_and_written(self):
         async def case(platform):
             proxy = await platform.proxy_with_table()
             platform.controller.on_endpoint_list(
                 endpoint_list(2, instance(1, "z1", "leaving"))
-            )  # in the inbox, undecided
+            )  # in the inbox, not decided on yet
             platform.controller.stop()
             await until(lambda: proxy.end_reason)
             self.assertEqual(
@@ -34,10 +34,13 @@
 
         run_with_platform(case)
 
-    def test_buffered_bytes_are_sent_and_a_peer_that_does_not_read_delays_nobody(self):
+    def test_buffered_bytes_are_sent_and_a_peer_that_does_not_read_delays_no_other(self):
         async def case(platform):
-            proxy, deaf = await platform.proxy_with_table(0), await platform.proxy_with_table(1)
-            deaf.transport.pause_reading()
+            proxy, unresponsive_proxy = (
+                await platform.proxy_with_table(0),
+                await platform.proxy_with_table(1),
+            )
+            unresponsive_proxy.transport.pause_reading()
             for session in platform.controller.proxy_sessions.values():
                 session.transport.write(b'{"pad":"' + b" " * 100_000 + b'"}\n')
             platform.controller.on_endpoint_list(endpoint_list(2, instance(0, lifecycle="leaving")))
@@ -47,7 +50,7 @@
 
         run_with_platform(case)
 
-    def test_a_second_end_a_reload_and_late_timers_change_nothing(self):
+    def test_a_second_stop_a_reload_and_late_timers_have_no_effect(self):
         async def case(platform):
             proxy = await platform.proxy_with_table()
             platform.controller.stop()
@@ -67,15 +70,17 @@
 
         run_with_platform(case)
 
-    def test_an_end_before_the_start_is_complete_leaves_no_listener(self):
+    def test_a_stop_during_the_start_leaves_no_listener(self):
         async def case(platform):
             configuration = platform.configuration._replace(
                 listen=Address("127.3.0.2", platform.port)
             )
-            other = PlatformController(configuration, None, lambda *_, **__: None, lambda: 0)
-            other.stop()
-            await other.start()
-            await until(other.ended.done)
+            other_controller = PlatformController(
+                configuration, None, lambda *_, **__: None, lambda: 0
+            )
+            other_controller.stop()
+            await other_controller.start()
+            await until(other_controller.ended.done)
             with self.assertRaises(OSError):
                 await asyncio.get_running_loop().create_connection(
                     Lines, "127.3.0.2", platform.port
--- a/tests/platform/test_telemetry.py
+++ b/tests/platform/test_telemetry.py
@@ -1,4 +1,4 @@
-"""Log events of proxies and of the channel."""
+"""Log events about proxies and the channel."""
 
 import unittest
 
@@ -18,7 +18,7 @@
         self.events = []
         self.telemetry = Telemetry(lambda event, **fields: self.events.append((event, fields)))
 
-    def test_a_batch_names_the_proxies_that_joined_left_and_were_sent_tables(self):
+    def test_the_proxies_event_names_proxies_that_joined_left_or_received_tables(self):
         self.telemetry.proxy_joined(1, True)
         self.telemetry.proxy_left(2, "reset")
         self.telemetry.message_written(
@@ -36,32 +36,34 @@
             {"tables": 1, "lines": 2, "removed_lines": 1},
         )
 
-    def test_the_status_is_logged_once_a_second_and_not_while_nothing_happens(self):
-        idle = make_planner()
-        idle.decide(200.0, [])
-        self.telemetry.end_batch(200.0, idle)
+    def test_the_status_is_logged_once_per_interval_and_not_while_idle(self):
+        idle_planner = make_planner()
+        idle_planner.decide(200.0, [])
+        self.telemetry.end_batch(200.0, idle_planner)
         self.assertEqual(self.events, [])
-        for part in range(4):
+        for quarter in range(4):
             self.telemetry.count("messages")
-            self.telemetry.end_batch(200.0 + STATUS_INTERVAL * (1 + part / 4), idle)
+            self.telemetry.end_batch(200.0 + STATUS_INTERVAL * (1 + quarter / 4), idle_planner)
         self.assertEqual([event for event, _ in self.events], ["channel"])
 
-    def test_the_status_counts_proxies_that_wait(self):
-        waiting = make_planner(queue_most=10.0)
-        waiting.decide(101.0, [interface.ProxyConnected(2, 0, 5.0, False)])
-        status = waiting.status(102.5)
+    def test_the_status_counts_waiting_proxies(self):
+        waiting_planner = make_planner(queue_most=10.0)
+        waiting_planner.decide(101.0, [interface.ProxyConnected(2, 0, 5.0, False)])
+        status = waiting_planner.status(102.5)
         self.assertEqual(
             (status.connected_proxies, status.unassigned_proxies, status.longest_wait), (4, 2, 2.5)
         )
         self.assertGreater(status.queued_entries, 0)
 
-    def test_a_controller_logs_joins_tables_and_ends_of_its_streams(self):
+    def test_a_controller_logs_joins_tables_and_ends_of_streams(self):
         async def case(platform):
             proxy = await platform.connect_proxy(3)
             await until(lambda: proxy.messages)
             platform.discovery.publish(instance(2, lifecycle="leaving"))
             await until(
-                lambda: any(["s-2", 0.0] in part.get("endpoints", ()) for part in proxy.messages)
+                lambda: any(
+                    ["s-2", 0.0] in message.get("endpoints", ()) for message in proxy.messages
+                )
             )
             proxy.cut("over")
             await until(
--- a/tests/platforms.py
+++ b/tests/platforms.py
@@ -1,4 +1,4 @@
-"""Set-up of tests of the platform's controller: discovery, peers, and a controller between them."""
+"""Fixtures for tests of the platform's controller: fake discovery, fake peers and a controller."""
 
 import asyncio
 import json
@@ -16,8 +16,8 @@
 
 CONTROLLER_HOST = "127.3.0.1"
 DISCOVERY_HOST = "127.3.0.9"
-WALL_TIME = 2e9  # Unix seconds
-# A valid report of a collector.
+UNIX_TIME = 2e9  # Unix seconds
+# A valid report from a collector.
 OUTCOMES = {
     "msg": "outcomes",
     "locality": "z0",
@@ -31,7 +31,7 @@
 
 
 def instance(number, zone="z0", lifecycle="active", started=0.0):
-    """One endpoint as discovery writes it; `started` in Unix milliseconds."""
+    """Return one endpoint in the JSON form of discovery; `started` is in Unix milliseconds."""
     return {
         "instanceId": f"s-{number}",
         "hostPort": f"127.3.1.{number + 1}:9",
@@ -45,13 +45,13 @@
 
 
 def endpoint_list(version, *instances, whole=False):
-    """A list as the controller reads it."""
+    """Return a parsed endpoint list."""
     body = {"generation": version, "reset": whole, "instances": instances}
-    return read_endpoint_list(json.dumps(body).encode(), WALL_TIME)
+    return read_endpoint_list(json.dumps(body).encode(), UNIX_TIME)
 
 
 class DiscoveryConnection(Server):
-    """One connection to a FakeDiscovery."""
+    """A connection to a FakeDiscovery."""
 
     def __init__(self, discovery):
         super().__init__(0.0)
@@ -69,13 +69,13 @@
 
 
 class FakeDiscovery:
-    """The platform's discovery service: a request that may wait is held until there is a change."""
+    """A discovery service that holds long polls until there is a change."""
 
     def __init__(self, instances):
         self.version = 1
-        self.instances = instances  # the whole list
-        self.changes = []  # since the version before
-        self.silent = False  # requests are read and not answered
+        self.instances = instances  # of the whole list
+        self.changes = []  # since the previous version
+        self.silent = False  # whether requests are left without an answer
         self.request_paths = []
         self.held_requests = []  # (connection, path)
         self.connections = []
@@ -100,7 +100,7 @@
                 connection.answer(200, [], json.dumps(answer).encode())
 
     def answer(self, path):
-        """The answer to a request, or None while it has to wait."""
+        """Return the answer to a request, or None while the request has to wait."""
         if "after=" not in path:
             return {"generation": self.version, "reset": True, "instances": self.instances}
         if f"after={self.version}&wait_ms=0" in path:
@@ -111,11 +111,11 @@
 
 
 class FakePeer(Lines):
-    """A proxy, a collector or another peer of the controller."""
+    """A proxy, collector or other peer that records what the controller sends."""
 
     def __init__(self):
         super().__init__()
-        self.messages = []  # that the controller sent, decoded
+        self.messages = []  # received from the controller, decoded
         self.end_reason = None
 
     def line(self, data):
@@ -129,7 +129,7 @@
 
 
 class PlatformFixture:
-    """A controller, its discovery service and its peers; `settings` change those of helpers.py."""
+    """A controller with fake discovery and fake peers; `settings` override helpers.SETTINGS."""
 
     def __init__(self, endpoints=4, sockets=256, remembered_list=None, silent=False, **settings):
         self.port = free_port()
@@ -148,13 +148,13 @@
             remembered_list=remembered_list,
         )
 
-    async def start(self, wall=lambda: WALL_TIME):
+    async def start(self, unix_time=lambda: UNIX_TIME):
         await self.discovery.open(self.port)
         self.controller = PlatformController(
             self.configuration,
             lambda: self.configuration,
             lambda event, **fields: self.log.append((event, fields)),
-            wall,
+            unix_time,
         )
         await self.controller.start()
         return self
@@ -166,8 +166,8 @@
         for stream in [*self.peers, *self.discovery.connections]:
             stream.cut("over")
 
-    def move_discovery(self, port_offset):
-        """Reload a configuration whose discovery address is `port_offset` ports on."""
+    def change_discovery_port(self, port_offset):
+        """Reload a configuration in which discovery's port is changed by `port_offset`."""
         address = Address(DISCOVERY_HOST, self.port + port_offset)
         self.configuration = self.configuration._replace(discovery=address)
         self.controller.reload()
@@ -188,34 +188,34 @@
         peer.send_message(msg="agent", locality=zone)
         return peer
 
-    async def proxy_with_table(self, number=0, **more):
-        """A proxy that has been sent a whole table."""
-        proxy = await self.connect_proxy(number, **more)
+    async def proxy_with_table(self, number=0, **options):
+        """Connect a proxy, and return it once it has received a whole table."""
+        proxy = await self.connect_proxy(number, **options)
         await until(lambda: whole_tables(proxy))
         return proxy
 
 
 def whole_tables(peer):
-    """How many whole tables a peer was sent."""
+    """Return how many whole tables a peer has received."""
     return sum(message.get("full", False) for message in peer.messages)
 
 
 def removed_endpoints(peer):
-    """Names of endpoints that a proxy which was sent all this could once reach and no longer can."""
+    """Return the endpoints that a proxy with these messages could reach once and no longer can."""
     names = [request_class["name"] for request_class in SETTINGS["req_kinds"]]
     state = ProxyState(0, "z0", names)
-    reached = set()
+    reachable_before = set()
     for message in peer.messages:
         state.apply([message])
-        reached |= state.reachable()
-    return reached - state.reachable()
+        reachable_before |= state.reachable()
+    return reachable_before - state.reachable()
 
 
-def run_with_platform(case, **more):
-    """Run `case(platform)` with a started fixture, on a loop of its own."""
+def run_with_platform(case, **options):
+    """Run `case(platform)` with a started fixture on a new event loop."""
 
     async def run_case():
-        platform = await PlatformFixture(**more).start()
+        platform = await PlatformFixture(**options).start()
         try:
             return await case(platform)
         finally:
