--- a/tests/transcripts/test_platform_transcripts.py
+++ b/tests/transcripts/test_platform_transcripts.py
@@ -1,11 +1,12 @@
-"""What the platform's protocol sends and reads, compared with stored files.
+"""Compares the parsing and encoding of the platform's protocol with stored files.
 
-A transcript is regenerated as tests/transcripts/record_platform.py says. tests/data/platform/codec.jsonl has one
-call a line, [name, given, value]: `python -m tests.transcripts.test_platform_transcripts record` computes its values
-anew; a new line may leave the value out. Only do so for a change of behaviour that is wanted.
+tests/transcripts/record_platform.py describes how to regenerate a transcript. Each line of
+tests/data/platform/codec.jsonl is a call [name, argument, result], in which the result of a new call may be omitted.
+`python -m tests.transcripts.test_platform_transcripts record` computes all results again. Regenerate the files only
+for an intended change of behaviour.
 
-The adapter below holds all internal names that these tests use, and puts what comes out in a form that has none:
-numbers, strings and lists, with the words of the wire. A rename changes the adapter alone, never the stored files.
+Only the adapter below uses internal names of the program. It converts results to numbers, strings and lists with the
+names of the wire, so that a rename changes the adapter and never the stored files.
 """
 
 import hashlib
@@ -30,9 +31,9 @@
 )
 from peatlead.wire.settings import REQUEST_CLASS_SETTING_NAMES, SETTING_NAMES
 
-# The adapter. Words of ours for words of the wire; the fields of what is read, in the order that is stored.
+# The adapter: names of the wire by internal names, and the fields of parsed values in the stored order.
 
-WORDS = {
+WIRE_NAMES = {
     "ready": "active",
     "draining": "leaving",
     "gone": "left",
@@ -51,7 +52,7 @@
     "done_rate": "rate",
     "bad_rate": "fail_rate",
 }
-LINES = {
+MESSAGE_FIELDS = {
     messages.ProxyHello: ("hello", "proxy", "zone", "request_rate", "bootstrap_only"),
     messages.CollectorHello: ("agent", "zone"),
     messages.EndpointOutcomes: (
@@ -75,41 +76,41 @@
     messages.Acknowledgement: ("ack", "proxy", "nonce", "duration"),
     messages.LivenessCheck: ("probe",),
 }
-LISTING = ("scope", "version", "written", "unread")
-ENTRY = ("name", "zone", "phase", "address", "port", "machine", "pod", "weight", "started")
-CONFIGURATION = ("name", "listen", "discovery", "seed", "sockets")
-KINDS, OWN_ZONE, WRITES = "req_kinds", "own_zone", "write"
-SETTINGS, OF_KIND = (
+LIST_FIELDS = ("scope", "version", "written", "unread")
+ENTRY_FIELDS = ("name", "zone", "phase", "address", "port", "machine", "pod", "weight", "started")
+CONFIGURATION_FIELDS = ("name", "listen", "discovery", "seed", "sockets")
+REQUEST_CLASSES, OWN_ZONE, WRITES = "req_kinds", "own_zone", "write"
+SETTINGS, REQUEST_CLASS_SETTINGS = (
     SETTING_NAMES,
     REQUEST_CLASS_SETTING_NAMES,
-)  # {the wire's name: ours}
-NOT_STORED = {"own_zone_only", "writes"}  # settings that each request kind carries
+)  # internal names by names of the wire
+IGNORED_SETTINGS = {"own_zone_only", "writes"}  # settings of the request classes only
 
 
-def fields_of(value, wanted):
-    return [getattr(value, name) for name in wanted]
+def fields_of(value, names):
+    return [getattr(value, name) for name in names]
 
 
-def plain_line(data):
+def plain_inbound_message(data):
     try:
-        found = read_message(data)
-    except (InvalidFieldError, MalformedMessageError) as problem:
-        return ["spoilt" if isinstance(problem, InvalidFieldError) else "unreadable", str(problem)]
-    tag, *wanted = LINES[type(found)]
-    return [tag, *fields_of(found, wanted)]
+        message = read_message(data)
+    except (InvalidFieldError, MalformedMessageError) as error:
+        return ["spoilt" if isinstance(error, InvalidFieldError) else "unreadable", str(error)]
+    tag, *names = MESSAGE_FIELDS[type(message)]
+    return [tag, *fields_of(message, names)]
 
 
-def plain_listing(listing):
+def plain_endpoint_list(endpoint_list):
     return [
-        *fields_of(listing, LISTING),
-        len(listing.bad),
-        [fields_of(entry, ENTRY) for entry in listing.hosts],
+        *fields_of(endpoint_list, LIST_FIELDS),
+        len(endpoint_list.bad),
+        [fields_of(entry, ENTRY_FIELDS) for entry in endpoint_list.hosts],
     ]
 
 
 def plain_list(data):
     try:
-        return plain_listing(read_endpoint_list(data, 1800000000.5))
+        return plain_endpoint_list(read_endpoint_list(data, 1800000000.5))
     except MalformedMessageError:
         return "unreadable"
 
@@ -120,51 +121,72 @@
 
 def plain_configuration(path):
     try:
-        told = read_configuration({"NODE_CONFIG": path} if path else {}, 1800000000.5)
-    except ConfigurationError as problem:
-        return ["refused", problem.transient]
-    kinds = [
+        configuration = read_configuration({"NODE_CONFIG": path} if path else {}, 1800000000.5)
+    except ConfigurationError as error:
+        return ["refused", error.transient]
+    request_classes = [
         [
-            pairs({wire: kind[ours] for wire, ours in OF_KIND.items() if ours in kind}),
-            kind[OWN_ZONE],
-            kind[WRITES],
-            len(kind),
+            pairs(
+                {
+                    wire_name: request_class[internal_name]
+                    for wire_name, internal_name in REQUEST_CLASS_SETTINGS.items()
+                    if internal_name in request_class
+                }
+            ),
+            request_class[OWN_ZONE],
+            request_class[WRITES],
+            len(request_class),
         ]
-        for kind in told.settings[KINDS]
+        for request_class in configuration.settings[REQUEST_CLASSES]
     ]
     settings = {
-        wire: told.settings[ours] for wire, ours in SETTINGS.items() if ours in told.settings
+        wire_name: configuration.settings[internal_name]
+        for wire_name, internal_name in SETTINGS.items()
+        if internal_name in configuration.settings
     }
-    beside = set(told.settings) - set(SETTINGS.values()) - {KINDS}
-    assert not beside and not NOT_STORED & set(told.settings), (
-        f"settings that are not compared: {beside}"
+    not_compared = set(configuration.settings) - set(SETTINGS.values()) - {REQUEST_CLASSES}
+    assert not not_compared and not IGNORED_SETTINGS & set(configuration.settings), (
+        f"settings that are not compared: {not_compared}"
+    )
+    remembered_list = configuration.remembered_list and plain_endpoint_list(
+        configuration.remembered_list
     )
-    known = told.remembered_list and plain_listing(told.remembered_list)
-    return [*fields_of(told, CONFIGURATION), pairs(settings), kinds, known]
+    return [
+        *fields_of(configuration, CONFIGURATION_FIELDS),
+        pairs(settings),
+        request_classes,
+        remembered_list,
+    ]
+
 
+def plain_push_message(argument):
+    """Encode a push message.
 
-def plain_message(given):
-    """`given`: [[request kinds or null, whole, lines or their number, level or null], ...], hosts to shut out, hosts
-    to let in, mark. A number in place of the tables: so many of one line."""
-    tables, *rest = given
-    tables = [[None, False, 1, None]] * tables if isinstance(tables, int) else tables
-    tables = [
+    `argument` contains the updates, the endpoints to eject, the endpoints to restore, and the nonce. Each update is
+    [request classes or null, whole, entries or their number, admission or null]. A number in place of the updates
+    stands for as many updates of one entry.
+    """
+    updates, *rest = argument
+    updates = [[None, False, 1, None]] * updates if isinstance(updates, int) else updates
+    updates = [
         TableUpdate(
-            kinds and tuple(kinds),
+            request_classes and tuple(request_classes),
             whole,
-            [tuple(line) for line in lines_of(lines)],
-            level
+            [tuple(entry) for entry in expand_entries(entries)],
+            admission
             and (
-                level[0],
+                admission[0],
                 next(
-                    ours for ours, wire in messages.RETRY_POLICY_CODES.items() if wire == level[1]
+                    internal_name
+                    for internal_name, wire_name in messages.RETRY_POLICY_CODES.items()
+                    if wire_name == admission[1]
                 ),
             ),
         )
-        for kinds, whole, lines, level in tables
+        for request_classes, whole, entries, admission in updates
     ]
     try:
-        return text_or_digest(write_push(tables, *rest))
+        return text_or_digest(write_push(updates, *rest))
     except ValueError:
         return "refused"
 
@@ -173,12 +195,16 @@
 
 
 def pairs(values):
-    """A map as a list in the order of its keys, which are words of the wire where they are ours."""
-    return values and sorted([WORDS.get(key, key), value] for key, value in values.items())
+    """Return a map as a list of pairs, sorted by key, with the names of the wire."""
+    return values and sorted([WIRE_NAMES.get(key, key), value] for key, value in values.items())
 
 
-def lines_of(lines):
-    return [(f"h-{at}", 1 + at / 7) for at in range(lines)] if isinstance(lines, int) else lines
+def expand_entries(entries):
+    return (
+        [(f"h-{number}", 1 + number / 7) for number in range(entries)]
+        if isinstance(entries, int)
+        else entries
+    )
 
 
 def text_or_digest(data):
@@ -189,41 +215,45 @@
     )
 
 
-def in_wire_words(value):
-    """As JSON has it, with the wire's words for ours."""
+def with_wire_names(value):
+    """Return a value in its JSON form, with the names of the wire."""
     if isinstance(value, str):
-        return WORDS.get(value, value)
+        return WIRE_NAMES.get(value, value)
     if isinstance(value, (list, tuple)):
-        return [in_wire_words(one) for one in value]
+        return [with_wire_names(element) for element in value]
     if isinstance(value, dict):
-        return in_wire_words(pairs(value))
+        return with_wire_names(pairs(value))
     return value
 
 
 def as_bytes(text):
-    """A lone surrogate in the stored text stands for a byte that is no UTF-8."""
+    """Encode a stored text, in which a lone surrogate stands for a byte that is not UTF-8."""
     return text.encode("utf-8", "surrogateescape")
 
 
-def configuration_with(given):
-    """`given`: a file's name, and what differs: [[path of keys, value or null for none], ...], or its text."""
-    name, changes = given
+def configuration_with(argument):
+    """Read a configuration.
+
+    `argument` contains the name of a file and its changes [[path of keys, value or null to delete], ...], or a text in
+    place of the contents. Without a name, the second element is the path to read.
+    """
+    name, changes = argument
     if name is None:
         return plain_configuration(changes)
-    text = (DATA / name).read_text()
+    text = (DATA_DIRECTORY / name).read_text()
     if isinstance(changes, str):
         text = changes
     else:
-        said = json.loads(text)
-        for (*path, last), value in changes:
-            place = said
+        document = json.loads(text)
+        for (*path, last_key), value in changes:
+            parent = document
             for key in path:
-                place = place[key]
+                parent = parent[key]
             if value is None:
-                del place[last]
+                del parent[last_key]
             else:
-                place[last] = value
-        text = json.dumps(said)
+                parent[last_key] = value
+        text = json.dumps(document)
     with tempfile.NamedTemporaryFile("wb", suffix=".json") as file:
         file.write(as_bytes(text))
         file.flush()
@@ -231,26 +261,26 @@
 
 
 CALLS = {
-    "line": lambda text: plain_line(as_bytes(text)),
+    "line": lambda text: plain_inbound_message(as_bytes(text)),
     "list": lambda text: plain_list(as_bytes(text)),
     "report": lambda text: plain_report(as_bytes(text)),
-    "message": plain_message,
+    "message": plain_push_message,
     "configuration": configuration_with,
 }
 
 
-def value_of(call, given):
-    return in_wire_words(CALLS[call](given))
+def result_of(function_name, argument):
+    return with_wire_names(CALLS[function_name](argument))
 
 
 ROOT = Path(__file__).parent.parent.parent
-DATA = ROOT / "tests" / "data" / "platform"
+DATA_DIRECTORY = ROOT / "tests" / "data" / "platform"
 
 
-def recorded(script, hash_seed):
-    """The transcript's lines as the program writes them now."""
+def run_script(script, hash_seed):
+    """Run a script and return the lines of its transcript."""
     command = [sys.executable, "-m", "tests.transcripts.record_platform", script]
-    ended = subprocess.run(
+    completed = subprocess.run(
         command,
         cwd=ROOT,
         env={**os.environ, "PYTHONHASHSEED": hash_seed},
@@ -259,78 +289,85 @@
         stderr=subprocess.PIPE,
         check=False,
     )
-    if ended.returncode:
+    if completed.returncode:
         raise AssertionError(
-            f"the recording ended with {ended.returncode}: {ended.stderr[-2000:].decode()}"
+            f"the recording exited with {completed.returncode}: {completed.stderr[-2000:].decode()}"
         )
-    return ended.stdout.decode().splitlines()
+    return completed.stdout.decode().splitlines()
 
 
 class Transcripts(unittest.TestCase):
     maxDiff = 4000
 
-    def compare(self, script, code="0", least=100):
-        stored = (DATA / f"transcript_{script}.jsonl").read_text().splitlines()
-        self.assertGreaterEqual(len(stored), least)
-        self.assertEqual(json.loads(stored[-1])[1:], ["command", "exit", code])
+    def compare_transcript(self, script, code="0", min_count=100):
+        expected_lines = (DATA_DIRECTORY / f"transcript_{script}.jsonl").read_text().splitlines()
+        self.assertGreaterEqual(len(expected_lines), min_count)
+        self.assertEqual(json.loads(expected_lines[-1])[1:], ["command", "exit", code])
         for hash_seed in ("0", "4242"):
-            found = recorded(script, hash_seed)
-            for at, (was, now) in enumerate(zip(stored, found), 1):
-                self.assertEqual(was, now, f"line {at}, hash seed {hash_seed}")
-            self.assertEqual(len(stored), len(found), f"hash seed {hash_seed}")
+            actual = run_script(script, hash_seed)
+            for line_number, (expected_line, actual_line) in enumerate(
+                zip(expected_lines, actual), 1
+            ):
+                self.assertEqual(
+                    expected_line, actual_line, f"line {line_number}, hash seed {hash_seed}"
+                )
+            self.assertEqual(len(expected_lines), len(actual), f"hash seed {hash_seed}")
 
-    def test_usual_traffic_gets_the_same_bytes_at_the_same_times(self):
-        self.compare("usual")
+    def test_usual_traffic_matches_its_transcript(self):
+        self.compare_transcript("usual")
 
-    def test_many_proxies_on_a_slow_channel_and_overload_get_the_same_bytes_at_the_same_times(self):
-        self.compare("pressed")
+    def test_overload_on_a_slow_channel_matches_its_transcript(self):
+        self.compare_transcript("pressed")
 
-    def test_troubles_of_the_machine_get_the_same_bytes_at_the_same_times(self):
-        self.compare("troubled", least=50)
+    def test_failures_of_the_environment_match_their_transcript(self):
+        self.compare_transcript("troubled", min_count=50)
 
-    def test_a_configuration_that_cannot_be_used_opens_nothing_and_exits_with_1(self):
-        self.compare("unconfigured", "1", 1)
+    def test_an_invalid_configuration_opens_no_socket_and_exits_with_1(self):
+        self.compare_transcript("unconfigured", "1", 1)
 
 
 class Codec(unittest.TestCase):
     maxDiff = 4000
 
-    def compare(self, call, least):
+    def compare_results(self, function_name, min_count):
         cases = [
-            one
-            for one in map(json.loads, (DATA / "codec.jsonl").read_text().splitlines())
-            if one[0] == call
+            case
+            for case in map(json.loads, (DATA_DIRECTORY / "codec.jsonl").read_text().splitlines())
+            if case[0] == function_name
         ]
-        self.assertGreaterEqual(len(cases), least)
-        for _, given, value in cases:
-            with self.subTest(given=given):
+        self.assertGreaterEqual(len(cases), min_count)
+        for _, argument, value in cases:
+            with self.subTest(argument=argument):
                 self.assertEqual(
-                    json.dumps(value_of(call, given)), json.dumps(value)
+                    json.dumps(result_of(function_name, argument)), json.dumps(value)
                 )  # 1 is not 1.0
 
-    def test_settings_documents_give_the_same_values(self):
-        self.compare("configuration", 20)
+    def test_configurations_are_read_as_recorded(self):
+        self.compare_results("configuration", 20)
 
-    def test_lists_give_the_same_entries(self):
-        self.compare("list", 12)
+    def test_endpoint_lists_are_parsed_as_recorded(self):
+        self.compare_results("list", 12)
 
-    def test_lines_give_the_same_messages_or_errors(self):
-        self.compare("line", 40)
+    def test_inbound_messages_are_parsed_as_recorded(self):
+        self.compare_results("line", 40)
 
-    def test_load_reports_give_the_same_numbers(self):
-        self.compare("report", 5)
+    def test_load_reports_are_parsed_as_recorded(self):
+        self.compare_results("report", 5)
 
-    def test_orders_give_the_same_bytes(self):
-        self.compare("message", 12)
+    def test_push_messages_are_encoded_as_recorded(self):
+        self.compare_results("message", 12)
 
 
 def record():
-    path = DATA / "codec.jsonl"
-    cases = [json.loads(one)[:2] for one in path.read_text().splitlines()]
+    path = DATA_DIRECTORY / "codec.jsonl"
+    cases = [json.loads(line)[:2] for line in path.read_text().splitlines()]
     path.write_text(
         "".join(
-            json.dumps([call, given, value_of(call, given)], separators=(",", ":")) + "\n"
-            for call, given in cases
+            json.dumps(
+                [function_name, argument, result_of(function_name, argument)], separators=(",", ":")
+            )
+            + "\n"
+            for function_name, argument in cases
         )
     )
 
