--- a/peatlead/interface.py
+++ b/peatlead/interface.py
@@ -1,10 +1,11 @@
-"""Events that the planner takes and commands that it returns: types only, no logic and no tuning.
+"""Events that the planner receives and commands that it returns.
 
-Times are float seconds on the controller's own monotonic clock. `endpoint`, `proxy`, `zone`,
-`machine_type`, `cell`, `table` and `request_class` are small non-negative integers that the
-controller assigns; `Endpoint.name` is the endpoint's stable name, the same at every controller.
+This module holds types only, without logic. Times are float seconds on the controller's own
+monotonic clock. `endpoint`, `proxy`, `zone`, `machine_type`, `cell`, `table` and `request_class`
+are small non-negative integers that the controller assigns. `Endpoint.name` is the endpoint's
+stable name, which is the same on every controller.
 
-The enumerations are `StrEnum`s: their values are what settings and stored lists call them.
+The string values of the enumerations appear in settings and stored lists.
 """
 
 from enum import StrEnum
@@ -14,7 +15,7 @@
 
 
 class EndpointPhase(StrEnum):
-    """Where an endpoint stands in its life, as the endpoint list has it."""
+    """The lifecycle phase of an endpoint according to the endpoint list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -24,28 +25,28 @@
 class ListScope(StrEnum):
     """What an endpoint update covers."""
 
-    CHANGES = "changes"  # endpoints that are not named stay as they were
-    WHOLE = "whole"  # endpoints that are not named are gone
-    REMEMBERED = "remembered"  # the list as it was stored before a restart
-    UNAVAILABLE = "unavailable"  # the source failed; nothing is known anew
+    CHANGES = "changes"  # endpoints that are not in the update are unchanged
+    WHOLE = "whole"  # endpoints that are not in the update are gone
+    REMEMBERED = "remembered"  # the complete list as it was stored before a restart
+    UNAVAILABLE = "unavailable"  # the source failed; the update holds no information
 
 
 class HealthCheckOutcome(StrEnum):
-    """How a health check ended."""
+    """The result of a health check."""
 
     OK = "ok"
-    ERRORED = "errored"  # answered, with a failure
-    DENIED = "denied"  # not sent: the controller's own machine ran out of something
+    ERRORED = "errored"  # the endpoint answered with an error
+    DENIED = "denied"  # not sent: the controller's own machine lacked a resource
     TIMED_OUT = "timed out"
     UNREACHABLE = "unreachable"
-    BROKEN = "broken"  # the connection ended, or the answer was malformed
+    BROKEN = "broken"  # the connection closed, or the answer was malformed
 
 
 class RetryPolicy(StrEnum):
-    """Which attempts a proxy may make after the first one."""
+    """Which further attempts a proxy may make after the first attempt at a request."""
 
     NEVER = "never"
-    UNSTARTED = "unstarted"  # only where the endpoint promises that it had not begun
+    UNSTARTED = "unstarted"  # only if the endpoint guarantees that it had not started the request
     ONCE = "once"
     TWICE = "twice"
 
@@ -54,10 +55,10 @@
 
 
 class Endpoint(NamedTuple):
-    """One endpoint as the list has it.
+    """An entry of the endpoint list.
 
-    `weight` is relative to the other endpoints'; `started_at` is its process's start; `phase` is an
-    `EndpointPhase`.
+    `weight` is relative to the weights of the other endpoints. `started_at` is the start time of
+    the endpoint's process. `phase` is an `EndpointPhase`.
     """
 
     id: int
@@ -71,7 +72,7 @@
 
 
 class EndpointUpdate(NamedTuple):
-    """The endpoint list, or a part of it, has arrived; `scope` is a `ListScope`."""
+    """A complete endpoint list or changes to it; `scope` is a `ListScope`."""
 
     scope: str
     version: int
@@ -81,8 +82,8 @@
 class ProxyConnected(NamedTuple):
     """A proxy has opened its stream.
 
-    `request_rate` is in requests a second. `bootstrap_only` is true where the proxy holds no table
-    of any controller yet.
+    `request_rate` is in requests per second. `bootstrap_only` is true if the proxy does not hold a
+    table of any controller yet.
     """
 
     proxy: int
@@ -92,15 +93,16 @@
 
 
 class ProxyDisconnected(NamedTuple):
-    """A proxy's stream has ended."""
+    """The stream of a proxy has closed."""
 
     proxy: int
 
 
 class EndpointStats(NamedTuple):
-    """What the connected proxies of one zone met at an endpoint over `window` seconds.
+    """Statistics of the attempts at one endpoint by the connected proxies of one zone.
 
-    It is reported late, as in Envoy's load reporting service (LRS).
+    The attempts were made within `window` seconds and are reported with a delay, as in Envoy's load
+    reporting service (LRS).
     """
 
     endpoint: int
@@ -108,12 +110,15 @@
     attempts: int
     errors: int
     window: float
-    mean_latency: float  # seconds, of the attempts that succeeded
+    mean_latency: float  # seconds, of the successful attempts
     load_report: Optional[LoadReport]
 
 
 class RequestStats(NamedTuple):
-    """Requests of one class that reached a proxy over `window` seconds, reported late."""
+    """Counts of the requests of one class that a proxy received.
+
+    The requests arrived within `window` seconds and are reported with a delay.
+    """
 
     proxy: int
     request_class: int
@@ -123,7 +128,10 @@
 
 
 class HealthCheckResult(NamedTuple):
-    """A health check has ended after `duration` seconds; `outcome` is a `HealthCheckOutcome`."""
+    """A health check has ended after `duration` seconds.
+
+    `outcome` is a `HealthCheckOutcome`.
+    """
 
     endpoint: int
     outcome: str
@@ -132,7 +140,10 @@
 
 
 class Acknowledged(NamedTuple):
-    """A proxy has applied the message with the nonce, `duration` seconds after the command."""
+    """A proxy has applied the message with the nonce.
+
+    `duration` is the time in seconds since the command that the message carried.
+    """
 
     proxy: int
     nonce: int
@@ -140,22 +151,22 @@
 
 
 class TimerFired(NamedTuple):
-    """A timer that the planner set is due."""
+    """A timer that the planner set has expired."""
 
     token: int
 
 
 class GossipReceived(NamedTuple):
-    """A note from another controller's planner."""
+    """A gossip message from the planner of another controller has arrived."""
 
     sender: int
     payload: bytes
 
 
 class KeyRangeAssigned(NamedTuple):
-    """A table of a key range was given to this controller or taken from it.
+    """A table of a key range was assigned to this controller or taken from it.
 
-    Not used by the planner.
+    The planner does not use this event.
     """
 
     table: int
@@ -163,7 +174,7 @@
 
 
 class KeyRangeEntry(NamedTuple):
-    """One stored entry of a key range's table. Not used by the planner."""
+    """A stored entry of a key range's table. The planner does not use this event."""
 
     table: int
     endpoint: int
@@ -171,7 +182,10 @@
 
 
 class KeyRangeStats(NamedTuple):
-    """Requests of one class to a key range over `window` seconds. Not used by the planner."""
+    """Counts of the requests of one class for a key range within `window` seconds.
+
+    The planner does not use this event.
+    """
 
     table: int
     request_class: int
@@ -214,7 +228,7 @@
 
 
 class AssignTable(NamedTuple):
-    """Route these request classes of a proxy by a table."""
+    """Route requests of these classes at a proxy by a table."""
 
     proxy: int
     table: int
@@ -222,12 +236,12 @@
 
 
 class WithdrawEndpoint(NamedTuple):
-    """Eject an endpoint from the tables that connected proxies hold, or restore it.
+    """Withdraw an endpoint from the tables that connected proxies hold, or restore it.
 
-    This covers tables of other controllers too. `notify` names the proxies on no table of this
-    controller that must be notified, None for all of them; a channel that knows itself who holds
-    the endpoint needs no such list. Proxies on this controller's tables lose the endpoint's entry
-    by a `SetEntry` of their own.
+    The command also covers tables of other controllers. `notify` lists the proxies that must be
+    notified among those without a table of this controller; None means all of them. A channel that
+    knows itself which proxies hold the endpoint needs no such list. Proxies on this controller's
+    tables lose the endpoint's entry by a separate `SetEntry`.
     """
 
     endpoint: int
@@ -238,7 +252,7 @@
 class SetAdmission(NamedTuple):
     """Admit a fraction (0 to 1) of the requests of these classes.
 
-    `retry_policy` is a `RetryPolicy`. Table None means every proxy.
+    `retry_policy` is a `RetryPolicy`. `table` None means every proxy.
     """
 
     table: Optional[int]
@@ -248,9 +262,9 @@
 
 
 class RequestAcknowledgement(NamedTuple):
-    """Ask the proxies that this batch writes to, or all of them, for an acknowledgement.
+    """Ask the proxies that this batch writes to, or all proxies, for an acknowledgement.
 
-    They send it, with the nonce, once they have applied their messages.
+    A proxy acknowledges the nonce when it has applied its messages.
     """
 
     nonce: int
@@ -264,17 +278,20 @@
 
 
 class FetchEndpoints(NamedTuple):
-    """Ask the source for the endpoint list once."""
+    """Fetch the endpoint list from its source once."""
 
 
 class WatchEndpoints(NamedTuple):
-    """Start or stop to watch the endpoint list."""
+    """Start or stop watching the endpoint list."""
 
     enabled: bool
 
 
 class SendGossip(NamedTuple):
-    """Send a note to another controller's planner, or to all where `peer` is None."""
+    """Send a gossip message to the planner of another controller.
+
+    `peer` None means all controllers.
+    """
 
     peer: Optional[int]
     payload: bytes
@@ -288,7 +305,7 @@
 
 
 class LogMessage(NamedTuple):
-    """Write a line to the log."""
+    """Write a line to the controller's log."""
 
     text: str
 
@@ -310,11 +327,11 @@
 
 
 class PlannerStatus(NamedTuple):
-    """The planner's state for logs and metrics; no decision depends on it."""
+    """A snapshot of the planner's state for logs and metrics; no decision depends on it."""
 
-    queued_entries: float  # taken to wait in the channel, since no acknowledged nonce covers them
-    oldest_unacknowledged: float  # seconds since the oldest of those was written
+    queued_entries: float  # estimated from the acknowledgements that are missing
+    oldest_unacknowledged: float  # seconds since the oldest unacknowledged batch was written
     connected_proxies: int
-    unassigned_proxies: int  # connected ones without a table of this controller
-    longest_wait: float  # seconds since the first of those connected
-    withdrawn_endpoints: int  # listed as draining or gone
+    unassigned_proxies: int  # connected proxies without a table of this controller
+    longest_wait: float  # seconds since the first unassigned proxy connected
+    withdrawn_endpoints: int  # endpoints that are listed as draining or gone
--- a/peatlead/planner/channel_budget.py
+++ b/peatlead/planner/channel_budget.py
@@ -1,63 +1,66 @@
-"""How much may be written now: the channel's queue and each proxy's message count.
+"""Limits on what may be written now: the channel's queue and the messages to each proxy.
 
-The channel to the proxies has a pace, a longest queue, and a most of messages to each proxy within
-a span. What can't be put off (removals, withdrawals) must always find room, so everything else
-stops at a lower mark.
+The channel has a rate, a maximum queue length, and a maximum number of messages to each proxy
+within a time span. Removals and withdrawals cannot be postponed and must always fit, so all other
+writes stop at a lower queue length.
 """
 
 from .channel_backlog import ChannelBacklog
 from .context import PlannerContext
 from .proxy_state import ProxyState
 
-SLOWEST_CHANNEL = 16  # times slower than its configured pace that a channel may be
-UPDATE_QUEUE_PART = 0.25  # of the queue, for updates that can be put off
-TABLE_QUEUE_PART = 0.4  # of the queue, for whole tables
-UPDATE_MESSAGES_PART = 0.5  # of a proxy's messages, for updates that can be put off
-FEW_WITHDRAWALS_PART = 0.02  # of the queue: so many withdrawals for waiting proxies are always sent
-WITHDRAWALS_QUEUE_PART = 0.5  # of the queue, past which no more of them are
+MAX_CHANNEL_SLOWDOWN = 16  # factor by which the channel may be slower than its configured rate
+UPDATE_QUEUE_FRACTION = 0.25  # of the queue, for updates that can be postponed
+TABLE_QUEUE_FRACTION = 0.4  # of the queue, for whole tables
+UPDATE_MESSAGES_FRACTION = 0.5  # of a proxy's messages, for updates that can be postponed
+# Of the queue: withdrawals up to this size are always sent to unassigned proxies.
+MIN_WITHDRAWAL_QUEUE_FRACTION = 0.02
+# Of the queue: above this length no further withdrawals are sent to unassigned proxies.
+MAX_WITHDRAWAL_QUEUE_FRACTION = 0.5
 
 
 class ChannelBudget:
-    """Counts what is written in the batch and what may still wait from earlier ones."""
+    """Counts the entries of the current batch and those still queued from earlier batches."""
 
     def __init__(self, context: PlannerContext) -> None:
         self.context = context
         settings = context.settings
         rate = settings.get("channel_rate", 1.0)
-        longest = SLOWEST_CHANNEL * settings.get("queue_most", 0.0) / rate  # seconds
-        self.backlog = ChannelBacklog(settings.get("message_head", 0.0), longest)
+        expiry = MAX_CHANNEL_SLOWDOWN * settings.get("queue_most", 0.0) / rate  # seconds
+        self.backlog = ChannelBacklog(settings.get("message_head", 0.0), expiry)
 
-    def may_update(self, proxy: ProxyState, part: float = UPDATE_MESSAGES_PART) -> bool:
-        """Whether an update of the proxy's tables that can be put off may go out now.
+    def may_update(self, proxy: ProxyState, fraction: float = UPDATE_MESSAGES_FRACTION) -> bool:
+        """Return whether an update of the proxy's tables that can be postponed may be sent now.
 
-        `part` is that of the proxy's messages within the span.
+        `fraction` is the fraction of the proxy's message limit that such updates may use.
         """
         settings, sent = self.context.settings, proxy.message_times
         limit = settings["messages_most"]
         while sent and self.context.now - sent[0] > settings["messages_span"]:
             sent.popleft()
-        return self.has_room(UPDATE_QUEUE_PART) and (not limit or len(sent) < limit * part)
+        return self.has_room(UPDATE_QUEUE_FRACTION) and (not limit or len(sent) < limit * fraction)
 
-    def has_room(self, part: float = TABLE_QUEUE_PART) -> bool:
-        """Whether less than a part of the longest queue waits."""
-        return bool(self.backlog.entries < part * self.context.settings["queue_most"])
+    def has_room(self, fraction: float = TABLE_QUEUE_FRACTION) -> bool:
+        """Return whether less than a fraction of the maximum queue is in use."""
+        return bool(self.backlog.entries < fraction * self.context.settings["queue_most"])
 
     def has_room_for_withdrawals(self, total: float, entries: float) -> bool:
-        """Whether `entries` more may go to proxies that wait for their tables.
+        """Return whether `entries` more may be sent to proxies that wait for their tables.
 
-        A few always may; so many that they would fill the queue would only hold up the tables that
-        those proxies wait for. `total` counts those of this batch, with the next ones.
+        A few withdrawals may always be sent. Filling the queue with withdrawals would delay the
+        tables that those proxies wait for. `total` is the number of such entries in this batch,
+        including the next `entries`.
         """
         limit = self.context.settings["queue_most"]
         return bool(
-            total < FEW_WITHDRAWALS_PART * limit
-            or self.backlog.entries + entries < WITHDRAWALS_QUEUE_PART * limit
+            total < MIN_WITHDRAWAL_QUEUE_FRACTION * limit
+            or self.backlog.entries + entries < MAX_WITHDRAWAL_QUEUE_FRACTION * limit
         )
 
     def spend(self, proxy: ProxyState, entries: float) -> None:
         """Count entries for a proxy.
 
-        One batch makes one message a proxy, so its overhead counts once.
+        A batch sends one message to each proxy, so the message overhead is counted once.
         """
         sent, now = proxy.message_times, self.context.now
         new_message = not sent or sent[-1] < now
--- a/peatlead/planner/class_admission.py
+++ b/peatlead/planner/class_admission.py
@@ -1,7 +1,7 @@
-"""Which request classes are cut when less is admitted, and what is published to proxies.
+"""Decides which request classes are cut when less is admitted, and publishes it to proxies.
 
-The class that earns least for the work it saves is cut first, if that beats cutting all alike; the
-fraction of all work is decided in load_shedding.py.
+The class with the lowest value per unit of work is cut first if that is better than cutting all
+classes equally. The admitted fraction of all work is computed in load_shedding.py.
 """
 
 from math import fsum
@@ -13,13 +13,13 @@
 from .fleet_load import FleetLoad
 from .load_shedding import LoadShedding
 from .request_demand import RequestDemand
-from .zone_capacity import TINY
+from .zone_capacity import MIN_DIVISOR
 
-LEAST_ADMITTED_CLASS = 0.05  # of one class
+MIN_CLASS_FRACTION = 0.05  # minimum admitted fraction of a class
 
 
 class Admission(NamedTuple):
-    """What is published to proxies for one class."""
+    """The published admission of one class."""
 
     fraction: float
     retry_policy: str
@@ -33,21 +33,22 @@
         context: PlannerContext,
         demand: RequestDemand,
         fleet_load: FleetLoad,
-        shedding: LoadShedding,
+        load_shedding: LoadShedding,
         budget: ChannelBudget,
     ) -> None:
         self.context = context
         self.demand = demand
         self.fleet_load = fleet_load
-        self.shedding = shedding
+        self.load_shedding = load_shedding
         self.budget = budget
-        self.admissions: Optional[list[Admission]] = None  # by class, as published
+        # By class, as published; None before the first batch.
+        self.admissions: Optional[list[Admission]] = None
 
     def on_request_stats(self, event: RequestStats) -> None:
-        """Count requests that came to a proxy."""
+        """Count requests that arrived at a proxy."""
         proxy = self.context.proxies.get(event.proxy)
         if proxy and event.window and event.request_class < len(self.demand.requests):
-            assert self.admissions is not None, "published before the first event"
+            assert self.admissions is not None, "admissions are published before the first event"
             self.demand.add(proxy, event, self.admissions[event.request_class].fraction)
 
     def publish(self) -> None:
@@ -62,45 +63,49 @@
             if not before or admission != before[request_class]
         ]
         self.admissions = admissions
-        for proxy in self.context.joined:
+        for proxy in self.context.connected_proxies:
             self.budget.spend(proxy, len(admissions))
 
     def _admissions(self) -> list[Admission]:
-        """By class.
+        """Return the admissions by class.
 
-        A retry finds an endpoint with capacity while there is one; in an overload it adds to it.
+        A retry succeeds where endpoints have spare capacity; in an overload it adds load.
         """
         policy = RetryPolicy.NEVER if self.fleet_load.saturated else RetryPolicy.UNSTARTED
         return [
-            Admission(round(max(LEAST_ADMITTED_CLASS, fraction), 2), policy.value)
+            Admission(round(max(MIN_CLASS_FRACTION, fraction), 2), policy.value)
             for fraction in self._fractions()
         ]
 
     def _fractions(self) -> list[float]:
-        """By class: the one that earns least for its work is cut first, if that is worth it."""
+        """Return the admitted fractions by class, cutting the least valuable class first."""
         work = self.demand.work()
-        all_work = fsum(work)
-        costs = self._costs(work)
-        cheapest = costs.index(min(costs))
-        if costs[cheapest] >= 1:
-            return [self.shedding.admitted] * len(work)
-        excess = all_work * (1 - self.shedding.admitted)
-        taken = min(excess, work[cheapest] * (1 - LEAST_ADMITTED_CLASS))
-        others = 1 - (excess - taken) / max(TINY, all_work - work[cheapest])
-        fractions = [others] * len(work)
-        fractions[cheapest] = 1 - taken / work[cheapest]
+        total_work = fsum(work)
+        relative_values = self._relative_values(work)
+        lowest = relative_values.index(min(relative_values))
+        if relative_values[lowest] >= 1:
+            return [self.load_shedding.admitted_fraction] * len(work)
+        excess_work = total_work * (1 - self.load_shedding.admitted_fraction)
+        removed_work = min(excess_work, work[lowest] * (1 - MIN_CLASS_FRACTION))
+        other_fraction = 1 - (excess_work - removed_work) / max(
+            MIN_DIVISOR, total_work - work[lowest]
+        )
+        fractions = [other_fraction] * len(work)
+        fractions[lowest] = 1 - removed_work / work[lowest]
         return fractions
 
-    def _costs(self, work: list[float]) -> list[float]:
-        """By class: what a unit of its work earns, by what a unit of all work does."""
+    def _relative_values(self, work: list[float]) -> list[float]:
+        """Return the value per unit of work of each class, relative to that of all classes."""
         settings = self.context.settings
-        worst = settings.get("value_of_worst_kind", 0.0)
+        worst_class_value = settings.get("value_of_worst_kind", 0.0)
         gains = [
             requests * request_class["gain"]
             for requests, request_class in zip(self.demand.requests, settings["req_kinds"])
         ]
-        all_gain, all_work = fsum(gains), fsum(work)
+        total_gain, total_work = fsum(gains), fsum(work)
         return [
-            ((1 - worst) * gain / all_gain + worst) * all_work / class_work
+            ((1 - worst_class_value) * gain / total_gain + worst_class_value)
+            * total_work
+            / class_work
             for gain, class_work in zip(gains, work)
         ]
--- a/peatlead/planner/context.py
+++ b/peatlead/planner/context.py
@@ -1,4 +1,4 @@
-"""What all mechanisms of a planner share: the batch, the settings, and the known fleet."""
+"""State that all mechanisms of a planner share: the current batch, settings, endpoints, proxies."""
 
 from collections.abc import ValuesView
 from random import Random
@@ -9,33 +9,34 @@
 from .settings import PlannerSettings
 from .subscriber_index import SubscriberIndex
 
-# Values of the setting `pick`, how proxies choose among a table's endpoints, and of `roster_mode`.
+# Value of the setting `pick`: proxies choose the less loaded of two random endpoints.
 PICK_LESS_LOADED = "lighter of two"
+# Value of the setting `roster_mode`: the endpoint list is sent on request.
 LIST_ON_REQUEST = "on_request"
 
-COVERAGE = 25.0  # shards of this controller's proxies that each endpoint should sit in
+COVERAGE = 25.0  # number of this controller's proxies whose shards should hold each endpoint
 
 
 class PlannerContext:
-    """The state that belongs to no single mechanism."""
+    """State that belongs to no single mechanism."""
 
     def __init__(self, settings: PlannerSettings, seed: int) -> None:
         self.settings = settings
         self.rng = Random(seed)
-        self.now = 0.0  # seconds, of the batch that is being decided
-        self.commands: list[Command] = []  # of that batch, in the order of their emission
+        self.now = 0.0  # time of the current batch in seconds
+        self.commands: list[Command] = []  # commands of the current batch, in the order of emission
         self.endpoints: dict[int, EndpointState] = {}
-        self.proxies: dict[int, ProxyState] = {}  # all that ever connected
+        self.proxies: dict[int, ProxyState] = {}  # all proxies that have ever connected
         self.connected: dict[int, ProxyState] = {}
-        self.unassigned: dict[int, ProxyState] = {}  # connected, and without tables yet
+        self.unassigned: dict[int, ProxyState] = {}  # connected proxies without tables
         self.subscriber_index = SubscriberIndex()  # which proxies' tables name an endpoint
-        self.proxies_expected = max(
+        self.expected_proxies = max(
             1.0, settings.get("proxies", 1) / max(1, settings.get("stewards", 1))
-        )  # of this controller
+        )  # estimated number of proxies of this controller
 
     @property
-    def joined(self) -> ValuesView[ProxyState]:
-        """The connected proxies, in the order in which they came."""
+    def connected_proxies(self) -> ValuesView[ProxyState]:
+        """The connected proxies, in the order in which they connected."""
         return self.connected.values()
 
     def begin(self, now: float) -> None:
--- a/peatlead/planner/deadline_queue.py
+++ b/peatlead/planner/deadline_queue.py
@@ -1,4 +1,4 @@
-"""What is to be checked at which time, where nothing but time brings the change."""
+"""A priority queue of items by deadline."""
 
 import heapq
 
@@ -18,8 +18,8 @@
         """Add an item that is due at `deadline`."""
         heapq.heappush(self.heap, (deadline, item))
 
-    def take(self, now: float) -> list[int]:
-        """Remove and return the items that are due, each once, by their earliest deadline."""
+    def pop_due(self, now: float) -> list[int]:
+        """Remove and return the due items, each once, ordered by their earliest deadline."""
         due: dict[int, bool] = {}
         while self.heap and self.heap[0][0] <= now:
             due[heapq.heappop(self.heap)[1]] = True
--- a/peatlead/planner/endpoint_lifecycle.py
+++ b/peatlead/planner/endpoint_lifecycle.py
@@ -1,4 +1,4 @@
-"""An endpoint's process starts; an endpoint that has been gone for long is forgotten."""
+"""Starts of endpoint processes, and removal of records of endpoints that are long gone."""
 
 from .context import PlannerContext
 from .endpoint_schedule import EndpointSchedule
@@ -6,11 +6,12 @@
 from .slow_start import SlowStart
 from .table_writer import TableWriter
 
-FORGET_AFTER = 60.0  # seconds: until then a proxy may bring an entry of one that is gone
+# Seconds; until then a reconnecting proxy may still hold entries of an endpoint that is gone.
+GONE_RETENTION = 60.0
 
 
 class EndpointLifecycle:
-    """Begins and ends what is known of a process."""
+    """Initializes and removes the state of endpoints."""
 
     def __init__(
         self,
@@ -25,28 +26,29 @@
         self.writer = writer
 
     def start(self, endpoint: EndpointState, started_at: float, ramp_warm: bool) -> None:
-        """Begin with a new process: nothing that was known of the old one counts.
+        """Reset an endpoint's state for a new process.
 
-        One that is warm already is ramped only with `ramp_warm`.
+        The evidence about the old process is cleared. A cold process is always ramped; a process
+        that is already warm is ramped only with `ramp_warm`.
         """
         now = self.context.now
         self.schedule.activate(endpoint)
-        self.schedule.at(endpoint.next_check_at, endpoint)
+        self.schedule.add_deadline(endpoint.next_check_at, endpoint)
         endpoint.ejected_until = None
         endpoint.failed_checks = 0
         endpoint.clear_evidence(now)
         cold = now - started_at < self.context.settings["warm_after"]
         endpoint.cold_since = started_at if cold else None
         if ramp_warm or cold:
-            self.slow_start.begin_cold(endpoint)
+            self.slow_start.begin_cold_start(endpoint)
 
     def forget_gone(self) -> None:
-        """Drop what has been gone for long, or records would add up without bound."""
-        past = self.context.now - FORGET_AFTER
+        """Remove endpoints that are long gone, so that the number of records is bounded."""
+        forget_before = self.context.now - GONE_RETENTION
         forgotten = [
             endpoint
             for endpoint in self.context.endpoints.values()
-            if endpoint.phase == GONE and endpoint.withdrawn_at < past
+            if endpoint.phase == GONE and endpoint.withdrawn_at < forget_before
         ]
         for endpoint in forgotten:
             self._remove_entries(endpoint)
@@ -54,9 +56,9 @@
             self.schedule.deactivate(endpoint)
 
     def _remove_entries(self, endpoint: EndpointState) -> None:
-        """Proxies that disconnected still hold what they held."""
+        """Remove the endpoint from all tables, including those of disconnected proxies."""
         proxies = self.context.proxies
-        holders = self.context.subscriber_index.subscribers(endpoint.id)
-        for proxy in [proxies[number] for number in holders]:
+        subscribers = self.context.subscriber_index.subscribers(endpoint.id)
+        for proxy in [proxies[number] for number in subscribers]:
             for group in range(len(proxy.entries)):
                 self.writer.set_entry(proxy, group, endpoint.id, 0.0)
--- a/peatlead/planner/endpoint_pools.py
+++ b/peatlead/planner/endpoint_pools.py
@@ -1,8 +1,8 @@
-"""Which endpoints each request class may go to, by zone, as pools in rendezvous order.
+"""The endpoints that each request class may use, as rendezvous pools by zone.
 
-Request classes that are open to the same endpoints share a table: they form a group. A pool holds
-the endpoints of one group and zone that are listed ready; ejected ones stay in it, so that an
-ejection moves no other entry.
+Request classes that may use the same endpoints share a table and form a group. A pool holds the
+endpoints of one group and zone that are listed as ready. Ejected endpoints stay in their pool, so
+that an ejection moves no other entry.
 """
 
 from typing import NamedTuple, Optional
@@ -19,19 +19,19 @@
 class RequestGroup(NamedTuple):
     """Request classes that share a table."""
 
-    zones: tuple[int, ...]  # that their requests may go to; empty for all
-    machine_types: tuple[int, ...]  # likewise
-    own_zone: bool  # whether they stay in their proxy's zone
+    zones: tuple[int, ...]  # zones that the requests may go to; empty for all
+    machine_types: tuple[int, ...]  # machine types that the requests may go to; empty for all
+    own_zone: bool  # whether requests stay in the zone of their proxy
     request_classes: list[int]
 
     def admits(self, endpoint: EndpointState) -> bool:
-        """Whether the group's requests may go to an endpoint of that zone and machine type."""
+        """Return whether the group's requests may go to the endpoint."""
         in_zone = not self.zones or endpoint.zone in self.zones
         return in_zone and (not self.machine_types or endpoint.machine_type in self.machine_types)
 
 
 def group_request_classes(settings: PlannerSettings) -> list[RequestGroup]:
-    """The groups, in the order of their first classes."""
+    """Return the groups, ordered by their first classes."""
     groups: dict[tuple[tuple[int, ...], tuple[int, ...], bool], RequestGroup] = {}
     for number, request_class in enumerate(settings["req_kinds"]):
         zones = tuple(request_class.get("only_zones", ()))
@@ -44,54 +44,59 @@
 
 
 class EndpointPools:
-    """Pools by group, built when they are first asked for after a change of the list."""
+    """Pools by group, which are built on first use after a change of the endpoint list."""
 
-    def __init__(self, context: PlannerContext, paths: ZonePaths) -> None:
+    def __init__(self, context: PlannerContext, zone_paths: ZonePaths) -> None:
         self.context = context
-        self.paths = paths
+        self.zone_paths = zone_paths
         self.groups = group_request_classes(context.settings)
-        self.ready: dict[int, Pools] = {}  # by group
-        self.ready_before: dict[int, Pools] = {}  # by the list before
-        self.earlier: dict[int, Pools] = {}  # by group: as before the last changes, see there
+        self.ready_pools: dict[int, Pools] = {}  # by group
+        self.previous_ready_pools: dict[int, Pools] = {}  # by group, of the previous list
+        self.earlier_pools: dict[int, Pools] = {}  # by group, see `earlier_endpoints`
 
     def reset(self) -> None:
-        """The endpoint list has changed."""
-        self.ready_before = self.ready or self.ready_before
-        self.ready = {}
-        self.earlier = {}
+        """Discard the pools after a change of the endpoint list."""
+        self.previous_ready_pools = self.ready_pools or self.previous_ready_pools
+        self.ready_pools = {}
+        self.earlier_pools = {}
 
     def open_endpoints(self, group: int, zone: Optional[int]) -> Pools:
-        """By zone, the endpoints listed ready that the group's requests may go to from a zone.
+        """Return by zone the ready endpoints that a group's requests from `zone` may go to.
 
-        Zones behind bad paths are left out, unless nothing else is left. With `zone` None all are
-        in, but for groups that stay in their zone.
+        Zones behind bad paths are left out unless no other zone remains. With `zone` None all zones
+        are included, except for groups that stay in the zone of their proxy.
         """
-        if group not in self.ready:
-            self.ready[group] = self._build_ready(group)
-        pools = self._in_reach(group, zone, self.ready[group])
-        bad = self.paths.bad
-        if not bad:
+        if group not in self.ready_pools:
+            self.ready_pools[group] = self._build_ready(group)
+        pools = self._reachable(group, zone, self.ready_pools[group])
+        bad_paths = self.zone_paths.bad_paths
+        if not bad_paths:
             return pools
-        return {other: pool for other, pool in pools.items() if (zone, other) not in bad} or pools
+        return {
+            other: pool for other, pool in pools.items() if (zone, other) not in bad_paths
+        } or pools
 
     def earlier_endpoints(self, group: int, zone: int) -> Pools:
-        """By zone, the endpoints that requests may have gone to before the last lists."""
-        if group not in self.earlier:
-            self.earlier[group] = self._build_earlier(group)
-        return self._in_reach(group, zone, self.earlier[group])
+        """Return by zone the endpoints that tables drawn from earlier lists may name.
 
-    def _in_reach(self, group: int, zone: Optional[int], pools: Pools) -> Pools:
+        These are the warm ready endpoints and the withdrawn endpoints.
+        """
+        if group not in self.earlier_pools:
+            self.earlier_pools[group] = self._build_earlier(group)
+        return self._reachable(group, zone, self.earlier_pools[group])
+
+    def _reachable(self, group: int, zone: Optional[int], pools: Pools) -> Pools:
         own_zone = self.groups[group].own_zone
         return {other: pool for other, pool in pools.items() if not own_zone or other == zone}
 
     def _build_ready(self, group: int) -> Pools:
-        """A pool that is the same as before stays, with what proxies have cached of it."""
+        """Build the pools, reusing unchanged ones because proxies cache their ranking of a pool."""
         admits = self.groups[group].admits
         by_zone: dict[int, list[EndpointState]] = {}
         for endpoint in self.context.endpoints.values():
             if endpoint.phase == READY and admits(endpoint):
                 by_zone.setdefault(endpoint.zone, []).append(endpoint)
-        before = self.ready_before.get(group, {})
+        before = self.previous_ready_pools.get(group, {})
         pools: Pools = {}
         for zone in sorted(by_zone):
             endpoints = sort_by_name(by_zone[zone])
--- a/peatlead/planner/endpoint_schedule.py
+++ b/peatlead/planner/endpoint_schedule.py
@@ -1,8 +1,8 @@
-"""Which endpoints time alone changes: at the next tick, or at a due time.
+"""Which endpoints must be processed at the next tick or at a later time.
 
-A tick that looked at every endpoint would cost a large fleet most of the planner's time. Endpoints
-that ramp, are ejected or relieved are looked at with every tick; of the others only the next health
-check is due by time.
+Processing every endpoint in every tick would take most of the planner's time in a large fleet.
+Endpoints that ramp, are ejected or are relieved are processed in every tick. For the others only
+the next health check is scheduled.
 """
 
 from .context import PlannerContext
@@ -11,27 +11,30 @@
 
 
 class EndpointSchedule:
-    """The endpoints to be looked at, and when."""
+    """The endpoints to process, and when."""
 
     def __init__(self, context: PlannerContext) -> None:
         self.context = context
-        self.active: dict[int, EndpointState] = {}  # by id: those of every tick
-        self.deadlines = DeadlineQueue()  # ids by the next health check's time
+        self.active: dict[int, EndpointState] = {}  # by id: endpoints to process in every tick
+        self.deadlines = DeadlineQueue()  # endpoint ids by the time of the next health check
 
     def activate(self, endpoint: EndpointState) -> None:
-        """Look at it with every tick."""
+        """Process the endpoint in every tick."""
         self.active[endpoint.id] = endpoint
 
     def deactivate(self, endpoint: EndpointState) -> None:
-        """Look at it only when a deadline comes."""
+        """Process the endpoint only when one of its deadlines is due."""
         self.active.pop(endpoint.id, None)
 
-    def at(self, time: float, endpoint: EndpointState) -> None:
-        """Look at it at a time, in seconds."""
+    def add_deadline(self, time: float, endpoint: EndpointState) -> None:
+        """Process the endpoint at `time`, in seconds."""
         self.deadlines.push(time, endpoint.id)
 
     def take_due(self) -> list[EndpointState]:
-        """The endpoints to look at now, each once: those of every tick, then by deadline."""
+        """Return the endpoints to process now, each once.
+
+        Active endpoints come first, then endpoints with due deadlines.
+        """
         endpoints = self.context.endpoints
-        due = {**self.active, **dict.fromkeys(self.deadlines.take(self.context.now))}
+        due = {**self.active, **dict.fromkeys(self.deadlines.pop_due(self.context.now))}
         return [endpoints[number] for number in due if number in endpoints]
--- a/peatlead/planner/endpoint_state.py
+++ b/peatlead/planner/endpoint_state.py
@@ -1,4 +1,4 @@
-"""What the planner knows of one endpoint, and what it has decided about it."""
+"""What the planner knows about one endpoint, and what it has decided about it."""
 
 from typing import NamedTuple, Optional
 
@@ -7,96 +7,102 @@
 
 READY = EndpointPhase.READY.value
 GONE = EndpointPhase.GONE.value
-NEVER = -1e9  # seconds; a moment before every other
-FIRST_RELIEF_WAIT = 10.0  # seconds until a relieved endpoint gets a step back; doubled each time
-LEAST_COUNT = 0.5  # that a mean or rate is taken over at least: counts fade below one
+DISTANT_PAST = -1e9  # seconds; earlier than any other time
+# Seconds until a step of a relieved endpoint's traffic is restored; doubled with repeated relief.
+INITIAL_RELIEF_DURATION = 10.0
+MIN_COUNT = 0.5  # minimum divisor of means and rates: decayed counts may be below one
 
 
 class Counts(NamedTuple):
-    """Attempts at an endpoint; counts fade with time, so they are no whole numbers."""
+    """Attempts at an endpoint; the counts decay with time and are not whole numbers."""
 
     attempts: float
     errors: float
-    latency: float  # seconds, summed over the attempts that succeeded
+    latency_sum: float  # seconds, summed over the successful attempts
 
 
 class DatedCounts(NamedTuple):
-    """Counts as they stood when they were last added to."""
+    """Counts with the time of their last update."""
 
     updated_at: float  # seconds
     attempts: float
     errors: float
-    latency: float  # seconds, summed over the attempts that succeeded
+    latency_sum: float  # seconds, summed over the successful attempts
 
 
 class EndpointState:
-    """One endpoint; each mechanism writes the fields under its heading."""
+    """The state of one endpoint; each mechanism writes the fields under its heading."""
 
     def __init__(self, endpoint: Endpoint, now: float, confirmed: bool) -> None:
         self.id = endpoint.id
         self.name = endpoint.name
         self.zone = endpoint.zone
         self.machine_type = endpoint.machine_type
-        self.name_hash = endpoint_hash(endpoint.name)  # its hash in rendezvous orders
+        self.name_hash = endpoint_hash(endpoint.name)  # for rendezvous hashing
 
-        # The endpoint list. "gone" at first, so that one that is listed ready counts as starting.
+        # Endpoint list. The initial phase is "gone", so that a ready endpoint counts as newly
+        # started.
         self.phase: str = GONE
-        self.weight = endpoint.weight  # relative to the others'
-        self.started_at: Optional[float] = None  # seconds, its process's start
-        self.confirmed = (
-            confirmed  # false: listed while the planner ran, and no health check found it
-        )
-        self.last_change = 0  # the planner's change count when what tables go by last changed here
+        self.weight = endpoint.weight  # relative to the weights of other endpoints
+        self.started_at: Optional[float] = None  # seconds, start of the endpoint's process
+        # False if the endpoint was added to the list later and no health check has found it yet.
+        self.confirmed = confirmed
+        # Value of `TableChanges.count` at the last change that affects tables.
+        self.last_change = 0
 
         # Withdrawals.
         self.withdrawn = False
-        self.withdrawn_at = now  # when that last changed
-        self.ever_withdrawn = False  # proxies may still avoid it because of an earlier withdrawal
-        self.notified_proxies: dict[int, object] = {}  # those to notify once it is back
-        self.unusable_since = now  # when it last stopped being usable
+        self.withdrawn_at = now  # when `withdrawn` last changed
+        # Proxies may still avoid the endpoint after an earlier withdrawal.
+        self.ever_withdrawn = False
+        self.notified_proxies: dict[int, object] = {}  # proxies to notify when the endpoint returns
+        self.unusable_since = now  # when the endpoint last became unusable
 
         # Slow start.
-        self.cold_since: Optional[float] = None  # when its present cold start began
-        self.ramp = 1.0  # part of its weight that the ramp permits
+        self.cold_since: Optional[float] = None  # start of the cold start; None if warm
+        self.ramp = 1.0  # fraction of the weight that the ramp permits
         self.next_step_at = 0.0
-        self.step_wait = 0.0  # seconds between the ramp's steps
-        self.weight_fraction = 1.0  # part of its weight that is published
+        self.step_interval = 0.0  # seconds between two steps of the ramp
+        self.weight_fraction = 1.0  # published fraction of the weight
 
         # Relief.
-        self.traffic_fraction = 1.0  # part of its holders' requests that may come
-        self.excluded_proxies: set[int] = set()  # those that do without it
-        self.reach_restored_at = 0.0  # when the next step of reach comes back
-        self.relief_wait = FIRST_RELIEF_WAIT
-        self.relieved_at = NEVER
+        self.traffic_fraction = 1.0  # fraction of its subscribers' requests that it should receive
+        self.excluded_proxies: set[int] = set()  # proxies whose tables leave the endpoint out
+        self.next_restore_at = 0.0  # when the next step of traffic is restored
+        self.relief_duration = INITIAL_RELIEF_DURATION
+        self.relieved_at = DISTANT_PAST
 
         # Outlier detection.
         self.ejected_until: Optional[float] = None
         self.ejected_by_checks = False
         self.consecutive_ejections = 0
-        self.restored_at = NEVER
+        self.restored_at = DISTANT_PAST
 
         # Health checks.
-        self.next_check_at = 0.0  # when the next check is due
-        self.failed_checks = 0  # in a row
-        self.passed_checks = 0  # in a row
-        self.check_failure_rate = 0.0  # fading
+        self.next_check_at = 0.0
+        self.failed_checks = 0  # consecutive
+        self.passed_checks = 0  # consecutive
+        self.check_failure_rate = 0.0  # moving average
 
         self.clear_evidence(now)
 
     def clear_evidence(self, now: float) -> None:
-        """Forget what was reported of it: another process runs there, or time has passed."""
-        self.stats: dict[int, DatedCounts] = {}  # by the proxies' zone
-        self.peer_stats: dict[int, DatedCounts] = {}  # by the controller that sent them
-        # Of the last round, over all zones but those with a bad path to it, and peers:
+        """Discard all reports: another process is running, or the reports are outdated."""
+        self.stats: dict[int, DatedCounts] = {}  # by the zone of the proxies
+        self.peer_stats: dict[int, DatedCounts] = {}  # by the controller that sent the counts
+        # Of the last round, including counts from other controllers and excluding bad paths:
         self.attempts = 0.0
         self.errors = 0.0
-        self.latency = 0.0  # seconds, summed
-        self.own_attempts = 0.0  # without those that peers reported
-        self.utilization = 0.0  # fading: part of its cores in use, or 1 where requests wait
+        self.latency_sum = 0.0  # seconds
+        self.own_attempts = 0.0  # without counts from other controllers
+        self.utilization = 0.0  # moving average, 0 to 1
         self.last_success_at = now
 
     def add_load_report(self, report: Optional[LoadReport]) -> None:
-        """Average a load report in; without a utilization, waiting requests count as full."""
+        """Update the utilization by a load report.
+
+        If the report has no utilization, any waiting request counts as full utilization.
+        """
         if report:
             utilization = report.get("util")
             if utilization is None:
@@ -105,15 +111,15 @@
 
     @property
     def mean_latency(self) -> float:
-        """Seconds, of the attempts that succeeded."""
-        return self.latency / max(LEAST_COUNT, self.attempts - self.errors)
+        """Mean latency in seconds of the successful attempts."""
+        return self.latency_sum / max(MIN_COUNT, self.attempts - self.errors)
 
     @property
     def error_rate(self) -> float:
-        """Errors by attempts; the endpoint must have had attempts."""
+        """Errors per attempt; the endpoint must have had attempts."""
         return self.errors / self.attempts
 
     @property
     def usable(self) -> bool:
-        """Whether tables may name it."""
+        """Whether tables may name the endpoint."""
         return self.phase == READY and self.ejected_until is None and self.confirmed
--- a/peatlead/planner/endpoint_summary.py
+++ b/peatlead/planner/endpoint_summary.py
@@ -1,4 +1,4 @@
-"""What operators are shown of one endpoint: a copy that no decision depends on."""
+"""A summary of one endpoint for operators; no decision depends on it."""
 
 from typing import NamedTuple, Optional
 
@@ -9,20 +9,20 @@
     """The planner's state of one endpoint at one time."""
 
     phase: str
-    usable: bool  # whether tables may name it
-    weight_fraction: float  # part of its weight that is published
-    traffic_fraction: float  # part of its subscribers' requests that may come
-    cold_for: Optional[float]  # seconds since its present cold start began; None once it is warm
-    ejected_for: Optional[float]  # seconds until it returns; None unless it is ejected
-    attempts: float  # faded, of the last round, as are the errors
-    errors: float
-    utilization: float  # fading: part of its cores in use
-    failed_checks: int  # in a row
-    subscribers: int  # proxies whose tables name it
+    usable: bool  # whether tables may name the endpoint
+    weight_fraction: float  # published fraction of the weight
+    traffic_fraction: float  # fraction of its subscribers' requests that it should receive
+    cold_for: Optional[float]  # seconds since the start of the cold start; None if warm
+    ejected_for: Optional[float]  # seconds until the ejection ends; None if not ejected
+    attempts: float  # decayed count as of the last round
+    errors: float  # decayed count as of the last round
+    utilization: float  # moving average, 0 to 1
+    failed_checks: int  # consecutive
+    subscribers: int  # number of proxies whose tables name the endpoint
 
 
 def summarize(endpoint: EndpointState, subscribers: int, now: float) -> EndpointSummary:
-    """The summary of an endpoint at `now`, in seconds of the planner's clock."""
+    """Return the summary of an endpoint at `now`, in seconds of the planner's clock."""
     cold_since, ejected_until = endpoint.cold_since, endpoint.ejected_until
     return EndpointSummary(
         phase=endpoint.phase,
--- a/peatlead/planner/endpoint_updates.py
+++ b/peatlead/planner/endpoint_updates.py
@@ -1,8 +1,8 @@
-"""Takes in the endpoint list: who starts, drains, or is gone.
+"""Applies updates of the endpoint list: endpoints that start, drain or are gone.
 
-A list may be wrong. Where the settings say so, an endpoint that the list lacks stays as long as it
-answers, and a list that leaves nobody is not believed: an endpoint that has really gone is found by
-health checks.
+A list may be wrong. With the setting `gone_is_advice`, an endpoint that is missing from the list is
+kept while it answers, and a list that would leave no ready endpoint removes none. Health checks
+detect endpoints that are really gone.
 """
 
 from ..interface import Endpoint, EndpointUpdate, ListScope, WatchEndpoints
@@ -15,13 +15,14 @@
 from .table_changes import TableChanges
 from .withdrawals import Withdrawals
 
-WATCH_RETRY = (0.5, 1.5)  # seconds until a list that failed is watched again
-STAYING_CYCLES = 2  # cycles of reports without a success, after which an endpoint doesn't answer
-NOT_PLANNED = float("inf")
+WATCH_RETRY_DELAY = (0.5, 1.5)  # seconds until the list is requested again after a failure
+# Reporting cycles without a successful attempt after which an endpoint counts as not answering.
+ANSWERING_CYCLES = 2
+NOT_SCHEDULED = float("inf")
 
 
 class EndpointUpdates:
-    """Keeps the context's endpoints as the list has them."""
+    """Keeps the endpoints of the context in line with the endpoint list."""
 
     def __init__(
         self,
@@ -40,27 +41,27 @@
         self.health_checks = health_checks
         self.statistics = statistics
         self.withdrawals = withdrawals
-        self.listed = False  # whether a list has come since the start
+        self.has_list = False  # whether a list has arrived since the start
         on_request = context.settings.get("roster_mode") == LIST_ON_REQUEST
-        self.watch_at = 0.0 if on_request else NOT_PLANNED  # seconds, when to ask for the list
+        self.watch_at = 0.0 if on_request else NOT_SCHEDULED  # seconds, when to request the list
 
     def watch_if_due(self) -> None:
-        """Ask for the list, at a start and after it failed."""
+        """Request the list, after the start and after a failure."""
         if self.context.now >= self.watch_at:
-            self.watch_at = NOT_PLANNED
+            self.watch_at = NOT_SCHEDULED
             self.context.commands.append(WatchEndpoints(True))
 
     def on_update(self, event: EndpointUpdate) -> None:
-        """Take a list or its changes in."""
+        """Apply a list or changes to it."""
         context = self.context
         if event.scope == ListScope.UNAVAILABLE:
-            self.watch_at = context.now + context.rng.uniform(*WATCH_RETRY)
+            self.watch_at = context.now + context.rng.uniform(*WATCH_RETRY_DELAY)
             return
-        for endpoint in self._believed_gone(event):
+        for endpoint in self._endpoints_to_remove(event):
             endpoint.phase = GONE
         for listed in event.endpoints:
-            self.take(listed)
-        self.listed = True
+            self.apply(listed)
+        self.has_list = True
         self.changes.removals_pending = True
         self.health_checks.update_interval()
         self.pools.reset()
@@ -68,8 +69,8 @@
         self.lifecycle.forget_gone()
         self.changes.mark_all()
 
-    def _believed_gone(self, event: EndpointUpdate) -> list[EndpointState]:
-        """Endpoints that a whole list lacks, unless it leaves nobody where it may be wrong."""
+    def _endpoints_to_remove(self, event: EndpointUpdate) -> list[EndpointState]:
+        """Return the endpoints that a complete list lacks and that count as gone."""
         if event.scope == ListScope.CHANGES:
             return []
         listed = {endpoint.id for endpoint in event.endpoints}
@@ -77,18 +78,18 @@
             endpoint for endpoint in self.context.endpoints.values() if endpoint.id not in listed
         ]
         gone = [endpoint for endpoint in missing if not self._still_answers(endpoint)]
-        leaves_some = any(endpoint.phase == READY for endpoint in event.endpoints) or any(
-            endpoint.phase == READY for endpoint in missing if endpoint not in gone
-        )
-        if leaves_some or not self.context.settings.get("gone_is_advice"):
+        leaves_ready_endpoints = any(
+            endpoint.phase == READY for endpoint in event.endpoints
+        ) or any(endpoint.phase == READY for endpoint in missing if endpoint not in gone)
+        if leaves_ready_endpoints or not self.context.settings.get("gone_is_advice"):
             return gone
         return []
 
     def _still_answers(self, endpoint: EndpointState) -> bool:
-        """Whether an endpoint that the list lacks stays.
+        """Return whether an endpoint that is missing from the list is kept.
 
-        Silence counts up to the latest success at any endpoint: a controller that was stalled
-        itself has received no reports.
+        The silence of an endpoint is measured up to the latest success at any endpoint, because a
+        controller that was stalled has received no reports.
         """
         silence = min(self.context.now, self.statistics.last_success_at) - endpoint.last_success_at
         cycle = self.statistics.cycle + self.context.settings["sums_every"]
@@ -96,28 +97,31 @@
             self.context.settings.get("gone_is_advice")
             and endpoint.phase == READY
             and not endpoint.failed_checks
-            and silence < STAYING_CYCLES * cycle
+            and silence < ANSWERING_CYCLES * cycle
         )
 
-    def take(self, listed: Endpoint) -> None:
-        """Take one endpoint in as the list has it."""
+    def apply(self, listed: Endpoint) -> None:
+        """Apply one entry of the list."""
         endpoint = self._find_or_add(listed)
         if listed.phase == GONE and self._still_answers(endpoint):
             return
-        starts = listed.phase == READY and (
+        is_new_process = listed.phase == READY and (
             endpoint.phase != READY or listed.started_at != endpoint.started_at
         )
         endpoint.phase = listed.phase
         endpoint.weight = listed.weight
         endpoint.started_at = listed.started_at
-        if starts:
-            self.lifecycle.start(endpoint, listed.started_at, ramp_warm=self.listed)
+        if is_new_process:
+            self.lifecycle.start(endpoint, listed.started_at, ramp_warm=self.has_list)
 
     def _find_or_add(self, listed: Endpoint) -> EndpointState:
-        """One that appears once there has been a list must be confirmed by a health check."""
+        """Return the endpoint's state, creating it if it is unknown.
+
+        An endpoint that is added after the first list must be confirmed by a health check.
+        """
         endpoint = self.context.endpoints.get(listed.id)
         if endpoint is None:
-            confirmed = not (self.listed and self.context.settings.get("probing"))
+            confirmed = not (self.has_list and self.context.settings.get("probing"))
             endpoint = EndpointState(listed, self.context.now, confirmed)
             self.context.endpoints[listed.id] = endpoint
         return endpoint
--- a/peatlead/planner/fleet_load.py
+++ b/peatlead/planner/fleet_load.py
@@ -1,7 +1,7 @@
-"""The load and errors of the whole fleet, as the median attempt had them.
+"""Load, latency and errors of the whole fleet, as medians over attempts.
 
-The median attempt, not the median endpoint: cold endpoints that get little say nothing of the
-capacity that is left.
+The median is taken over attempts rather than endpoints, because cold endpoints that receive few
+requests say little about the remaining capacity.
 """
 
 from math import ceil, fsum
@@ -12,17 +12,17 @@
 from .request_demand import RequestDemand
 from .statistics import median, weighted_median
 
-HIGH_ERROR_RATE = 0.1  # of the median attempt's endpoint
-HIGH_LATENESS = 0.42  # of the response target
-BUSY = 0.7  # utilization, from which the fleet has little capacity left
-SATURATED = 0.9  # utilization that counts as none left
-SATURATION_HYSTERESIS = 0.2  # below it, until a saturated fleet counts as recovered
-LEAST_REPORTED_ATTEMPTS = 0.5  # faded, of an endpoint that speaks for the fleet
-PEER_ATTEMPTS = 2  # faded, of an endpoint that others are compared with
+HIGH_ERROR_RATE = 0.1  # median over attempts
+HIGH_LATENCY_RATIO = 0.42  # of the mean response target
+BUSY_UTILIZATION = 0.7  # above it the fleet has little spare capacity
+SATURATED_UTILIZATION = 0.9  # above it the fleet has no spare capacity
+SATURATION_HYSTERESIS = 0.2  # relative decrease after which a saturated fleet counts as recovered
+MIN_REPORTED_ATTEMPTS = 0.5  # decayed, of an endpoint that is included in the fleet's medians
+MIN_PEER_ATTEMPTS = 2  # decayed, of an endpoint that is included in the peers' medians
 
 
 class PeerMedians(NamedTuple):
-    """The medians that one endpoint is compared with."""
+    """Medians over endpoints, with which each endpoint is compared."""
 
     error_rate: float
     utilization: float
@@ -31,41 +31,47 @@
 
 
 class FleetLoad:
-    """The fleet's state as of the last round."""
+    """The state of the fleet as of the last round."""
 
     def __init__(self, context: PlannerContext, demand: RequestDemand) -> None:
         self.context = context
         self.demand = demand
         self.error_rate = 0.0
         self.utilization = 0.0
-        self.lateness = 0.0  # mean latency by the mean response target
-        self.reporting = 0  # usable endpoints with attempts
-        self.saturated = False  # no capacity is left
-        self.mean_share = 1.0  # of the ready endpoints, where little capacity is left; else 1
+        self.latency_ratio = 0.0  # median latency relative to the mean response target
+        self.reporting_endpoints = 0  # number of usable endpoints with attempts
+        self.saturated = False  # whether the fleet has no spare capacity
+        self.mean_weight_fraction = 1.0  # see `_mean_weight_fraction`
 
     def ready_endpoints(self) -> list[EndpointState]:
-        """Those that are listed ready and known to exist, ejected ones among them."""
+        """Return the endpoints that are listed as ready and confirmed, including ejected ones."""
         return [
             endpoint
             for endpoint in self.context.endpoints.values()
             if endpoint.phase == READY and endpoint.confirmed
         ]
 
-    def measure(self, ready: list[EndpointState], admitted: float) -> PeerMedians:
-        """Take the round's figures in; `admitted` is the fraction of all work that is admitted."""
+    def measure(self, ready: list[EndpointState], admitted_fraction: float) -> PeerMedians:
+        """Update the fleet's load by the round's reports and return the peers' medians.
+
+        `admitted_fraction` is the fraction of all work that is admitted.
+        """
         reporting = [
             endpoint
             for endpoint in ready
-            if endpoint.usable and endpoint.attempts >= LEAST_REPORTED_ATTEMPTS
+            if endpoint.usable and endpoint.attempts >= MIN_REPORTED_ATTEMPTS
         ]
         target = self.demand.mean_target()
         self._measure_attempts(reporting, target)
-        lateness, errors = self.lateness / HIGH_LATENESS, self.error_rate / HIGH_ERROR_RATE
-        worst = max(self.utilization / SATURATED, lateness, errors)
-        recovered = 1 - SATURATION_HYSTERESIS * self.saturated
-        self.saturated = worst > recovered and self.utilization > BUSY
-        self.mean_share = self._mean_share(ready, admitted)
-        peers = [endpoint for endpoint in reporting if endpoint.attempts >= PEER_ATTEMPTS]
+        relative_latency, relative_errors = (
+            self.latency_ratio / HIGH_LATENCY_RATIO,
+            self.error_rate / HIGH_ERROR_RATE,
+        )
+        severity = max(self.utilization / SATURATED_UTILIZATION, relative_latency, relative_errors)
+        threshold = 1 - SATURATION_HYSTERESIS * self.saturated
+        self.saturated = severity > threshold and self.utilization > BUSY_UTILIZATION
+        self.mean_weight_fraction = self._mean_weight_fraction(ready, admitted_fraction)
+        peers = [endpoint for endpoint in reporting if endpoint.attempts >= MIN_PEER_ATTEMPTS]
         return PeerMedians(
             median([endpoint.error_rate for endpoint in peers]),
             median([endpoint.utilization for endpoint in peers]),
@@ -74,10 +80,10 @@
         )
 
     def _measure_attempts(self, reporting: list[EndpointState], target: float) -> None:
-        """Take the medians over attempts.
+        """Compute the medians over attempts.
 
-        A few attempts an endpoint are enough: where little is admitted nothing else would show
-        recovery.
+        An endpoint needs only few attempts to be included: while little is admitted, there are no
+        other signs of recovery.
         """
         counts = [ceil(endpoint.own_attempts) for endpoint in reporting]
         error_rates = [endpoint.error_rate for endpoint in reporting]
@@ -85,13 +91,17 @@
         latencies = [endpoint.mean_latency for endpoint in reporting]
         self.error_rate = weighted_median(list(zip(error_rates, counts)))
         self.utilization = weighted_median(list(zip(utilizations, counts)))
-        self.lateness = weighted_median(list(zip(latencies, counts))) / target
-        self.reporting = len(reporting)
-
-    def _mean_share(self, ready: list[EndpointState], admitted: float) -> float:
-        """Where proxies avoid what fails them, what ramping endpoints lack weighs on the others."""
-        avoids = self.context.settings.get("fails_to_shun")
-        if avoids and (admitted < 1 or self.utilization > BUSY):
-            shares = [endpoint.weight_fraction for endpoint in ready if endpoint.usable]
-            return fsum(shares) / max(1, len(ready))
+        self.latency_ratio = weighted_median(list(zip(latencies, counts))) / target
+        self.reporting_endpoints = len(reporting)
+
+    def _mean_weight_fraction(self, ready: list[EndpointState], admitted_fraction: float) -> float:
+        """Return the mean published fraction of the ready endpoints' weights.
+
+        Return 1 unless proxies avoid failing endpoints and the fleet is busy or sheds load: in that
+        case the other endpoints carry the load that ramping endpoints do not take.
+        """
+        avoids_failing = self.context.settings.get("fails_to_shun")
+        if avoids_failing and (admitted_fraction < 1 or self.utilization > BUSY_UTILIZATION):
+            fractions = [endpoint.weight_fraction for endpoint in ready if endpoint.usable]
+            return fsum(fractions) / max(1, len(ready))
         return 1.0
--- a/peatlead/planner/gossip.py
+++ b/peatlead/planner/gossip.py
@@ -1,72 +1,78 @@
-"""Notes between controllers about endpoints that fail.
+"""Gossip between controllers about failing endpoints.
 
-Each controller receives reports of a part of the few attempts that a failing endpoint still gets:
-no part alone may suffice to eject it. A controller sends what its own proxies report, never what
-others sent, so that no count travels in a circle.
+A failing endpoint receives few attempts, and each controller receives reports of only a part of
+them, which may not suffice to eject the endpoint. A controller sends only what its own proxies
+report and never what other controllers sent, so that no count is propagated in a circle.
 """
 
 from typing import NamedTuple
 
 from ..interface import GossipReceived, SendGossip
 from .context import PlannerContext
-from .endpoint_state import NEVER, Counts, DatedCounts, EndpointState
+from .endpoint_state import DISTANT_PAST, Counts, DatedCounts, EndpointState
 from .load_statistics import FailingEndpoint, LoadStatistics
 
-MAX_ENDPOINTS = 20  # of a round's notes, and of one that is read
-MAX_NOTE_BYTES = 250  # the wire takes 256
-MAX_COUNT = 1e6  # attempts, errors or seconds that a note is believed
+MAX_ENDPOINTS = 20  # per round when sending, and per message when receiving
+MAX_PAYLOAD_BYTES = 250  # the wire format allows 256
+MAX_COUNT = 1e6  # attempts, errors or seconds; higher received values are reduced to it
 
 
-class Report(NamedTuple):
-    """One line of a note."""
+class ReportedCounts(NamedTuple):
+    """One line of a gossip message."""
 
     name: bytes
     counts: Counts
 
 
-def format_notes(failing: list[FailingEndpoint]) -> list[bytes]:
-    """Notes of the worst endpoints: a line each of name, attempts, errors and seconds."""
+def encode_payloads(failing: list[FailingEndpoint]) -> list[bytes]:
+    """Return the payloads of the gossip messages about the worst endpoints.
+
+    Each line consists of an endpoint's name, attempts, errors and summed latency in seconds. A
+    single line that is longer than a payload may be is left out.
+    """
     worst = sorted(failing, key=lambda failed: (-failed.counts.errors, failed.name, failed.counts))
-    notes = [b""]
+    payloads = [b""]
     for name, counts in worst[:MAX_ENDPOINTS]:
         line = b"%s %.1f %.1f %.2f" % (name, *counts)
-        if notes[-1] and len(notes[-1]) + 1 + len(line) > MAX_NOTE_BYTES:
-            notes.append(b"")
-        notes[-1] += b"\n" * bool(notes[-1]) + line
-    return [note for note in notes if len(note) <= MAX_NOTE_BYTES]
+        if payloads[-1] and len(payloads[-1]) + 1 + len(line) > MAX_PAYLOAD_BYTES:
+            payloads.append(b"")
+        payloads[-1] += b"\n" * bool(payloads[-1]) + line
+    return [payload for payload in payloads if len(payload) <= MAX_PAYLOAD_BYTES]
 
 
-def parse_note(payload: bytes) -> list[Report]:
-    """The lines of a note; those that can't be read, as of another release, are left out."""
+def decode_payload(payload: bytes) -> list[ReportedCounts]:
+    """Return the lines of a payload; malformed lines are ignored, e.g. from another release."""
     reports = []
     for line in payload.split(b"\n")[:MAX_ENDPOINTS]:
         name, *fields = line.split(b" ")
         try:
-            attempts, errors, latency = [min(MAX_COUNT, max(0.0, float(field))) for field in fields]
+            attempts, errors, latency_sum = [
+                min(MAX_COUNT, max(0.0, float(field))) for field in fields
+            ]
         except ValueError:
             continue
         if 0 < errors <= attempts:
-            reports.append(Report(name, Counts(attempts, errors, latency)))
+            reports.append(ReportedCounts(name, Counts(attempts, errors, latency_sum)))
     return reports
 
 
 class Gossip:
-    """Sends and takes in notes."""
+    """Sends and receives gossip messages."""
 
     def __init__(self, context: PlannerContext, statistics: LoadStatistics) -> None:
         self.context = context
         self.statistics = statistics
 
     def send(self, failing: list[FailingEndpoint]) -> None:
-        """Send this round's notes, where notes are permitted."""
+        """Send the messages of this round, if gossip is enabled."""
         if failing and self.context.settings.get("peer_notes"):
-            notes = format_notes(failing)
-            self.context.commands += [SendGossip(None, note) for note in notes]
+            payloads = encode_payloads(failing)
+            self.context.commands += [SendGossip(None, payload) for payload in payloads]
 
-    def on_note(self, event: GossipReceived) -> None:
-        """Count what another controller's proxies report."""
+    def on_gossip(self, event: GossipReceived) -> None:
+        """Store the counts that the proxies of another controller reported."""
         by_name = {endpoint.name: endpoint for endpoint in self.context.endpoints.values()}
-        for name, counts in parse_note(event.payload):
+        for name, counts in decode_payload(event.payload):
             endpoint = by_name.get(name)
             if endpoint and self._covers_this_process(endpoint):
                 now = self.context.now
@@ -75,5 +81,5 @@
                     endpoint.last_success_at = now
 
     def _covers_this_process(self, endpoint: EndpointState) -> bool:
-        """Whether counts of the last cycle are those of the present process."""
-        return self.context.now - self.statistics.cycle > (endpoint.cold_since or NEVER)
+        """Return whether the current process was running during the whole last cycle."""
+        return self.context.now - self.statistics.cycle > (endpoint.cold_since or DISTANT_PAST)
--- a/peatlead/planner/load_shedding.py
+++ b/peatlead/planner/load_shedding.py
@@ -1,35 +1,37 @@
-"""Load shedding: how much of all work is admitted while the fleet lacks capacity.
+"""Load shedding: the fraction of all work that is admitted while the fleet lacks capacity.
 
-The admitted fraction falls by a limited factor while the median attempt fails, is late or meets
-full endpoints, and to the least at once in an overload: full queues hold work whose clients have
-gone, which must be finished first. It comes back fast to what was surely carried before, and slowly
-past it, since reports lag and an overload costs more.
+The fraction decreases by a limited factor while the median attempt fails, is slow or meets a full
+endpoint. In an overload it drops to the minimum at once: full queues hold requests whose clients
+have given up, and these must be processed first. It quickly returns to a level that the fleet is
+known to carry, and increases slowly above that level, since reports are delayed and another
+overload is expensive.
 """
 
 from .channel_budget import ChannelBudget
 from .context import COVERAGE, PlannerContext
-from .fleet_load import HIGH_ERROR_RATE, HIGH_LATENESS, FleetLoad
+from .fleet_load import HIGH_ERROR_RATE, HIGH_LATENCY_RATIO, FleetLoad
 
-LEAST_ADMITTED = 0.3  # of all work
-FULL_UTILIZATION = 0.85  # from which less is admitted
-FULL_UTILIZATION_IN_SHARDS = 0.75  # likewise where shards load endpoints unevenly
+MIN_ADMITTED_FRACTION = 0.3  # of all work
+MAX_UTILIZATION = 0.85  # above it less is admitted
+MAX_UTILIZATION_SHARDED = 0.75  # same, for shards that load endpoints unevenly
 UPDATE_INTERVAL = 0.8  # seconds between two changes
-OVERLOAD_PAUSE = 1.0  # seconds more after a cut to the least
-LEAST_REPORTING = 3  # endpoints with attempts, or nothing is known
-MESSAGES_PART = 0.7  # of every proxy's messages: a change goes to all
-
-LOW_UTILIZATION = 0.6  # below which errors and lateness are no lack of capacity
-WHOLE_SHARE = 0.9  # of the endpoints' weights: none ramps
-OVERLOAD_ERRORS = 3  # times the high error rate
-OVERLOAD_LATENESS = 2  # times the high lateness
-WORST_CUT = 0.85  # what a cut leaves at least
-LEAST_CUT = 0.9  # what a cut leaves at most
-IMPROVED = 0.95  # of the last cut's severity: below it no further cut is made
-SAFE_PART = 0.85  # of the admitted fraction where an overload began, surely carried
-LOW_LATENESS = 0.7  # of the high lateness, below which more is admitted
-REGAIN_STEP = 0.02  # of all work, past what is surely carried
-REGAIN_ROUNDS = 10  # rounds over which the reported capacity is used up
-LEAST_UTILIZATION = 0.4  # that reported capacity is computed by
+OVERLOAD_DELAY = 1.0  # additional seconds after a cut to the minimum
+MIN_REPORTING_ENDPOINTS = 3  # endpoints with attempts that a decision requires
+ADMISSION_MESSAGES_FRACTION = 0.7  # of each proxy's message limit, since a change is sent to all
+
+# Below this utilization, errors and high latency do not indicate a lack of capacity.
+LOW_UTILIZATION = 0.6
+MIN_MEAN_WEIGHT_FRACTION = 0.9  # above it no endpoint ramps
+OVERLOAD_ERROR_FACTOR = 3  # times the high error rate
+OVERLOAD_LATENCY_FACTOR = 2  # times the high latency ratio
+MIN_CUT_FACTOR = 0.85
+MAX_CUT_FACTOR = 0.9
+IMPROVED_SEVERITY_FACTOR = 0.95  # of the severity at the last cut; below it no further cut is made
+SAFE_FACTOR = 0.85  # of the admitted fraction before an overload
+LOW_LATENCY_FACTOR = 0.7  # of the high latency ratio, below which more is admitted
+MIN_INCREASE = 0.02  # of all work, above the safe fraction
+INCREASE_ROUNDS = 10  # rounds in which the reported spare capacity is put to use
+MIN_UTILIZATION = 0.4  # lower bound in the computation of the spare capacity
 
 
 class LoadShedding:
@@ -44,98 +46,111 @@
         self.context = context
         self.fleet_load = fleet_load
         self.budget = budget
-        in_shards = context.proxies_expected > COVERAGE
-        self.full = FULL_UTILIZATION_IN_SHARDS if in_shards else FULL_UTILIZATION
-        self.admitted = 1.0  # of all work
-        self.safe = 1.0  # admitted fraction that was surely carried
-        self.cutting = False  # the last change was a cut
-        self.overload_reported = False  # the last round looked like an overload
-        self.severity = 0.0  # lateness and errors at the last cut
-        self.next_at = 0.0  # seconds, when the fraction may change again
+        in_shards = context.expected_proxies > COVERAGE
+        self.max_utilization = MAX_UTILIZATION_SHARDED if in_shards else MAX_UTILIZATION
+        self.admitted_fraction = 1.0  # of all work
+        self.safe_fraction = 1.0  # admitted fraction that the fleet is known to carry
+        self.cutting = False  # whether the last change was a cut
+        self.overload_reported = False  # whether the last round showed an overload
+        self.severity = 0.0  # latency ratio plus error rate at the last cut
+        self.next_update_at = 0.0  # seconds, when the fraction may change again
 
     def update(self) -> bool:
-        """Change the admitted fraction as the round has it; false where it isn't looked at."""
+        """Update the admitted fraction by the round; return whether an update was due."""
         if not self._is_due():
             return False
-        self.next_at = self.context.now + UPDATE_INTERVAL
+        self.next_update_at = self.context.now + UPDATE_INTERVAL
         load = self.fleet_load
         has_capacity = self._has_capacity()
         over_limit = (
             load.error_rate > HIGH_ERROR_RATE
-            or load.lateness > HIGH_LATENESS
-            or load.utilization > self.full
+            or load.latency_ratio > HIGH_LATENCY_RATIO
+            or load.utilization > self.max_utilization
         )
         if over_limit and not has_capacity:
-            self._cut()
-        elif (has_capacity and self._may_regain()) or (
-            load.lateness < LOW_LATENESS * HIGH_LATENESS and load.utilization < self.full
+            self._decrease()
+        elif (has_capacity and self._may_increase()) or (
+            load.latency_ratio < LOW_LATENCY_FACTOR * HIGH_LATENCY_RATIO
+            and load.utilization < self.max_utilization
         ):
-            self._regain()
+            self._increase()
         return True
 
     def _is_due(self) -> bool:
         return (
-            self.context.now >= self.next_at
-            and self.fleet_load.reporting >= LEAST_REPORTING
-            and all(self.budget.may_update(proxy, MESSAGES_PART) for proxy in self.context.joined)
+            self.context.now >= self.next_update_at
+            and self.fleet_load.reporting_endpoints >= MIN_REPORTING_ENDPOINTS
+            and all(
+                self.budget.may_update(proxy, ADMISSION_MESSAGES_FRACTION)
+                for proxy in self.context.connected_proxies
+            )
         )
 
     def _has_utilization(self) -> bool:
-        """Whether endpoints report their utilization."""
+        """Return whether endpoints report their utilization."""
         return "util" in self.context.settings["report_fields"]
 
     def _has_capacity(self) -> bool:
-        """Errors and lateness while endpoints have capacity are no lack of it.
+        """Return whether the endpoints have spare capacity in spite of errors and high latency.
 
-        They may be lost answers or impatient clients; or, right after a cut, what was sent before
-        it. Load reports are newer.
+        In that case errors may come from lost responses or impatient clients, or from requests sent
+        before a cut. Load reports are more recent than reports of attempts.
         """
-        known = self._has_utilization() or self.admitted <= LEAST_ADMITTED
+        known = self._has_utilization() or self.admitted_fraction <= MIN_ADMITTED_FRACTION
         return self.fleet_load.utilization < LOW_UTILIZATION and known
 
-    def _may_regain(self) -> bool:
-        """Whether the whole fleet fares well, none ramping; or no less can be admitted."""
+    def _may_increase(self) -> bool:
+        """Return whether the fleet is healthy and no endpoint ramps.
+
+        At the minimum an increase is always allowed.
+        """
         load = self.fleet_load
-        whole = (
-            load.lateness < HIGH_LATENESS
+        healthy = (
+            load.latency_ratio < HIGH_LATENCY_RATIO
             and load.error_rate < HIGH_ERROR_RATE
-            and load.mean_share > WHOLE_SHARE
+            and load.mean_weight_fraction > MIN_MEAN_WEIGHT_FRACTION
         )
-        return whole or self.admitted <= LEAST_ADMITTED
+        return healthy or self.admitted_fraction <= MIN_ADMITTED_FRACTION
 
-    def _cut(self) -> None:
+    def _decrease(self) -> None:
         """Admit less.
 
-        Two rounds must show an overload: reports that a stall delayed look like one. What was
-        admitted before a cut is still being reported: no further cut is made once it gets better.
+        An overload must show in two consecutive rounds, since delayed reports after a stall look
+        like one. Reports lag behind a cut, so no further cut is made while the severity falls.
         """
         load = self.fleet_load
         overload = (
-            load.error_rate > OVERLOAD_ERRORS * HIGH_ERROR_RATE
-            or load.lateness > OVERLOAD_LATENESS * HIGH_LATENESS
+            load.error_rate > OVERLOAD_ERROR_FACTOR * HIGH_ERROR_RATE
+            or load.latency_ratio > OVERLOAD_LATENCY_FACTOR * HIGH_LATENCY_RATIO
         )
         confirmed = overload and self.overload_reported
         if confirmed or not self.cutting:
-            self.safe = SAFE_PART * (self.safe if self.cutting else self.admitted)
-        severity = load.lateness + load.error_rate
-        worse = severity >= IMPROVED * self.severity
-        by_lateness = HIGH_LATENESS / max(HIGH_LATENESS, load.lateness)
-        factor = max(WORST_CUT, min(LEAST_CUT, by_lateness)) if worse else 1.0
+            self.safe_fraction = SAFE_FACTOR * (
+                self.safe_fraction if self.cutting else self.admitted_fraction
+            )
+        severity = load.latency_ratio + load.error_rate
+        worse = severity >= IMPROVED_SEVERITY_FACTOR * self.severity
+        by_latency = HIGH_LATENCY_RATIO / max(HIGH_LATENCY_RATIO, load.latency_ratio)
+        factor = max(MIN_CUT_FACTOR, min(MAX_CUT_FACTOR, by_latency)) if worse else 1.0
         if confirmed:
-            self.admitted = LEAST_ADMITTED
-            self.next_at += OVERLOAD_PAUSE
+            self.admitted_fraction = MIN_ADMITTED_FRACTION
+            self.next_update_at += OVERLOAD_DELAY
         else:
-            self.admitted = max(LEAST_ADMITTED, self.admitted * factor)
+            self.admitted_fraction = max(MIN_ADMITTED_FRACTION, self.admitted_fraction * factor)
         self.cutting = True
         self.overload_reported = overload
         self.severity = severity
 
-    def _regain(self) -> None:
-        """Admit more: at once what was surely carried, past it in steps by the free capacity."""
-        free = self.full / max(LEAST_UTILIZATION, self.fleet_load.utilization) - 1
-        reported = self._has_utilization() * self.admitted * free / REGAIN_ROUNDS
-        step = max(REGAIN_STEP, reported)
-        self.admitted = min(1.0, max(self.safe, self.admitted + step))
+    def _increase(self) -> None:
+        """Admit more.
+
+        The safe fraction is admitted at once; above it the fraction increases by the spare
+        capacity.
+        """
+        spare = self.max_utilization / max(MIN_UTILIZATION, self.fleet_load.utilization) - 1
+        by_capacity = self._has_utilization() * self.admitted_fraction * spare / INCREASE_ROUNDS
+        step = max(MIN_INCREASE, by_capacity)
+        self.admitted_fraction = min(1.0, max(self.safe_fraction, self.admitted_fraction + step))
         self.cutting = False
         self.overload_reported = False
         self.severity = 0.0
--- a/peatlead/planner/outlier_detection.py
+++ b/peatlead/planner/outlier_detection.py
@@ -1,16 +1,16 @@
-"""Outlier detection, as in Envoy: ejects endpoints that fail against their peers for a while.
+"""Outlier detection, as in Envoy: temporarily ejects endpoints that fail compared with their peers.
 
-Reports and health checks eject an endpoint only by comparison with its peers: a fault that all
-share ejects nobody, and the rest must be able to carry the load. One that is slow or full is
-relieved instead (load_relief.py): ejecting it would overload the others. The wait of an ejection
-doubles each time that the endpoint fails again soon.
+Reports and health checks eject an endpoint only by comparison with its peers. A fault that all
+endpoints share ejects none, and the remaining endpoints must be able to carry the load. An endpoint
+that is slow or full is relieved instead (load_relief.py), because ejecting it would overload the
+others. The duration of an ejection doubles if the endpoint fails again soon after its return.
 """
 
 from math import log
 
 from .context import PlannerContext
 from .endpoint_schedule import EndpointSchedule
-from .endpoint_state import LEAST_COUNT, EndpointState
+from .endpoint_state import MIN_COUNT, EndpointState
 from .fleet_load import PeerMedians
 from .load_relief import LoadRelief
 from .load_statistics import LoadStatistics
@@ -19,38 +19,42 @@
 from .table_changes import TableChanges
 from .zone_paths import ZonePaths
 
-FIRST_EJECTION = 10.0  # seconds, doubled with each ejection that follows soon
-LONGEST_EJECTION = 60.0  # seconds
-REPEATED_EJECTION_SPAN = 30  # seconds after a return, in which an ejection follows soon
-MAX_EJECTED_PART = 0.4  # of the ready endpoints: the rest could not carry the load
-PASSES_TO_RETURN = 2  # health checks in a row, where the ejection followed from checks
-
-# Silence: no success for longer than reports take, and health checks that fail.
-SILENT_CYCLES = 1.3  # cycles of reports without a success
-SILENT_ERROR_RATE = 0.6  # from which peers with capacity don't wait for silence
-CAPACITY_LEFT = 0.7  # utilization below which peers have capacity
-LEAST_FAILED_CHECKS = 3.0  # in a row
-CHANCE_OF_FAILED_CHECKS = 0.001  # that the median endpoint's checks fail so often in a row
-FAILURE_RATE_BOUNDS = (0.01, 0.8)  # of the median endpoint's checks, as far as they are believed
-REPORTED_ERRORS = 0.5  # faded errors that count as a report of errors
-
-# Errors and latency against the peers.
-LEAST_EVALUATED_ATTEMPTS = 2  # faded, of an endpoint that is compared by them
-LEAST_ERRORS = 3  # faded
+INITIAL_EJECTION_DURATION = 10.0  # seconds, doubled with each repeated ejection
+MAX_EJECTION_DURATION = 60.0  # seconds
+REPEATED_EJECTION_WINDOW = 30  # seconds after a return within which an ejection counts as repeated
+MAX_EJECTED_FRACTION = 0.4  # of the ready endpoints, so that the rest can carry the load
+MIN_PASSED_CHECKS = 2  # consecutive, to end an ejection by health checks
+
+# Unresponsive endpoints: no recent successful attempt, and failing health checks.
+MAX_CYCLES_WITHOUT_SUCCESS = 1.3  # reporting cycles
+# Above this error rate an endpoint is ejected earlier if its peers have spare capacity.
+UNRESPONSIVE_ERROR_RATE = 0.6
+SPARE_CAPACITY_UTILIZATION = 0.7  # below it the peers have spare capacity
+MIN_FAILED_CHECKS = 3.0  # consecutive
+# Probability that the median endpoint fails so many consecutive checks.
+MAX_CHANCE_OF_FAILED_CHECKS = 0.001
+# The median check failure rate is clamped to this range.
+CHECK_FAILURE_RATE_RANGE = (0.01, 0.8)
+MIN_REPORTED_ERRORS = 0.5  # decayed errors that confirm failed checks
+
+# Errors and latency compared with the peers.
+MIN_EVALUATED_ATTEMPTS = 2  # decayed
+MIN_ERRORS = 3  # decayed
 EJECTION_ERROR_RATE = 0.25
-PEER_ERRORS_FACTOR = 3  # times the peers' error rate
-PEER_ERRORS_MARGIN = 0.1  # and so much more
-SLOW_FACTOR = 1.5  # times the peers' latency
-SLOW_TARGET = 0.6  # of the response target
-FAST_FACTOR = 1.2  # times the peers' latency, up to which one that fails isn't overloaded
-OVERLOADED = 0.8  # utilization from which errors are overload
-FULL = 0.85  # utilization from which an endpoint is relieved
-FULLER_THAN_PEERS = 0.15  # utilization above the peers'
-EMPTIER_THAN_PEERS = 0.1  # utilization below the peers'
+PEER_ERROR_RATE_FACTOR = 3  # times the peers' error rate
+PEER_ERROR_RATE_MARGIN = 0.1  # added to the product
+SLOW_LATENCY_FACTOR = 1.5  # times the peers' latency
+SLOW_TARGET_FACTOR = 0.6  # times the response target
+# Times the peers' latency; above it the errors of an endpoint are attributed to overload.
+OVERLOADED_LATENCY_FACTOR = 1.2
+OVERLOADED_UTILIZATION = 0.8  # at or above it, errors are attributed to overload
+RELIEF_UTILIZATION = 0.85  # above it an endpoint is relieved
+RELIEF_UTILIZATION_MARGIN = 0.15  # above the peers' utilization
+RESTORE_UTILIZATION_MARGIN = 0.1  # below the peers' utilization
 
 
 class OutlierDetection:
-    """Compares every endpoint with its peers once a round."""
+    """Compares every endpoint with its peers once per round."""
 
     def __init__(
         self,
@@ -58,121 +62,130 @@
         changes: TableChanges,
         schedule: EndpointSchedule,
         statistics: LoadStatistics,
-        paths: ZonePaths,
-        relief: LoadRelief,
+        zone_paths: ZonePaths,
+        load_relief: LoadRelief,
         slow_start: SlowStart,
     ) -> None:
         self.context = context
         self.changes = changes
         self.schedule = schedule
         self.statistics = statistics
-        self.paths = paths
-        self.relief = relief
+        self.zone_paths = zone_paths
+        self.load_relief = load_relief
         self.slow_start = slow_start
 
     def evaluate(self, ready: list[EndpointState], peers: PeerMedians) -> None:
-        """Eject or relieve what stands out among the ready endpoints."""
+        """Eject or relieve the outliers among the ready endpoints."""
         failed_checks = failed_checks_to_eject(ready)
         for endpoint in [endpoint for endpoint in ready if endpoint.usable]:
-            if self._is_silent(endpoint, peers, failed_checks):
+            if self._is_unresponsive(endpoint, peers, failed_checks):
                 self.eject(endpoint, ready, by_checks=True)
-            elif endpoint.attempts >= LEAST_EVALUATED_ATTEMPTS:
+            elif endpoint.attempts >= MIN_EVALUATED_ATTEMPTS:
                 self._evaluate_reports(endpoint, ready, peers)
 
-    def _is_silent(self, endpoint: EndpointState, peers: PeerMedians, failed_checks: float) -> bool:
-        """Whether it has stopped answering: checks and reports must both say so.
+    def _is_unresponsive(
+        self, endpoint: EndpointState, peers: PeerMedians, failed_checks: float
+    ) -> bool:
+        """Return whether the endpoint has stopped answering, by health checks and reports.
 
-        Reports cover seconds and the successes in them may be older: peers that have capacity don't
-        wait for silence. Where proxies report no attempts, checks alone suffice.
+        Reports cover several seconds, so the successes in them may be outdated. If the peers have
+        spare capacity, many errors suffice before the time without success has passed. If proxies
+        do not report attempts, health checks alone decide.
         """
         if endpoint.failed_checks < failed_checks:
             return False
         reports = self.context.settings.get("tries_told", True)
-        if reports and endpoint.errors <= REPORTED_ERRORS:
+        if reports and endpoint.errors <= MIN_REPORTED_ERRORS:
             return False
         path = (self.context.settings["zone"], endpoint.zone)
-        last = max(endpoint.last_success_at, self.paths.bad_until(path))
-        if self.context.now - last > SILENT_CYCLES * self.statistics.cycle:
+        last_answer_at = max(endpoint.last_success_at, self.zone_paths.bad_until(path))
+        if self.context.now - last_answer_at > MAX_CYCLES_WITHOUT_SUCCESS * self.statistics.cycle:
             return True
         return (
-            recent_error_rate(endpoint) > SILENT_ERROR_RATE
-            and endpoint.errors >= LEAST_ERRORS
-            and peers.utilization < CAPACITY_LEFT
+            recent_error_rate(endpoint) > UNRESPONSIVE_ERROR_RATE
+            and endpoint.errors >= MIN_ERRORS
+            and peers.utilization < SPARE_CAPACITY_UTILIZATION
         )
 
     def _evaluate_reports(
         self, endpoint: EndpointState, ready: list[EndpointState], peers: PeerMedians
     ) -> None:
-        """Eject it if it fails, relieve it if it is slow or full.
+        """Eject the endpoint if it fails, or relieve it if it is slow or full.
 
-        One that is full rejects as fast as one that is broken, but ejecting it would overload the
-        others.
+        A full endpoint may reject requests as quickly as a broken one, but ejecting it would
+        overload the others.
         """
         latency = endpoint.mean_latency
-        tolerated = PEER_ERRORS_FACTOR * peers.error_rate + PEER_ERRORS_MARGIN
-        failing = endpoint.errors >= LEAST_ERRORS and recent_error_rate(endpoint) > max(
-            EJECTION_ERROR_RATE, tolerated
+        tolerated_error_rate = PEER_ERROR_RATE_FACTOR * peers.error_rate + PEER_ERROR_RATE_MARGIN
+        failing = endpoint.errors >= MIN_ERRORS and recent_error_rate(endpoint) > max(
+            EJECTION_ERROR_RATE, tolerated_error_rate
+        )
+        slow = latency > max(SLOW_LATENCY_FACTOR * peers.latency, SLOW_TARGET_FACTOR * peers.target)
+        full = endpoint.utilization > max(
+            RELIEF_UTILIZATION, peers.utilization + RELIEF_UTILIZATION_MARGIN
+        )
+        overloaded = (
+            latency > OVERLOADED_LATENCY_FACTOR * peers.latency
+            or endpoint.utilization >= OVERLOADED_UTILIZATION
         )
-        slow = latency > max(SLOW_FACTOR * peers.latency, SLOW_TARGET * peers.target)
-        full = endpoint.utilization > max(FULL, peers.utilization + FULLER_THAN_PEERS)
-        overloaded = latency > FAST_FACTOR * peers.latency or endpoint.utilization >= OVERLOADED
         if failing and not overloaded:
             self.eject(endpoint, ready, by_checks=False)
         elif failing or slow or full:
-            self.relief.relieve(endpoint, ready)
-        elif endpoint.utilization < peers.utilization - EMPTIER_THAN_PEERS:
-            self.relief.restore_now(endpoint)
+            self.load_relief.relieve(endpoint, ready)
+        elif endpoint.utilization < peers.utilization - RESTORE_UTILIZATION_MARGIN:
+            self.load_relief.restore_now(endpoint)
 
     def eject(self, endpoint: EndpointState, ready: list[EndpointState], by_checks: bool) -> None:
-        """Take it out of all tables for a while, unless too many are out already."""
+        """Remove the endpoint from all tables for a while, unless too many are unusable already."""
         unusable = sum([not other.usable for other in ready])
-        if unusable + 1 > len(ready) * MAX_EJECTED_PART:
+        if unusable + 1 > len(ready) * MAX_EJECTED_FRACTION:
             return
         now = self.context.now
         endpoint.unusable_since = now
-        soon = now - endpoint.restored_at <= REPEATED_EJECTION_SPAN
-        endpoint.consecutive_ejections = endpoint.consecutive_ejections + 1 if soon else 1
+        repeated = now - endpoint.restored_at <= REPEATED_EJECTION_WINDOW
+        endpoint.consecutive_ejections = endpoint.consecutive_ejections + 1 if repeated else 1
         endpoint.ejected_by_checks = by_checks
         endpoint.passed_checks = 0
-        wait = FIRST_EJECTION * 2 ** (endpoint.consecutive_ejections - 1)
-        endpoint.ejected_until = now + min(LONGEST_EJECTION, wait)
+        duration = INITIAL_EJECTION_DURATION * 2 ** (endpoint.consecutive_ejections - 1)
+        endpoint.ejected_until = now + min(MAX_EJECTION_DURATION, duration)
         self.changes.removals_pending = True
         self.changes.touch(endpoint)
         self.schedule.activate(endpoint)
         self.context.log(f"host {endpoint.id} dropped: {'probes' if by_checks else 'sums'}")
 
     def restore_if_due(self, endpoint: EndpointState) -> None:
-        """Bring an ejected endpoint back, with a ramp, once it passed checks or its wait is over.
+        """End an ejection that is due, and ramp the endpoint.
 
-        A shallow check passes at an endpoint that hangs: passes count only where checks had
-        failed.
+        An ejection by health checks ends after passed checks, any other ejection after its
+        duration. A shallow health check passes at an endpoint that hangs, so passed checks count
+        only if failed checks caused the ejection.
         """
         if endpoint.ejected_until is None:
             return
         if endpoint.ejected_by_checks:
-            due = endpoint.passed_checks >= PASSES_TO_RETURN
+            due = endpoint.passed_checks >= MIN_PASSED_CHECKS
         else:
             due = self.context.now >= endpoint.ejected_until
         if due:
             endpoint.ejected_until = None
             endpoint.restored_at = self.context.now
             endpoint.clear_evidence(self.context.now)
-            self.slow_start.begin(endpoint)
+            self.slow_start.begin_ramp(endpoint)
             self.changes.mark(endpoint)
 
 
 def recent_error_rate(endpoint: EndpointState) -> float:
-    """Errors by attempts, of an endpoint that may have had none."""
-    return endpoint.errors / max(LEAST_COUNT, endpoint.attempts)
+    """Return errors per attempt of an endpoint that may have had no attempts."""
+    return endpoint.errors / max(MIN_COUNT, endpoint.attempts)
 
 
 def failed_checks_to_eject(ready: list[EndpointState]) -> float:
-    """Failed checks in a row that are more than chance.
+    """Return the number of consecutive failed checks that is unlikely to occur by chance.
 
-    A deep check times out at a busy endpoint: more must fail in a row than chance brings at the
-    median endpoint.
+    A deep check may time out at a busy endpoint. The number is so high that the checks of the
+    median endpoint rarely fail as often in a row.
     """
-    lowest, highest = FAILURE_RATE_BOUNDS
-    usual = median([endpoint.check_failure_rate for endpoint in ready])
-    by_chance = log(CHANCE_OF_FAILED_CHECKS) / log(min(highest, max(lowest, usual)))
-    return max(LEAST_FAILED_CHECKS, by_chance)
+    lowest, highest = CHECK_FAILURE_RATE_RANGE
+    median_rate = median([endpoint.check_failure_rate for endpoint in ready])
+    needed = log(MAX_CHANCE_OF_FAILED_CHECKS) / log(min(highest, max(lowest, median_rate)))
+    return max(MIN_FAILED_CHECKS, needed)
--- a/peatlead/planner/planner.py
+++ b/peatlead/planner/planner.py
@@ -1,13 +1,14 @@
-"""The planner of one controller: events in, commands out, no I/O and no clock of its own.
+"""The planner of one controller: events in, commands out, without I/O or a clock of its own.
 
     planner = Planner(settings, seed)
     commands = planner.decide(now, events)
 
-`settings` maps names to values (settings.py), `now` is in float seconds; events and commands:
-peatlead/interface.py. Equal settings, seeds and events give equal commands.
+`settings` maps names to values (settings.py) and `now` is in float seconds. Events and commands are
+defined in peatlead/interface.py. Equal settings, seeds and events give equal commands.
 
-A proxy's table is its hashed, zone-spread shard (docs/design.md). The mechanisms stand in a module
-each; this one connects them and holds the order in which they run.
+A proxy's table is its shuffle shard, which is spread over the zones (docs/design.md). Each
+mechanism has its own module. This module connects the mechanisms and defines the order in which
+they run.
 """
 
 from collections.abc import Callable, Iterable
@@ -49,7 +50,7 @@
 
 
 class Planner:
-    """All decisions of one controller."""
+    """Makes all decisions of one controller."""
 
     def __init__(self, settings: dict[str, Any], seed: int) -> None:
         self.context = context = PlannerContext(cast(PlannerSettings, settings), seed)
@@ -78,36 +79,36 @@
             interface.HealthCheckResult: self.health_checks.on_result,
             interface.TimerFired: self.on_timer,
             interface.RequestStats: self.class_admission.on_request_stats,
-            interface.GossipReceived: self.gossip.on_note,
+            interface.GossipReceived: self.gossip.on_gossip,
             interface.Acknowledged: self.on_acknowledged,
         }
 
     def _build_reports(self) -> None:
-        """The input: reports, health checks, demand."""
+        """Create the mechanisms that process reports, health checks and demand."""
         context, changes = self.context, self.changes
         self.reports = ReportRound(context)
         self.health_checks = HealthChecks(context, changes, self.schedule, self.reports)
         self.statistics = LoadStatistics(context, self.reports, self.health_checks)
         self.demand = RequestDemand(context)
-        self.paths = ZonePaths(context, changes, self.demand, self.statistics)
+        self.zone_paths = ZonePaths(context, changes, self.demand, self.statistics)
         self.gossip = Gossip(context, self.statistics)
 
     def _build_tables(self) -> None:
-        """What tables are computed from, and how they are written."""
+        """Create the mechanisms that compute and write tables."""
         context, changes, budget = self.context, self.changes, self.budget
-        self.pools = EndpointPools(context, self.paths)
+        self.pools = EndpointPools(context, self.zone_paths)
         self.zone_capacity = ZoneCapacity(context, changes, self.pools, self.demand)
         self.sharding = ShuffleSharding(context, self.pools, self.zone_capacity)
         self.writer = TableWriter(context, changes, self.sharding, budget)
         self.assignment = TableAssignment(context, self.pools, self.reports, self.writer, budget)
-        self.stages = StagedUpdates(context, changes, self.writer, budget)
+        self.staged_updates = StagedUpdates(context, changes, self.writer, budget)
         self.withdrawals = Withdrawals(context, self.pools, self.sharding, self.assignment, budget)
         self.removals = Removals(
             context, changes, self.sharding, self.writer, self.assignment, budget
         )
 
     def _build_evaluation(self) -> None:
-        """What is decided by reports: admission, slow start, relief, ejections."""
+        """Create the mechanisms that act on reports: admission, slow start, relief, ejection."""
         context, changes, schedule = self.context, self.changes, self.schedule
         self.fleet_load = FleetLoad(context, self.demand)
         self.load_shedding = LoadShedding(context, self.fleet_load, self.budget)
@@ -115,19 +116,19 @@
             context, self.demand, self.fleet_load, self.load_shedding, self.budget
         )
         self.slow_start = SlowStart(context, changes, schedule, self.fleet_load)
-        self.relief = LoadRelief(context, changes, schedule)
-        self.outliers = OutlierDetection(
+        self.load_relief = LoadRelief(context, changes, schedule)
+        self.outlier_detection = OutlierDetection(
             context,
             changes,
             schedule,
             self.statistics,
-            self.paths,
-            self.relief,
+            self.zone_paths,
+            self.load_relief,
             self.slow_start,
         )
 
     def decide(self, now: float, events: Iterable[interface.Event]) -> list[interface.Command]:
-        """The commands that follow from a batch of events, at `now` in seconds."""
+        """Return the commands that follow from a batch of events; `now` is in seconds."""
         self.context.begin(now)
         self.budget.backlog.advance(now)
         if self.class_admission.admissions is None:
@@ -141,7 +142,7 @@
         self.assignment.assign_waiting()
         self.withdrawals.send()
         self.removals.remove_unusable()
-        self.stages.publish_stage()
+        self.staged_updates.publish_stage()
         nonce = self.budget.backlog.end_batch()
         if nonce:
             self.commands.append(interface.RequestAcknowledgement(nonce, False))
@@ -149,7 +150,7 @@
         return self.commands
 
     def status(self, now: float) -> interface.PlannerStatus:
-        """The state of the channel and of waiting proxies, for logs and metrics."""
+        """Return the state of the channel and of unassigned proxies, for logs and metrics."""
         context, backlog = self.context, self.budget.backlog
         oldest = backlog.batches[0].written_at if backlog.batches else now
         waiting = context.unassigned.values()
@@ -163,7 +164,7 @@
         )
 
     def describe(self, endpoint_id: int, now: float) -> Optional[EndpointSummary]:
-        """What is known of an endpoint, for operators; None if it isn't known."""
+        """Return a summary of an endpoint for operators, or None if the endpoint is unknown."""
         endpoint = self.context.endpoints.get(endpoint_id)
         if endpoint is None:
             return None
@@ -171,7 +172,10 @@
         return summarize(endpoint, subscribers, now)
 
     def on_timer(self, event: interface.TimerFired) -> None:
-        """A tick, unless the timer only continues what one batch was too short for."""
+        """Process the tick timer.
+
+        The continuation timer only starts another batch and does nothing else here.
+        """
         if event.token == CONTINUE_TIMER:
             return
         self.commands.append(interface.SetTimer(TICK_TIMER, TICK_INTERVAL))
@@ -182,36 +186,40 @@
             self.advance_endpoint(endpoint)
 
     def on_acknowledged(self, event: interface.Acknowledged) -> None:
-        """What the acknowledgement covers waits no longer."""
+        """Remove the acknowledged entries from the channel backlog."""
         self.budget.backlog.acknowledge(event.proxy, event.nonce)
 
     def end_round(self) -> None:
-        """Evaluate paths, endpoints and the fleet by a round of reports."""
+        """Evaluate paths, endpoints and the fleet by the reports of one round."""
         self.reports.end()
         self.demand.end_round()
-        self.paths.end_round()
-        failing = self.statistics.end_round(self.paths.bad)
+        self.zone_paths.end_round()
+        failing = self.statistics.end_round(self.zone_paths.bad_paths)
         self.gossip.send(failing)
         self.evaluate_endpoints()
         if self.load_shedding.update():
             self.publish_admissions()
 
     def evaluate_endpoints(self) -> None:
-        """Compare the fleet with its capacity, and each endpoint with its peers."""
+        """Compare the fleet's load with its capacity, and each endpoint with its peers."""
         ready = self.fleet_load.ready_endpoints()
-        peers = self.fleet_load.measure(ready, self.load_shedding.admitted)
-        self.outliers.evaluate(ready, peers)
+        peers = self.fleet_load.measure(ready, self.load_shedding.admitted_fraction)
+        self.outlier_detection.evaluate(ready, peers)
 
     def publish_admissions(self) -> None:
         """Publish the admitted fractions."""
         self.class_admission.publish()
 
     def advance_endpoint(self, endpoint: EndpointState) -> None:
-        """Do what time alone brings an endpoint: its return, next step, next health check."""
+        """Apply the changes of an endpoint that depend on time alone.
+
+        These are its return after an ejection or relief, its next ramp step and its next health
+        check.
+        """
         if endpoint.ejected_until is not None:
-            self.outliers.restore_if_due(endpoint)
+            self.outlier_detection.restore_if_due(endpoint)
         if endpoint.traffic_fraction < 1:
-            self.relief.restore_if_due(endpoint)
+            self.load_relief.restore_if_due(endpoint)
         self.slow_start.advance(endpoint)
         self.health_checks.check_if_due(endpoint)
         if (
@@ -220,11 +228,11 @@
             and endpoint.traffic_fraction >= 1
             and endpoint.ramp >= 1
         ):
-            self.schedule.deactivate(endpoint)  # only its next check is due by time
+            self.schedule.deactivate(endpoint)  # only its next health check depends on time
 
     @property
     def settings(self) -> dict[str, Any]:
-        """The settings; a change holds from the next batch on."""
+        """The settings; a change takes effect with the next batch."""
         return cast(dict[str, Any], self.context.settings)
 
     @settings.setter
@@ -238,7 +246,7 @@
 
     @property
     def proxies(self) -> dict[int, ProxyState]:
-        """All proxies that ever connected, by number."""
+        """All proxies that have ever connected, by number."""
         return self.context.proxies
 
     @property
@@ -253,7 +261,7 @@
 
     @property
     def now(self) -> float:
-        """Seconds, of the last batch."""
+        """The time of the last batch in seconds."""
         return self.context.now
 
     @now.setter
@@ -262,7 +270,7 @@
 
     @property
     def commands(self) -> list[interface.Command]:
-        """The commands of the last batch, in the order of their emission."""
+        """The commands of the last batch, in the order in which they were emitted."""
         return self.context.commands
 
     @commands.setter
--- a/peatlead/planner/proxy_connections.py
+++ b/peatlead/planner/proxy_connections.py
@@ -7,11 +7,11 @@
 from .proxy_state import ProxyState
 from .zone_capacity import ZoneCapacity
 
-PREVIOUS_TABLE_PART = 1 / 2  # of the longest time that a previous table may stand
+PREVIOUS_TABLE_FRACTION = 1 / 2  # of the maximum time that a previous table may stay in use
 
 
 class ProxyConnections:
-    """Keeps the context's proxies."""
+    """Keeps the proxies of the context up to date."""
 
     def __init__(
         self,
@@ -26,7 +26,7 @@
         self.budget = budget
 
     def on_connected(self, event: ProxyConnected) -> None:
-        """Take a proxy in: it waits for its tables."""
+        """Add a proxy to the proxies that wait for their tables."""
         context = self.context
         self.zone_capacity.request_update()
         proxy = context.proxies.get(event.proxy)
@@ -38,9 +38,9 @@
         proxy.request_rate = event.request_rate
         proxy.connected_at = context.now
         proxy.assigned = False
-        proxy.notified = set()
-        proxy.notified_count = 0
-        proxy.reset_draw()
+        proxy.notified_endpoints = set()
+        proxy.seen_withdrawals = 0
+        proxy.invalidate_tables()
         proxy.message_times.clear()
         proxy.previous_table_until = context.now + self._previous_table_lifetime() * (
             not event.bootstrap_only
@@ -49,17 +49,18 @@
         context.unassigned[event.proxy] = proxy
 
     def _previous_table_lifetime(self) -> float:
-        """Seconds for which a previous table may stand: its controller knew more.
+        """Return the seconds for which a proxy may keep a table of a previous controller.
 
-        But all its entries may be withdrawn by now; and it may name endpoints that had gone before
-        this controller started, which must not stand for longer than the drain grace.
+        The previous controller had more information. But all entries of its table may have been
+        withdrawn, and the table may name endpoints that were gone before this controller started.
+        Such entries must not be used for longer than the drain grace.
         """
         settings = self.context.settings
         without_entries = max(0.0, settings["bare_most"] - settings["push_delay_most"])
-        return float(min(without_entries, settings["drain_grace"]) * PREVIOUS_TABLE_PART)
+        return float(min(without_entries, settings["drain_grace"]) * PREVIOUS_TABLE_FRACTION)
 
     def on_disconnected(self, event: ProxyDisconnected) -> None:
-        """What was written to it and not sent yet waits no longer."""
+        """Remove the proxy and its entries in the channel backlog."""
         context = self.context
         if event.proxy in context.connected:
             context.connected.pop(event.proxy).assigned = False
--- a/peatlead/planner/proxy_state.py
+++ b/peatlead/planner/proxy_state.py
@@ -1,4 +1,4 @@
-"""What the planner knows of one proxy: its tables, their origin, and what it was sent lately."""
+"""What the planner knows about one proxy: its tables, their sources and its recent messages."""
 
 from collections import deque
 
@@ -9,40 +9,41 @@
 
 
 class ProxyState:
-    """One proxy that has connected; its tables stay known while it is disconnected."""
+    """A proxy that has connected; its tables are kept while it is disconnected."""
 
     def __init__(self, number: int, groups: int, first_table: int) -> None:
         self.number = number
-        self.key = proxy_key(number)  # its rendezvous key
+        self.key = proxy_key(number)  # for rendezvous hashing
         self.zone = 0
-        self.first_table = first_table  # number of its first group's table; the others' follow
-        # By request class group: endpoint id -> weight as published.
+        # Table number of the first group; those of the other groups follow.
+        self.first_table = first_table
+        # By group: endpoint id -> weight as published.
         self.entries: list[dict[int, float]] = [{} for _ in range(groups)]
-        self.assigned = False  # whether it was assigned its tables since it connected
+        self.assigned = False  # whether tables were assigned since the proxy connected
 
         # Connection.
         self.connected_at = 0.0
-        self.previous_table_until = 0.0  # seconds; until then its previous table may stand
-        self.message_times: deque[float] = deque()  # of the messages sent to it lately
+        self.previous_table_until = 0.0  # seconds; until then the previous table may stay in use
+        self.message_times: deque[float] = deque()  # times of recent messages to the proxy
 
         # Requests.
-        self.request_rate = 0.0  # requests a second
-        self.class_rates: dict[int, float] = {}  # requests a second by request class, as reported
-
-        # What its tables were drawn from: one that would come out the same isn't computed again.
-        self.drawn_from: dict[int, EndpointState] = {}  # its shards' endpoints
-        self.seen_pool_changes = NEVER_WRITTEN  # the count of pool changes then
-        self.seen_changes = NEVER_WRITTEN  # the count of endpoint changes then
-        self.beyond_shards = False  # tables that go by endpoints beyond the shards
-        # By (group, zone): the pool, and the first endpoints of the proxy's order of it.
-        self.ranked: dict[
+        self.request_rate = 0.0  # requests per second
+        self.class_rates: dict[int, float] = {}  # requests per second by request class, as reported
+
+        # What the tables were computed from, to avoid computing unchanged tables again.
+        self.source_endpoints: dict[int, EndpointState] = {}  # endpoints of the shards, by id
+        self.seen_pool_changes = NEVER_WRITTEN  # `TableChanges.pool_changes` at that time
+        self.seen_changes = NEVER_WRITTEN  # `TableChanges.count` at that time
+        self.beyond_shards = False  # whether tables depend on endpoints outside the shards
+        # By (group, zone): the pool and the first endpoints in the proxy's order of the pool.
+        self.ranked_pools: dict[
             tuple[int, int], tuple[RendezvousPool[EndpointState], list[EndpointState]]
         ] = {}
 
-        # Withdrawals, while it waits for its tables.
-        self.notified: set[int] = set()  # ids of the endpoints whose withdrawal it was sent
-        self.notified_count = 0  # the planner's count of withdrawals when it was last notified
+        # Withdrawals, while the proxy waits for its tables.
+        self.notified_endpoints: set[int] = set()  # ids of endpoints whose withdrawal was sent
+        self.seen_withdrawals = 0  # `Withdrawals.withdrawal_count` at the last notification
 
-    def reset_draw(self) -> None:
-        """Compute its tables anew with the next write."""
+    def invalidate_tables(self) -> None:
+        """Compute the tables again with the next write."""
         self.seen_pool_changes = NEVER_WRITTEN
--- a/peatlead/planner/removals.py
+++ b/peatlead/planner/removals.py
@@ -1,4 +1,4 @@
-"""Removes endpoints that can't be used from every table at once: what is sent to them is lost."""
+"""Removes unusable endpoints from all tables without delay, since requests to them fail."""
 
 from .channel_budget import ChannelBudget
 from .context import PlannerContext
@@ -8,13 +8,13 @@
 from .table_changes import TableChanges
 from .table_writer import TableWriter
 
-REMOVAL_QUEUE_PART = 0.75  # of the queue: past it removals wait for the next batches
-# Of the drain grace, for which removals wait while tables with earlier deadlines do.
-YIELD_PART = 1 / 3
+REMOVAL_QUEUE_FRACTION = 0.75  # of the queue; above it removals wait for the next batches
+# Of the drain grace: delay of removals while tables with earlier deadlines wait.
+REMOVAL_DELAY_FRACTION = 1 / 3
 
 
 class Removals:
-    """Entries of endpoints that drain, are gone or were ejected."""
+    """Removes entries of endpoints that drain, are gone or are ejected."""
 
     def __init__(
         self,
@@ -33,42 +33,47 @@
         self.budget = budget
 
     def remove_unusable(self) -> None:
-        """Remove what is due, as far as the channel has room."""
+        """Remove the due entries as far as the channel has room."""
         changes = self.changes
         if not changes.removals_pending:
             return
         unusable = [endpoint for endpoint in self.context.endpoints.values() if not endpoint.usable]
-        before = self._due_before()
-        due = {endpoint.id for endpoint in unusable if endpoint.unusable_since <= before}
+        due_before = self._due_before()
+        due = {endpoint.id for endpoint in unusable if endpoint.unusable_since <= due_before}
         changes.removals_pending = len(due) < len(unusable)
-        for proxy in sorted(self._holders_of(due), key=lambda proxy: proxy.first_table):
-            if not self.budget.has_room(REMOVAL_QUEUE_PART):
-                changes.removals_pending = True  # the rest goes with the next batches
+        for proxy in sorted(self._subscribers_of(due), key=lambda proxy: proxy.first_table):
+            if not self.budget.has_room(REMOVAL_QUEUE_FRACTION):
+                changes.removals_pending = True  # for the next batches
                 break
             self._remove_from(proxy, due)
 
     def _due_before(self) -> float:
-        """Seconds; waiting proxies came before the update that made the newest removals due."""
-        yielded = YIELD_PART * self.context.settings["drain_grace"]
-        return float(self.context.now - self.assignment.waits_for_room * yielded)
+        """Return the time in seconds by which an endpoint must have become unusable to be removed.
 
-    def _holders_of(self, endpoints: set[int]) -> list[ProxyState]:
+        While proxies wait for tables, removals are delayed: these proxies connected before the
+        update that caused the newest removals.
+        """
+        delay = REMOVAL_DELAY_FRACTION * self.context.settings["drain_grace"]
+        return float(self.context.now - self.assignment.blocked_by_queue * delay)
+
+    def _subscribers_of(self, endpoints: set[int]) -> list[ProxyState]:
+        """Return the connected proxies with assigned tables that hold any of the endpoints."""
         connected = self.context.connected
         numbers = self.context.subscriber_index.subscribers_of_any(sorted(endpoints))
-        holders = [connected[number] for number in numbers if number in connected]
-        return [proxy for proxy in holders if proxy.assigned]
+        subscribers = [connected[number] for number in numbers if number in connected]
+        return [proxy for proxy in subscribers if proxy.assigned]
 
     def _remove_from(self, proxy: ProxyState, due: set[int]) -> None:
-        """Remove from all of a proxy's tables.
+        """Remove the endpoints from all tables of a proxy.
 
-        A table is written anew where nothing is left, or cold endpoints would get the removed ones'
-        part.
+        The tables are rewritten if one of them is empty or mostly cold, because cold endpoints
+        would otherwise receive the share of the removed ones.
         """
         for group, entries in enumerate(proxy.entries):
             removed = [endpoint for endpoint in entries if endpoint in due]
             for endpoint in removed:
                 self.writer.set_entry(proxy, group, endpoint, 0.0)
-                proxy.reset_draw()
+                proxy.invalidate_tables()
             if removed and (not entries or self._should_rewrite(entries)):
                 self.writer.write(proxy)
 
--- a/peatlead/planner/rendezvous.py
+++ b/peatlead/planner/rendezvous.py
@@ -1,12 +1,12 @@
 """Rendezvous hashing (Thaler and Ravishankar, 1998) of a pool's endpoints for each proxy.
 
-Each proxy has its own random order of the endpoints, which needs no memory: every controller
-computes the same one, and a change of the list moves few entries.
+Each proxy has its own pseudo-random order of the endpoints, which is computed without stored state.
+All controllers compute the same order, and a change of the list moves few entries.
 
-The whole pool is mixed with a proxy's key at once, as lanes of one wide integer: a thousand
-endpoints cost a dozen big-integer operations instead of a thousand calls, and only the candidates
-for the top are sorted. `python -m peatlead.benchmarks.scale` measures the planner on it;
-docs/scale.md compares the alternatives.
+The hashes of the whole pool are mixed with a proxy's key at once, as lanes of one wide integer. For
+a thousand endpoints this takes a dozen big-integer operations instead of a thousand function calls.
+Only candidates for the first places are sorted. `python -m peatlead.benchmarks.scale` measures the
+planner with it, and docs/scale.md compares the alternatives.
 """
 
 import re
@@ -16,42 +16,42 @@
 from hashlib import blake2b
 from typing import Generic, Optional, Protocol, TypeVar
 
-# Picks one order out of many that are alike, so that simulated days can be compared
+# Seed of the hashes; a change would change all orders and the results of simulations
 # (docs/results/scale.md).
 SALT = b"turf"
-LANE_BITS = 64  # of the wide integer that each endpoint has for itself
-WORD_MASK = 0xFFFFFFFF  # the lower half of a lane holds the endpoint's hash
-MIX_SHIFT = 15  # bits, between the two multiplications
-SMALL_POOL = 32  # endpoints; up to here sorting all is as fast as selecting candidates first
-# A filter on the highest byte passes about 256 * part of all values; beyond a half it isn't worth
-# its cost.
-HIGHEST_FILTER = 128
-# By byte value: matches every byte up to it.
+LANE_BITS = 64  # of the wide integer, for each endpoint
+WORD_MASK = 0xFFFFFFFF  # the lower half of a lane, which holds the endpoint's hash
+MIX_SHIFT = 15  # bits, in the xorshift between the two multiplications
+MAX_FULL_SORT_SIZE = 32  # endpoints; smaller pools are sorted without selecting candidates
+# Highest limit of the candidate filter, which then passes about half of a pool. Above it, sorting
+# the whole pool is as fast.
+MAX_FILTER_BYTE = 128
+# By byte value: matches every byte up to that value.
 BYTE_FILTERS = [re.compile(b"[\\x00-\\x%02x]" % top, re.DOTALL) for top in range(256)]
 
 ProxyKey = tuple[int, int]  # two odd 32-bit multipliers
 
 
 class HashedEndpoint(Protocol):
-    """What a pool reads of an endpoint."""
+    """The attributes of an endpoint that a pool reads."""
 
     name: bytes
-    name_hash: int  # its `endpoint_hash`
+    name_hash: int  # see `endpoint_hash`
 
 
 EndpointT = TypeVar("EndpointT", bound=HashedEndpoint)
 
 
 def endpoint_hash(name: bytes) -> int:
-    """32 bits that stand for an endpoint's name.
+    """Return a 32-bit hash of an endpoint's name.
 
-    They are odd, since a product with an odd number loses no bit of the other factor.
+    The hash is odd, because a product with an odd number loses no bit of the other factor.
     """
     return int.from_bytes(blake2b(name, digest_size=4, person=SALT).digest(), "little") | 1
 
 
 def proxy_key(number: int) -> ProxyKey:
-    """A proxy's two odd multipliers.
+    """Return a proxy's two odd multipliers.
 
     `number` may be up to 2^64 - 1, since long proxy names are hashed to numbers.
     """
@@ -60,7 +60,7 @@
 
 
 def rank(key: ProxyKey, name_hash: int) -> int:
-    """The place of one endpoint, by its hash, in a proxy's order: the lowest comes first."""
+    """Return the rank of an endpoint, given its hash, for a proxy; the lowest rank comes first."""
     mixed = name_hash * key[0] & WORD_MASK
     mixed ^= mixed >> MIX_SHIFT
     return mixed * key[1] & WORD_MASK
@@ -68,24 +68,24 @@
 
 @lru_cache(maxsize=4096)
 def lane_masks(lanes: int) -> tuple[int, int]:
-    """Masks of a pool with so many lanes.
+    """Return the masks of a pool with this number of lanes.
 
-    The first selects the lanes' words, the second the bits that the mixing shift leaves within
-    their own lane.
+    The first mask selects the lower words of the lanes. The second mask selects the bits that stay
+    within their own lane in the shift.
     """
     ones = ((1 << LANE_BITS * lanes) - 1) // ((1 << LANE_BITS) - 1)
     return ones * WORD_MASK, ones * (WORD_MASK >> MIX_SHIFT)
 
 
 def sort_by_name(endpoints: Iterable[EndpointT]) -> list[EndpointT]:
-    """The endpoints in an order that is the same at every controller, whatever ids it gave them."""
+    """Return the endpoints by name, an order that is the same on every controller."""
     return sorted(endpoints, key=lambda endpoint: endpoint.name)
 
 
 class RendezvousPool(Generic[EndpointT]):
-    """The endpoints of one pool, to be ranked for any proxy.
+    """The endpoints of one pool, which can be ranked for any proxy.
 
-    Two endpoints whose hashes are equal rank by name, at every controller alike.
+    Endpoints with equal hashes are ordered by name, so that all controllers agree.
     """
 
     __slots__ = ("endpoints", "packed", "word_mask", "shift_mask", "size")
@@ -107,24 +107,25 @@
         return iter(self.endpoints)
 
     def top(self, key: ProxyKey, count: int) -> list[EndpointT]:
-        """The first `count` endpoints (or all there are) of the proxy's order, best first."""
+        """Return the first `count` endpoints (or all of them) in the order of the proxy."""
         mixed = self.packed * key[0] & self.word_mask
         mixed ^= mixed >> MIX_SHIFT & self.shift_mask
         lanes = (mixed * key[1] & self.word_mask).to_bytes(8 * self.size, "little")
-        order = self._top_candidates(lanes, count) if self.size > SMALL_POOL else None
+        order = self._top_candidates(lanes, count) if self.size > MAX_FULL_SORT_SIZE else None
         if order is None:
             ranks = struct.unpack(f"<{self.size}Q", lanes)
             order = sorted(range(self.size), key=ranks.__getitem__)
         return [self.endpoints[index] for index in order[:count]]
 
     def _top_candidates(self, lanes: bytes, count: int) -> Optional[list[int]]:
-        """Indices of the endpoints with a low highest byte of their rank, in order.
+        """Return the ordered indices of the endpoints whose rank has a low highest byte.
 
-        The limit is set so that they should be `count` and a margin of four standard deviations.
-        None where they are fewer than `count`, or where most of the pool would pass the limit.
+        The limit is chosen so that the expected number of candidates is `count` plus a margin of
+        four standard deviations. Return None if there are fewer than `count` candidates, or if most
+        of the pool would pass the limit.
         """
         limit = 256 * (count + 4 * count**0.5 + 4) / self.size
-        if limit > HIGHEST_FILTER:
+        if limit > MAX_FILTER_BYTE:
             return None
         indices = [match.start() for match in BYTE_FILTERS[int(limit)].finditer(lanes[3::8])]
         if len(indices) < count:
--- a/peatlead/planner/settings.py
+++ b/peatlead/planner/settings.py
@@ -1,8 +1,8 @@
 """The planner's settings by key.
 
-Controllers pass a plain map, which they have checked; these types name the keys that the planner
-reads, for the type checker alone. Keys that may be lacking have their defaults where they are read.
-A change of the map holds from the next batch on.
+Controllers pass a plain dictionary that they have already validated. The types here declare the
+keys that the planner reads, for the type checker only. Defaults of optional keys are given where
+the keys are read. A change of the dictionary takes effect with the next batch.
 """
 
 from typing import NotRequired, TypedDict
@@ -11,51 +11,51 @@
 class RequestClassSettings(TypedDict):
     """Settings of one request class."""
 
-    gain: float  # of one request that is answered in time
+    gain: float  # value of one request that is answered in time
     response_target: float  # seconds
-    own_zone: bool  # whether its requests stay in their proxy's zone
-    only_zones: NotRequired[list[int]]  # that its requests may go to; all if empty
-    only_machines: NotRequired[list[int]]  # likewise, machine types
+    own_zone: bool  # whether requests must stay in the zone of their proxy
+    only_zones: NotRequired[list[int]]  # zones that requests may go to; all if empty
+    only_machines: NotRequired[list[int]]  # machine types that requests may go to; all if empty
 
 
 class PlannerSettings(TypedDict):
-    """Settings of one controller's planner."""
+    """Settings of the planner of one controller."""
 
     # The fleet.
-    stewards: NotRequired[int]  # controllers
-    proxies: int  # of all controllers
-    zone: int  # the controller's own
+    stewards: NotRequired[int]  # number of controllers
+    proxies: int  # number of proxies of all controllers
+    zone: int  # zone of this controller
     req_kinds: list[RequestClassSettings]  # request classes by number
-    roster_mode: NotRequired[str]  # how the endpoint list comes, e.g. `LIST_ON_REQUEST`
-    gone_is_advice: NotRequired[bool]  # an endpoint that the list lacks stays while it answers
-    joins_own_zone: NotRequired[bool]  # proxies connect to controllers of their zone
-    peer_notes: NotRequired[bool]  # controllers may send gossip
+    roster_mode: NotRequired[str]  # how the endpoint list is delivered, e.g. `LIST_ON_REQUEST`
+    gone_is_advice: NotRequired[bool]  # keep endpoints missing from the list while they answer
+    joins_own_zone: NotRequired[bool]  # proxies connect to controllers in their own zone
+    peer_notes: NotRequired[bool]  # controllers may send gossip messages
 
     # Reports and health checks.
-    probing: NotRequired[bool]  # health checks are sent
-    report_fields: list[str]  # metrics of endpoints' load reports
+    probing: NotRequired[bool]  # health checks are enabled
+    report_fields: list[str]  # metrics in the load reports of endpoints
     sums_every: float  # seconds between two reports of a proxy
     tries_told: NotRequired[bool]  # proxies report their attempts
 
     # Proxies.
-    pick: NotRequired[str]  # how they choose among endpoints, e.g. `PICK_LESS_LOADED`
-    fails_to_shun: NotRequired[float]  # failures after which they avoid an endpoint; 0 for never
-    bare_most: float  # seconds that a proxy may be without entries
-    push_delay_most: float  # seconds that a message takes at most
+    pick: NotRequired[str]  # selection among the endpoints of a table, e.g. `PICK_LESS_LOADED`
+    fails_to_shun: NotRequired[float]  # failures until proxies avoid an endpoint; 0 for never
+    bare_most: float  # maximum seconds that a proxy may be without entries
+    push_delay_most: float  # maximum seconds for the delivery of a message
 
     # The channel to the proxies.
-    channel_rate: float  # entries a second
-    queue_most: float  # entries that may wait
-    message_head: float  # entries that a message counts beside its own
-    messages_most: int  # to one proxy within the span; 0 for no limit
+    channel_rate: float  # entries per second
+    queue_most: float  # maximum number of queued entries
+    message_head: float  # overhead of a message, in entries
+    messages_most: int  # maximum messages to one proxy within `messages_span`; 0 for no limit
     messages_span: float  # seconds
 
     # Endpoints.
-    drain_grace: float  # seconds until requests to a withdrawn endpoint are lost
-    warm_after: float  # seconds from a process's start until it has its whole capacity
-    cold_share: float  # part of its capacity that a process starts with
-    tip_multiple: float  # times its usual load that pushes an endpoint into overload
-
-    # What is worth how much.
-    price_of_crossing: NotRequired[float]  # of a request that crosses zones, by its gain
-    value_of_worst_kind: NotRequired[float]  # weight of the worst class's service, 0 to 1
+    drain_grace: float  # seconds until requests to a withdrawn endpoint fail
+    warm_after: float  # seconds from the start of a process until it has its full capacity
+    cold_share: float  # fraction of its capacity that a process starts with
+    tip_multiple: float  # multiple of the usual load that overloads an endpoint
+
+    # Values and costs.
+    price_of_crossing: NotRequired[float]  # cost of crossing zones, relative to a request's gain
+    value_of_worst_kind: NotRequired[float]  # weight of the service of the worst class, 0 to 1
--- a/peatlead/planner/shuffle_sharding.py
+++ b/peatlead/planner/shuffle_sharding.py
@@ -1,13 +1,13 @@
-"""Which endpoints a proxy's table names: its shuffle shard of each zone, by rendezvous hashing.
+"""Computes tables: a proxy's shuffle shard of each zone, by rendezvous hashing.
 
-Each proxy takes the first endpoints of its own random order (Thaler and Ravishankar, 1998). Two
-proxies seldom share a whole shard, so one bad request or client can't break an endpoint for all
-(AWS, "Workload isolation using shuffle-sharding"). The order has no memory: every controller gives
-a proxy the same shard, and a new list moves few entries.
+Each proxy uses the first endpoints of its own pseudo-random order (Thaler and Ravishankar, 1998).
+Two proxies rarely have the same shard, so one harmful request or client cannot break an endpoint
+for all proxies (AWS, "Workload isolation using shuffle-sharding"). The order needs no stored state:
+every controller computes the same shard for a proxy, and a new list moves few entries.
 
-Endpoints that have just started ("cold") must not make up much of a table: their weights are small,
-but a proxy spreads all of its requests over its table. Warm endpoints from outside the shard join
-such a table.
+Endpoints that have just started ("cold") must not make up a large part of a table. Their weights
+are small, but a proxy distributes all of its requests over its table. Warm endpoints from outside
+the shard are added to such a table.
 """
 
 from math import ceil, fsum
@@ -19,22 +19,23 @@
 from .proxy_state import ProxyState
 from .rendezvous import RendezvousPool
 from .statistics import cold_and_warm_weight
-from .zone_capacity import TINY, ZoneCapacity
+from .zone_capacity import MIN_DIVISOR, ZoneCapacity
 
-LEAST_A_ZONE = 1  # endpoints of a shard in each zone
-MAX_COLD_PART = 0.2  # of a table's weight, from which warm endpoints join it
-MAX_WARM_JOINING = 24  # warm endpoints that may join a table, or as many as it has if that is more
+MIN_ENDPOINTS_PER_ZONE = 1  # of a shard
+MAX_COLD_FRACTION = 0.2  # of a table's weight; at or above it, warm endpoints are added
+# Maximum number of warm endpoints added to a table, or the table's size if that is larger.
+MAX_ADDED_WARM_ENDPOINTS = 24
 
 
 class Shard(NamedTuple):
     """A proxy's endpoints for one group."""
 
-    chosen: dict[int, list[EndpointState]]  # by zone, in the proxy's order
-    zones: Pools  # what they were chosen from
+    chosen: dict[int, list[EndpointState]]  # by zone, in the order of the proxy
+    pools: Pools  # the pools that the endpoints were chosen from
 
 
 def prefix_of_weight(endpoints: list[EndpointState], weight: float) -> list[EndpointState]:
-    """The first of the endpoints that carry so much weight, one at least."""
+    """Return the shortest prefix with at least this weight, or one endpoint at least."""
     return [
         endpoint
         for position, endpoint in enumerate(endpoints)
@@ -44,11 +45,15 @@
     ]
 
 
-def lacking_weight(members: list[EndpointState], in_shard: list[EndpointState]) -> float:
-    """What a table with many cold endpoints lacks of its weight without cold ones."""
+def missing_weight(members: list[EndpointState], shard_endpoints: list[EndpointState]) -> float:
+    """Return the weight of warm endpoints that a mostly cold table lacks.
+
+    With this weight the table has the weight of the whole shard, and its cold endpoints are at most
+    `MAX_COLD_FRACTION` of it.
+    """
     cold, warm = cold_and_warm_weight(members)
-    usual = fsum([endpoint.weight for endpoint in in_shard])
-    return max(usual, cold / MAX_COLD_PART) - fsum((cold, warm))
+    usual = fsum([endpoint.weight for endpoint in shard_endpoints])
+    return max(usual, cold / MAX_COLD_FRACTION) - fsum((cold, warm))
 
 
 class ShuffleSharding:
@@ -60,31 +65,31 @@
         self.context = context
         self.pools = pools
         self.zone_capacity = zone_capacity
-        self.warm_pools: dict[int, Pools] = {}  # by group; of this batch
+        self.warm_pools: dict[int, Pools] = {}  # by group, for the current batch
 
     def end_batch(self) -> None:
-        """Forget what holds within a batch alone."""
+        """Discard what is valid for one batch only."""
         self.warm_pools = {}
 
     def shard(self, proxy: ProxyState, group: int) -> Shard:
-        """The proxy's shard as it should be now, by the plan of zones."""
-        zones = self.pools.open_endpoints(group, proxy.zone)
-        parts = self.zone_capacity.plan.get((group, proxy.zone), {})
-        unplanned = 0.0 if parts else 1.0
-        targets = {zone: parts.get(zone, unplanned) * len(pool) for zone, pool in zones.items()}
-        expected = self.context.proxies_expected
-        limits = {zone: ceil(COVERAGE * len(pool) / expected) for zone, pool in zones.items()}
-        total = max(TINY, fsum(targets.values()))
-        densest = max([TINY, *[targets[zone] / len(zones[zone]) for zone in zones]])
-        size = min(fsum(limits.values()), total / densest)
-        # Proxies that pick the less loaded of two need no large part of their own zone.
-        capped = self.context.settings.get("pick") == PICK_LESS_LOADED
+        """Return the current shard of a proxy, sized by the zone plan."""
+        pools = self.pools.open_endpoints(group, proxy.zone)
+        densities = self.zone_capacity.plan.get((group, proxy.zone), {})
+        unplanned = 0.0 if densities else 1.0
+        targets = {zone: densities.get(zone, unplanned) * len(pool) for zone, pool in pools.items()}
+        expected = self.context.expected_proxies
+        limits = {zone: ceil(COVERAGE * len(pool) / expected) for zone, pool in pools.items()}
+        total = max(MIN_DIVISOR, fsum(targets.values()))
+        max_density = max([MIN_DIVISOR, *[targets[zone] / len(pools[zone]) for zone in pools]])
+        size = min(fsum(limits.values()), total / max_density)
+        # Proxies that pick the less loaded of two endpoints need fewer endpoints of their own zone.
+        size_is_capped = self.context.settings.get("pick") == PICK_LESS_LOADED
         chosen = {}
-        for zone, pool in zones.items():
-            limit = limits[zone] if capped else len(pool)
-            count = max(LEAST_A_ZONE, min(round(size * targets[zone] / total), limit))
+        for zone, pool in pools.items():
+            limit = limits[zone] if size_is_capped else len(pool)
+            count = max(MIN_ENDPOINTS_PER_ZONE, min(round(size * targets[zone] / total), limit))
             chosen[zone] = self._ranked(proxy, group, zone, pool, count)
-        return Shard(chosen, zones)
+        return Shard(chosen, pools)
 
     def _ranked(
         self,
@@ -94,31 +99,31 @@
         pool: RendezvousPool[EndpointState],
         count: int,
     ) -> list[EndpointState]:
-        """The first `count` of the proxy's order of a pool, which is cached."""
-        cached = proxy.ranked.get((group, zone))
+        """Return the first `count` endpoints in the proxy's order of a pool, using a cache."""
+        cached = proxy.ranked_pools.get((group, zone))
         if cached is not None and cached[0] is pool:
-            known = cached[1]
-            if len(known) >= min(count, len(pool)):
-                return known[:count]
-        known = pool.top(proxy.key, count)
-        proxy.ranked[group, zone] = pool, known
-        return known[:count]
+            ranked_endpoints = cached[1]
+            if len(ranked_endpoints) >= min(count, len(pool)):
+                return ranked_endpoints[:count]
+        ranked_endpoints = pool.top(proxy.key, count)
+        proxy.ranked_pools[group, zone] = pool, ranked_endpoints
+        return ranked_endpoints[:count]
 
     def table(self, proxy: ProxyState, group: int) -> dict[int, float]:
-        """Endpoint id -> weight, as the proxy's table should stand now."""
+        """Return the current table of a proxy: endpoint id -> weight."""
         shard = self.shard(proxy, group)
-        in_shard = [endpoint for chosen in shard.chosen.values() for endpoint in chosen]
-        proxy.drawn_from.update([(endpoint.id, endpoint) for endpoint in in_shard])
-        members = [endpoint for endpoint in in_shard if endpoint.usable]
+        shard_endpoints = [endpoint for chosen in shard.chosen.values() for endpoint in chosen]
+        proxy.source_endpoints.update([(endpoint.id, endpoint) for endpoint in shard_endpoints])
+        members = [endpoint for endpoint in shard_endpoints if endpoint.usable]
         kept = [endpoint for endpoint in members if proxy.number not in endpoint.excluded_proxies]
         if len(kept) * 2 >= len(members):
             members = kept
         if self.is_cold_heavy(members):
             proxy.beyond_shards = True
-            members = members + self._joining_warm(proxy, group, members, in_shard)
-        if not members:  # no evidence may leave a proxy without an entry while endpoints run
+            members = members + self._warm_endpoints_to_add(proxy, group, members, shard_endpoints)
+        if not members:  # a table is never empty while endpoints are listed as ready
             proxy.beyond_shards = True
-            members = [endpoint for pool in shard.zones.values() for endpoint in pool]
+            members = [endpoint for pool in shard.pools.values() for endpoint in pool]
         weights = {
             endpoint.id: endpoint.weight * endpoint.weight_fraction
             for endpoint in members
@@ -127,36 +132,36 @@
         return weights or {endpoint.id: endpoint.weight for endpoint in members}
 
     def is_cold_heavy(self, members: list[EndpointState]) -> bool:
-        """Whether cold endpoints, small as their weights are, would get much of the table."""
+        """Return whether cold endpoints make up a large part of the table's weight."""
         cold, warm = cold_and_warm_weight(members)
-        return bool(MAX_COLD_PART * (cold + warm) <= cold)
+        return bool(MAX_COLD_FRACTION * (cold + warm) <= cold)
 
-    def _joining_warm(
+    def _warm_endpoints_to_add(
         self,
         proxy: ProxyState,
         group: int,
         members: list[EndpointState],
-        in_shard: list[EndpointState],
+        shard_endpoints: list[EndpointState],
     ) -> list[EndpointState]:
-        """Warm endpoints to join a table with many cold ones, from the proxy's zone if it has any.
+        """Return warm endpoints to add to a mostly cold table, preferably from the proxy's zone.
 
-        They bring the table up to its weight without cold ones, and no further: more of them would
-        starve the cold ones while others are overloaded.
+        They restore the weight that the table has without cold endpoints. A higher weight would
+        leave too few requests for the cold endpoints and overload others.
         """
         present = {endpoint.id for endpoint in members}
-        count = max(MAX_WARM_JOINING, len(members))
-        lacking = lacking_weight(members, in_shard)
+        count = max(MAX_ADDED_WARM_ENDPOINTS, len(members))
+        missing = missing_weight(members, shard_endpoints)
         warm = {}
         for zone, pool in self._warm_pools(group).items():
-            first = pool.top(proxy.key, 2 * count)
-            absent = [endpoint for endpoint in first if endpoint.id not in present]
-            warm[zone] = prefix_of_weight(absent[:count], lacking)
+            ranked_endpoints = pool.top(proxy.key, 2 * count)
+            candidates = [endpoint for endpoint in ranked_endpoints if endpoint.id not in present]
+            warm[zone] = prefix_of_weight(candidates[:count], missing)
         return warm.get(proxy.zone) or [
             endpoint for endpoints in warm.values() for endpoint in endpoints
         ]
 
     def _warm_pools(self, group: int) -> Pools:
-        """By zone, also behind bad paths; built once a batch."""
+        """Return the warm endpoints by zone, also behind bad paths, cached for the batch."""
         if group not in self.warm_pools:
             self.warm_pools[group] = {
                 zone: RendezvousPool(
--- a/peatlead/planner/slow_start.py
+++ b/peatlead/planner/slow_start.py
@@ -1,8 +1,8 @@
 """Slow start: an endpoint that starts or returns gets its weight in steps.
 
-A ramp (as in Envoy's and HAProxy's slow start) spreads the steps over the time that a process takes
-to warm up. Beside it, a cold endpoint's planned load stays under a part of what would tip it into
-overload by now (docs/incidents/2026-12-01-cold-hosts-pushed-over.md).
+A ramp, as in the slow start of Envoy and HAProxy, spreads the steps over the time that a process
+needs to warm up. In addition, the planned load of a cold endpoint is limited to a fraction of the
+load that would currently overload it (docs/incidents/2026-12-01-cold-hosts-pushed-over.md).
 """
 
 from .context import PlannerContext
@@ -11,17 +11,18 @@
 from .fleet_load import FleetLoad
 from .table_changes import TableChanges
 
-FIRST_RAMP = 0.25  # of the weight, at a start
+INITIAL_RAMP = 0.25  # of the weight, at the start
 RAMP_STEP = 0.25  # of the weight
-RAMP_STEPS = 3  # after the first
-STEP_WAIT = 10 / 3  # seconds between two steps
-TIPPING_PART = 0.3  # of what tips a cold endpoint, that it may get
-TIPPING_PART_AVOIDED = 0.2  # likewise where proxies avoid endpoints that fail them
-COLD_SHARES = (0.06, 0.12, 0.18, 0.25, 0.37, 0.5, 0.75, 1.0)  # few, since each change costs entries
+RAMP_STEPS = 3  # after the initial one
+STEP_INTERVAL = 10 / 3  # seconds between two steps
+COLD_LOAD_FRACTION = 0.3  # of the load that would overload a cold endpoint
+COLD_LOAD_FRACTION_AVOIDING = 0.2  # same, if proxies avoid endpoints that fail
+# Only a few values, since each change must be sent to proxies.
+COLD_WEIGHT_FRACTIONS = (0.06, 0.12, 0.18, 0.25, 0.37, 0.5, 0.75, 1.0)
 
 
 class SlowStart:
-    """Computes the shares of weights that are published."""
+    """Computes the published fractions of weights."""
 
     def __init__(
         self,
@@ -35,28 +36,30 @@
         self.schedule = schedule
         self.fleet_load = fleet_load
 
-    def begin(self, endpoint: EndpointState, wait: float = STEP_WAIT) -> None:
-        """Ramp an endpoint; `wait` seconds lie between two steps."""
+    def begin_ramp(self, endpoint: EndpointState, interval: float = STEP_INTERVAL) -> None:
+        """Start the ramp of an endpoint, with `interval` seconds between two steps."""
         self.schedule.activate(endpoint)
-        endpoint.ramp = FIRST_RAMP
-        endpoint.next_step_at = self.context.now + wait
-        endpoint.step_wait = wait
+        endpoint.ramp = INITIAL_RAMP
+        endpoint.next_step_at = self.context.now + interval
+        endpoint.step_interval = interval
         endpoint.weight_fraction = self.target_weight_fraction(endpoint)
 
-    def begin_cold(self, endpoint: EndpointState) -> None:
-        """Ramp one that has just started.
+    def begin_cold_start(self, endpoint: EndpointState) -> None:
+        """Start the ramp of an endpoint that has just started.
 
-        Past the time that it takes to warm up, a ramp would only load the others: a release
-        replaces many at once.
+        The ramp is not longer than the process needs to warm up. A longer ramp would only add load
+        to the other endpoints, especially when a release replaces many at once.
         """
-        self.begin(endpoint, min(STEP_WAIT, self.context.settings["warm_after"] / RAMP_STEPS))
+        self.begin_ramp(
+            endpoint, min(STEP_INTERVAL, self.context.settings["warm_after"] / RAMP_STEPS)
+        )
 
     def advance(self, endpoint: EndpointState) -> None:
-        """Take the next step if it is due, and publish the share if it has changed."""
+        """Take the next step if it is due, and mark the endpoint if its weight has changed."""
         now = self.context.now
         if endpoint.ramp < 1.0 and now >= endpoint.next_step_at:
             endpoint.ramp += RAMP_STEP
-            endpoint.next_step_at = now + endpoint.step_wait
+            endpoint.next_step_at = now + endpoint.step_interval
         cold_since = endpoint.cold_since
         if cold_since is not None and now - cold_since > self.context.settings["warm_after"]:
             endpoint.cold_since = None
@@ -69,24 +72,33 @@
             self.changes.mark(endpoint)
 
     def target_weight_fraction(self, endpoint: EndpointState) -> float:
-        """The part of its weight that the endpoint should have now.
+        """Return the fraction of its weight that the endpoint should have now.
 
-        A cold one gets none in a saturated fleet whose proxies avoid what fails them: in an
-        overload they would avoid all full endpoints and send everything to the empty one.
+        A cold endpoint gets 0 if the fleet is saturated and proxies avoid failing endpoints: in an
+        overload the proxies would avoid all full endpoints and send all requests to the cold one.
         """
         settings = self.context.settings
         if endpoint.cold_since is None:
             return endpoint.ramp
-        avoided = settings.get("fails_to_shun")
-        if self.fleet_load.saturated and avoided:
+        avoids_failing = settings.get("fails_to_shun")
+        if self.fleet_load.saturated and avoids_failing:
             return 0.0
-        first = settings["cold_share"]
+        initial_fraction = settings["cold_share"]
         age = (self.context.now - endpoint.cold_since) / settings["warm_after"]
-        able = first + (1 - first) * min(1.0, age)
-        part = TIPPING_PART_AVOIDED if avoided else TIPPING_PART
-        most = self.fleet_load.mean_share * part * settings["tip_multiple"] * able
-        limit = min(endpoint.ramp, most)
+        capacity_fraction = initial_fraction + (1 - initial_fraction) * min(1.0, age)
+        load_fraction = COLD_LOAD_FRACTION_AVOIDING if avoids_failing else COLD_LOAD_FRACTION
+        max_fraction = (
+            self.fleet_load.mean_weight_fraction
+            * load_fraction
+            * settings["tip_multiple"]
+            * capacity_fraction
+        )
+        limit = min(endpoint.ramp, max_fraction)
         return max(
-            [weight_fraction for weight_fraction in COLD_SHARES if weight_fraction <= limit],
+            [
+                weight_fraction
+                for weight_fraction in COLD_WEIGHT_FRACTIONS
+                if weight_fraction <= limit
+            ],
             default=0.0,
         )
--- a/peatlead/planner/staged_updates.py
+++ b/peatlead/planner/staged_updates.py
@@ -1,12 +1,13 @@
-"""Publishes changed tables in stages: a mistake meets a tenth of the proxies at first.
+"""Publishes changed tables in stages, so that a mistake affects a tenth of the proxies at first.
 
-A cold endpoint's share that must sink is as urgent as a removal, and goes to many at once.
+A decrease of a cold endpoint's weight is as urgent as a removal and is sent to many proxies at
+once.
 """
 
 from math import ceil
 
 from ..interface import SetTimer
-from .channel_budget import UPDATE_MESSAGES_PART, ChannelBudget
+from .channel_budget import UPDATE_MESSAGES_FRACTION, ChannelBudget
 from .context import PlannerContext
 from .proxy_state import ProxyState
 from .table_assignment import TABLES_PER_BATCH
@@ -14,14 +15,14 @@
 from .table_writer import TableWriter
 from .timers import CONTINUE_DELAY, CONTINUE_TIMER
 
-STAGES = 10  # this fraction of the proxies at a time
-STAGE_INTERVAL = 0.2  # seconds between two stages, on the mean
+STAGES = 10  # each stage covers one part in STAGES of the proxies
+STAGE_INTERVAL = 0.2  # mean seconds between two stages
 STAGE_JITTER = (0.5, 1.5)  # of the interval
-URGENT_MESSAGES_PART = 0.8  # of a proxy's messages, for shares that must sink
+URGENT_MESSAGES_FRACTION = 0.8  # of a proxy's message limit, for decreased weights
 
 
 class StagedUpdates:
-    """The stages of the proxies whose tables are pending."""
+    """Writes the tables of proxies with pending changes, in stages."""
 
     def __init__(
         self,
@@ -34,10 +35,10 @@
         self.changes = changes
         self.writer = writer
         self.budget = budget
-        self.next_at = 0.0  # seconds, when the next stage may begin
+        self.next_stage_at = 0.0  # seconds, when the next stage may start
 
     def publish_stage(self) -> None:
-        """Write the next stage's tables, if it is due."""
+        """Write the tables of the next stage if it is due."""
         context, changes = self.context, self.changes
         if changes.all_pending:
             changes.pending.update(
@@ -45,35 +46,42 @@
             )
             changes.all_pending = False
         urgent = changes.reductions_pending
-        if not changes.pending or (context.now < self.next_at and not urgent):
+        if not changes.pending or (context.now < self.next_stage_at and not urgent):
             return
-        part = URGENT_MESSAGES_PART if urgent else UPDATE_MESSAGES_PART
-        waiting = self._draw_order(part)
-        turns = TABLES_PER_BATCH if urgent else ceil(len(context.connected) / STAGES)
-        changes.reductions_pending = urgent and len(waiting) > turns
+        messages_fraction = URGENT_MESSAGES_FRACTION if urgent else UPDATE_MESSAGES_FRACTION
+        candidates = self._shuffled_candidates(messages_fraction)
+        max_writes = TABLES_PER_BATCH if urgent else ceil(len(context.connected) / STAGES)
+        changes.reductions_pending = urgent and len(candidates) > max_writes
         if changes.reductions_pending:
             context.commands.append(SetTimer(CONTINUE_TIMER, CONTINUE_DELAY))
-        self._write(waiting, turns, part)
-        self.next_at = context.now + context.rng.uniform(*STAGE_JITTER) * STAGE_INTERVAL
+        self._write(candidates, max_writes, messages_fraction)
+        self.next_stage_at = context.now + context.rng.uniform(*STAGE_JITTER) * STAGE_INTERVAL
 
-    def _draw_order(self, part: float) -> list[ProxyState]:
-        """The pending proxies that may be written to, in random order."""
+    def _shuffled_candidates(self, messages_fraction: float) -> list[ProxyState]:
+        """Return the proxies with pending changes that may be written to, in random order."""
         pending = self.changes.pending
-        waiting = [
+        candidates = [
             proxy
-            for proxy in self.context.joined
-            if proxy.number in pending and proxy.assigned and self.budget.may_update(proxy, part)
+            for proxy in self.context.connected_proxies
+            if proxy.number in pending
+            and proxy.assigned
+            and self.budget.may_update(proxy, messages_fraction)
         ]
-        self.context.rng.shuffle(waiting)
-        return waiting
+        self.context.rng.shuffle(candidates)
+        return candidates
 
-    def _write(self, waiting: list[ProxyState], turns: int, part: float) -> None:
-        """Write to so many; a table without changes takes a turn only if messages are counted."""
+    def _write(
+        self, candidates: list[ProxyState], max_writes: int, messages_fraction: float
+    ) -> None:
+        """Write to at most `max_writes` proxies.
+
+        A table without changes counts as a write only if the messages to a proxy are limited.
+        """
         commands = self.context.commands
         counts_messages = self.context.settings["messages_most"] > 0
-        for proxy in waiting:
-            # The tables before it may have filled the queue.
-            if turns > 0 and self.budget.may_update(proxy, part):
+        for proxy in candidates:
+            # The previous writes may have filled the queue.
+            if max_writes > 0 and self.budget.may_update(proxy, messages_fraction):
                 before = len(commands)
                 self.writer.write(proxy)
-                turns -= counts_messages or len(commands) > before
+                max_writes -= counts_messages or len(commands) > before
--- a/peatlead/planner/statistics.py
+++ b/peatlead/planner/statistics.py
@@ -1,4 +1,4 @@
-"""Medians and weights that endpoints are compared by."""
+"""Medians and weight sums for comparisons between endpoints."""
 
 from collections.abc import Iterable, Sequence
 from math import fsum
@@ -6,23 +6,26 @@
 
 
 class WeightedEndpoint(Protocol):
-    """What `cold_and_warm_weight` reads of an endpoint."""
+    """The attributes of an endpoint that `cold_and_warm_weight` reads."""
 
     weight: float
-    weight_fraction: float  # of the weight, 0 to 1, that a warming endpoint gets
-    cold_since: Optional[float]  # seconds; None once it is warm
+    weight_fraction: float  # published fraction of the weight, 0 to 1
+    cold_since: Optional[float]  # seconds; None if the endpoint is warm
 
 
 def median(values: Sequence[float]) -> float:
-    """The upper median; 0 where there are no values.
+    """Return the upper median, or 0 if there are no values.
 
-    Unlike a mean, it isn't moved by a few failing endpoints.
+    Unlike a mean, a median is not affected by a few failing endpoints.
     """
     return sorted(values)[len(values) // 2] if values else 0.0
 
 
 def weighted_median(counted: Sequence[tuple[float, int]]) -> float:
-    """The upper median of (value, count) pairs: that of all values, each repeated `count` times."""
+    """Return the upper median of (value, count) pairs.
+
+    The result equals the upper median of all values, each repeated `count` times.
+    """
     left = sum(count for _, count in counted) // 2
     for value, count in sorted(counted):
         left -= count
@@ -32,10 +35,10 @@
 
 
 def cold_and_warm_weight(endpoints: Iterable[WeightedEndpoint]) -> tuple[float, float]:
-    """The published weight of the endpoints that still warm up, and that of the warm ones.
+    """Return the published weights of the cold and of the warm endpoints.
 
-    `fsum` rather than `sum`: the rounding of a plain sum differs between Python versions, and all
-    controllers must come to the same figure.
+    The sums are computed by `fsum` because the rounding of `sum` differs between Python versions,
+    and all controllers must obtain the same value.
     """
     cold: list[float] = []
     warm: list[float] = []
--- a/peatlead/planner/table_assignment.py
+++ b/peatlead/planner/table_assignment.py
@@ -1,9 +1,9 @@
-"""Assigns proxies that have connected to their tables, as far as the channel has room.
+"""Assigns tables to proxies that have connected, as far as the channel has room.
 
-Whole tables of all proxies at once would pass what may wait in the channel: a number of them goes
-out with each batch, and urgent events come between. A proxy that has a table of an earlier
-controller keeps it for a while after a start, until this controller has received a few rounds
-of reports.
+Sending the tables of all proxies at once would exceed the channel's queue. A limited number is sent
+with each batch, so that urgent events are processed in between. A proxy that has a table of a
+previous controller keeps it for a while after the start, until this controller has received a few
+rounds of reports.
 """
 
 from ..interface import AssignTable, SetTimer
@@ -15,8 +15,9 @@
 from .table_writer import TableWriter
 from .timers import CONTINUE_DELAY, CONTINUE_TIMER
 
-TABLES_PER_BATCH = 100  # or removals would wait
-ROUNDS_BEFORE_CHANGES = 3  # rounds of reports after a start, until previous tables are replaced
+TABLES_PER_BATCH = 100  # limits the duration of a batch, so that removals are not delayed
+# Rounds of reports after the start until previous tables are replaced.
+MIN_REPORT_ROUNDS = 3
 COST_WINDOW = 8  # tables that the mean cost is averaged over
 
 
@@ -36,13 +37,16 @@
         self.reports = reports
         self.writer = writer
         self.budget = budget
-        self.waits_for_room = False  # whether proxies wait because the channel has no room
-        self.mean_cost = COVERAGE  # entries that the tables of a proxy take
+        self.blocked_by_queue = False  # whether proxies wait because the channel has no room
+        self.mean_cost = COVERAGE  # entries per proxy, including its assignment
 
     def assign_waiting(self) -> None:
-        """Assign those that wait, first those whose previous tables may lack a class altogether."""
+        """Assign tables to waiting proxies.
+
+        Proxies whose previous tables may lack a whole group are assigned first.
+        """
         context = self.context
-        self.waits_for_room = False
+        self.blocked_by_queue = False
         if not context.unassigned:
             return
         waiting = [
@@ -50,23 +54,26 @@
             for proxy in context.unassigned.values()
             if context.endpoints and not self.keeps_previous_table(proxy)
         ]
-        covered = {
+        covers_every_group = {
             zone: self._covers_every_group(zone) for zone in {proxy.zone: 0 for proxy in waiting}
         }
-        for proxy in sorted(waiting, key=lambda proxy: covered[proxy.zone])[:TABLES_PER_BATCH]:
+        for proxy in sorted(waiting, key=lambda proxy: covers_every_group[proxy.zone])[
+            :TABLES_PER_BATCH
+        ]:
             if not self.budget.has_room():
-                self.waits_for_room = True
+                self.blocked_by_queue = True
                 break
             self._assign(proxy)
         if len(waiting) > TABLES_PER_BATCH and self.budget.has_room():
             context.commands.append(SetTimer(CONTINUE_TIMER, CONTINUE_DELAY))
 
     def _covers_every_group(self, zone: int) -> bool:
-        """Whether every group may stay in the zone, where previous tables were drawn."""
+        """Return whether every group may use the zone, which previous tables were drawn from."""
         groups = range(len(self.pools.groups))
         return all(zone in self.pools.open_endpoints(group, zone) for group in groups)
 
     def _assign(self, proxy: ProxyState) -> None:
+        """Write a proxy's tables and route its request classes by them."""
         before = self.budget.backlog.entries
         self.writer.write(proxy)
         proxy.assigned = True
@@ -79,21 +86,24 @@
         self.mean_cost += (self.budget.backlog.entries - before - self.mean_cost) / COST_WINDOW
 
     def _assignment_cost(self, proxy: ProxyState, group: int) -> int:
-        """Entries: the assignment, the table, admissions, and endpoints to be restored."""
+        """Return the entries for an assignment, its table, admissions and restored endpoints."""
         entries, endpoints = proxy.entries[group], self.context.endpoints
         restored = sum([endpoints[endpoint].ever_withdrawn for endpoint in entries])
         return 1 + len(entries) + len(self.context.settings["req_kinds"]) + restored
 
     def keeps_previous_table(self, proxy: ProxyState) -> bool:
-        """Whether the previous table of the proxy stands for now."""
-        early = self.reports.count < ROUNDS_BEFORE_CHANGES
+        """Return whether the proxy keeps its previous table for now."""
+        early = self.reports.count < MIN_REPORT_ROUNDS
         return self.context.now < proxy.previous_table_until and early
 
-    def tables_fit(self) -> bool:
-        """Whether, at the configured pace, all that wait have their tables in time."""
+    def tables_fit_in_time(self) -> bool:
+        """Return whether all waiting proxies get their tables in time at the configured rate.
+
+        The time ends when the drain grace of the proxy that connected first would be exceeded.
+        """
         context, settings = self.context, self.context.settings
-        first = min([proxy.connected_at for proxy in context.unassigned.values()])
-        waited = context.now - first
-        left = settings["drain_grace"] - settings["push_delay_most"] - waited
+        first_connected_at = min([proxy.connected_at for proxy in context.unassigned.values()])
+        waited = context.now - first_connected_at
+        remaining = settings["drain_grace"] - settings["push_delay_most"] - waited
         entries = self.budget.backlog.entries + len(context.unassigned) * self.mean_cost
-        return bool(entries < left * settings["channel_rate"])
+        return bool(entries < remaining * settings["channel_rate"])
--- a/peatlead/planner/table_changes.py
+++ b/peatlead/planner/table_changes.py
@@ -1,36 +1,36 @@
-"""Which tables may differ from what their proxies hold.
+"""Tracks which tables may differ from what their proxies hold.
 
-Change counts show whether anything that a table was drawn from has changed since; a table that
-nothing changed for is not computed again. The flags show the writers of tables whether they have
-anything to do.
+Change counts show whether anything that a table was computed from has changed since, so that
+unchanged tables are not computed again. The flags show the writers of tables whether they have work
+to do.
 """
 
 from .endpoint_state import EndpointState
 
 
 class TableChanges:
-    """Counts of changes, and the proxies whose tables must be looked at."""
+    """Change counts, and the proxies whose tables must be checked."""
 
     def __init__(self) -> None:
-        self.count = 0  # changes so far, of an endpoint or of all
-        self.pool_changes = 0  # those of all: pools, plans, bad paths
+        self.count = 0  # number of changes so far, of one endpoint or of all
+        self.pool_changes = 0  # number of changes that affect all tables: pools, plans, bad paths
         self.pending: set[int] = set()  # proxies whose tables may differ
-        self.all_pending = False  # every proxy's may
-        self.removals_pending = False  # an endpoint that tables may name isn't usable
-        self.reductions_pending = False  # a cold endpoint's share sank: as urgent as a removal
+        self.all_pending = False  # whether the tables of all proxies may differ
+        self.removals_pending = False  # whether tables may name an unusable endpoint
+        self.reductions_pending = False  # whether a published weight decreased, which is urgent
 
     def mark_all(self) -> None:
-        """Every table may have changed."""
+        """Mark all tables as changed and pending."""
         self.count += 1
         self.pool_changes += 1
         self.all_pending = True
 
     def mark(self, endpoint: EndpointState) -> None:
-        """Tables that go by the endpoint may have changed."""
+        """Mark the tables that depend on the endpoint as changed, and all tables as pending."""
         self.touch(endpoint)
         self.all_pending = True
 
     def touch(self, endpoint: EndpointState) -> None:
-        """Tables that go by the endpoint must be computed anew when they are next written."""
+        """Mark the tables that depend on the endpoint as changed, without writing them now."""
         self.count += 1
         endpoint.last_change = self.count
--- a/peatlead/planner/table_writer.py
+++ b/peatlead/planner/table_writer.py
@@ -1,4 +1,4 @@
-"""Writes the difference between what a proxy's tables hold and what they should."""
+"""Writes the difference between the tables that a proxy holds and its current tables."""
 
 from ..interface import SetEntry
 from .channel_budget import ChannelBudget
@@ -9,7 +9,7 @@
 
 
 class TableWriter:
-    """The only writer of entries: it keeps the index of holders true and counts what it writes."""
+    """The only writer of entries: updates the subscriber index and counts written entries."""
 
     def __init__(
         self,
@@ -24,12 +24,12 @@
         self.budget = budget
 
     def write(self, proxy: ProxyState) -> None:
-        """Bring all tables of a proxy up to date."""
+        """Write the changes of all tables of a proxy."""
         changes = self.changes
         changes.pending.discard(proxy.number)
         if self._is_current(proxy):
             return
-        proxy.drawn_from = {}
+        proxy.source_endpoints = {}
         proxy.seen_pool_changes = changes.pool_changes
         proxy.seen_changes = changes.count
         proxy.beyond_shards = False
@@ -40,12 +40,13 @@
                     self.set_entry(proxy, group, endpoint, table.get(endpoint, 0.0))
 
     def _is_current(self, proxy: ProxyState) -> bool:
-        """Whether nothing that the tables were drawn from has changed since."""
+        """Return whether nothing has changed that the tables were computed from."""
         return (
             proxy.seen_pool_changes == self.changes.pool_changes
             and not proxy.beyond_shards
             and all(
-                endpoint.last_change <= proxy.seen_changes for endpoint in proxy.drawn_from.values()
+                endpoint.last_change <= proxy.seen_changes
+                for endpoint in proxy.source_endpoints.values()
             )
         )
 
@@ -61,6 +62,7 @@
             context.subscriber_index.add(endpoint, proxy.number)
         context.commands.append(SetEntry(proxy.first_table + group, endpoint, weight))
         if proxy.assigned:
-            # One that the proxy may avoid since a withdrawal is restored with its first entry.
+            # An endpoint that the proxy may avoid after a withdrawal is restored with its first
+            # entry.
             restored = context.endpoints[endpoint].ever_withdrawn and weight > 0 and not old
             self.budget.spend(proxy, 1 + restored)
--- a/peatlead/planner/timers.py
+++ b/peatlead/planner/timers.py
@@ -1,6 +1,6 @@
 """The planner's two timers."""
 
-TICK_TIMER = 0  # token of the timer that paces everything that time alone brings
+TICK_TIMER = 0  # token of the periodic timer for all changes that depend on time
 TICK_INTERVAL = 0.1  # seconds
-CONTINUE_TIMER = 1  # token of the timer that goes on with what one batch was too short for
-CONTINUE_DELAY = 0.01  # seconds, in which urgent events can come between
+CONTINUE_TIMER = 1  # token of the timer that continues work that exceeded one batch
+CONTINUE_DELAY = 0.01  # seconds; urgent events can be processed in between
--- a/peatlead/planner/withdrawals.py
+++ b/peatlead/planner/withdrawals.py
@@ -1,8 +1,9 @@
-"""Notifies proxies of endpoints that the list withdraws, and of those that come back.
+"""Notifies proxies of endpoints that the list withdraws, and of endpoints that return.
 
-A withdrawal is sent once. Proxies on this controller's tables lose the entries by writes of their
-own; proxies that still wait for tables are notified of the endpoints that their previous table may
-name: an entry each, where a whole table takes a dozen and may wait for room.
+A withdrawal is sent once. Proxies on this controller's tables lose the entries by separate writes.
+Proxies that still wait for tables are notified of the endpoints that their previous table may name.
+A notification costs one entry, whereas a whole table costs about a dozen and may have to wait for
+room in the channel.
 """
 
 from math import ceil
@@ -13,17 +14,16 @@
 from .endpoint_pools import EndpointPools
 from .endpoint_state import EndpointState
 from .proxy_state import ProxyState
-from .shuffle_sharding import LEAST_A_ZONE, ShuffleSharding
+from .shuffle_sharding import MIN_ENDPOINTS_PER_ZONE, ShuffleSharding
 from .table_assignment import TableAssignment
 
-PREVIOUS_TABLE_DEPTH = (
-    1.25  # of a shard: the first of a proxy's order that its previous table may name
-)
-RETRIES_PER_GRACE = 4  # times within the drain grace that unnotified proxies are looked at again
+# Times the size of a shard: the first endpoints of a proxy's order that its table may have named.
+PREVIOUS_TABLE_FACTOR = 1.25
+RETRIES_PER_GRACE = 4  # attempts within the drain grace to notify the remaining proxies
 
 
 class Withdrawals:
-    """Withdrawn endpoints, and which of the waiting proxies were notified."""
+    """Withdrawn endpoints, and which of the waiting proxies were notified of them."""
 
     def __init__(
         self,
@@ -38,12 +38,12 @@
         self.sharding = sharding
         self.assignment = assignment
         self.budget = budget
-        self.new: list[int] = []  # ids of the endpoints withdrawn in this batch
-        self.count = 0  # withdrawals so far
-        self.retry_at = 0.0  # seconds, when unnotified proxies are looked at again
+        self.pending: list[int] = []  # ids of the endpoints withdrawn in this batch
+        self.withdrawal_count = 0  # number of withdrawals so far
+        self.retry_at = 0.0  # seconds, when the remaining proxies may be notified
 
     def set_withdrawn(self, endpoint: EndpointState, withdrawn: bool) -> None:
-        """Note that the list withdraws the endpoint, or restores it."""
+        """Record that the list withdraws or restores the endpoint."""
         endpoint.withdrawn = withdrawn
         endpoint.withdrawn_at = self.context.now
         endpoint.ever_withdrawn = True
@@ -58,11 +58,10 @@
         endpoint.notified_proxies = dict.fromkeys(
             context.subscriber_index.subscribers(endpoint.id), True
         )
-        self.new.append(endpoint.id)
-        self.count += 1
-        for (
-            number
-        ) in endpoint.notified_proxies:  # an entry more on channels that notify holders too
+        self.pending.append(endpoint.id)
+        self.withdrawal_count += 1
+        # Channels that notify the subscribers themselves send one more entry.
+        for number in endpoint.notified_proxies:
             if number in context.connected:
                 self.budget.backlog.add(number, 1, False)
 
@@ -70,7 +69,7 @@
         context = self.context
         context.commands.append(WithdrawEndpoint(endpoint.id, False))
         for proxy in context.unassigned.values():
-            proxy.notified.discard(endpoint.id)
+            proxy.notified_endpoints.discard(endpoint.id)
         for number in endpoint.notified_proxies:
             if number in context.connected:
                 self.budget.spend(context.connected[number], 1)
@@ -78,8 +77,8 @@
 
     def send(self) -> None:
         """Emit this batch's withdrawals, and earlier ones for waiting proxies not notified yet."""
-        notify: dict[int, list[int]] = {endpoint: [] for endpoint in self.new}
-        self.new = []
+        notify: dict[int, list[int]] = {endpoint: [] for endpoint in self.pending}
+        self.pending = []
         if notify or self.context.now >= self.retry_at:
             self._notify_waiting(notify)
         self.context.commands += [
@@ -87,20 +86,22 @@
         ]
 
     def _notify_waiting(self, notify: dict[int, list[int]]) -> None:
-        """Add the waiting proxies that weren't notified, by endpoint, as far as there is room."""
+        """Add the unnotified waiting proxies to `notify`, by endpoint, as far as there is room."""
         context = self.context
         unnotified = self._unnotified()
         grace = context.settings["drain_grace"]
         self.retry_at = context.now + grace / RETRIES_PER_GRACE if unnotified else 0.0
         overhead = context.settings["message_head"]
-        total = 0.0
+        total_entries = 0.0
         for proxy in unnotified:
-            endpoints = self._likely_in_previous_table(proxy) - proxy.notified
-            total += len(endpoints) + overhead + 1
-            if not self.budget.has_room_for_withdrawals(total, len(endpoints) + overhead + 1):
-                break  # their tables come first
-            proxy.notified_count = self.count
-            proxy.notified |= endpoints
+            endpoints = self._likely_in_previous_table(proxy) - proxy.notified_endpoints
+            total_entries += len(endpoints) + overhead + 1
+            if not self.budget.has_room_for_withdrawals(
+                total_entries, len(endpoints) + overhead + 1
+            ):
+                break  # the tables of the proxies take precedence
+            proxy.seen_withdrawals = self.withdrawal_count
+            proxy.notified_endpoints |= endpoints
             if endpoints:
                 self.budget.spend(proxy, len(endpoints))
             for endpoint in sorted(endpoints):
@@ -108,21 +109,25 @@
                 notify.setdefault(endpoint, []).append(proxy.number)
 
     def _unnotified(self) -> list[ProxyState]:
-        """Waiting proxies to notify: where tables come in time, those that keep theirs for now."""
+        """Return the waiting proxies to notify.
+
+        If the tables of all of them fit in time, only proxies that keep their previous table are
+        notified.
+        """
         waiting = self.context.unassigned.values()
-        unnotified = [proxy for proxy in waiting if proxy.notified_count < self.count]
-        if unnotified and self.assignment.tables_fit():
+        unnotified = [proxy for proxy in waiting if proxy.seen_withdrawals < self.withdrawal_count]
+        if unnotified and self.assignment.tables_fit_in_time():
             return [proxy for proxy in unnotified if self.assignment.keeps_previous_table(proxy)]
         return unnotified
 
     def _likely_in_previous_table(self, proxy: ProxyState) -> set[int]:
-        """Ids of withdrawn endpoints that a waiting proxy's previous table may name.
+        """Return the ids of withdrawn endpoints that a waiting proxy's previous table may name.
 
-        Every controller ranks endpoints alike: the table was drawn from the first of the proxy's
-        order among those that were open then.
+        All controllers rank endpoints in the same order, so the previous table was drawn from the
+        first endpoints of that order among those that were open at the time.
         """
         endpoints = self.context.endpoints
-        named = {
+        endpoint_ids = {
             endpoint
             for entries in proxy.entries
             for endpoint in entries
@@ -131,9 +136,9 @@
         for group in range(len(self.pools.groups)):
             shard = self.sharding.shard(proxy, group)
             for zone, pool in self.pools.earlier_endpoints(group, proxy.zone).items():
-                open_now = len(shard.zones.get(zone, ()))
+                open_now = len(shard.pools.get(zone, ()))
                 chosen = len(shard.chosen.get(zone, ()))
-                then = max(LEAST_A_ZONE, chosen * len(pool) / max(1, open_now))
-                first = pool.top(proxy.key, ceil(PREVIOUS_TABLE_DEPTH * then))
-                named.update([endpoint.id for endpoint in first if endpoint.withdrawn])
-        return named
+                previous_count = max(MIN_ENDPOINTS_PER_ZONE, chosen * len(pool) / max(1, open_now))
+                candidates = pool.top(proxy.key, ceil(PREVIOUS_TABLE_FACTOR * previous_count))
+                endpoint_ids.update([endpoint.id for endpoint in candidates if endpoint.withdrawn])
+        return endpoint_ids
--- a/peatlead/planner/zone_capacity.py
+++ b/peatlead/planner/zone_capacity.py
@@ -1,8 +1,8 @@
-"""How each zone's requests are divided among the zones: all alike full, none crossing that needn't.
+"""Plans how the requests of each zone are divided among the zones.
 
-The plan fills every zone to the same part of its capacity, with the least traffic across zones.
-Shard sizes follow it (shuffle_sharding.py). Small changes of demand don't move it: every move costs
-entries.
+The plan loads all zones to the same fraction of their capacity, with the least traffic across
+zones. Shard sizes follow the plan (shuffle_sharding.py). Small changes of demand do not change the
+plan, since every change costs entries.
 """
 
 from math import fsum
@@ -15,32 +15,36 @@
 from .table_changes import TableChanges
 
 PLAN_INTERVAL = 2.0  # seconds
-PLAN_SLACK = 0.15  # the part of a zone's plan that must change to move it
-CROSSING_PRICE = 0.02  # of a request's gain, from which a crossing is worth a plan
-LEAST_RATE = 0.1  # requests a second that a proxy counts for at least
-LEAST_SPARE = 1e-6  # of a zone's capacity that counts as left at least: no division by zero
-TINY = 1e-9  # keeps divisors from zero
+MIN_PLAN_CHANGE = 0.15  # relative to the highest density, change that causes a new plan
+MIN_CROSSING_PRICE = 0.02  # of a request's gain; below it no plan is needed
+MIN_PROXY_RATE = 0.1  # requests per second that each proxy is counted with at least
+MIN_SPARE_FRACTION = 1e-6  # of a zone's capacity, prevents a division by zero
+MIN_DIVISOR = 1e-9  # prevents a division by zero
 
-Parts = dict[int, float]  # by zone of endpoints: requests by endpoint weight
-Plan = dict[tuple[int, int], Parts]  # by (group, zone of proxies)
+# By zone of the endpoints: fraction of the requests per unit of endpoint weight.
+ZoneDensities = dict[int, float]
+Plan = dict[tuple[int, int], ZoneDensities]  # by (group, zone of proxies)
 
 
 class GroupCapacity(NamedTuple):
-    """What a group may use; sorted by the whole capacity, the most restricted group comes first."""
+    """The capacity that a group may use.
+
+    Sorted by total capacity, the most restricted group comes first.
+    """
 
     total: float  # weight
     group: int
     by_zone: dict[int, float]  # weight
-    part: float  # of all work
+    work_fraction: float  # of all work
 
 
-def capacity(endpoints: list[EndpointState]) -> float:
-    """The weight that the endpoints have by their shares."""
+def total_capacity(endpoints: list[EndpointState]) -> float:
+    """Return the published weight of the endpoints."""
     return fsum([endpoint.weight * endpoint.weight_fraction for endpoint in endpoints])
 
 
 class ZoneCapacity:
-    """The plan, and when it is looked at again."""
+    """The zone plan, and when it is updated."""
 
     def __init__(
         self,
@@ -53,110 +57,131 @@
         self.changes = changes
         self.pools = pools
         self.demand = demand
-        self.plan: Plan = {}  # empty: every zone by its endpoints
-        self.next_at = 0.0  # seconds, when the plan is looked at again
+        self.plan: Plan = {}  # if empty, every zone is used according to its endpoints
+        self.next_update_at = 0.0  # seconds
 
     def request_update(self) -> None:
-        """Look at the plan in this batch: the proxies have changed."""
-        self.next_at = self.context.now
+        """Update the plan in this batch, since the proxies have changed."""
+        self.next_update_at = self.context.now
 
     def update_if_due(self) -> None:
-        """Take a new plan if it differs much from the present one."""
+        """Replace the plan if the new one differs much."""
         context = self.context
-        if context.now < self.next_at or not context.endpoints or not context.connected:
+        if context.now < self.next_update_at or not context.endpoints or not context.connected:
             return
-        self.next_at = context.now + PLAN_INTERVAL
-        if self._leaves_zones_whole():
+        self.next_update_at = context.now + PLAN_INTERVAL
+        if self._needs_no_plan():
             return
         plan = self.compute()
         if self._differs(plan):
             self.plan = plan
             self.changes.mark_all()
 
-    def _leaves_zones_whole(self) -> bool:
-        """Whether there is no plan: crossing is cheap, or few proxies would load zones unevenly."""
+    def _needs_no_plan(self) -> bool:
+        """Return whether shards need no zone plan.
+
+        This is the case if crossing zones is cheap, or if the controller has too few proxies to
+        load the zones evenly.
+        """
         settings = self.context.settings
         if len(self.pools.groups) > 1 or settings.get("pick") == PICK_LESS_LOADED:
             return False
-        cheap: bool = settings.get("price_of_crossing", 0.0) < CROSSING_PRICE
-        return cheap or self.context.proxies_expected < COVERAGE
+        crossing_is_cheap: bool = settings.get("price_of_crossing", 0.0) < MIN_CROSSING_PRICE
+        return crossing_is_cheap or self.context.expected_proxies < COVERAGE
 
     def _differs(self, plan: Plan) -> bool:
         return plan.keys() != self.plan.keys() or any(
-            abs(part - self.plan[key].get(zone, 0.0)) > PLAN_SLACK * max(parts.values())
-            for key, parts in plan.items()
-            for zone, part in parts.items()
+            abs(density - self.plan[key].get(zone, 0.0)) > MIN_PLAN_CHANGE * max(densities.values())
+            for key, densities in plan.items()
+            for zone, density in densities.items()
         )
 
     def compute(self) -> Plan:
-        """The plan as it should be now.
+        """Return the plan for the current state.
 
-        Other controllers' proxies are taken to be like this one's, spread as endpoints are.
+        The proxies of other controllers are assumed to be like those of this controller,
+        distributed over the zones like the endpoints.
         """
         usable = [endpoint for endpoint in self.context.endpoints.values() if endpoint.usable]
         rates = self._rates_by_zone(usable)
-        left = self._even_load(usable, rates)
+        remaining = self._balanced_load(usable, rates)
         plan: Plan = {}
         for group in sorted(self._group_capacities(), key=lambda group: (group.total, group.group)):
-            self._plan_group(plan, group, rates, left)
+            self._plan_group(plan, group, rates, remaining)
         return plan
 
     def _rates_by_zone(self, usable: list[EndpointState]) -> dict[int, float]:
-        """Requests a second by zone of the proxies, those of other controllers estimated."""
+        """Return the requests per second by zone of the proxies.
+
+        The rates of other controllers' proxies are estimated.
+        """
         context = self.context
         rates: dict[int, float] = {}
-        for proxy in context.joined:
-            rates[proxy.zone] = rates.get(proxy.zone, 0.0) + max(LEAST_RATE, proxy.request_rate)
+        for proxy in context.connected_proxies:
+            rates[proxy.zone] = rates.get(proxy.zone, 0.0) + max(MIN_PROXY_RATE, proxy.request_rate)
         own = len(context.connected)
-        unseen = [
+        unseen_zones = [
             endpoint.zone
             for endpoint in usable
             if endpoint.zone not in rates and context.settings.get("joins_own_zone")
         ]
-        others = max(0, context.settings["proxies"] - own)
-        by_endpoint = fsum(rates.values()) / own * others / max(1, len(unseen))
-        for zone in unseen:
-            rates[zone] = rates.get(zone, 0.0) + by_endpoint
+        other_proxies = max(0, context.settings["proxies"] - own)
+        rate_per_endpoint = fsum(rates.values()) / own * other_proxies / max(1, len(unseen_zones))
+        for zone in unseen_zones:
+            rates[zone] = rates.get(zone, 0.0) + rate_per_endpoint
         return rates
 
-    def _even_load(self, usable: list[EndpointState], rates: dict[int, float]) -> dict[int, float]:
-        """Requests a second that each zone should take, so that all are alike full."""
-        by_weight = fsum(rates.values()) / max(TINY, capacity(usable))
+    def _balanced_load(
+        self, usable: list[EndpointState], rates: dict[int, float]
+    ) -> dict[int, float]:
+        """Return by zone the requests per second that load all zones equally."""
+        rate_per_weight = fsum(rates.values()) / max(MIN_DIVISOR, total_capacity(usable))
         load = {endpoint.zone: 0.0 for endpoint in self.context.endpoints.values()}
         for endpoint in usable:
-            load[endpoint.zone] += endpoint.weight * endpoint.weight_fraction * by_weight
+            load[endpoint.zone] += endpoint.weight * endpoint.weight_fraction * rate_per_weight
         return load
 
     def _group_capacities(self) -> list[GroupCapacity]:
-        """Those of the groups that may cross zones and have usable endpoints."""
+        """Return the capacities of groups that may cross zones and have usable endpoints."""
         work = self.demand.work()
         capacities = []
         for group_number, group in enumerate(self.pools.groups):
             by_zone = {
-                zone: capacity([endpoint for endpoint in pool if endpoint.usable])
+                zone: total_capacity([endpoint for endpoint in pool if endpoint.usable])
                 for zone, pool in self.pools.open_endpoints(group_number, None).items()
             }
             total = fsum(by_zone.values())
             if total and not group.own_zone:
-                part = fsum([work[number] for number in group.request_classes]) / fsum(work)
-                capacities.append(GroupCapacity(total, group_number, by_zone, part))
+                work_fraction = fsum([work[number] for number in group.request_classes]) / fsum(
+                    work
+                )
+                capacities.append(GroupCapacity(total, group_number, by_zone, work_fraction))
         return capacities
 
     def _plan_group(
-        self, plan: Plan, group: GroupCapacity, rates: dict[int, float], left: dict[int, float]
+        self, plan: Plan, group: GroupCapacity, rates: dict[int, float], remaining: dict[int, float]
     ) -> None:
-        """Plan one group, and take what it uses off what is left of each zone."""
-        zones, part = group.by_zone, group.part
-        home = {zone: max(0.0, min(rates.get(zone, 0.0) * part, left[zone])) for zone in zones}
-        spare = {zone: max(LEAST_SPARE * zones[zone], left[zone] - home[zone]) for zone in zones}
-        all_spare = fsum(spare.values())
-        crossing = (fsum(rates.values()) * part - fsum(home.values())) / all_spare
+        """Plan one group and subtract its load from the remaining load of each zone."""
+        zones, work_fraction = group.by_zone, group.work_fraction
+        local = {
+            zone: max(0.0, min(rates.get(zone, 0.0) * work_fraction, remaining[zone]))
+            for zone in zones
+        }
+        spare = {
+            zone: max(MIN_SPARE_FRACTION * zones[zone], remaining[zone] - local[zone])
+            for zone in zones
+        }
+        total_spare = fsum(spare.values())
+        crossing_ratio = (fsum(rates.values()) * work_fraction - fsum(local.values())) / total_spare
         for zone in zones:
-            left[zone] -= home[zone] + spare[zone] * crossing
+            remaining[zone] -= local[zone] + spare[zone] * crossing_ratio
         for zone, rate in rates.items():
-            stays = home.get(zone, 0.0) / max(TINY, rate * part)
+            local_fraction = local.get(zone, 0.0) / max(MIN_DIVISOR, rate * work_fraction)
             plan[group.group, zone] = {
-                other: ((1 - stays) * spare[other] / all_spare + stays * (other == zone))
-                / max(TINY, zones[other])
+                other: (
+                    (1 - local_fraction) * spare[other] / total_spare
+                    + local_fraction * (other == zone)
+                )
+                / max(MIN_DIVISOR, zones[other])
                 for other in zones
             }
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Builds the state that a test needs."""
+"""Builds planners and endpoints for tests."""
 
 from peatlead import interface
 from peatlead.planner.planner import Planner
@@ -58,13 +58,16 @@
 
 
 def make_endpoint(number, zone=0, phase="ready", started_at=0.0, weight=1.0):
-    """An endpoint of the list; four share a cell."""
+    """Return an entry of the endpoint list; four endpoints share a cell."""
     name = b"host-%d" % number
     return interface.Endpoint(number, name, zone, 0, number // 4, phase, weight, started_at)
 
 
 def make_planner(endpoints=8, proxies=4, zones=2, now=100.0, **settings):
-    """A planner that has assigned its proxies to a full list; what it commanded so far is forgotten."""
+    """Return a planner with an endpoint list and assigned proxies.
+
+    The commands of these first events are discarded.
+    """
     planner = Planner({**SETTINGS, **settings}, 1)
     listed = tuple(make_endpoint(number, number % zones) for number in range(endpoints))
     events = [interface.EndpointUpdate("remembered", 1, listed)]
@@ -76,19 +79,20 @@
 
 
 def of_type(commands, command_type):
-    """Those of the commands that are of a type."""
+    """Return the commands of one type."""
     return [command for command in commands if isinstance(command, command_type)]
 
 
 def zones_of(planner, table):
-    """The zones of the endpoints that a table names."""
+    """Return the zones of the endpoints that a table names."""
     return {planner.endpoints[number].zone for number in table}
 
 
 def report_round(planner, errors=None, utilization=0.4, latency=0.2, failed_checks=0):
-    """One round: each endpoint reports 10 attempts, in reports that come every few seconds.
+    """Run a round in which each endpoint reports 10 attempts; reports arrive every 5 seconds.
 
-    With `errors`, so many of endpoint 0's attempts fail, and `failed_checks` health checks in a row.
+    With `errors`, that number of endpoint 0's attempts fails, and `failed_checks` consecutive
+    health checks of endpoint 0 time out.
     """
     now = planner.now + 1.0
     planner.statistics.cycle = 5.0
--- a/tests/planner/test_channel_backlog.py
+++ b/tests/planner/test_channel_backlog.py
@@ -4,7 +4,7 @@
 
 
 class ChannelBacklogTest(unittest.TestCase):
-    """Two proxies get 50 entries in each batch, with an overhead of 6 and a nonce."""
+    """Two proxies get 50 entries in each batch; a message adds an overhead of 6 and a nonce."""
 
     def backlog_of(self, *batches):
         backlog = ChannelBacklog(6, 10.0)
@@ -15,7 +15,7 @@
             self.assertEqual(backlog.end_batch(), number)
         return backlog
 
-    def test_unacknowledged_entries_wait_however_long_it_has_been(self):
+    def test_unacknowledged_entries_are_counted_until_they_are_acknowledged(self):
         backlog = self.backlog_of((1, 50), (2, 50), (3, 50))
         backlog.advance(9.0)
         self.assertEqual(backlog.entries, 3 * 2 * 57)
@@ -24,21 +24,20 @@
         backlog.acknowledge("b", 3)
         self.assertEqual(backlog.entries, 0.0)
 
-    def test_late_repeated_missing_and_unknown_acknowledgements_do_no_harm(self):
+    def test_late_repeated_missing_and_unknown_acknowledgements_are_tolerated(self):
         backlog = self.backlog_of((1, 50), (2, 50))
         for proxy, nonce in (("b", 2), ("a", 1), ("a", 1), ("b", 7), ("c", 2), ("b", 2), ("a", 0)):
             backlog.acknowledge(proxy, nonce)
-            self.assertEqual(
-                backlog.unacknowledged_entries, 57
-            )  # b's acknowledgement covers the first batch and its own message, no more
+            # The acknowledgement of b covers the first batch and its own message only.
+            self.assertEqual(backlog.unacknowledged_entries, 57)
         backlog.acknowledge("a", 2)
         self.assertEqual(backlog.unacknowledged_entries, 0.0)
         backlog = self.backlog_of((1, 50))
         backlog.advance(11.5)
         self.assertEqual(backlog.entries, 0.0)
 
-    def test_entries_of_a_disconnected_proxy_wait_no_longer(self):
-        # A controller that loses a thousand proxies at once would take their entries to wait until they expire.
+    def test_entries_of_a_disconnected_proxy_are_no_longer_counted(self):
+        # Otherwise the entries of lost proxies would block the channel until they expire.
         backlog = self.backlog_of((1, 50), (2, 50))
         backlog.add("a", 3, True)
         backlog.disconnect("a")
@@ -47,14 +46,14 @@
         self.assertEqual((backlog.unacknowledged_entries, len(backlog.batches)), (0.0, 0))
         self.assertEqual(backlog.end_batch(), 0)
 
-    def test_an_open_batch_counts_and_an_empty_one_has_no_nonce(self):
+    def test_the_current_batch_is_counted_and_an_empty_batch_has_no_nonce(self):
         backlog = ChannelBacklog(6, 10.0)
         self.assertEqual(backlog.end_batch(), 0)
         backlog.add("a", 3, True)
         backlog.add("a", 1, False)
         self.assertEqual(backlog.entries, 11)
 
-    def test_nonces_start_again_after_the_largest(self):
+    def test_nonces_wrap_around_after_the_maximum(self):
         backlog = ChannelBacklog(0, 1.0)
         for number in range(65_536):
             backlog.advance(number / 10)
--- a/tests/planner/test_channel_budget.py
+++ b/tests/planner/test_channel_budget.py
@@ -6,15 +6,15 @@
 
 
 class ChannelBudgetTest(unittest.TestCase):
-    def test_a_channel_far_slower_than_configured_never_holds_more_than_it_may(self):
-        # At an eighth of its pace, 8,619 entries waited where 8,600 may: half the pace was all that was counted on.
+    def test_a_channel_much_slower_than_configured_never_exceeds_its_queue(self):
+        # The channel sends at an eighth of its configured rate.
         planner = make_planner(endpoints=60, proxies=0, channel_rate=2000.0, queue_most=3000.0)
         planner.settings["proxies"] = 90
         publisher = Publisher()
-        channel = []  # [proxy, entries that are left, nonces]
+        channel = []  # [proxy, remaining entries, nonces]
         events = []
-        sendable = 0.0  # entries that the channel has time for
-        most_waiting = 0.0
+        sendable = 0.0  # entries that the channel can send by now
+        max_queued = 0.0
         assigned = set()
         for tick in range(600):
             now = 101.0 + tick / 10
@@ -37,7 +37,7 @@
             assigned.update(
                 proxy for proxy, ops in messages.items() if any(op[0] == "bind" for op in ops)
             )
-            most_waiting = max(most_waiting, sum(message[1] for message in channel))
+            max_queued = max(max_queued, sum(message[1] for message in channel))
             events = []
             sendable += 2000.0 / 8 / 10
             while channel and sendable >= channel[0][1]:
@@ -45,12 +45,11 @@
                 sendable -= entries
                 events += [interface.Acknowledged(proxy, nonce, 0.1) for nonce in sent]
             sendable = sendable if channel else 0.0
-        self.assertLess(most_waiting, 3000.0)
-        self.assertGreater(
-            len(assigned), 60
-        )  # assignments go on as far as the channel carries them
+        self.assertLess(max_queued, 3000.0)
+        # Tables are assigned as far as the channel can send them.
+        self.assertGreater(len(assigned), 60)
 
-    def test_updates_wait_once_a_proxy_had_half_its_messages(self):
+    def test_updates_are_postponed_after_half_of_a_proxys_messages(self):
         planner = make_planner(messages_most=20)
         proxy = planner.proxies[0]
         self.assertTrue(planner.budget.may_update(proxy))
