--- a/tests/planner/test_endpoint_pools.py
+++ b/tests/planner/test_endpoint_pools.py
@@ -5,7 +5,7 @@
 
 
 class EndpointPoolsTest(unittest.TestCase):
-    def test_classes_open_to_the_same_endpoints_share_a_group(self):
+    def test_classes_that_may_use_the_same_endpoints_share_a_group(self):
         read, pay = SETTINGS["req_kinds"]
         classes = [read, {**pay, "only_zones": [1]}, pay, {**read, "own_zone": True}]
         groups = group_request_classes({"req_kinds": classes})
@@ -16,15 +16,15 @@
         planner = make_planner()
         before = planner.pools.open_endpoints(0, 0)
         planner.pools.reset()
-        planner.endpoint_updates.take(make_endpoint(0, 0, "gone"))
+        planner.endpoint_updates.apply(make_endpoint(0, 0, "gone"))
         after = planner.pools.open_endpoints(0, 0)
         self.assertIsNot(after[0], before[0])
         self.assertIs(after[1], before[1])
 
-    def test_zones_behind_bad_paths_are_left_unless_nothing_else_is(self):
+    def test_zones_behind_bad_paths_are_left_out_unless_no_other_zone_remains(self):
         planner = make_planner()
-        planner.paths.bad = {(0, 1)}
+        planner.zone_paths.bad_paths = {(0, 1)}
         self.assertEqual(set(planner.pools.open_endpoints(0, 0)), {0})
         self.assertEqual(set(planner.pools.open_endpoints(0, None)), {0, 1})
-        planner.paths.bad = {(0, 0), (0, 1)}
+        planner.zone_paths.bad_paths = {(0, 0), (0, 1)}
         self.assertEqual(set(planner.pools.open_endpoints(0, 0)), {0, 1})
--- a/tests/planner/test_endpoint_updates.py
+++ b/tests/planner/test_endpoint_updates.py
@@ -5,11 +5,11 @@
 
 
 class EndpointUpdatesTest(unittest.TestCase):
-    def test_endpoints_gone_for_long_leave_no_record_and_no_entry(self):
+    def test_endpoints_that_are_long_gone_leave_no_record_and_no_entry(self):
         planner = make_planner(endpoints=6, proxies=2)
         planner.decide(101.0, [interface.ProxyDisconnected(1)])
         for number in range(200):
-            # One of six is replaced by one of a new name, every second.
+            # Every second one of six endpoints is replaced by an endpoint with a new name.
             old = 5 + number
             new = make_endpoint(6 + number, (6 + number) % 2, started_at=0.0)
             gone = make_endpoint(old, old % 2, "gone")
@@ -25,7 +25,7 @@
         self.assertEqual(set(planner.schedule.active) - known, set())
         self.assertTrue(planner.proxies[0].entries[0])
 
-    def test_where_gone_is_advice_an_endpoint_that_answers_stays_and_a_draining_one_goes(self):
+    def test_with_gone_is_advice_an_answering_endpoint_is_kept_and_a_draining_one_is_not(self):
         planner = make_planner(gone_is_advice=True)
         planner.now = planner.statistics.last_success_at = 110.0
         planner.endpoints[3].last_success_at = 110.0
@@ -33,10 +33,11 @@
             interface.EndpointUpdate("whole", 2, (make_endpoint(2, phase="draining"),))
         )
         self.assertEqual(
-            [one.id for one in planner.endpoints.values() if one.phase == "ready"], [3]
+            [state.id for state in planner.endpoints.values() if state.phase == "ready"],
+            [3],
         )
 
-    def test_a_controller_that_stood_still_takes_no_endpoint_for_silent(self):
+    def test_a_stalled_controller_does_not_treat_endpoints_as_silent(self):
         planner = make_planner(gone_is_advice=True)
         planner.decide(
             105.0,
@@ -44,25 +45,26 @@
         )
         planner.decide(115.0, [interface.EndpointUpdate("whole", 2, ())])
         self.assertEqual({endpoint.phase for endpoint in planner.endpoints.values()}, {"ready"})
-        self.assertTrue(all(proxy.entries[0] for proxy in planner.context.joined))
+        self.assertTrue(all(proxy.entries[0] for proxy in planner.context.connected_proxies))
 
-    def test_a_list_that_leaves_none_removes_none_where_gone_is_advice(self):
-        # The lab's dns seeds 40380, 40555, 40963: an empty list while endpoints were silent, hung or cut off.
-        for advice, left in ((True, 8), (False, 0)):
-            planner = make_planner(gone_is_advice=advice)
+    def test_with_gone_is_advice_a_list_without_ready_endpoints_removes_none(self):
+        # An empty list may arrive while all endpoints are silent, hung or cut off.
+        for gone_is_advice, expected in ((True, 8), (False, 0)):
+            planner = make_planner(gone_is_advice=gone_is_advice)
             for endpoint in planner.endpoints.values():
-                endpoint.failed_checks = 5  # none answers
+                endpoint.failed_checks = 5
                 endpoint.last_success_at = 0.0
             planner.decide(101.0, [interface.EndpointUpdate("whole", 2, ())])
-            ready = [one for one in planner.endpoints.values() if one.phase == "ready"]
-            self.assertEqual(len(ready), left)
+            ready = [state for state in planner.endpoints.values() if state.phase == "ready"]
+            self.assertEqual(len(ready), expected)
 
-    def test_a_list_that_leaves_some_is_believed(self):
+    def test_with_gone_is_advice_a_list_with_ready_endpoints_is_applied(self):
         planner = make_planner(gone_is_advice=True)
         for endpoint in planner.endpoints.values():
             endpoint.failed_checks = 5
             endpoint.last_success_at = 0.0
         planner.decide(101.0, [interface.EndpointUpdate("whole", 2, (make_endpoint(3, 1),))])
         self.assertEqual(
-            [one.id for one in planner.endpoints.values() if one.phase == "ready"], [3]
+            [state.id for state in planner.endpoints.values() if state.phase == "ready"],
+            [3],
         )
--- a/tests/planner/test_health_checks.py
+++ b/tests/planner/test_health_checks.py
@@ -5,7 +5,7 @@
 
 
 class HealthChecksTest(unittest.TestCase):
-    def test_an_endpoint_listed_late_is_not_used_until_a_check_found_it(self):
+    def test_an_endpoint_listed_later_is_not_used_until_a_check_confirms_it(self):
         planner = make_planner()
         planner.decide(101.0, [interface.EndpointUpdate("changes", 2, (make_endpoint(70),))])
         self.assertNotIn(70, planner.sharding.table(planner.proxies[0], 0))
--- a/tests/planner/test_load_relief.py
+++ b/tests/planner/test_load_relief.py
@@ -4,16 +4,16 @@
 
 
 class LoadReliefTest(unittest.TestCase):
-    def test_excluded_proxies_are_chosen_among_the_endpoints_holders(self):
+    def test_excluded_proxies_are_chosen_among_the_endpoints_subscribers(self):
         planner = make_planner(proxies=8)
         for number in range(4):
             planner.writer.set_entry(planner.proxies[number], 0, 1, 0.0)
         endpoint = planner.endpoints[1]
-        planner.relief.set_reach(endpoint, 0.5)
+        planner.load_relief.set_traffic_fraction(endpoint, 0.5)
         excluded = endpoint.excluded_proxies
         self.assertTrue(excluded and excluded <= {4, 5, 6, 7})
 
-    def test_a_slow_endpoint_leaves_some_shards_and_a_shared_slowness_changes_none(self):
+    def test_a_slow_endpoint_leaves_some_shards_and_a_slow_fleet_changes_none(self):
         planner = make_planner()
         for all_slow in (True, False):
             planner.now += 10
@@ -21,7 +21,7 @@
                 slow = all_slow or endpoint.id == 1
                 endpoint.attempts = 10.0
                 endpoint.errors = 0.0
-                endpoint.latency = 9.0 if slow else 1.0
+                endpoint.latency_sum = 9.0 if slow else 1.0
             planner.evaluate_endpoints()
         relieved = {
             endpoint.id: endpoint.excluded_proxies
--- a/tests/planner/test_load_statistics.py
+++ b/tests/planner/test_load_statistics.py
@@ -2,12 +2,12 @@
 
 from peatlead import interface
 from peatlead.planner.endpoint_state import Counts
-from peatlead.planner.load_statistics import total
+from peatlead.planner.load_statistics import sum_counts
 from tests.helpers import make_endpoint, make_planner
 
 
 class LoadStatisticsTest(unittest.TestCase):
-    def test_reports_from_before_a_start_do_not_count_for_the_new_process(self):
+    def test_reports_from_before_a_start_are_ignored(self):
         planner = make_planner()
         planner.decide(
             101.0,
@@ -16,7 +16,7 @@
         planner.statistics.on_endpoint_stats(interface.EndpointStats(3, 0, 9, 9, 4.0, 0.0, None))
         self.assertFalse(planner.endpoints[3].stats)
 
-    def test_a_capped_report_counts_as_long_as_the_time_to_the_next(self):
+    def test_counts_last_until_the_next_report_if_reports_are_infrequent(self):
         planner = make_planner()
         planner.statistics.cycle = 5.0
         planner.statistics.on_endpoint_stats(interface.EndpointStats(2, 0, 10, 0, 5.0, 0.1, None))
@@ -24,7 +24,7 @@
         planner.end_round()
         self.assertGreater(planner.endpoints[2].attempts, 5.0)
 
-    def test_counts_fade_to_a_quarter_within_a_cycle(self):
+    def test_counts_decay_to_a_quarter_within_a_cycle(self):
         planner = make_planner()
         report = interface.EndpointStats(2, 0, 8, 4, 1.0, 0.5, None)
         planner.statistics.on_endpoint_stats(report)
@@ -33,7 +33,7 @@
         counts = planner.endpoints[2].stats[0]
         self.assertAlmostEqual(counts.attempts, 10.0)
         self.assertAlmostEqual(counts.errors, 5.0)
-        self.assertAlmostEqual(counts.latency, 2.5)
+        self.assertAlmostEqual(counts.latency_sum, 2.5)
 
-    def test_the_total_of_no_counts_is_none(self):
-        self.assertEqual(total([]), Counts(0.0, 0.0, 0.0))
+    def test_the_sum_of_no_counts_is_zero(self):
+        self.assertEqual(sum_counts([]), Counts(0.0, 0.0, 0.0))
--- a/tests/planner/test_outlier_detection.py
+++ b/tests/planner/test_outlier_detection.py
@@ -7,7 +7,7 @@
 
 class OutlierDetectionTest(unittest.TestCase):
     def test_a_hung_endpoint_with_few_old_successes_is_ejected_while_peers_have_capacity(self):
-        # It was known by ten failed checks and 23 of 24 attempts, and kept for 1.3 cycles of reports: 4 s.
+        # Guards against waiting for the time without success although checks and errors suffice.
         planner = make_planner(report_fields=["util"])
         report_round(planner, errors=9, failed_checks=4)
         self.assertFalse(planner.endpoints[0].usable)
@@ -19,19 +19,21 @@
         report_round(planner, errors=9, utilization=0.85, failed_checks=4)
         self.assertTrue(planner.endpoints[0].usable)
 
-    def test_an_endpoint_that_fails_alone_is_ejected_and_a_shared_fault_ejects_none(self):
+    def test_a_single_failing_endpoint_is_ejected_and_a_shared_fault_ejects_none(self):
         planner = make_planner()
         for endpoint in planner.endpoints.values():
-            endpoint.attempts, endpoint.errors, endpoint.latency = 10.0, 6.0, 1.0
+            endpoint.attempts, endpoint.errors, endpoint.latency_sum = 10.0, 6.0, 1.0
         planner.evaluate_endpoints()
         self.assertTrue(all(endpoint.usable for endpoint in planner.endpoints.values()))
         for endpoint in planner.endpoints.values():
             endpoint.attempts, endpoint.errors = 10.0, 6.0 if endpoint.id == 5 else 0.0
-            endpoint.latency = 0.1 * (endpoint.attempts - endpoint.errors)
+            endpoint.latency_sum = 0.1 * (endpoint.attempts - endpoint.errors)
         planner.evaluate_endpoints()
-        self.assertEqual([one.id for one in planner.endpoints.values() if not one.usable], [5])
+        self.assertEqual(
+            [state.id for state in planner.endpoints.values() if not state.usable], [5]
+        )
 
-    def test_a_busy_endpoint_whose_checks_time_out_stays_and_a_silent_one_is_ejected(self):
+    def test_a_busy_endpoint_with_failed_checks_stays_and_a_silent_one_is_ejected(self):
         planner = make_planner()
         planner.now = 110.0
         for endpoint in planner.endpoints.values():
@@ -41,9 +43,11 @@
         busy.failed_checks = silent.failed_checks = silent.errors = 4
         silent.last_success_at = 105.0
         planner.evaluate_endpoints()
-        self.assertEqual([one.id for one in planner.endpoints.values() if not one.usable], [3])
+        self.assertEqual(
+            [state.id for state in planner.endpoints.values() if not state.usable], [3]
+        )
 
-    def test_where_no_attempts_are_reported_health_checks_alone_eject(self):
+    def test_health_checks_alone_eject_if_no_attempts_are_reported(self):
         for reported, usable in ((True, True), (False, False)):
             planner = make_planner(tries_told=reported)
             now = 100.0
@@ -56,10 +60,10 @@
                     for number in range(8)
                 ]
                 planner.decide(now, [*results, interface.TimerFired(0)])
-            listed = any(3 in proxy.entries[0] for proxy in planner.context.joined)
-            self.assertEqual((planner.endpoints[3].usable, listed), (usable, usable))
+            in_a_table = any(3 in proxy.entries[0] for proxy in planner.context.connected_proxies)
+            self.assertEqual((planner.endpoints[3].usable, in_a_table), (usable, usable))
 
-    def test_more_failed_checks_are_needed_where_checks_often_fail_by_chance(self):
+    def test_more_failed_checks_are_needed_if_checks_often_fail_by_chance(self):
         ready = list(make_planner().endpoints.values())
         needed = []
         for rate in (0.0, 0.1, 0.5, 0.8, 1.0):
@@ -71,21 +75,21 @@
         self.assertAlmostEqual(needed[3], 30.96, 2)
         self.assertEqual(needed[4], needed[3])
 
-    def test_no_more_than_four_tenths_of_the_endpoints_are_ejected(self):
+    def test_at_most_forty_percent_of_the_endpoints_are_ejected(self):
         planner = make_planner(endpoints=10)
         ready = planner.fleet_load.ready_endpoints()
         for endpoint in ready:
-            planner.outliers.eject(endpoint, ready, by_checks=False)
+            planner.outlier_detection.eject(endpoint, ready, by_checks=False)
         self.assertEqual(sum(not endpoint.usable for endpoint in ready), 4)
 
-    def test_an_ejection_that_follows_soon_lasts_twice_as_long(self):
+    def test_a_repeated_ejection_lasts_twice_as_long(self):
         planner = make_planner(endpoints=10)
         ready = planner.fleet_load.ready_endpoints()
         endpoint = ready[0]
-        waits = []
+        durations = []
         for _ in range(5):
-            planner.outliers.eject(endpoint, ready, by_checks=False)
-            waits.append(endpoint.ejected_until - planner.now)
+            planner.outlier_detection.eject(endpoint, ready, by_checks=False)
+            durations.append(endpoint.ejected_until - planner.now)
             planner.now = endpoint.ejected_until
-            planner.outliers.restore_if_due(endpoint)
-        self.assertEqual(waits, [10.0, 20.0, 40.0, 60.0, 60.0])
+            planner.outlier_detection.restore_if_due(endpoint)
+        self.assertEqual(durations, [10.0, 20.0, 40.0, 60.0, 60.0])
--- a/tests/planner/test_planner.py
+++ b/tests/planner/test_planner.py
@@ -10,7 +10,7 @@
 
 
 class PlannerTest(unittest.TestCase):
-    def test_events_about_unknown_endpoints_and_proxies_put_nothing_on_a_table(self):
+    def test_events_about_unknown_endpoints_and_proxies_add_no_entries(self):
         planner = make_planner()
         commands = planner.decide(
             101.0,
@@ -42,8 +42,8 @@
 
 
 class ConstantsTest(unittest.TestCase):
-    def test_a_constant_is_assigned_in_one_module_alone(self):
-        # Studies find a constant by its name, whichever module it stands in.
+    def test_a_constant_is_assigned_in_one_module_only(self):
+        # Studies look up a constant by its name, without its module.
         assigned = [
             target.id
             for path in Path(planner_package.__path__[0]).glob("*.py")
@@ -61,7 +61,7 @@
             self.assertIs(shuffle_sharding.COVERAGE, context.COVERAGE)
         self.assertEqual((shuffle_sharding.COVERAGE, context.COVERAGE), (25.0, 25.0))
 
-    def test_a_constant_that_no_module_has_is_refused(self):
+    def test_an_unknown_constant_raises_an_error(self):
         for name in ("COVERAGES", "Planner", "rendezvous"):
             with self.assertRaises(ValueError):
                 modules_with(name)
--- a/tests/planner/test_planner_at_scale.py
+++ b/tests/planner/test_planner_at_scale.py
@@ -8,7 +8,7 @@
 from peatlead.planner import planner as planner_module
 from peatlead.planner.health_checks import MAX_CHECKS_PER_SECOND
 from peatlead.planner.planner import Planner
-from peatlead.planner.shuffle_sharding import MAX_WARM_JOINING
+from peatlead.planner.shuffle_sharding import MAX_ADDED_WARM_ENDPOINTS
 from peatlead.planner.table_assignment import TABLES_PER_BATCH
 from peatlead.planner.timers import CONTINUE_DELAY, CONTINUE_TIMER
 
@@ -16,10 +16,13 @@
 
 
 class PlannerAtScaleTest(unittest.TestCase):
-    """The planner with its indexes, through changes and with many proxies or endpoints."""
+    """The planner with its indexes, with list changes and with many proxies or endpoints."""
 
     def drive(self, planner, rng, steps=250):
-        """Take a planner through list changes, errors and recoveries; returns the time of the last batch."""
+        """Run a planner through list changes, errors and recoveries.
+
+        Return the time of the last batch.
+        """
         now = 100.0
         phases = {endpoint: ("ready", 0.0) for endpoint in range(12)}
         failing = set()
@@ -46,60 +49,60 @@
             if step % 10 == 5:
                 events += [
                     interface.EndpointStats(
-                        each,
+                        number,
                         zone,
                         9,
-                        8 if each in failing else 0,
+                        8 if number in failing else 0,
                         1.0,
                         0.1,
                         {"util": rng.uniform(0.2, 0.9)},
                     )
-                    for each, (phase, _) in phases.items()
+                    for number, (phase, _) in phases.items()
                     if phase == "ready"
                     for zone in (0, 1)
                 ]
             planner.decide(now, events)
         return now
 
-    def test_tables_that_were_not_redrawn_equal_newly_drawn_ones(self):
+    def test_tables_that_were_not_recomputed_equal_newly_computed_ones(self):
         compared = 0
         for seed in range(6):
             planner = make_planner(endpoints=12, proxies=24)
             now = self.drive(planner, Random(seed))
-            for _ in range(400):  # until all are warm, and all stages are through
+            for _ in range(400):  # until all endpoints are warm and all stages are written
                 now += 0.1
                 planner.decide(now, [interface.TimerFired(0)])
             unchanged = [
                 proxy
-                for proxy in planner.context.joined
+                for proxy in planner.context.connected_proxies
                 if proxy.seen_pool_changes == planner.changes.pool_changes
                 and not proxy.beyond_shards
                 and all(
                     endpoint.last_change <= proxy.seen_changes
-                    for endpoint in proxy.drawn_from.values()
+                    for endpoint in proxy.source_endpoints.values()
                 )
             ]
             compared += len(unchanged)
             for proxy in unchanged:
-                for group, lines in enumerate(proxy.entries):
-                    self.assertEqual(lines, planner.sharding.table(proxy, group))
+                for group, entries in enumerate(proxy.entries):
+                    self.assertEqual(entries, planner.sharding.table(proxy, group))
         self.assertGreater(compared, 24)
 
     def test_the_subscriber_index_follows_the_tables(self):
         for seed in range(4):
             planner = make_planner(endpoints=12, proxies=24)
             self.drive(planner, Random(seed))
-            for host in planner.endpoints:
+            for endpoint in planner.endpoints:
                 self.assertEqual(
-                    set(planner.context.subscriber_index.subscribers(host)),
+                    set(planner.context.subscriber_index.subscribers(endpoint)),
                     {
-                        p.number
-                        for p in planner.proxies.values()
-                        if any(host in lines for lines in p.entries)
+                        proxy.number
+                        for proxy in planner.proxies.values()
+                        if any(endpoint in entries for entries in proxy.entries)
                     },
                 )
 
-    def test_a_warming_endpoint_is_checked_until_it_has_its_whole_share(self):
+    def test_a_warming_endpoint_is_active_until_it_has_its_full_weight(self):
         planner = make_planner()
         planner.decide(
             101.0, [interface.EndpointUpdate("changes", 2, (make_endpoint(3, 1, "ready", 100.5),))]
@@ -111,25 +114,25 @@
             planner.decide(now, [interface.TimerFired(0)])
         self.assertEqual((planner.endpoints[3].weight_fraction, planner.schedule.active), (1.0, {}))
 
-    def test_each_ready_endpoint_is_probed_about_once_a_second(self):
-        planner, now, probes = make_planner(), 100.0, Counter()
+    def test_each_ready_endpoint_is_checked_about_once_per_second(self):
+        planner, now, checks = make_planner(), 100.0, Counter()
         for _ in range(100):
             now += 0.1
-            probes.update(
+            checks.update(
                 command.endpoint
                 for command in of_type(
                     planner.decide(now, [interface.TimerFired(0)]), interface.CheckHealth
                 )
             )
-        self.assertEqual(len(probes), 8)
-        self.assertTrue(all(8 <= many <= 11 for many in probes.values()), probes)
+        self.assertEqual(len(checks), 8)
+        self.assertTrue(all(8 <= count <= 11 for count in checks.values()), checks)
 
-    def test_probes_of_many_endpoints_are_bounded_and_start_at_once_after_errors(self):
-        # 1,000 probes a second were half of the work of a controller with 1,000 endpoints.
-        planner, now, probes = make_planner(endpoints=900), 100.0, Counter()
+    def test_checks_of_many_endpoints_are_limited_and_start_at_once_after_errors(self):
+        # Checks of a thousand endpoints per second would take half of a controller's time.
+        planner, now, checks = make_planner(endpoints=900), 100.0, Counter()
         for _ in range(300):
             now += 0.1
-            probes.update(
+            checks.update(
                 command.endpoint
                 for command in of_type(
                     planner.decide(now, [interface.TimerFired(0)]), interface.CheckHealth
@@ -137,11 +140,15 @@
             )
         self.assertTrue(
             0.8 * MAX_CHECKS_PER_SECOND * 30
-            < sum(probes.values())
+            < sum(checks.values())
             <= 1.2 * MAX_CHECKS_PER_SECOND * 30
         )
-        self.assertTrue(min(probes.values()) >= 7, probes.most_common()[-3:])
-        unchecked = next(h.id for h in planner.endpoints.values() if h.next_check_at > now + 1)
+        self.assertTrue(min(checks.values()) >= 7, checks.most_common()[-3:])
+        unchecked = next(
+            endpoint.id
+            for endpoint in planner.endpoints.values()
+            if endpoint.next_check_at > now + 1
+        )
         planner.decide(now, [interface.EndpointStats(unchecked, 0, 5, 2, 1.0, 0.1, None)])
         commands = planner.decide(now + 0.1, [interface.TimerFired(0)])
         self.assertIn(interface.CheckHealth(unchecked), commands)
@@ -153,19 +160,21 @@
             100.0,
             [
                 interface.EndpointUpdate(
-                    "remembered", 1, tuple(make_endpoint(h, h % 2) for h in range(40))
+                    "remembered",
+                    1,
+                    tuple(make_endpoint(number, number % 2) for number in range(40)),
                 )
             ],
         )
         return planner
 
-    def test_many_connects_are_spread_over_batches_and_a_withdrawal_goes_between(self):
-        # All 3,000 in one batch took 5 to 13 s, in which no withdrawal could go out.
+    def test_many_connections_are_spread_over_batches_and_a_withdrawal_is_sent_in_between(self):
+        # Assigning all tables in one batch would delay a withdrawal by seconds.
         proxies = 450
         planner = self.planner_for(proxies)
         now, assigned, batches = 100.0, [], 0
         commands = planner.decide(
-            now, [interface.ProxyConnected(p, p % 2, 1.0, True) for p in range(proxies)]
+            now, [interface.ProxyConnected(proxy, proxy % 2, 1.0, True) for proxy in range(proxies)]
         )
         while len(assigned) < proxies:
             new = [command.proxy for command in of_type(commands, interface.AssignTable)]
@@ -180,9 +189,9 @@
                 self.assertEqual((withdrawal.endpoint, withdrawal.withdrawn), (5, True))
                 self.assertTrue(set(withdrawal.notify) <= set(planner.unassigned))
                 held = {
-                    p.number
-                    for p in planner.context.joined
-                    if p.assigned and any(5 in lines for lines in p.entries)
+                    proxy.number
+                    for proxy in planner.context.connected_proxies
+                    if proxy.assigned and any(5 in entries for entries in proxy.entries)
                 }
                 self.assertEqual(held, set())
                 continue
@@ -198,17 +207,17 @@
             self.assertLess(batches, 10)
         self.assertEqual(sorted(assigned), list(range(proxies)))
 
-    def test_the_timer_for_waiting_proxies_is_no_tick(self):
+    def test_the_continuation_timer_is_not_a_tick(self):
         planner = self.planner_for(4)
-        planner.decide(100.0, [interface.ProxyConnected(p, 0, 1.0, True) for p in range(4)])
-        with mock.patch.object(planner, "advance_endpoint") as tended:
+        planner.decide(100.0, [interface.ProxyConnected(proxy, 0, 1.0, True) for proxy in range(4)])
+        with mock.patch.object(planner, "advance_endpoint") as advance_endpoint:
             self.assertEqual(planner.decide(100.5, [interface.TimerFired(CONTINUE_TIMER)]), [])
-        tended.assert_not_called()
+        advance_endpoint.assert_not_called()
 
-    def test_a_lowered_cold_share_reaches_all_proxies_within_a_few_batches(self):
+    def test_a_decreased_cold_weight_reaches_all_proxies_within_a_few_batches(self):
         planner, now = self.planner_for(450), 100.0
         commands = planner.decide(
-            now, [interface.ProxyConnected(p, p % 2, 1.0, True) for p in range(450)]
+            now, [interface.ProxyConnected(proxy, proxy % 2, 1.0, True) for proxy in range(450)]
         )
         while any(
             command.token == CONTINUE_TIMER for command in of_type(commands, interface.SetTimer)
@@ -227,10 +236,16 @@
             batches += 1
             self.assertLess(batches, 9)
         self.assertEqual(
-            {lines[3] for p in planner.context.joined for lines in p.entries if 3 in lines}, {0.5}
+            {
+                entries[3]
+                for proxy in planner.context.connected_proxies
+                for entries in proxy.entries
+                if 3 in entries
+            },
+            {0.5},
         )
 
-    def test_replacing_nearly_all_endpoints_within_half_a_minute_keeps_the_rules(self):
+    def test_replacing_nearly_all_endpoints_within_half_a_minute_stays_within_the_limits(self):
         run = PacedRun(planner_module, 60, 200, channel_rate=2800.0)
         run.join()
         run.ticks(100)
@@ -241,40 +256,48 @@
         self.assertLess(figures["queue, deepest part"], 1.0)
         self.assertLessEqual(figures["messages a proxy in 10 s, most"], 30)
         run.ticks(100)
-        self.assertEqual({host.weight_fraction for host in run.planner.endpoints.values()}, {1.0})
+        self.assertEqual(
+            {endpoint.weight_fraction for endpoint in run.planner.endpoints.values()}, {1.0}
+        )
 
     def test_proxy_numbers_may_have_64_bits(self):
         planner = self.planner_for(3)
         commands = planner.decide(
-            101.0, [interface.ProxyConnected(n, 0, 1.0, True) for n in (2**16, 2**32, 2**64 - 1)]
+            101.0,
+            [
+                interface.ProxyConnected(number, 0, 1.0, True)
+                for number in (2**16, 2**32, 2**64 - 1)
+            ],
         )
         self.assertEqual(
             len(of_type(commands, interface.AssignTable)), 3 * len(planner.pools.groups)
         )
 
-    def test_a_table_with_too_many_cold_endpoints_gets_some_warm_ones_not_a_whole_zone(self):
+    def test_a_table_with_too_many_cold_endpoints_gets_a_limited_number_of_warm_ones(self):
         planner = Planner({**SETTINGS, "proxies": 3000, "channel_rate": 1e6, "queue_most": 1e6}, 1)
         planner.decide(
             100.0,
             [
                 interface.EndpointUpdate(
-                    "remembered", 1, tuple(make_endpoint(h, h % 2) for h in range(400))
+                    "remembered",
+                    1,
+                    tuple(make_endpoint(number, number % 2) for number in range(400)),
                 )
             ],
         )
         planner.decide(100.0, [interface.ProxyConnected(0, 0, 1.0, True)])
         proxy = planner.proxies[0]
-        for host in proxy.entries[0]:
-            planner.endpoints[host].cold_since, planner.endpoints[host].weight_fraction = (
+        for endpoint in proxy.entries[0]:
+            planner.endpoints[endpoint].cold_since, planner.endpoints[endpoint].weight_fraction = (
                 100.0,
                 0.25,
             )
-        lines = planner.sharding.table(proxy, 0)
+        entries = planner.sharding.table(proxy, 0)
         cold = sum(
             weight
-            for host, weight in lines.items()
-            if planner.endpoints[host].cold_since is not None
+            for endpoint, weight in entries.items()
+            if planner.endpoints[endpoint].cold_since is not None
         )
-        warm = [host for host in lines if planner.endpoints[host].cold_since is None]
-        self.assertTrue(0 < len(warm) <= MAX_WARM_JOINING)
-        self.assertTrue(proxy.beyond_shards and cold <= 0.5 * sum(lines.values()))
+        warm = [endpoint for endpoint in entries if planner.endpoints[endpoint].cold_since is None]
+        self.assertTrue(0 < len(warm) <= MAX_ADDED_WARM_ENDPOINTS)
+        self.assertTrue(proxy.beyond_shards and cold <= 0.5 * sum(entries.values()))
--- a/tests/planner/test_removals.py
+++ b/tests/planner/test_removals.py
@@ -5,12 +5,14 @@
 
 
 class RemovalsTest(unittest.TestCase):
-    def test_a_draining_endpoint_leaves_every_table_and_is_withdrawn_at_once(self):
+    def test_a_draining_endpoint_is_removed_from_every_table_and_withdrawn_at_once(self):
         planner = make_planner()
         commands = planner.decide(
             101.0, [interface.EndpointUpdate("changes", 2, (make_endpoint(3, 1, "draining"),))]
         )
-        self.assertIn(interface.WithdrawEndpoint(3, True, ()), commands)  # none waits for a table
+        self.assertIn(
+            interface.WithdrawEndpoint(3, True, ()), commands
+        )  # no proxy waits for a table
         entries = of_type(commands, interface.SetEntry)
         removed = [entry for entry in entries if entry.endpoint == 3 and not entry.weight]
         self.assertEqual(len(removed), 4)
@@ -27,7 +29,7 @@
         warm = {number for number in planner.endpoints if number > 3}
         self.assertTrue(warm <= set(proxy.entries[0]))
 
-    def test_a_table_that_lost_its_last_entry_is_filled_however_full_the_queue(self):
+    def test_an_empty_table_is_rewritten_even_if_the_queue_is_full(self):
         planner = make_planner()
         proxy = planner.proxies[0]
         proxy.entries[0] = {0: 1.0}
--- a/tests/planner/test_rendezvous.py
+++ b/tests/planner/test_rendezvous.py
@@ -23,13 +23,13 @@
         strategies.integers(1, 60),
         strategies.randoms(),
     )
-    def test_top_equals_ranking_each_endpoint_alone(self, size, number, count, rng):
+    def test_top_equals_ranking_each_endpoint_separately(self, size, number, count, rng):
         endpoints = named_endpoints(size)
         key = proxy_key(number)
-        expected = sorted(endpoints, key=lambda each: (rank(key, each.name_hash), each.name))[
-            :count
-        ]
-        rng.shuffle(endpoints)  # ids and lists differ between controllers; names do not
+        expected = sorted(
+            endpoints, key=lambda endpoint: (rank(key, endpoint.name_hash), endpoint.name)
+        )[:count]
+        rng.shuffle(endpoints)  # the order of lists differs between controllers
         self.assertEqual(RendezvousPool(endpoints).top(key, count), expected)
 
     def test_endpoints_with_equal_hashes_rank_by_name(self):
@@ -39,21 +39,24 @@
         self.assertEqual(RendezvousPool(endpoints[::-1]).top(proxy_key(7), 2), endpoints[:2])
 
     def test_endpoints_and_pairs_of_them_are_evenly_spread(self):
-        # Pairs that come together too often would be lost together: shuffle sharding is there against that.
+        # Endpoints that often share a shard would be lost together, which shuffle sharding must
+        # prevent.
         pool = RendezvousPool(named_endpoints(40))
-        taken, pairs = Counter(), Counter()
+        uses, pairs = Counter(), Counter()
         for number in range(4000):
             names = sorted(endpoint.name for endpoint in pool.top(proxy_key(number), 4))
-            taken.update(names)
-            pairs.update((name, other) for at, name in enumerate(names) for other in names[:at])
+            uses.update(names)
+            pairs.update(
+                (name, other) for index, name in enumerate(names) for other in names[:index]
+            )
         self.assertTrue(
-            all(300 < taken[endpoint.name] < 500 for endpoint in pool), taken.most_common()[::39]
+            all(300 < uses[endpoint.name] < 500 for endpoint in pool), uses.most_common()[::39]
         )
         mean = 4000 * 6 / 780
         spread = sum((pairs[key] - mean) ** 2 for key in pairs) / 780 / mean
         self.assertTrue(0.7 < spread < 1.3, spread)
 
-    def test_removing_an_endpoint_moves_only_the_proxies_that_had_it(self):
+    def test_removing_an_endpoint_changes_only_the_shards_that_had_it(self):
         endpoints = named_endpoints(200)
         before, after = RendezvousPool(endpoints), RendezvousPool(endpoints[1:])
         for number in range(300):
--- a/tests/planner/test_shuffle_sharding.py
+++ b/tests/planner/test_shuffle_sharding.py
@@ -6,11 +6,10 @@
 
 
 class ShuffleShardingTest(unittest.TestCase):
-    def test_warm_endpoints_fill_a_table_without_starving_the_cold_ones(self):
-        # Where 24 warm endpoints joined every such table during a release, endpoints at 0.37 of their weight got 0.05
-        # of a usual load while the others were overloaded.
+    def test_added_warm_endpoints_leave_the_cold_ones_their_load(self):
+        # Too many warm endpoints in a table would leave cold endpoints idle and overload others.
         planner = make_planner(endpoints=60, proxies=400, channel_rate=1e6, queue_most=1e6)
-        planner.context.proxies_expected = 400.0
+        planner.context.expected_proxies = 400.0
         proxy = planner.proxies[0]
         shard = [
             endpoint
@@ -23,34 +22,34 @@
         planner.changes.mark_all()
         planner.sharding.end_batch()
         table = planner.sharding.table(proxy, 0)
-        whole = sum(table.values())
+        total = sum(table.values())
         cold = sum(
             weight
             for number, weight in table.items()
             if planner.endpoints[number].cold_since is not None
         )
-        self.assertLessEqual(cold, 0.2 * whole + 1e-9)
-        self.assertLess(whole, max(len(shard), 0.74 / 0.2) + 1.0)
-        self.assertGreaterEqual(whole, len(shard) - 1e-9)
+        self.assertLessEqual(cold, 0.2 * total + 1e-9)
+        self.assertLess(total, max(len(shard), 0.74 / 0.2) + 1.0)
+        self.assertGreaterEqual(total, len(shard) - 1e-9)
 
-    def test_every_controller_gives_a_proxy_the_same_shard(self):
+    def test_every_controller_computes_the_same_shard(self):
         planner = make_planner()
         other = make_planner()
         tables = planner.proxies[2].entries
         self.assertEqual(tables, other.proxies[2].entries)
         self.assertEqual(zones_of(planner, tables[0]), {0, 1})
 
-    def test_a_shard_without_usable_members_gives_way_to_every_ready_endpoint(self):
+    def test_a_shard_without_usable_endpoints_is_replaced_by_all_ready_endpoints(self):
         planner = make_planner()
         shard = planner.sharding.shard(planner.proxies[0], 0)
         for members in shard.chosen.values():
             for endpoint in members:
                 endpoint.phase = "gone"
-        planner.endpoint_updates.take(make_endpoint(50, 0))
-        planner.pools.ready.clear()
+        planner.endpoint_updates.apply(make_endpoint(50, 0))
+        planner.pools.ready_pools.clear()
         self.assertEqual(set(planner.sharding.table(planner.proxies[0], 0)), {50})
 
-    def test_a_class_restricted_to_some_zones_has_no_entry_elsewhere(self):
+    def test_a_class_restricted_to_some_zones_has_no_entries_in_others(self):
         read, pay = SETTINGS["req_kinds"]
         planner = make_planner(req_kinds=[{**read, "only_zones": [1]}, pay])
         tables = planner.proxies[0].entries
@@ -63,7 +62,7 @@
             endpoint.ejected_until = 1e9
         self.assertTrue(planner.sharding.table(planner.proxies[0], 0))
 
-    def test_cold_endpoints_alone_never_make_a_table(self):
+    def test_a_table_never_consists_of_cold_endpoints_only(self):
         planner = make_planner()
         proxy = planner.proxies[0]
         for endpoint in planner.endpoints.values():
@@ -76,7 +75,7 @@
             endpoint.cold_since = 100.0 if endpoint.id else None
         self.assertIn(0, planner.sharding.table(proxy, 0))
 
-    def test_a_table_is_cold_heavy_once_cold_endpoints_hold_a_fifth(self):
+    def test_a_table_is_cold_heavy_if_a_fifth_of_its_weight_is_cold(self):
         planner = make_planner()
         endpoints = list(planner.endpoints.values())
         endpoints[0].cold_since = 100.0
@@ -89,7 +88,7 @@
         commands = planner.decide(101.0, [interface.ProxyConnected(2**47 + 5, 0, 1.0, True)])
         self.assertTrue(of_type(commands, interface.AssignTable))
 
-    def test_a_prefix_carries_the_weight_and_has_one_endpoint_at_least(self):
+    def test_a_prefix_has_the_weight_and_at_least_one_endpoint(self):
         endpoints = list(make_planner().endpoints.values())
         for weight, count in ((-1.0, 1), (0.0, 1), (1.0, 1), (1.5, 2), (3.0, 3), (99.0, 8)):
             self.assertEqual(len(prefix_of_weight(endpoints, weight)), count)
--- a/tests/planner/test_subscriber_index.py
+++ b/tests/planner/test_subscriber_index.py
@@ -12,7 +12,7 @@
 
 class SubscriberIndexTest(unittest.TestCase):
     @given(STEPS)
-    def test_subscribers_are_the_proxies_with_a_table_that_has_the_endpoint(self, steps):
+    def test_subscribers_are_the_proxies_whose_tables_name_the_endpoint(self, steps):
         index, counts = SubscriberIndex(), Counter()
         for endpoint, proxy, adds in steps:
             if adds:
@@ -24,9 +24,13 @@
         for endpoint in range(6):
             self.assertEqual(
                 set(index.subscribers(endpoint)),
-                {p for (e, p), count in counts.items() if e == endpoint and count},
+                {
+                    subscriber
+                    for (other, subscriber), count in counts.items()
+                    if other == endpoint and count
+                },
             )
         self.assertEqual(
             set(index.subscribers_of_any(range(6))),
-            {p for (_, p), count in counts.items() if count},
+            {subscriber for (_, subscriber), count in counts.items() if count},
         )
--- a/tests/planner/test_withdrawals.py
+++ b/tests/planner/test_withdrawals.py
@@ -6,7 +6,7 @@
 
 
 def draining(count):
-    """The first endpoints of a list, draining."""
+    """Return the first endpoints of a list, draining."""
     return tuple(make_endpoint(number, number % 2, "draining") for number in range(count))
 
 
@@ -21,7 +21,7 @@
         self.assertFalse(of_type(commands, interface.AssignTable))
         self.assertIn(interface.WithdrawEndpoint(3, True, (9,)), commands)
 
-    def test_withdrawals_that_would_fill_the_queue_are_not_repeated(self):
+    def test_withdrawals_that_would_fill_the_queue_are_not_sent_again(self):
         planner = make_planner(endpoints=80, channel_rate=100.0, queue_most=400.0)
         planner.decide(
             101.0,
@@ -30,8 +30,8 @@
         commands = planner.decide(101.1, [interface.ProxyConnected(9, 0, 10.0, False)])
         self.assertFalse(of_type(commands, interface.WithdrawEndpoint))
 
-    def test_a_drain_is_not_sent_to_so_many_waiting_proxies_that_it_fills_the_queue(self):
-        # One controller with 1,100 waiting proxies and 30 draining endpoints: 45,011 entries where 45,000 may wait.
+    def test_notifications_of_waiting_proxies_do_not_fill_the_queue(self):
+        # Many waiting proxies times many draining endpoints could exceed the queue.
         planner = make_planner(endpoints=60, channel_rate=100.0, queue_most=400.0)
         planner.budget.backlog.unacknowledged_entries = 180.0
         planner.decide(
--- a/tests/planner/test_zone_paths.py
+++ b/tests/planner/test_zone_paths.py
@@ -5,11 +5,13 @@
 
 
 class ZonePathsTest(unittest.TestCase):
-    def test_a_zone_whose_endpoints_are_all_far_later_than_home_is_left_for_a_while(self):
+    def test_a_zone_whose_endpoints_are_all_slow_is_avoided(self):
         planner = make_planner()
         for endpoint in planner.endpoints.values():
             endpoint.stats[0] = DatedCounts(planner.now, 10.0, 0.0, 10.0 if endpoint.zone else 1.0)
-        planner.paths.end_round()
-        left, unchanged = [planner.sharding.table(planner.proxies[number], 0) for number in (0, 1)]
-        self.assertEqual(zones_of(planner, left), {0})
+        planner.zone_paths.end_round()
+        avoiding, unchanged = [
+            planner.sharding.table(planner.proxies[number], 0) for number in (0, 1)
+        ]
+        self.assertEqual(zones_of(planner, avoiding), {0})
         self.assertEqual(zones_of(planner, unchanged), {0, 1})
