--- a/peatlead/tables/change_causes.py
+++ b/peatlead/tables/change_causes.py
@@ -1,8 +1,8 @@
-"""Why a version was published, in operators' words. No I/O.
+"""Causes of published versions, in words for operators. No I/O.
 
-The planner's commands say what changes, not why. So the last event of each endpoint is stored:
-from the endpoint list, from the planner's log messages and from its ramp. An entry that changes
-bears its endpoint's last event as its cause.
+The planner's commands contain what changes, but not why. Therefore the last event of each endpoint
+is stored: from the endpoint list, from the planner's log messages and from its ramp. When an entry
+changes, the cause is the last event of its endpoint.
 """
 
 from collections.abc import Callable, Mapping
@@ -12,7 +12,7 @@
 from ..interface import EndpointPhase
 from .guard import RAMPED
 
-CAUSES_MAX = 6  # of one version; the rest is counted
+CAUSES_MAX = 6  # per version; further causes are only counted
 ASSIGNED_CAUSE = "put on its table"
 PHASE_EVENTS = {
     EndpointPhase.READY.value: "listed",
@@ -20,17 +20,17 @@
     EndpointPhase.GONE.value: "is gone",
 }
 
-Operation = tuple[Any, ...]  # its OperationKind, then what it changes
+Operation = tuple[Any, ...]  # its `OperationKind`, followed by what it changes
 Operations = Mapping[Operation, Any]
 
 
 class OperationKind(StrEnum):
     """The first component of an operation in a channel's message."""
 
-    WITHDRAWN = "withdrawn"  # of an endpoint, for all tables
-    LINE = "line"  # an endpoint's weight in a table
-    LEVEL = "level"  # a request class's admitted fraction and retry policy
-    BIND = "bind"  # a request class's table
+    WITHDRAWAL = "withdrawn"  # of an endpoint from all tables
+    WEIGHT = "line"  # of an endpoint in a table
+    ADMISSION = "level"  # admitted fraction and retry policy of a request class
+    ASSIGNMENT = "bind"  # of a request class to a table
 
 
 class EndpointEvent(NamedTuple):
@@ -41,28 +41,30 @@
 
 
 class ChangeCauses:
-    """The last event of each endpoint, and the causes of changes that follow from them.
+    """The last event of each endpoint, and the causes of changes.
 
-    `name_of` returns an endpoint's name, `listed_of` its weight as listed.
+    `endpoint_name` returns an endpoint's name, and `listed_weight` its weight in the endpoint list.
     """
 
-    def __init__(self, name_of: Callable[[int], str], listed_of: Callable[[int], float]) -> None:
-        self._name_of = name_of
-        self._listed_weight = listed_of
-        self.last_events: dict[int, str] = {}  # endpoint -> its last event
+    def __init__(
+        self, endpoint_name: Callable[[int], str], listed_weight: Callable[[int], float]
+    ) -> None:
+        self._endpoint_name = endpoint_name
+        self._listed_weight = listed_weight
+        self.last_events: dict[int, str] = {}  # by endpoint
 
     def note_phase_changes(
-        self, members: Mapping[int, tuple[Optional[str], str]], version: object
+        self, changes: Mapping[int, tuple[Optional[str], str]], version: object
     ) -> None:
-        """Store changes of phase in a version of the endpoint list: {endpoint: (before, after)}."""
-        for endpoint, (before, after) in members.items():
+        """Store the phase changes of a list version: {endpoint: (before, after)}."""
+        for endpoint, (before, after) in changes.items():
             previous = f" (was {before})" if before else ""
             self.last_events[endpoint] = f"{PHASE_EVENTS[after]}, list {version}{previous}"
 
     def note_planner_message(self, text: str) -> Optional[EndpointEvent]:
         """Store a log message of the planner, such as `host 3 dropped: sums`.
 
-        Return the event, or None where the message is not about an endpoint.
+        Return the event, or None if the message is not about an endpoint.
         """
         subject, *rest = text.split(" ")
         if subject != "host" or len(rest) < 2 or not rest[0].isdigit():
@@ -71,12 +73,12 @@
         self.last_events[event.endpoint] = event.text
         return event
 
-    def causes_of(self, ops: Operations) -> tuple[str, ...]:
+    def causes_of(self, operations: Operations) -> tuple[str, ...]:
         """Return the causes of a message's operations, the most frequent first."""
-        if any(operation[0] == OperationKind.BIND for operation in ops):
-            return (ASSIGNED_CAUSE,)  # a whole table: its entries are no changes of their own
+        if any(operation[0] == OperationKind.ASSIGNMENT for operation in operations):
+            return (ASSIGNED_CAUSE,)  # the entries of a newly assigned table have no other cause
         counts: dict[str, int] = {}
-        for operation, value in ops.items():
+        for operation, value in operations.items():
             cause = self._cause_of(operation, value)
             if cause is not None:
                 counts[cause] = counts.get(cause, 0) + 1
@@ -87,21 +89,21 @@
         return tuple(ranked)
 
     def _cause_of(self, operation: Operation, value: Any) -> Optional[str]:
-        """Return the cause of one operation, or None where it is no change of its own."""
+        """Return the cause of one operation, or None if the operation has no separate cause."""
         kind = operation[0]
-        if kind == OperationKind.WITHDRAWN:
+        if kind == OperationKind.WITHDRAWAL:
             endpoint = operation[1]
             default = "withdrawn" if value else "let in again"
-            return f"{self._name_of(endpoint)} {self.last_events.get(endpoint, default)}"
-        if kind == OperationKind.LINE:
+            return f"{self._endpoint_name(endpoint)} {self.last_events.get(endpoint, default)}"
+        if kind == OperationKind.WEIGHT:
             return self._cause_of_weight(operation[2], value)
-        if kind == OperationKind.LEVEL:
-            admitted, retry_policy = value[0], value[1]
-            return f"level {admitted:.2f}, second tries {retry_policy}"
+        if kind == OperationKind.ADMISSION:
+            admitted_fraction, retry_policy = value[0], value[1]
+            return f"level {admitted_fraction:.2f}, second tries {retry_policy}"
         return None
 
     def _cause_of_weight(self, endpoint: int, weight: Optional[float]) -> str:
-        name = self._name_of(endpoint)
+        name = self._endpoint_name(endpoint)
         listed = self._listed_weight(endpoint)
         if weight and listed and weight < listed * RAMPED:
             return f"{name} ramps, {weight / listed:.2f} of its weight"
--- a/tests/tables/test_change_causes.py
+++ b/tests/tables/test_change_causes.py
@@ -1,8 +1,11 @@
-"""The causes of versions, in operators' words."""
+"""The causes of published versions, as operators see them."""
 
 import unittest
 
+from peatlead import interface
+from peatlead.planner.endpoint_state import DatedCounts
 from peatlead.tables.change_causes import ChangeCauses
+from tests.helpers import make_planner, of_type
 
 
 class ChangeCausesTest(unittest.TestCase):
@@ -49,3 +52,55 @@
         self.assertEqual(
             self.causes.causes_of({("bind", 0): 1, ("line", 1, 3): 1.0}), ("put on its table",)
         )
+
+
+class PlannerMessagesTest(unittest.TestCase):
+    """The planner's own log messages, as `ChangeCauses` reads them."""
+
+    def setUp(self):
+        self.causes = ChangeCauses(lambda endpoint: f"h{endpoint}", lambda endpoint: 1.0)
+        self.planner = make_planner(endpoints=20)
+        self.ready = self.planner.fleet_load.ready_endpoints()
+
+    def logged_by(self, act, *arguments, **options):
+        """The only message that the planner logs while `act` runs."""
+        self.planner.commands = []
+        act(*arguments, **options)
+        [message] = of_type(self.planner.commands, interface.LogMessage)
+        return message.text
+
+    def assert_cause(self, text, endpoint, cause):
+        """The planner's text is the cause of a change of the endpoint's weight."""
+        self.assertEqual(self.causes.note_planner_message(text), (endpoint, cause))
+        self.assertEqual(
+            self.causes.causes_of({("line", 0, endpoint): None}), (f"h{endpoint} {cause}",)
+        )
+        self.assertEqual(
+            self.causes.causes_of({("withdrawn", endpoint): True}), (f"h{endpoint} {cause}",)
+        )
+
+    def test_an_ejection_is_the_cause_of_a_changed_weight(self):
+        eject = self.planner.outlier_detection.eject
+        text = self.logged_by(eject, self.ready[3], self.ready, by_checks=True)
+        self.assert_cause(text, 3, "dropped: probes")
+        text = self.logged_by(eject, self.ready[12], self.ready, by_checks=False)
+        self.assert_cause(text, 12, "dropped: sums")
+
+    def test_a_changed_traffic_fraction_is_the_cause_of_a_changed_weight(self):
+        relief = self.planner.load_relief
+        text = self.logged_by(relief.relieve, self.ready[5], self.ready)
+        self.assert_cause(text, 5, "reach 0.75")
+        self.planner.now += 100.0
+        text = self.logged_by(relief.restore_if_due, self.ready[5])
+        self.assert_cause(text, 5, "reach 1.0")
+
+    def test_messages_about_admissions_and_paths_are_no_causes_of_endpoints(self):
+        self.planner.load_shedding.admitted_fraction = 0.5
+        texts = [self.logged_by(self.planner.publish_admissions)]
+        for endpoint in self.planner.endpoints.values():
+            latency_sum = 10.0 if endpoint.zone else 1.0
+            endpoint.stats[0] = DatedCounts(self.planner.now, 10.0, 0.0, latency_sum)
+        texts.append(self.logged_by(self.planner.zone_paths.end_round))
+        for text in texts:
+            self.assertIsNone(self.causes.note_planner_message(text))
+        self.assertEqual(self.causes.last_events, {})
