--- a/peatlead/platform/endpoint_tracker.py
+++ b/peatlead/platform/endpoint_tracker.py
@@ -97,7 +97,9 @@
             if name is not None and name in self.registry.index
         ]
         previous_names = {entry.name for entry in previous_entries}
-        other_entries = [entry for entry in endpoint_list.endpoints if entry.name not in previous_names]
+        other_entries = [
+            entry for entry in endpoint_list.endpoints if entry.name not in previous_names
+        ]
         return endpoint_list._replace(
             scope=ListScope.CHANGES if None in unusable_names else ListScope.WHOLE,
             endpoints=(*previous_entries, *other_entries),
