--- a/peatlead/platform/endpoint_tracker.py
+++ b/peatlead/platform/endpoint_tracker.py
@@ -99,7 +99,7 @@
         others = [entry for entry in endpoint_list.endpoints if entry.name not in kept_names]
         return endpoint_list._replace(
             scope=ListScope.CHANGES if None in unread else ListScope.WHOLE,
-            hosts=(*kept, *others),
+            endpoints=(*kept, *others),
         )
 
     def phase_of(self, name: str) -> Optional[str]:
