--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -40,7 +40,11 @@
             result = call("check", path)
             self.assertEqual(
                 (result.exit_code, result.output),
-                (1, f"Error: {path}:1: zone.name: expected a value: as the node list names it\n"),
+                (
+                    1,
+                    f"Error: {path}:1: zone.name: expected a value: name of the zone, "
+                    "as in the node list\n",
+                ),
             )
             self.assertIn("lifetime", call("check", "--reference").output)
             self.assertIn("expected FILE", call("check").output)
--- a/tests/transcripts/test_platform_transcripts.py
+++ b/tests/transcripts/test_platform_transcripts.py
@@ -75,7 +75,7 @@
     messages.Acknowledgement: ("ack", "proxy", "nonce", "duration"),
     messages.LivenessCheck: ("probe",),
 }
-LISTING = ("scope", "version", "written", "unread")
+LISTING = ("scope", "version", "written", "unusable_names")
 ENTRY = ("name", "zone", "phase", "address", "port", "machine", "pod", "weight", "started")
 CONFIGURATION = ("name", "listen", "discovery", "seed", "sockets")
 KINDS, OWN_ZONE, WRITES = "req_kinds", "own_zone", "write"
