--- a/peatlead/settings/checks.py
+++ b/peatlead/settings/checks.py
@@ -44,7 +44,7 @@
 def text(value: Any) -> str:
     """Check for a string that is not empty."""
     if not isinstance(value, str) or not value:
-        raise expectation_error("a text that is not empty", value)
+        raise expectation_error("a string that is not empty", value)
     return value
 
 
--- a/tests/standin_fleet.py
+++ b/tests/standin_fleet.py
@@ -66,7 +66,10 @@
 
 
 async def until(condition, timeout=8.0):
-    """Wait until `condition()` is true; fail after three times `timeout`, for busy machines."""
+    """Wait until `condition()` is true; fail after three times `timeout` seconds.
+
+    The factor of three keeps tests from failing on a busy machine.
+    """
     loop = asyncio.get_running_loop()
     end = loop.time() + 3 * timeout
     while not condition():
@@ -89,7 +92,11 @@
 
 
 class StandinFleet:
-    """Stand-in endpoints, an endpoint list file and controllers in one event loop, on a free port."""
+    """Stand-in endpoints, an endpoint list file and controllers in one event loop, on a free port.
+
+    `endpoints` is the number of endpoints. With `deep`, endpoints serve probes like requests; with
+    `cold`, they have just started and warm up.
+    """
 
     def __init__(self, folder, endpoints=4, deep=True, cold=False, script=SCRIPT):
         self.folder = Path(folder)
