--- a/peatlead/planner/outlier_detection.py
+++ b/peatlead/planner/outlier_detection.py
@@ -151,6 +151,7 @@
         self.changes.removals_pending = True
         self.changes.touch(endpoint)
         self.schedule.activate(endpoint)
+        # The text is part of recorded data: "probes" are health checks, "sums" reported attempts.
         self.context.log(f"host {endpoint.id} dropped: {'probes' if by_checks else 'sums'}")
 
     def restore_if_due(self, endpoint: EndpointState) -> None:
--- a/peatlead/planner/zone_paths.py
+++ b/peatlead/planner/zone_paths.py
@@ -89,6 +89,7 @@
                     else INITIAL_AVOIDANCE_DURATION
                 )
                 self.path_states[path] = PathState(now + duration, duration)
+                # The text is part of recorded data: a "way" is a path.
                 self.context.log(f"way from zone {zone} to {other} is bad, {duration} s")
 
     def _latencies_by_zone(self, zone: int) -> dict[int, list[float]]:
--- a/peatlead/tables/change_causes.py
+++ b/peatlead/tables/change_causes.py
@@ -64,7 +64,9 @@
     def note_planner_message(self, text: str) -> Optional[EndpointEvent]:
         """Store a log message of the planner, such as `host 3 dropped: sums`.
 
-        Return the event, or None if the message is not about an endpoint.
+        In these messages, `dropped: probes` is an ejection by health checks, `dropped: sums` an
+        ejection by reported attempts, and `reach` the endpoint's traffic fraction. Return the
+        event, or None if the message is not about an endpoint.
         """
         subject, *rest = text.split(" ")
         if subject != "host" or len(rest) < 2 or not rest[0].isdigit():
@@ -93,13 +95,13 @@
         kind = operation[0]
         if kind == OperationKind.WITHDRAWAL:
             endpoint = operation[1]
-            default = "withdrawn" if value else "let in again"
+            default = "withdrawn" if value else "restored"
             return f"{self._endpoint_name(endpoint)} {self.last_events.get(endpoint, default)}"
         if kind == OperationKind.WEIGHT:
             return self._cause_of_weight(operation[2], value)
         if kind == OperationKind.ADMISSION:
             admitted_fraction, retry_policy = value[0], value[1]
-            return f"level {admitted_fraction:.2f}, second tries {retry_policy}"
+            return f"admitted fraction {admitted_fraction:.2f}, retry policy {retry_policy}"
         return None
 
     def _cause_of_weight(self, endpoint: int, weight: Optional[float]) -> str:
@@ -107,5 +109,5 @@
         listed = self._listed_weight(endpoint)
         if weight and listed and weight < listed * RAMPED:
             return f"{name} ramps, {weight / listed:.2f} of its weight"
-        event = self.last_events.get(endpoint) or ("in" if weight else "out")
+        event = self.last_events.get(endpoint) or ("added" if weight else "removed")
         return f"{name} {event}"
