--- a/peatlead/planner/endpoint_updates.py
+++ b/peatlead/planner/endpoint_updates.py
@@ -17,7 +17,7 @@
 
 WATCH_RETRY_DELAY = (0.5, 1.5)  # seconds until the list is requested again after a failure
 # Reporting cycles without a successful attempt after which an endpoint counts as not answering.
-ANSWERING_CYCLES = 2
+MAX_SILENT_CYCLES = 2
 NOT_SCHEDULED = float("inf")
 
 
@@ -97,7 +97,7 @@
             self.context.settings.get("gone_is_advice")
             and endpoint.phase == READY
             and not endpoint.failed_checks
-            and silence < ANSWERING_CYCLES * cycle
+            and silence < MAX_SILENT_CYCLES * cycle
         )
 
     def apply(self, listed: Endpoint) -> None:
--- a/peatlead/planner/shuffle_sharding.py
+++ b/peatlead/planner/shuffle_sharding.py
@@ -35,7 +35,7 @@
 
 
 def prefix_of_weight(endpoints: list[EndpointState], weight: float) -> list[EndpointState]:
-    """Return the shortest prefix with at least this weight, or one endpoint at least."""
+    """Return the shortest non-empty prefix with at least this weight, or all endpoints."""
     return [
         endpoint
         for position, endpoint in enumerate(endpoints)
--- a/peatlead/planner/zone_capacity.py
+++ b/peatlead/planner/zone_capacity.py
@@ -152,10 +152,8 @@
             }
             total = fsum(by_zone.values())
             if total and not group.own_zone:
-                work_fraction = fsum([work[number] for number in group.request_classes]) / fsum(
-                    work
-                )
-                capacities.append(GroupCapacity(total, group_number, by_zone, work_fraction))
+                fraction = fsum([work[number] for number in group.request_classes]) / fsum(work)
+                capacities.append(GroupCapacity(total, group_number, by_zone, fraction))
         return capacities
 
     def _plan_group(
