--- a/tests/planner/test_endpoint_updates.py
+++ b/tests/planner/test_endpoint_updates.py
@@ -9,7 +9,7 @@
         planner = make_planner(endpoints=6, proxies=2)
         planner.decide(101.0, [interface.ProxyDisconnected(1)])
         for number in range(200):
-            # Every second one of six endpoints is replaced by an endpoint with a new name.
+            # Each second, one of the six endpoints is replaced by an endpoint with a new name.
             old = 5 + number
             new = make_endpoint(6 + number, (6 + number) % 2, started_at=0.0)
             gone = make_endpoint(old, old % 2, "gone")
--- a/tests/platform/test_clock.py
+++ b/tests/platform/test_clock.py
@@ -69,7 +69,7 @@
                 for endpoint in platform.controller.planner.endpoints.values()
                 if endpoint.name == b"s-7"
             ]
-            return endpoint.cold_from is not None
+            return endpoint.cold_since is not None
 
         async def run_case():
             platform = await PlatformFixture().start(wall=lambda: wall[0])
