--- a/peatlead/benchmarks/dns_fuzz.py
+++ b/peatlead/benchmarks/dns_fuzz.py
@@ -142,7 +142,7 @@
         longest = max(longest, len(answer))
         outcomes[f"code {answer[3] & 15}"] += 1
     totals = {"queries": queries, "seed": seed, "longest answer": longest}
-    return {**totals, **outcomes, "prepared": answers.prepared}
+    return {**totals, **outcomes, "prepared": answers.prepared_count}
 
 
 def main() -> None:
--- a/peatlead/benchmarks/dns_speed.py
+++ b/peatlead/benchmarks/dns_speed.py
@@ -166,12 +166,12 @@
     answers = Answers(settings, Views(settings), rng.uniform)
     for endpoint in range(endpoints):
         address = f"127.10.{endpoint // 250}.{endpoint % 250 + 1}"
-        answers.know(endpoint, f"h{endpoint}", address, "")
+        answers.set_endpoint(endpoint, f"h{endpoint}", address, "")
     tables = [
         dict.fromkeys(rng.sample(range(endpoints), TABLE_ENTRIES), 1.0) for _ in answers.views.views
     ]
     for view, table in enumerate(tables):
-        answers.place(view, 0, AnswerPool(table, True, 2), table)
+        answers.set_pool(view, 0, AnswerPool(table, True, 2), table)
     return Fixture(settings, answers, tables, rng)
 
 
@@ -184,7 +184,7 @@
             table = tables[view]
             table.pop(rng.choice(sorted(table)))
             table[rng.randrange(endpoints)] = 1.0
-            answers.place(view, 0, AnswerPool(dict(table), True, 2), table)
+            answers.set_pool(view, 0, AnswerPool(dict(table), True, 2), table)
             changed.append(view)
         await asyncio.sleep(CHANGE_INTERVAL)
 
--- a/peatlead/controller/dns_publication.py
+++ b/peatlead/controller/dns_publication.py
@@ -82,14 +82,14 @@
         }
         for seat, named in self.thinning.decide(changed, listed, rates).items():
             view, service = seat
-            self._answers.place(view, service, named, self.thinning.tables[seat])
+            self._answers.set_pool(view, service, named, self.thinning.tables[seat])
         for seat in changed:
             table = self.thinning.tables[seat]
             view, service = seat
-            if table != self._answers.seats[view][service].planned_weights:
-                self._answers.place(view, service, self.thinning.named[seat], table)
+            if table != self._answers.sources[view][service].planned_weights:
+                self._answers.set_pool(view, service, self.thinning.pools[seat], table)
         for endpoint in named_before:
-            if not self.thinning.holders[endpoint]:
+            if not self.thinning.views_by_endpoint[endpoint]:
                 self._unnamed_at[endpoint] = self._controller.loop.time()
 
     def record_rates(self, events: Iterable[object]) -> None:
@@ -110,7 +110,7 @@
 
     def views_naming(self, endpoint: int) -> set[int]:
         """Return the indices of the views whose tables name an endpoint."""
-        return {view for view, _ in self.thinning.holders.get(endpoint, ())}
+        return {view for view, _ in self.thinning.views_by_endpoint.get(endpoint, ())}
 
     def seconds_unnamed(self, endpoint: int) -> float | None:
         """Return the seconds since the last answer could name an endpoint; None if one can now."""
--- a/peatlead/controller/endpoint_lists.py
+++ b/peatlead/controller/endpoint_lists.py
@@ -73,13 +73,13 @@
             causes = controller.published.causes
             causes.note_phase_changes({index: change}, list_version)
             controller.propagation.note(now, index, causes.last_events[index])
-        controller.answers.know(index, entry.name, entry.address, entry.address6)
+        controller.answers.set_endpoint(index, entry.name, entry.address, entry.address6)
         if controller.proxies:
             controller.proxies.endpoint_listed(index, entry)
         if endpoint.phase == interface.EndpointPhase.READY:
-            controller.answers.open_hosts.add(index)
+            controller.answers.resolvable_endpoints.add(index)
         else:
-            controller.answers.open_hosts.discard(index)
+            controller.answers.resolvable_endpoints.discard(index)
 
     def _remember(self, endpoint_list: EndpointList) -> None:
         try:
--- a/peatlead/controller/operator_queries.py
+++ b/peatlead/controller/operator_queries.py
@@ -70,13 +70,13 @@
                 "error": f"expected a view and a service of the settings, got {question.view!r} "
                 f"and {question.service!r}"
             }
-        seat = controller.answers.seats[view.index][service]
+        seat = controller.answers.sources[view.index][service]
         return {
             "view": view.name,
             "zone": controller.zone_names[view.zone],
-            "lifetime": controller.answers.lifetime if seat.cacheable else 0,
+            "lifetime": controller.answers.ttl if seat.cacheable else 0,
             "lines": [
-                self._describe_line(endpoint, weight, endpoint in seat.lines)
+                self._describe_line(endpoint, weight, endpoint in seat.weights)
                 for endpoint, weight in sorted(seat.planned_weights.items())
             ],
             "fresh": controller.freshness.fresh,
@@ -107,7 +107,7 @@
         unnamed = controller.dns.seconds_unnamed(endpoint)
         remaining = None
         if not views:
-            remaining = max(0.0, controller.answers.lifetime - (unnamed or 0.0))
+            remaining = max(0.0, controller.answers.ttl - (unnamed or 0.0))
         return {
             "host": question.host,
             "phase": controller.registry.entries[endpoint].phase,
@@ -156,7 +156,7 @@
             "slowest_decide": controller.slowest,
             "answers": dict(controller.answers.counts),
             "unanswered": controller.front.unanswered,
-            "prepared": controller.answers.prepared,
+            "prepared": controller.answers.prepared_count,
             "channel": self._describe_channel(),
             "burden": controller.overload.status(),
             "probes_dropped": controller.health_checks.prober.dropped,
--- a/peatlead/dns/answer_cache.py
+++ b/peatlead/dns/answer_cache.py
@@ -30,7 +30,7 @@
 class AnswerSource:
     """One view of one service: the endpoints that its answers are drawn from."""
 
-    lines: Mapping[int, float] = field(default_factory=dict)  # weights that answers are drawn by
+    weights: Mapping[int, float] = field(default_factory=dict)  # weights that answers are drawn by
     planned_weights: Mapping[int, float] = field(
         default_factory=dict
     )  # the table, as SRV records show it
@@ -43,12 +43,12 @@
 class AnswerContext(Protocol):
     """What prepared answers need of `Answers`."""
 
-    lifetime: int
+    ttl: int
 
     def cycle(self, source: AnswerSource, family: int) -> AnswerCycle:
         """Return the source's cycle of a family."""
 
-    def record(self, endpoint: int, family: int, lifetime: int) -> bytes:
+    def record(self, endpoint: int, family: int, ttl: int) -> bytes:
         """Return an address record in wire form."""
 
 
@@ -112,8 +112,8 @@
         Addresses that do not fit are left out without truncation: fewer than asked for still serve,
         and a retry over TCP is not needed.
         """
-        lifetime = self.context.lifetime if self.source.cacheable else 0
-        records = [self.context.record(endpoint, self.family, lifetime) for endpoint in order]
+        ttl = self.context.ttl if self.source.cacheable else 0
+        records = [self.context.record(endpoint, self.family, ttl) for endpoint in order]
         capacity = self.max_size - ID_BYTES - len(self.head) - len(self.tail)
         records = records[: capacity // len(records[0])]
         flags = self.head[:COUNTS_START]
--- a/peatlead/dns/answers.py
+++ b/peatlead/dns/answers.py
@@ -29,7 +29,7 @@
 from .views import View, Views
 from .warmup_thinning import AnswerPool
 from .zone_contents import (
-    NEGATIVE_LIFETIME,
+    NEGATIVE_TTL,
     add_apex_records,
     add_fixed_records,
     add_srv_records,
@@ -40,7 +40,7 @@
 
 ORDERS_AHEAD = 64  # orders of answers that are drawn at a time
 MAX_SERIAL = 0xFFFFFFFF
-ANY_LIFETIME = 3789  # seconds, of the record that answers ANY (RFC 8482 section 4.2)
+ANY_TTL = 3789  # seconds, of the record that answers ANY (RFC 8482 section 4.2)
 TRANSFER_TYPES = (dns.rdatatype.AXFR, dns.rdatatype.IXFR)
 COUNTERS = ("asked", "malformed", "refused", "unknown", "empty", "truncated", "flushed")
 
@@ -51,17 +51,21 @@
 class Answers:
     """Answers DNS queries, without sockets.
 
-    The controller sets endpoints with `know`, what a view is answered with `place`, and which
-    endpoints have records of their own in `open_hosts`. `draw(low, high)` returns a random number.
+    The controller sets endpoints with `set_endpoint`, the pool of each view's answers with
+    `set_pool`, and in `resolvable_endpoints` which endpoints have address records under their own
+    name. `random_uniform(low, high)` returns a uniformly distributed random number.
     """
 
     def __init__(
-        self, settings: Mapping[str, Any], views: Views, draw: Callable[[float, float], float]
+        self,
+        settings: Mapping[str, Any],
+        views: Views,
+        random_uniform: Callable[[float, float], float],
     ) -> None:
         self.settings: Mapping[str, Any] = settings["dns"]
         self.views = views
-        self.draw = draw
-        self.lifetime: int = self.settings["lifetime"]  # seconds that answers may be cached
+        self.random_uniform = random_uniform
+        self.ttl: int = self.settings["lifetime"]  # seconds that answers may be cached
         self.zone = dns.name.from_text(self.settings["zone"])
         self.name_servers = name_servers(settings)
         self.services: dict[str, int] = {
@@ -71,43 +75,43 @@
             self.settings["service_label"], self.services, views.by_name
         )
         self.endpoints: dict[int, EndpointAddresses] = {}
-        self.by_label: dict[str, int] = {}  # endpoints by name
-        self.open_hosts: set[int] = set()  # endpoints whose own names exist
-        self.seats = [[AnswerSource() for _ in self.services] for _ in views.views]
+        self.endpoint_by_label: dict[str, int] = {}  # endpoints by name
+        self.resolvable_endpoints: set[int] = set()  # endpoints whose own names exist
+        self.sources = [[AnswerSource() for _ in self.services] for _ in views.views]
         self.cache = AnswerCache()
-        self.records: dict[tuple[int, int, int], bytes] = {}  # by endpoint, family and lifetime
+        self.records: dict[tuple[int, int, int], bytes] = {}  # by endpoint, address family and TTL
         self.change_count = 0  # counts all changes of what answers say
         self.serial = 1
         self.transfer: Transfer | None = None  # set where there are secondaries
         self.counts = dict.fromkeys(COUNTERS, 0)
 
     @property
-    def prepared(self) -> int:
+    def prepared_count(self) -> int:
         """The number of prepared answers."""
         return self.cache.size
 
-    def know(self, endpoint: int, name: str, v4: str, v6: str) -> None:
+    def set_endpoint(self, endpoint: int, name: str, v4: str, v6: str) -> None:
         """Set an endpoint's name and addresses, empty where it has none of a family."""
         old = self.endpoints.get(endpoint)
         new = EndpointAddresses(name, v4, v6)
         if old is not None:
             if old.name == name and old.by_family == new.by_family:
                 return
-            self.by_label.pop(old.name, None)
+            self.endpoint_by_label.pop(old.name, None)
         self.endpoints[endpoint] = new
         self.change_count += 1
-        self.by_label[name] = endpoint
+        self.endpoint_by_label[name] = endpoint
         self.records = {key: value for key, value in self.records.items() if key[0] != endpoint}
         self.flush()
 
-    def place(
-        self, view: int, service: int, named: AnswerPool, planned_weights: Mapping[int, float]
+    def set_pool(
+        self, view: int, service: int, pool: AnswerPool, planned_weights: Mapping[int, float]
     ) -> None:
         """Set the pool of a view's answers, and the weights that its SRV records show."""
-        source = self.seats[view][service]
-        source.lines = named.weights
-        source.cacheable = named.cacheable
-        source.min_addresses = named.min_addresses
+        source = self.sources[view][service]
+        source.weights = pool.weights
+        source.cacheable = pool.cacheable
+        source.min_addresses = pool.min_addresses
         source.planned_weights = planned_weights
         source.version += 1
         source.cycles = {}
@@ -117,7 +121,7 @@
 
     def has_table(self) -> bool:
         """Return whether any view has a table."""
-        return any(source.lines for sources in self.seats for source in sources)
+        return any(source.weights for sources in self.sources for source in sources)
 
     def flush(self) -> None:
         """Drop all prepared answers."""
@@ -133,9 +137,9 @@
         prepared_answers = self.cache.by_peer[tcp].get(peer)
         if prepared_answers is not None:
             prepared = prepared_answers.get(data[2:])
-            if prepared is not None and prepared.source.lines:
+            if prepared is not None and prepared.source.weights:
                 return data[:2] + prepared.next()
-        return self.parse(data, peer, tcp)
+        return self.answer_unprepared(data, peer, tcp)
 
     def cycle(self, source: AnswerSource, family: int) -> AnswerCycle:
         """Return the source's cycle of a family, drawn when first needed."""
@@ -143,24 +147,24 @@
         if cycle is None:
             weights = {
                 endpoint: weight
-                for endpoint, weight in source.lines.items()
+                for endpoint, weight in source.weights.items()
                 if self.endpoints[endpoint].by_family[family]
             }
             max_endpoints = max(source.min_addresses, self.settings["addresses"])
-            start = self.draw(0.0, 1.0)
+            start = self.random_uniform(0.0, 1.0)
             cycle = AnswerCycle(draw_orders(weights, max_endpoints, ORDERS_AHEAD, start))
             source.cycles[family] = cycle
         return cycle
 
-    def record(self, endpoint: int, family: int, lifetime: int) -> bytes:
+    def record(self, endpoint: int, family: int, ttl: int) -> bytes:
         """Return an address record in wire form."""
-        key = endpoint, family, lifetime
+        key = endpoint, family, ttl
         record = self.records.get(key)
         if record is None:
-            record = self.records[key] = self.endpoints[endpoint].record(family, lifetime)
+            record = self.records[key] = self.endpoints[endpoint].record(family, ttl)
         return record
 
-    def parse(self, data: bytes, peer: str, tcp: bool) -> bytes | list[bytes] | None:
+    def answer_unprepared(self, data: bytes, peer: str, tcp: bool) -> bytes | list[bytes] | None:
         """Answer a query that is not prepared.
 
         A response is never answered: two servers would go on forever.
@@ -179,9 +183,9 @@
         except Exception:  # whatever dnspython raises on hostile bytes
             self.counts["malformed"] += 1
             return header_only(data, dns.rcode.FORMERR)
-        return self.answer(message, data, peer, tcp)
+        return self.answer_message(message, data, peer, tcp)
 
-    def answer(
+    def answer_message(
         self, message: dns.message.Message, data: bytes, peer: str, tcp: bool
     ) -> bytes | list[bytes]:
         """Answer a well-formed query."""
@@ -215,20 +219,20 @@
         """Answer a query about a name of the zone."""
         labels = query.labels_below(self.zone)
         target = self.service_names.find(labels, view)
-        if target is None and not self.exists(labels):
+        if target is None and not self.name_exists(labels):
             self.counts["unknown"] += 1
             query.response.set_rcode(dns.rcode.NXDOMAIN)
             return self.negative(query)
         if query.question.rdtype == dns.rdatatype.ANY:  # one small record in place of all
             name = query.question.name
-            add_record(query.response.answer, name, ANY_LIFETIME, "HINFO", '"RFC8482" ""')
+            add_record(query.response.answer, name, ANY_TTL, "HINFO", '"RFC8482" ""')
             return self.finish(query)
         if target is not None:
             return self.answer_service(query, target)
         self.answer_fixed(query, labels)
         return self.finish(query) if query.response.answer else self.negative(query)
 
-    def exists(self, labels: list[str]) -> bool:
+    def name_exists(self, labels: list[str]) -> bool:
         """Return whether a name below the apex exists, other than a service's."""
         hosts_label = self.settings["hosts_label"]
         if not labels or labels == [hosts_label]:
@@ -236,7 +240,7 @@
         if len(labels) == 1:
             return any(labels[0] == server.name for server in self.name_servers)
         if len(labels) == 2 and labels[1] == hosts_label:
-            return self.by_label.get(labels[0]) in self.open_hosts
+            return self.endpoint_by_label.get(labels[0]) in self.resolvable_endpoints
         return self.service_names.is_empty_non_terminal(labels)
 
     def answer_service(self, query: Query, target: Target) -> bytes:
@@ -247,13 +251,13 @@
             return self.negative(query)
         if target.view is None:
             return self.refuse(query)
-        source = self.seats[target.view.index][target.service]
-        if not source.lines:
+        source = self.sources[target.view.index][target.service]
+        if not source.weights:
             return self.fail_without_table(query)
         if target.is_srv:
             return self.answer_srv(query, source)
         family = FAMILIES[rdtype]
-        if not any(self.endpoints[endpoint].by_family[family] for endpoint in source.lines):
+        if not any(self.endpoints[endpoint].by_family[family] for endpoint in source.weights):
             return self.negative(query)
         return query.data[:ID_BYTES] + self.prepare(query, source, family).next()
 
@@ -276,7 +280,7 @@
         head = empty[ID_BYTES:HEADER_BYTES] + question
         tail = empty[HEADER_BYTES + len(question) :]
         prepared = PreparedAnswer(self, source, family, head, tail, query.max_size)
-        if self.prepared >= self.settings["prepared_most"]:
+        if self.prepared_count >= self.settings["prepared_most"]:
             self.flush()
         self.cache.add(query.data, query.peer, query.tcp, prepared)
         return prepared
@@ -318,7 +322,7 @@
 
     def negative(self, query: Query) -> bytes:
         """Answer that there is no such name or data, with the SOA (RFC 2308 section 3)."""
-        add_record(query.response.authority, self.zone, NEGATIVE_LIFETIME, "SOA", self.soa())
+        add_record(query.response.authority, self.zone, NEGATIVE_TTL, "SOA", self.soa())
         return self.finish(query)
 
     def finish(self, query: Query) -> bytes:
--- a/peatlead/dns/canonical_zone.py
+++ b/peatlead/dns/canonical_zone.py
@@ -19,7 +19,7 @@
     """One resource record in text form."""
 
     name: str  # relative to the zone's origin
-    lifetime: int  # seconds
+    ttl: int  # seconds
     rtype: str
     text: str
 
@@ -62,12 +62,12 @@
 
     def make_row(self, record: ZoneRecord) -> CanonicalRow:
         """Convert a record to canonical form."""
-        name, lifetime, rtype_text, text = record
+        name, ttl, rtype_text, text = record
         owner = self.origin if name == APEX else dns.name.from_text(name, self.origin)
         rtype = dns.rdatatype.from_text(rtype_text)
         rdata = dns.rdata.from_text("IN", rtype, text, self.origin, False)
         data = rdata.to_digestable(self.origin)
-        fixed_fields = struct.pack(">HHIH", rtype, dns.rdataclass.IN, lifetime, len(data))
+        fixed_fields = struct.pack(">HHIH", rtype, dns.rdataclass.IN, ttl, len(data))
         labels = tuple(label.lower() for label in reversed(owner.labels))
         wire = owner.to_digestable() + fixed_fields + data
         return CanonicalRow(SortKey(labels, rtype, data), wire)
--- a/peatlead/dns/notify.py
+++ b/peatlead/dns/notify.py
@@ -11,7 +11,7 @@
 
 from .message_format import HEADER_BYTES, ID_BYTES, RESPONSE_FLAG
 from .serials import Serials
-from .transfer import held_serial, refused, respond
+from .transfer import client_serial, refused, respond
 from .zone import ZoneHistory
 
 if TYPE_CHECKING:
@@ -43,32 +43,37 @@
 class Secondaries(asyncio.DatagramProtocol):
     """Makes versions of the zone, notifies the secondaries and serves their transfers.
 
-    `places` holds the secondaries' addresses. `index` and `many` number the controllers, whose
-    serials differ. `store_serial(serial)` is called with each version's serial, to store it for a
-    restart. At a time there is one pending NOTIFY for each secondary; a secondary that never
-    acknowledges is given up until the next version.
+    `secondary_addresses` holds (host, port) of each secondary. `controller_index` and
+    `controller_count` select the serials that this controller may issue. `store_serial(serial)` is
+    called with the serial of each new version, which must survive a restart. Each secondary has at
+    most one pending NOTIFY. After the last attempt without an acknowledgement a secondary is not
+    notified again before the next version.
     """
 
     def __init__(
         self,
         answers: "Answers",
-        places: Iterable[tuple[Any, ...]],
-        index: int,
-        many: int,
+        secondary_addresses: Iterable[tuple[Any, ...]],
+        controller_index: int,
+        controller_count: int,
         serial: int,
         rng: Random,
         store_serial: Callable[[int], object],
     ) -> None:
         self.answers = answers
-        self.places: list[Address] = [(host, port) for host, port in places]
+        self.secondary_addresses: list[Address] = [
+            (host, port) for host, port in secondary_addresses
+        ]
         self.rng = rng
         self.store_serial = store_serial
-        self.peers = {address for address, _ in self.places}
-        self.history = ZoneHistory(answers.zone, answers.soa, Serials(index, many), serial)
+        self.peers = {peer for peer, _ in self.secondary_addresses}
+        self.history = ZoneHistory(
+            answers.zone, answers.soa, Serials(controller_index, controller_count), serial
+        )
         self.loop: asyncio.AbstractEventLoop | None = None
         self.transport: asyncio.DatagramTransport | None = None
-        self.made_at = -1e9  # loop time of the last version
-        self.waiting: dict[Address, PendingNotify] = {}
+        self.last_version_at = -1e9  # loop time of the last version
+        self.pending: dict[Address, PendingNotify] = {}
         self.published_change_count = -1  # the answers' count of changes at the last version
         self.counts = dict.fromkeys(COUNTERS, 0)
         answers.transfer = self.transfer
@@ -83,13 +88,13 @@
     def tick(self, now: float) -> None:
         """Make a new version if anything has changed, at most one per interval."""
         if (
-            now - self.made_at < VERSION_INTERVAL
+            now - self.last_version_at < VERSION_INTERVAL
             or self.answers.change_count == self.published_change_count
         ):
             return
         if not self.answers.has_table():
             return
-        self.made_at = now
+        self.last_version_at = now
         self.published_change_count = self.answers.change_count
         if self.history.update(self.answers.zone_records()):
             self.publish()
@@ -99,22 +104,22 @@
         self.counts["versions"] += 1
         self.answers.serial = self.history.serial
         self.store_serial(self.history.serial)
-        for place in self.places:
-            self.notify(place, NOTIFY_ATTEMPTS, FIRST_NOTIFY_WAIT)
+        for address in self.secondary_addresses:
+            self.notify(address, NOTIFY_ATTEMPTS, FIRST_NOTIFY_WAIT)
 
-    def notify(self, place: Address, attempts: int, wait: float) -> None:
+    def notify(self, address: Address, attempts: int, wait: float) -> None:
         """Send a NOTIFY; repeat it after `wait` seconds while attempts are left."""
-        old = self.waiting.pop(place, None)
+        old = self.pending.pop(address, None)
         if old is not None:
             old.timer.cancel()
         if self.transport is None or self.loop is None or not attempts:
             self.counts["given up"] += not attempts
             return
         message = self.make_notify()
-        self.transport.sendto(message.to_wire(), place)
+        self.transport.sendto(message.to_wire(), address)
         self.counts["notified"] += 1
-        timer = self.loop.call_later(wait, self.notify, place, attempts - 1, 2 * wait)
-        self.waiting[place] = PendingNotify(message.id, timer)
+        timer = self.loop.call_later(wait, self.notify, address, attempts - 1, 2 * wait)
+        self.pending[address] = PendingNotify(message.id, timer)
 
     def make_notify(self) -> dns.message.Message:
         """Return a NOTIFY message with a random id."""
@@ -126,10 +131,10 @@
 
     def datagram_received(self, data: bytes, peer: tuple[Any, ...]) -> None:
         """Handle an acknowledgement (asyncio callback)."""
-        place = (peer[0], peer[1])
-        pending = self.waiting.get(place)
+        address = (peer[0], peer[1])
+        pending = self.pending.get(address)
         if pending is not None and pending.is_acknowledged_by(data):
-            del self.waiting[place]
+            del self.pending[address]
             pending.timer.cancel()
             self.counts["answered"] += 1
 
@@ -145,17 +150,17 @@
         ):
             return refused(query)
         self.counts["transfers"] += tcp
-        serial = held_serial(query)
-        if serial is not None and self.history.pass_by(serial):
+        serial = client_serial(query)
+        if serial is not None and self.history.advance_past(serial):
             self.counts["passed"] += 1
             self.publish()
         return respond(query, self.history, tcp)
 
     def close(self) -> None:
         """Cancel pending messages and close the socket."""
-        for pending in self.waiting.values():
+        for pending in self.pending.values():
             pending.timer.cancel()
-        self.waiting.clear()
+        self.pending.clear()
         if self.transport is not None:
             self.transport.close()
             self.transport = None
--- a/peatlead/dns/records.py
+++ b/peatlead/dns/records.py
@@ -28,12 +28,10 @@
         self.name = name  # one label
         self.by_family = {IPV4: v4, IPV6: v6}  # empty where it has none
 
-    def record(self, family: int, lifetime: int) -> bytes:
+    def record(self, family: int, ttl: int) -> bytes:
         """Return the wire form of an address record for the question's name."""
         data = ip_address(self.by_family[family]).packed
-        fixed_fields = struct.pack(
-            ">HHIH", RECORD_TYPES[family], dns.rdataclass.IN, lifetime, len(data)
-        )
+        fixed_fields = struct.pack(">HHIH", RECORD_TYPES[family], dns.rdataclass.IN, ttl, len(data))
         return QUESTION_NAME_POINTER + fixed_fields + data
 
     def texts(self) -> list[tuple[str, str]]:
@@ -50,13 +48,11 @@
     return "AAAA" if ":" in address else "A"
 
 
-def add_record(
-    section: Section, name: dns.name.Name, lifetime: int, rtype: str, value: str
-) -> None:
+def add_record(section: Section, name: dns.name.Name, ttl: int, rtype: str, value: str) -> None:
     """Add a record to a message's section."""
     rdata = dns.rdata.from_text("IN", rtype, value)
     for rrset in section:
         if rrset.name == name and rrset.rdtype == rdata.rdtype:
-            rrset.add(rdata, lifetime)
+            rrset.add(rdata, ttl)
             return
-    section.append(dns.rrset.from_rdata(name, lifetime, rdata))
+    section.append(dns.rrset.from_rdata(name, ttl, rdata))
--- a/peatlead/dns/serials.py
+++ b/peatlead/dns/serials.py
@@ -8,7 +8,7 @@
 SERIAL_MODULUS = 1 << 32
 
 
-def newer(serial: int, other: int) -> bool:
+def is_newer(serial: int, other: int) -> bool:
     """Return whether a serial is past another (RFC 1982 section 3.2).
 
     At a distance of 2^31 neither is.
@@ -17,23 +17,23 @@
 
 
 class Serials:
-    """The serials that controller number `index` of `many` may issue.
+    """The serials that controller number `controller_index` of `controller_count` may issue.
 
-    They are `index` modulo the next power of two, and never 0.
+    They are `controller_index` modulo the next power of two, and never 0.
     """
 
-    def __init__(self, index: int, many: int) -> None:
+    def __init__(self, controller_index: int, controller_count: int) -> None:
         self.step = 1
-        while self.step < many:
+        while self.step < controller_count:
             self.step *= 2
-        self.index = index
+        self.controller_index = controller_index
 
     def next_after(self, serial: int) -> int:
         """Return the first own serial past another."""
-        distance = self.step - (serial - self.index) % self.step
+        distance = self.step - (serial - self.controller_index) % self.step
         following = (serial + distance) % SERIAL_MODULUS
         return following or self.next_after(following)
 
     def is_own(self, serial: int) -> bool:
         """Return whether this controller may have issued a serial."""
-        return serial % self.step == self.index
+        return serial % self.step == self.controller_index
--- a/peatlead/dns/transfer.py
+++ b/peatlead/dns/transfer.py
@@ -31,7 +31,7 @@
     """Return the messages that answer an AXFR or IXFR query."""
     if query.question[0].rdtype == dns.rdatatype.AXFR:
         return messages(query, history, whole_zone(history)) if tcp else refused(query)
-    serial = held_serial(query)
+    serial = client_serial(query)
     if serial is None:
         return [error_response(query, dns.rcode.FORMERR)]
     return messages(query, history, incremental(history, serial, tcp))
@@ -42,7 +42,7 @@
     soa = history.soa_record(history.serial)
     if not tcp or serial == history.serial:
         return [soa]  # up to date; or over UDP: retry over TCP (RFC 1995 section 2)
-    difference = history.since(serial)
+    difference = history.difference_since(serial)
     if difference is None or is_longer_than_zone(difference, history):
         return whole_zone(history)
     old_soa = history.soa_record(serial)
@@ -61,7 +61,7 @@
     return len(difference.removed) + len(difference.added) > len(history.records)
 
 
-def held_serial(query: dns.message.Message) -> int | None:
+def client_serial(query: dns.message.Message) -> int | None:
     """Return the serial that an IXFR query's sender holds (RFC 1995 section 3), if given."""
     for rrset in query.authority:
         if rrset.rdtype == dns.rdatatype.SOA:
--- a/peatlead/dns/warmup_thinning.py
+++ b/peatlead/dns/warmup_thinning.py
@@ -22,12 +22,12 @@
 from math import ceil, fsum, sqrt
 from typing import Any, Generic, NamedTuple, Protocol, TypeVar
 
-RAMPING_BELOW = 0.999  # of the listed weight: below, the planner holds an endpoint back
+RAMPING_FRACTION = 0.999  # of the listed weight: below, the planner holds an endpoint back
 MIN_RATE = 0.05  # requests per second that any view counts with, however silent: it may wake up
 MAX_SIGMAS = 3.0  # a draw this many standard deviations above the mean ...
 MAX_SURGE = 2.5  # ... must stay below this multiple of the planned rate
-FAIR_PART_PER_ADDRESS = 0.25  # of an endpoint's fair part: the most that one address should carry
-MAX_CACHEABLE_PART = 1.0  # of an endpoint's fair part: answers of busier views are not cacheable
+MAX_FAIR_SHARES_PER_ADDRESS = 0.25  # an address of an answer should carry at most this many
+MAX_CACHEABLE_FAIR_SHARES = 1.0  # answers to views with more requests get a TTL of 0
 RATE_DECAY = 0.9  # a rate falls to this part of itself at most per round, but rises at once
 MIN_FAIR_RATE = 1e-9  # requests per second; avoids a division by 0
 
@@ -58,7 +58,7 @@
 
     rate: float  # requests per second of the view
     view: Any
-    part: float  # of the view's requests that the endpoint would get at its full weight
+    fraction: float  # of the view's requests that the endpoint would get at its full weight
 
 
 class WarmupThinning(Generic[ViewKey]):
@@ -71,76 +71,79 @@
     def __init__(self, rates: Mapping[ViewKey, float]) -> None:
         self.rates = dict(rates)
         self.tables: dict[ViewKey, Weights] = {}  # as the planner ordered them
-        self.holders: dict[int, set[ViewKey]] = {}  # views whose table holds an endpoint
-        self.named: dict[ViewKey, AnswerPool] = {}  # as last decided
+        self.views_by_endpoint: dict[int, set[ViewKey]] = {}  # views whose table holds an endpoint
+        self.pools: dict[ViewKey, AnswerPool] = {}  # as last returned
         self.ramping: set[int] = set()  # endpoints that a table holds below their listed weight
-        self.listed: Mapping[int, float] = {}  # full weights of endpoints
+        self.full_weights: Mapping[int, float] = {}  # full weights of endpoints
         self.fair_rate = 0.0  # requests per second of an endpoint's fair part
 
     def decide(
         self,
         changed: Mapping[ViewKey, Mapping[int, float]],
-        listed: Mapping[int, float],
+        full_weights: Mapping[int, float],
         rates: Iterable[tuple[ViewKey, float]] = (),
     ) -> dict[ViewKey, AnswerPool]:
         """Return the new pools of all views whose pool has changed.
 
-        `changed` holds whole tables, `listed` the full weights of endpoints, `rates` the views'
-        requests per second in the last round.
+        `changed` holds the complete new tables, `full_weights` each endpoint's weight after its
+        ramp-up, and `rates` the views' requests per second in the last round.
         """
-        self.listed = listed
-        last_activity = set(changed) | self.update_rates(rates)
+        self.full_weights = full_weights
+        affected_views = set(changed) | self.update_rates(rates)
         self.fair_rate = self.compute_fair_rate()
         for view, table in changed.items():
             self.update_table(view, table)
-        ramping = self.find_ramping(last_activity)
-        namers = {endpoint: self.choose_namers(endpoint) for endpoint in sorted(ramping)}
+        ramping = self.find_ramping(affected_views)
+        naming_views = {
+            endpoint: self.choose_naming_views(endpoint) for endpoint in sorted(ramping)
+        }
         for endpoint in ramping | self.ramping:
-            last_activity |= self.holders.get(endpoint, set())
+            affected_views |= self.views_by_endpoint.get(endpoint, set())
         self.ramping = ramping
         updates = {}
-        for view in sorted(last_activity):
-            pool = self.make_pool(view, namers)
-            if pool != self.named.get(view):
-                self.named[view] = pool
+        for view in sorted(affected_views):
+            pool = self.make_pool(view, naming_views)
+            if pool != self.pools.get(view):
+                self.pools[view] = pool
                 updates[view] = pool
         return updates
 
     def update_rates(self, rates: Iterable[tuple[ViewKey, float]]) -> set[ViewKey]:
         """Set the views' rates; return the views among them that have a table."""
-        last_activity = set()
+        affected_views = set()
         for view, rate in rates:
             self.rates[view] = max(MIN_RATE, rate, self.rates.get(view, 0.0) * RATE_DECAY)
             if view in self.tables:
-                last_activity.add(view)
-        return last_activity
+                affected_views.add(view)
+        return affected_views
 
     def compute_fair_rate(self) -> float:
         """Return an endpoint's fair part of all requests, per second."""
-        endpoint_count = sum(1 for views in self.holders.values() if views)
+        endpoint_count = sum(1 for views in self.views_by_endpoint.values() if views)
         return fsum(self.rates.values()) / max(1, endpoint_count)
 
     def update_table(self, view: ViewKey, table: Mapping[int, float]) -> None:
         """Replace a view's table."""
         for endpoint in self.tables.get(view, {}).keys() - table.keys():
-            self.holders[endpoint].discard(view)
+            self.views_by_endpoint[endpoint].discard(view)
         for endpoint in table:
-            self.holders.setdefault(endpoint, set()).add(view)
+            self.views_by_endpoint.setdefault(endpoint, set()).add(view)
         self.tables[view] = dict(table)
 
-    def find_ramping(self, last_activity: Iterable[ViewKey]) -> set[int]:
+    def find_ramping(self, affected_views: Iterable[ViewKey]) -> set[int]:
         """Return the endpoints that some table holds below their listed weight."""
-        doubtful = self.ramping.union(*(self.tables[view] for view in last_activity))
+        doubtful = self.ramping.union(*(self.tables[view] for view in affected_views))
         return {endpoint for endpoint in doubtful if self.is_ramping(endpoint)}
 
     def is_ramping(self, endpoint: int) -> bool:
         """Return whether some table holds the endpoint below its listed weight."""
-        full_weight = RAMPING_BELOW * self.listed.get(endpoint, 0.0)
+        full_weight = RAMPING_FRACTION * self.full_weights.get(endpoint, 0.0)
         return any(
-            self.tables[view][endpoint] < full_weight for view in self.holders.get(endpoint, ())
+            self.tables[view][endpoint] < full_weight
+            for view in self.views_by_endpoint.get(endpoint, ())
         )
 
-    def choose_namers(self, endpoint: int) -> set[ViewKey]:
+    def choose_naming_views(self, endpoint: int) -> set[ViewKey]:
         """Return the views that name a ramping endpoint, the smallest first.
 
         No one of them brings more than the endpoint was meant to have; on average all of them
@@ -149,40 +152,42 @@
         """
         planned_rate = 0.0
         candidates = []
-        for view in self.holders[endpoint]:
+        for view in self.views_by_endpoint[endpoint]:
             table = self.tables[view]
             rate = self.rates.get(view, 1.0)
             total = fsum(table.values())
             planned_rate += rate * table[endpoint] / total
-            full_weight = self.listed.get(endpoint, table[endpoint])
-            part = full_weight / (total - table[endpoint] + full_weight)
-            candidates.append(Candidate(rate, view, part))
-        return choose_within(planned_rate, sorted(candidates))
-
-    def make_pool(self, view: ViewKey, namers: Mapping[int, Collection[ViewKey]]) -> AnswerPool:
+            full_weight = self.full_weights.get(endpoint, table[endpoint])
+            fraction = full_weight / (total - table[endpoint] + full_weight)
+            candidates.append(Candidate(rate, view, fraction))
+        return select_within_rate(planned_rate, sorted(candidates))
+
+    def make_pool(
+        self, view: ViewKey, naming_views: Mapping[int, Collection[ViewKey]]
+    ) -> AnswerPool:
         """Return the endpoints that a view's answers are drawn from."""
         table = self.tables[view]
-        fair_parts = self.rates.get(view, 1.0) / max(MIN_FAIR_RATE, self.fair_rate)
-        min_addresses = min(len(table), ceil(fair_parts / FAIR_PART_PER_ADDRESS))
-        if all(endpoint in namers for endpoint in table):
+        fair_shares = self.rates.get(view, 1.0) / max(MIN_FAIR_RATE, self.fair_rate)
+        min_addresses = min(len(table), ceil(fair_shares / MAX_FAIR_SHARES_PER_ADDRESS))
+        if all(endpoint in naming_views for endpoint in table):
             return AnswerPool(dict(table), False, min_addresses)
         weights = {}
         for endpoint, weight in table.items():
-            if endpoint not in namers:
+            if endpoint not in naming_views:
                 weights[endpoint] = weight
-            elif view in namers[endpoint]:
-                weights[endpoint] = self.listed.get(endpoint, weight)
-        return AnswerPool(weights, fair_parts <= MAX_CACHEABLE_PART, min_addresses)
+            elif view in naming_views[endpoint]:
+                weights[endpoint] = self.full_weights.get(endpoint, weight)
+        return AnswerPool(weights, fair_shares <= MAX_CACHEABLE_FAIR_SHARES, min_addresses)
 
 
-def choose_within(planned_rate: float, candidates: Iterable[Candidate]) -> set[Any]:
+def select_within_rate(planned_rate: float, candidates: Iterable[Candidate]) -> set[Any]:
     """Return the first candidates' views whose requests stay within the planned rate."""
     chosen = set()
     mean = 0.0
     variance = 0.0
-    for rate, view, part in candidates:
-        mean += rate * part
-        variance += rate * rate * part * (1 - part)
+    for rate, view, fraction in candidates:
+        mean += rate * fraction
+        variance += rate * rate * fraction * (1 - fraction)
         bad_draw = mean + MAX_SIGMAS * sqrt(variance)
         if rate > planned_rate or mean > planned_rate or bad_draw > MAX_SURGE * planned_rate:
             break
--- a/peatlead/dns/zone.py
+++ b/peatlead/dns/zone.py
@@ -16,11 +16,11 @@
 import dns.name
 
 from .canonical_zone import APEX, CanonicalZone, ZoneRecord
-from .serials import Serials, newer
+from .serials import Serials, is_newer
 
 MAX_DELTAS = 500  # stored: past this, the oldest is dropped
 MAX_DELTA_RECORDS = 50_000  # in all stored deltas together: past this, the oldest is dropped
-APEX_LIFETIME = 60  # seconds that the SOA and ZONEMD records may be cached
+APEX_TTL = 60  # seconds that the SOA and ZONEMD records may be cached
 ZONEMD_PARAMETERS = "1 1"  # scheme SIMPLE, hash SHA-384 (RFC 8976 section 5)
 SOA = "SOA"
 ZONEMD = "ZONEMD"
@@ -90,14 +90,14 @@
         digested = content | {self.soa_record(serial)}
         self.canonical.change(self.digested - digested, digested - self.digested)
         self.digest = f"{serial} {ZONEMD_PARAMETERS} {self.canonical.digest()}"
-        zonemd = ZoneRecord(APEX, APEX_LIFETIME, ZONEMD, self.digest)
+        zonemd = ZoneRecord(APEX, APEX_TTL, ZONEMD, self.digest)
         self.content = content
         self.digested = digested
         self.records = digested | {zonemd}
 
     def soa_record(self, serial: int) -> ZoneRecord:
         """Return the SOA record of a version."""
-        return ZoneRecord(APEX, APEX_LIFETIME, SOA, self.soa(serial))
+        return ZoneRecord(APEX, APEX_TTL, SOA, self.soa(serial))
 
     def drop_old_deltas(self) -> None:
         """Drop the oldest differences past the bounds."""
@@ -107,7 +107,7 @@
             oldest = self.deltas.popleft()
             self.delta_record_count -= len(oldest.removed) + len(oldest.added)
 
-    def since(self, serial: int) -> Difference | None:
+    def difference_since(self, serial: int) -> Difference | None:
         """Return the condensed difference from a version to now (RFC 1995 section 5).
 
         Return None if the version is not known.
@@ -129,12 +129,12 @@
             added |= set(delta.added) - added_again
         return Difference(removed, added) if known else None
 
-    def pass_by(self, serial: int) -> bool:
+    def advance_past(self, serial: int) -> bool:
         """Move past a secondary's serial if it is ahead; return whether it was.
 
         Otherwise the secondary would never take another version from here.
         """
-        if not newer(serial, self.serial):
+        if not is_newer(serial, self.serial):
             return False
         self.deltas.clear()
         self.delta_record_count = 0
--- a/peatlead/dns/zone_contents.py
+++ b/peatlead/dns/zone_contents.py
@@ -15,9 +15,9 @@
     from .answer_cache import AnswerSource
     from .answers import Answers
 
-NEGATIVE_LIFETIME = 5  # seconds that a negative answer may be cached (RFC 2308 section 5)
-SERVER_LIFETIME = 60  # seconds that records of the apex and of name servers may be cached
-SOA_TIMERS = f"60 10 600 {NEGATIVE_LIFETIME}"  # refresh, retry, expire, negative lifetime
+NEGATIVE_TTL = 5  # seconds that a negative answer may be cached (RFC 2308 section 5)
+SERVER_TTL = 60  # seconds that records of the apex and of name servers may be cached
+SOA_TIMERS = f"60 10 600 {NEGATIVE_TTL}"  # refresh, retry, expire, negative TTL
 
 
 class NameServer(NamedTuple):
@@ -50,13 +50,13 @@
     `name` is the apex as the query spells it.
     """
     if rdtype == dns.rdatatype.SOA:
-        add_record(answer, name, SERVER_LIFETIME, "SOA", answers.soa())
+        add_record(answer, name, SERVER_TTL, "SOA", answers.soa())
     elif rdtype == dns.rdatatype.NS:
         for server, address in answers.name_servers:
             target = f"{server}.{answers.zone.to_text()}"
-            add_record(answer, name, SERVER_LIFETIME, "NS", target)
+            add_record(answer, name, SERVER_TTL, "NS", target)
             owner = dns.name.from_text(server, answers.zone)
-            add_record(additional, owner, SERVER_LIFETIME, address_rtype(address), address)
+            add_record(additional, owner, SERVER_TTL, address_rtype(address), address)
 
 
 def add_fixed_records(
@@ -74,12 +74,12 @@
     if len(labels) == 1:
         for server, address in answers.name_servers:
             if server == labels[0] and address_rtype(address) == rtype:
-                add_record(answer, name, SERVER_LIFETIME, rtype, address)
-    elif len(labels) == 2 and rdtype in FAMILIES and labels[0] in answers.by_label:
-        endpoint = answers.endpoints[answers.by_label[labels[0]]]
+                add_record(answer, name, SERVER_TTL, rtype, address)
+    elif len(labels) == 2 and rdtype in FAMILIES and labels[0] in answers.endpoint_by_label:
+        endpoint = answers.endpoints[answers.endpoint_by_label[labels[0]]]
         endpoint_address = endpoint.by_family[FAMILIES[rdtype]]
         if endpoint_address:
-            add_record(answer, name, answers.lifetime, rtype, endpoint_address)
+            add_record(answer, name, answers.ttl, rtype, endpoint_address)
 
 
 def add_srv_records(
@@ -96,47 +96,47 @@
         endpoint_label = answers.endpoints[endpoint].name.encode()
         target = dns.name.Name((endpoint_label, hosts_label, *answers.zone.labels))
         value = f"0 {weight} {answers.settings['port']} {target}"
-        add_record(answer, name, answers.lifetime, "SRV", value)
+        add_record(answer, name, answers.ttl, "SRV", value)
         addresses += [(target, *text) for text in answers.endpoints[endpoint].texts()]
     for target, rtype, address in addresses:
-        add_record(additional, target, answers.lifetime, rtype, address)
+        add_record(additional, target, answers.ttl, rtype, address)
 
 
 def zone_records(answers: "Answers") -> set[ZoneRecord]:
     """Return all that a secondary can hold: the views' names, and the endpoints'."""
     zone = answers.zone.to_text()
-    lifetime = max(1, answers.lifetime)
+    ttl = max(1, answers.ttl)
     records = {
-        ZoneRecord(APEX, SERVER_LIFETIME, "NS", f"{server.name}.{zone}")
+        ZoneRecord(APEX, SERVER_TTL, "NS", f"{server.name}.{zone}")
         for server in answers.name_servers
     }
     records |= {
-        ZoneRecord(server.name, SERVER_LIFETIME, address_rtype(server.address), server.address)
+        ZoneRecord(server.name, SERVER_TTL, address_rtype(server.address), server.address)
         for server in answers.name_servers
     }
     shown = set()  # endpoints that SRV records name
     for view in answers.views.by_name.values():
         for service, index in answers.services.items():
-            source = answers.seats[view.index][index]
-            records.update(view_records(answers, source, f"{view.name}.{service}", lifetime))
+            source = answers.sources[view.index][index]
+            records.update(view_records(answers, source, f"{view.name}.{service}", ttl))
             shown |= set(source.planned_weights)
     for endpoint in shown:
         addresses = answers.endpoints[endpoint]
         owner = f"{addresses.name}.{answers.settings['hosts_label']}"
-        records.update(ZoneRecord(owner, lifetime, *text) for text in addresses.texts())
+        records.update(ZoneRecord(owner, ttl, *text) for text in addresses.texts())
     return records
 
 
 def view_records(
-    answers: "Answers", source: "AnswerSource", name: str, lifetime: int
+    answers: "Answers", source: "AnswerSource", name: str, ttl: int
 ) -> Iterator[ZoneRecord]:
     """Yield the address and SRV records of a view's name of a service."""
-    for endpoint in source.lines:
+    for endpoint in source.weights:
         for text in answers.endpoints[endpoint].texts():
-            yield ZoneRecord(name, lifetime, *text)
+            yield ZoneRecord(name, ttl, *text)
     srv_name = f"{answers.settings['service_label']}.{PROTOCOL_LABEL}.{name}"
     port = answers.settings["port"]
     domain = f"{answers.settings['hosts_label']}.{answers.zone.to_text()}"
     for endpoint, weight in srv_weights(source.planned_weights).items():
         target = f"{answers.endpoints[endpoint].name}.{domain}"
-        yield ZoneRecord(srv_name, lifetime, "SRV", f"0 {weight} {port} {target}")
+        yield ZoneRecord(srv_name, ttl, "SRV", f"0 {weight} {port} {target}")
--- a/tests/controller/test_dns_controller.py
+++ b/tests/controller/test_dns_controller.py
@@ -80,7 +80,7 @@
             world.phases["h2"] = "draining"
             world.write_list()
             await until(lambda: "h2" not in world.answered_endpoints(controller))
-            return controller.answers.exists(["h2", "hosts"]), controller.answers.exists(
+            return controller.answers.name_exists(["h2", "hosts"]), controller.answers.name_exists(
                 ["h1", "hosts"]
             )
 
@@ -95,7 +95,7 @@
                 {"name": "ghost", "zone": "north", "address": "127.66.9.9", "phase": "ready"}
             ]
             world.write_list()
-            await until(lambda: "ghost" in controller.answers.by_label)
+            await until(lambda: "ghost" in controller.answers.endpoint_by_label)
             await asyncio.sleep(0.5)
             self.assertEqual(world.answered_endpoints(controller), {"h0", "h1", "h2", "h3"})
             world.write_list(b'{"version": 99, "hosts": [{"na')
@@ -114,7 +114,7 @@
         async def case(world):
             first = await world.start_controller()
             await until(lambda: len(world.answered_endpoints(first)) == 4)
-            tables = [[seat.lines for seat in view] for view in first.answers.seats]
+            tables = [[seat.weights for seat in view] for view in first.answers.sources]
             first.stop()
             (world.folder / "nodes.json").unlink()
             restarted = await world.start_controller("ns2")
@@ -127,7 +127,7 @@
             restarted = await world.start_controller("ns2")
             await until(lambda: world.answered_endpoints(restarted))
             await until(lambda: not restarted.channel.queue)
-            return [[seat.lines for seat in view] for view in restarted.answers.seats] == tables
+            return [[seat.weights for seat in view] for view in restarted.answers.sources] == tables
 
         self.assertTrue(run_with_standins(case))
 
@@ -193,11 +193,13 @@
             controllers = [await world.start_controller("ns1"), await world.start_controller("ns2")]
             await until(
                 lambda: all(
-                    one.answers.seats[0][0].lines and not one.channel.queue for one in controllers
+                    one.answers.sources[0][0].weights and not one.channel.queue
+                    for one in controllers
                 )
             )
             tables = [
-                [seat.lines for view in one.answers.seats for seat in view] for one in controllers
+                [seat.weights for view in one.answers.sources for seat in view]
+                for one in controllers
             ]
             return tables[0] == tables[1]
 
--- a/tests/dns/test_answers.py
+++ b/tests/dns/test_answers.py
@@ -22,16 +22,16 @@
     all_settings["dns"].update(dns)
     answers = Answers(all_settings, Views(all_settings), random.Random(1).uniform)
     for endpoint in range(endpoints):
-        answers.know(
+        answers.set_endpoint(
             endpoint,
             f"h{endpoint}",
             f"127.10.0.{endpoint + 1}",
             f"2001:db8::{endpoint + 1:x}" if endpoint % 2 else "",
         )
-        answers.open_hosts.add(endpoint)
+        answers.resolvable_endpoints.add(endpoint)
     weights = weights or {0: 2.0, 1: 1.0, 2: 1.0}
     for view in answers.views.views:
-        answers.place(
+        answers.set_pool(
             view.index, 0, AnswerPool(dict(weights), cacheable, min_addresses), dict(weights)
         )
     return answers
@@ -119,7 +119,7 @@
         self.assertEqual(len(ask(answers, "example.org", "NS").answer[0]), 2)
         self.assertEqual(addresses(ask(answers, "ns2.example.org")), ["127.1.0.2"])
         before = ask(answers, "example.org", "SOA").answer[0][0].serial
-        answers.place(0, 0, AnswerPool({0: 1.0}, True), {0: 1.0})
+        answers.set_pool(0, 0, AnswerPool({0: 1.0}, True), {0: 1.0})
         self.assertEqual(ask(answers, "example.org", "SOA").answer[0][0].serial, before + 1)
         self.assertIn("RFC8482", str(ask(answers, rdtype="ANY").answer[0][0]))
 
@@ -146,7 +146,7 @@
 
     def test_a_client_subnet_is_used_from_trusted_resolvers_only(self):
         answers = make_answers()
-        answers.place(1, 0, AnswerPool({7: 1.0}, True), {7: 1.0})
+        answers.set_pool(1, 0, AnswerPool({7: 1.0}, True), {7: 1.0})
         option = dns.edns.ECSOption("10.2.0.0", 24)
         for _ in range(2):
             trusted = ask(answers, peer="192.0.2.53", use_edns=0, options=[option])
@@ -158,7 +158,7 @@
 
     def test_a_views_own_name_selects_it_for_any_resolver(self):
         answers = make_answers()
-        answers.place(1, 0, AnswerPool({7: 1.0}, True), {7: 1.0})
+        answers.set_pool(1, 0, AnswerPool({7: 1.0}, True), {7: 1.0})
         self.assertEqual(
             addresses(ask(answers, "desk1.api.example.org", peer="10.9.0.1")), ["127.10.0.8"]
         )
@@ -166,7 +166,7 @@
 
     def test_a_view_without_a_table_gets_servfail_that_is_not_cached(self):
         answers = make_answers()
-        answers.place(0, 0, AnswerPool({}, True), {})
+        answers.set_pool(0, 0, AnswerPool({}, True), {})
         answer = ask(answers)
         self.assertEqual((answer.rcode(), answer.authority), (dns.rcode.SERVFAIL, []))
 
@@ -174,8 +174,8 @@
         answers = make_answers()
         for _ in range(8):
             ask(answers)
-        answers.place(0, 0, AnswerPool({1: 1.0, 2: 1.0}, True), {1: 1.0, 2: 1.0})
-        answers.open_hosts.discard(0)
+        answers.set_pool(0, 0, AnswerPool({1: 1.0, 2: 1.0}, True), {1: 1.0, 2: 1.0})
+        answers.resolvable_endpoints.discard(0)
         seen = {record for _ in range(70) for record in addresses(ask(answers))}
         self.assertEqual(seen, {"127.10.0.2", "127.10.0.3"})
         self.assertEqual(ask(answers, "h0.hosts.example.org").rcode(), dns.rcode.NXDOMAIN)
@@ -184,7 +184,7 @@
         answers = make_answers(prepared_most=50)
         for index in range(500):
             ask(answers, peer=f"10.1.{index // 200}.{index % 200}")
-        self.assertLessEqual(answers.prepared, 50)
+        self.assertLessEqual(answers.prepared_count, 50)
         self.assertGreater(answers.counts["flushed"], 5)
 
     def test_mutated_queries_never_raise_and_responses_never_exceed_their_transport(self):
--- a/tests/dns/test_warmup_thinning.py
+++ b/tests/dns/test_warmup_thinning.py
@@ -47,7 +47,7 @@
         thinning, full = WarmupThinning({view: 5.0 for view in range(8)}), {1: 1.0, 2: 1.0}
         thinning.decide({view: {1: 0.1, 2: 1.0} for view in range(8)}, full)
         pools = thinning.decide({view: {1: 1.0, 2: 1.0} for view in range(8)}, full)
-        self.assertTrue(all(1 in thinning.named[view].weights for view in range(8)))
+        self.assertTrue(all(1 in thinning.pools[view].weights for view in range(8)))
         self.assertTrue(pools)
 
     def test_a_busy_views_answers_name_more_endpoints_and_are_not_cacheable(self):
@@ -56,4 +56,4 @@
         thinning.decide({view: table for view in range(30)}, table)
         pools = thinning.decide({}, table, [(3, 80.0)])
         self.assertEqual((pools[3].cacheable, pools[3].min_addresses), (False, 10))
-        self.assertTrue(thinning.named[4].cacheable)
+        self.assertTrue(thinning.pools[4].cacheable)
--- a/tests/dns/test_zone.py
+++ b/tests/dns/test_zone.py
@@ -7,7 +7,7 @@
 from hypothesis import given, strategies
 
 from peatlead.dns import zone as zones
-from peatlead.dns.serials import Serials, newer
+from peatlead.dns.serials import Serials, is_newer
 from peatlead.dns.zone import ZoneHistory
 
 ORIGIN = dns.name.from_text("example.org.")
@@ -35,17 +35,17 @@
 
 class SerialsTest(unittest.TestCase):
     def test_serials_wrap_according_to_rfc_1982(self):
-        self.assertTrue(newer(1, 0xFFFFFFFF))
-        self.assertFalse(newer(0xFFFFFFFF, 1))
-        self.assertFalse(newer(5, 5))
-        self.assertFalse(newer(0, 1 << 31) or newer(1 << 31, 0))  # undefined there: neither
+        self.assertTrue(is_newer(1, 0xFFFFFFFF))
+        self.assertFalse(is_newer(0xFFFFFFFF, 1))
+        self.assertFalse(is_newer(5, 5))
+        self.assertFalse(is_newer(0, 1 << 31) or is_newer(1 << 31, 0))  # undefined there: neither
 
     @given(strategies.integers(0, 2**32 - 1), strategies.integers(1, 9))
     def test_controllers_never_share_a_serial_and_each_can_move_past_any(self, serial, many):
         following = [Serials(index, many).next_after(serial) for index in range(many)]
         self.assertEqual(len(set(following)), many)
         for index, own in enumerate(following):
-            self.assertTrue(newer(own, serial) and own)
+            self.assertTrue(is_newer(own, serial) and own)
             self.assertTrue(Serials(index, many).is_own(own))
 
 
@@ -60,10 +60,10 @@
             versions[history.serial] = history.records
         for version, records in versions.items():
             if version != history.serial:
-                removed, added = history.since(version)
+                removed, added = history.difference_since(version)
                 self.assertLessEqual(removed, records)
                 self.assertEqual((records - removed) | added, history.records)
-        self.assertIsNone(history.since((history.serial + 1) % 2**32))
+        self.assertIsNone(history.difference_since((history.serial + 1) % 2**32))
 
     def test_dnspython_verifies_the_digest(self):
         history = make_history()
@@ -89,15 +89,15 @@
         for number in range(zones.MAX_DELTAS + 20):
             history.update({NS, ("d1.api", 1, "A", f"10.0.{number // 250}.{number % 250}")})
         self.assertEqual(len(history.deltas), zones.MAX_DELTAS)
-        self.assertIsNone(history.since(1))
+        self.assertIsNone(history.difference_since(1))
 
     def test_a_secondarys_serial_that_is_ahead_is_passed(self):
         history = make_history(index=1, many=2)
         history.update({NS})
-        self.assertTrue(history.pass_by(1000))
+        self.assertTrue(history.advance_past(1000))
         self.assertEqual(history.serial, 1001)
-        self.assertFalse(history.pass_by(1000))
-        self.assertIsNone(history.since(999))
+        self.assertFalse(history.advance_past(1000))
+        self.assertIsNone(history.difference_since(999))
 
     def test_serials_continue_after_a_restart_without_the_differences(self):
         first = make_history()
@@ -105,5 +105,5 @@
             first.update({NS, ("d1.api", 1, "A", f"10.0.0.{number + 1}")})
         restarted = make_history(first.serial)
         restarted.update({NS})
-        self.assertTrue(newer(restarted.serial, first.serial))
-        self.assertIsNone(restarted.since(first.serial))  # the whole zone is sent
+        self.assertTrue(is_newer(restarted.serial, first.serial))
+        self.assertIsNone(restarted.difference_since(first.serial))  # the whole zone is sent
--- a/tests/dns/test_zone_transfer.py
+++ b/tests/dns/test_zone_transfer.py
@@ -8,7 +8,7 @@
 import dns.name
 import dns.rdatatype
 
-from peatlead.dns.serials import newer
+from peatlead.dns.serials import is_newer
 from peatlead.standin.secondary import Secondary
 
 from ..standin_fleet import SCRIPT, run_with_standins, until
@@ -49,7 +49,7 @@
                 "h0.hosts", str(secondary.zone.get_rdataset("_http._tcp.desk0.api", "SRV"))
             )
             await until(lambda: secondary.serial == controller.secondaries.history.serial)
-            self.assertTrue(newer(secondary.serial, first_serial) and secondary.sound())
+            self.assertTrue(is_newer(secondary.serial, first_serial) and secondary.sound())
             self.assertEqual(set(secondary.fetched), {"done"})
 
         self.play(case)
@@ -62,7 +62,7 @@
             world.phases["h1"] = "draining"
             world.write_list()
             await until(
-                lambda: newer(controller.secondaries.history.serial, secondary.serial)
+                lambda: is_newer(controller.secondaries.history.serial, secondary.serial)
                 or secondary.fetched["done"] > 1
             )
             await until(
@@ -80,7 +80,7 @@
             soa.clear()
             soa.add(ahead, 60)
             secondary.fetch()
-            await until(lambda: newer(controller.secondaries.history.serial, ahead.serial))
+            await until(lambda: is_newer(controller.secondaries.history.serial, ahead.serial))
             await until(lambda: secondary.serial == controller.secondaries.history.serial)
             self.assertTrue(secondary.sound())
             self.assertEqual(controller.secondaries.counts["passed"], 1)
@@ -112,9 +112,9 @@
         async def case(world, controller, secondary):
             secondary.transport.close()
             secondaries = controller.secondaries
-            secondaries.notify(secondaries.places[0], 1, 0.01)
+            secondaries.notify(secondaries.secondary_addresses[0], 1, 0.01)
             await until(lambda: secondaries.counts["given up"])
-            self.assertFalse(secondaries.waiting)
+            self.assertFalse(secondaries.pending)
             secondary.transport = secondaries.transport  # something to close
             await asyncio.sleep(0)
 
--- a/tests/seeded_faults.py
+++ b/tests/seeded_faults.py
@@ -72,7 +72,7 @@
     original = Controller.start
 
     async def start(self):
-        self.answers.lifetime = 30
+        self.answers.ttl = 30
         await original(self)
 
     return mock.patch.object(Controller, "start", start)
--- a/tests/transcripts/test_dns_transcripts.py
+++ b/tests/transcripts/test_dns_transcripts.py
@@ -35,12 +35,12 @@
         made["dns"].update(more)
         self.answers = fronts.Answers(made, views.Views(made), random.Random(1).uniform)
         for index, name, v4, v6 in hosts:
-            self.answers.know(index, name, v4, v6)
-            self.answers.open_hosts.add(index)
+            self.answers.set_endpoint(index, name, v4, v6)
+            self.answers.resolvable_endpoints.add(index)
 
     def place(self, view, lines, cacheable=True, places=1):
         """What a view's resolvers are told: {host: weight}."""
-        self.answers.place(
+        self.answers.set_pool(
             view, 0, warmup_thinning.AnswerPool(dict(lines), cacheable, places), dict(lines)
         )
 
@@ -48,7 +48,7 @@
         return [one.index for one in self.answers.views.views]
 
     def drop(self, host):
-        self.answers.open_hosts.discard(host)
+        self.answers.resolvable_endpoints.discard(host)
 
     def answer(self, data, peer, tcp):
         """[bytes] of the answer, [] for none."""
@@ -70,7 +70,7 @@
         self.secondaries.datagram_received(data, SECONDARY)
 
     def waits(self):
-        return len(self.secondaries.waiting)
+        return len(self.secondaries.pending)
 
 
 # End of the adapter.
