--- a/peatlead/dns/answer_cache.py
+++ b/peatlead/dns/answer_cache.py
@@ -1,4 +1,7 @@
-"""Answers prepared from the queries met before: only the id and the endpoints' order change."""
+"""A cache of prepared answers to repeated queries.
+
+Answers to the same query differ only in their id and in the order of the endpoints.
+"""
 
 import struct
 from collections.abc import Mapping
@@ -7,46 +10,45 @@
 
 from .message_format import ID_BYTES
 
-COUNTS_START = 2  # of a header without its id: the flags come before
+COUNTS_START = 2  # offset of the record counts in a header without its id
 COUNTS_END = 10
 
-Order = tuple[int, ...]  # endpoints, in the order of an answer
+Order = tuple[int, ...]  # endpoints in the order of an answer's records
 
 
 class AnswerCycle:
-    """The orders of the next answers, used one after the other and again from the start.
+    """A cyclic sequence of the endpoint orders of answers.
 
-    All queries for one source and address family share it, so that weights hold over all of them.
+    All queries for one source and address family share a cycle, so that the weights apply to all
+    of these queries together.
     """
 
     __slots__ = ("index", "orders")
 
     def __init__(self, orders: list[Order]) -> None:
         self.orders = orders
-        self.index = 0  # of the next order
+        self.index = 0  # index of the next order
 
 
 @dataclass(slots=True, eq=False)
 class AnswerSource:
-    """One view of one service: the endpoints that its answers are drawn from."""
+    """The endpoints that the answers to one view for one service are drawn from."""
 
-    weights: Mapping[int, float] = field(default_factory=dict)  # weights that answers are drawn by
-    planned_weights: Mapping[int, float] = field(
-        default_factory=dict
-    )  # the table, as SRV records show it
+    weights: Mapping[int, float] = field(default_factory=dict)  # of the address records
+    planned_weights: Mapping[int, float] = field(default_factory=dict)  # of the SRV records
     cacheable: bool = True  # whether answers may be cached
-    min_addresses: int = 1  # that an answer should have
-    version: int = 0  # counts changes
+    min_addresses: int = 1  # in each answer, if the source has as many endpoints
+    version: int = 0  # incremented by each change
     cycles: dict[int, AnswerCycle] = field(default_factory=dict)  # by address family
 
 
 class AnswerContext(Protocol):
-    """What prepared answers need of `Answers`."""
+    """The part of `Answers` that prepared answers use."""
 
     ttl: int
 
     def cycle(self, source: AnswerSource, family: int) -> AnswerCycle:
-        """Return the source's cycle of a family."""
+        """Return the source's cycle of orders for an address family."""
 
     def record(self, endpoint: int, family: int, ttl: int) -> bytes:
         """Return an address record in wire form."""
@@ -55,8 +57,8 @@
 class PreparedAnswer:
     """The answers to one query.
 
-    `head` is the header and question without the id, `tail` what comes after the answer section
-    (the OPT record), `max_size` the bound of an answer's bytes.
+    `head` is the header and question without the id. `tail` is the OPT record, which follows the
+    answer section; it may be empty. `max_size` is the largest size of an answer in bytes.
     """
 
     __slots__ = (
@@ -88,7 +90,7 @@
         self.max_size = max_size
         self.version = source.version
         self.cycle = context.cycle(source, family)
-        self.bodies: dict[Order, bytes] = {}  # answers without their id, by order
+        self.bodies: dict[Order, bytes] = {}  # answers without their id
 
     def next(self) -> bytes:
         """Return the next answer without its id."""
@@ -101,16 +103,16 @@
         return self.bodies.get(order) or self.build(order)
 
     def renew(self) -> None:
-        """Start again after a change of the source."""
+        """Drop the built answers after a change of the source."""
         self.version = self.source.version
         self.bodies = {}
         self.cycle = self.context.cycle(self.source, self.family)
 
     def build(self, order: Order) -> bytes:
-        """Return the answer with an order, without its id, and store it.
+        """Build and store the answer, without its id, that has the endpoints in this order.
 
-        Addresses that do not fit are left out without truncation: fewer than asked for still serve,
-        and a retry over TCP is not needed.
+        Addresses that do not fit are left out without setting the TC flag, since clients can do
+        with fewer addresses and need no retry over TCP.
         """
         ttl = self.context.ttl if self.source.cacheable else 0
         records = [self.context.record(endpoint, self.family, ttl) for endpoint in order]
@@ -125,19 +127,19 @@
 
 
 class AnswerCache:
-    """Prepared answers by transport, peer and the query's bytes without its id."""
+    """Prepared answers by transport (whether TCP), peer address and query without its id."""
 
     def __init__(self) -> None:
-        self.by_peer: dict[bool, dict[str, dict[bytes, PreparedAnswer]]] = {}  # by TCP or UDP
-        self.size = 0  # prepared answers
+        self.by_transport: dict[bool, dict[str, dict[bytes, PreparedAnswer]]] = {}
+        self.size = 0  # number of prepared answers
         self.clear()
 
     def clear(self) -> None:
         """Drop all prepared answers."""
-        self.by_peer = {False: {}, True: {}}
+        self.by_transport = {False: {}, True: {}}
         self.size = 0
 
     def add(self, query: bytes, peer: str, tcp: bool, prepared: PreparedAnswer) -> None:
         """Add the prepared answer to a query."""
-        self.by_peer[tcp].setdefault(peer, {})[query[ID_BYTES:]] = prepared
+        self.by_transport[tcp].setdefault(peer, {})[query[ID_BYTES:]] = prepared
         self.size += 1
--- a/peatlead/dns/answer_order.py
+++ b/peatlead/dns/answer_order.py
@@ -1,22 +1,23 @@
-"""The order in which answers name endpoints. No I/O, no clock; randomness is passed in.
+"""The order of the endpoints in DNS answers. No I/O, no clock; randomness is passed in.
 
-The first addresses follow the weights within every short run of answers, not only on average:
-smooth weighted round robin keeps each endpoint's count within one of its share of the answers so
-far, while independent draws deviate by the square root of their number. Caches make that matter:
-few answers leave a controller in a lifetime, and each one carries all of a resolver's clients.
+Smooth weighted round robin selects the first endpoint of each answer, so that the first endpoints
+match the weights in every short run of answers. The count of each endpoint stays within one of its
+share of the answers, while the deviation of independent random draws grows with the square root of
+their number. The difference matters because resolvers cache answers: a controller gives few answers
+per TTL, and each answer determines where all clients of a resolver send their requests.
 """
 
 from collections.abc import Mapping
 from math import fsum
 
-MAX_SRV_WEIGHT = 1000  # of the heaviest endpoint; SRV weights have 16 bits
+MAX_SRV_WEIGHT = 1000  # of the endpoint with the largest weight; SRV weights have 16 bits
 
 
 class AnswerRotation:
-    """Smooth weighted round robin: an endless order of picks over weighted endpoints.
+    """Selects endpoints by smooth weighted round robin.
 
-    `weights` maps endpoints to weights above 0. `start` (0 to 1, random) sets the initial credits,
-    so that views with the same table do not all begin with the same endpoint.
+    `weights` maps endpoints to weights above 0. `start`, a random number from 0 to 1, sets the
+    initial credits, so that views with the same table start with different endpoints.
     """
 
     def __init__(self, weights: Mapping[int, float], start: float) -> None:
@@ -26,17 +27,17 @@
         self.credits = self.initial_credits(start * self.total)
 
     def initial_credits(self, offset: float) -> list[float]:
-        """Return credits as if the endpoints had last been picked one after the other."""
+        """Return initial credits from 0 to each endpoint's weight, staggered over the endpoints."""
         initial = []
-        before = 0.0  # weights of the endpoints before this one
+        preceding = 0.0  # sum of the weights of the preceding endpoints
         for weight in self.weights:
-            position = (before + weight / 2 + offset) % self.total
+            position = (preceding + weight / 2 + offset) % self.total
             initial.append(position / self.total * weight)
-            before += weight
+            preceding += weight
         return initial
 
     def pick(self) -> int:
-        """Return the endpoint that has waited longest for its share."""
+        """Return the endpoint with the most credit, and charge it for this pick."""
         credits = self.credits
         best = 0
         for index, weight in enumerate(self.weights):
@@ -52,8 +53,8 @@
 ) -> list[tuple[int, ...]]:
     """Return `length` answers, each a tuple of up to `max_endpoints` different endpoints.
 
-    The first endpoint is the rotation's next pick, followed by the picks after it, so that clients
-    that go on to their second address are spread by weight as well.
+    The first endpoint of an answer is the rotation's next pick, and the following picks come after
+    it. So clients that fall back to the second address are distributed by weight too.
     """
     if not weights:
         return []
@@ -66,9 +67,9 @@
 def draw_order(
     rotation: AnswerRotation, picks: list[int], first: int, size: int
 ) -> tuple[int, ...]:
-    """Return the different endpoints among the picks from `first` on, `size` of them.
+    """Return the first `size` different endpoints among the picks, starting at index `first`.
 
-    Endpoints too light to be among the picks fill up what is missing.
+    If there are fewer among the picks, other endpoints of the rotation are appended.
     """
     length = len(picks)
     chosen = [picks[first]]
@@ -85,14 +86,14 @@
 
 
 def srv_weights(weights: Mapping[int, float]) -> dict[int, int]:
-    """Return 16-bit SRV weights (RFC 2782), in proportion to the weights.
+    """Return 16-bit SRV weights (RFC 2782) in proportion to the weights.
 
-    None is 0: clients hardly ever choose a target of weight 0 at all.
+    The smallest SRV weight is 1, because clients hardly ever choose a target of weight 0.
     """
-    top = max(weights.values(), default=0.0)
-    if not top:
+    max_weight = max(weights.values(), default=0.0)
+    if not max_weight:
         return {}
     return {
-        endpoint: max(1, round(weight / top * MAX_SRV_WEIGHT))
+        endpoint: max(1, round(weight / max_weight * MAX_SRV_WEIGHT))
         for endpoint, weight in weights.items()
     }
--- a/peatlead/dns/answers.py
+++ b/peatlead/dns/answers.py
@@ -1,9 +1,10 @@
-"""From the bytes of a query to the bytes of its answer. No I/O, no clock.
+"""Answers DNS queries, from the bytes of a query to the bytes of its answer. No I/O, no clock.
 
-A query that was met before, to the byte but for its id, is answered from prepared parts: only the
-id and the order of endpoints change. All others are parsed by dnspython. Sources: RFC 1034, 1035
-(messages), 2308 (negative answers), 2782 (SRV), 3596 (AAAA), 6891 (EDNS), 7871 (client subnet),
-8482 (ANY).
+A query that repeats an earlier query in all bytes but the id is answered from a prepared answer, in
+which only the id and the order of the endpoints change. All other queries are parsed by dnspython.
+
+Sources: RFC 1034 and 1035 (messages), 2308 (negative answers), 2782 (SRV), 3596 (AAAA), 6891
+(EDNS), 7871 (client subnet), 8482 (ANY).
 """
 
 from collections.abc import Callable, Mapping
@@ -38,13 +39,13 @@
     zone_records,
 )
 
-ORDERS_AHEAD = 64  # orders of answers that are drawn at a time
+CYCLE_LENGTH = 64  # orders in a cycle
 MAX_SERIAL = 0xFFFFFFFF
-ANY_TTL = 3789  # seconds, of the record that answers ANY (RFC 8482 section 4.2)
+ANY_TTL = 3789  # seconds; of the HINFO record that answers ANY (RFC 8482 section 4.2)
 TRANSFER_TYPES = (dns.rdatatype.AXFR, dns.rdatatype.IXFR)
 COUNTERS = ("asked", "malformed", "refused", "unknown", "empty", "truncated", "flushed")
 
-# transfer(query, peer, tcp) returns the messages of a zone transfer.
+# Takes (query, peer, tcp) and returns the messages of a zone transfer.
 Transfer = Callable[[dns.message.Message, str, bool], list[bytes]]
 
 
@@ -65,7 +66,7 @@
         self.settings: Mapping[str, Any] = settings["dns"]
         self.views = views
         self.random_uniform = random_uniform
-        self.ttl: int = self.settings["lifetime"]  # seconds that answers may be cached
+        self.ttl: int = self.settings["lifetime"]  # seconds
         self.zone = dns.name.from_text(self.settings["zone"])
         self.name_servers = name_servers(settings)
         self.services: dict[str, int] = {
@@ -75,14 +76,15 @@
             self.settings["service_label"], self.services, views.by_name
         )
         self.endpoints: dict[int, EndpointAddresses] = {}
-        self.endpoint_by_label: dict[str, int] = {}  # endpoints by name
-        self.resolvable_endpoints: set[int] = set()  # endpoints whose own names exist
+        self.endpoint_by_label: dict[str, int] = {}
+        self.resolvable_endpoints: set[int] = set()  # endpoints whose names exist in the zone
+        # By view, then by service.
         self.sources = [[AnswerSource() for _ in self.services] for _ in views.views]
         self.cache = AnswerCache()
         self.records: dict[tuple[int, int, int], bytes] = {}  # by endpoint, address family and TTL
-        self.change_count = 0  # counts all changes of what answers say
+        self.change_count = 0  # changes of any answer's content
         self.serial = 1
-        self.transfer: Transfer | None = None  # set where there are secondaries
+        self.transfer: Transfer | None = None  # set if secondaries are configured
         self.counts = dict.fromkeys(COUNTERS, 0)
 
     @property
@@ -91,7 +93,7 @@
         return self.cache.size
 
     def set_endpoint(self, endpoint: int, name: str, v4: str, v6: str) -> None:
-        """Set an endpoint's name and addresses, empty where it has none of a family."""
+        """Set an endpoint's name and addresses; an address is empty if the endpoint has none."""
         old = self.endpoints.get(endpoint)
         new = EndpointAddresses(name, v4, v6)
         if old is not None:
@@ -107,7 +109,7 @@
     def set_pool(
         self, view: int, service: int, pool: AnswerPool, planned_weights: Mapping[int, float]
     ) -> None:
-        """Set the pool of a view's answers, and the weights that its SRV records show."""
+        """Set the pool and the SRV weights of a view's answers for a service."""
         source = self.sources[view][service]
         source.weights = pool.weights
         source.cacheable = pool.cacheable
@@ -120,7 +122,7 @@
             self.serial = self.serial % MAX_SERIAL + 1
 
     def has_table(self) -> bool:
-        """Return whether any view has a table."""
+        """Return whether any view has endpoints to answer with."""
         return any(source.weights for sources in self.sources for source in sources)
 
     def flush(self) -> None:
@@ -129,12 +131,12 @@
         self.counts["flushed"] += 1
 
     def respond(self, data: bytes, peer: str, tcp: bool = False) -> bytes | list[bytes] | None:
-        """Return the answer to a query, or None if there must be none.
+        """Return the answer to a query, or None if the query must not be answered.
 
-        A zone transfer over TCP returns a list of messages.
+        The answer to a zone transfer over TCP is a list of messages.
         """
         self.counts["asked"] += 1
-        prepared_answers = self.cache.by_peer[tcp].get(peer)
+        prepared_answers = self.cache.by_transport[tcp].get(peer)
         if prepared_answers is not None:
             prepared = prepared_answers.get(data[2:])
             if prepared is not None and prepared.source.weights:
@@ -142,7 +144,7 @@
         return self.answer_unprepared(data, peer, tcp)
 
     def cycle(self, source: AnswerSource, family: int) -> AnswerCycle:
-        """Return the source's cycle of a family, drawn when first needed."""
+        """Return the source's cycle of orders for an address family; draw it on first use."""
         cycle = source.cycles.get(family)
         if cycle is None:
             weights = {
@@ -152,12 +154,12 @@
             }
             max_endpoints = max(source.min_addresses, self.settings["addresses"])
             start = self.random_uniform(0.0, 1.0)
-            cycle = AnswerCycle(draw_orders(weights, max_endpoints, ORDERS_AHEAD, start))
+            cycle = AnswerCycle(draw_orders(weights, max_endpoints, CYCLE_LENGTH, start))
             source.cycles[family] = cycle
         return cycle
 
     def record(self, endpoint: int, family: int, ttl: int) -> bytes:
-        """Return an address record in wire form."""
+        """Return an endpoint's address record in wire form."""
         key = endpoint, family, ttl
         record = self.records.get(key)
         if record is None:
@@ -165,9 +167,9 @@
         return record
 
     def answer_unprepared(self, data: bytes, peer: str, tcp: bool) -> bytes | list[bytes] | None:
-        """Answer a query that is not prepared.
+        """Answer a query that has no prepared answer.
 
-        A response is never answered: two servers would go on forever.
+        Responses are not answered, since two servers could answer each other forever.
         """
         if len(data) < HEADER_BYTES or data[2] & RESPONSE_FLAG:
             self.counts["malformed"] += 1
@@ -180,7 +182,7 @@
                 raise ValueError("expected one question")
         except dns.message.Truncated:
             return header_only(data, dns.rcode.FORMERR)
-        except Exception:  # whatever dnspython raises on hostile bytes
+        except Exception:  # dnspython raises various errors on malformed messages
             self.counts["malformed"] += 1
             return header_only(data, dns.rcode.FORMERR)
         return self.answer_message(message, data, peer, tcp)
@@ -223,7 +225,7 @@
             self.counts["unknown"] += 1
             query.response.set_rcode(dns.rcode.NXDOMAIN)
             return self.negative(query)
-        if query.question.rdtype == dns.rdatatype.ANY:  # one small record in place of all
+        if query.question.rdtype == dns.rdatatype.ANY:  # one small record (RFC 8482)
             name = query.question.name
             add_record(query.response.answer, name, ANY_TTL, "HINFO", '"RFC8482" ""')
             return self.finish(query)
@@ -233,7 +235,7 @@
         return self.finish(query) if query.response.answer else self.negative(query)
 
     def name_exists(self, labels: list[str]) -> bool:
-        """Return whether a name below the apex exists, other than a service's."""
+        """Return whether the apex or a name below it exists, apart from the names of services."""
         hosts_label = self.settings["hosts_label"]
         if not labels or labels == [hosts_label]:
             return True
@@ -262,18 +264,19 @@
         return query.data[:ID_BYTES] + self.prepare(query, source, family).next()
 
     def fail_without_table(self, query: Query) -> bytes:
-        """Fail a query for which there is no table yet, or none left.
+        """Answer SERVFAIL to a query whose view has no endpoints.
 
-        Another controller may know more; an empty answer would be cached.
+        An empty answer would be cached, while after SERVFAIL a resolver asks another controller,
+        which may have a table.
         """
         self.counts["empty"] += 1
         query.fail(dns.rcode.SERVFAIL)
         return self.finish(query)
 
     def prepare(self, query: Query, source: AnswerSource, family: int) -> PreparedAnswer:
-        """Prepare the answers to a query and store them.
+        """Prepare the answers to a query and store them in the cache.
 
-        The question keeps the asker's own bytes: the case of its name.
+        The question is copied from the query, so that the case of its name is preserved.
         """
         empty = query.response.to_wire()  # header, question and OPT record
         question = question_bytes(query.data)
@@ -286,9 +289,9 @@
         return prepared
 
     def answer_srv(self, query: Query, source: AnswerSource) -> bytes:
-        """Answer with all endpoints and their weights, and with their addresses if they fit.
+        """Answer with SRV records for all endpoints, and with their addresses if they fit.
 
-        The addresses are optional (RFC 2782): leaving them out is no truncation.
+        The addresses are optional (RFC 2782), so the TC flag is not set if they are left out.
         """
         response = query.response
         add_srv_records(self, source, response.answer, response.additional, query.question.name)
@@ -297,7 +300,7 @@
         return self.finish(query)
 
     def answer_fixed(self, query: Query, labels: list[str]) -> None:
-        """Add the records of the apex, a name server or an endpoint's own name."""
+        """Add the records of the apex, of a name server or of an endpoint's name."""
         response = query.response
         name = query.question.name
         rdtype = query.question.rdtype
@@ -311,7 +314,7 @@
         return soa_text(self, self.serial if serial is None else serial)
 
     def zone_records(self) -> set[ZoneRecord]:
-        """Return all records that a secondary can hold, but for the SOA and ZONEMD records."""
+        """Return all records for secondaries except the SOA and ZONEMD records."""
         return zone_records(self)
 
     def refuse(self, query: Query) -> bytes:
@@ -321,7 +324,7 @@
         return self.finish(query)
 
     def negative(self, query: Query) -> bytes:
-        """Answer that there is no such name or data, with the SOA (RFC 2308 section 3)."""
+        """Give a negative answer, which has the SOA record (RFC 2308 section 3)."""
         add_record(query.response.authority, self.zone, NEGATIVE_TTL, "SOA", self.soa())
         return self.finish(query)
 
--- a/peatlead/dns/canonical_zone.py
+++ b/peatlead/dns/canonical_zone.py
@@ -1,4 +1,4 @@
-"""Resource records in canonical form and order (RFC 4034 section 6), and the digest over them."""
+"""Resource records in canonical form and order (RFC 4034 section 6), and their digest."""
 
 import struct
 from bisect import bisect_left, insort
@@ -11,8 +11,8 @@
 import dns.rdataclass
 import dns.rdatatype
 
-APEX = "@"  # the name of the origin itself
-MAX_CACHED_ROWS = 200_000
+APEX = "@"  # the origin as a relative name
+MAX_CACHED_ROWS = 200_000  # the cache is cleared when it exceeds this number of records
 
 
 class ZoneRecord(NamedTuple):
@@ -25,9 +25,9 @@
 
 
 class SortKey(NamedTuple):
-    """Sorts records in canonical order (RFC 4034 section 6)."""
+    """Sort key for the canonical order of records (RFC 4034 section 6)."""
 
-    labels: tuple[bytes, ...]  # lower case, from the right
+    labels: tuple[bytes, ...]  # in lower case, the rightmost label first
     rtype: int
     rdata: bytes
 
@@ -36,14 +36,14 @@
     """A record in canonical form."""
 
     key: SortKey
-    wire: bytes
+    wire: bytes  # without name compression
 
 
 class CanonicalZone:
-    """A zone's records in canonical order and form (RFC 4034 section 6), updated incrementally.
+    """A zone's records in canonical form and order (RFC 4034 section 6), updated incrementally.
 
-    A version costs its own records and one pass of the hash over ready bytes; dnspython's own
-    digest takes 0.1 ms for each record each time.
+    Only the records that a new version changes are converted; the digest is then one pass of the
+    hash over stored bytes. The digest of dnspython would convert all records for each version.
     """
 
     def __init__(self, origin: dns.name.Name) -> None:
@@ -52,7 +52,7 @@
         self.cached_rows: dict[ZoneRecord, CanonicalRow] = {}
 
     def row(self, record: ZoneRecord) -> CanonicalRow:
-        """Return a record in canonical form."""
+        """Return a record in canonical form, from the cache if possible."""
         row = self.cached_rows.get(record)
         if row is None:
             if len(self.cached_rows) > MAX_CACHED_ROWS:
@@ -73,12 +73,12 @@
         return CanonicalRow(SortKey(labels, rtype, data), wire)
 
     def change(self, removed: Iterable[ZoneRecord], added: Iterable[ZoneRecord]) -> None:
-        """Remove and add records."""
+        """Remove records that the zone has, and add others."""
         for record in removed:
             del self.rows[bisect_left(self.rows, self.row(record))]
         for record in added:
             insort(self.rows, self.row(record))
 
     def digest(self) -> str:
-        """Return SHA-384 over all records (RFC 8976 section 3.3.1) in hexadecimal."""
+        """Return the SHA-384 digest of all records (RFC 8976 section 3.3.1) in hexadecimal."""
         return sha384(b"".join(row.wire for row in self.rows)).hexdigest()
--- a/peatlead/dns/client_subnet.py
+++ b/peatlead/dns/client_subnet.py
@@ -1,4 +1,4 @@
-"""The view of an asker, by the client subnet that its resolver sends or by its address."""
+"""Finds the view of a query, by its EDNS client subnet (RFC 7871) or by the resolver's address."""
 
 from ipaddress import ip_address
 
@@ -11,9 +11,9 @@
 def find_view(
     views: Views, message: dns.message.Message, peer: str
 ) -> tuple[ViewMatch, dns.edns.ECSOption | None]:
-    """Return the asker's view, and the option to return if a client subnet was used.
+    """Return the view of a query, and the option for the response if a client subnet was used.
 
-    See RFC 7871 section 7.2.1.
+    Client subnets are used only from trusted resolvers. See RFC 7871 section 7.2.1.
     """
     if message.edns == 0 and views.trusts_subnets_of(peer):
         for option in message.options:
@@ -25,9 +25,10 @@
 def find_subnet_view(
     views: Views, option: dns.edns.ECSOption, peer: str
 ) -> tuple[ViewMatch, dns.edns.ECSOption]:
-    """Return the view of a client subnet, and the option to return.
+    """Return the view of a client subnet, and the option for the response.
 
-    A prefix length of 0 asks not to be told apart from others (section 7.1.2).
+    A prefix length of 0 means that the client's address must not be used (RFC 7871 section 7.1.2),
+    so the view is that of the resolver's address.
     """
     if option.srclen == 0:
         match = ViewMatch(views.of_peer(peer).view, 0)
--- a/peatlead/dns/notify.py
+++ b/peatlead/dns/notify.py
@@ -1,4 +1,4 @@
-"""Secondaries: versions of the zone, NOTIFY messages (RFC 1996) and transfers."""
+"""Serves secondaries: versions of the zone, NOTIFY messages (RFC 1996) and zone transfers."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -17,22 +17,22 @@
 if TYPE_CHECKING:
     from .answers import Answers
 
-VERSION_INTERVAL = 1.0  # seconds at least between two versions of the zone
-NOTIFY_ATTEMPTS = 6  # messages to one secondary for one version
-FIRST_NOTIFY_WAIT = 1.0  # seconds for the first acknowledgement, doubled with each attempt
+MIN_VERSION_INTERVAL = 1.0  # seconds between versions of the zone
+MAX_NOTIFY_ATTEMPTS = 6  # for one secondary and one version
+FIRST_NOTIFY_TIMEOUT = 1.0  # seconds; doubled with each attempt
 COUNTERS = ("versions", "notified", "answered", "given up", "transfers", "passed")
 
 Address = tuple[str, int]
 
 
 class PendingNotify(NamedTuple):
-    """A NOTIFY message that was not acknowledged yet."""
+    """A NOTIFY message that has not been acknowledged."""
 
     message_id: int
-    timer: asyncio.TimerHandle  # sends the next one
+    timer: asyncio.TimerHandle  # sends the next message
 
     def is_acknowledged_by(self, data: bytes) -> bool:
-        """Return whether a datagram acknowledges the message."""
+        """Return whether a datagram is the response to the message."""
         return (
             len(data) >= HEADER_BYTES
             and data[:ID_BYTES] == self.message_id.to_bytes(ID_BYTES, "big")
@@ -41,7 +41,7 @@
 
 
 class Secondaries(asyncio.DatagramProtocol):
-    """Makes versions of the zone, notifies the secondaries and serves their transfers.
+    """Creates versions of the zone, notifies the secondaries and answers their transfer queries.
 
     `secondary_addresses` holds (host, port) of each secondary. `controller_index` and
     `controller_count` select the serials that this controller may issue. `store_serial(serial)` is
@@ -66,7 +66,7 @@
         ]
         self.rng = rng
         self.store_serial = store_serial
-        self.peers = {peer for peer, _ in self.secondary_addresses}
+        self.allowed_peers = {peer for peer, _ in self.secondary_addresses}
         self.history = ZoneHistory(
             answers.zone, answers.soa, Serials(controller_index, controller_count), serial
         )
@@ -74,7 +74,7 @@
         self.transport: asyncio.DatagramTransport | None = None
         self.last_version_at = -1e9  # loop time of the last version
         self.pending: dict[Address, PendingNotify] = {}
-        self.published_change_count = -1  # the answers' count of changes at the last version
+        self.published_change_count = -1  # `Answers.change_count` at the last version
         self.counts = dict.fromkeys(COUNTERS, 0)
         answers.transfer = self.transfer
 
@@ -86,9 +86,9 @@
         )
 
     def tick(self, now: float) -> None:
-        """Make a new version if anything has changed, at most one per interval."""
+        """Create a new version if the answers have changed and the last version is old enough."""
         if (
-            now - self.last_version_at < VERSION_INTERVAL
+            now - self.last_version_at < MIN_VERSION_INTERVAL
             or self.answers.change_count == self.published_change_count
         ):
             return
@@ -105,24 +105,24 @@
         self.answers.serial = self.history.serial
         self.store_serial(self.history.serial)
         for address in self.secondary_addresses:
-            self.notify(address, NOTIFY_ATTEMPTS, FIRST_NOTIFY_WAIT)
+            self.notify(address, MAX_NOTIFY_ATTEMPTS, FIRST_NOTIFY_TIMEOUT)
 
     def notify(self, address: Address, attempts: int, wait: float) -> None:
-        """Send a NOTIFY; repeat it after `wait` seconds while attempts are left."""
+        """Send a NOTIFY, and again after `wait` seconds while attempts are left."""
         old = self.pending.pop(address, None)
         if old is not None:
             old.timer.cancel()
         if self.transport is None or self.loop is None or not attempts:
             self.counts["given up"] += not attempts
             return
-        message = self.make_notify()
+        message = self.build_notify()
         self.transport.sendto(message.to_wire(), address)
         self.counts["notified"] += 1
         timer = self.loop.call_later(wait, self.notify, address, attempts - 1, 2 * wait)
         self.pending[address] = PendingNotify(message.id, timer)
 
-    def make_notify(self) -> dns.message.Message:
-        """Return a NOTIFY message with a random id."""
+    def build_notify(self) -> dns.message.Message:
+        """Return a NOTIFY message with a random id (RFC 1996)."""
         message = dns.message.make_query(self.answers.zone, "SOA")
         message.set_opcode(dns.opcode.NOTIFY)
         message.flags = (message.flags & ~dns.flags.RD) | dns.flags.AA
@@ -139,12 +139,12 @@
             self.counts["answered"] += 1
 
     def error_received(self, error: Exception) -> None:
-        """Ignore that nobody listens there: the next attempt or version follows."""
+        """Ignore the error (asyncio callback): the next attempt or version sends NOTIFY again."""
 
     def transfer(self, query: dns.message.Message, peer: str, tcp: bool) -> list[bytes]:
-        """Return the messages that answer an AXFR or IXFR query; strangers are refused."""
+        """Return the messages that answer an AXFR or IXFR query; refuse unknown peers."""
         if (
-            peer not in self.peers
+            peer not in self.allowed_peers
             or query.question[0].name != self.answers.zone
             or not self.history.records
         ):
@@ -157,7 +157,7 @@
         return respond(query, self.history, tcp)
 
     def close(self) -> None:
-        """Cancel pending messages and close the socket."""
+        """Cancel the pending NOTIFY messages and close the socket."""
         for pending in self.pending.values():
             pending.timer.cancel()
         self.pending.clear()
--- a/peatlead/dns/query.py
+++ b/peatlead/dns/query.py
@@ -11,8 +11,8 @@
 from .message_format import (
     ID_BYTES,
     MAX_MESSAGE_BYTES,
+    MAX_PLAIN_UDP_BYTES,
     OPCODE_AND_RD_BITS,
-    PLAIN_UDP_BYTES,
     RESPONSE_FLAG,
 )
 
@@ -22,11 +22,11 @@
     """A parsed query and its response in progress."""
 
     data: bytes
-    peer: str
+    peer: str  # the resolver's address
     tcp: bool
     question: dns.rrset.RRset
     response: dns.message.Message
-    max_size: int  # bytes of the response
+    max_size: int  # of the response, in bytes
 
     def labels_below(self, zone: dns.name.Name) -> list[str]:
         """Return the question's labels below a zone's apex, in lower case."""
@@ -34,16 +34,16 @@
         return [label.decode("ascii", "replace").lower() for label in labels]
 
     def fail(self, rcode: dns.rcode.Rcode) -> None:
-        """Make the response a failure without authority."""
+        """Set the response code of a failure, and clear the authoritative flag."""
         self.response.flags &= ~dns.flags.AA
         self.response.set_rcode(rcode)
 
     def response_bytes(self) -> bytes:
-        """Return the complete response, whatever its size."""
+        """Return the complete response, even if it exceeds `max_size`."""
         return self.response.to_wire(max_size=MAX_MESSAGE_BYTES)
 
     def truncate(self) -> None:
-        """Remove all records: none of a truncated response may be used (RFC 2181 section 9)."""
+        """Remove all records and set the TC flag (RFC 2181 section 9)."""
         self.response.answer = []
         self.response.authority = []
         self.response.additional = []
@@ -51,15 +51,15 @@
 
 
 def max_response_size(message: dns.message.Message, tcp: bool, max_udp_payload: int) -> int:
-    """Return the bound of a response's bytes."""
+    """Return the largest allowed size of a response in bytes."""
     if tcp:
         return MAX_MESSAGE_BYTES
     if message.edns < 0:
-        return PLAIN_UDP_BYTES
-    return max(PLAIN_UDP_BYTES, min(message.payload, max_udp_payload))
+        return MAX_PLAIN_UDP_BYTES
+    return max(MAX_PLAIN_UDP_BYTES, min(message.payload, max_udp_payload))
 
 
 def header_only(data: bytes, rcode: dns.rcode.Rcode) -> bytes:
-    """Return a response that is a header: the rest of such a query is not to be trusted."""
+    """Return a response that consists of a header only, without the question."""
     flags = bytes((RESPONSE_FLAG | data[2] & OPCODE_AND_RD_BITS, rcode))
     return data[:ID_BYTES] + flags + bytes(8)
--- a/peatlead/dns/serials.py
+++ b/peatlead/dns/serials.py
@@ -1,17 +1,17 @@
-"""Serials of the zone's versions (RFC 1982), disjoint between controllers.
+"""Serials of the zone's versions (RFC 1982), different for each controller.
 
-Each controller issues only serials with a remainder of its own, modulo a power of two, so that no
-two controllers ever give one serial to different zones, and a difference is never applied to a base
-that another controller made.
+Each controller issues only serials with its own remainder modulo a power of two. So two controllers
+never use the same serial for different versions, and a secondary never applies a difference to a
+version from another controller.
 """
 
 SERIAL_MODULUS = 1 << 32
 
 
 def is_newer(serial: int, other: int) -> bool:
-    """Return whether a serial is past another (RFC 1982 section 3.2).
+    """Return whether a serial is newer than another (RFC 1982 section 3.2).
 
-    At a distance of 2^31 neither is.
+    The order of two serials at a distance of 2^31 is undefined; then the result is False.
     """
     return 0 < (serial - other) % SERIAL_MODULUS < SERIAL_MODULUS // 2
 
@@ -19,7 +19,8 @@
 class Serials:
     """The serials that controller number `controller_index` of `controller_count` may issue.
 
-    They are `controller_index` modulo the next power of two, and never 0.
+    These are the serials with the remainder `controller_index` modulo `step`, the lowest power of
+    two that is not below `controller_count`. Serial 0 is never issued.
     """
 
     def __init__(self, controller_index: int, controller_count: int) -> None:
@@ -29,11 +30,11 @@
         self.controller_index = controller_index
 
     def next_after(self, serial: int) -> int:
-        """Return the first own serial past another."""
+        """Return this controller's first serial that is newer than another serial."""
         distance = self.step - (serial - self.controller_index) % self.step
         following = (serial + distance) % SERIAL_MODULUS
         return following or self.next_after(following)
 
     def is_own(self, serial: int) -> bool:
-        """Return whether this controller may have issued a serial."""
+        """Return whether this controller may issue a serial."""
         return serial % self.step == self.controller_index
--- a/peatlead/dns/server.py
+++ b/peatlead/dns/server.py
@@ -1,8 +1,8 @@
-"""DNS over UDP and TCP: the sockets around `Answers`.
+"""The DNS server: UDP and TCP sockets for `Answers`.
 
-TCP (RFC 7766, 9210): queries are taken as they come, and pipelined ones are answered in order on
-the same connection. Idle and slow peers are cut; connections are bounded, the longest idle is
-evicted.
+Over TCP (RFC 7766, 9210), pipelined queries are answered in order on the same connection. The
+server closes connections of idle and slow peers. The number of connections is limited; a new
+connection replaces the connection that has been idle longest.
 """
 
 import asyncio
@@ -13,11 +13,11 @@
 from .answers import Answers
 from .message_format import TCP_LENGTH_BYTES
 
-MAX_UNSENT_BYTES = 1 << 18  # responses that a TCP peer leaves unread
+MAX_UNSENT_BYTES = 1 << 18  # of responses that a TCP peer has not read
 
 
 class Closer(Protocol):
-    """A transport or a server."""
+    """A transport or a server that can be closed."""
 
     def close(self) -> None:
         """Stop listening."""
@@ -26,7 +26,8 @@
 class DnsServer:
     """The UDP and TCP sockets of one controller.
 
-    The controller moves `fresh_until`, in loop time, on as it goes on deciding.
+    Queries are answered until `fresh_until` (loop time in seconds), which the controller advances
+    regularly unless it has stalled.
     """
 
     def __init__(self, settings: Mapping[str, Any], answers: Answers) -> None:
@@ -34,11 +35,11 @@
         self.answers = answers
         self.connections = ConnectionSet(settings["tcp_most"])
         self.fresh_until = 0.0
-        self.unanswered = 0  # queries that came while the controller was not fresh
+        self.unanswered = 0  # queries that arrived after `fresh_until`
         self.closers: list[Closer] = []
 
     async def open(self, address: tuple[str, int]) -> None:
-        """Listen on an address; raises OSError."""
+        """Listen on an address; raises OSError if the address is not available."""
         loop = asyncio.get_running_loop()
         udp, _ = await loop.create_datagram_endpoint(lambda: UdpProtocol(self), local_addr=address)
         self.closers.append(udp)
@@ -52,19 +53,19 @@
 
 
 class UdpProtocol(asyncio.DatagramProtocol):
-    """Answers datagrams, while the controller is fresh.
+    """Answers queries over UDP until `DnsServer.fresh_until`.
 
-    A controller that was suspended would name drained endpoints in answers to the queries that
-    waited in its socket; resolvers have another controller to ask.
+    After a suspension, the socket's buffer holds queries that would be answered with outdated
+    endpoints. These queries are dropped; resolvers then ask another controller.
     """
 
     def __init__(self, server: DnsServer) -> None:
         self.server = server
-        # Over UDP there is never more than one message.
+        # Over UDP an answer is never a list of messages.
         self.respond = cast(Callable[[bytes, str], bytes | None], server.answers.respond)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Look up what each datagram needs once (asyncio callback)."""
+        """Store the bound methods that each datagram needs (asyncio callback)."""
         self.sendto = cast(asyncio.DatagramTransport, transport).sendto
         self.now = asyncio.get_running_loop().time
 
@@ -78,28 +79,28 @@
             self.sendto(answer, peer)
 
     def error_received(self, error: Exception) -> None:
-        """Ignore that a peer's port is closed."""
+        """Ignore that a peer's port is closed (asyncio callback)."""
 
 
 class TcpConnection(Stream):
-    """A resolver's connection."""
+    """A TCP connection from a resolver."""
 
     def __init__(self, server: DnsServer) -> None:
         super().__init__(server.settings["tcp_idle"], MAX_UNSENT_BYTES)
         self.server = server
-        self.part = b""  # of a message that has not arrived completely: less than 64 KiB
+        self.incomplete = b""  # the received part of the next message, less than 64 KiB
 
     def opened(self) -> None:
-        """Join the server's bounded set of connections."""
+        """Add this connection to the server's limited set of connections."""
         self.server.connections.add(self)
 
     def ended(self, reason: str) -> None:
-        """Leave the server's set of connections."""
+        """Remove this connection from the server's set of connections."""
         self.server.connections.remove(self)
 
     def received(self, data: bytes) -> None:
-        """Answer all complete queries."""
-        data = self.part + data
+        """Answer all complete queries in the received data."""
+        data = self.incomplete + data
         start = 0
         while len(data) - start >= TCP_LENGTH_BYTES:
             size = int.from_bytes(data[start : start + TCP_LENGTH_BYTES], "big")
@@ -108,13 +109,13 @@
                 break
             self.answer_query(data[start + TCP_LENGTH_BYTES : end])
             start = end
-        self.part = data[start:]
+        self.incomplete = data[start:]
 
     def answer_query(self, query: bytes) -> None:
-        """Answer one query; a zone transfer takes several messages."""
+        """Answer one query; the answer to a zone transfer may have several messages."""
         if self.loop.time() > self.server.fresh_until:
             self.server.unanswered += 1
-            self.abort("not fresh")  # a resolver asks another controller at once
+            self.abort("answers are out of date")  # the resolver asks another controller
             return
         answer = self.server.answers.respond(query, self.peer[0], True)
         if answer is None:
--- a/peatlead/dns/transfer.py
+++ b/peatlead/dns/transfer.py
@@ -12,7 +12,7 @@
 from .message_format import question_bytes
 from .zone import Difference, ZoneHistory
 
-RECORDS_PER_MESSAGE = 90  # stays under 65,535 bytes, however long the names are
+RECORDS_PER_MESSAGE = 90  # keeps a message below 65,535 bytes for any length of names
 
 
 def refused(query: dns.message.Message) -> list[bytes]:
@@ -38,10 +38,10 @@
 
 
 def incremental(history: ZoneHistory, serial: int, tcp: bool) -> list[ZoneRecord]:
-    """Return the records that answer an IXFR query, in order."""
+    """Return the records that answer an IXFR query, in order (RFC 1995 section 4)."""
     soa = history.soa_record(history.serial)
     if not tcp or serial == history.serial:
-        return [soa]  # up to date; or over UDP: retry over TCP (RFC 1995 section 2)
+        return [soa]  # the client is up to date, or retries over TCP (RFC 1995 section 2)
     difference = history.difference_since(serial)
     if difference is None or is_longer_than_zone(difference, history):
         return whole_zone(history)
@@ -57,12 +57,15 @@
 
 
 def is_longer_than_zone(difference: Difference, history: ZoneHistory) -> bool:
-    """Return whether a difference has more records than the whole zone."""
+    """Return whether a difference has more records than the zone."""
     return len(difference.removed) + len(difference.added) > len(history.records)
 
 
 def client_serial(query: dns.message.Message) -> int | None:
-    """Return the serial that an IXFR query's sender holds (RFC 1995 section 3), if given."""
+    """Return the serial of the client's version from an IXFR query, or None.
+
+    The serial is that of the SOA record in the authority section (RFC 1995 section 3).
+    """
     for rrset in query.authority:
         if rrset.rdtype == dns.rdatatype.SOA:
             serial: int = rrset[0].serial
@@ -71,7 +74,7 @@
 
 
 def whole_zone(history: ZoneHistory) -> list[ZoneRecord]:
-    """Return all records in the order of a whole transfer: the SOA first and last."""
+    """Return all records in the order of a full transfer: the SOA first and last."""
     soa = history.soa_record(history.serial)
     return [soa, *sorted(history.records - {soa}), soa]
 
@@ -79,10 +82,10 @@
 def messages(
     query: dns.message.Message, history: ZoneHistory, records: Sequence[ZoneRecord]
 ) -> list[bytes]:
-    """Return the records in as many messages as needed.
+    """Return as many messages as the records need.
 
-    Records are sent in the canonical form that the digest is made of: their names are not
-    compressed, which is longer, but the bytes are ready.
+    The records are sent in the stored canonical form that the digest uses. Without name compression
+    the messages are longer, but the records need no conversion.
     """
     response = dns.message.make_response(query)
     response.flags |= dns.flags.AA
--- a/peatlead/dns/views.py
+++ b/peatlead/dns/views.py
@@ -1,9 +1,8 @@
-"""Which view a query belongs to. No I/O, clock or randomness.
+"""Finds the view of a query. No I/O, clock or randomness.
 
-A view is a proxy to the planner. Named views are configured; all other networks share a fixed
-number of open views by hash, so that a flood of invented subnets creates neither views nor state:
-it only shares the open views' tables, and every controller gives a network the same view without
-memory.
+The planner treats each view as a proxy. Named views are configured. All other networks are
+distributed by hash over a fixed number of open views, so that queries with invented client subnets
+cannot create views or other state, and so that all controllers find the same view for a network.
 """
 
 from collections.abc import Mapping
@@ -14,8 +13,8 @@
 
 IPV4 = 4
 IPV6 = 6
-OPEN_PREFIX = {IPV4: 24, IPV6: 56}  # networks that share an open view (RFC 7871 section 11.1)
-NUMBER_BYTES = 6  # of a view's number
+OPEN_VIEW_PREFIX = {IPV4: 24, IPV6: 56}  # longest prefix used, in bits (RFC 7871 section 11.1)
+VIEW_NUMBER_BYTES = 6
 
 IPAddress = IPv4Address | IPv6Address
 IPNetwork = IPv4Network | IPv6Network
@@ -23,46 +22,47 @@
 
 
 class View(NamedTuple):
-    """A group of clients that share a table."""
+    """A group of clients that share a table for each service."""
 
-    index: int  # type: ignore[assignment]  # in `Views.views`; hides tuple.index
+    index: int  # type: ignore[assignment]  # index in `Views.views`; hides tuple.index
     name: str
     number: int  # the planner's proxy number, the same at every controller
-    zone: int  # index in the settings
+    zone: int  # index of the zone in the settings
     rate: float  # expected requests per second
 
 
 class ViewMatch(NamedTuple):
     """The view of a query."""
 
-    view: View | None
-    scope: int  # prefix length that the answer holds for (RFC 7871 section 7.2.1)
+    view: View | None  # None if the client belongs to no view
+    scope: int  # prefix length that the answer is valid for (RFC 7871 section 7.2.1)
 
 
 class PrefixMatch(NamedTuple, Generic[Value]):
-    """The longest network that holds an address."""
+    """The network with the longest prefix that contains an address."""
 
     value: Value
-    length: int  # of the prefix
+    length: int  # of the prefix, in bits
 
 
 class PrefixTable(NamedTuple, Generic[Value]):
-    """All networks of one prefix length."""
+    """The values of all networks of one prefix length."""
 
-    length: int
+    length: int  # in bits
     mask: int
     values: dict[int, Value]  # by network address
 
 
 def proxy_number(name: str) -> int:
     """Return the planner's proxy number of a view or a proxy: a hash of its name."""
-    return int.from_bytes(blake3(b"view:" + name.encode()).digest(NUMBER_BYTES), "big")
+    return int.from_bytes(blake3(b"view:" + name.encode()).digest(VIEW_NUMBER_BYTES), "big")
 
 
 class PrefixMap(Generic[Value]):
-    """Longest prefix match over networks: one dict for each prefix length in use.
+    """A map from networks to values, searched by longest prefix match.
 
-    A look-up costs one dict look-up for each length, whatever the number of networks.
+    There is one dict for each prefix length in use, so the cost of a search depends on the number
+    of different lengths, not on the number of networks.
     """
 
     def __init__(self) -> None:
@@ -81,7 +81,7 @@
         )
 
     def find(self, address: IPAddress, max_length: int = 128) -> PrefixMatch[Value] | None:
-        """Return the longest network of at most `max_length` that holds the address."""
+        """Return the match with the longest prefix of at most `max_length` bits, or None."""
         number = int(address)
         for length, mask, values in self.tables[address.version]:
             if length <= max_length and (number & mask) in values:
@@ -90,7 +90,10 @@
 
 
 class Views:
-    """All views of the settings, and the rules that find the view of a query."""
+    """All views of the settings, and the lookup of a query's view.
+
+    Raises ValueError if two views have the same number.
+    """
 
     def __init__(self, settings: Mapping[str, Any]) -> None:
         self.views: list[View] = []
@@ -107,12 +110,12 @@
         ]
         self.by_number = {view.number: view for view in self.views}
         if len(self.by_number) != len(self.views):
-            raise ValueError("two views hash to one number: rename one")
+            raise ValueError("two views have the same number, a hash of the name: rename one")
         for network in settings["dns"]["trusted_resolvers"]:
             self.trusted_resolvers.add(network, True)
 
     def add_named_view(self, entry: Mapping[str, Any], zone: int) -> None:
-        """Add a view of the settings with its networks and resolvers."""
+        """Add a named view of the settings with its networks and resolvers."""
         view = self.add_view(entry["name"], zone, entry["rate"])
         self.by_name[view.name] = view
         for network in entry["networks"]:
@@ -133,20 +136,20 @@
         return ViewMatch(view, 0) if view else self.of_network(address, address.max_prefixlen)
 
     def trusts_subnets_of(self, peer: str) -> bool:
-        """Return whether the client subnets that a resolver sends are used (RFC 7871)."""
+        """Return whether a resolver is trusted to send client subnets (RFC 7871)."""
         return self.trusted_resolvers.find(unmap_ipv4(ip_address(peer))) is not None
 
     def of_network(self, address: IPAddress, length: int) -> ViewMatch:
-        """Return the view of the clients in address/length.
+        """Return the view of the clients in the network `address`/`length`.
 
-        A network shorter than any that is configured belongs to an open view.
+        If no configured network contains it, the view is an open view, or None without open views.
         """
         match = self.by_network.find(address, length)
         if match:
             return ViewMatch(match.value, match.length)
         if not self.open_views:
             return ViewMatch(None, 0)
-        prefix = min(length, OPEN_PREFIX[address.version])
+        prefix = min(length, OPEN_VIEW_PREFIX[address.version])
         shift = address.max_prefixlen - prefix
         key = b"%d/%d/%d" % (address.version, prefix, int(address) >> shift)
         index = int.from_bytes(blake3(key).digest(8), "big") % len(self.open_views)
--- a/peatlead/dns/warmup_thinning.py
+++ b/peatlead/dns/warmup_thinning.py
@@ -1,39 +1,40 @@
-"""Which endpoints a view's answers may name while endpoints ramp up. No I/O, clock or randomness.
-
-A small weight in a table means a small part of a view's requests. A DNS answer cannot express
-that: whoever caches it sends all requests of a resolver to the endpoints that it names, for a
-lifetime. A cold endpoint at a tenth of its weight, in a tenth of a busy view's answers, gets all
-of that view in one lifetime out of ten, and is overloaded although the average is right. So the
-small part is made of views instead of answers: a ramping endpoint is named, at its full weight,
-by as many small views as bring on average what the planner meant it to have; none of them alone
-brings more than that. The other views do not name it. As its weight grows, more views name it.
-
-A view that has only ramping endpoints names them all: it must name some. Its answers get a
-lifetime of 0 (RFC 1035 section 3.2.1: for this transaction only), so that each resolution is a
-new draw.
-
-The same coarseness affects warm endpoints: a view that brings a tenth of all requests gives its
-two addresses a twentieth each for a lifetime. So a busy view's answers name more endpoints, and
-those of a view that brings more than an endpoint's fair part get no lifetime either, because many
-clients only use the first address.
+"""Selects the endpoints in each view's answers while endpoints ramp up. No I/O, clock, randomness.
+
+A table can give a ramping endpoint a small weight, but a DNS answer cannot: a resolver caches the
+answer and sends all of its clients to the endpoints in it until the TTL ends. If one in ten answers
+to a busy view contained a cold endpoint, that endpoint would get all requests of the view in one
+TTL out of ten, and would be overloaded although its average is right.
+
+So the rate of a ramping endpoint is set by the number of views that use it. Selected views have the
+endpoint in their answers at its full weight; the other views do not have it. Views with few
+requests are selected first, until together they bring the rate that the planner assigned to the
+endpoint. As its weight grows, more views are selected.
+
+If all endpoints in a view's table are ramping, the answers contain all of them with a TTL of 0
+(RFC 1035 section 3.2.1), so that resolvers do not cache the answer and each resolution draws again.
+
+Caching also affects warm endpoints: a view with a tenth of all requests and two addresses in its
+answer sends a twentieth of all requests to each address until the TTL ends. So answers to busy
+views contain more addresses, and the TTL is 0 if a view has more requests than an endpoint's fair
+share, because many clients use only the first address.
 """
 
 from collections.abc import Collection, Iterable, Mapping
 from math import ceil, fsum, sqrt
 from typing import Any, Generic, NamedTuple, Protocol, TypeVar
 
-RAMPING_FRACTION = 0.999  # of the listed weight: below, the planner holds an endpoint back
-MIN_RATE = 0.05  # requests per second that any view counts with, however silent: it may wake up
-MAX_SIGMAS = 3.0  # a draw this many standard deviations above the mean ...
-MAX_SURGE = 2.5  # ... must stay below this multiple of the planned rate
+RAMPING_FRACTION = 0.999  # an endpoint below this fraction of its full weight is ramping
+MIN_RATE = 0.05  # requests per second; also assumed for idle views, which may become active
+UPPER_RATE_SIGMAS = 3.0  # standard deviations from the mean rate to the upper rate
+MAX_UPPER_RATE = 2.5  # as a multiple of the planned rate
 MAX_FAIR_SHARES_PER_ADDRESS = 0.25  # an address of an answer should carry at most this many
 MAX_CACHEABLE_FAIR_SHARES = 1.0  # answers to views with more requests get a TTL of 0
-RATE_DECAY = 0.9  # a rate falls to this part of itself at most per round, but rises at once
-MIN_FAIR_RATE = 1e-9  # requests per second; avoids a division by 0
+RATE_DECAY = 0.9  # fraction of a view's rate that remains after a round without requests
+MIN_FAIR_RATE = 1e-9  # requests per second; avoids a division by zero
 
 
 class SortableKey(Protocol):
-    """A view's key: it is hashable and sorts."""
+    """The key of a view: hashable and sortable."""
 
     def __hash__(self) -> int: ...
 
@@ -50,32 +51,32 @@
 
     weights: Weights
     cacheable: bool  # whether answers may be cached
-    min_addresses: int = 1  # that an answer should have
+    min_addresses: int = 1  # in each answer, if the pool has as many
 
 
 class Candidate(NamedTuple):
-    """A view that could name a ramping endpoint. Candidates sort by rate."""
+    """A view whose answers could contain a ramping endpoint. Candidates sort by rate."""
 
     rate: float  # requests per second of the view
     view: Any
-    fraction: float  # of the view's requests that the endpoint would get at its full weight
+    fraction: float  # of the view's requests that the endpoint gets at its full weight
 
 
 class WarmupThinning(Generic[ViewKey]):
-    """Decides which endpoints each view's answers name.
+    """Selects the endpoints in each view's answers.
 
-    It remembers which views hold which endpoint, so that a change costs only the views affected.
-    `rates` holds the requests per second that each view is counted with.
+    An index of the views by endpoint limits the work of a change to the affected views. `rates`
+    holds the initial requests per second of each view.
     """
 
     def __init__(self, rates: Mapping[ViewKey, float]) -> None:
         self.rates = dict(rates)
-        self.tables: dict[ViewKey, Weights] = {}  # as the planner ordered them
-        self.views_by_endpoint: dict[int, set[ViewKey]] = {}  # views whose table holds an endpoint
+        self.tables: dict[ViewKey, Weights] = {}  # as planned
+        self.views_by_endpoint: dict[int, set[ViewKey]] = {}  # by tables
         self.pools: dict[ViewKey, AnswerPool] = {}  # as last returned
-        self.ramping: set[int] = set()  # endpoints that a table holds below their listed weight
-        self.full_weights: Mapping[int, float] = {}  # full weights of endpoints
-        self.fair_rate = 0.0  # requests per second of an endpoint's fair part
+        self.ramping: set[int] = set()  # endpoints below their full weight in some table
+        self.full_weights: Mapping[int, float] = {}  # by endpoint
+        self.fair_rate = 0.0  # requests per second of an endpoint's fair share
 
     def decide(
         self,
@@ -83,7 +84,7 @@
         full_weights: Mapping[int, float],
         rates: Iterable[tuple[ViewKey, float]] = (),
     ) -> dict[ViewKey, AnswerPool]:
-        """Return the new pools of all views whose pool has changed.
+        """Return the new pool of each view whose pool has changed.
 
         `changed` holds the complete new tables, `full_weights` each endpoint's weight after its
         ramp-up, and `rates` the views' requests per second in the last round.
@@ -109,7 +110,7 @@
         return updates
 
     def update_rates(self, rates: Iterable[tuple[ViewKey, float]]) -> set[ViewKey]:
-        """Set the views' rates; return the views among them that have a table."""
+        """Update the views' rates; return those of the views that have a table."""
         affected_views = set()
         for view, rate in rates:
             self.rates[view] = max(MIN_RATE, rate, self.rates.get(view, 0.0) * RATE_DECAY)
@@ -118,7 +119,7 @@
         return affected_views
 
     def compute_fair_rate(self) -> float:
-        """Return an endpoint's fair part of all requests, per second."""
+        """Return the requests per second of an endpoint's fair share of all requests."""
         endpoint_count = sum(1 for views in self.views_by_endpoint.values() if views)
         return fsum(self.rates.values()) / max(1, endpoint_count)
 
@@ -131,24 +132,28 @@
         self.tables[view] = dict(table)
 
     def find_ramping(self, affected_views: Iterable[ViewKey]) -> set[int]:
-        """Return the endpoints that some table holds below their listed weight."""
-        doubtful = self.ramping.union(*(self.tables[view] for view in affected_views))
-        return {endpoint for endpoint in doubtful if self.is_ramping(endpoint)}
+        """Return the endpoints below their full weight in some table.
+
+        Only the endpoints that were ramping before and those of affected views are checked.
+        """
+        candidates = self.ramping.union(*(self.tables[view] for view in affected_views))
+        return {endpoint for endpoint in candidates if self.is_ramping(endpoint)}
 
     def is_ramping(self, endpoint: int) -> bool:
-        """Return whether some table holds the endpoint below its listed weight."""
-        full_weight = RAMPING_FRACTION * self.full_weights.get(endpoint, 0.0)
+        """Return whether the endpoint is below its full weight in some table."""
+        ramping_below = RAMPING_FRACTION * self.full_weights.get(endpoint, 0.0)
         return any(
-            self.tables[view][endpoint] < full_weight
+            self.tables[view][endpoint] < ramping_below
             for view in self.views_by_endpoint.get(endpoint, ())
         )
 
     def choose_naming_views(self, endpoint: int) -> set[ViewKey]:
-        """Return the views that name a ramping endpoint, the smallest first.
+        """Return the views whose answers contain a ramping endpoint.
 
-        No one of them brings more than the endpoint was meant to have; on average all of them
-        together bring that; and a bad draw stays well below what overloads it. The planner keeps
-        that at over three times what it means the endpoint to have.
+        Views with few requests are chosen first. Neither the rate of one chosen view nor the mean
+        rate that all chosen views send to the endpoint exceeds the planned rate, and the upper rate
+        stays below `MAX_UPPER_RATE` times the planned rate. The planner keeps the planned rate
+        below a third of the rate that overloads the endpoint.
         """
         planned_rate = 0.0
         candidates = []
@@ -181,15 +186,18 @@
 
 
 def select_within_rate(planned_rate: float, candidates: Iterable[Candidate]) -> set[Any]:
-    """Return the first candidates' views whose requests stay within the planned rate."""
+    """Return the first candidates' views that stay within the limits of a planned rate.
+
+    `candidates` are sorted by rate. See `WarmupThinning.choose_naming_views` for the limits.
+    """
     chosen = set()
     mean = 0.0
     variance = 0.0
     for rate, view, fraction in candidates:
         mean += rate * fraction
         variance += rate * rate * fraction * (1 - fraction)
-        bad_draw = mean + MAX_SIGMAS * sqrt(variance)
-        if rate > planned_rate or mean > planned_rate or bad_draw > MAX_SURGE * planned_rate:
+        upper_rate = mean + UPPER_RATE_SIGMAS * sqrt(variance)
+        if rate > planned_rate or mean > planned_rate or upper_rate > MAX_UPPER_RATE * planned_rate:
             break
         chosen.add(view)
     return chosen
--- a/peatlead/dns/zone.py
+++ b/peatlead/dns/zone.py
@@ -1,12 +1,13 @@
-"""The zone as secondaries hold it, version by version. No I/O, no clock.
+"""Versions of the zone for secondaries. No I/O, no clock.
 
-A secondary cannot choose answers by who asks. So the zone has separate names for each view, with
-the addresses that it is given and SRV records with weights. A version is a serial (RFC 1982), the
-records that differ from the version before, and a digest of the whole as a ZONEMD record (RFC
-8976, SIMPLE scheme, SHA-384), so that a receiver can check what it got.
+A secondary cannot select an answer by the client. So the zone has separate names for each view,
+with the view's addresses and with SRV records that have its weights. Each version has a serial (RFC
+1982), the records that differ from the preceding version, and a ZONEMD record (RFC 8976, SIMPLE
+scheme, SHA-384) with the digest of the zone, so that a secondary can verify its copy.
 
-When a secondary is ahead (this controller was restored from a backup, or the secondary followed
-another one), the next serial is the first own one after the secondary's.
+A secondary may have a newer serial, if the controller was restored from a backup or if the
+secondary got its copy from another controller. Then the controller continues with its first serial
+after the secondary's.
 """
 
 from collections import deque
@@ -18,8 +19,8 @@
 from .canonical_zone import APEX, CanonicalZone, ZoneRecord
 from .serials import Serials, is_newer
 
-MAX_DELTAS = 500  # stored: past this, the oldest is dropped
-MAX_DELTA_RECORDS = 50_000  # in all stored deltas together: past this, the oldest is dropped
+MAX_DELTAS = 500  # stored deltas
+MAX_DELTA_RECORDS = 50_000  # in all stored deltas together
 APEX_TTL = 60  # seconds that the SOA and ZONEMD records may be cached
 ZONEMD_PARAMETERS = "1 1"  # scheme SIMPLE, hash SHA-384 (RFC 8976 section 5)
 SOA = "SOA"
@@ -27,7 +28,7 @@
 
 
 class Delta(NamedTuple):
-    """What the version after `serial` changed."""
+    """The changes from version `serial` to the next version."""
 
     serial: int
     removed: tuple[ZoneRecord, ...]
@@ -35,16 +36,16 @@
 
 
 class Difference(NamedTuple):
-    """What changed between two versions."""
+    """The changes between two versions."""
 
     removed: set[ZoneRecord]
     added: set[ZoneRecord]
 
 
 class ZoneHistory:
-    """The zone's current version, and the differences from earlier ones.
+    """The zone's current version, and the changes since earlier versions.
 
-    `soa(serial)` returns the SOA record's text.
+    `soa(serial)` returns the SOA record's text. `serial` is the last serial before a restart, or 0.
     """
 
     def __init__(
@@ -59,15 +60,15 @@
         self.serials = serials
         self.serial = serials.next_after(serial)
         self.records: frozenset[ZoneRecord] = frozenset()  # empty before the first version
-        self.content: frozenset[ZoneRecord] = frozenset()  # all but the SOA and ZONEMD records
-        self.digested: frozenset[ZoneRecord] = frozenset()  # all but the ZONEMD record
+        self.content: frozenset[ZoneRecord] = frozenset()  # without the SOA and ZONEMD records
+        self.digested: frozenset[ZoneRecord] = frozenset()  # without the ZONEMD record
         self.deltas: deque[Delta] = deque()  # oldest first
         self.delta_record_count = 0
         self.digest: str | None = None  # text of the ZONEMD record
         self.canonical = CanonicalZone(origin)
 
     def update(self, records: Iterable[ZoneRecord]) -> bool:
-        """Set the zone's content; return whether that made a new version."""
+        """Set the zone's content; return whether this created a new version."""
         content = frozenset(records)
         if content == self.content:
             return False
@@ -85,7 +86,7 @@
         return True
 
     def replace(self, content: frozenset[ZoneRecord], serial: int) -> None:
-        """Make the content the version with this serial."""
+        """Set the current version's content and serial, and compute its digest."""
         self.serial = serial
         digested = content | {self.soa_record(serial)}
         self.canonical.change(self.digested - digested, digested - self.digested)
@@ -100,7 +101,7 @@
         return ZoneRecord(APEX, APEX_TTL, SOA, self.soa(serial))
 
     def drop_old_deltas(self) -> None:
-        """Drop the oldest differences past the bounds."""
+        """Drop the oldest deltas while there are more than the limits allow."""
         while len(self.deltas) > MAX_DELTAS or (
             self.deltas and self.delta_record_count > MAX_DELTA_RECORDS
         ):
@@ -108,9 +109,9 @@
             self.delta_record_count -= len(oldest.removed) + len(oldest.added)
 
     def difference_since(self, serial: int) -> Difference | None:
-        """Return the condensed difference from a version to now (RFC 1995 section 5).
+        """Return the condensed difference from a version to the current version.
 
-        Return None if the version is not known.
+        See RFC 1995 section 5. The result is None if the version is not known.
         """
         if not self.serials.is_own(serial):
             return None
@@ -130,9 +131,9 @@
         return Difference(removed, added) if known else None
 
     def advance_past(self, serial: int) -> bool:
-        """Move past a secondary's serial if it is ahead; return whether it was.
+        """Continue after a secondary's serial if it is newer; return whether it was.
 
-        Otherwise the secondary would never take another version from here.
+        Otherwise the secondary would ignore all further versions of this controller.
         """
         if not is_newer(serial, self.serial):
             return False
--- a/peatlead/dns/zone_contents.py
+++ b/peatlead/dns/zone_contents.py
@@ -1,4 +1,4 @@
-"""Records of the zone's apex and name servers, and all those that secondaries hold."""
+"""Resource records of the zone: for answers to queries, and for copies at secondaries."""
 
 from collections.abc import Iterator, Mapping
 from typing import TYPE_CHECKING, Any, NamedTuple
@@ -15,20 +15,20 @@
     from .answer_cache import AnswerSource
     from .answers import Answers
 
-NEGATIVE_TTL = 5  # seconds that a negative answer may be cached (RFC 2308 section 5)
-SERVER_TTL = 60  # seconds that records of the apex and of name servers may be cached
+NEGATIVE_TTL = 5  # seconds; of negative answers (RFC 2308 section 5)
+SERVER_TTL = 60  # seconds; of the records of the apex and of name servers
 SOA_TIMERS = f"60 10 600 {NEGATIVE_TTL}"  # refresh, retry, expire, negative TTL
 
 
 class NameServer(NamedTuple):
-    """A controller as a name server of the zone."""
+    """A controller in its role as a name server of the zone."""
 
     name: str  # one label
     address: str
 
 
 def name_servers(settings: Mapping[str, Any]) -> list[NameServer]:
-    """Return the name servers of the settings."""
+    """Return the name servers: the controllers in the settings."""
     return [NameServer(entry["name"], entry["listen"][0]) for entry in settings["steward"]]
 
 
@@ -47,7 +47,7 @@
 ) -> None:
     """Add the apex's records of a type: the SOA, or the name servers with their addresses.
 
-    `name` is the apex as the query spells it.
+    `name` is the apex in the spelling of the query.
     """
     if rdtype == dns.rdatatype.SOA:
         add_record(answer, name, SERVER_TTL, "SOA", answers.soa())
@@ -66,9 +66,9 @@
     labels: list[str],
     rdtype: dns.rdatatype.RdataType,
 ) -> None:
-    """Add the address records of a name server, or of an endpoint by its own name.
+    """Add the address records of a name server or of an endpoint.
 
-    `labels` are those of the name below the zone's apex, at least one.
+    `labels` are the labels of `name` without those of the zone; there is at least one.
     """
     rtype = dns.rdatatype.to_text(rdtype)
     if len(labels) == 1:
@@ -89,7 +89,7 @@
     additional: Section,
     name: dns.name.Name,
 ) -> None:
-    """Add an SRV record for each endpoint of a table, and the endpoints' addresses."""
+    """Add an SRV record for each planned endpoint, and the endpoints' address records."""
     addresses = []
     hosts_label = answers.settings["hosts_label"].encode()
     for endpoint, weight in sorted(srv_weights(source.planned_weights).items()):
@@ -97,13 +97,16 @@
         target = dns.name.Name((endpoint_label, hosts_label, *answers.zone.labels))
         value = f"0 {weight} {answers.settings['port']} {target}"
         add_record(answer, name, answers.ttl, "SRV", value)
-        addresses += [(target, *text) for text in answers.endpoints[endpoint].texts()]
+        addresses += [
+            (target, *typed_address)
+            for typed_address in answers.endpoints[endpoint].typed_addresses()
+        ]
     for target, rtype, address in addresses:
         add_record(additional, target, answers.ttl, rtype, address)
 
 
 def zone_records(answers: "Answers") -> set[ZoneRecord]:
-    """Return all that a secondary can hold: the views' names, and the endpoints'."""
+    """Return all records for secondaries except the SOA and ZONEMD records."""
     zone = answers.zone.to_text()
     ttl = max(1, answers.ttl)
     records = {
@@ -114,26 +117,28 @@
         ZoneRecord(server.name, SERVER_TTL, address_rtype(server.address), server.address)
         for server in answers.name_servers
     }
-    shown = set()  # endpoints that SRV records name
+    srv_targets = set()  # endpoints
     for view in answers.views.by_name.values():
-        for service, index in answers.services.items():
-            source = answers.sources[view.index][index]
-            records.update(view_records(answers, source, f"{view.name}.{service}", ttl))
-            shown |= set(source.planned_weights)
-    for endpoint in shown:
+        for label, service in answers.services.items():
+            source = answers.sources[view.index][service]
+            records.update(view_records(answers, source, f"{view.name}.{label}", ttl))
+            srv_targets |= set(source.planned_weights)
+    for endpoint in srv_targets:
         addresses = answers.endpoints[endpoint]
         owner = f"{addresses.name}.{answers.settings['hosts_label']}"
-        records.update(ZoneRecord(owner, ttl, *text) for text in addresses.texts())
+        records.update(
+            ZoneRecord(owner, ttl, *typed_address) for typed_address in addresses.typed_addresses()
+        )
     return records
 
 
 def view_records(
     answers: "Answers", source: "AnswerSource", name: str, ttl: int
 ) -> Iterator[ZoneRecord]:
-    """Yield the address and SRV records of a view's name of a service."""
+    """Yield the address and SRV records of a view's name for a service."""
     for endpoint in source.weights:
-        for text in answers.endpoints[endpoint].texts():
-            yield ZoneRecord(name, ttl, *text)
+        for typed_address in answers.endpoints[endpoint].typed_addresses():
+            yield ZoneRecord(name, ttl, *typed_address)
     srv_name = f"{answers.settings['service_label']}.{PROTOCOL_LABEL}.{name}"
     port = answers.settings["port"]
     domain = f"{answers.settings['hosts_label']}.{answers.zone.to_text()}"
--- a/tests/dns/test_answer_order.py
+++ b/tests/dns/test_answer_order.py
@@ -1,4 +1,4 @@
-"""The order in which answers name endpoints."""
+"""The order of the endpoints in DNS answers."""
 
 import random
 import unittest
@@ -15,14 +15,16 @@
 
 class AnswerRotationTest(unittest.TestCase):
     @given(WEIGHTS, strategies.floats(0.0, 0.999), strategies.integers(1, 120))
-    def test_first_addresses_follow_the_weights_within_every_run(self, weights, start, length):
+    def test_first_addresses_match_the_weights_in_every_run_of_answers(
+        self, weights, start, length
+    ):
         rotation, counts, total = AnswerRotation(weights, start), Counter(), sum(weights.values())
-        for picks in range(1, length + 1):
+        for pick_count in range(1, length + 1):
             counts[rotation.pick()] += 1
             for endpoint, weight in weights.items():
-                self.assertLess(abs(counts[endpoint] - picks * weight / total), 2.0)
+                self.assertLess(abs(counts[endpoint] - pick_count * weight / total), 2.0)
 
-    def test_independent_draws_deviate_at_least_three_times_further(self):
+    def test_independent_draws_deviate_at_least_three_times_as_much(self):
         weights = {endpoint: 1.0 + endpoint % 3 for endpoint in range(12)}
         rng = random.Random(5)
         total, length = sum(weights.values()), 240
@@ -42,12 +44,14 @@
 
 class DrawOrdersTest(unittest.TestCase):
     @given(WEIGHTS, strategies.integers(1, 20))
-    def test_no_answer_names_an_endpoint_twice_or_too_few(self, weights, max_endpoints):
+    def test_answers_contain_no_endpoint_twice_and_as_many_as_possible(
+        self, weights, max_endpoints
+    ):
         for order in draw_orders(weights, max_endpoints, 32, 0.5):
             self.assertEqual(len(set(order)), len(order))
             self.assertEqual(len(order), min(max_endpoints, len(weights)))
 
 
 class SrvWeightsTest(unittest.TestCase):
-    def test_weights_keep_their_ratio_and_none_is_0(self):
+    def test_weights_keep_their_ratio_and_are_at_least_1(self):
         self.assertEqual(srv_weights({1: 4.0, 2: 1.0, 3: 1e-5}), {1: 1000, 2: 250, 3: 1})
--- a/tests/dns/test_answers.py
+++ b/tests/dns/test_answers.py
@@ -1,4 +1,4 @@
-"""Answers to DNS queries, as bytes."""
+"""Answers to DNS queries, in wire form."""
 
 import random
 import unittest
@@ -50,7 +50,7 @@
 
 
 class AnswersTest(unittest.TestCase):
-    def test_first_addresses_follow_the_weights_and_have_the_lifetime(self):
+    def test_first_addresses_match_the_weights_and_have_the_ttl(self):
         answers = make_answers({0: 2.0, 1: 1.0, 2: 1.0}, addresses=1)
         first_addresses = Counter(addresses(ask(answers))[0] for _ in range(64))
         self.assertEqual(first_addresses, {"127.10.0.1": 32, "127.10.0.2": 16, "127.10.0.3": 16})
@@ -64,17 +64,17 @@
         )
         self.assertEqual(set(first_addresses.values()), {32})
 
-    def test_an_answer_that_is_not_cacheable_has_lifetime_0(self):
+    def test_an_answer_that_is_not_cacheable_has_ttl_0(self):
         self.assertEqual(ask(make_answers(cacheable=False)).answer[0].ttl, 0)
 
-    def test_aaaa_names_only_endpoints_with_ipv6_and_is_no_data_without_any(self):
+    def test_aaaa_contains_only_endpoints_with_ipv6_and_is_no_data_without_any(self):
         self.assertEqual(set(addresses(ask(make_answers(), rdtype="AAAA"))), {"2001:db8::2"})
         no_data = ask(make_answers({0: 1.0, 2: 1.0}), rdtype="AAAA")
         self.assertEqual(
             (no_data.rcode(), no_data.answer, len(no_data.authority)), (dns.rcode.NOERROR, [], 1)
         )
 
-    def test_srv_has_the_weights_and_the_addresses_if_they_fit(self):
+    def test_srv_answers_have_the_weights_and_addresses_that_fit(self):
         answer = ask(
             make_answers({0: 2.0, 1: 1.0}), "_http._tcp.api.example.org", "SRV", use_edns=0
         )
@@ -134,12 +134,14 @@
         query = dns.message.make_query("api.example.org", "A").to_wire()
         self.assertEqual(answers.respond(query[:20], "10.1.0.1")[3] & 15, dns.rcode.FORMERR)
         response = query[:2] + b"\x80" + query[3:]
-        self.assertIsNone(answers.respond(response, "10.1.0.1"))  # two servers would loop
+        self.assertIsNone(
+            answers.respond(response, "10.1.0.1")
+        )  # otherwise two servers could answer each other forever
         self.assertIsNone(answers.respond(query[:11], "10.1.0.1"))
 
     def test_the_case_of_the_name_is_preserved(self):
         answers = make_answers()
-        for _ in range(2):  # parsed, then prepared
+        for _ in range(2):  # a parsed query, then a prepared answer
             answer = ask(answers, "aPi.eXamPle.OrG")
             self.assertEqual(answer.question[0].name.to_text(), "aPi.eXamPle.OrG.")
             self.assertEqual(len(addresses(answer)), 2)
@@ -170,7 +172,7 @@
         answer = ask(answers)
         self.assertEqual((answer.rcode(), answer.authority), (dns.rcode.SERVFAIL, []))
 
-    def test_a_removed_endpoint_is_in_no_answer_prepared_or_not(self):
+    def test_a_removed_endpoint_is_in_no_parsed_or_prepared_answer(self):
         answers = make_answers()
         for _ in range(8):
             ask(answers)
@@ -180,17 +182,17 @@
         self.assertEqual(seen, {"127.10.0.2", "127.10.0.3"})
         self.assertEqual(ask(answers, "h0.hosts.example.org").rcode(), dns.rcode.NXDOMAIN)
 
-    def test_prepared_answers_are_bounded(self):
+    def test_the_number_of_prepared_answers_is_limited(self):
         answers = make_answers(prepared_most=50)
         for index in range(500):
             ask(answers, peer=f"10.1.{index // 200}.{index % 200}")
         self.assertLessEqual(answers.prepared_count, 50)
         self.assertGreater(answers.counts["flushed"], 5)
 
-    def test_mutated_queries_never_raise_and_responses_never_exceed_their_transport(self):
+    def test_mutated_queries_never_raise_and_responses_never_exceed_the_transports_limit(self):
         answers = make_answers({endpoint: 1.0 for endpoint in range(40)}, addresses=40)
         rng = random.Random(3)
-        seeds = [
+        valid_queries = [
             dns.message.make_query(name, rdtype, use_edns=edns, options=options).to_wire()
             for name in ("api.example.org", "_http._tcp.api.example.org", "example.org", "x.y")
             for rdtype in ("A", "AAAA", "SRV", "SOA", "ANY", "AXFR")
@@ -201,7 +203,7 @@
             )
         ]
         for _ in range(4000):
-            data = bytearray(rng.choice(seeds))
+            data = bytearray(rng.choice(valid_queries))
             for _ in range(rng.randrange(4)):
                 data[rng.randrange(len(data))] = rng.randrange(256)
             data = bytes(data[: rng.randrange(len(data) + 1)] if rng.random() < 0.2 else data)
--- a/tests/dns/test_views.py
+++ b/tests/dns/test_views.py
@@ -1,4 +1,4 @@
-"""Which view a query belongs to."""
+"""The view of a query."""
 
 import unittest
 from ipaddress import ip_address, ip_network
@@ -9,7 +9,7 @@
 
 from ..standin_fleet import settings
 
-DESK0_NUMBER = 261398713923410  # the same at every controller, in every version
+DESK0_NUMBER = 261398713923410  # must not change between releases
 
 
 class PrefixMapTest(unittest.TestCase):
@@ -21,17 +21,21 @@
         strategies.integers(0, 2**32 - 1),
         strategies.integers(0, 32),
     )
-    def test_the_longest_prefix_is_the_one_that_a_scan_finds(self, networks, address, max_length):
-        prefixes, scanned = PrefixMap(), {}
+    def test_the_longest_matching_prefix_is_found(self, networks, address, max_length):
+        prefixes, values = PrefixMap(), {}
         for value, (base, length) in enumerate(networks):
             network = ip_network((base, length), strict=False)
             prefixes.add(network, value)
-            scanned[network] = value
+            values[network] = value
         address = ip_address(address)
-        matching = [n for n in scanned if address in n and n.prefixlen <= max_length]
-        longest = max(matching, key=lambda n: n.prefixlen, default=None)
+        matching = [
+            candidate
+            for candidate in values
+            if address in candidate and candidate.prefixlen <= max_length
+        ]
+        longest = max(matching, key=lambda candidate: candidate.prefixlen, default=None)
         self.assertEqual(
-            prefixes.find(address, max_length), longest and (scanned[longest], longest.prefixlen)
+            prefixes.find(address, max_length), longest and (values[longest], longest.prefixlen)
         )
 
 
@@ -42,6 +46,6 @@
             views.of_network(ip_address(index * 70000 % 2**32), 24)
         self.assertEqual(len(views.views), 2 + 4)
 
-    def test_a_name_has_the_same_number_at_every_controller_and_start(self):
+    def test_a_name_has_the_same_number_at_every_controller_and_after_restarts(self):
         self.assertEqual(Views(settings()).by_name["desk0"].number, proxy_number("desk0"))
         self.assertEqual(proxy_number("desk0"), DESK0_NUMBER)
--- a/tests/dns/test_warmup_thinning.py
+++ b/tests/dns/test_warmup_thinning.py
@@ -1,4 +1,4 @@
-"""Which endpoints answers name while endpoints ramp up."""
+"""The endpoints in each view's answers while endpoints ramp up."""
 
 import unittest
 
@@ -8,9 +8,9 @@
 
 
 class WarmupThinningTest(unittest.TestCase):
-    def test_a_busy_view_never_names_a_cold_endpoint_and_small_views_make_up_its_part(self):
-        # Half of all requests come through one resolver: a small weight in its answers would send
-        # all of them to the cold endpoint for a lifetime.
+    def test_a_cold_endpoint_is_in_answers_to_small_views_only(self):
+        # View 0 has half of all requests. One answer with the cold endpoint would send all of them
+        # there until the TTL ends.
         thinning = WarmupThinning({view: 100.0 if view == 0 else 2.0 for view in range(50)})
         table = {0: 0.25, 1: 1.0, 2: 1.0, 3: 1.0}
         pools = thinning.decide({view: table for view in range(50)}, dict.fromkeys(range(4), 1.0))
@@ -24,9 +24,7 @@
         strategies.lists(strategies.floats(0.1, 60.0), min_size=3, max_size=40),
         strategies.floats(0.05, 0.9),
     )
-    def test_naming_views_bring_at_most_the_planned_rate_together_and_each_alone(
-        self, rates, share
-    ):
+    def test_neither_one_selected_view_nor_all_together_exceed_the_planned_rate(self, rates, share):
         thinning = WarmupThinning(dict(enumerate(rates)))
         table = {0: share, 1: 1.0, 2: 1.0}
         pools = thinning.decide(
@@ -37,20 +35,20 @@
         self.assertLessEqual(sum(naming) / 3, planned + 1e-9)
         self.assertLessEqual(max(naming, default=0.0), planned + 1e-9)
 
-    def test_a_view_with_only_ramping_endpoints_names_all_and_is_not_cacheable(self):
+    def test_a_view_with_only_ramping_endpoints_gets_all_and_is_not_cacheable(self):
         thinning = WarmupThinning({0: 10.0})
         pools = thinning.decide({0: {1: 0.5, 2: 0.5}}, {1: 2.0, 2: 2.0})
         self.assertEqual(pools[0].weights, {1: 0.5, 2: 0.5})
         self.assertFalse(pools[0].cacheable)
 
-    def test_a_warm_endpoint_is_named_by_all_views_again(self):
-        thinning, full = WarmupThinning({view: 5.0 for view in range(8)}), {1: 1.0, 2: 1.0}
-        thinning.decide({view: {1: 0.1, 2: 1.0} for view in range(8)}, full)
-        pools = thinning.decide({view: {1: 1.0, 2: 1.0} for view in range(8)}, full)
+    def test_a_warm_endpoint_is_in_the_answers_to_all_views(self):
+        thinning, full_weights = WarmupThinning({view: 5.0 for view in range(8)}), {1: 1.0, 2: 1.0}
+        thinning.decide({view: {1: 0.1, 2: 1.0} for view in range(8)}, full_weights)
+        pools = thinning.decide({view: {1: 1.0, 2: 1.0} for view in range(8)}, full_weights)
         self.assertTrue(all(1 in thinning.pools[view].weights for view in range(8)))
         self.assertTrue(pools)
 
-    def test_a_busy_views_answers_name_more_endpoints_and_are_not_cacheable(self):
+    def test_answers_to_a_busy_view_have_more_endpoints_and_are_not_cacheable(self):
         thinning = WarmupThinning({view: 1.0 for view in range(30)})
         table = dict.fromkeys(range(10), 1.0)
         thinning.decide({view: table for view in range(30)}, table)
--- a/tests/dns/test_zone.py
+++ b/tests/dns/test_zone.py
@@ -6,7 +6,7 @@
 import dns.zone
 from hypothesis import given, strategies
 
-from peatlead.dns import zone as zones
+from peatlead.dns import zone as zone_module
 from peatlead.dns.serials import Serials, is_newer
 from peatlead.dns.zone import ZoneHistory
 
@@ -24,29 +24,33 @@
 NS = ("@", 60, "NS", "ns1.example.org.")
 
 
-def make_history(serial=0, index=0, many=1):
+def make_history(serial=0, index=0, controller_count=1):
     return ZoneHistory(
         ORIGIN,
         lambda number: f"ns1.example.org. h.example.org. {number} 60 10 600 5",
-        Serials(index, many),
+        Serials(index, controller_count),
         serial,
     )
 
 
 class SerialsTest(unittest.TestCase):
-    def test_serials_wrap_according_to_rfc_1982(self):
+    def test_serials_are_compared_according_to_rfc_1982(self):
         self.assertTrue(is_newer(1, 0xFFFFFFFF))
         self.assertFalse(is_newer(0xFFFFFFFF, 1))
         self.assertFalse(is_newer(5, 5))
-        self.assertFalse(is_newer(0, 1 << 31) or is_newer(1 << 31, 0))  # undefined there: neither
+        self.assertFalse(is_newer(0, 1 << 31) or is_newer(1 << 31, 0))  # the order is undefined
 
     @given(strategies.integers(0, 2**32 - 1), strategies.integers(1, 9))
-    def test_controllers_never_share_a_serial_and_each_can_move_past_any(self, serial, many):
-        following = [Serials(index, many).next_after(serial) for index in range(many)]
-        self.assertEqual(len(set(following)), many)
-        for index, own in enumerate(following):
-            self.assertTrue(is_newer(own, serial) and own)
-            self.assertTrue(Serials(index, many).is_own(own))
+    def test_controllers_issue_different_serials_that_are_newer_than_any_given_serial(
+        self, serial, controller_count
+    ):
+        next_serials = [
+            Serials(index, controller_count).next_after(serial) for index in range(controller_count)
+        ]
+        self.assertEqual(len(set(next_serials)), controller_count)
+        for index, next_serial in enumerate(next_serials):
+            self.assertTrue(is_newer(next_serial, serial) and next_serial)
+            self.assertTrue(Serials(index, controller_count).is_own(next_serial))
 
 
 class ZoneHistoryTest(unittest.TestCase):
@@ -75,8 +79,7 @@
             }
         )
         text = "\n".join(
-            f"{name} {lifetime} IN {rtype} {rdata}"
-            for name, lifetime, rtype, rdata in history.records
+            f"{name} {ttl} IN {rtype} {rdata}" for name, ttl, rtype, rdata in history.records
         )
         zone = dns.zone.from_text(text, ORIGIN, relativize=True)
         zone.verify_digest()
@@ -84,26 +87,26 @@
         with self.assertRaises(dns.zone.DigestVerificationFailure):
             zone.verify_digest()
 
-    def test_stored_differences_are_bounded_and_the_oldest_is_dropped(self):
+    def test_the_number_of_stored_deltas_is_limited_and_the_oldest_is_dropped(self):
         history = make_history()
-        for number in range(zones.MAX_DELTAS + 20):
+        for number in range(zone_module.MAX_DELTAS + 20):
             history.update({NS, ("d1.api", 1, "A", f"10.0.{number // 250}.{number % 250}")})
-        self.assertEqual(len(history.deltas), zones.MAX_DELTAS)
+        self.assertEqual(len(history.deltas), zone_module.MAX_DELTAS)
         self.assertIsNone(history.difference_since(1))
 
-    def test_a_secondarys_serial_that_is_ahead_is_passed(self):
-        history = make_history(index=1, many=2)
+    def test_the_next_serial_follows_a_newer_serial_of_a_secondary(self):
+        history = make_history(index=1, controller_count=2)
         history.update({NS})
         self.assertTrue(history.advance_past(1000))
         self.assertEqual(history.serial, 1001)
         self.assertFalse(history.advance_past(1000))
         self.assertIsNone(history.difference_since(999))
 
-    def test_serials_continue_after_a_restart_without_the_differences(self):
+    def test_serials_continue_after_a_restart_without_the_stored_deltas(self):
         first = make_history()
         for number in range(5):
             first.update({NS, ("d1.api", 1, "A", f"10.0.0.{number + 1}")})
         restarted = make_history(first.serial)
         restarted.update({NS})
         self.assertTrue(is_newer(restarted.serial, first.serial))
-        self.assertIsNone(restarted.difference_since(first.serial))  # the whole zone is sent
+        self.assertIsNone(restarted.difference_since(first.serial))  # so a full transfer follows
--- a/tests/dns/test_zone_transfer.py
+++ b/tests/dns/test_zone_transfer.py
@@ -1,4 +1,4 @@
-"""Zone transfers and NOTIFY between a controller and a secondary on the loopback interface."""
+"""Zone transfers and NOTIFY between a controller and a secondary over loopback addresses."""
 
 import asyncio
 import random
@@ -21,7 +21,7 @@
 
 
 class ZoneTransferTest(unittest.TestCase):
-    def play(self, case, **options):
+    def run_case(self, case, **options):
         """Run case(world, controller, secondary) once the secondary has the current version."""
 
         async def with_secondary(world):
@@ -37,7 +37,7 @@
 
         run_with_standins(with_secondary, script=SCRIPT_WITH_SECONDARY, **options)
 
-    def test_a_notified_secondary_fetches_differences_and_holds_verified_versions(self):
+    def test_a_notified_secondary_fetches_differences_and_verifies_its_versions(self):
         async def case(world, controller, secondary):
             await until(lambda: len(secondary.zone.get_rdataset("desk0.api", "A") or ()) == 4)
             first_serial = secondary.serial
@@ -52,13 +52,11 @@
             self.assertTrue(is_newer(secondary.serial, first_serial) and secondary.sound())
             self.assertEqual(set(secondary.fetched), {"done"})
 
-        self.play(case)
+        self.run_case(case)
 
-    def test_a_secondary_that_missed_versions_catches_up_and_a_damaged_one_gets_the_whole_zone(
-        self,
-    ):
+    def test_a_secondary_with_a_damaged_copy_gets_the_whole_zone(self):
         async def case(world, controller, secondary):
-            secondary.zone.delete_rdataset("desk0.api", "A")  # its copy is damaged
+            secondary.zone.delete_rdataset("desk0.api", "A")  # damages the secondary's copy
             world.phases["h1"] = "draining"
             world.write_list()
             await until(
@@ -71,9 +69,9 @@
             )
             self.assertTrue(secondary.sound())
 
-        self.play(case)
+        self.run_case(case)
 
-    def test_a_controller_restored_from_a_backup_passes_its_secondarys_serial(self):
+    def test_a_controller_restored_from_a_backup_continues_after_its_secondarys_serial(self):
         async def case(world, controller, secondary):
             soa = secondary.zone.get_rdataset("@", "SOA")
             ahead = soa[0].replace(serial=soa[0].serial + 100_000)
@@ -86,15 +84,15 @@
             self.assertEqual(controller.secondaries.counts["passed"], 1)
             self.assertEqual(controller.published.zone_serial(), secondary.serial)
 
-        self.play(case)
+        self.run_case(case)
 
-    def test_strangers_are_refused_and_udp_and_malformed_queries_get_short_answers(self):
+    def test_unknown_peers_are_refused_and_udp_and_malformed_queries_get_short_answers(self):
         async def case(world, controller, secondary):
             for rdtype in ("AXFR", "IXFR"):
                 query = dns.message.make_query(ORIGIN, rdtype)
                 messages = controller.answers.respond(query.to_wire(), "10.9.9.9", True)
                 self.assertEqual(dns.message.from_wire(messages[0]).rcode(), 5)
-            query = dns.message.make_query(ORIGIN, "IXFR")  # without the SOA that it needs
+            query = dns.message.make_query(ORIGIN, "IXFR")  # malformed: without an SOA record
             [wire] = controller.answers.respond(query.to_wire(), SECONDARY, True)
             self.assertEqual(dns.message.from_wire(wire).rcode(), 1)
             query = dns.message.make_query(ORIGIN, "AXFR")
@@ -106,29 +104,29 @@
             answer = dns.message.from_wire(wire)
             self.assertEqual([rrset.rdtype for rrset in answer.answer], [dns.rdatatype.SOA])
 
-        self.play(case)
+        self.run_case(case)
 
-    def test_a_secondary_that_never_acknowledges_is_given_up(self):
+    def test_a_secondary_that_never_acknowledges_is_not_notified_again(self):
         async def case(world, controller, secondary):
             secondary.transport.close()
             secondaries = controller.secondaries
             secondaries.notify(secondaries.secondary_addresses[0], 1, 0.01)
             await until(lambda: secondaries.counts["given up"])
             self.assertFalse(secondaries.pending)
-            secondary.transport = secondaries.transport  # something to close
+            secondary.transport = secondaries.transport  # for the cleanup, which closes it
             await asyncio.sleep(0)
 
-        self.play(case)
+        self.run_case(case)
 
 
-class LossyPath(asyncio.DatagramProtocol):
-    """Forwards datagrams between a controller and a secondary; drops, doubles and delays them."""
+class LossyRelay(asyncio.DatagramProtocol):
+    """Forwards datagrams between a controller and a secondary; drops, duplicates and delays them."""
 
     def __init__(self, secondary_address, rng):
         self.secondary_address = secondary_address
         self.rng = rng
         self.controller_address = None
-        self.copies_sent = set()  # numbers of copies that datagrams were forwarded in
+        self.copies_sent = set()  # the different numbers of copies so far
 
     def connection_made(self, transport):
         self.transport = transport
@@ -139,8 +137,8 @@
         else:
             destination = self.secondary_address
             self.controller_address = peer
-        drawn = self.rng.random()
-        copies = 0 if drawn < 0.3 else 2 if drawn < 0.6 else 1
+        random_value = self.rng.random()
+        copies = 0 if random_value < 0.3 else 2 if random_value < 0.6 else 1
         self.copies_sent.add(copies)
         for _ in range(copies):
             asyncio.get_running_loop().call_later(
@@ -152,16 +150,18 @@
             self.transport.sendto(data, destination)
 
 
-class LossyPathTest(unittest.TestCase):
-    def test_lost_doubled_and_delayed_messages_end_on_the_same_verified_version(self):
+class LossyRelayTest(unittest.TestCase):
+    def test_the_secondary_gets_the_current_version_despite_lost_duplicated_and_delayed_messages(
+        self,
+    ):
         async def case(world):
             controller = await world.start_controller()
             secondary = Secondary(ORIGIN, (SECONDARY, world.port + 3), ("127.1.0.1", world.port))
             await secondary.open()
-            path = LossyPath((SECONDARY, world.port + 3), random.Random(3))
+            relay = LossyRelay((SECONDARY, world.port + 3), random.Random(3))
             loop = asyncio.get_running_loop()
             transport, _ = await loop.create_datagram_endpoint(
-                lambda: path, local_addr=(SECONDARY, world.port + 2)
+                lambda: relay, local_addr=(SECONDARY, world.port + 2)
             )
             world.cleanups += [secondary.close, transport.close]
             await until(lambda: secondary.serial is not None, 30.0)
@@ -174,7 +174,7 @@
                 30.0,
             )
             self.assertTrue(secondary.sound())
-            self.assertEqual(path.copies_sent, {0, 1, 2})
+            self.assertEqual(relay.copies_sent, {0, 1, 2})
             self.assertEqual(set(secondary.fetched), {"done"})
 
         run_with_standins(case, script=SCRIPT_WITH_SECONDARY)
