--- a/peatlead/cli/__init__.py
+++ b/peatlead/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line, `peatlead`: one module for each group of commands."""
+"""The command line `peatlead`, with one module for each group of commands."""
 
 from . import controller, fleet, lab, queries, scenarios, tables
 from .main import main
--- a/peatlead/cli/common.py
+++ b/peatlead/cli/common.py
@@ -1,4 +1,4 @@
-"""What several commands share: settings files and questions to a running controller."""
+"""Functions that several commands use: reading settings files and querying a controller."""
 
 import asyncio
 from typing import Any, Optional
@@ -7,22 +7,25 @@
 
 from ..settings import SettingsError, read_settings
 
-Settings = dict[str, Any]  # a settings file or a day script, checked
-Answer = dict[str, Any]  # what a controller answered, as JSON
+Settings = dict[str, Any]  # the checked content of a settings file or a day script
+Answer = dict[str, Any]  # a controller's answer, decoded from JSON
 PLANNERS = ("shards", "plain")
 
 
 def settings_or_exit(path: str) -> Settings:
-    """The checked settings of a file; one that is unusable ends the command with a message."""
+    """Return the checked settings of a file. Raises ClickException if they are not valid."""
     try:
         settings: Settings = read_settings(path)
-    except SettingsError as problem:
-        raise click.ClickException(str(problem)) from None
+    except SettingsError as error:
+        raise click.ClickException(str(error)) from None
     return settings
 
 
 def controller_settings(settings: Settings, name: Optional[str]) -> Settings:
-    """The part of the settings that describes one controller, by name or the only one."""
+    """Return the settings of a controller; without a name, of the only controller.
+
+    Raises ClickException if the settings have no such controller.
+    """
     controllers: list[Settings] = settings["steward"]
     names = [controller["name"] for controller in controllers]
     if name is None and len(names) == 1:
@@ -32,16 +35,19 @@
     return controllers[names.index(name)]
 
 
-def ask(file: str, name: Optional[str], question: Settings) -> Answer:
-    """A running controller's answer; no answer or an error ends the command with one line."""
+def query_controller(file: str, name: Optional[str], query: Settings) -> Answer:
+    """Return a running controller's answer to a query.
+
+    Raises ClickException if the controller does not answer or answers with an error.
+    """
     from ..controller.control_socket import ask_once
 
     controller = controller_settings(settings_or_exit(file), name)
     try:
-        answer: Answer = asyncio.run(ask_once(controller["control"], question))
-    except (TimeoutError, OSError) as problem:
+        answer: Answer = asyncio.run(ask_once(controller["control"], query))
+    except (TimeoutError, OSError) as error:
         raise click.ClickException(
-            f"steward {controller['name']} at {controller['control']}: {problem or 'no answer'}"
+            f"controller {controller['name']} at {controller['control']}: {error or 'no answer'}"
         ) from None
     if "error" in answer:
         raise click.ClickException(answer["error"])
--- a/peatlead/cli/controller.py
+++ b/peatlead/cli/controller.py
@@ -1,4 +1,4 @@
-"""Commands `run` and `check`: start a controller, check its settings file."""
+"""Commands `run` and `check`: run a controller and check its settings file."""
 
 import asyncio
 import logging
@@ -17,13 +17,13 @@
 
 EXIT_STOPPED = 0
 EXIT_CANNOT_START = 1
-EXIT_FAILED = 3  # a decide raised
+EXIT_FAILED = 3  # the controller ended because of an error
 
 
-def configure_log(form: str) -> None:
-    """One event a line on standard error: JSON for machines, or text."""
+def configure_log(log_format: str) -> None:
+    """Write one log event per line to standard error, as JSON or as text."""
     renderer: structlog.typing.Processor = structlog.dev.ConsoleRenderer(colors=False)
-    if form == "json":
+    if log_format == "json":
         renderer = structlog.processors.JSONRenderer()
     structlog.configure(
         processors=[
@@ -38,19 +38,19 @@
 
 @main.command()
 @click.argument("file", type=click.Path())
-@click.option("--name", help="which steward of FILE this is")
+@click.option("--name", help="name of this controller in FILE; required if FILE has several")
 @click.option(
-    "--state", type=click.Path(file_okay=False), help="folder for what outlives a restart"
+    "--state", type=click.Path(file_okay=False), help="folder for state that is kept over restarts"
 )
 @click.option(
     "--planner",
     type=click.Choice(PLANNERS),
     default="shards",
-    help="plain: the baseline for comparison",
+    help="plain is a simple baseline for comparison",
 )
 @click.option("--log", type=click.Choice(("json", "text")), default="json")
 def run(file: str, name: Optional[str], state: Optional[str], planner: str, log: str) -> None:
-    """Runs a steward until SIGTERM or SIGINT."""
+    """Run a controller until SIGTERM or SIGINT."""
     settings = settings_or_exit(file)
     controller = controller_settings(settings, name)
     configure_log(log)
@@ -58,7 +58,7 @@
 
 
 async def serve(settings: Settings, name: str, state: Optional[str], planner: str) -> int:
-    """Run the controller until it ends; the process's exit code."""
+    """Run the controller until it ends, and return the exit code of the process."""
     from ..controller.controller import Controller
     from ..planner.planner import Planner
     from ..scenario.plain import PlainPlanner
@@ -69,12 +69,12 @@
         settings, name, logger.info, make_planner, state, boot=os.urandom(8), wall=time.time
     )
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, controller.stop)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, controller.stop)
     try:
         await controller.start()
-    except OSError as problem:
-        logger.error("cannot start", why=str(problem))
+    except OSError as error:
+        logger.error("cannot start", why=str(error))
         return EXIT_CANNOT_START
     return EXIT_STOPPED if await controller.ended == "stopped" else EXIT_FAILED
 
@@ -82,10 +82,10 @@
 @main.command()
 @click.argument("file", type=click.Path(), required=False)
 @click.option(
-    "--reference", "show_reference", is_flag=True, help="print every setting and what it means"
+    "--reference", "show_reference", is_flag=True, help="print a description of every setting"
 )
 def check(file: Optional[str], show_reference: bool) -> None:
-    """Checks a settings script; an error names file, line and what was expected."""
+    """Check a settings file; an error has the file, the line and the expected value."""
     if show_reference:
         click.echo(format_reference())
         return
@@ -93,7 +93,7 @@
         raise click.UsageError("expected FILE or --reference")
     settings = settings_or_exit(file)
     click.echo(
-        f"{file}: {len(settings['steward'])} stewards, {len(settings['view'])} views and "
-        f"{settings['dns']['open_views']} open ones, "
-        f"{len(settings['request_kind'])} request kinds: usable"
+        f"{file}: valid settings: {len(settings['steward'])} controllers, "
+        f"{len(settings['view'])} views, {settings['dns']['open_views']} open views, "
+        f"{len(settings['request_kind'])} request classes"
     )
--- a/peatlead/cli/fleet.py
+++ b/peatlead/cli/fleet.py
@@ -1,39 +1,39 @@
-"""Commands `fleet ...`: members, owners of proxies, handing them over."""
+"""Commands `fleet ...`: members of a fleet, owners of proxies, and draining a controller."""
 
 from typing import Optional
 
 import click
 
-from .common import Answer, ask
+from .common import Answer, query_controller
 from .main import main
 
 
 @main.group()
 def fleet() -> None:
-    """Several stewards over one fleet: who owns what, and handing over."""
+    """Show and change which controllers of a fleet own which proxies."""
 
 
-def ask_fleet(file: str, name: Optional[str], action: str, proxy: str = "") -> Answer:
-    """A controller's answer to a question about the fleet."""
-    return ask(file, name, {"ask": "fleet", "do": action, "host": proxy})
+def query_fleet(file: str, name: Optional[str], action: str, proxy: str = "") -> Answer:
+    """Return a controller's answer to a query about the fleet."""
+    return query_controller(file, name, {"ask": "fleet", "do": action, "host": proxy})
 
 
 @fleet.command(name="status")
 @click.argument("file", type=click.Path())
-@click.option("--name", help="which steward of FILE to ask")
-@click.option("--proxies", is_flag=True, help="each proxy with its epoch, and for how long")
+@click.option("--name", help="controller to query; required if FILE has several")
+@click.option("--proxies", is_flag=True, help="list joined proxies, their epochs and times")
 def fleet_status(file: str, name: Optional[str], proxies: bool) -> None:
-    """Members as this steward knows them, and what it owns."""
-    answer = ask_fleet(file, name, "status")
-    for member, about in sorted(answer["members"].items()):
-        draining = ", draining" if about["draining"] else ""
+    """Show the members of the fleet and the proxies of this controller, as it knows them."""
+    answer = query_fleet(file, name, "status")
+    for member, member_status in sorted(answer["members"].items()):
+        draining = ", draining" if member_status["draining"] else ""
         click.echo(
-            f"{member}: {about['state']} for {about['since']:.1f} s, "
-            f"{about['proxies']} proxies{draining}"
+            f"{member}: {member_status['state']} for {member_status['since']:.1f} s, "
+            f"{member_status['proxies']} proxies{draining}"
         )
     click.echo(
         f"{answer['steward']}: {answer['joined']} joined, {answer['moved']} moved, "
-        f"{answer['sent on']} sent on, {answer['paced']} paced, "
+        f"{answer['sent on']} sent on to other controllers, {answer['paced']} paced, "
         f"{answer['refusals']} assignments refused"
     )
     if proxies:
@@ -44,22 +44,22 @@
 @fleet.command(name="drain")
 @click.argument("file", type=click.Path())
 @click.argument("steward")
-@click.option("--undo", is_flag=True, help="take proxies again")
+@click.option("--undo", is_flag=True, help="accept proxies again")
 def fleet_drain(file: str, steward: str, undo: bool) -> None:
-    """Hands all of STEWARD's proxies to the others."""
-    answer = ask_fleet(file, steward, "undrain" if undo else "drain")
-    state = "takes more again" if undo else "handing over"
+    """Hand all proxies of the controller STEWARD over to the other controllers."""
+    answer = query_fleet(file, steward, "undrain" if undo else "drain")
+    state = "accepts proxies again" if undo else "hands its proxies over"
     click.echo(f"{steward}: {answer['joined']} proxies, {state}")
 
 
 @fleet.command(name="why")
 @click.argument("file", type=click.Path())
 @click.argument("proxy")
-@click.option("--name", help="which steward of FILE to ask")
+@click.option("--name", help="controller to query; required if FILE has several")
 def fleet_why(file: str, proxy: str, name: Optional[str]) -> None:
-    """Who should own PROXY, and why."""
-    answer = ask_fleet(file, name, "why", proxy)
-    here = "not joined here"
+    """Show which controller should own PROXY, and why."""
+    answer = query_fleet(file, name, "why", proxy)
+    joined = "not joined here"
     if answer["here"]:
-        here = f"joined here, epoch {answer['epoch']} for {answer['since']:.1f} s"
-    click.echo(f"{proxy}: owner {answer['owner']}; by rank {', '.join(answer['rank'])}; {here}")
+        joined = f"joined here, epoch {answer['epoch']} for {answer['since']:.1f} s"
+    click.echo(f"{proxy}: owner {answer['owner']}; ranking {', '.join(answer['rank'])}; {joined}")
--- a/peatlead/cli/lab.py
+++ b/peatlead/cli/lab.py
@@ -1,4 +1,4 @@
-"""Commands `lab ...`: scenarios on simulated time, hunts for failing seeds, studies."""
+"""Commands `lab ...`: scenarios in simulated time, searches for failing seeds, and studies."""
 
 import sys
 from collections.abc import Callable, Iterator
@@ -15,29 +15,32 @@
 if TYPE_CHECKING:
     from ..lab.study import Study
 
-Say = Callable[[str], None]  # prints a line
-Step = Callable[[int, str], None]  # parts that are done, and a note
+PrintLine = Callable[[str], None]
+ReportProgress = Callable[[int, str], None]  # called with the number of finished tasks and a note
 
 
 @main.group()
 def lab() -> None:
-    """The emulator: days on simulated time, hunts, studies."""
+    """Run scenarios in simulated time, search for failing seeds, and run studies."""
 
 
-def day_of(script: Optional[str], seed: int, kind: str) -> Settings:
-    """A day from a script, or drawn by seed."""
+def load_scenario(script: Optional[str], seed: int, kind: str) -> Settings:
+    """Return the scenario of a day script, or a random scenario without a script.
+
+    Raises ClickException if the script is not valid.
+    """
     from ..lab.random_scenario import draw
     from ..scenario.script import read_day
 
     try:
         scenario: Settings = draw(seed, kind) if script is None else read_day(script)
-    except SettingsError as problem:
-        raise click.ClickException(str(problem)) from None
+    except SettingsError as error:
+        raise click.ClickException(str(error)) from None
     return scenario
 
 
 KIND = click.option(
-    "--kind", type=click.Choice(("fleet", "dns")), default="fleet", help="of drawn days"
+    "--kind", type=click.Choice(("fleet", "dns")), default="fleet", help="kind of random scenarios"
 )
 
 
@@ -47,26 +50,26 @@
 @click.option("--planner", type=click.Choice((*PLANNERS, "home", "oracle")), default="shards")
 @KIND
 def lab_run(script: Optional[str], seed: int, planner: str, kind: str) -> None:
-    """Plays a day script, or the day that SEED draws, on simulated time."""
+    """Play a day script, or a random scenario made from the seed, in simulated time."""
     from ..invariants.report import show
     from ..lab.day import play_day
 
-    played = play_day(day_of(script, seed, kind), seed, planner)
-    if played.report is not None:
-        show(played.report, f"simulated, seed {seed}")
-    for find in played.finds:
-        click.echo(f"found: {find}")
+    result = play_day(load_scenario(script, seed, kind), seed, planner)
+    if result.report is not None:
+        show(result.report, f"simulated, seed {seed}")
+    for finding in result.finds:
+        click.echo(f"found: {finding}")
     click.echo(
-        f"digest {played.digest}, {played.events} events, {played.seconds:.1f} simulated seconds"
+        f"digest {result.digest}, {result.events} events, {result.seconds:.1f} simulated seconds"
     )
-    sys.exit(1 if played.finds else 0)
+    sys.exit(1 if result.finds else 0)
 
 
 @contextmanager
-def progress(what: str, many: int) -> Iterator[tuple[Say, Step]]:
-    """Functions `(say, step)` that show the progress of work in many parts.
+def progress(label: str, total: int) -> Iterator[tuple[PrintLine, ReportProgress]]:
+    """Yield functions `(print_line, report_progress)` that show the progress of `total` tasks.
 
-    On a terminal that is a bar with the time that is left, else plain lines.
+    On a terminal they show a progress bar with the remaining time, otherwise only printed lines.
     """
     if not sys.stderr.isatty():
         yield click.echo, lambda done, note: None
@@ -82,75 +85,89 @@
 
     console = Console(stderr=True)
     columns = (
-        TextColumn(what),
+        TextColumn(label),
         BarColumn(),
         MofNCompleteColumn(),
         TimeRemainingColumn(),
         TextColumn("{task.fields[note]}"),
     )
     with Progress(*columns, console=console) as bar:
-        task = bar.add_task(what, total=many, note="")
+        task = bar.add_task(label, total=total, note="")
         yield bar.console.print, lambda done, note: bar.update(task, completed=done, note=note)
 
 
 @lab.command(
     name="hunt",
-    help="Plays seeds FIRST to LAST (not included); what breaks "
-    "is cut down and printed as a day script.",
+    help="Play random scenarios for the seeds from FIRST up to, not including, LAST, and print "
+    "each failing scenario as a shortened day script.",
 )
 @click.argument("first", type=int)
 @click.argument("last", type=int)
-@click.option("--workers", type=int, help="processes; the machine's cores if not given")
-@click.option("--most", type=int, default=5, help="finds after which it ends")
-@click.option("--length", type=float, default=20.0, help="simulated seconds of each day")
+@click.option("--workers", type=int, help="number of processes; by default one for each core")
+@click.option(
+    "--most", type=int, default=5, help="number of failing seeds after which the search ends"
+)
+@click.option(
+    "--length", type=float, default=20.0, help="length of each scenario in simulated seconds"
+)
 @KIND
 def lab_hunt(
     first: int, last: int, workers: Optional[int], most: int, length: float, kind: str
 ) -> None:
-    """Plays seeds FIRST to LAST (not included); what breaks is cut down to a day script."""
+    """Play the scenarios of a range of seeds and print those that fail as day scripts."""
     from ..lab.hunt import hunt
 
-    with progress(f"hunting {kind}", last - first) as (say, step):
-        finds, played = hunt(range(first, last), kind, length, workers, say, most, step)
+    with progress(f"searching {kind} scenarios", last - first) as (print_line, report_progress):
+        finds, played_count = hunt(
+            range(first, last), kind, length, workers, print_line, most, report_progress
+        )
     for find in finds:
         click.echo(f"\n# seed {find.seed}: {'; '.join(find.what[:3])}\n{find.script}")
-    click.echo(f"{played} seeds of {kind}, {len(finds)} finds")
+    click.echo(f"{played_count} {kind} scenarios played, {len(finds)} failed")
     sys.exit(1 if finds else 0)
 
 
 @lab.command(
     name="replay",
-    help="The story of WHAT (a req, an agent, a desk, "
-    "a host, an address) in a day that is played again.",
+    help="Play a scenario again and print all events of WHAT: a request, a proxy, a view, "
+    "an endpoint or an address.",
 )
 @click.argument("what")
-@click.option("--script", type=click.Path(), help="a day script; else the day that the seed draws")
+@click.option(
+    "--script",
+    type=click.Path(),
+    help="a day script; by default a random scenario made from the seed",
+)
 @click.option("--seed", type=int, default=1)
 @KIND
 def lab_replay(what: str, script: Optional[str], seed: int, kind: str) -> None:
-    """The story of WHAT (a req, an agent, a desk, a host, an address) in a day played again."""
+    """Play a scenario again and print all events of a request, proxy, view, endpoint or address."""
     from ..lab.day import play_day
     from ..lab.timeline import timeline
 
-    played = play_day(day_of(script, seed, kind), seed)
-    lines = timeline(played.rows, what, played.logs)
-    click.echo("\n".join(lines) if lines else f"nothing in this day is about {what!r}")
+    result = play_day(load_scenario(script, seed, kind), seed)
+    lines = timeline(result.rows, what, result.logs)
+    click.echo("\n".join(lines) if lines else f"no events of {what!r} in this scenario")
 
 
-def study_of(path: str) -> "Study":
-    """A study, read from its file and checked."""
+def load_study(path: str) -> "Study":
+    """Return the study in a file. Raises ClickException if the file is not valid."""
     from ..lab.study import Study
 
     try:
         return Study(path, Path(path).read_text(encoding="utf-8"))
-    except SettingsError as problem:
-        raise click.ClickException(str(problem)) from None
-    except (OSError, UnicodeDecodeError) as problem:
-        raise click.ClickException(f"{path}:1: expected a readable study: {problem}") from None
+    except SettingsError as error:
+        raise click.ClickException(str(error)) from None
+    except (OSError, UnicodeDecodeError) as error:
+        raise click.ClickException(f"{path}:1: expected a readable study: {error}") from None
 
 
 BASE = click.option(
-    "--results", "base", type=click.Path(), default="found/lab.sqlite", help="the file of results"
+    "--results",
+    "base",
+    type=click.Path(),
+    default="found/lab.sqlite",
+    help="database file of results",
 )
 
 
@@ -159,14 +176,14 @@
 @click.option("--workers", type=int)
 @BASE
 def lab_study(file: str, workers: Optional[int], base: str) -> None:
-    """Plays what is missing of a study; may be stopped and run again."""
+    """Play the cells of a study that have no results yet; can be stopped and run again."""
     from ..lab.study import Results, run
 
-    study, results = study_of(file), Results(base)
+    study, results = load_study(file), Results(base)
     with progress(
         study.head["name"], len(study.cells()) - len(results.done(study.head["name"]))
-    ) as (say, step):
-        run(study, results, workers, say, step)
+    ) as (print_line, report_progress):
+        run(study, results, workers, print_line, report_progress)
 
 
 @lab.command(name="compare")
@@ -174,23 +191,23 @@
 @click.argument("figure")
 @BASE
 def lab_compare(file: str, figure: str, base: str) -> None:
-    """Paired differences of FIGURE to the first variant and policy, with 95% intervals."""
+    """Compare FIGURE with the first variant and policy: paired differences, 95% intervals."""
     from ..lab.study import Results, compare
 
-    study, results = study_of(file), Results(base)
-    base_line, *others = [
+    study, results = load_study(file), Results(base)
+    baseline, *others = [
         (variant, policy) for variant in study.variants for policy in study.policies
     ]
     for case in study.cases:
         for other in others:
             try:
-                found = compare(results, study.head["name"], figure, base_line, other, case)
-            except ValueError as problem:
-                raise click.ClickException(str(problem)) from None
+                comparison = compare(results, study.head["name"], figure, baseline, other, case)
+            except ValueError as error:
+                raise click.ClickException(str(error)) from None
             difference = "not played"
-            if found is not None:
-                difference = "{:+.4g} [{:+.4g}, {:+.4g}], {} pairs".format(*found)
-            pair = f"{other[0]} / {other[1]} less {base_line[0]} / {base_line[1]}"
+            if comparison is not None:
+                difference = "{:+.4g} [{:+.4g}, {:+.4g}], {} pairs".format(*comparison)
+            pair = f"{other[0]} / {other[1]} minus {baseline[0]} / {baseline[1]}"
             click.echo(f"{case}: {pair}: {difference}")
 
 
@@ -199,9 +216,9 @@
 @click.argument("out", type=click.Path(dir_okay=False))
 @BASE
 def lab_report(file: str, out: Optional[str], base: str) -> None:
-    """Writes a study's tables and charts as one HTML file."""
+    """Write a study's tables and charts to one HTML file."""
     from ..lab.report import write
     from ..lab.study import Results
 
-    write(Results(base), study_of(file), out)
+    write(Results(base), load_study(file), out)
     click.echo(out)
--- a/peatlead/cli/main.py
+++ b/peatlead/cli/main.py
@@ -1,4 +1,4 @@
-"""The root of all commands."""
+"""The root command."""
 
 import click
 
@@ -6,4 +6,4 @@
 @click.group()
 @click.version_option(package_name="peatlead")
 def main() -> None:
-    """Steers traffic by publishing weights to plain proxies and DNS clients."""
+    """Distribute requests by publishing endpoint weights to proxies and DNS clients."""
--- a/peatlead/cli/queries.py
+++ b/peatlead/cli/queries.py
@@ -1,4 +1,4 @@
-"""Commands `answer`, `status`, `drained` and `why`: questions to a running controller."""
+"""Commands `answer`, `status`, `drained` and `why`: queries to a running controller."""
 
 import json
 import sys
@@ -6,23 +6,25 @@
 
 import click
 
-from .common import Answer, ask
+from .common import Answer, query_controller
 from .main import main
 
 
 @main.command()
 @click.argument("file", type=click.Path())
 @click.argument("view")
-@click.option("--service", default="", help="label of the service; the first of FILE if not given")
-@click.option("--name", help="which steward of FILE to ask")
+@click.option(
+    "--service", default="", help="label of the service; by default the first service in FILE"
+)
+@click.option("--name", help="controller to query; required if FILE has several")
 def answer(file: str, view: str, service: str, name: Optional[str]) -> None:
-    """What VIEW would be told now, asked of a running steward."""
-    found = ask(file, name, {"ask": "answer", "view": view, "service": service})
-    stale = "" if found["fresh"] else "; the steward stands still and answers nobody"
-    click.echo(f"{found['view']} (zone {found['zone']}): lifetime {found['lifetime']} s{stale}")
-    for line in found["lines"]:
+    """Show what a running controller would answer to DNS clients of VIEW now."""
+    response = query_controller(file, name, {"ask": "answer", "view": view, "service": service})
+    stale = "" if response["fresh"] else "; the controller has stalled and answers no queries"
+    click.echo(f"{response['view']} (zone {response['zone']}): TTL {response['lifetime']} s{stale}")
+    for line in response["lines"]:
         ramp = "" if line["weight"] >= line["listed"] else f", ramping to {line['listed']:g}"
-        named = "" if line["named"] else ", not named in addresses yet"
+        named = "" if line["named"] else ", not in address records yet"
         click.echo(
             f"  {line['host']} {line['address']} zone {line['zone']} "
             f"weight {line['weight']:g}{ramp}{named}"
@@ -31,50 +33,53 @@
 
 @main.command()
 @click.argument("file", type=click.Path())
-@click.option("--name", help="which steward of FILE to ask")
+@click.option("--name", help="controller to query; required if FILE has several")
 def status(file: str, name: Optional[str]) -> None:
-    """Counts of a running steward."""
-    click.echo(json.dumps(ask(file, name, {"ask": "status"}), indent=1))
+    """Show the counters of a running controller as JSON."""
+    click.echo(json.dumps(query_controller(file, name, {"ask": "status"}), indent=1))
 
 
 @main.command()
 @click.argument("file", type=click.Path())
 @click.argument("host")
-@click.option("--name", help="which steward of FILE to ask")
+@click.option("--name", help="controller to query; required if FILE has several")
 def drained(file: str, host: str, name: Optional[str]) -> None:
-    """Whether HOST may be stopped: exit 0 once no kept answer of this steward names it."""
-    found = ask(file, name, {"ask": "drained", "host": host})
-    left = found["seconds until no kept answer names it"]
-    where = f"{host} ({found['phase']})"
-    if left is None:
-        click.echo(f"{where}: {found['named by views']} views are still told of it")
-    elif left:
-        click.echo(f"{where}: no answer names it; those given run out in {left:.1f} s")
+    """Check whether HOST can be stopped: exit 0 if no cached answer contains it any more.
+
+    Only answers of the queried controller are considered.
+    """
+    response = query_controller(file, name, {"ask": "drained", "host": host})
+    remaining = response["seconds until no kept answer names it"]
+    endpoint = f"{host} ({response['phase']})"
+    if remaining is None:
+        click.echo(f"{endpoint}: still in the answers to {response['named by views']} views")
+    elif remaining:
+        click.echo(f"{endpoint}: in no new answer; earlier answers expire in {remaining:.1f} s")
     else:
         click.echo(
-            f"{where}: no answer names it and those given have run out. Resolvers that keep "
-            "answers longer than they may still send: stop it once its own reqs have ceased."
+            f"{endpoint}: in no new answer, and earlier answers have expired. Some resolvers cache "
+            "answers for longer: stop the endpoint when it receives no more requests."
         )
-    sys.exit(0 if left == 0 else 1)
+    sys.exit(0 if remaining == 0 else 1)
 
 
 @main.command(
-    help="A HOST or PROXY: what is known of it, what befell "
-    "it lately, how long each loss took to the last holder.",
+    help="Show the state and the recent events of an endpoint or a proxy, and how long each "
+    "removal of an endpoint took to reach all proxies.",
 )
 @click.argument("file", type=click.Path())
 @click.argument("what")
-@click.option("--name", help="which steward of FILE to ask; the first if not given")
+@click.option("--name", help="controller to query; required if FILE has several")
 def why(file: str, what: str, name: Optional[str]) -> None:
-    """A HOST or PROXY: what is known of it, its last events, how long each loss took to spread."""
-    found = ask(file, name, {"ask": "why", "host": what})
-    notes = found.pop("notes", [])
-    losses = found.pop("losses", [])
-    tables = found.pop("lines", {})
-    for field, value in found.items():
+    """Show the state and recent events of an endpoint or proxy, and the spread of removals."""
+    response = query_controller(file, name, {"ask": "why", "host": what})
+    notes = response.pop("notes", [])
+    losses = response.pop("losses", [])
+    tables = response.pop("lines", {})
+    for field, value in response.items():
         click.echo(f"{field:24} {value}")
-    for ago, text in notes:
-        click.echo(f"{ago:10.2f} s ago  {text}")
+    for age, text in notes:
+        click.echo(f"{age:10.2f} s ago  {text}")
     for loss in losses:
         click.echo(describe_loss(loss))
     for request_class, entries in tables.items():
@@ -83,12 +88,12 @@
 
 
 def describe_loss(loss: Answer) -> str:
-    """One line on an endpoint's removal: how many held it, and how fast it left their tables."""
-    spread = ""
+    """Return one line on the removal of an endpoint from the tables of proxies and views."""
+    delays = ""
     if loss["last s"] is not None:
-        spread = f"; median {loss['median s']:g} s, last {loss['last s']:g} s"
+        delays = f"; median {loss['median s']:g} s, last {loss['last s']:g} s"
     return (
-        f"loss {loss['seconds ago']:.2f} s ago: {loss['holders']} held it, "
-        f"{loss['without it']} without it, {loss['still to go']} to go, "
-        f"{loss['left before']} left before{spread}"
+        f"removed {loss['seconds ago']:.2f} s ago from {loss['holders']} tables: "
+        f"{loss['without it']} done, {loss['still to go']} still to go, "
+        f"{loss['left before']} left before{delays}"
     )
--- a/peatlead/cli/scenarios.py
+++ b/peatlead/cli/scenarios.py
@@ -1,4 +1,4 @@
-"""Commands `day`, `kinds` and `rules`: scripted scenarios and the check of recordings."""
+"""Commands `day`, `kinds` and `rules`: play scripted scenarios and check their recordings."""
 
 import asyncio
 import json
@@ -18,30 +18,30 @@
 
 TITLES = {
     "shards": "peatlead",
-    "plain": "plain baseline (every host in every answer, no health)",
+    "plain": "plain baseline (all endpoints in every answer, no health checks)",
 }
-BASELINE_ADDRESSES = 32  # in each answer of the baseline: more than any scenario has endpoints
-SERVED = ("done", "late")  # outcomes of requests that were answered
-TABLE_WIDTH = 118  # columns
+BASELINE_ADDRESSES = 32  # in each answer of the baseline; scenarios have fewer endpoints
+SERVED = ("done", "late")  # outcomes of requests that got a usable response
+TABLE_WIDTH = 118  # characters
 
 
 @main.command(
-    help="Plays a day script against stand-ins and checks "
-    "the five rules from what crossed the sockets.",
+    help="Play a day script with stand-in endpoints and clients, and check the recorded traffic "
+    "against the five rules.",
 )
 @click.argument("script", type=click.Path())
 @click.option("--planner", type=click.Choice((*PLANNERS, "both")), default="shards")
 @click.option(
-    "--out", type=click.Path(file_okay=False), help="folder for settings, record and logs"
+    "--out", type=click.Path(file_okay=False), help="folder for settings, recording and logs"
 )
 def day(script: str, planner: str, out: Optional[str]) -> None:
-    """Plays a day script against stand-ins and checks the five rules from what was recorded."""
+    """Play a day script with stand-ins and check the recorded traffic against the five rules."""
     from ..scenario.script import read_day
 
     try:
         scenario = read_day(script)
-    except SettingsError as problem:
-        raise click.ClickException(str(problem)) from None
+    except SettingsError as error:
+        raise click.ClickException(str(error)) from None
     folder = Path(out or tempfile.mkdtemp(prefix="peatlead-day-"))
     chosen = PLANNERS if planner == "both" else (planner,)
     reports = asyncio.run(play_all(scenario, folder, chosen))
@@ -49,14 +49,14 @@
         show_report(report, folder / name, name)
     if planner == "both":
         compare(reports)
-    click.echo(f"record and logs: {folder}")
+    click.echo(f"recording and logs: {folder}")
     sys.exit(0 if reports[chosen[0]].kept else 1)
 
 
 async def play_all(
     scenario: Settings, folder: Path, planners: tuple[str, ...]
 ) -> "dict[str, Report]":
-    """Play side by side, so that load of this machine strikes all planners alike."""
+    """Play the scenario with all planners at once, so that they share the machine's load."""
     from ..scenario.runner import Day
 
     steering = {**scenario["steering"], "addresses": BASELINE_ADDRESSES}
@@ -69,7 +69,7 @@
 
 
 def show_report(report: "Report", folder: Path, planner: str) -> None:
-    """Print a report and store it beside its recording."""
+    """Print a report and store it in the folder of its recording."""
     from ..invariants.report import as_data, show
 
     show(report, TITLES[planner])
@@ -81,19 +81,19 @@
     from rich.console import Console
     from rich.table import Table
 
-    table = Table(title="service, side by side", title_justify="left")
-    for name in ("request kind", "peatlead", "plain", "not served: peatlead", "not served: plain"):
+    table = Table(title="service of the planner and the baseline", title_justify="left")
+    for name in ("request class", "peatlead", "plain", "not served: peatlead", "not served: plain"):
         table.add_column(name, justify="right")
     planned, baseline = reports["shards"].service, reports["plain"].service
     for request_class in planned:
         rows = planned[request_class], baseline[request_class]
-        parts = [f"{row['part']:.4f}" for row in rows]
-        table.add_row(request_class, *parts, *(str(not_served(row)) for row in rows))
+        service = [f"{row['part']:.4f}" for row in rows]
+        table.add_row(request_class, *service, *(str(not_served(row)) for row in rows))
     Console(width=TABLE_WIDTH).print(table)
 
 
 def not_served(row: Settings) -> int:
-    """How many requests of a class got no answer that counts."""
+    """Return how many requests of a class got no usable response."""
     outcomes: dict[str, int] = row["outcomes"]
     return sum(count for outcome, count in outcomes.items() if outcome not in SERVED)
 
@@ -103,31 +103,31 @@
     "--out",
     type=click.Path(file_okay=False),
     required=True,
-    help="folder for records and the table",
+    help="folder for recordings and the table",
 )
-@click.option("--only", help="one case by name")
-@click.option("--at-once", type=int, default=3, help="cases played side by side")
+@click.option("--only", help="name of a single case to play")
+@click.option("--at-once", type=int, default=3, help="number of scenarios played at once")
 def kinds(out: str, only: Optional[str], at_once: int) -> None:
-    """Plays each kind of trouble alone, beside the plain baseline, and keeps a table."""
+    """Play each kind of fault with the planner and the baseline, and write a table of results."""
     from ..scenario.kinds import play_kinds
 
     try:
-        found = asyncio.run(play_kinds(Path(out), only, at_once, click.echo))
+        kept = asyncio.run(play_kinds(Path(out), only, at_once, click.echo))
     except KeyError:
-        raise click.ClickException(f"--only: no case is called {only!r}") from None
-    sys.exit(0 if found else 1)
+        raise click.ClickException(f"--only: expected the name of a case, got {only!r}") from None
+    sys.exit(0 if kept else 1)
 
 
 @main.command()
 @click.argument("folder", type=click.Path(exists=True, file_okay=False))
 def rules(folder: str) -> None:
-    """Checks a day's record again."""
+    """Check the recording in FOLDER against the five rules again."""
     from ..invariants.checker import check as check_rows
     from ..invariants.record import read_folder
     from ..invariants.report import show
 
     settings = settings_or_exit(str(Path(folder) / "settings.star"))
-    gains = {one["name"]: one["gain"] for one in settings["request_kind"]}
+    gains = {entry["name"]: entry["gain"] for entry in settings["request_kind"]}
     report = check_rows(read_folder(folder), settings["limits"], gains)
     show(report, folder)
     sys.exit(0 if report.kept else 1)
--- a/peatlead/cli/tables.py
+++ b/peatlead/cli/tables.py
@@ -16,36 +16,37 @@
 
 @main.group()
 def tables() -> None:
-    """What was published, when and why; and the way back."""
+    """Show the versions of published tables, and pin tables or roll them back."""
 
 
 CONTROLLER = click.option(
-    "--name", help="which steward of FILE to ask; the first that answers if not given"
+    "--name", help="controller in FILE to query; by default the first that answers"
 )
 
 
-def ask_tables(
-    file: str, name: Optional[str], action: str, everyone: bool = False, **args: Any
+def query_tables(
+    file: str, name: Optional[str], action: str, ask_all: bool = False, **args: Any
 ) -> dict[str, Answer]:
-    """The answers by controller's name.
+    """Return the answers of controllers, by name.
 
-    Controllers of one fleet exchange their pins, so one answer is enough unless `everyone` is
-    asked; those that share nothing are asked each.
+    The controllers of a fleet exchange their pins, so the first answer suffices unless `ask_all` is
+    set. Controllers that are not in a fleet are all queried. Raises ClickException if no controller
+    answers.
     """
     settings = settings_or_exit(file)
-    names = [one["name"] for one in settings["steward"]]
+    names = [entry["name"] for entry in settings["steward"]]
     if name:
         names = [controller_settings(settings, name)["name"]]
-    one_is_enough = settings["steward"][0]["peer"] is not None and not everyone
+    first_answer_suffices = settings["steward"][0]["peer"] is not None and not ask_all
     answers: dict[str, Answer] = {}
     failures = []
     for controller in names:
         try:
-            answers[controller] = ask_controller(settings, controller, action, args)
-        except click.ClickException as problem:
-            failures.append(f"steward {controller}: {problem.message}")
+            answers[controller] = query_controller_tables(settings, controller, action, args)
+        except click.ClickException as error:
+            failures.append(f"controller {controller}: {error.message}")
             continue
-        if one_is_enough:
+        if first_answer_suffices:
             break
     if not answers:
         raise click.ClickException("; ".join(failures))
@@ -54,30 +55,33 @@
     return answers
 
 
-def ask_controller(settings: Answer, controller: str, action: str, args: Answer) -> Answer:
-    """One controller's answer. Raises ClickException where there is none or it is an error."""
+def query_controller_tables(settings: Answer, controller: str, action: str, args: Answer) -> Answer:
+    """Return one controller's answer. Raises ClickException if there is none or it is an error."""
     from ..controller.control_socket import ask_once
 
     address = controller_settings(settings, controller)["control"]
-    question = {"ask": "tables", "do": action, "args": args}
+    query = {"ask": "tables", "do": action, "args": args}
     try:
-        answer: Answer = asyncio.run(ask_once(address, question))
-    except (TimeoutError, OSError) as problem:
-        raise click.ClickException(str(problem) or "no answer") from None
+        answer: Answer = asyncio.run(ask_once(address, query))
+    except (TimeoutError, OSError) as error:
+        raise click.ClickException(str(error) or "no answer") from None
     if "error" in answer:
         raise click.ClickException(answer["error"])
     return answer
 
 
-def read_time(text: str) -> float:
-    """Unix seconds of `10:32` or `10:32:05` today, or of a date and time as in ISO 8601."""
-    for form in ("%H:%M", "%H:%M:%S"):
+def parse_time(text: str) -> float:
+    """Return the Unix time in seconds of HH:MM or HH:MM:SS today, or of a date and time (ISO 8601).
+
+    Times are local times. Raises click.BadParameter for another format.
+    """
+    for time_format in ("%H:%M", "%H:%M:%S"):
         try:
-            found = datetime.strptime(text, form)
+            parsed = datetime.strptime(text, time_format)
         except ValueError:
             continue
         today = datetime.now()
-        return datetime.combine(today.date(), found.time()).timestamp()
+        return datetime.combine(today.date(), parsed.time()).timestamp()
     try:
         return datetime.fromisoformat(text).timestamp()
     except ValueError:
@@ -86,8 +90,8 @@
         ) from None
 
 
-def show_time(seconds: float) -> str:
-    """Unix seconds as hours, minutes, seconds and milliseconds of the local day."""
+def format_time(seconds: float) -> str:
+    """Format a Unix time as a local time with milliseconds."""
     return datetime.fromtimestamp(seconds).strftime("%H:%M:%S.%f")[:-3]
 
 
@@ -95,7 +99,7 @@
 @click.argument("file", type=click.Path())
 @click.argument("proxy", required=False)
 @click.option("--since", help="HH:MM[:SS] or a date and time")
-@click.option("--until", help="alike")
+@click.option("--until", help="HH:MM[:SS] or a date and time")
 @click.option("--most", type=int, default=50)
 @CONTROLLER
 def tables_log(
@@ -106,26 +110,26 @@
     most: int,
     name: Optional[str],
 ) -> None:
-    """Versions, newest last: what changed, when and why."""
+    """List published versions with their times, numbers of changes and causes, newest last."""
     args = {
         "proxy": proxy,
         "most": most,
-        "since": since and read_time(since),
-        "until": until and read_time(until),
+        "since": since and parse_time(since),
+        "until": until and parse_time(until),
     }
-    for controller, answer in ask_tables(file, name, "log", not name, **args).items():
+    for controller, answer in query_tables(file, name, "log", not name, **args).items():
         for version in answer["versions"]:
             click.echo(
-                f"{show_time(version['at'])} {controller} {version['proxy']} {version['version']}: "
-                f"{version['changes']} changes: "
-                f"{'; '.join(version['causes']) or 'no cause known'}"
+                f"{format_time(version['at'])} {controller} {version['proxy']} "
+                f"{version['version']}: {version['changes']} changes: "
+                f"{'; '.join(version['causes']) or 'cause unknown'}"
             )
         if answer["more"]:
-            click.echo(f"{controller}: {answer['more']} older ones not shown (--most)")
+            click.echo(f"{controller}: {answer['more']} older versions not shown (see --most)")
 
 
-def show_item(item: Answer) -> str:
-    """An item's name, with its endpoint and zone where it has one."""
+def format_item(item: Answer) -> str:
+    """Return an item's name, with its endpoint and zone if it has them."""
     if "host" not in item:
         return str(item["item"])
     return f"{item['item']} {item['host']} ({item['zone']})"
@@ -134,26 +138,30 @@
 @tables.command(name="show")
 @click.argument("file", type=click.Path())
 @click.argument("proxy")
-@click.option("--version", help="EPOCH.SERIAL; the newest if not given")
+@click.option("--version", help="EPOCH.SERIAL; by default the newest")
 @CONTROLLER
 def tables_show(file: str, proxy: str, version: Optional[str], name: Optional[str]) -> None:
-    """A proxy's (or view's) tables in one version."""
-    answers = ask_tables(file, name, "show", not name, proxy=proxy, version=version)
+    """Show the tables of a proxy or view in one version."""
+    answers = query_tables(file, name, "show", not name, proxy=proxy, version=version)
     for answer in answers.values():
-        pinned = f", held by {answer['pinned by']}" if answer["pinned by"] else ""
+        pinned = f", pinned by {answer['pinned by']}" if answer["pinned by"] else ""
         click.echo(f"{answer['proxy']} {answer['version']}, digest {answer['digest']}{pinned}")
         for item in answer["items"]:
-            click.echo(f"  {show_item(item)}: {item['value']}")
+            click.echo(f"  {format_item(item)}: {item['value']}")
 
 
-def show_changes(changes: list[Answer]) -> None:
-    """Print each changed item, with its part of the requests where that is known."""
+def print_changes(changes: list[Answer]) -> None:
+    """Print each changed item, with its percentage of the requests if known."""
     for change in changes:
         before, after = change["part before"], change["part after"]
-        moved = ""
+        request_change = ""
         if before is not None or after is not None:
-            moved = f", {100 * (before or 0):.1f}% -> {100 * (after or 0):.1f}% of its reqs"
-        click.echo(f"  {show_item(change)}: {change['before']} -> {change['value']}{moved}")
+            request_change = (
+                f", {100 * (before or 0):.1f}% -> {100 * (after or 0):.1f}% of requests"
+            )
+        click.echo(
+            f"  {format_item(change)}: {change['before']} -> {change['value']}{request_change}"
+        )
 
 
 @tables.command(name="diff")
@@ -163,17 +171,20 @@
 @click.argument("other")
 @CONTROLLER
 def tables_diff(file: str, proxy: str, one: str, other: str, name: Optional[str]) -> None:
-    """Lines, and parts of the reqs, that differ between two versions."""
-    answers = ask_tables(file, name, "diff", not name, proxy=proxy, one=one, other=other)
+    """Show the items that differ between two versions, and their percentages of the requests."""
+    answers = query_tables(file, name, "diff", not name, proxy=proxy, one=one, other=other)
     for answer in answers.values():
         click.echo(f"{answer['proxy']} {one} -> {other}")
-        show_changes(answer["changes"])
+        print_changes(answer["changes"])
 
 
 def pin_scope(
     proxy: Optional[str], zone: Optional[str], share: Optional[float], everyone: bool
 ) -> dict[str, str]:
-    """Whom a pin concerns, by the one option that was given."""
+    """Return the scope of a pin as arguments of the query.
+
+    Raises UsageError if there is not exactly one scope option.
+    """
     chosen = [
         (scope, str(value))
         for scope, value in (("proxy", proxy), ("zone", zone), ("share", share))
@@ -189,15 +200,21 @@
 
 PIN_OPTIONS = (
     click.argument("file", type=click.Path()),
-    click.option("--proxy", help="one proxy or view"),
-    click.option("--zone", help="those of a zone"),
-    click.option("--share", type=click.FloatRange(0, 1, min_open=True), help="this share of all"),
-    click.option("--all", "everyone", is_flag=True, help="all of them"),
-    click.option("--over", type=float, default=10.0, help="seconds from the first to the last"),
+    click.option("--proxy", help="name of one proxy or view"),
+    click.option("--zone", help="all proxies and views of a zone"),
+    click.option(
+        "--share",
+        type=click.FloatRange(0, 1, min_open=True),
+        help="this fraction of all proxies and views",
+    ),
+    click.option("--all", "everyone", is_flag=True, help="all proxies and views"),
+    click.option(
+        "--over", type=float, default=10.0, help="seconds from the first to the last proxy's change"
+    ),
     click.option(
-        "--for", "length", type=float, default=3600.0, help="seconds until it ends by itself"
+        "--for", "length", type=float, default=3600.0, help="seconds until the pin expires"
     ),
-    click.option("--by", default="", help="who asks and why, for others to read"),
+    click.option("--by", default="", help="author and reason, shown by `tables status`"),
     click.option("--dry", is_flag=True, help="only print what would change"),
     CONTROLLER,
 )
@@ -211,33 +228,33 @@
 
 
 def send_pin(file: str, target: str, to: Optional[str], options: Answer) -> None:
-    """Lay a pin, or print what it would change; `options` are those of PIN_OPTIONS."""
+    """Create a pin, or print what it would change; `options` are those of PIN_OPTIONS."""
     scope = pin_scope(options["proxy"], options["zone"], options["share"], options["everyone"])
     args = {name: options[name] for name in ("dry", "over", "length", "by")}
     if to is not None:
         args["to"] = to
     dry = options["dry"]
-    answers = ask_tables(file, options["name"], "pin", dry, **scope, target=target, **args)
+    answers = query_tables(file, options["name"], "pin", dry, **scope, target=target, **args)
     for controller, answer in answers.items():
         if dry:
-            show_dry_run(controller, answer)
+            print_dry_run(controller, answer)
             continue
         click.echo(
             f"{controller}: pinned as {answer['pin']}; "
-            f"to end it: peatlead tables resume {file} {answer['pin']}"
+            f"to end the pin: peatlead tables resume {file} {answer['pin']}"
         )
 
 
-def show_dry_run(controller: str, answer: Answer) -> None:
-    """Print what a pin would change at each proxy, and why something can't be as it was."""
+def print_dry_run(controller: str, answer: Answer) -> None:
+    """Print what a pin would change at each proxy, and what can't be restored."""
     click.echo(
         f"{controller}: {answer['proxies']} proxies, {answer['would change']} would change, "
-        f"{answer['not known']} whose target is not known here"
+        f"{answer['not known']} have a target that this controller does not know"
     )
     for proxy in answer["each"]:
-        unknown = "" if proxy["known"] else ": target not known, would be held as it stands"
+        unknown = "" if proxy["known"] else ": target not known, the current tables would be pinned"
         click.echo(f"{proxy['proxy']}{unknown}")
-        show_changes(proxy["changes"])
+        print_changes(proxy["changes"])
         for host, reason in sorted(proxy["taken"].items()):
             click.echo(f"  not as it was: {host} {reason}")
         if proxy["filled"]:
@@ -247,26 +264,26 @@
 @tables.command(name="pin")
 @pin_options
 def tables_pin(file: str, **options: Any) -> None:
-    """Holds proxies to what they hold now: only withdrawals and fills go on."""
+    """Pin proxies to their current tables; only removals and replacements continue."""
     send_pin(file, "held", None, options)
 
 
 @tables.command(
     name="rollback",
-    help="Puts proxies back to tables of the past, as "
-    "far as hosts of now allow, and holds them there.",
+    help="Restore earlier tables, as far as the current endpoints allow, and pin the proxies to "
+    "them.",
 )
 @pin_options
 @click.option("--to", help="EPOCH.SERIAL of one proxy, or a time: HH:MM[:SS] or a date and time")
-@click.option("--back", type=float, help="or so many seconds back")
+@click.option("--back", type=float, help="or a number of seconds before now")
 def tables_rollback(file: str, to: Optional[str], back: Optional[float], **options: Any) -> None:
-    """Puts proxies back to tables of the past, as far as hosts of now allow, and holds them."""
+    """Restore earlier tables, as far as the current endpoints allow, and pin proxies to them."""
     if (to is None) == (back is None):
         raise click.UsageError("expected one of --to and --back")
     if to and to.replace(".", "").isdigit() and "." in to:
         send_pin(file, "version", to, options)
     elif to:
-        send_pin(file, "back", str(time.time() - read_time(to)), options)
+        send_pin(file, "back", str(time.time() - parse_time(to)), options)
     else:
         send_pin(file, "back", str(back), options)
 
@@ -277,25 +294,27 @@
 @click.option(
     "--over",
     type=float,
-    help="seconds from the first to the last; as the pin was laid if not given",
+    help="seconds from the first to the last proxy's change; by default as for the pin",
 )
-@click.option("--by", default="", help="who asks")
+@click.option("--by", default="", help="author, shown in the log")
 @CONTROLLER
 def tables_resume(file: str, pin: str, over: Optional[float], by: str, name: Optional[str]) -> None:
-    """Ends a pin: back to what the planner wants."""
-    for controller, answer in ask_tables(file, name, "resume", pin=pin, over=over, by=by).items():
-        click.echo(f"{controller}: {answer['pin']} ended, over {answer['over']:g} s")
+    """End a pin: return to the planner's tables."""
+    for controller, answer in query_tables(file, name, "resume", pin=pin, over=over, by=by).items():
+        click.echo(f"{controller}: {answer['pin']} ended, with changes over {answer['over']:g} s")
 
 
 @tables.command(name="status")
 @click.argument("file", type=click.Path())
 @click.option(
-    "--proxies", is_flag=True, help="the version that each was last sent, and that it says it holds"
+    "--proxies",
+    is_flag=True,
+    help="list the version last sent to each proxy, and the acknowledged version",
 )
 @CONTROLLER
 def tables_status(file: str, proxies: bool, name: Optional[str]) -> None:
-    """Pins that stand, and whether versions are kept."""
-    for answer in ask_tables(file, name, "status", True, proxies=proxies).values():
+    """Show the current pins, and whether versions are stored on disk."""
+    for answer in query_tables(file, name, "status", True, proxies=proxies).values():
         stored = "kept on disk"
         if not answer["kept on disk"]:
             stored = f"NOT KEPT on disk: {answer['why not']}"
@@ -304,15 +323,15 @@
             f"{answer['versions']} versions, {stored}"
         )
         for pin in answer["pins"]:
-            show_pin(pin)
+            print_pin(pin)
         for proxy in answer["holders"]:
-            behind = "" if proxy["held"] == proxy["sent"] else f", says it holds {proxy['held']}"
-            pinned = f", held by {proxy['pin']}" if proxy["pin"] else ""
+            behind = "" if proxy["held"] == proxy["sent"] else f", acknowledged {proxy['held']}"
+            pinned = f", pinned by {proxy['pin']}" if proxy["pin"] else ""
             click.echo(f"  {proxy['proxy']}: {proxy['sent']}{behind}{pinned}")
 
 
-def show_pin(pin: Answer) -> None:
-    """Print one pin: whom it concerns, its target, how long it stands."""
+def print_pin(pin: Answer) -> None:
+    """Print one pin: its scope, its target and its remaining time."""
     state = f"{pin['left']:.0f} s left"
     if pin["ended"] is not None:
         state = f"ended {pin['ended']:.0f} s ago"
@@ -322,5 +341,5 @@
     by = f", {pin['by']}" if pin["by"] else ""
     click.echo(
         f"  {pin['pin']}: {pin['whom']} {pin['which']}, {pin['target']} {pin['to']}, {state}, "
-        f"holds {pin['holds here']} here{unknown}{by}"
+        f"applies to {pin['holds here']} proxies here{unknown}{by}"
     )
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -1,4 +1,4 @@
-"""The command line, as an operator calls it."""
+"""The commands of the command line."""
 
 import asyncio
 import json
@@ -17,7 +17,7 @@
 
 from ..standin_fleet import SCRIPT, run_with_standins, until
 
-SMALL_DAY = """
+SHORT_SCENARIO = """
 day(length = 6, seed = 2)
 fleet(hosts = 9, pod = 3, warm_after = 5)
 desks(views = 8, rate = 40, shared = 2)
@@ -31,16 +31,20 @@
 
 
 class CommandsTest(unittest.TestCase):
-    def test_check_counts_or_names_the_error(self):
+    def test_check_prints_counts_or_the_error(self):
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "s.star"
             path.write_text(SCRIPT.format(port=5300, control=5301, path="/x"))
-            self.assertIn("2 stewards, 2 views", call("check", path).output)
+            self.assertIn("2 controllers, 2 views", call("check", path).output)
             path.write_text("zone(nam = 1)")
             result = call("check", path)
             self.assertEqual(
                 (result.exit_code, result.output),
-                (1, f"Error: {path}:1: zone.name: expected a value: as the node list names it\n"),
+                (
+                    1,
+                    f"Error: {path}:1: zone.name: expected a value: name of the zone, "
+                    "as in the node list\n",
+                ),
             )
             self.assertIn("lifetime", call("check", "--reference").output)
             self.assertIn("expected FILE", call("check").output)
@@ -51,25 +55,25 @@
             path.write_text(SCRIPT.format(port=port, control=port + 1, path="/x"))
             result = call("answer", path, "desk0", "--name", "ns1")
             self.assertEqual((result.exit_code, "Traceback" in result.output), (1, False))
-            self.assertIn("steward ns1", result.output)
+            self.assertIn("controller ns1", result.output)
             self.assertIn("expected one of ns1, ns2", call("run", path, "--name", "x").output)
 
-    def test_sigterm_stops_a_controller_in_order(self):
+    def test_sigterm_stops_a_controller_with_exit_code_0(self):
         with tempfile.TemporaryDirectory() as folder:
             port, path = free_port(), Path(folder) / "s.star"
             path.write_text(SCRIPT.format(port=port, control=port + 1, path=f"{folder}/n.json"))
-            child = subprocess.Popen(
+            process = subprocess.Popen(
                 [sys.executable, "-m", "peatlead", "run", str(path), "--name", "ns1"],
                 stderr=subprocess.PIPE,
                 text=True,
             )
             events = []
-            for line in child.stderr:
+            for line in process.stderr:
                 events.append(json.loads(line)["event"])
                 if events[-1] == "controller started":
-                    child.send_signal(signal.SIGTERM)
-            child.stderr.close()
-            self.assertEqual((child.wait(10), events[-1]), (0, "controller stopped"))
+                    process.send_signal(signal.SIGTERM)
+            process.stderr.close()
+            self.assertEqual((process.wait(10), events[-1]), (0, "controller stopped"))
 
 
 class TablesCommandsTest(unittest.TestCase):
@@ -79,7 +83,7 @@
         async def case(world):
             controller = await world.start_controller()
             await until(lambda: len(world.answered_endpoints(controller)) == 4)
-            first = str(controller.published.store.histories["view:desk0"].newest_version)
+            first_version = str(controller.published.store.histories["view:desk0"].newest_version)
             file = world.folder / "service.star"
             file.write_text(
                 SCRIPT.format(
@@ -88,7 +92,7 @@
             )
             loop = asyncio.get_running_loop()
 
-            async def tables(command, *arguments):
+            async def run_tables_command(command, *arguments):
                 result = await loop.run_in_executor(
                     None, lambda: call("tables", command, file, *arguments)
                 )
@@ -97,25 +101,31 @@
             world.phases["h0"] = "draining"
             world.write_list()
             await until(lambda: world.answered_endpoints(controller) == {"h1", "h2", "h3"})
-            last = str(controller.published.store.histories["view:desk0"].newest_version)
+            last_version = str(controller.published.store.histories["view:desk0"].newest_version)
             ns1 = "--name", "ns1"
-            code, output = await tables("log", "desk0", *ns1)
+            code, output = await run_tables_command("log", "desk0", *ns1)
             self.assertTrue(code == 0 and "h0 drains" in output, output)
-            code, output = await tables("diff", "desk0", first, last, *ns1)
+            code, output = await run_tables_command(
+                "diff", "desk0", first_version, last_version, *ns1
+            )
             self.assertIn("h0 (north): 1.0 -> None, 25.0% -> 0.0%", output)
-            self.assertIn("h3", (await tables("show", "desk0", "--version", first, *ns1))[1])
-            code, output = await tables(
-                "rollback", "--proxy", "view:desk0", "--to", first, "--dry", *ns1
+            self.assertIn(
+                "h3",
+                (await run_tables_command("show", "desk0", "--version", first_version, *ns1))[1],
+            )
+            code, output = await run_tables_command(
+                "rollback", "--proxy", "view:desk0", "--to", first_version, "--dry", *ns1
             )
             self.assertIn("not as it was: h0 drains", output)
-            code, output = await tables(
-                "rollback", "--proxy", "view:desk0", "--to", first, "--over", "0", *ns1
+            code, output = await run_tables_command(
+                "rollback", "--proxy", "view:desk0", "--to", first_version, "--over", "0", *ns1
             )
             self.assertIn("pinned as ns1-1", output)
             self.assertIn(
-                "ns1-1: proxy view:desk0, version", (await tables("status", "--proxies", *ns1))[1]
+                "ns1-1: proxy view:desk0, version",
+                (await run_tables_command("status", "--proxies", *ns1))[1],
             )
-            self.assertEqual((await tables("resume", "ns1-1", *ns1))[0], 0)
+            self.assertEqual((await run_tables_command("resume", "ns1-1", *ns1))[0], 0)
             for arguments, expected in (
                 (("rollback", "--all"), "--to and --back"),
                 (("pin", *ns1), "--all"),
@@ -123,17 +133,17 @@
                 (("resume", "x-1", *ns1), "got 'x-1'"),
                 (("show", "nobody", *ns1), "nobody"),
             ):
-                code, output = await tables(*arguments)
+                code, output = await run_tables_command(*arguments)
                 self.assertTrue(code and expected in output and "Traceback" not in output, output)
 
         run_with_standins(case)
 
 
 class DayCommandTest(unittest.TestCase):
-    def test_a_small_day_on_sockets_keeps_the_invariants(self):
+    def test_a_short_scenario_over_sockets_keeps_the_rules(self):
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "d.star"
-            path.write_text(SMALL_DAY)
+            path.write_text(SHORT_SCENARIO)
             result = call("day", path, "--out", folder)
             self.assertEqual(result.exit_code, 0, result.output)
             kinds = {row.kind for row in read_folder(Path(folder) / "shards").rows}
