--- a/tests/transcripts/test_dns_transcripts.py
+++ b/tests/transcripts/test_dns_transcripts.py
@@ -1,7 +1,7 @@
-"""DNS answers and zone transfers, byte for byte as recorded in tests/data/wire/dns.json.
+"""Compares DNS answers and zone transfers with the bytes recorded in tests/data/wire/dns.json.
 
-Queries are made with dnspython, as a resolver would, with fixed ids. A change of the wire format that is meant is
-recorded anew by `python -m tests.transcripts.test_dns_transcripts`; a renaming must pass on the old record.
+The queries have fixed ids. After an intended change of the answers, record them again with
+`python -m tests.transcripts.test_dns_transcripts`. A change of names must pass with the old record.
 """
 
 import random
@@ -16,72 +16,82 @@
 import dns.rrset
 import dns.zone
 
-from peatlead.dns import answers as fronts
-from peatlead.dns import notify, views, warmup_thinning
+from peatlead.dns import answers, notify, views, warmup_thinning
 
 from ..standin_fleet import settings
 from . import recorded
 
-# Adapter: all internal names that these tests use.
+# Adapter: the only code here that uses names of the implementation.
 
 SECONDARY = ("127.1.0.77", 53)
 
 
-class SessionListener:
-    """A controller's answers, and its secondaries, with no socket. `hosts`: [(index, name, v4, v6)]."""
+class DnsController:
+    """A controller's DNS part without sockets. `endpoints` is [(index, name, v4, v6)]."""
 
-    def __init__(self, hosts, **more):
-        made = settings()
-        made["dns"].update(more)
-        self.answers = fronts.Answers(made, views.Views(made), random.Random(1).uniform)
-        for index, name, v4, v6 in hosts:
+    def __init__(self, endpoints, **dns_settings):
+        all_settings = settings()
+        all_settings["dns"].update(dns_settings)
+        self.answers = answers.Answers(
+            all_settings, views.Views(all_settings), random.Random(1).uniform
+        )
+        for index, name, v4, v6 in endpoints:
             self.answers.set_endpoint(index, name, v4, v6)
             self.answers.resolvable_endpoints.add(index)
 
-    def place(self, view, lines, cacheable=True, places=1):
-        """What a view's resolvers are told: {host: weight}."""
+    def set_pool(self, view, weights, cacheable=True, min_addresses=1):
+        """Set the endpoints in a view's answers: {endpoint: weight}."""
         self.answers.set_pool(
-            view, 0, warmup_thinning.AnswerPool(dict(lines), cacheable, places), dict(lines)
+            view,
+            0,
+            warmup_thinning.AnswerPool(dict(weights), cacheable, min_addresses),
+            dict(weights),
         )
 
     def views(self):
-        return [one.index for one in self.answers.views.views]
+        return [view.index for view in self.answers.views.views]
 
-    def drop(self, host):
-        self.answers.resolvable_endpoints.discard(host)
+    def remove_endpoint(self, endpoint):
+        self.answers.resolvable_endpoints.discard(endpoint)
 
     def answer(self, data, peer, tcp):
-        """[bytes] of the answer, [] for none."""
-        found = self.answers.respond(data, peer, tcp)
-        return [] if found is None else [found] if isinstance(found, bytes) else list(found)
+        """Return the answer as a list of messages, empty if there is no answer."""
+        answer = self.answers.respond(data, peer, tcp)
+        return [] if answer is None else [answer] if isinstance(answer, bytes) else list(answer)
 
-    def serve_secondary(self, wire, index, many, serial):
+    def add_secondary(self, network, controller_index, controller_count, serial):
         self.secondaries = notify.Secondaries(
-            self.answers, [SECONDARY], index, many, serial, random.Random(7), lambda serial: None
+            self.answers,
+            [SECONDARY],
+            controller_index,
+            controller_count,
+            serial,
+            random.Random(7),
+            lambda serial: None,
         )
-        self.secondaries.transport = self.secondaries.loop = wire
+        self.secondaries.transport = self.secondaries.loop = network
 
-    def new_version(self, now):
-        """The serial after the zone was made anew where it has changed."""
+    def update_zone(self, now):
+        """Create a new version of the zone if it has changed; return the current serial."""
         self.secondaries.tick(now)
         return self.secondaries.history.serial
 
-    def hear(self, data):
+    def receive_notify_response(self, data):
         self.secondaries.datagram_received(data, SECONDARY)
 
-    def waits(self):
+    def pending_count(self):
         return len(self.secondaries.pending)
 
 
 # End of the adapter.
 
-HOSTS = [
-    (at, f"h{at}", f"127.10.0.{at + 1}", f"2001:db8::{at + 1:x}" if at % 2 else "")
-    for at in range(40)
+ENDPOINTS = [
+    (index, f"h{index}", f"127.10.0.{index + 1}", f"2001:db8::{index + 1:x}" if index % 2 else "")
+    for index in range(40)
 ]
 ZONE = dns.name.from_text("example.org.")
-SUBNET, WIDE = dns.edns.ECSOption("10.2.0.0", 24), dns.edns.ECSOption("10.2.7.0", 0)
-SUBNET6 = dns.edns.ECSOption("2001:db8:2::", 56)
+SUBNET, ZERO_LENGTH_SUBNET = dns.edns.ECSOption("10.2.0.0", 24), dns.edns.ECSOption("10.2.7.0", 0)
+IPV6_SUBNET = dns.edns.ECSOption("2001:db8:2::", 56)
 QUERIES = [
     ("api.example.org", "A", {}),
     ("api.example.org", "AAAA", {}),
@@ -118,232 +128,239 @@
     ("api.example.org", "A", {"use_edns": 1}),
     ("api.example.org", "A", {"rdclass": "CH"}),
     ("api.example.org", "A", {"use_edns": 0, "options": [SUBNET]}),
-    ("api.example.org", "A", {"use_edns": 0, "options": [SUBNET6]}),
-    ("api.example.org", "AAAA", {"use_edns": 0, "options": [WIDE]}),
+    ("api.example.org", "A", {"use_edns": 0, "options": [IPV6_SUBNET]}),
+    ("api.example.org", "AAAA", {"use_edns": 0, "options": [ZERO_LENGTH_SUBNET]}),
     ("example.org", "AXFR", {}),
     ("example.org", "IXFR", {}),
 ]
 PEERS = ("10.1.0.9", "10.2.0.9", "192.0.2.53", "203.0.113.5", "2001:db8:2::9")
+MAX_RECORDED_BYTES = 2000  # longer messages are recorded as a digest
 
 
-LONG = 2000
-
-
-def make_front(lines=None, **more):
-    made = SessionListener(HOSTS, **more)
-    for view in made.views():
-        made.place(view, lines or {0: 2.0, 1: 1.0, 2: 1.0})
-    return made
+def make_controller(weights=None, **dns_settings):
+    controller = DnsController(ENDPOINTS, **dns_settings)
+    for view in controller.views():
+        controller.set_pool(view, weights or {0: 2.0, 1: 1.0, 2: 1.0})
+    return controller
 
 
-def told(data):
-    """An answer's bytes; of a long one, its length and SHA-256."""
+def encode_answer(data):
+    """Return a message in base64, or the length and SHA-256 of a long message."""
     return (
-        recorded.to_base64(data) if len(data) <= LONG else f"{len(data)} {sha256(data).hexdigest()}"
+        recorded.to_base64(data)
+        if len(data) <= MAX_RECORDED_BYTES
+        else f"{len(data)} {sha256(data).hexdigest()}"
     )
 
 
-class Asking:
-    """Asks and notes [peer, by TCP, query, answers]."""
+class QueryRecorder:
+    """Sends queries to a controller and records [peer, tcp, query, answers] for each."""
 
-    def __init__(self, front):
-        self.front, self.noted = front, []
+    def __init__(self, controller):
+        self.controller, self.transcript = controller, []
 
     def ask(self, data, peer="10.1.0.9", tcp=False):
-        found = self.front.answer(data, peer, tcp)
-        self.noted.append([peer, tcp, data.hex(), [told(one) for one in found]])
-        return found
+        messages = self.controller.answer(data, peer, tcp)
+        self.transcript.append(
+            [peer, tcp, data.hex(), [encode_answer(message) for message in messages]]
+        )
+        return messages
 
-    def query(self, name, kind, peer="10.1.0.9", tcp=False, **more):
-        query = dns.message.make_query(name, kind, id=1000 + len(self.noted), **more)
+    def query(self, name, rdtype, peer="10.1.0.9", tcp=False, **options):
+        query = dns.message.make_query(name, rdtype, id=1000 + len(self.transcript), **options)
         return self.ask(query.to_wire(), peer, tcp)
 
 
-def plain_answers():
-    """Every query over UDP and TCP, from peers of several views."""
-    asking = Asking(make_front())
-    asking.front.place(1, {7: 1.0, 3: 0.25}, cacheable=False, places=2)
-    for at, (name, kind, more) in enumerate(QUERIES):
-        asking.query(name, kind, **more)
-        asking.query(name, kind, tcp=True, **more)
+def single_answers():
+    """Record each query over UDP and TCP, from peers of several views."""
+    recorder = QueryRecorder(make_controller())
+    recorder.controller.set_pool(1, {7: 1.0, 3: 0.25}, cacheable=False, min_addresses=2)
+    for index, (name, rdtype, options) in enumerate(QUERIES):
+        recorder.query(name, rdtype, **options)
+        recorder.query(name, rdtype, tcp=True, **options)
         if name.lower() == "api.example.org":
-            asking.query(name, kind, PEERS[2], **more)
-            asking.query(name, kind, PEERS[at % len(PEERS)], **more)
-    return asking.noted
+            recorder.query(name, rdtype, PEERS[2], **options)
+            recorder.query(name, rdtype, PEERS[index % len(PEERS)], **options)
+    return recorder.transcript
 
 
-def drawn_answers():
-    """One name again and again: whom each answer names, across a change of the table."""
-    asking = Asking(make_front(addresses=2))
+def repeated_answers():
+    """Record repeated queries for one name, before and after a change of the table."""
+    recorder = QueryRecorder(make_controller(addresses=2))
     for _ in range(24):
-        asking.query("api.example.org", "A")
-    asking.front.drop(0)
-    for view in asking.front.views():
-        asking.front.place(view, {1: 3.0, 2: 1.0})
+        recorder.query("api.example.org", "A")
+    recorder.controller.remove_endpoint(0)
+    for view in recorder.controller.views():
+        recorder.controller.set_pool(view, {1: 3.0, 2: 1.0})
     for _ in range(12):
-        asking.query("api.example.org", "A", tcp=True)
-        asking.query("api.example.org", "AAAA")
-    asking.query("h0.hosts.example.org", "A")
-    asking.front.place(0, {})
-    asking.query("api.example.org", "A")
-    return asking.noted
-
-
-def full_answers():
-    """More lines than a datagram holds."""
-    asking = Asking(make_front({host: 1.0 for host in range(40)}, addresses=40))
-    for kind, name in (
+        recorder.query("api.example.org", "A", tcp=True)
+        recorder.query("api.example.org", "AAAA")
+    recorder.query("h0.hosts.example.org", "A")
+    recorder.controller.set_pool(0, {})
+    recorder.query("api.example.org", "A")
+    return recorder.transcript
+
+
+def large_answers():
+    """Record answers with more records than a datagram holds."""
+    recorder = QueryRecorder(
+        make_controller({endpoint: 1.0 for endpoint in range(40)}, addresses=40)
+    )
+    for rdtype, name in (
         ("SRV", "_http._tcp.api.example.org"),
         ("A", "api.example.org"),
         ("AAAA", "api.example.org"),
     ):
-        asking.query(name, kind)
-        asking.query(name, kind, use_edns=0, payload=900)
-        asking.query(name, kind, tcp=True)
-    return asking.noted
+        recorder.query(name, rdtype)
+        recorder.query(name, rdtype, use_edns=0, payload=900)
+        recorder.query(name, rdtype, tcp=True)
+    return recorder.transcript
 
 
-def odd_queries():
-    asking = Asking(make_front())
-    good = dns.message.make_query("api.example.org", "A", id=77).to_wire()
-    for code in (dns.opcode.NOTIFY, dns.opcode.UPDATE):
+def malformed_queries():
+    """Record malformed queries and queries with unsupported opcodes."""
+    recorder = QueryRecorder(make_controller())
+    valid = dns.message.make_query("api.example.org", "A", id=77).to_wire()
+    for opcode in (dns.opcode.NOTIFY, dns.opcode.UPDATE):
         query = dns.message.make_query("api.example.org", "A", id=78)
-        query.set_opcode(code)
-        asking.ask(query.to_wire())
+        query.set_opcode(opcode)
+        recorder.ask(query.to_wire())
     for data in (
-        good[:20],
-        good[:12],
-        good[:11],
+        valid[:20],
+        valid[:12],
+        valid[:11],
         b"",
-        good[:2] + b"\x80" + good[3:],
-        good + b"\0",
-        good[:4] + b"\0\2" + good[6:],
-        good[:4] + b"\0\0" + good[6:],
-        good[:12] + b"\xc0\x0c" + good[14:],
-        good[:2] + b"\2" + good[3:],
+        valid[:2] + b"\x80" + valid[3:],
+        valid + b"\0",
+        valid[:4] + b"\0\2" + valid[6:],
+        valid[:4] + b"\0\0" + valid[6:],
+        valid[:12] + b"\xc0\x0c" + valid[14:],
+        valid[:2] + b"\2" + valid[3:],
     ):
-        asking.ask(data)
-        asking.ask(data, tcp=True)
-    return asking.noted
+        recorder.ask(data)
+        recorder.ask(data, tcp=True)
+    return recorder.transcript
 
 
-class Wire:
-    """In place of a socket and a loop: what was sent, and what is due after how many seconds."""
+class FakeNetwork:
+    """Replaces the transport and the event loop; records sent datagrams and scheduled calls."""
 
     def __init__(self):
-        self.sent, self.due = [], []
+        self.sent, self.scheduled = [], []
 
-    def sendto(self, data, place):
-        self.sent.append([list(place), data.hex()])
+    def sendto(self, data, address):
+        self.sent.append([list(address), data.hex()])
 
-    def call_later(self, wait, call, *with_these):
-        self.due.append((wait, call, with_these))
+    def call_later(self, delay, callback, *arguments):
+        self.scheduled.append((delay, callback, arguments))
         return self
 
     def cancel(self):
         pass
 
 
-def held(serial):
-    """An IXFR query of a secondary that holds a serial."""
+def ixfr_query(serial):
+    """Return the IXFR query of a secondary that has the version `serial`."""
     query = dns.message.make_query(ZONE, "IXFR", id=serial % 60_000)
     query.authority.append(dns.rrset.from_text(ZONE, 60, "IN", "SOA", f"a. b. {serial} 1 1 1 1"))
     return query.to_wire()
 
 
 def transfers():
-    """Transfers whole and by differences, refused ones, NOTIFY messages, and each version's serial."""
-    front, wire = make_front(), Wire()
-    front.serve_secondary(wire, 1, 3, 100)
-    asking, serials = Asking(front), []
-    for step, lines in enumerate(
+    """Return recorded transfers (full, incremental and refused), NOTIFY messages and serials."""
+    controller, network = make_controller(), FakeNetwork()
+    controller.add_secondary(network, 1, 3, 100)
+    recorder, serials = QueryRecorder(controller), []
+    for step, weights in enumerate(
         (
             {0: 2.0, 1: 1.0},
             {0: 2.0, 1: 1.5},
             {1: 1.0, 5: 0.5},
             {1: 1.0, 5: 0.5},
-            {host: 1.0 + host for host in range(40)},
+            {endpoint: 1.0 + endpoint for endpoint in range(40)},
         )
     ):
-        front.place(step % 2, lines)
-        serials.append(front.new_version(10.0 * step))
-        asking.query(ZONE, "AXFR", SECONDARY[0], True)
-        asking.ask(held(101), SECONDARY[0], True)
+        controller.set_pool(step % 2, weights)
+        serials.append(controller.update_zone(10.0 * step))
+        recorder.query(ZONE, "AXFR", SECONDARY[0], True)
+        recorder.ask(ixfr_query(101), SECONDARY[0], True)
         if step == 1:
-            front.hear(bytes.fromhex(wire.sent[-1][1])[:2] + b"\xa4\0" + bytes(8))
-            serials.append(front.waits())
-    for wait, call, with_these in wire.due[-1:]:
-        serials.append(wait)
-        call(*with_these)
-    for serial in dict.fromkeys(one for one in serials if one > 50):
-        asking.ask(held(serial), SECONDARY[0], True)
-        asking.ask(held(serial), SECONDARY[0])
-    asking.ask(held(7), SECONDARY[0], True)
-    asking.ask(held(7), "10.9.9.9", True)
-    for kind in ("AXFR", "IXFR"):
-        asking.query(ZONE, kind, "10.9.9.9", True)
-        asking.query(ZONE, kind, SECONDARY[0])
-        asking.query("api.example.org", kind, SECONDARY[0], True)
-    asking.query(ZONE, "IXFR", SECONDARY[0], True)
-    asking.query(ZONE, "SOA")
-    asking.ask(held(9_000), SECONDARY[0], True)  # it is ahead of us
-    asking.query(ZONE, "SOA")
-    return asking.noted, wire.sent, serials
-
-
-def transcript():
-    """dnspython shuffles the records of an answer with the global generator: it is seeded here, and put back."""
-    before = random.getstate()
+            controller.receive_notify_response(
+                bytes.fromhex(network.sent[-1][1])[:2] + b"\xa4\0" + bytes(8)
+            )
+            serials.append(controller.pending_count())
+    for delay, callback, arguments in network.scheduled[-1:]:
+        serials.append(delay)
+        callback(*arguments)
+    for serial in dict.fromkeys(number for number in serials if number > 50):
+        recorder.ask(ixfr_query(serial), SECONDARY[0], True)
+        recorder.ask(ixfr_query(serial), SECONDARY[0])
+    recorder.ask(ixfr_query(7), SECONDARY[0], True)
+    recorder.ask(ixfr_query(7), "10.9.9.9", True)
+    for rdtype in ("AXFR", "IXFR"):
+        recorder.query(ZONE, rdtype, "10.9.9.9", True)
+        recorder.query(ZONE, rdtype, SECONDARY[0])
+        recorder.query("api.example.org", rdtype, SECONDARY[0], True)
+    recorder.query(ZONE, "IXFR", SECONDARY[0], True)
+    recorder.query(ZONE, "SOA")
+    recorder.ask(ixfr_query(9_000), SECONDARY[0], True)  # newer than the controller's serial
+    recorder.query(ZONE, "SOA")
+    return recorder.transcript, network.sent, serials
+
+
+def seeded_transcript():
+    """Return the transcript. dnspython shuffles records with the global generator, so seed it."""
+    state = random.getstate()
     random.seed(1)
     try:
-        return whole_transcript()
+        return build_transcript()
     finally:
-        random.setstate(before)
+        random.setstate(state)
 
 
-def whole_transcript():
-    moved, notified, serials = transfers()
+def build_transcript():
+    transferred, notified, serials = transfers()
     return {
-        "answers": plain_answers(),
-        "drawn": drawn_answers(),
-        "full": full_answers(),
-        "odd": odd_queries(),
-        "transfers": moved,
+        "answers": single_answers(),
+        "drawn": repeated_answers(),
+        "full": large_answers(),
+        "odd": malformed_queries(),
+        "transfers": transferred,
         "notified": notified,
         "serials": serials,
     }
 
 
-class Transcripts(unittest.TestCase):
-    def test_answers_transfers_and_notices_are_as_recorded(self):
-        recorded.compare(self, "dns", transcript())
+class DnsTranscriptsTest(unittest.TestCase):
+    def test_answers_transfers_and_notify_messages_are_as_recorded(self):
+        recorded.compare(self, "dns", seeded_transcript())
 
-    def test_the_record_holds_each_response_code_differences_and_a_checked_zone(self):
-        kept = recorded.read("dns")
+    def test_the_record_has_each_response_code_a_difference_and_a_valid_zone_digest(self):
+        record = recorded.read("dns")
         codes = {
             recorded.b64decode(data)[3] & 15
             for part in ("answers", "drawn", "odd", "transfers")
-            for one in kept[part]
-            for data in one[3]
+            for entry in record[part]
+            for data in entry[3]
             if " " not in data
         }
         self.assertLessEqual({0, 1, 2, 3, 4, 5}, codes)
         differences = dns.message.from_wire(
-            recorded.b64decode(kept["transfers"][3][3][0]), one_rr_per_rrset=True
+            recorded.b64decode(record["transfers"][3][3][0]), one_rr_per_rrset=True
         )
         self.assertEqual(
-            [one[0].serial for one in differences.answer if one.rdtype == dns.rdatatype.SOA],
+            [soa[0].serial for soa in differences.answer if soa.rdtype == dns.rdatatype.SOA],
             [105, 101, 105, 105],
-        )  # RFC 1995 section 4
-        self.assertTrue(any(" " in data for one in kept["transfers"] for data in one[3]))
-        wire = [recorded.b64decode(data) for data in kept["transfers"][0][3]]
+        )  # the order of RFC 1995 section 4
+        self.assertTrue(any(" " in data for entry in record["transfers"] for data in entry[3]))
+        messages = [recorded.b64decode(data) for data in record["transfers"][0][3]]
         zone = dns.zone.from_text("", ZONE, check_origin=False)
-        for rrset in dns.message.from_wire(wire[0], one_rr_per_rrset=True).answer[
+        for rrset in dns.message.from_wire(messages[0], one_rr_per_rrset=True).answer[
             :-1
-        ]:  # the last SOA ends it
+        ]:  # without the final SOA
             zone.find_rdataset(rrset.name, rrset.rdtype, create=True).add(rrset[0], rrset.ttl)
         zone.verify_digest()
 
 
 if __name__ == "__main__":
-    recorded.write("dns", transcript())
+    recorded.write("dns", seeded_transcript())
