--- a/peatlead/benchmarks/dns_speed.py
+++ b/peatlead/benchmarks/dns_speed.py
@@ -195,7 +195,7 @@
     server = DnsServer(fixture.settings["dns"], fixture.answers)
     server.fresh_until = float("inf")
     await server.open((SERVER, 0))
-    udp: Any = server.closers[0]
+    udp: Any = server.listeners[0]
     ports = {"front": udp.get_extra_info("sockname")[1]}
     for name, protocol in (("echo", Echo), ("codec", CodecServer)):
         transport, _ = await loop.create_datagram_endpoint(protocol, local_addr=(SERVER, 0))
--- a/peatlead/benchmarks/tables_zone.py
+++ b/peatlead/benchmarks/tables_zone.py
@@ -58,8 +58,8 @@
             seconds.append(time.perf_counter() - start)
         query = ixfr_query(first)
         start = time.perf_counter()
-        incremental = transfer.respond(query, history, True)
-        whole = transfer.respond(dns.message.make_query(ORIGIN, "AXFR"), history, True)
+        incremental = transfer.respond_to_transfer(query, history, True)
+        whole = transfer.respond_to_transfer(dns.message.make_query(ORIGIN, "AXFR"), history, True)
         sent = time.perf_counter() - start
         print(
             f"{views} views, {len(history.records)} records: "
--- a/peatlead/controller/health_checks.py
+++ b/peatlead/controller/health_checks.py
@@ -121,5 +121,7 @@
             address = ip_address(network)
         except ValueError:
             return None
-        view: View | None = self._controller.views.of_network(address, address.max_prefixlen).view
+        view: View | None = self._controller.views.match_network(
+            address, address.max_prefixlen
+        ).view
         return view
--- a/peatlead/dns/answers.py
+++ b/peatlead/dns/answers.py
@@ -92,10 +92,10 @@
         """The number of prepared answers."""
         return self.cache.size
 
-    def set_endpoint(self, endpoint: int, name: str, v4: str, v6: str) -> None:
+    def set_endpoint(self, endpoint: int, name: str, ipv4: str, ipv6: str) -> None:
         """Set an endpoint's name and addresses; an address is empty if the endpoint has none."""
         old = self.endpoints.get(endpoint)
-        new = EndpointAddresses(name, v4, v6)
+        new = EndpointAddresses(name, ipv4, ipv6)
         if old is not None:
             if old.name == name and old.by_family == new.by_family:
                 return
@@ -199,7 +199,7 @@
         if message.edns > 0:
             response.use_edns(0, payload=self.settings["udp_most"])
             response.set_rcode(dns.rcode.BADVERS)
-            return self.finish(query)
+            return self.encode_response(query)
         match, subnet_option = find_view(self.views, message, peer)
         if message.edns == 0:
             options: list[dns.edns.Option] = [subnet_option] if subnet_option else []
@@ -224,15 +224,17 @@
         if target is None and not self.name_exists(labels):
             self.counts["unknown"] += 1
             query.response.set_rcode(dns.rcode.NXDOMAIN)
-            return self.negative(query)
+            return self.answer_negatively(query)
         if query.question.rdtype == dns.rdatatype.ANY:  # one small record (RFC 8482)
             name = query.question.name
             add_record(query.response.answer, name, ANY_TTL, "HINFO", '"RFC8482" ""')
-            return self.finish(query)
+            return self.encode_response(query)
         if target is not None:
             return self.answer_service(query, target)
         self.answer_fixed(query, labels)
-        return self.finish(query) if query.response.answer else self.negative(query)
+        return (
+            self.encode_response(query) if query.response.answer else self.answer_negatively(query)
+        )
 
     def name_exists(self, labels: list[str]) -> bool:
         """Return whether the apex or a name below it exists, apart from the names of services."""
@@ -250,7 +252,7 @@
         rdtype = query.question.rdtype
         has_type = rdtype == dns.rdatatype.SRV if target.is_srv else rdtype in FAMILIES
         if not has_type:
-            return self.negative(query)
+            return self.answer_negatively(query)
         if target.view is None:
             return self.refuse(query)
         source = self.sources[target.view.index][target.service]
@@ -260,7 +262,7 @@
             return self.answer_srv(query, source)
         family = FAMILIES[rdtype]
         if not any(self.endpoints[endpoint].by_family[family] for endpoint in source.weights):
-            return self.negative(query)
+            return self.answer_negatively(query)
         return query.data[:ID_BYTES] + self.prepare(query, source, family).next()
 
     def fail_without_table(self, query: Query) -> bytes:
@@ -271,7 +273,7 @@
         """
         self.counts["empty"] += 1
         query.fail(dns.rcode.SERVFAIL)
-        return self.finish(query)
+        return self.encode_response(query)
 
     def prepare(self, query: Query, source: AnswerSource, family: int) -> PreparedAnswer:
         """Prepare the answers to a query and store them in the cache.
@@ -297,7 +299,7 @@
         add_srv_records(self, source, response.answer, response.additional, query.question.name)
         if len(query.response_bytes()) > query.max_size:
             response.additional = []
-        return self.finish(query)
+        return self.encode_response(query)
 
     def answer_fixed(self, query: Query, labels: list[str]) -> None:
         """Add the records of the apex, of a name server or of an endpoint's name."""
@@ -321,14 +323,14 @@
         """Refuse a query."""
         self.counts["refused"] += 1
         query.fail(dns.rcode.REFUSED)
-        return self.finish(query)
+        return self.encode_response(query)
 
-    def negative(self, query: Query) -> bytes:
+    def answer_negatively(self, query: Query) -> bytes:
         """Give a negative answer, which has the SOA record (RFC 2308 section 3)."""
         add_record(query.response.authority, self.zone, NEGATIVE_TTL, "SOA", self.soa())
-        return self.finish(query)
+        return self.encode_response(query)
 
-    def finish(self, query: Query) -> bytes:
+    def encode_response(self, query: Query) -> bytes:
         """Return the response's bytes, truncated if they do not fit."""
         wire = query.response_bytes()
         if len(wire) <= query.max_size:
--- a/peatlead/dns/canonical_zone.py
+++ b/peatlead/dns/canonical_zone.py
@@ -72,7 +72,7 @@
         wire = owner.to_digestable() + fixed_fields + data
         return CanonicalRow(SortKey(labels, rtype, data), wire)
 
-    def change(self, removed: Iterable[ZoneRecord], added: Iterable[ZoneRecord]) -> None:
+    def apply_changes(self, removed: Iterable[ZoneRecord], added: Iterable[ZoneRecord]) -> None:
         """Remove records that the zone has, and add others."""
         for record in removed:
             del self.rows[bisect_left(self.rows, self.row(record))]
--- a/peatlead/dns/client_subnet.py
+++ b/peatlead/dns/client_subnet.py
@@ -15,11 +15,11 @@
 
     Client subnets are used only from trusted resolvers. See RFC 7871 section 7.2.1.
     """
-    if message.edns == 0 and views.trusts_subnets_of(peer):
+    if message.edns == 0 and views.trusts_subnets_from(peer):
         for option in message.options:
             if isinstance(option, dns.edns.ECSOption):
                 return find_subnet_view(views, option, peer)
-    return views.of_peer(peer), None
+    return views.match_peer(peer), None
 
 
 def find_subnet_view(
@@ -31,8 +31,8 @@
     so the view is that of the resolver's address.
     """
     if option.srclen == 0:
-        match = ViewMatch(views.of_peer(peer).view, 0)
+        match = ViewMatch(views.match_peer(peer).view, 0)
         return match, dns.edns.ECSOption(option.address, 0, 0)
     address = unmap_ipv4(ip_address(option.address))
-    match = views.of_network(address, option.srclen)
+    match = views.match_network(address, option.srclen)
     return match, dns.edns.ECSOption(option.address, option.srclen, match.scope)
--- a/peatlead/dns/notify.py
+++ b/peatlead/dns/notify.py
@@ -11,7 +11,7 @@
 
 from .message_format import HEADER_BYTES, ID_BYTES, RESPONSE_FLAG
 from .serials import Serials
-from .transfer import client_serial, refused, respond
+from .transfer import client_serial, respond_to_transfer, transfer_refusal
 from .zone import ZoneHistory
 
 if TYPE_CHECKING:
@@ -148,13 +148,13 @@
             or query.question[0].name != self.answers.zone
             or not self.history.records
         ):
-            return refused(query)
+            return transfer_refusal(query)
         self.counts["transfers"] += tcp
         serial = client_serial(query)
         if serial is not None and self.history.advance_past(serial):
             self.counts["passed"] += 1
             self.publish()
-        return respond(query, self.history, tcp)
+        return respond_to_transfer(query, self.history, tcp)
 
     def close(self) -> None:
         """Cancel the pending NOTIFY messages and close the socket."""
--- a/peatlead/dns/records.py
+++ b/peatlead/dns/records.py
@@ -24,9 +24,9 @@
 
     __slots__ = ("by_family", "name")
 
-    def __init__(self, name: str, v4: str, v6: str) -> None:
+    def __init__(self, name: str, ipv4: str, ipv6: str) -> None:
         self.name = name  # one label
-        self.by_family = {IPV4: v4, IPV6: v6}  # an address is empty if the endpoint has none
+        self.by_family = {IPV4: ipv4, IPV6: ipv6}  # an address is empty if the endpoint has none
 
     def record(self, family: int, ttl: int) -> bytes:
         """Return the wire form of an address record whose owner is the question's name."""
--- a/peatlead/dns/server.py
+++ b/peatlead/dns/server.py
@@ -16,7 +16,7 @@
 MAX_UNSENT_BYTES = 1 << 18  # of responses that a TCP peer has not read
 
 
-class Closer(Protocol):
+class Closable(Protocol):
     """A transport or a server that can be closed."""
 
     def close(self) -> None:
@@ -36,19 +36,19 @@
         self.connections = ConnectionSet(settings["tcp_most"])
         self.fresh_until = 0.0
         self.unanswered = 0  # queries that arrived after `fresh_until`
-        self.closers: list[Closer] = []
+        self.listeners: list[Closable] = []
 
     async def open(self, address: tuple[str, int]) -> None:
         """Listen on an address; raises OSError if the address is not available."""
         loop = asyncio.get_running_loop()
         udp, _ = await loop.create_datagram_endpoint(lambda: UdpProtocol(self), local_addr=address)
-        self.closers.append(udp)
-        self.closers.append(await loop.create_server(lambda: TcpConnection(self), *address))
+        self.listeners.append(udp)
+        self.listeners.append(await loop.create_server(lambda: TcpConnection(self), *address))
 
     def close(self) -> None:
         """Close the sockets and all connections."""
-        for closer in self.closers:
-            closer.close()
+        for listener in self.listeners:
+            listener.close()
         self.connections.close()
 
 
--- a/peatlead/dns/transfer.py
+++ b/peatlead/dns/transfer.py
@@ -15,7 +15,7 @@
 RECORDS_PER_MESSAGE = 90  # keeps a message below 65,535 bytes for any length of names
 
 
-def refused(query: dns.message.Message) -> list[bytes]:
+def transfer_refusal(query: dns.message.Message) -> list[bytes]:
     """Return the messages that refuse a transfer."""
     return [error_response(query, dns.rcode.REFUSED)]
 
@@ -27,24 +27,28 @@
     return response.to_wire()
 
 
-def respond(query: dns.message.Message, history: ZoneHistory, tcp: bool) -> list[bytes]:
+def respond_to_transfer(query: dns.message.Message, history: ZoneHistory, tcp: bool) -> list[bytes]:
     """Return the messages that answer an AXFR or IXFR query."""
     if query.question[0].rdtype == dns.rdatatype.AXFR:
-        return messages(query, history, whole_zone(history)) if tcp else refused(query)
+        return (
+            encode_messages(query, history, full_zone_records(history))
+            if tcp
+            else transfer_refusal(query)
+        )
     serial = client_serial(query)
     if serial is None:
         return [error_response(query, dns.rcode.FORMERR)]
-    return messages(query, history, incremental(history, serial, tcp))
+    return encode_messages(query, history, incremental_records(history, serial, tcp))
 
 
-def incremental(history: ZoneHistory, serial: int, tcp: bool) -> list[ZoneRecord]:
+def incremental_records(history: ZoneHistory, serial: int, tcp: bool) -> list[ZoneRecord]:
     """Return the records that answer an IXFR query, in order (RFC 1995 section 4)."""
     soa = history.soa_record(history.serial)
     if not tcp or serial == history.serial:
         return [soa]  # the client is up to date, or retries over TCP (RFC 1995 section 2)
     difference = history.difference_since(serial)
     if difference is None or is_longer_than_zone(difference, history):
-        return whole_zone(history)
+        return full_zone_records(history)
     old_soa = history.soa_record(serial)
     return [
         soa,
@@ -73,13 +77,13 @@
     return None
 
 
-def whole_zone(history: ZoneHistory) -> list[ZoneRecord]:
+def full_zone_records(history: ZoneHistory) -> list[ZoneRecord]:
     """Return all records in the order of a full transfer: the SOA first and last."""
     soa = history.soa_record(history.serial)
     return [soa, *sorted(history.records - {soa}), soa]
 
 
-def messages(
+def encode_messages(
     query: dns.message.Message, history: ZoneHistory, records: Sequence[ZoneRecord]
 ) -> list[bytes]:
     """Return as many messages as the records need.
--- a/peatlead/dns/views.py
+++ b/peatlead/dns/views.py
@@ -129,17 +129,17 @@
         self.views.append(view)
         return view
 
-    def of_peer(self, peer: str) -> ViewMatch:
+    def match_peer(self, peer: str) -> ViewMatch:
         """Return the view of a resolver that sends no client subnet."""
         address = unmap_ipv4(ip_address(peer))
         view = self.by_resolver.get(address)
-        return ViewMatch(view, 0) if view else self.of_network(address, address.max_prefixlen)
+        return ViewMatch(view, 0) if view else self.match_network(address, address.max_prefixlen)
 
-    def trusts_subnets_of(self, peer: str) -> bool:
+    def trusts_subnets_from(self, peer: str) -> bool:
         """Return whether a resolver is trusted to send client subnets (RFC 7871)."""
         return self.trusted_resolvers.find(unmap_ipv4(ip_address(peer))) is not None
 
-    def of_network(self, address: IPAddress, length: int) -> ViewMatch:
+    def match_network(self, address: IPAddress, length: int) -> ViewMatch:
         """Return the view of the clients in the network `address`/`length`.
 
         If no configured network contains it, the view is an open view, or None without open views.
--- a/peatlead/dns/zone.py
+++ b/peatlead/dns/zone.py
@@ -64,7 +64,7 @@
         self.digested: frozenset[ZoneRecord] = frozenset()  # without the ZONEMD record
         self.deltas: deque[Delta] = deque()  # oldest first
         self.delta_record_count = 0
-        self.digest: str | None = None  # text of the ZONEMD record
+        self.zonemd_text: str | None = None  # None before the first version
         self.canonical = CanonicalZone(origin)
 
     def update(self, records: Iterable[ZoneRecord]) -> bool:
@@ -75,9 +75,9 @@
         old_records = self.records
         old_serial = self.serial
         if not old_records:
-            self.replace(content, old_serial)
+            self.set_version(content, old_serial)
             return True
-        self.replace(content, self.serials.next_after(old_serial))
+        self.set_version(content, self.serials.next_after(old_serial))
         removed = tuple(sorted(old_records - self.records))
         added = tuple(sorted(self.records - old_records))
         self.deltas.append(Delta(old_serial, removed, added))
@@ -85,13 +85,13 @@
         self.drop_old_deltas()
         return True
 
-    def replace(self, content: frozenset[ZoneRecord], serial: int) -> None:
+    def set_version(self, content: frozenset[ZoneRecord], serial: int) -> None:
         """Set the current version's content and serial, and compute its digest."""
         self.serial = serial
         digested = content | {self.soa_record(serial)}
-        self.canonical.change(self.digested - digested, digested - self.digested)
-        self.digest = f"{serial} {ZONEMD_PARAMETERS} {self.canonical.digest()}"
-        zonemd = ZoneRecord(APEX, APEX_TTL, ZONEMD, self.digest)
+        self.canonical.apply_changes(self.digested - digested, digested - self.digested)
+        self.zonemd_text = f"{serial} {ZONEMD_PARAMETERS} {self.canonical.digest()}"
+        zonemd = ZoneRecord(APEX, APEX_TTL, ZONEMD, self.zonemd_text)
         self.content = content
         self.digested = digested
         self.records = digested | {zonemd}
@@ -139,5 +139,5 @@
             return False
         self.deltas.clear()
         self.delta_record_count = 0
-        self.replace(self.content, self.serials.next_after(serial))
+        self.set_version(self.content, self.serials.next_after(serial))
         return True
--- a/tests/dns/test_views.py
+++ b/tests/dns/test_views.py
@@ -43,7 +43,7 @@
     def test_invented_subnets_create_no_views(self):
         views = Views(settings())
         for index in range(20000):
-            views.of_network(ip_address(index * 70000 % 2**32), 24)
+            views.match_network(ip_address(index * 70000 % 2**32), 24)
         self.assertEqual(len(views.views), 2 + 4)
 
     def test_a_name_has_the_same_number_at_every_controller_and_after_restarts(self):
--- a/tests/transcripts/test_dns_transcripts.py
+++ b/tests/transcripts/test_dns_transcripts.py
@@ -27,7 +27,7 @@
 
 
 class DnsController:
-    """A controller's DNS part without sockets. `endpoints` is [(index, name, v4, v6)]."""
+    """A controller's DNS part without sockets. `endpoints` is [(index, name, ipv4, ipv6)]."""
 
     def __init__(self, endpoints, **dns_settings):
         all_settings = settings()
@@ -35,8 +35,8 @@
         self.answers = answers.Answers(
             all_settings, views.Views(all_settings), random.Random(1).uniform
         )
-        for index, name, v4, v6 in endpoints:
-            self.answers.set_endpoint(index, name, v4, v6)
+        for index, name, ipv4, ipv6 in endpoints:
+            self.answers.set_endpoint(index, name, ipv4, ipv6)
             self.answers.resolvable_endpoints.add(index)
 
     def set_pool(self, view, weights, cacheable=True, min_addresses=1):
