--- a/peatlead/benchmarks/grpc_fuzz.py
+++ b/peatlead/benchmarks/grpc_fuzz.py
@@ -27,8 +27,13 @@
 from ..grpc.load_aggregation import LoadAggregator
 from ..grpc.load_reports import read_report
 from ..grpc.proxy_node import read_node
-from ..grpc.resources import ENDPOINTS, LINES, decode_assignment, decode_routes
-from ..grpc.server import DELTA, DISCOVERY, LOADS
+from ..grpc.resources import (
+    ASSIGNMENT_TYPE_URL,
+    LB_ENDPOINT_TYPE_URL,
+    decode_assignment,
+    decode_routes,
+)
+from ..grpc.server import DELTA_DISCOVERY_PATH, DISCOVERY_PATH, LOAD_REPORTING_PATH
 from ..net.in_memory_transport import InMemoryTransport
 
 WARM_UP = 2000  # inputs after which memory is expected to stay level
@@ -64,7 +69,7 @@
 
 def join_request() -> bytes:
     """Return a proxy's first discovery request, with the table that it holds already."""
-    request = discovery_pb2.DiscoveryRequest(type_url=ENDPOINTS, resource_names=["look"])
+    request = discovery_pb2.DiscoveryRequest(type_url=ASSIGNMENT_TYPE_URL, resource_names=["look"])
     request.node.id = "agent1"
     request.node.locality.zone = "a"
     metadata = request.node.metadata
@@ -78,7 +83,7 @@
 def incremental_join_request() -> bytes:
     """Return a proxy's first incremental request, with the version that it holds already."""
     request = discovery_pb2.DeltaDiscoveryRequest(
-        type_url=LINES, initial_resource_versions={HELD_RESOURCE: "1000"}
+        type_url=LB_ENDPOINT_TYPE_URL, initial_resource_versions={HELD_RESOURCE: "1000"}
     )
     request.node.id = "agent1"
     serialized: bytes = request.SerializeToString()
@@ -149,12 +154,12 @@
 
 def decode_messages(call: Call) -> None:
     """Accept a call: its messages go to all decoders."""
-    call.message = decode_all
+    call.on_message = decode_all
 
 
 def receive(stream: bytes, chunk_size: int) -> None:
     """Feed a stream into a connection; raises RuntimeError where it leaves calls behind."""
-    connection = Connection(False, decode_messages, ping_every=0.0)
+    connection = Connection(False, decode_messages, ping_interval=0.0)
     transport = InMemoryTransport()
     connection.connection_made(transport)
     for start in range(0, len(stream), chunk_size):
@@ -177,7 +182,10 @@
     end = time.monotonic() + seconds
     requests = Requests(load_report(), join_request(), incremental_join_request())
     streams = [
-        client_stream(path, message) for path, message in zip((LOADS, DISCOVERY, DELTA), requests)
+        client_stream(path, message)
+        for path, message in zip(
+            (LOAD_REPORTING_PATH, DISCOVERY_PATH, DELTA_DISCOVERY_PATH), requests
+        )
     ]
     inputs = 0
     warm_peak = None
--- a/peatlead/benchmarks/herd_agents.py
+++ b/peatlead/benchmarks/herd_agents.py
@@ -12,8 +12,8 @@
 
 from ..grpc.call import Call
 from ..grpc.http2 import Connection, dial
-from ..grpc.resources import ENDPOINTS, ROUTES, decode_assignment
-from ..grpc.server import DISCOVERY, LOADS
+from ..grpc.resources import ASSIGNMENT_TYPE_URL, ROUTE_TYPE_URL, decode_assignment
+from ..grpc.server import DISCOVERY_PATH, LOAD_REPORTING_PATH
 
 AUTHORITY = "peatlead"
 DIAL_TIMEOUT = 30.0  # seconds
@@ -58,10 +58,10 @@
     async def begin(self) -> None:
         """Connect and subscribe to assignments and routes."""
         local = f"127.{60 + self.at // 250}.{self.at % 250}.1"
-        self.connection = await dial(self.controller, local, DIAL_TIMEOUT, ping_every=0.0)
-        self.call = self.connection.call(DISCOVERY, AUTHORITY)
-        self.call.message = self.take
-        for type_url in (ENDPOINTS, ROUTES):
+        self.connection = await dial(self.controller, local, DIAL_TIMEOUT, ping_interval=0.0)
+        self.call = self.connection.call(DISCOVERY_PATH, AUTHORITY)
+        self.call.on_message = self.take
+        for type_url in (ASSIGNMENT_TYPE_URL, ROUTE_TYPE_URL):
             request = discovery_pb2.DiscoveryRequest(type_url=type_url)
             request.node.id = f"agent{self.at}"
             request.node.locality.zone = ZONES[self.at % len(ZONES)]
@@ -78,7 +78,7 @@
         )
         self.call.send(acknowledgement.SerializeToString())
         self.size += len(data)
-        if response.type_url == ENDPOINTS:
+        if response.type_url == ASSIGNMENT_TYPE_URL:
             for assignment in response.resources:
                 request_class, entries, _ = decode_assignment(assignment.value)
                 self.named[request_class] = {entry.address for entry in entries}
@@ -91,7 +91,7 @@
         `interval` is in seconds; where `obey` is set, a longer one that the controller asks for is
         kept to.
         """
-        call = self.connection.call(LOADS, AUTHORITY)
+        call = self.connection.call(LOAD_REPORTING_PATH, AUTHORITY)
         asked = interval
 
         def take(data: bytes) -> None:
@@ -101,9 +101,9 @@
                 seconds = response.load_reporting_interval.ToMilliseconds() / 1000
                 asked = max(interval, seconds)
 
-        call.message = take
+        call.on_message = take
         await asyncio.sleep(interval * (self.at % REPORT_PHASES) / REPORT_PHASES)
-        while not call.over:
+        while not call.is_closed:
             call.send(self.load_report(interval))
             await asyncio.sleep(asked)
 
--- a/peatlead/benchmarks/tables_wire.py
+++ b/peatlead/benchmarks/tables_wire.py
@@ -9,8 +9,13 @@
 from ..controller.message import ADMISSION
 from ..controller.publisher import Publisher
 from ..controller.view_state import ViewState
-from ..grpc.incremental import Incremental
-from ..grpc.resources import ENDPOINTS, LINES, WeightedEndpoint, encode_assignment
+from ..grpc.incremental import IncrementalDiscovery
+from ..grpc.resources import (
+    ASSIGNMENT_TYPE_URL,
+    LB_ENDPOINT_TYPE_URL,
+    WeightedEndpoint,
+    encode_assignment,
+)
 from ..planner.planner import Planner
 from ..tables.version import line_key, parse_line_key, quantize_weight
 from .tables_store import REQUEST_CLASSES
@@ -116,7 +121,7 @@
         self.deltas = Channel(CHANNEL_RATE, MESSAGE_OVERHEAD, 1e9)
         self.whole = Channel(CHANNEL_RATE, MESSAGE_OVERHEAD, 1e9)
         self.views: dict[int, ViewState] = {}
-        self.streams: dict[int, Incremental] = {}
+        self.streams: dict[int, IncrementalDiscovery] = {}
         self.last_sent: dict[int, Items] = {}
         self.pinned: dict[int, Items] = {}  # past items, while all proxies are held to them
         self.acknowledged: list[interface.Event] = []  # of the next batch
@@ -131,9 +136,13 @@
         """Open a proxy's stream; returns the event for the planner."""
         self.publisher.join(proxy, enforces_admission=True)
         self.views[proxy] = ViewState()
-        stream = Incremental(1, lambda part: self.items(proxy), "m", lambda version, parts: None)
-        stream.take(
-            discovery_pb2.DeltaDiscoveryRequest(type_url=LINES, resource_names_subscribe=["*"])
+        stream = IncrementalDiscovery(
+            1, lambda part: self.items(proxy), "m", lambda version, parts: None
+        )
+        stream.handle_request(
+            discovery_pb2.DeltaDiscoveryRequest(
+                type_url=LB_ENDPOINT_TYPE_URL, resource_names_subscribe=["*"]
+            )
         )
         self.streams[proxy] = stream
         return interface.ProxyConnected(proxy, proxy % 3, 3.0, True)
@@ -199,12 +208,12 @@
     def send_delta(self, proxy: int) -> None:
         """Send what differs, and acknowledge it at once."""
         stream = self.streams[proxy]
-        for response in stream.changed(LINES):
+        for response in stream.resources_changed(LB_ENDPOINT_TYPE_URL):
             lines = len(response.resources) + len(response.removed_resources)
             self.offer(self.deltas, proxy, lines)
             self.counts.delta_lines += lines
             self.counts.delta_bytes += response.ByteSize()
-            subscription = stream.subscriptions[LINES]
+            subscription = stream.subscriptions[LB_ENDPOINT_TYPE_URL]
             assert subscription.in_flight is not None
             subscription.held = subscription.in_flight.items
             subscription.digest = subscription.in_flight.digest
@@ -218,7 +227,9 @@
             name, zone, address, port = parse_line_key(key)
             tables[name].append(WeightedEndpoint(address, port, zone, weight / 1000))
         for name, table in tables.items():
-            size = len(encode_assignment(name, table, 1.0)) + len(ENDPOINTS) + ANY_OVERHEAD
+            size = (
+                len(encode_assignment(name, table, 1.0)) + len(ASSIGNMENT_TYPE_URL) + ANY_OVERHEAD
+            )
             self.counts.whole_bytes += size
         self.counts.whole_lines += len(items)
         self.offer(self.whole, proxy, len(items))
--- a/peatlead/controller/controller.py
+++ b/peatlead/controller/controller.py
@@ -147,7 +147,7 @@
             return None
         if self.fleet is None:
             return Proxies(self, None, None)
-        return Proxies(self, self.fleet.ownership, self.fleet.about)
+        return Proxies(self, self.fleet.ownership, self.fleet.member_info)
 
     # Life cycle.
 
@@ -208,7 +208,7 @@
         now = self.loop.time()
         for order in self.overload.decide(now, [TimerLateness(now - due, self.count_proxies())]):
             if type(order) is SetGatherWindow and self.proxies:
-                self.proxies.gathered.wait = order.seconds
+                self.proxies.load_aggregator.max_delay = order.seconds
             elif type(order) is LogOverload:
                 self.log("burden", text=order.text)
         super().fire(token, due)
@@ -219,7 +219,7 @@
         stats = self.health_checks.stats_due(now)
         self.inbox += stats
         if self.proxies:
-            self.inbox += self.proxies.gathered.due(now)
+            self.inbox += self.proxies.load_aggregator.take_due(now)
         self.dns.record_rates(stats)
 
     def offer(
--- a/peatlead/controller/operator_queries.py
+++ b/peatlead/controller/operator_queries.py
@@ -202,7 +202,7 @@
             "proxy": name,
             "steward": controller.me["name"],
             "zone": session.node.zone,
-            "joined seconds ago": round(controller.loop.time() - session.since, 1),
+            "joined seconds ago": round(controller.loop.time() - session.admitted_at, 1),
             "epoch": session.epoch,
             "says it holds": str(proxies.acknowledged_version(session.number)),
             "waits for its window": not session.call.idle,
@@ -210,23 +210,23 @@
             "lines": {
                 request_class: {
                     name_of(endpoint): weight
-                    for endpoint, weight in sorted(proxies.lines_of(session, index).items())
+                    for endpoint, weight in sorted(proxies.endpoint_weights(session, index).items())
                 }
-                for request_class, index in proxies.front.kinds.items()
+                for request_class, index in proxies.front.class_indices.items()
             },
         }
 
     def _describe_members(self, gossip: GossipNode) -> Answer:
         now = self._controller.loop.time()
         return {
-            member.about.name: {
-                "state": member.about.state,
-                "since": now - member.since,
-                "proxies": member.about.load,
-                "draining": member.about.draining,
-                "incarnation": member.about.incarnation,
+            member.info.name: {
+                "state": member.info.state,
+                "since": now - member.state_since,
+                "proxies": member.info.load,
+                "draining": member.info.draining,
+                "incarnation": member.info.incarnation,
             }
-            for member in gossip.members.members.values()
+            for member in gossip.membership.members.values()
         }
 
     def _owned_proxies(self, gossip: GossipNode) -> Answer:
@@ -235,7 +235,7 @@
         proxies = self._controller.proxies
         sessions = proxies.front.sessions if proxies else {}
         return {
-            name: [epoch, now - sessions[name].since]
+            name: [epoch, now - sessions[name].admitted_at]
             for name, epoch in sorted(gossip.ownership.epochs.items())
             if name in sessions
         }
--- a/peatlead/controller/pin_targets.py
+++ b/peatlead/controller/pin_targets.py
@@ -149,7 +149,7 @@
                 continue
             payload = write_announcement(key, past)
             if len(payload) < ANNOUNCEMENT_BYTES:
-                gossip.broadcast_drain_request(payload)
+                gossip.broadcast_pin_target(payload)
 
     def receive(self, payload: bytes) -> None:
         """Take another controller's target; the highest version of a proxy's counts."""
--- a/peatlead/controller/proxies.py
+++ b/peatlead/controller/proxies.py
@@ -11,7 +11,7 @@
 from ..dns.views import proxy_number
 from ..fleet.membership import MemberInfo
 from ..fleet.ownership import Ownership, OwnershipReport
-from ..grpc.discovery import Refused
+from ..grpc.discovery import Nack
 from ..grpc.load_aggregation import LoadAggregator
 from ..grpc.proxy_node import ProxyNode
 from ..grpc.resources import WeightedEndpoint
@@ -83,7 +83,7 @@
         settings = controller.settings
         self._controller = controller
         self._port: int = settings["dns"]["port"]  # that endpoints listen on
-        self.gathered = LoadAggregator()
+        self.load_aggregator = LoadAggregator()
         self.admission = ProxyAdmission(controller, ownership, member_info)
         self.front = GrpcServer(
             self,
@@ -104,11 +104,11 @@
         """Decide on a proxy that has dialled."""
         return self.admission.admit(node)
 
-    def hints(self, node: ProxyNode) -> Metadata:
+    def failover_metadata(self, node: ProxyNode) -> Metadata:
         """Return where a proxy that is taken in should dial when this controller ends."""
         return self.admission.hints(node)
 
-    def joined(self, session: Session) -> None:
+    def on_join(self, session: Session) -> None:
         """Take in a proxy that was admitted."""
         controller = self._controller
         node = session.node
@@ -125,35 +125,35 @@
         controller.published.record_join(node.name, session.epoch, lines)
         controller.proxy_joined(session.number, session.zone, node.rate, not has_all_tables)
 
-    def left(self, session: Session) -> None:
+    def on_leave(self, session: Session) -> None:
         """Take that a session has ended; one that a newer session replaced changes nothing."""
         self._progress.pop(session, None)
-        if not self.front.drop(session):
+        if not self.front.remove(session):
             return
         controller = self._controller
         self.by_number.pop(session.number, None)
         controller.channel.forget(session.number)
         controller.publisher.leave(session.number)
-        self.gathered.forget(session.number)
+        self.load_aggregator.forget_proxy(session.number)
         controller.published.record_leave(session.node.name)
         self.admission.left(session.node.name)
         controller.proxy_left(session.number)
 
-    def takes_report(self, session: Session, now: float) -> bool:
+    def accepts_report(self, session: Session, now: float) -> bool:
         """Return whether there is time to read a load report that has come."""
         taken: bool = self._controller.overload.takes_report(
-            now, session.report_at, session.reports
+            now, session.last_report_at, session.report_count
         )
-        session.reports += 1
+        session.report_count += 1
         return taken
 
-    def reported(self, session: Session, started: float) -> None:
+    def on_report_processed(self, session: Session, started: float) -> None:
         """Take that a load report was read, and what that cost."""
-        session.report_at = started
+        session.last_report_at = started
         duration = self._controller.loop.time() - started
         self._controller.overload.decide(started, [ReportsRead(1, duration)])
 
-    def report_every(self, session: Session | None) -> float:
+    def report_interval(self, session: Session | None) -> float:
         """Return the seconds between a proxy's load reports."""
         phase = MEAN_PHASE
         if session is not None:
@@ -161,14 +161,14 @@
         interval: float = self._controller.overload.report_interval_of(phase)
         return interval
 
-    def refused(self, session: Session, refusal: Refused) -> None:
+    def on_nack(self, session: Session, refusal: Nack) -> None:
         """Take that a proxy has refused a version."""
         self.refusals += 1
         self._controller.log(
             "assignment refused", proxy=session.node.name, version=refusal.version, why=refusal.text
         )
 
-    def applied(self, session: Session, _type_url: str, version: Version) -> None:
+    def on_ack(self, session: Session, _type_url: str, version: Version) -> None:
         """Take that a proxy has applied a version."""
         self.acks += 1
         now = self._controller.loop.time()
@@ -177,7 +177,7 @@
         if progress is not None:
             progress.acknowledged = max(progress.acknowledged, version)
 
-    def published(self, session: Session, version: Version, parts: Collection[str]) -> None:
+    def on_response_sent(self, session: Session, version: Version, parts: Collection[str]) -> None:
         """Commit a version of some parts of a proxy's tables that was sent, with its causes."""
         if "line" in parts:
             self._controller.propagation.sent(session.number, version)
@@ -190,19 +190,19 @@
         causes = tuple(self._progress[session].causes)
         self._controller.published.record_sent(name, version, parts, items, causes)
 
-    def lines_of(self, session: Session, request_class: int) -> EndpointWeights:
+    def endpoint_weights(self, session: Session, request_class: int) -> EndpointWeights:
         """Return the lines that a proxy is to hold now."""
-        name = list(self.front.kinds)[request_class]
+        name = list(self.front.class_indices)[request_class]
         planned = session.state.lines(request_class)
         node = session.node
         return self._controller.published.lines(node.name, node.zone, name, planned)
 
-    def host_of(self, place: AddressAndPort) -> int | None:
+    def endpoint_at(self, place: AddressAndPort) -> int | None:
         """Return the endpoint at an address and port, None where no list has named one."""
         address, port = place
         return self._endpoint_by_address.get(address) if port == self._port else None
 
-    def place_of(self, endpoint: int) -> tuple[str, int, str]:
+    def address_of(self, endpoint: int) -> tuple[str, int, str]:
         """Return an endpoint's address, port and zone."""
         entry = self._controller.registry.entries[endpoint]
         return entry.address or entry.address6, self._port, entry.zone
@@ -234,7 +234,7 @@
         self._add_causes(session, message)
         operations = [op[0] for op in message.ops if concerns(session, op)]
         if pinned or operations:
-            session.changed(PARTS if pinned else changed_parts(operations))
+            session.on_tables_changed(PARTS if pinned else changed_parts(operations))
         return session
 
     def everyone(self) -> list[Recipient]:
@@ -252,7 +252,10 @@
 
     def line_counts(self, session: Session) -> list[int]:
         """Return how many lines a proxy is to hold, by request class."""
-        return [len(self.lines_of(session, index)) for index in self.front.kinds.values()]
+        return [
+            len(self.endpoint_weights(session, index))
+            for index in self.front.class_indices.values()
+        ]
 
     def move_on(self, now: float) -> None:
         """Send some proxies that another controller should own to that one."""
@@ -261,7 +264,7 @@
     def explain_ownership(self, name: str) -> OwnershipReport:
         """Return for operators why a proxy is, or is not, this controller's."""
         session = self.front.sessions.get(name)
-        return self.admission.explain(name, session.since if session else None)
+        return self.admission.explain(name, session.admitted_at if session else None)
 
     def status(self) -> dict[str, int]:
         """Return counts for operators."""
@@ -290,17 +293,17 @@
         list has named are left out. Return whether there is a table for every request class.
         """
         for request_class, lines in session.node.held.items():
-            index = self.front.kinds.get(request_class)
+            index = self.front.class_indices.get(request_class)
             table = self._known_weights(lines)
             if index is not None and table:
                 session.state.tables[BROUGHT_TABLE, request_class] = table
                 session.state.bound[index] = BROUGHT_TABLE, request_class
-        return len(session.state.bound) == len(self.front.kinds)
+        return len(session.state.bound) == len(self.front.class_indices)
 
     def _known_weights(self, lines: Iterable[WeightedEndpoint]) -> EndpointWeights:
         weights: EndpointWeights = {}
         for line in lines:
-            endpoint = self.host_of((line.address, line.port))
+            endpoint = self.endpoint_at((line.address, line.port))
             if line.weight > 0 and endpoint is not None:
                 weights[endpoint] = line.weight
         return weights
@@ -311,14 +314,14 @@
                 line.weight
             )
             for request_class, lines in node.held.items()
-            if request_class in self.front.kinds
+            if request_class in self.front.class_indices
             for line in lines
             if line.weight > 0
         }
 
     def _add_causes(self, session: Session, message: Message) -> None:
         progress = self._progress[session]
-        if not session.stale:
+        if not session.stale_types:
             progress.causes = {}  # all that was caused before has been sent
         progress.causes.update(dict.fromkeys(message.causes))
 
@@ -327,7 +330,7 @@
         return bool(self._controller.published.pending_changes(session.node.name, session.number))
 
     def _copy_admission(self, session: Session) -> None:
-        names = list(self.front.kinds)
+        names = list(self.front.class_indices)
         admission = session.state.levels.items()
-        session.levels = {names[index]: fraction for index, (fraction, _) in admission}
-        session.retries = {names[index]: retry for index, (_, retry) in admission}
+        session.admitted_fractions = {names[index]: fraction for index, (fraction, _) in admission}
+        session.retry_policies = {names[index]: retry for index, (_, retry) in admission}
--- a/peatlead/controller/proxy_admission.py
+++ b/peatlead/controller/proxy_admission.py
@@ -4,7 +4,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from ..fleet.membership import MemberInfo
-from ..fleet.ownership import Ownership, OwnershipReport, rank_controllers, why
+from ..fleet.ownership import Ownership, OwnershipReport, explain_ownership, rank_controllers
 from ..grpc.framing import StatusCode
 from ..grpc.proxy_node import ProxyNode
 from ..grpc.server import GrpcServer
@@ -71,52 +71,54 @@
             return wait_refusal("paced: more to do than time", wait)
         if self._ownership is None:
             return Admission(seen + 1, None)
-        decision = self._ownership.admit(now, node.name, seen, node.hops, node.avoid)
-        if decision.take:
+        decision = self._ownership.admit(
+            now, node.name, seen, node.hops, node.unreachable_controllers
+        )
+        if decision.admitted:
             return Admission(self._ownership.epochs[node.name], None)
-        if decision.wait:
+        if decision.retry_delay:
             self.paced += 1
-            return wait_refusal(decision.why, decision.wait)
+            return wait_refusal(decision.reason, decision.retry_delay)
         self.sent_on += 1
-        refusal = Refusal(StatusCode.UNAVAILABLE, decision.why, self._address_of(decision.owner))
+        refusal = Refusal(StatusCode.UNAVAILABLE, decision.reason, self._address_of(decision.owner))
         return Admission(0, refusal)
 
     def hints(self, node: ProxyNode) -> Metadata:
         """Return where a proxy should dial, best first, when this controller ends."""
         if self._ownership is None or self._member_info is None:
             return {}
-        members = map(self._member_info, rank_controllers(node.name, self._ownership.live))
+        members = map(self._member_info, rank_controllers(node.name, self._ownership.controllers))
         addresses = [
-            f"{member.name}={member.orders[0]}:{member.orders[1]}"
+            f"{member.name}={member.proxy_address[0]}:{member.proxy_address[1]}"
             for member in members
-            if member and member.orders
+            if member and member.proxy_address
         ]
         return {CONTROLLERS_METADATA: ",".join(addresses)}
 
     def left(self, name: str) -> None:
         """Take that a joined proxy has gone."""
         if self._ownership is not None:
-            self._ownership.left(name)
+            self._ownership.forget(name)
 
     def move_on(self, now: float, front: GrpcServer) -> None:
         """Send some proxies that another controller should own to that one."""
         if self._ownership is None:
             return
-        for name, owner in self._ownership.moves(now):
+        for name, owner in self._ownership.due_redirects(now):
             session = front.sessions.get(name)
             address = self._address_of(owner)
             if session is not None and address:
                 self.moved += 1
-                session.move("another's by rank", **address)
+                session.redirect("another's by rank", **address)
 
     def explain(self, name: str, joined_at: float | None) -> OwnershipReport:
         """Return for operators why a proxy is, or is not, this controller's."""
         if self._ownership is None:
             raise RuntimeError("expected a fleet")
-        return why(self._ownership, name, joined_at, self._controller.loop.time())
+        return explain_ownership(self._ownership, name, joined_at, self._controller.loop.time())
 
     def _address_of(self, owner: str) -> Metadata:
         member = self._member_info(owner) if self._member_info else None
-        if not member or not member.orders:
+        if not member or not member.proxy_address:
             return {}
-        return {OWNER_METADATA: f"{member.orders[0]}:{member.orders[1]}"}
+        return {OWNER_METADATA: f"{member.proxy_address[0]}:{member.proxy_address[1]}"}
--- a/peatlead/controller/recipients.py
+++ b/peatlead/controller/recipients.py
@@ -62,7 +62,7 @@
             return []
         return [
             PlannedTable(request_class, session.state.lines(index))
-            for request_class, index in proxies.front.kinds.items()
+            for request_class, index in proxies.front.class_indices.items()
         ]
 
     def items_of(self, number: int) -> TableItems | None:
--- a/peatlead/fleet/authentication.py
+++ b/peatlead/fleet/authentication.py
@@ -111,7 +111,7 @@
 
     # Sending.
 
-    def close(self, body: bytes, to: str = "") -> bytes:
+    def seal(self, body: bytes, to: str = "") -> bytes:
         """A datagram for the member `to`; empty where its name is not known yet."""
         self.counter += 1
         proof = self.proofs.get(to, NO_PROOF)
@@ -119,7 +119,7 @@
         data = header + self.name + body
         return data + self._hash(self.keys[0], data)
 
-    def learn(self, name: str, proof: bytes) -> None:
+    def store_proof(self, name: str, proof: bytes) -> None:
         """Stores the proof that a member wants repeated, as it or this one has just started."""
         self.proofs[name] = proof
         if len(self.proofs) > MAX_SENDERS:
--- a/peatlead/fleet/gossip.py
+++ b/peatlead/fleet/gossip.py
@@ -24,12 +24,12 @@
 from .messages import (
     DECODER,
     Address,
-    DrainRequestMessage,
-    GossipMessage,
+    AdviceMessage,
     MemberInfo,
     MemberState,
     Message,
     PinsMessage,
+    PinTargetMessage,
 )
 from .ownership import ControllerStatus, Ownership
 
@@ -84,19 +84,19 @@
         log: Callable[..., None],
         on_advice: Callable[[int, bytes], None] = ignore,
         on_pins: Callable[[bytes], None] = ignore,
-        on_drain_request: Callable[[bytes], None] = ignore,
+        on_pin_target: Callable[[bytes], None] = ignore,
     ) -> None:
         self.me = me
         self.count_proxies = count_proxies
         self.log = log
         self.on_advice = on_advice
         self.on_pins = on_pins
-        self.on_drain_request = on_drain_request
-        self.positions = {one["name"]: at for at, one in enumerate(settings["steward"])}
+        self.on_pin_target = on_pin_target
+        self.controller_indices = {one["name"]: at for at, one in enumerate(settings["steward"])}
         self.advice_limit = AdviceLimit()
         keys = [bytes.fromhex(key) for key in settings["fleet"]["keys"]]
         self.authenticator = Authenticator(keys, me["name"], boot)
-        self.members = self._make_membership(settings, rng)
+        self.membership = self._make_membership(settings, rng)
         self.ownership = Ownership(me["name"], settings["fleet"]["joins_rate"], rng)
         self.names: dict[Address, str] = {}  # members by the address of their last datagram
         self.loop: asyncio.AbstractEventLoop
@@ -131,7 +131,7 @@
         """Tells the others that this controller stops, and closes the socket."""
         if self.transport is None:
             return
-        self.advance([Leave()])
+        self.handle_events([Leave()])
         if self.timer is not None:
             self.timer.cancel()
         self.transport.close()
@@ -142,24 +142,24 @@
 
     # Membership.
 
-    def about(self, name: str) -> Optional[MemberInfo]:
+    def member_info(self, name: str) -> Optional[MemberInfo]:
         """What is known of a live controller."""
-        return self.members.live().get(name)
+        return self.membership.live_members().get(name)
 
     def _tick(self) -> None:
-        self.advance([LocalStatus(self.count_proxies(), self.ownership.draining), Tick()])
+        self.handle_events([LocalStatus(self.count_proxies(), self.ownership.draining), Tick()])
         self.timer = self.loop.call_later(TICK_INTERVAL, self._tick)
 
-    def advance(self, events: list[Event]) -> None:
+    def handle_events(self, events: list[Event]) -> None:
         """Hands events to the membership, carries out its actions, and updates the ownership."""
         now = self.loop.time()
-        for action in self.members.decide(now, events):
+        for action in self.membership.decide(now, events):
             if isinstance(action, SendDatagram):
                 self.send(action.address, msgspec.msgpack.encode(action.message))
             else:
                 self.log("member", name=action.name, before=action.before, after=action.after)
-        live = self.members.live()
-        self.ownership.update_live(
+        live = self.membership.live_members()
+        self.ownership.update_controllers(
             now,
             {name: ControllerStatus(info.load, info.draining) for name, info in live.items()},
         )
@@ -169,24 +169,24 @@
     def broadcast_advice(self, payload: bytes) -> None:
         """Sends the planner's advice to all live controllers; too long a payload is dropped."""
         if len(payload) <= MAX_ADVICE_SIZE:
-            self._broadcast(GossipMessage(payload))
+            self._broadcast(AdviceMessage(payload))
 
     def broadcast_pins(self, payload: bytes) -> None:
         """Sends operators' pins to all live controllers."""
         self._broadcast(PinsMessage(payload))
 
-    def broadcast_drain_request(self, payload: bytes) -> None:
+    def broadcast_pin_target(self, payload: bytes) -> None:
         """Sends a drain request to all live controllers."""
-        self._broadcast(DrainRequestMessage(payload))
+        self._broadcast(PinTargetMessage(payload))
 
     def _broadcast(self, message: Message) -> None:
-        for name, info in self.members.live().items():
+        for name, info in self.membership.live_members().items():
             if name != self.me["name"]:
                 self.send(info.address, msgspec.msgpack.encode(message))
 
     def send(self, address: Address, body: bytes) -> None:
         """Authenticates a message body and sends it."""
-        data = self.authenticator.close(body, self.names.get(address, ""))
+        data = self.authenticator.seal(body, self.names.get(address, ""))
         self.counts["out"] += 1
         self.counts["bytes out"] += len(data)
         if self.transport is not None:
@@ -215,7 +215,7 @@
             others = {place: other for place, other in self.names.items() if other != name}
             self.names = {**others, address: name}
         if body.startswith(PROVE):
-            self.authenticator.learn(name, body.removeprefix(PROVE))
+            self.authenticator.store_proof(name, body.removeprefix(PROVE))
             return name, None
         return name, DECODER.decode(body)
 
@@ -227,7 +227,7 @@
         """
         self.names[address] = error.name
         if error.body.startswith(PROVE):
-            self.authenticator.learn(error.name, error.body.removeprefix(PROVE))
+            self.authenticator.store_proof(error.name, error.body.removeprefix(PROVE))
         else:
             self.send(address, PROVE + error.proof)
 
@@ -239,22 +239,22 @@
 
     def _dispatch(self, name: str, address: Address, message: Message) -> None:
         match message:
-            case GossipMessage():
+            case AdviceMessage():
                 self._on_advice(name, message.payload)
             case PinsMessage():
                 self.on_pins(message.payload)
-            case DrainRequestMessage():
-                self.on_drain_request(message.payload)
+            case PinTargetMessage():
+                self.on_pin_target(message.payload)
             case _:
-                self.advance([DatagramReceived(address, message)])
+                self.handle_events([DatagramReceived(address, message)])
 
     def _on_advice(self, name: str, payload: bytes) -> None:
         """Drops and counts what exceeds the rate: advice that is lost costs little."""
         limit = self.advice_limit
         allowed = limit.allows(self.loop.time())
-        if not allowed or len(payload) > MAX_ADVICE_SIZE or name not in self.positions:
+        if not allowed or len(payload) > MAX_ADVICE_SIZE or name not in self.controller_indices:
             self.counts["notes dropped"] += 1
             return
         limit.count()
         self.counts["notes"] += 1
-        self.on_advice(self.positions[name], payload)
+        self.on_advice(self.controller_indices[name], payload)
--- a/peatlead/fleet/member_table.py
+++ b/peatlead/fleet/member_table.py
@@ -40,8 +40,8 @@
 class Member:
     """One known member."""
 
-    about: MemberInfo  # the fact that is believed
-    since: float  # when its state last changed
+    info: MemberInfo  # the fact that is believed
+    state_since: float  # when its state last changed
     times_sent: int = 0  # how often the fact was disseminated
     suspect_until: Optional[float] = None  # when a suspect is declared dead
 
@@ -67,9 +67,9 @@
     def reachable(self) -> dict[str, MemberInfo]:
         """Members that are alive or only suspected, sorted by name."""
         return {
-            name: member.about
+            name: member.info
             for name, member in sorted(self.members.items())
-            if member.about.state in REACHABLE
+            if member.info.state in REACHABLE
         }
 
     def peers(self) -> list[str]:
@@ -78,20 +78,22 @@
 
     def at_address(self, address: Address) -> list[Member]:
         """Members whose gossip socket is `address`, in any state."""
-        return [member for member in self.members.values() if member.about.address == address]
+        return [member for member in self.members.values() if member.info.address == address]
 
     # Merging facts.
 
     def merge(self, now: float, info: MemberInfo) -> Optional[StateChanged]:
         """Takes in a fact, if it is new; a wrong one on this member is refuted."""
-        info = msgspec.structs.replace(info, address=tuple(info.address), orders=tuple(info.orders))
+        info = msgspec.structs.replace(
+            info, address=tuple(info.address), proxy_address=tuple(info.proxy_address)
+        )
         if info.name == self.me.name:
             self._refute_if_wrong(info)
             return None
         known = self.members.get(info.name)
         if known is None:
             return self._add(now, info)
-        if not overrides(info, known.about):
+        if not overrides(info, known.info):
             return None
         return self._replace(now, known, info)
 
@@ -104,16 +106,16 @@
         return StateChanged(info.name, None, info.state)
 
     def _replace(self, now: float, known: Member, info: MemberInfo) -> Optional[StateChanged]:
-        before = known.about.state
+        before = known.info.state
         if before in GONE and info.state == MemberState.SUSPECT:
             # A suspicion at a later incarnation than its end shows that the member came back.
             info = msgspec.structs.replace(info, state=MemberState.ALIVE)
-        known.about = info
+        known.info = info
         known.times_sent = 0
         self._set_suspicion(now, known)
         if info.state == before:
             return None
-        known.since = now
+        known.state_since = now
         return StateChanged(info.name, before, info.state)
 
     # Suspicion.
@@ -123,7 +125,7 @@
         return self.suspicion_timeout * max(1.0, log2(len(self.members)) / 2)
 
     def _set_suspicion(self, now: float, member: Member) -> None:
-        suspected = member.about.state == MemberState.SUSPECT
+        suspected = member.info.state == MemberState.SUSPECT
         member.suspect_until = now + self.suspicion() if suspected else None
 
     def restart_suspicions(self, now: float) -> None:
@@ -136,12 +138,12 @@
         """Declares suspects dead whose time is over, and forgets those long gone."""
         for member in list(self.members.values()):
             if member.suspect_until is not None and now >= member.suspect_until:
-                dead = msgspec.structs.replace(member.about, state=MemberState.DEAD)
+                dead = msgspec.structs.replace(member.info, state=MemberState.DEAD)
                 change = self.merge(now, dead)
                 if change is not None:
                     yield change
-            elif member.about.state in GONE and now - member.since > FORGET_AFTER:
-                del self.members[member.about.name]
+            elif member.info.state in GONE and now - member.state_since > FORGET_AFTER:
+                del self.members[member.info.name]
 
     # This member's own fact.
 
@@ -163,7 +165,7 @@
         """Replaces this member's own fact, to be disseminated anew."""
         self.me = info
         member = self.members[info.name]
-        member.about = info
+        member.info = info
         member.times_sent = 0
 
     # Dissemination.
@@ -178,11 +180,11 @@
         chosen = sorted(pending, key=self._dissemination_order)[:MAX_FACTS]
         for member in chosen:
             member.times_sent += 1
-        facts = [member.about for member in chosen]
+        facts = [member.info for member in chosen]
         if not any(info.name == self.me.name for info in facts):
             return [self.me, *facts[: MAX_FACTS - 1]]
         return facts
 
     def _dissemination_order(self, member: Member) -> tuple[bool, int, str]:
-        name = member.about.name
+        name = member.info.name
         return name != self.me.name, member.times_sent, name
--- a/peatlead/fleet/membership.py
+++ b/peatlead/fleet/membership.py
@@ -120,7 +120,7 @@
         self.rng = rng
         self.probe_interval = probe_interval
         self.ack_timeout = ack_timeout
-        self.round: list[str] = []  # members still to be probed in this round, the last first
+        self.probe_queue: list[str] = []  # members still to be probed in this round, the last first
         self.number = 0  # of the newest ping
         self.probes: dict[int, Probe] = {}  # by ping number
         self.relays: dict[int, Relay] = {}  # by ping number
@@ -139,7 +139,7 @@
         """All known members by name, the dead and departed ones included."""
         return self.table.members
 
-    def live(self) -> dict[str, MemberInfo]:
+    def live_members(self) -> dict[str, MemberInfo]:
         """Members that are alive or only suspected, sorted by name."""
         return self.table.reachable()
 
@@ -195,20 +195,20 @@
 
     def _probe_next(self) -> None:
         peers = self.table.peers()
-        self.round = [name for name in self.round if name in peers]
-        if not self.round:
-            self.round = peers
-            self.rng.shuffle(self.round)
-        if not self.round:
+        self.probe_queue = [name for name in self.probe_queue if name in peers]
+        if not self.probe_queue:
+            self.probe_queue = peers
+            self.rng.shuffle(self.probe_queue)
+        if not self.probe_queue:
             return
-        name = self.round.pop()
+        name = self.probe_queue.pop()
         number = self._next_number()
         self.probes[number] = Probe(name, False, self.now + self.ack_timeout)
-        self._send(self.members[name].about.address, Ping(number, self.table.next_facts()))
+        self._send(self.members[name].info.address, Ping(number, self.table.next_facts()))
 
     def _ping_seed(self) -> None:
         """Pings one seed that no reachable member has, to join or to heal a partition."""
-        known = {info.address for info in self.live().values()}
+        known = {info.address for info in self.live_members().values()}
         unknown = [seed for seed in self.seeds if seed not in known]
         if not unknown:
             return
@@ -219,7 +219,7 @@
 
     def _on_probe_timeout(self, number: int, probe: Probe) -> None:
         del self.probes[number]
-        member = self.live().get(probe.name)
+        member = self.live_members().get(probe.name)
         if member is None:
             return
         helpers = [name for name in self.table.peers() if name != probe.name]
@@ -233,7 +233,7 @@
         self.probes[number] = Probe(member.name, True, deadline)
         for helper in self.rng.sample(helpers, min(HELPERS, len(helpers))):
             request = IndirectPing(number, member.address, self.table.next_facts())
-            self._send(self.members[helper].about.address, request)
+            self._send(self.members[helper].info.address, request)
 
     def _next_number(self) -> int:
         self.number += 1
@@ -242,7 +242,7 @@
     # Messages.
 
     def _on_message(self, address: Address, message: MembershipMessage) -> None:
-        for info in message.news[:MAX_FACTS]:
+        for info in message.facts[:MAX_FACTS]:
             self._merge(info)
         match message:
             case Ping():
@@ -254,7 +254,7 @@
 
     def _on_ping(self, address: Address, ping: Ping) -> None:
         senders = self.table.at_address(address)
-        corrections = self._corrections(senders, ping.news)
+        corrections = self._corrections(senders, ping.facts)
         facts = corrections + self.table.next_facts(everything=not senders)
         self._send(address, Ack(ping.number, facts[:MAX_FACTS]))
 
@@ -267,10 +267,10 @@
         """
         incarnations = {info.name: info.incarnation for info in facts}
         return [
-            sender.about
+            sender.info
             for sender in senders
-            if sender.about.state != MemberState.ALIVE
-            or incarnations.get(sender.about.name, UNKNOWN_INCARNATION) < sender.about.incarnation
+            if sender.info.state != MemberState.ALIVE
+            or incarnations.get(sender.info.name, UNKNOWN_INCARNATION) < sender.info.incarnation
         ]
 
     def _on_ack(self, ack: Ack) -> None:
@@ -303,7 +303,7 @@
             msgspec.structs.replace(self.me, state=MemberState.LEFT, incarnation=newer)
         )
         for name in self.table.peers()[:MAX_FACTS]:
-            self._send(self.members[name].about.address, Ping(0, [self.me]))
+            self._send(self.members[name].info.address, Ping(0, [self.me]))
 
     # Actions.
 
--- a/peatlead/fleet/messages.py
+++ b/peatlead/fleet/messages.py
@@ -28,7 +28,7 @@
     address: Address  # its gossip socket
     state: str  # a `MemberState`; not validated, as a later release may send further states
     incarnation: int  # only the member itself raises it
-    orders: Address = ()  # where proxies connect to it; empty where it takes none
+    proxy_address: Address = ()  # where proxies connect to it; empty where it takes none
     load: int = 0  # connected proxies
     draining: bool = False  # whether it takes no more proxies
 
@@ -37,14 +37,14 @@
     """A direct probe; `number` is repeated by its `Ack`."""
 
     number: int
-    news: list[MemberInfo]
+    facts: list[MemberInfo]
 
 
 class Ack(msgspec.Struct, array_like=True, tag="Ack"):
     """The answer to a `Ping` or, through a helper, to an `IndirectPing`."""
 
     number: int
-    news: list[MemberInfo]
+    facts: list[MemberInfo]
 
 
 class IndirectPing(msgspec.Struct, array_like=True, tag="TryFor"):
@@ -52,10 +52,10 @@
 
     number: int
     address: Address
-    news: list[MemberInfo]
+    facts: list[MemberInfo]
 
 
-class GossipMessage(msgspec.Struct, array_like=True, tag="Note"):
+class AdviceMessage(msgspec.Struct, array_like=True, tag="Note"):
     """Advice from one member's planner to another's; only planners interpret the payload."""
 
     payload: bytes
@@ -67,13 +67,13 @@
     payload: bytes
 
 
-class DrainRequestMessage(msgspec.Struct, array_like=True, tag="WishTold"):
+class PinTargetMessage(msgspec.Struct, array_like=True, tag="WishTold"):
     """What one proxy held before a pin, from the controller that owned the proxy then."""
 
     payload: bytes
 
 
 MembershipMessage = Ping | Ack | IndirectPing
-Message = MembershipMessage | GossipMessage | PinsMessage | DrainRequestMessage
+Message = MembershipMessage | AdviceMessage | PinsMessage | PinTargetMessage
 
 DECODER: msgspec.msgpack.Decoder[Message] = msgspec.msgpack.Decoder(Message)
--- a/peatlead/grpc/call.py
+++ b/peatlead/grpc/call.py
@@ -62,29 +62,29 @@
     backlog has been sent, and `ended(status, text)`, which is called once, whatever the cause.
     """
 
-    def __init__(self, connection: CallTransport, number: int, path: str = "") -> None:
+    def __init__(self, connection: CallTransport, stream_id: int, path: str = "") -> None:
         self.connection = connection
-        self.number = number  # of the HTTP/2 stream
+        self.stream_id = stream_id  # of the HTTP/2 stream
         self.path = path
         self.deframer = MessageDeframer()
         self.backlog: deque[memoryview] = deque()  # waits for the peer's window
-        self.waiting = 0  # bytes in the backlog
+        self.backlog_size = 0  # bytes in the backlog
         self.trailers: Optional[Headers] = (
             None  # to send after the backlog; the first is the status
         )
-        self.over = False
-        self.answered = False  # whether this side's headers have been sent
+        self.is_closed = False
+        self.headers_sent = False  # whether this side's headers have been sent
         self.deadline: Optional[asyncio.TimerHandle] = None
         self.peer_metadata: Metadata = {}  # all headers and trailers of the peer
-        self.message: Callable[[bytes], object] = ignore_message
-        self.headers: Callable[[Metadata], object] = ignore_headers
-        self.ended: Callable[[int, str], object] = ignore_end
-        self.writable: Callable[[], object] = ignore_writable
+        self.on_message: Callable[[bytes], object] = ignore_message
+        self.on_headers: Callable[[Metadata], object] = ignore_headers
+        self.on_end: Callable[[int, str], object] = ignore_end
+        self.on_writable: Callable[[], object] = ignore_writable
 
     @property
     def idle(self) -> bool:
         """Whether nothing waits for the peer: the time to send the newest state."""
-        return not self.backlog and not self.over
+        return not self.backlog and not self.is_closed
 
     def send(self, message: bytes) -> bool:
         """Sends a message.
@@ -92,18 +92,18 @@
         Returns False where the call is over, or too much waits for the peer: the call is then
         reset.
         """
-        if self.over or self.trailers is not None:
+        if self.is_closed or self.trailers is not None:
             return False
         data = frame(message)
-        if self.waiting + len(data) > MAX_BACKLOG:
+        if self.backlog_size + len(data) > MAX_BACKLOG:
             self.reset("too much waits for the peer")
             return False
         self.backlog.append(memoryview(data))
-        self.waiting += len(data)
+        self.backlog_size += len(data)
         self.connection.pump(self)
         return True
 
-    def next_chunk(self, size: int) -> bytes:
+    def peek_chunk(self, size: int) -> bytes:
         """At most `size` bytes from the front of the backlog, which remain there."""
         return bytes(self.backlog[0][:size])
 
@@ -114,11 +114,11 @@
             self.backlog.popleft()
         else:
             self.backlog[0] = first[size:]
-        self.waiting -= size
+        self.backlog_size -= size
 
     def finish(self, status: int, text: str = "", **metadata: str) -> None:
         """Ends the call as the server: after the backlog with the status and trailing metadata."""
-        if self.over or self.trailers is not None:
+        if self.is_closed or self.trailers is not None:
             return
         self.trailers = [
             ("grpc-status", str(int(status))),
@@ -129,17 +129,17 @@
 
     def reset(self, text: str, code: int = h2.errors.ErrorCodes.CANCEL) -> None:
         """Ends the call at once; the backlog is lost."""
-        if not self.over:
+        if not self.is_closed:
             self.connection.reset(self, code)
             self.end(StatusCode.CANCELLED, text)
 
     def end(self, status: int, text: str) -> None:
         """Marks the call as over, and calls its handler."""
-        if self.over:
+        if self.is_closed:
             return
-        self.over = True
+        self.is_closed = True
         self.backlog.clear()
         self.connection.forget(self)
         if self.deadline is not None:
             self.deadline.cancel()
-        self.ended(status, text)
+        self.on_end(status, text)
--- a/peatlead/grpc/discovery.py
+++ b/peatlead/grpc/discovery.py
@@ -40,7 +40,7 @@
         self.requested = False  # whether a first request has come
 
 
-class Refused(NamedTuple):
+class Nack(NamedTuple):
     """A proxy's NACK."""
 
     type_url: str
@@ -48,7 +48,7 @@
     text: str  # its error detail
 
 
-def ignore_published(version: Version, type_url: str) -> None:
+def ignore_response_sent(version: Version, type_url: str) -> None:
     """The handler of sent versions where nobody keeps them."""
 
 
@@ -65,18 +65,18 @@
         epoch: int,
         resources: Callable[[str, tuple[str, ...]], Optional[Resources]],
         identity: str,
-        published: Callable[[Version, str], None] = ignore_published,
+        on_response_sent: Callable[[Version, str], None] = ignore_response_sent,
     ) -> None:
         self.epoch = epoch
         self.resources = resources
         self.identity = identity  # of this controller, in each response
-        self.published = published
+        self.on_response_sent = on_response_sent
         self.subscriptions: dict[str, Subscription] = {}  # by type URL
         self.serial = 0  # of the newest response
-        self.refusals: list[Refused] = []  # NACKs
-        self.applied: list[tuple[str, Version]] = []  # ACKs: type URL and version
+        self.nacks: list[Nack] = []  # NACKs
+        self.acks: list[tuple[str, Version]] = []  # ACKs: type URL and version
 
-    def take(self, request: Message) -> list[Message]:
+    def handle_request(self, request: Message) -> list[Message]:
         """The DiscoveryResponses that are due after a DiscoveryRequest."""
         type_url = request.type_url
         subscription = self.subscriptions.setdefault(type_url, Subscription())
@@ -95,13 +95,13 @@
         """Handles an ACK or a NACK of the newest response."""
         subscription.nonce = ""
         if not request.HasField("error_detail"):
-            self.applied.append((request.type_url, parse_version(request.version_info)))
+            self.acks.append((request.type_url, parse_version(request.version_info)))
             return
         version = request.response_nonce  # the nonce is the version
         text = request.error_detail.message[:MAX_ERROR_TEXT]
-        self.refusals.append(Refused(request.type_url, version, text))
+        self.nacks.append(Nack(request.type_url, version, text))
 
-    def changed(self, type_url: str) -> list[Message]:
+    def resources_changed(self, type_url: str) -> list[Message]:
         """The responses that are due after resources of a type may have changed."""
         subscription = self.subscriptions.get(type_url)
         if subscription is None:
@@ -124,7 +124,7 @@
         version = Version(self.epoch, self.serial)
         subscription.sent = SentResources(version, resources)
         subscription.nonce = str(version)
-        self.published(version, type_url)
+        self.on_response_sent(version, type_url)
         return discovery_pb2.DiscoveryResponse(
             version_info=str(version),
             type_url=type_url,
--- a/peatlead/grpc/handler.py
+++ b/peatlead/grpc/handler.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, Optional, Protocol
 
 from ..tables.version import Version
-from .discovery import Refused
+from .discovery import Nack
 from .load_aggregation import LoadAggregator
 from .proxy_node import ProxyNode
 
@@ -21,43 +21,45 @@
 class ProxyHandler(Protocol):
     """The controller's part: admission, tables, and load reports of proxies."""
 
-    gathered: LoadAggregator
+    load_aggregator: LoadAggregator
 
     def admit(self, node: ProxyNode, /) -> tuple[int, Optional[Rejection]]:
         """The epoch of an admitted proxy, or a Rejection."""
 
-    def hints(self, node: ProxyNode, /) -> Mapping[str, str]:
+    def failover_metadata(self, node: ProxyNode, /) -> Mapping[str, str]:
         """Metadata for an admitted proxy: where to connect when this controller ends."""
 
-    def joined(self, session: Session, /) -> None:
+    def on_join(self, session: Session, /) -> None:
         """A proxy has been admitted."""
 
-    def left(self, session: Session, /) -> None:
+    def on_leave(self, session: Session, /) -> None:
         """An admitted proxy's stream has ended."""
 
-    def refused(self, session: Session, refusal: Refused, /) -> None:
+    def on_nack(self, session: Session, refusal: Nack, /) -> None:
         """A proxy has sent a NACK."""
 
-    def applied(self, session: Session, type_url: str, version: Version, /) -> None:
+    def on_ack(self, session: Session, type_url: str, version: Version, /) -> None:
         """A proxy has sent an ACK."""
 
-    def published(self, session: Session, version: Version, parts: Collection[str], /) -> None:
+    def on_response_sent(
+        self, session: Session, version: Version, parts: Collection[str], /
+    ) -> None:
         """A version of these parts of a proxy's tables is sent to it."""
 
-    def lines_of(self, session: Session, request_class: int, /) -> Mapping[int, float]:
+    def endpoint_weights(self, session: Session, request_class: int, /) -> Mapping[int, float]:
         """The endpoints that a proxy is to hold now, and their weights."""
 
-    def place_of(self, endpoint: int, /) -> tuple[str, int, str]:
+    def address_of(self, endpoint: int, /) -> tuple[str, int, str]:
         """An endpoint's address, port and zone."""
 
-    def host_of(self, place: tuple[str, int], /) -> Optional[int]:
+    def endpoint_at(self, place: tuple[str, int], /) -> Optional[int]:
         """The endpoint at an address and port."""
 
-    def takes_report(self, session: Session, now: float, /) -> bool:
+    def accepts_report(self, session: Session, now: float, /) -> bool:
         """Whether a load report is processed, or shed."""
 
-    def reported(self, session: Session, started: float, /) -> None:
+    def on_report_processed(self, session: Session, started: float, /) -> None:
         """A load report has been processed since `started`."""
 
-    def report_every(self, session: Optional[Session], /) -> float:
+    def report_interval(self, session: Optional[Session], /) -> float:
         """Seconds between load reports of a proxy; None: of one that is not connected."""
--- a/peatlead/grpc/http2.py
+++ b/peatlead/grpc/http2.py
@@ -90,31 +90,31 @@
     def __init__(
         self,
         client: bool,
-        serve: Callable[[Call], object] = ignore_call,
-        ping_every: float = PING_INTERVAL,
-        ping_wait: float = PING_TIMEOUT,
+        on_call: Callable[[Call], object] = ignore_call,
+        ping_interval: float = PING_INTERVAL,
+        ping_timeout: float = PING_TIMEOUT,
     ) -> None:
         super().__init__(0.0, MAX_UNSENT)
-        self.talk = h2.connection.H2Connection(
+        self.h2_connection = h2.connection.H2Connection(
             h2.config.H2Configuration(
                 client_side=client, header_encoding="utf-8", validate_inbound_headers=True
             )
         )
         self.client = client
-        self.serve = serve
+        self.on_call = on_call
         self.calls: dict[int, Call] = {}  # by the number of their HTTP/2 stream
         self.control_frames = ControlFrameLimit()
-        self.ping_every = ping_every
-        self.ping_wait = ping_wait
+        self.ping_interval = ping_interval
+        self.ping_timeout = ping_timeout
         self.ping_timer: Optional[asyncio.TimerHandle] = None
-        self.pinged: Optional[float] = None  # when the unanswered ping was sent
+        self.ping_sent_at: Optional[float] = None  # when the unanswered ping was sent
         self.going_away = False
         self.last_received_at = 0.0  # when the peer's last bytes came
-        self.ended_all: Callable[[str], object] = ignore_end
+        self.on_end: Callable[[str], object] = ignore_end
         self.connection_count: Callable[[], int] = lambda: 0
 
     @property
-    def live(self) -> bool:
+    def is_open(self) -> bool:
         """Whether anything may still be sent.
 
         Between the closing of a connection and its end its calls still stand, and may be used.
@@ -125,7 +125,7 @@
 
     def opened(self) -> None:
         """Sends the settings."""
-        self.talk.local_settings = h2.settings.Settings(
+        self.h2_connection.local_settings = h2.settings.Settings(
             client=self.client,
             initial_values={
                 h2.settings.SettingCodes.MAX_CONCURRENT_STREAMS: MAX_CALLS,
@@ -133,10 +133,10 @@
                 h2.settings.SettingCodes.ENABLE_PUSH: 0,
             },
         )
-        self.talk.initiate_connection()
+        self.h2_connection.initiate_connection()
         self.flush()
-        if self.ping_every:
-            self.ping_timer = self.loop.call_later(self.ping_every, self.ping)
+        if self.ping_interval:
+            self.ping_timer = self.loop.call_later(self.ping_interval, self.ping)
 
     def ended(self, reason: str) -> None:
         """Ends all calls with the connection."""
@@ -144,7 +144,7 @@
             self.ping_timer.cancel()
         for call in list(self.calls.values()):
             call.end(StatusCode.UNAVAILABLE, reason)
-        self.ended_all(reason)
+        self.on_end(reason)
 
     def ping(self) -> None:
         """Pings a silent peer, and ends the connection where a ping was not answered.
@@ -152,19 +152,19 @@
         So a peer whose machine has failed is found. One that sends needs no pings: with 3,000
         proxies they were most of an idle controller's work.
         """
-        if not self.live:
+        if not self.is_open:
             return
         now = self.loop.time()
-        if self.pinged is not None and self.last_received_at < self.pinged:
+        if self.ping_sent_at is not None and self.last_received_at < self.ping_sent_at:
             self.abort("no answer to pings")
             return
-        self.pinged = None
-        interval = max(self.ping_every, self.connection_count() / MAX_PING_RATE)
+        self.ping_sent_at = None
+        interval = max(self.ping_interval, self.connection_count() / MAX_PING_RATE)
         wait = interval - (now - self.last_received_at)
         if wait < PING_SLACK:
-            wait = max(interval, self.ping_wait)
-            self.pinged = now
-            self.talk.ping(PING_DATA)
+            wait = max(interval, self.ping_timeout)
+            self.ping_sent_at = now
+            self.h2_connection.ping(PING_DATA)
             self.flush()
         self.ping_timer = self.loop.call_later(wait, self.ping)
 
@@ -172,12 +172,12 @@
         """Accepts no new calls; those in progress may end."""
         if not self.going_away and self.transport is not None:
             self.going_away = True
-            self.talk.close_connection(last_stream_id=max(self.calls, default=0))
+            self.h2_connection.close_connection(last_stream_id=max(self.calls, default=0))
             self.flush()
 
     def flush(self) -> None:
         """Sends what h2 has to send."""
-        data = self.talk.data_to_send()
+        data = self.h2_connection.data_to_send()
         if data:
             self.send(data)
 
@@ -187,7 +187,7 @@
         """Handles bytes of the peer."""
         self.last_received_at = self.loop.time()
         try:
-            for event in self.talk.receive_data(data):
+            for event in self.h2_connection.receive_data(data):
                 self._on_event(event)
         except (h2.exceptions.ProtocolError, UnicodeDecodeError, ValueError) as error:
             self.flush()  # h2's GOAWAY
@@ -205,7 +205,9 @@
     def _on_data(self, event: Any, call: Optional[Call]) -> None:
         # Messages are handled at once, so the window is given back at once.
         if event.flow_controlled_length:
-            self.talk.acknowledge_received_data(event.flow_controlled_length, event.stream_id)
+            self.h2_connection.acknowledge_received_data(
+                event.flow_controlled_length, event.stream_id
+            )
         if not event.data:
             self._count_control_frame()
         elif call is not None:
@@ -221,8 +223,8 @@
                 call.finish(error.status, str(error))
             return
         for message in messages:
-            if not call.over:
-                call.message(message)
+            if not call.is_closed:
+                call.on_message(message)
 
     def _on_request(self, event: Any, _: Optional[Call]) -> None:
         headers: Metadata = dict(event.headers)
@@ -231,7 +233,7 @@
         call.peer_metadata = headers
         is_grpc = headers.get("content-type", "").startswith(GRPC_CONTENT_TYPE)
         if headers.get(":method") != "POST" or not is_grpc:
-            self.talk.send_headers(event.stream_id, [(":status", "415")], end_stream=True)
+            self.h2_connection.send_headers(event.stream_id, [(":status", "415")], end_stream=True)
             call.end(StatusCode.UNIMPLEMENTED, "not gRPC")
             return
         timeout = parse_timeout(headers.get("grpc-timeout", ""))
@@ -239,12 +241,12 @@
             call.deadline = self.loop.call_later(
                 timeout, call.finish, StatusCode.DEADLINE_EXCEEDED, "its deadline has passed"
             )
-        self.serve(call)
+        self.on_call(call)
 
     def _on_response(self, event: Any, call: Optional[Call]) -> None:
         if call is not None:
             call.peer_metadata.update(event.headers)
-            call.headers(call.peer_metadata)
+            call.on_headers(call.peer_metadata)
 
     def _on_trailers(self, event: Any, call: Optional[Call]) -> None:
         if call is not None:
@@ -282,7 +284,7 @@
     def _count_control_frame(self) -> None:
         """Ends the connection of a peer that sends too many control frames."""
         if self.control_frames.add(self.loop.time()):
-            self.talk.close_connection(h2.errors.ErrorCodes.ENHANCE_YOUR_CALM)
+            self.h2_connection.close_connection(h2.errors.ErrorCodes.ENHANCE_YOUR_CALM)
             self.flush()
             self.abort("flood of control frames")
 
@@ -293,11 +295,11 @@
 
         Raises h2's ProtocolError beyond the peer's limit of calls.
         """
-        number = self.talk.get_next_available_stream_id()
-        call = Call(self, number, path)
-        self.calls[number] = call
-        self.talk.send_headers(
-            number,
+        stream_id = self.h2_connection.get_next_available_stream_id()
+        call = Call(self, stream_id, path)
+        self.calls[stream_id] = call
+        self.h2_connection.send_headers(
+            stream_id,
             [
                 (":method", "POST"),
                 (":scheme", "http"),
@@ -308,44 +310,44 @@
                 *headers,
             ],
         )
-        call.answered = True
+        call.headers_sent = True
         self.flush()
         return call
 
     def accept(self, call: Call, **metadata: str) -> None:
         """Sends the server's first headers and metadata, once."""
-        if call.answered or call.over or not self.live:
+        if call.headers_sent or call.is_closed or not self.is_open:
             return
-        call.answered = True
+        call.headers_sent = True
         headers = [(":status", "200"), ("content-type", GRPC_CONTENT_TYPE), *to_headers(metadata)]
-        self.talk.send_headers(call.number, headers)
+        self.h2_connection.send_headers(call.stream_id, headers)
 
     def pump(self, call: Call) -> None:
         """Sends as much of a call's backlog as the peer's window allows, then its trailers."""
-        if not self.live or call.over:
+        if not self.is_open or call.is_closed:
             return
         if not self.client:
             self.accept(call)
         had_backlog = bool(call.backlog)
         self._send_backlog(call)
         if not call.backlog and call.trailers is not None:
-            self.talk.send_headers(call.number, call.trailers, end_stream=True)
+            self.h2_connection.send_headers(call.stream_id, call.trailers, end_stream=True)
             self.flush()
             _, status = call.trailers[0]
             call.end(int(status), "finished")
             return
         self.flush()
         if had_backlog and not call.backlog:
-            call.writable()
+            call.on_writable()
 
     def _send_backlog(self, call: Call) -> None:
         while call.backlog:
-            window = self.talk.local_flow_control_window(call.number)
-            capacity = min(window, self.talk.max_outbound_frame_size)
+            window = self.h2_connection.local_flow_control_window(call.stream_id)
+            capacity = min(window, self.h2_connection.max_outbound_frame_size)
             if capacity <= 0:
                 return
-            chunk = call.next_chunk(capacity)
-            self.talk.send_data(call.number, chunk)
+            chunk = call.peek_chunk(capacity)
+            self.h2_connection.send_data(call.stream_id, chunk)
             self.control_frames.allow_window_updates()
             call.drop_chunk(len(chunk))
 
@@ -357,14 +359,14 @@
     def reset(self, call: Call, code: int) -> None:
         """Resets a call's HTTP/2 stream."""
         try:
-            self.talk.reset_stream(call.number, code)
+            self.h2_connection.reset_stream(call.stream_id, code)
             self.flush()
         except h2.exceptions.ProtocolError:
             pass  # the peer was first
 
     def forget(self, call: Call) -> None:
         """Drops a call that is over."""
-        self.calls.pop(call.number, None)
+        self.calls.pop(call.stream_id, None)
 
 
 EventHandler = Callable[[Connection, Any, Optional[Call]], None]
@@ -387,21 +389,21 @@
 
 async def dial(
     address: tuple[str, int],
-    local: Optional[str] = None,
-    deadline: float = 1.0,
-    ping_every: float = PING_INTERVAL,
-    ping_wait: float = PING_TIMEOUT,
+    local_host: Optional[str] = None,
+    timeout: float = 1.0,
+    ping_interval: float = PING_INTERVAL,
+    ping_timeout: float = PING_TIMEOUT,
 ) -> Connection:
     """Connects as a client, from the address `local` where given.
 
     Raises OSError or asyncio.TimeoutError.
     """
     _, connection = await with_timeout(
-        deadline,
+        timeout,
         asyncio.get_running_loop().create_connection(
-            lambda: Connection(True, ping_every=ping_every, ping_wait=ping_wait),
+            lambda: Connection(True, ping_interval=ping_interval, ping_timeout=ping_timeout),
             *address,
-            local_addr=(local, 0) if local else None,
+            local_addr=(local_host, 0) if local_host else None,
         ),
     )
     return connection
--- a/peatlead/grpc/incremental.py
+++ b/peatlead/grpc/incremental.py
@@ -22,11 +22,11 @@
 
 from ..tables.replica import BASE, DIGEST
 from ..tables.version import WHOLE_STATE, Digest, Stamp, Version, changes, parse_stamp
-from .discovery import MAX_ERROR_TEXT, MAX_SUBSCRIPTIONS, Refused
+from .discovery import MAX_ERROR_TEXT, MAX_SUBSCRIPTIONS, Nack
 from .resources import (
-    ENDPOINTS,
-    LINES,
-    ROUTES,
+    ASSIGNMENT_TYPE_URL,
+    LB_ENDPOINT_TYPE_URL,
+    ROUTE_TYPE_URL,
     decode_item,
     encode_item,
     parse_resource_name,
@@ -34,9 +34,9 @@
 )
 
 PART_BY_TYPE = {
-    LINES: "line",
-    ENDPOINTS: "level",
-    ROUTES: "retry",
+    LB_ENDPOINT_TYPE_URL: "line",
+    ASSIGNMENT_TYPE_URL: "level",
+    ROUTE_TYPE_URL: "retry",
 }  # type URL -> part of the tables
 MAX_FULL_RESYNCS = 3  # responses with the whole state, in a row, after rejections
 MISMATCHES = (BASE, DIGEST)  # error details of a proxy that holds something else than assumed
@@ -67,7 +67,7 @@
         "requested",
         "dirty",
         "rejected",
-        "wholes",
+        "full_resyncs",
         "names",
     )
 
@@ -79,7 +79,7 @@
         self.requested = False  # whether a first request has come
         self.dirty = False  # whether the items may have changed since the last response
         self.rejected: Optional[Items] = None  # by the last NACK
-        self.wholes = 0  # responses with the whole state, in a row
+        self.full_resyncs = 0  # responses with the whole state, in a row
         self.names: set[str] = set()  # subscribed; empty: all
 
     def start(self, request: Message) -> None:
@@ -108,7 +108,7 @@
         )
 
 
-class Incremental:
+class IncrementalDiscovery:
     """The stream of one proxy.
 
     `epoch`: the owner's for this proxy. `items(part)` gives the items as they stand, or None
@@ -121,22 +121,22 @@
         epoch: int,
         items: Callable[[str], Optional[Items]],
         identity: str,
-        published: Callable[[Version, tuple[str, ...]], None],
+        on_response_sent: Callable[[Version, tuple[str, ...]], None],
         zones: Sequence[str] = (),
     ) -> None:
         self.epoch = epoch
         self.items = items
         self.identity = identity  # of this controller, in each response
-        self.published = published
+        self.on_response_sent = on_response_sent
         self.zones = zones
         self.subscriptions: dict[str, Subscription] = {}  # by type URL
         self.serial = 0  # of the newest response
-        self.refusals: list[Refused] = []  # NACKs
-        self.applied: list[tuple[str, Version]] = []  # ACKs: type URL and version
-        self.sent = 0  # resources, removals among them
-        self.wholes = 0  # responses with the whole state after a rejection
+        self.nacks: list[Nack] = []  # NACKs
+        self.acks: list[tuple[str, Version]] = []  # ACKs: type URL and version
+        self.resources_sent = 0  # resources, removals among them
+        self.full_resyncs = 0  # responses with the whole state after a rejection
 
-    def take(self, request: Message) -> list[Message]:
+    def handle_request(self, request: Message) -> list[Message]:
         """The DeltaDiscoveryResponses that are due after a DeltaDiscoveryRequest."""
         type_url = request.type_url
         if type_url not in PART_BY_TYPE:
@@ -161,20 +161,20 @@
             return
         subscription.held = in_flight.items
         subscription.digest = in_flight.digest
-        subscription.wholes = 0
+        subscription.full_resyncs = 0
         subscription.rejected = None
-        self.applied.append((request.type_url, in_flight.version))
+        self.acks.append((request.type_url, in_flight.version))
 
     def _reject(self, subscription: Subscription, in_flight: InFlight, request: Message) -> None:
         text = request.error_detail.message[:MAX_ERROR_TEXT]
-        self.refusals.append(Refused(request.type_url, str(in_flight.version), text))
-        if text in MISMATCHES and subscription.wholes < MAX_FULL_RESYNCS:
+        self.nacks.append(Nack(request.type_url, str(in_flight.version), text))
+        if text in MISMATCHES and subscription.full_resyncs < MAX_FULL_RESYNCS:
             subscription.held = None
             subscription.dirty = True
         else:
             subscription.rejected = in_flight.items  # the same again would be rejected again
 
-    def changed(self, type_url: str) -> list[Message]:
+    def resources_changed(self, type_url: str) -> list[Message]:
         """The responses that are due after items of a type may have changed."""
         subscription = self.subscriptions.get(type_url)
         if subscription is None:
@@ -204,8 +204,8 @@
         return [self._respond(type_url, subscription, in_flight, str(subscription.digest), moved)]
 
     def _respond_whole(self, type_url: str, subscription: Subscription, wanted: Items) -> Message:
-        subscription.wholes += 1
-        self.wholes += 1
+        subscription.full_resyncs += 1
+        self.full_resyncs += 1
         in_flight = self._next_in_flight(wanted, Digest(wanted))
         return self._respond(type_url, subscription, in_flight, WHOLE_STATE, wanted)
 
@@ -225,8 +225,8 @@
         version = in_flight.version
         subscription.in_flight = in_flight
         subscription.nonce = str(version)
-        self.sent += len(moved)
-        self.published(version, (PART_BY_TYPE[type_url],))
+        self.resources_sent += len(moved)
+        self.on_response_sent(version, (PART_BY_TYPE[type_url],))
         response = discovery_pb2.DeltaDiscoveryResponse(
             type_url=type_url,
             nonce=subscription.nonce,
--- a/peatlead/grpc/load_aggregation.py
+++ b/peatlead/grpc/load_aggregation.py
@@ -51,9 +51,9 @@
         self.endpoints: dict[tuple[int, int], EndpointTotals] = {}  # by (endpoint, zone)
         self.requests: dict[int, dict[int, RequestTotals]] = {}  # by proxy, then request class
         self.started_at: Optional[float] = None  # when the first report came
-        self.wait = 0.0  # seconds
+        self.max_delay = 0.0  # seconds
 
-    def report(self, now: float) -> None:
+    def on_report(self, now: float) -> None:
         """Notes that a report has come, whose sums are added next."""
         if self.started_at is None:
             self.started_at = now
@@ -95,9 +95,9 @@
         totals.unanswered += unanswered
         totals.window += window
 
-    def due(self, now: float) -> list[interface.RequestStats | interface.EndpointStats]:
+    def take_due(self, now: float) -> list[interface.RequestStats | interface.EndpointStats]:
         """The sums as events once they are due, endpoints in the order of their indices."""
-        if self.started_at is None or now - self.started_at < self.wait:
+        if self.started_at is None or now - self.started_at < self.max_delay:
             return []
         events: list[interface.RequestStats | interface.EndpointStats] = [
             interface.RequestStats(
@@ -113,6 +113,6 @@
         self.started_at = None
         return events
 
-    def forget(self, proxy: int) -> None:
+    def forget_proxy(self, proxy: int) -> None:
         """Drops the sums of a proxy that has disconnected, which the planner no longer knows."""
         self.requests.pop(proxy, None)
--- a/peatlead/grpc/load_report_stream.py
+++ b/peatlead/grpc/load_report_stream.py
@@ -20,22 +20,22 @@
 class LoadReportStream:
     """Reads the reports of one proxy, and tells it how often to report."""
 
-    def __init__(self, front: GrpcServer, call: Call) -> None:
-        self.front = front
-        self.handler = front.handler
+    def __init__(self, server: GrpcServer, call: Call) -> None:
+        self.server = server
+        self.handler = server.handler
         self.call = call
         self.node: Optional[str] = None  # the proxy's id, until the first report
         self.interval: Optional[float] = None  # seconds, as last sent
-        call.message = self._on_message
+        call.on_message = self._on_message
 
     def _session(self) -> Optional[Session]:
-        return None if self.node is None else self.front.sessions.get(self.node)
+        return None if self.node is None else self.server.sessions.get(self.node)
 
     def _on_message(self, data: bytes) -> None:
         started = asyncio.get_running_loop().time()
         session = self._session()
         # Shed before it is parsed: parsing is most of what a report costs.
-        if session is not None and not self.handler.takes_report(session, started):
+        if session is not None and not self.handler.accepts_report(session, started):
             self._send_interval(session)
             return
         try:
@@ -52,20 +52,20 @@
         if session is None:  # the proxy of another controller
             self.call.finish(StatusCode.NOT_FOUND, "expected a proxy that has joined")
             return
-        self.handler.gathered.report(started)
+        self.handler.load_aggregator.on_report(started)
         read_report(
             request,
-            self.front.kinds,
-            self.handler.host_of,
+            self.server.class_indices,
+            self.handler.endpoint_at,
             session.number,
             session.zone,
-            self.handler.gathered,
+            self.handler.load_aggregator,
         )
-        self.handler.reported(session, started)
+        self.handler.on_report_processed(session, started)
 
     def _send_interval(self, session: Optional[Session]) -> None:
         """Sends a changed interval with the answer to a report, never to thousands at once."""
-        interval = self.handler.report_every(session)
+        interval = self.handler.report_interval(session)
         if self.interval == interval:
             return
         self.interval = interval
--- a/peatlead/grpc/proxy_node.py
+++ b/peatlead/grpc/proxy_node.py
@@ -7,7 +7,7 @@
 from typing import Any, NamedTuple
 
 from ..tables.version import WEIGHT_SCALE, parse_line_key, parse_version
-from .resources import LINES, WeightedEndpoint, parse_resource_name
+from .resources import LB_ENDPOINT_TYPE_URL, WeightedEndpoint, parse_resource_name
 
 MAX_HELD = 2000  # endpoints of a request class that a proxy may report
 MAX_NODE_ID = 200  # characters
@@ -31,7 +31,7 @@
     held: Held  # what it has from an earlier stream
     rate: float  # requests a second
     hops: int  # how often it was redirected
-    avoid: tuple[str, ...]  # controllers that it could not reach
+    unreachable_controllers: tuple[str, ...]  # controllers that it could not reach
 
 
 def read_node(request: Any) -> ProxyNode:
@@ -43,7 +43,7 @@
     epoch = _read_epoch(request, metadata)
     rate = _read_rate(metadata)
     held = _read_held_metadata(metadata)
-    if request.type_url == LINES:
+    if request.type_url == LB_ENDPOINT_TYPE_URL:
         _add_held_versions(request, held)
     hops = int(metadata["hops"].number_value) if "hops" in metadata else NO_REDIRECTS
     return ProxyNode(node.id, node.locality.zone, epoch, held, rate, hops, _read_avoided(metadata))
@@ -94,7 +94,7 @@
     """Adds what a proxy of the incremental variant holds: its resources' versions are weights."""
     for name, version in list(request.initial_resource_versions.items())[:MAX_HELD]:
         try:
-            key = parse_resource_name(LINES, name)
+            key = parse_resource_name(LB_ENDPOINT_TYPE_URL, name)
             request_class, zone, address, port = parse_line_key(key)
             line = WeightedEndpoint(address, port, zone, int(version) / WEIGHT_SCALE)
         except ValueError:
--- a/peatlead/grpc/resources.py
+++ b/peatlead/grpc/resources.py
@@ -20,11 +20,11 @@
 from .encoder import DROP_CATEGORY, WeightedAddress, assemble_assignment
 
 # Type URLs.
-ENDPOINTS = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
-ROUTES = "type.googleapis.com/envoy.config.route.v3.RouteConfiguration"
-LINES = "type.googleapis.com/envoy.config.endpoint.v3.LbEndpoint"
+ASSIGNMENT_TYPE_URL = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
+ROUTE_TYPE_URL = "type.googleapis.com/envoy.config.route.v3.RouteConfiguration"
+LB_ENDPOINT_TYPE_URL = "type.googleapis.com/envoy.config.endpoint.v3.LbEndpoint"
 
-ROUTES_NAME = "peatlead"  # of the only RouteConfiguration
+ROUTE_CONFIGURATION_NAME = "peatlead"  # of the only RouteConfiguration
 LB_ENDPOINT_NAMES = "xdstp://peatlead/envoy.config.endpoint.v3.LbEndpoint/"
 MAX_RESOURCE_NAME = 200  # characters
 MAX_PORT = 65535
@@ -132,8 +132,8 @@
 @lru_cache(ROUTE_CACHE_SIZE)
 def _encode_routes(retries: tuple[tuple[str, str], ...]) -> bytes:
     """Cached, as all proxies of a controller get the same."""
-    message = route_pb2.RouteConfiguration(name=ROUTES_NAME)
-    virtual_host = message.virtual_hosts.add(name=ROUTES_NAME, domains=["*"])
+    message = route_pb2.RouteConfiguration(name=ROUTE_CONFIGURATION_NAME)
+    virtual_host = message.virtual_hosts.add(name=ROUTE_CONFIGURATION_NAME, domains=["*"])
     for request_class, policy in retries:
         route = virtual_host.routes.add()
         route.match.path = "/" + request_class
@@ -178,7 +178,7 @@
 def parse_resource_name(type_url: str, name: str) -> str:
     """An item's key. Raises ValueError with what was expected."""
     shown = name[:MAX_RESOURCE_NAME]
-    if type_url == LINES:
+    if type_url == LB_ENDPOINT_TYPE_URL:
         if not name.startswith(LB_ENDPOINT_NAMES):
             raise ResourceError(
                 f"expected {LB_ENDPOINT_NAMES}KIND/ZONE/ADDRESS:PORT, got {shown!r}"
@@ -188,7 +188,7 @@
         return key
     if not name or len(name) > MAX_RESOURCE_NAME:
         raise ResourceError(f"expected the name of a request kind, got {shown!r}")
-    return ("level/" if type_url == ENDPOINTS else "retry/") + name
+    return ("level/" if type_url == ASSIGNMENT_TYPE_URL else "retry/") + name
 
 
 def encode_item(key: str, value: Any, zones: Iterable[str] = ()) -> bytes:
--- a/peatlead/grpc/server.py
+++ b/peatlead/grpc/server.py
@@ -12,9 +12,11 @@
 from .load_report_stream import LoadReportStream
 from .session import DeltaSession, Session
 
-DISCOVERY = "/envoy.service.discovery.v3.AggregatedDiscoveryService/StreamAggregatedResources"
-DELTA = "/envoy.service.discovery.v3.AggregatedDiscoveryService/DeltaAggregatedResources"
-LOADS = "/envoy.service.load_stats.v3.LoadReportingService/StreamLoadStats"
+DISCOVERY_PATH = "/envoy.service.discovery.v3.AggregatedDiscoveryService/StreamAggregatedResources"
+DELTA_DISCOVERY_PATH = (
+    "/envoy.service.discovery.v3.AggregatedDiscoveryService/DeltaAggregatedResources"
+)
+LOAD_REPORTING_PATH = "/envoy.service.load_stats.v3.LoadReportingService/StreamLoadStats"
 MAX_CONNECTIONS = 10_000  # beyond it the one idle for longest is cut
 LISTEN_BACKLOG = 1024
 
@@ -26,16 +28,16 @@
         self,
         handler: ProxyHandler,
         identity: str,
-        kinds: Sequence[str],
-        most: int = MAX_CONNECTIONS,
+        request_classes: Sequence[str],
+        max_connections: int = MAX_CONNECTIONS,
         zones: Sequence[str] = (),
     ) -> None:
         self.handler = handler
         self.identity = identity  # of this controller
         self.zones = zones
-        self.kinds = {name: index for index, name in enumerate(kinds)}
+        self.class_indices = {name: index for index, name in enumerate(request_classes)}
         self.sessions: dict[str, Session] = {}  # admitted proxies by name
-        self.connections = ConnectionSet(most)
+        self.connections = ConnectionSet(max_connections)
         self.server: Optional[asyncio.Server] = None
 
     async def open(self, address: tuple[str, int]) -> None:
@@ -45,20 +47,20 @@
 
     def _connect(self) -> Connection:
         connection = Connection(False, self._serve)
-        connection.ended_all = lambda reason: self.connections.remove(connection)
+        connection.on_end = lambda reason: self.connections.remove(connection)
         connection.connection_count = lambda: len(self.connections.streams)
         self.connections.add(connection)
         return connection
 
     def _serve(self, call: Call) -> None:
-        if call.path == DISCOVERY:
+        if call.path == DISCOVERY_PATH:
             Session(self, call)
-        elif call.path == DELTA:
+        elif call.path == DELTA_DISCOVERY_PATH:
             DeltaSession(self, call)
-        elif call.path == LOADS:
+        elif call.path == LOAD_REPORTING_PATH:
             LoadReportStream(self, call)
         else:
-            expected = f"expected {DISCOVERY}, {DELTA} or {LOADS}"
+            expected = f"expected {DISCOVERY_PATH}, {DELTA_DISCOVERY_PATH} or {LOAD_REPORTING_PATH}"
             call.finish(StatusCode.UNIMPLEMENTED, expected)
 
     def add(self, session: Session) -> None:
@@ -72,7 +74,7 @@
         if old is not None:
             old.call.finish(StatusCode.UNAVAILABLE, "replaced by a newer stream")
 
-    def drop(self, session: Session) -> bool:
+    def remove(self, session: Session) -> bool:
         """Removes a proxy; False where a newer stream of it has been added."""
         name = session.node.name
         if self.sessions.get(name) is not session:
--- a/peatlead/grpc/session.py
+++ b/peatlead/grpc/session.py
@@ -14,13 +14,13 @@
 from .call import Call
 from .discovery import Discovery, Resources
 from .framing import StatusCode
-from .incremental import Incremental, Items
+from .incremental import IncrementalDiscovery, Items
 from .proxy_node import ProxyNode, read_node
 from .resources import (
-    ENDPOINTS,
-    LINES,
-    ROUTES,
-    ROUTES_NAME,
+    ASSIGNMENT_TYPE_URL,
+    LB_ENDPOINT_TYPE_URL,
+    ROUTE_CONFIGURATION_NAME,
+    ROUTE_TYPE_URL,
     WeightedEndpoint,
     encode_assignment,
     encode_routes,
@@ -40,32 +40,37 @@
 
     REQUEST: ClassVar[Any] = discovery_pb2.DiscoveryRequest
     # Parts of the proxy's tables in each resource type.
-    TYPES: ClassVar[Mapping[str, set[str]]] = {ENDPOINTS: {"line", "level"}, ROUTES: {"retry"}}
+    TYPES: ClassVar[Mapping[str, set[str]]] = {
+        ASSIGNMENT_TYPE_URL: {"line", "level"},
+        ROUTE_TYPE_URL: {"retry"},
+    }
 
     epoch: int  # set once the proxy is admitted
 
-    def __init__(self, front: GrpcServer, call: Call) -> None:
-        self.front = front
-        self.handler = front.handler
+    def __init__(self, server: GrpcServer, call: Call) -> None:
+        self.server = server
+        self.handler = server.handler
         self.call = call
         self._node: Optional[ProxyNode] = None  # until the first request
-        self.discovery: Optional[Union[Discovery, Incremental]] = None  # while it is admitted
-        self.since = 0.0  # when it was admitted
+        self.discovery: Optional[Union[Discovery, IncrementalDiscovery]] = (
+            None  # while it is admitted
+        )
+        self.admitted_at = 0.0  # when it was admitted
         self.ready = False  # whether there is anything to send
-        self.stale: set[str] = set()  # resource types that have changed since they were sent
+        self.stale_types: set[str] = set()  # resource types that have changed since they were sent
         # Kept by the handler.
         self.number: Any = None
         self.state: Any = None
         self.zone = 0
-        self.levels: dict[str, float] = {}  # admitted fraction by request class
-        self.retries: dict[str, str] = {}  # retry policy by request class
+        self.admitted_fractions: dict[str, float] = {}  # admitted fraction by request class
+        self.retry_policies: dict[str, str] = {}  # retry policy by request class
         self.causes: dict[Any, None] = {}  # of what is sent next
         self.held: Version = NO_VERSION  # acknowledged
-        self.report_at: Optional[float] = None  # when its last load report was processed
-        self.reports = 0  # load reports that have come
-        call.message = self._on_message
-        call.ended = self._on_end
-        call.writable = self.push
+        self.last_report_at: Optional[float] = None  # when its last load report was processed
+        self.report_count = 0  # load reports that have come
+        call.on_message = self._on_message
+        call.on_end = self._on_end
+        call.on_writable = self.push
 
     @property
     def node(self) -> ProxyNode:
@@ -89,7 +94,7 @@
             self.call.finish(StatusCode.INVALID_ARGUMENT, str(error))
             return
         if self.discovery is not None:
-            self._send(self.discovery.take(request))
+            self._send(self.discovery.handle_request(request))
             self._report_acknowledgements(self.discovery)
 
     def _join(self, node: ProxyNode) -> None:
@@ -101,30 +106,30 @@
             return
         self.epoch = epoch
         self.discovery = self._make_discovery(epoch)
-        self.since = asyncio.get_running_loop().time()
-        self.call.connection.accept(self.call, **self.handler.hints(node))
+        self.admitted_at = asyncio.get_running_loop().time()
+        self.call.connection.accept(self.call, **self.handler.failover_metadata(node))
         self.call.connection.flush()
-        self.handler.joined(self)
+        self.handler.on_join(self)
 
-    def _make_discovery(self, epoch: int) -> Union[Discovery, Incremental]:
-        return Discovery(epoch, self._resources, self.front.identity, self._on_published)
+    def _make_discovery(self, epoch: int) -> Union[Discovery, IncrementalDiscovery]:
+        return Discovery(epoch, self._resources, self.server.identity, self._on_published)
 
     def _on_published(self, version: Version, type_url: str) -> None:
-        self.handler.published(self, version, sorted(self.TYPES[type_url]))
+        self.handler.on_response_sent(self, version, sorted(self.TYPES[type_url]))
 
-    def _report_acknowledgements(self, discovery: Union[Discovery, Incremental]) -> None:
+    def _report_acknowledgements(self, discovery: Union[Discovery, IncrementalDiscovery]) -> None:
         """Hands ACKs and NACKs to the handler."""
-        for refusal in discovery.refusals:
-            self.handler.refused(self, refusal)
-        for type_url, version in discovery.applied:
-            self.handler.applied(self, type_url, version)
-        discovery.refusals = []
-        discovery.applied = []
+        for refusal in discovery.nacks:
+            self.handler.on_nack(self, refusal)
+        for type_url, version in discovery.acks:
+            self.handler.on_ack(self, type_url, version)
+        discovery.nacks = []
+        discovery.acks = []
 
     def _on_end(self, status: int, text: str) -> None:
         if self.discovery is not None:
             self.discovery = None
-            self.handler.left(self)
+            self.handler.on_leave(self)
 
     # What the proxy is to hold.
 
@@ -135,27 +140,29 @@
         """
         if not self.ready:
             return None
-        if type_url == ENDPOINTS:
+        if type_url == ASSIGNMENT_TYPE_URL:
             return {
                 name: encode_assignment(
-                    name, self._lines(name), self.levels.get(name, FULL_ADMISSION)
+                    name, self._lines(name), self.admitted_fractions.get(name, FULL_ADMISSION)
                 )
-                for name in self.front.kinds
+                for name in self.server.class_indices
                 if name in names or not names
             }
-        if type_url == ROUTES:
+        if type_url == ROUTE_TYPE_URL:
             return {
-                ROUTES_NAME: encode_routes({name: self._retry(name) for name in self.front.kinds})
+                ROUTE_CONFIGURATION_NAME: encode_routes(
+                    {name: self._retry(name) for name in self.server.class_indices}
+                )
             }
         return {}
 
     def _retry(self, request_class: str) -> str:
-        return self.retries.get(request_class, RetryPolicy.UNSTARTED.value)
+        return self.retry_policies.get(request_class, RetryPolicy.UNSTARTED.value)
 
     def _lines(self, request_class: str) -> list[WeightedEndpoint]:
-        weights = self.handler.lines_of(self, self.front.kinds[request_class])
+        weights = self.handler.endpoint_weights(self, self.server.class_indices[request_class])
         return [
-            WeightedEndpoint(*self.handler.place_of(endpoint), weight)
+            WeightedEndpoint(*self.handler.address_of(endpoint), weight)
             for endpoint, weight in weights.items()
         ]
 
@@ -163,7 +170,7 @@
         """The items of a part of the tables as they stand; None while there is nothing to send."""
         if not self.ready:
             return None
-        kinds = self.front.kinds
+        kinds = self.server.class_indices
         if part == "line":
             return {
                 line_key(kind, line.zone, line.address, line.port): quantize_weight(line.weight)
@@ -172,34 +179,36 @@
             }
         if part == "level":
             return {
-                f"level/{kind}": round(self.levels.get(kind, FULL_ADMISSION) * MILLION)
+                f"level/{kind}": round(self.admitted_fractions.get(kind, FULL_ADMISSION) * MILLION)
                 for kind in kinds
             }
         return {f"retry/{kind}": self._retry(kind) for kind in kinds}
 
     # Sending.
 
-    def changed(self, parts: Iterable[str] = PARTS) -> None:
+    def on_tables_changed(self, parts: Iterable[str] = PARTS) -> None:
         """Sends these parts of the tables, which have changed; to a slow reader only the newest."""
         if not self.ready:
             self.ready = True
             parts = PARTS
         changed = set(parts)
-        self.stale.update(type_url for type_url, covers in self.TYPES.items() if covers & changed)
+        self.stale_types.update(
+            type_url for type_url, covers in self.TYPES.items() if covers & changed
+        )
         self.push()
 
     def push(self) -> None:
         """Sends what has changed, as long as nothing waits for the proxy."""
         for type_url in self.TYPES:
-            if type_url in self.stale and self.call.idle and self.discovery is not None:
-                self.stale.discard(type_url)
-                self._send(self.discovery.changed(type_url))
+            if type_url in self.stale_types and self.call.idle and self.discovery is not None:
+                self.stale_types.discard(type_url)
+                self._send(self.discovery.resources_changed(type_url))
 
     def _send(self, responses: Iterable[Any]) -> None:
         for response in responses:
             self.call.send(response.SerializeToString(deterministic=True))
 
-    def move(self, text: str, **metadata: str) -> None:
+    def redirect(self, text: str, **metadata: str) -> None:
         """Redirects the proxy to another controller; it keeps what it holds."""
         self.call.finish(StatusCode.UNAVAILABLE, text, **metadata)
 
@@ -208,12 +217,16 @@
     """The stream of one proxy, incremental variant: endpoints as resources of their own."""
 
     REQUEST = discovery_pb2.DeltaDiscoveryRequest
-    TYPES = {LINES: {"line"}, ENDPOINTS: {"level"}, ROUTES: {"retry"}}
-
-    def _make_discovery(self, epoch: int) -> Union[Discovery, Incremental]:
-        return Incremental(
-            epoch, self.items, self.front.identity, self._on_parts_published, self.front.zones
+    TYPES = {
+        LB_ENDPOINT_TYPE_URL: {"line"},
+        ASSIGNMENT_TYPE_URL: {"level"},
+        ROUTE_TYPE_URL: {"retry"},
+    }
+
+    def _make_discovery(self, epoch: int) -> Union[Discovery, IncrementalDiscovery]:
+        return IncrementalDiscovery(
+            epoch, self.items, self.server.identity, self._on_parts_published, self.server.zones
         )
 
     def _on_parts_published(self, version: Version, parts: tuple[str, ...]) -> None:
-        self.handler.published(self, version, parts)
+        self.handler.on_response_sent(self, version, parts)
--- a/peatlead/lab/members.py
+++ b/peatlead/lab/members.py
@@ -71,10 +71,10 @@
 
     def states(self, of):
         return {
-            name: one.members[of].about.state
+            name: one.members[of].info.state
             for name, one in self.nodes.items()
             if name not in self.dead and of in one.members
         }
 
     def agreed(self, live):
-        return all(set(self.nodes[name].live()) == set(live) for name in live)
+        return all(set(self.nodes[name].live_members()) == set(live) for name in live)
--- a/peatlead/standin/xds_proxies.py
+++ b/peatlead/standin/xds_proxies.py
@@ -21,15 +21,15 @@
 from ..grpc.http2 import Connection, dial
 from ..grpc.incremental import PART_BY_TYPE, decode_delta
 from ..grpc.resources import (
-    ENDPOINTS,
-    ROUTES,
-    ROUTES_NAME,
+    ASSIGNMENT_TYPE_URL,
+    ROUTE_CONFIGURATION_NAME,
+    ROUTE_TYPE_URL,
     WeightedEndpoint,
     decode_assignment,
     decode_routes,
     resource_name,
 )
-from ..grpc.server import DELTA, DISCOVERY, LOADS
+from ..grpc.server import DELTA_DISCOVERY_PATH, DISCOVERY_PATH, LOAD_REPORTING_PATH
 from ..invariants.record import Recorder
 from ..tables.replica import APPLIED, OLD, Replica
 from ..tables.version import MILLION, WEIGHT_SCALE, Version, parse_line_key, parse_version
@@ -183,7 +183,7 @@
         """Follow a controller's stream to its end."""
         controller = address[0]
         try:
-            connection = await dial(address, self.plan.local, JOIN_TIMEOUT, ping_every=0.0)
+            connection = await dial(address, self.plan.local, JOIN_TIMEOUT, ping_interval=0.0)
         except (OSError, TimeoutError):
             return FAILED_JOIN
         responded: asyncio.Future[dict[str, str]] = self.loop.create_future()
@@ -220,11 +220,13 @@
         ended: asyncio.Future[dict[str, str]],
     ) -> Call:
         """Start a discovery stream; the futures are done at its first response and its end."""
-        call = connection.call(DELTA if self.plan.incremental else DISCOVERY, AUTHORITY)
-        call.headers = lambda metadata: set_once(responded, dict(metadata))
-        call.ended = lambda *_: set_once(ended, dict(call.peer_metadata))
+        call = connection.call(
+            DELTA_DISCOVERY_PATH if self.plan.incremental else DISCOVERY_PATH, AUTHORITY
+        )
+        call.on_headers = lambda metadata: set_once(responded, dict(metadata))
+        call.on_end = lambda *_: set_once(ended, dict(call.peer_metadata))
         receive = self.take_delta if self.plan.incremental else self.take
-        call.message = lambda data: receive(call, controller, data)
+        call.on_message = lambda data: receive(call, controller, data)
         self.current = call
         return call
 
@@ -246,7 +248,7 @@
         """Wait until the stream ends or the controller does not answer pings."""
         while not ended.done() and not self.stopped:
             pinged_at = self.loop.time()
-            connection.talk.ping(PING_DATA)
+            connection.h2_connection.ping(PING_DATA)
             connection.flush()
             await asyncio.wait([ended], timeout=PING_INTERVAL)
             if not ended.done() and connection.last_received_at < pinged_at:
@@ -276,7 +278,7 @@
             self._send_first_deltas(call, hops)
             return
         request = discovery_pb2.DiscoveryRequest(
-            type_url=ENDPOINTS, resource_names=self._class_names()
+            type_url=ASSIGNMENT_TYPE_URL, resource_names=self._class_names()
         )
         self._describe_node(request, hops)
         held = {
@@ -285,7 +287,9 @@
         }
         request.node.metadata.update({"held": held})
         call.send(request.SerializeToString(deterministic=True))
-        routes = discovery_pb2.DiscoveryRequest(type_url=ROUTES, resource_names=[ROUTES_NAME])
+        routes = discovery_pb2.DiscoveryRequest(
+            type_url=ROUTE_TYPE_URL, resource_names=[ROUTE_CONFIGURATION_NAME]
+        )
         call.send(routes.SerializeToString())
 
     def _send_first_deltas(self, call: Call, hops: int) -> None:
@@ -324,16 +328,16 @@
         if not self.fence.allows(*version) or call is not self.current:
             self._record_assignment(controller, version, AssignmentOutcome.OLD)
             return
-        is_routes = response.type_url == ROUTES
+        is_routes = response.type_url == ROUTE_TYPE_URL
         answer = discovery_pb2.DiscoveryRequest(
             type_url=response.type_url,
             response_nonce=response.nonce,
             version_info=response.version_info,
-            resource_names=[ROUTES_NAME] if is_routes else self._class_names(),
+            resource_names=[ROUTE_CONFIGURATION_NAME] if is_routes else self._class_names(),
         )
         try:
             self._apply(response)
-            self.fence = self.fence.past(*version)
+            self.fence = self.fence.advanced_to(*version)
             outcome = AssignmentOutcome.APPLIED
         except ValueError as problem:
             answer.error_detail.code = INVALID_ARGUMENT
@@ -344,7 +348,7 @@
 
     def _apply(self, response: Any) -> None:
         """Apply all of a response, or nothing of it; raises ValueError."""
-        if response.type_url == ROUTES:
+        if response.type_url == ROUTE_TYPE_URL:
             for resource in response.resources:
                 self.tables.retries = decode_routes(resource.value)
             return
@@ -384,7 +388,7 @@
 
     def _show_applied(self, controller: str, version: Version, part: str) -> None:
         """Send by the new state from now on, and record it."""
-        self.fence = self.fence.past(*version)
+        self.fence = self.fence.advanced_to(*version)
         self._rebuild_tables()
         self._record_assignment(controller, version, AssignmentOutcome.APPLIED)
         # An admission that comes first says nothing of the entries brought along.
@@ -430,7 +434,7 @@
     async def _report(self, connection: Connection) -> None:
         """Report loads at the interval that the controller asks for."""
         try:
-            call = connection.call(LOADS, AUTHORITY)
+            call = connection.call(LOAD_REPORTING_PATH, AUTHORITY)
         except ProtocolError:  # the connection is going away already
             return
         asked: asyncio.Future[None] = self.loop.create_future()
@@ -442,13 +446,16 @@
             interval = response.load_reporting_interval.ToMilliseconds() / 1000
             set_once(asked, None)
 
-        call.message = receive
+        call.on_message = receive
         first = lrs_pb2.LoadStatsRequest()
         first.node.id = self.plan.name
         call.send(first.SerializeToString())
         await asyncio.wait([asked], timeout=JOIN_TIMEOUT)
         while (
-            asked.done() and not call.over and not self.stopped and connection.transport is not None
+            asked.done()
+            and not call.is_closed
+            and not self.stopped
+            and connection.transport is not None
         ):
             await asyncio.sleep(interval)
             report = self.requests.stats.take_report(self.loop.time())
--- a/tests/controller/test_many_proxies.py
+++ b/tests/controller/test_many_proxies.py
@@ -26,8 +26,8 @@
 from peatlead.grpc.call import MAX_BACKLOG
 from peatlead.grpc.framing import frame
 from peatlead.grpc.http2 import MAX_HEADER_LIST, Connection
-from peatlead.grpc.resources import ENDPOINTS
-from peatlead.grpc.server import DISCOVERY, LOADS
+from peatlead.grpc.resources import ASSIGNMENT_TYPE_URL
+from peatlead.grpc.server import DISCOVERY_PATH, LOAD_REPORTING_PATH
 from peatlead.net.in_memory_transport import InMemoryTransport
 
 from ..standin_fleet import GRPC_SCRIPT, run_with_standins, until
@@ -43,7 +43,7 @@
 HEADERS = [
     (":method", "POST"),
     (":scheme", "http"),
-    (":path", DISCOVERY),
+    (":path", DISCOVERY_PATH),
     (":authority", "x"),
     ("content-type", "application/grpc"),
 ]
@@ -56,7 +56,7 @@
         """A server's connection and the transport that it writes to."""
         self.calls = []
         transport = InMemoryTransport()
-        connection = Connection(False, self.calls.append, ping_every=0.0)
+        connection = Connection(False, self.calls.append, ping_interval=0.0)
         connection.connection_made(transport)
         return connection, transport
 
@@ -156,8 +156,8 @@
         sent = 0
         while call.send(b"x" * 100_000):
             sent += 1
-            self.assertLessEqual(call.waiting, MAX_BACKLOG)
-        self.assertTrue(call.over and sent <= MAX_BACKLOG // 100_000)
+            self.assertLessEqual(call.backlog_size, MAX_BACKLOG)
+        self.assertTrue(call.is_closed and sent <= MAX_BACKLOG // 100_000)
         self.assertLess(len(transport.out), 1000)
 
     async def test_output_to_a_closing_connection_is_dropped_without_error(self):
@@ -167,20 +167,21 @@
         self.feed(connection, client.data_to_send())
         (call,) = self.calls
         self.feed(connection, GoAwayFrame(0).serialize())
-        self.assertTrue(transport.closed and not call.over)
+        self.assertTrue(transport.closed and not call.is_closed)
         call.send(b"an order")
         call.finish(14, "moved")
         connection.ping()
         connection.accept(call)
         connection.connection_lost(None)
-        self.assertEqual((connection.calls, call.over), ({}, True))
+        self.assertEqual((connection.calls, call.is_closed), ({}, True))
 
     async def test_random_changes_of_the_bytes_raise_nothing(self):
         rng = random.Random(8)
         client = client_connection()
         client.send_headers(1, HEADERS)
         client.send_data(
-            1, frame(discovery_pb2.DiscoveryRequest(type_url=ENDPOINTS).SerializeToString())
+            1,
+            frame(discovery_pb2.DiscoveryRequest(type_url=ASSIGNMENT_TYPE_URL).SerializeToString()),
         )
         whole = client.data_to_send()
         for _ in range(400):
@@ -222,7 +223,7 @@
             drained = {plan.address for plan in world.plans if plan.zone == "south"}
             await until(lambda: all(agent.seen and not drained & agent.hosts for agent in reading))
             self.assertTrue(all(agent.hosts for agent in reading))
-            loads = reading[0].connection.call(LOADS, "peatlead")
+            loads = reading[0].connection.call(LOAD_REPORTING_PATH, "peatlead")
             request = self.report(reading[0])
             loads.send(request)
             for _ in range(300):
@@ -241,7 +242,7 @@
                 for one in controller.proxies.front.connections.streams
                 for call in one.calls.values()
             ]
-            self.assertTrue(calls and all(call.waiting < 10_000 for call in calls))
+            self.assertTrue(calls and all(call.backlog_size < 10_000 for call in calls))
             self.assertEqual(len(controller.proxies.front.sessions), 36)
             for agent in slow:
                 agent.connection.transport.resume_reading()
--- a/tests/fleet/test_authentication.py
+++ b/tests/fleet/test_authentication.py
@@ -15,13 +15,13 @@
         alice, bob = Authenticator([KEY], "a", b"1" * 8), Authenticator([KEY], "b", b"2" * 8)
         for sender, receiver, name in ((alice, bob, "b"), (bob, alice, "a")):
             with self.assertRaises(UnprovenSenderError) as caught:
-                receiver.open(sender.close(b"hello", name))
-            sender.learn(name, caught.exception.proof)
+                receiver.open(sender.seal(b"hello", name))
+            sender.store_proof(name, caught.exception.proof)
         return alice, bob
 
     def test_a_proven_sender_is_accepted_and_each_message_once(self):
         alice, bob = self.pair()
-        first, second = alice.close(b"x", "b"), alice.close(b"y", "b")
+        first, second = alice.seal(b"x", "b"), alice.seal(b"y", "b")
         self.assertEqual(bob.open(second), ("a", b"y"))
         self.assertEqual(bob.open(first), ("a", b"x"))  # late, but its first time
         for again in (first, second):
@@ -30,14 +30,14 @@
 
     def test_forged_changed_and_foreign_messages_are_refused(self):
         alice, bob = self.pair()
-        good = alice.close(b"x", "b")
+        good = alice.seal(b"x", "b")
         for at in range(len(good)):
             with self.assertRaises(AuthenticationError):
                 bob.open(good[:at] + bytes([good[at] ^ 1]) + good[at + 1 :])
             with self.assertRaises(AuthenticationError):
                 bob.open(good[:at])
         with self.assertRaisesRegex(AuthenticationError, "another fleet's"):
-            bob.open(Authenticator([OTHER], "a", b"1" * 8).close(b"x"))
+            bob.open(Authenticator([OTHER], "a", b"1" * 8).seal(b"x"))
         with self.assertRaisesRegex(AuthenticationError, "expected version 1, got 7"):
             bob.open(b"\x07" + good[1:])
         with self.assertRaisesRegex(AuthenticationError, "our own"):
@@ -45,47 +45,47 @@
 
     def test_recordings_of_an_earlier_boot_cannot_be_replayed(self):
         alice, bob = self.pair()
-        recorded = [alice.close(b"old%d" % at, "b") for at in range(5)]
+        recorded = [alice.seal(b"old%d" % at, "b") for at in range(5)]
         restarted = Authenticator([KEY], "a", b"3" * 8)
         with self.assertRaises(UnprovenSenderError) as caught:
-            bob.open(restarted.close(b"hi", "b"))
-        restarted.learn("b", caught.exception.proof)
-        self.assertEqual(bob.open(restarted.close(b"hi", "b")), ("a", b"hi"))
+            bob.open(restarted.seal(b"hi", "b"))
+        restarted.store_proof("b", caught.exception.proof)
+        self.assertEqual(bob.open(restarted.seal(b"hi", "b")), ("a", b"hi"))
         for old in recorded * 2:  # the boot was proven, but none of its messages had arrived
             with self.assertRaises(AuthenticationError):
                 bob.open(old)
-        self.assertEqual(bob.open(restarted.close(b"ho", "b")), ("a", b"ho"))
+        self.assertEqual(bob.open(restarted.seal(b"ho", "b")), ("a", b"ho"))
 
     def test_a_boot_that_was_accepted_and_replaced_stays_refused(self):
         alice, bob = self.pair()
-        bob.open(alice.close(b"x", "b"))
-        recorded, restarted = alice.close(b"y", "b"), Authenticator([KEY], "a", b"3" * 8)
+        bob.open(alice.seal(b"x", "b"))
+        recorded, restarted = alice.seal(b"y", "b"), Authenticator([KEY], "a", b"3" * 8)
         with self.assertRaises(UnprovenSenderError) as caught:
-            bob.open(restarted.close(b"hi", "b"))
-        restarted.learn("b", caught.exception.proof)
-        bob.open(restarted.close(b"hi", "b"))
+            bob.open(restarted.seal(b"hi", "b"))
+        restarted.store_proof("b", caught.exception.proof)
+        bob.open(restarted.seal(b"hi", "b"))
         with self.assertRaisesRegex(AuthenticationError, "replaced"):
             bob.open(recorded)
 
     def test_a_restarted_receiver_accepts_no_recording(self):
         alice, bob = self.pair()
-        recorded = alice.close(b"x", "b")
+        recorded = alice.seal(b"x", "b")
         with self.assertRaises(UnprovenSenderError):
             Authenticator([KEY], "b", b"9" * 8).open(recorded)
 
     def test_keys_are_rotated_in_service(self):
         alice, bob = self.pair()
         bob.keys = [OTHER, KEY]
-        self.assertEqual(bob.open(alice.close(b"x", "b"))[1], b"x")
+        self.assertEqual(bob.open(alice.seal(b"x", "b"))[1], b"x")
         alice.keys = [OTHER, KEY]
-        self.assertEqual(bob.open(alice.close(b"y", "b"))[1], b"y")
+        self.assertEqual(bob.open(alice.seal(b"y", "b"))[1], b"y")
         bob.keys = [OTHER]
-        self.assertEqual(bob.open(alice.close(b"z", "b"))[1], b"z")
+        self.assertEqual(bob.open(alice.seal(b"z", "b"))[1], b"z")
 
     @given(st.lists(st.integers(1, 200), max_size=120))
     def test_no_counter_is_accepted_twice_in_any_order(self, order):
         alice, bob = self.pair()
-        messages, accepted = [alice.close(b"%d" % at, "b") for at in range(201)], []
+        messages, accepted = [alice.seal(b"%d" % at, "b") for at in range(201)], []
         for at in order:
             try:
                 accepted.append(bob.open(messages[at])[1])
--- a/tests/fleet/test_gossip.py
+++ b/tests/fleet/test_gossip.py
@@ -39,7 +39,7 @@
                 )
                 await nodes[-1].open()
             try:
-                await until(lambda: all(len(one.members.live()) == 2 for one in nodes))
+                await until(lambda: all(len(one.membership.live_members()) == 2 for one in nodes))
                 nodes[0].broadcast_advice(b"host-0 3.0 2.0 0.1")
                 await until(lambda: received)
                 self.assertEqual(received[0], (0, b"host-0 3.0 2.0 0.1"))
--- a/tests/fleet/test_membership.py
+++ b/tests/fleet/test_membership.py
@@ -70,7 +70,7 @@
         self.assertEqual(set(net.states("n2").values()) - {"alive"}, {"dead"})
         net.frozen.clear()
         net.run(0.2)
-        self.assertEqual(set(net.nodes["n2"].live()), set(net.nodes))
+        self.assertEqual(set(net.nodes["n2"].live_members()), set(net.nodes))
         net.run(5.0)
         self.assertTrue(net.agreed(sorted(net.nodes)))
 
@@ -104,7 +104,7 @@
         net.run(4.0)
         net.step("n0", [LocalStatus(17, True)])
         net.run(3.0)
-        about = net.nodes["n2"].live()["n0"]
+        about = net.nodes["n2"].live_members()["n0"]
         self.assertEqual((about.load, about.draining), (17, True))
 
     @given(
@@ -128,9 +128,9 @@
                     continue
                 for other, one in net.nodes[name].members.items():
                     key = name, id(net.nodes[name]), other
-                    if one.since <= net.now:
-                        self.assertGreaterEqual(one.about.incarnation, seen.get(key, 0))
-                        seen[key] = one.about.incarnation
+                    if one.state_since <= net.now:
+                        self.assertGreaterEqual(one.info.incarnation, seen.get(key, 0))
+                        seen[key] = one.info.incarnation
 
         net.run(3.0, watch)
         for verb, a, b, wait in faults:
--- a/tests/grpc/test_discovery.py
+++ b/tests/grpc/test_discovery.py
@@ -5,13 +5,15 @@
 from envoy.service.discovery.v3 import discovery_pb2
 
 from peatlead.grpc.discovery import Discovery
-from peatlead.grpc.resources import ENDPOINTS
+from peatlead.grpc.resources import ASSIGNMENT_TYPE_URL
 from peatlead.tables.version import NO_VERSION, Version, parse_version
 
 
 class DiscoveryTest(unittest.TestCase):
     def request(self, **more):
-        request = discovery_pb2.DiscoveryRequest(type_url=ENDPOINTS, resource_names=["look"])
+        request = discovery_pb2.DiscoveryRequest(
+            type_url=ASSIGNMENT_TYPE_URL, resource_names=["look"]
+        )
         for name, value in more.items():
             if name == "error":
                 request.error_detail.message = value
@@ -22,27 +24,27 @@
     def test_one_response_is_in_flight_and_the_newest_follows(self):
         state = {"look": b"1"}
         stream = Discovery(7, lambda _, names: dict(state), "ns1")
-        (first,) = stream.take(self.request())
+        (first,) = stream.handle_request(self.request())
         self.assertEqual((first.version_info, first.nonce), ("7.1", "7.1"))
         for value in (b"2", b"3"):
             state["look"] = value
-            self.assertEqual(stream.changed(ENDPOINTS), [])
-        (second,) = stream.take(self.request(response_nonce="7.1", version_info="7.1"))
+            self.assertEqual(stream.resources_changed(ASSIGNMENT_TYPE_URL), [])
+        (second,) = stream.handle_request(self.request(response_nonce="7.1", version_info="7.1"))
         self.assertEqual(second.resources[0].value, b"3")
-        self.assertEqual(stream.applied, [(ENDPOINTS, Version(7, 1))])
+        self.assertEqual(stream.acks, [(ASSIGNMENT_TYPE_URL, Version(7, 1))])
         self.assertEqual(
-            stream.take(self.request(response_nonce="7.1", version_info="7.1")), []
+            stream.handle_request(self.request(response_nonce="7.1", version_info="7.1")), []
         )  # late, overtaken
 
     def test_a_nack_is_reported_and_the_same_is_not_sent_again(self):
         state = {"look": b"1"}
         stream = Discovery(1, lambda _, names: dict(state), "ns1")
-        stream.take(self.request())
-        self.assertEqual(stream.take(self.request(response_nonce="1.1", error="no")), [])
-        self.assertEqual([r.text for r in stream.refusals], ["no"])
-        self.assertEqual(stream.changed(ENDPOINTS), [])
+        stream.handle_request(self.request())
+        self.assertEqual(stream.handle_request(self.request(response_nonce="1.1", error="no")), [])
+        self.assertEqual([r.text for r in stream.nacks], ["no"])
+        self.assertEqual(stream.resources_changed(ASSIGNMENT_TYPE_URL), [])
         state["look"] = b"2"
-        self.assertEqual(len(stream.changed(ENDPOINTS)), 1)
+        self.assertEqual(len(stream.resources_changed(ASSIGNMENT_TYPE_URL)), 1)
 
     def test_foreign_versions_are_read_as_none(self):
         self.assertEqual(
--- a/tests/grpc/test_failover.py
+++ b/tests/grpc/test_failover.py
@@ -12,7 +12,8 @@
         controllers = {name: await world.start_controller(name) for name in ("ns1", "ns2", "ns3")}
         await until(
             lambda: all(
-                len(controller.fleet.members.live()) == 3 for controller in controllers.values()
+                len(controller.fleet.membership.live_members()) == 3
+                for controller in controllers.values()
             )
         )
         return controllers
@@ -57,7 +58,8 @@
                 controller.fleet.send = lambda address, body: None
             await until(
                 lambda: all(
-                    len(controller.fleet.members.live()) == 1 for controller in controllers.values()
+                    len(controller.fleet.membership.live_members()) == 1
+                    for controller in controllers.values()
                 )
             )
             world.phases["h1"] = "draining"
@@ -73,7 +75,8 @@
                 controller.fleet.send = real[name]
             await until(
                 lambda: all(
-                    len(controller.fleet.members.live()) == 3 for controller in controllers.values()
+                    len(controller.fleet.membership.live_members()) == 3
+                    for controller in controllers.values()
                 )
             )
             await until(
@@ -140,7 +143,7 @@
             session.ready = True
             for kind in session.discovery.subscriptions.values():
                 kind.nonce = ""
-            session.changed()
+            session.on_tables_changed()
             await until(lambda: any(row[6] == "old" for row in proxy.record.rows_of("order")))
             self.assertEqual(proxy.lines, held)
             await proxy.finish()
@@ -158,6 +161,6 @@
                 transport.sendto(data, ("127.1.0.1", world.port + 1))
             await until(lambda: controllers["ns1"].fleet.counts["refused"] >= 4)
             transport.close()
-            return len(controllers["ns1"].fleet.members.live())
+            return len(controllers["ns1"].fleet.membership.live_members())
 
         self.assertEqual(run_fleet(case), 3)
--- a/tests/grpc/test_http2.py
+++ b/tests/grpc/test_http2.py
@@ -12,8 +12,8 @@
 
 from peatlead.grpc.framing import frame
 from peatlead.grpc.http2 import Connection, dial
-from peatlead.grpc.resources import ENDPOINTS
-from peatlead.grpc.server import DISCOVERY
+from peatlead.grpc.resources import ASSIGNMENT_TYPE_URL
+from peatlead.grpc.server import DISCOVERY_PATH
 from peatlead.net.streams import Stream
 
 from ..standin_fleet import run_with_standins, until
@@ -25,7 +25,7 @@
         loop, made = asyncio.get_running_loop(), []
 
         def connect():
-            made.append(Connection(False, serve, ping_every=0.0))
+            made.append(Connection(False, serve, ping_interval=0.0))
             return made[-1]
 
         server = await loop.create_server(connect, "127.1.0.1", 0)
@@ -36,31 +36,33 @@
         async def case(world):
             calls, big = [], bytes(100_000)
             address, _ = await self.server(world, calls.append)
-            client = await dial(address, ping_every=0.0)
-            got, real = [], client.talk.acknowledge_received_data
+            client = await dial(address, ping_interval=0.0)
+            got, real = [], client.h2_connection.acknowledge_received_data
             held = []
-            client.talk.acknowledge_received_data = lambda size, number: held.append((size, number))
+            client.h2_connection.acknowledge_received_data = lambda size, number: held.append(
+                (size, number)
+            )
             call = client.call("/x", "y")
-            call.message = got.append
+            call.on_message = got.append
             await until(lambda: calls)
             sent = 0
             while calls[0].send(big) and sent < 200:
                 sent += 1
             self.assertLess(sent, 100)  # bounded: the call was reset, not the memory filled
-            self.assertTrue(calls[0].over)
+            self.assertTrue(calls[0].is_closed)
             call = client.call("/x", "y")
-            call.message = got.append
+            call.on_message = got.append
             await until(lambda: len(calls) == 2)
             for _ in range(5):
                 calls[1].send(big)
             await asyncio.sleep(0.1)
             self.assertFalse(calls[1].idle)
-            client.talk.acknowledge_received_data = real
+            client.h2_connection.acknowledge_received_data = real
             for size, number in held:
                 try:
                     real(size, number)
                 except Exception:  # of the call that was reset
-                    client.talk._inbound_flow_control_window_manager.process_bytes(size)
+                    client.h2_connection._inbound_flow_control_window_manager.process_bytes(size)
             client.flush()
             await until(lambda: got.count(big) >= 5)
             client.close()
@@ -71,11 +73,11 @@
         async def case(world):
             address, _ = await self.server(world, lambda call: None)
             client, over = (
-                await dial(address, ping_every=0.0),
+                await dial(address, ping_interval=0.0),
                 asyncio.get_running_loop().create_future(),
             )
-            client.call("/x", "y", [("grpc-timeout", "50m")]).ended = lambda *told: over.set_result(
-                told
+            client.call("/x", "y", [("grpc-timeout", "50m")]).on_end = (
+                lambda *told: over.set_result(told)
             )
             return await asyncio.wait_for(over, 5)
 
@@ -86,9 +88,11 @@
             loop = asyncio.get_running_loop()
             silent = await loop.create_server(Stream, "127.1.0.1", 0)
             world.cleanups.append(silent.close)
-            client = await dial(silent.sockets[0].getsockname(), ping_every=0.1, ping_wait=0.1)
+            client = await dial(
+                silent.sockets[0].getsockname(), ping_interval=0.1, ping_timeout=0.1
+            )
             over = loop.create_future()
-            client.ended_all = over.set_result
+            client.on_end = over.set_result
             return await over
 
         self.assertEqual(run_with_standins(case), "no answer to pings")
@@ -98,18 +102,18 @@
             address, made = await self.server(world, lambda call: None)
             ended = []
             for kind in ("pings", "settings", "resets", "junk"):
-                client = await dial(address, ping_every=0.0)
+                client = await dial(address, ping_interval=0.0)
                 over = asyncio.get_running_loop().create_future()
-                client.ended_all = lambda reason, over=over: over.done() or over.set_result(reason)
+                client.on_end = lambda reason, over=over: over.done() or over.set_result(reason)
                 for at in range(400):  # it stops once its own side knows that it was sent away
                     if client.transport is None or client.transport.is_closing() or over.done():
                         break
                     try:
                         if kind == "pings":
-                            client.talk.ping(b"12345678")
+                            client.h2_connection.ping(b"12345678")
                         elif kind == "settings":
                             size = {h2.settings.SettingCodes.INITIAL_WINDOW_SIZE: 70_000 + at}
-                            client.talk.update_settings(size)
+                            client.h2_connection.update_settings(size)
                         elif kind == "resets":
                             client.call("/x", "y").reset("no")
                         else:
@@ -137,13 +141,16 @@
                 [
                     (":method", "POST"),
                     (":scheme", "http"),
-                    (":path", DISCOVERY),
+                    (":path", DISCOVERY_PATH),
                     (":authority", "x"),
                     ("content-type", "application/grpc"),
                 ],
             )
             client.send_data(
-                1, frame(discovery_pb2.DiscoveryRequest(type_url=ENDPOINTS).SerializeToString())
+                1,
+                frame(
+                    discovery_pb2.DiscoveryRequest(type_url=ASSIGNMENT_TYPE_URL).SerializeToString()
+                ),
             )
             whole = client.data_to_send()
             await world.start_controller()
--- a/tests/grpc/test_load_reports.py
+++ b/tests/grpc/test_load_reports.py
@@ -35,10 +35,10 @@
                     metric_name="util", num_requests_finished_with_metric=4, total_metric_value=2.0
                 )
         gathered = LoadAggregator()
-        gathered.report(0.0)
+        gathered.on_report(0.0)
         read_report(request, {"look": 0, "file": 1}, {("127.10.9.1", 80): 5}.get, 70, 1, gathered)
         self.assertEqual(
-            gathered.due(0.0),
+            gathered.take_due(0.0),
             [
                 interface.RequestStats(70, 0, 23, 7, 1.0),
                 interface.EndpointStats(5, 1, 10, 2, 1.0, 0.25, {"util": 0.5}),
--- a/tests/grpc/test_server.py
+++ b/tests/grpc/test_server.py
@@ -11,9 +11,8 @@
 from envoy.service.load_stats.v3 import lrs_pb2
 
 from peatlead import interface
-from peatlead.grpc.resources import ENDPOINTS, decode_assignment
-from peatlead.grpc.resources import LINES as LINES_URL
-from peatlead.grpc.server import DELTA, DISCOVERY, LOADS
+from peatlead.grpc.resources import ASSIGNMENT_TYPE_URL, LB_ENDPOINT_TYPE_URL, decode_assignment
+from peatlead.grpc.server import DELTA_DISCOVERY_PATH, DISCOVERY_PATH, LOAD_REPORTING_PATH
 
 from ..standin_fleet import until
 from .simulated_fleet import connect_proxy, run_fleet
@@ -61,7 +60,7 @@
                 with grpc.insecure_channel(f"127.1.0.1:{world.port + 2}") as channel:
                     done = threading.Event()
                     first = discovery_pb2.DiscoveryRequest(
-                        type_url=ENDPOINTS, resource_names=["look", "file"]
+                        type_url=ASSIGNMENT_TYPE_URL, resource_names=["look", "file"]
                     )
                     first.node.id, first.node.locality.zone = "plain", "north"
 
@@ -69,14 +68,14 @@
                         yield first
                         done.wait(10)
                         yield discovery_pb2.DiscoveryRequest(
-                            type_url=ENDPOINTS,
+                            type_url=ASSIGNMENT_TYPE_URL,
                             resource_names=["look", "file"],
                             response_nonce=found["nonce"],
                             version_info=found["version"],
                         )
 
                     stream = channel.stream_stream(
-                        DISCOVERY,
+                        DISCOVERY_PATH,
                         discovery_pb2.DiscoveryRequest.SerializeToString,
                         discovery_pb2.DiscoveryResponse.FromString,
                     )(requests(), timeout=10)
@@ -90,7 +89,7 @@
                     report = lrs_pb2.LoadStatsRequest()
                     report.node.id = "plain"
                     loads = channel.stream_stream(
-                        LOADS,
+                        LOAD_REPORTING_PATH,
                         lrs_pb2.LoadStatsRequest.SerializeToString,
                         lrs_pb2.LoadStatsResponse.FromString,
                     )(iter([report]), timeout=10)
@@ -123,12 +122,12 @@
             def client():
                 with grpc.insecure_channel(f"127.1.0.1:{world.port + 2}") as channel:
                     ask(
-                        type_url=ENDPOINTS,
+                        type_url=ASSIGNMENT_TYPE_URL,
                         resource_names_subscribe=["look"],
                         node={"id": "plain", "locality": {"zone": "north"}},
                     )
                     stream = channel.stream_stream(
-                        DELTA,
+                        DELTA_DISCOVERY_PATH,
                         discovery_pb2.DeltaDiscoveryRequest.SerializeToString,
                         discovery_pb2.DeltaDiscoveryResponse.FromString,
                     )(iter(asks.get, None), timeout=20)
@@ -140,12 +139,12 @@
                         one.leds_cluster_locality_config.leds_collection_name
                         for one in table.endpoints
                     ]
-                    ask(type_url=ENDPOINTS, response_nonce=answer.nonce)
-                    ask(type_url=LINES_URL, resource_names_subscribe=names)
+                    ask(type_url=ASSIGNMENT_TYPE_URL, response_nonce=answer.nonce)
+                    ask(type_url=LB_ENDPOINT_TYPE_URL, resource_names_subscribe=names)
                     answer = next(stream)
                     found["lines"] = {one.name.rpartition("/")[2] for one in answer.resources}
                     found["names"] = {one.name.split("/")[4] for one in answer.resources}
-                    ask(type_url=LINES_URL, response_nonce=answer.nonce)
+                    ask(type_url=LB_ENDPOINT_TYPE_URL, response_nonce=answer.nonce)
                     found["first"] = True
                     answer = next(stream)
                     found["gone"] = list(answer.removed_resources), len(answer.resources)
--- a/tests/tables/test_replica.py
+++ b/tests/tables/test_replica.py
@@ -8,8 +8,13 @@
 from hypothesis import example, given
 from hypothesis import strategies as st
 
-from peatlead.grpc.incremental import MAX_FULL_RESYNCS, PART_BY_TYPE, Incremental, decode_delta
-from peatlead.grpc.resources import LINES, resource_name
+from peatlead.grpc.incremental import (
+    MAX_FULL_RESYNCS,
+    PART_BY_TYPE,
+    IncrementalDiscovery,
+    decode_delta,
+)
+from peatlead.grpc.resources import LB_ENDPOINT_TYPE_URL, resource_name
 from peatlead.tables.replica import APPLIED, BASE, DIGEST, OLD, Replica
 from peatlead.tables.version import WHOLE_STATE, Digest, Stamp, Version, changes
 
@@ -33,7 +38,7 @@
 
     def connect(self, epoch):
         """Open a new stream: messages in flight are lost; the proxy sends the versions of its items."""
-        self.sender = Incremental(
+        self.sender = IncrementalDiscovery(
             epoch,
             lambda part: self.wanted if part == "line" else {},
             "ns1",
@@ -41,15 +46,15 @@
         )
         self.replica.reject_up_to(Version(epoch - 1, 1 << 40))
         first_request = discovery_pb2.DeltaDiscoveryRequest(
-            type_url=LINES, resource_names_subscribe=["*"]
+            type_url=LB_ENDPOINT_TYPE_URL, resource_names_subscribe=["*"]
         )
         for key, value in self.replica.parts["line"].items():
             first_request.initial_resource_versions[resource_name(key)] = str(value)
-        self.responses, self.requests = deque(self.sender.take(first_request)), deque()
+        self.responses, self.requests = deque(self.sender.handle_request(first_request)), deque()
 
     def change(self, wanted):
         self.wanted = wanted
-        self.responses.extend(self.sender.changed(LINES))
+        self.responses.extend(self.sender.resources_changed(LB_ENDPOINT_TYPE_URL))
 
     def deliver(self, response, answer=True):
         type_url, item_changes, stamp = decode_delta(
@@ -70,7 +75,7 @@
             while self.responses:
                 self.deliver(self.responses.popleft())
             while self.requests:
-                self.responses.extend(self.sender.take(self.requests.popleft()))
+                self.responses.extend(self.sender.handle_request(self.requests.popleft()))
 
     def held_items(self):
         return self.replica.parts["line"]
@@ -78,12 +83,12 @@
     def test_only_changed_items_are_sent(self):
         self.change({line(number): 1000 for number in range(10)})
         self.settle()
-        self.assertEqual(self.sender.sent, 10)
+        self.assertEqual(self.sender.resources_sent, 10)
         self.change({**self.wanted, line(3): 250})
         self.settle()
         self.change({key: value for key, value in self.wanted.items() if key != line(4)})
         self.settle()
-        self.assertEqual((self.sender.sent, self.held_items()), (12, self.wanted))
+        self.assertEqual((self.sender.resources_sent, self.held_items()), (12, self.wanted))
 
     def test_changes_during_a_delta_in_flight_are_sent_as_one_delta(self):
         self.change({line(1): 1000})
@@ -93,7 +98,7 @@
         self.assertFalse(self.responses)  # at most one delta is in flight
         self.deliver(first_delta)
         self.settle()
-        self.assertEqual((self.held_items(), self.sender.sent), (self.wanted, 2))
+        self.assertEqual((self.held_items(), self.sender.resources_sent), (self.wanted, 2))
 
     def test_proxy_that_joins_another_owner_gets_only_the_difference(self):
         self.change({line(number): 1000 for number in range(5)})
@@ -114,7 +119,7 @@
         self.change({**self.wanted, line(2): 2000})
         self.assertEqual(self.deliver(self.responses.popleft()), DIGEST)
         self.settle()
-        self.assertEqual((self.held_items(), self.sender.wholes), (self.wanted, 1))
+        self.assertEqual((self.held_items(), self.sender.full_resyncs), (self.wanted, 1))
         self.assertTrue(self.replica.is_consistent("line"))
 
     def test_proxy_that_refuses_all_deltas_is_reported_and_retried_a_limited_number_of_times(self):
@@ -124,11 +129,11 @@
                 break
             response = self.responses.popleft()
             request = discovery_pb2.DeltaDiscoveryRequest(
-                type_url=LINES, response_nonce=response.nonce
+                type_url=LB_ENDPOINT_TYPE_URL, response_nonce=response.nonce
             )
             request.error_detail.message = DIGEST
-            self.responses.extend(self.sender.take(request))
-        self.assertEqual(len(self.sender.refusals), MAX_FULL_RESYNCS + 1)
+            self.responses.extend(self.sender.handle_request(request))
+        self.assertEqual(len(self.sender.nacks), MAX_FULL_RESYNCS + 1)
         self.change({line(1): 2000})  # a new state is sent again
         self.assertTrue(self.responses)
 
@@ -190,7 +195,7 @@
                     self.assertEqual(second_outcome, OLD if outcome == APPLIED else outcome)
                     self.assertEqual((self.held_items(), str(self.replica.digests["line"])), before)
             elif step == "answer" and self.requests:
-                self.responses.extend(self.sender.take(self.requests.popleft()))
+                self.responses.extend(self.sender.handle_request(self.requests.popleft()))
             elif step == "drop" and self.responses:
                 epoch += 2
                 self.connect(epoch)  # over TCP a lost message ends the stream
--- a/tests/transcripts/test_gossip_transcripts.py
+++ b/tests/transcripts/test_gossip_transcripts.py
@@ -25,10 +25,10 @@
     messages.IndirectPing,
     messages.MemberInfo,
 )
-GossipMessage, PinsMessage, DrainRequestMessage = (
-    messages.GossipMessage,
+AdviceMessage, PinsMessage, PinTargetMessage = (
+    messages.AdviceMessage,
     messages.PinsMessage,
-    messages.DrainRequestMessage,
+    messages.PinTargetMessage,
 )
 TIMERS = {"probe_interval": 0.3, "ack_timeout": 0.15, "suspicion_timeout": 1.0}
 STRAY, UNPROVEN = seals.AuthenticationError, seals.UnprovenSenderError
@@ -72,11 +72,11 @@
 
 
 def close(seal, body, to):
-    return seal.close(body, to)
+    return seal.seal(body, to)
 
 
 def learn(seal, name, proof):
-    seal.learn(name, proof)
+    seal.store_proof(name, proof)
 
 
 def open_sealed(seal, data):
@@ -120,7 +120,7 @@
 
 
 def node_step(node):
-    node.advance([load_news(node.count_proxies(), False), TICK])
+    node.handle_events([load_news(node.count_proxies(), False), TICK])
 
 
 def node_take(node, data, address):
@@ -131,7 +131,7 @@
     {
         "note": node.broadcast_advice,
         "pins": node.broadcast_pins,
-        "wish": node.broadcast_drain_request,
+        "wish": node.broadcast_pin_target,
     }[verb](payload)
 
 
@@ -149,9 +149,9 @@
     (b"\x93\xa4Ping\x07\x92" + NEWS[0] + PLAIN[0], Ping(7, [NEWS[1], PLAIN[1]])),
     (b"\x93\xa3Ack\xcd\x01\x00\x91" + PLAIN[0], Ack(256, [PLAIN[1]])),
     (b"\x94\xa6TryFor\x01\x92\xa1x\x01\x91" + NEWS[0], IndirectPing(1, ("x", 1), [NEWS[1]])),
-    (b"\x92\xa4Note\xc4\x03abc", GossipMessage(b"abc")),
+    (b"\x92\xa4Note\xc4\x03abc", AdviceMessage(b"abc")),
     (b"\x92\xa8PinsTold\xc4\x02\x00\xff", PinsMessage(b"\x00\xff")),
-    (b"\x92\xa8WishTold\xc4\x00", DrainRequestMessage(b"")),
+    (b"\x92\xa8WishTold\xc4\x00", PinTargetMessage(b"")),
 )
 KEY, OTHER = b"k" * 32, b"o" * 32
 
--- a/tests/transcripts/test_xds_transcripts.py
+++ b/tests/transcripts/test_xds_transcripts.py
@@ -30,7 +30,7 @@
 
 # Adapter: all internal names that these tests use.
 
-PATHS = [server.DISCOVERY, server.DELTA, server.LOADS]
+PATHS = [server.DISCOVERY_PATH, server.DELTA_DISCOVERY_PATH, server.LOAD_REPORTING_PATH]
 encode_routes, encode_value = resources.encode_routes, resources.encode_item
 encode_name, decode_name = resources.resource_name, resources.parse_resource_name
 frame, percent, decode_timeout = framing.frame, framing.percent_encode, framing.parse_timeout
@@ -79,15 +79,17 @@
         )
 
     def take(self, data):
-        return encode_all(self.machine.take(discovery_pb2.DiscoveryRequest.FromString(data)))
+        return encode_all(
+            self.machine.handle_request(discovery_pb2.DiscoveryRequest.FromString(data))
+        )
 
     def changed(self, url):
-        return encode_all(self.machine.changed(url))
+        return encode_all(self.machine.resources_changed(url))
 
     def outcome(self):
         return {
-            "refused": [list(one) for one in self.machine.refusals],
-            "applied": [[url, str(version)] for url, version in self.machine.applied],
+            "refused": [list(one) for one in self.machine.nacks],
+            "applied": [[url, str(version)] for url, version in self.machine.acks],
         }
 
 
@@ -95,7 +97,7 @@
     """Incremental. `state`: {part of the items: {key: value}}."""
 
     def __init__(self, epoch, state):
-        self.machine = incremental.Incremental(
+        self.machine = incremental.IncrementalDiscovery(
             epoch,
             lambda part: dict(state[part]),
             "ns1",
@@ -104,16 +106,18 @@
         )
 
     def take(self, data):
-        return encode_all(self.machine.take(discovery_pb2.DeltaDiscoveryRequest.FromString(data)))
+        return encode_all(
+            self.machine.handle_request(discovery_pb2.DeltaDiscoveryRequest.FromString(data))
+        )
 
     def changed(self, url):
-        return encode_all(self.machine.changed(url))
+        return encode_all(self.machine.resources_changed(url))
 
     def outcome(self):
         return {
-            "refused": [list(one) for one in self.machine.refusals],
-            "applied": [[url, str(version)] for url, version in self.machine.applied],
-            "counts": [self.machine.sent, self.machine.wholes],
+            "refused": [list(one) for one in self.machine.nacks],
+            "applied": [[url, str(version)] for url, version in self.machine.acks],
+            "counts": [self.machine.resources_sent, self.machine.full_resyncs],
         }
 
 
@@ -136,11 +140,11 @@
 def decode_report(data, kinds, hosts, proxy, zone):
     """Sums of a load report, as plain lists: of requests, then of hosts."""
     gathered = load_aggregation.LoadAggregator()
-    gathered.report(0.0)
+    gathered.on_report(0.0)
     load_reports.read_report(
         lrs_pb2.LoadStatsRequest.FromString(data), kinds, hosts.get, proxy, zone, gathered
     )
-    return [list(one) for one in gathered.due(0.0)]
+    return [list(one) for one in gathered.take_due(0.0)]
 
 
 def decode_node(data, delta):
@@ -162,7 +166,7 @@
     """The client's side of one HTTP/2 connection: the bytes of its calls."""
 
     def __init__(self):
-        self.out, self.connection = bytearray(), http2.Connection(True, ping_every=0.0)
+        self.out, self.connection = bytearray(), http2.Connection(True, ping_interval=0.0)
         self.connection.loop, self.connection.transport = self, self
         self.connection.opened()
 
@@ -196,14 +200,14 @@
 
     def __init__(self):
         self.out, self.calls = bytearray(), []
-        self.connection = http2.Connection(False, self.serve, ping_every=0.0)
+        self.connection = http2.Connection(False, self.serve, ping_interval=0.0)
         self.connection.loop = self
         self.connection.transport = self
         self.connection.opened()
 
     def serve(self, call):
         self.calls.append(call.path)
-        call.message = lambda data: (
+        call.on_message = lambda data: (
             call.send(data[::-1]),
             call.finish(5, "no märk", tried="2") if data == b"end" else None,
         )
