--- a/peatlead/fleet/__init__.py
+++ b/peatlead/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Several controllers over one fleet of proxies: membership, ownership, and gossip."""
+"""Cooperation of several controllers that share proxies: membership, ownership and gossip."""
--- a/peatlead/fleet/authentication.py
+++ b/peatlead/fleet/authentication.py
@@ -1,11 +1,14 @@
-"""Authentication and replay protection of datagrams between controllers. Sans-I/O.
-
-A datagram is `version | name length | boot | counter | proof | name | body | hash`, big-endian;
-the hash is keyed BLAKE3 over all before it. A sender's counter only grows within a boot (one
-start of the sender's process), and each value is accepted once. A boot that is not known yet must
-prove that it lives now, by repeating a proof that this receiver has just made for it. So a
-recording of an earlier boot can't be replayed, not even of one that was given a proof but none of
-whose messages arrived. Boots that were replaced are refused for good.
+"""Authentication and replay protection of datagrams between controllers. No I/O.
+
+A datagram consists of `version | name length | boot | counter | challenge | name | body | hash`,
+with big-endian integers. The hash is a keyed BLAKE3 over everything before it.
+
+The boot is an identifier of one start of the sender's process. The sender increments the counter
+with each datagram of a boot, and a receiver accepts each counter value once. A sender with an
+unknown boot must first echo a challenge that the receiver has issued for this boot. An attacker
+can therefore not replay recorded datagrams of an earlier boot, even if the receiver had issued a
+challenge for that boot and then received none of its datagrams. A receiver never accepts a boot
+again once a later boot of the same sender has replaced it.
 """
 
 import struct
@@ -17,84 +20,92 @@
 
 VERSION = 1
 KEY_SIZE = 32  # bytes, of keyed BLAKE3
-HASH_SIZE = 16
-PROOF_SIZE = 8
-REPLAY_WINDOW = 64  # counters below the highest that are still accepted, each once
+HASH_SIZE = 16  # bytes
+CHALLENGE_SIZE = 8  # bytes
+REPLAY_WINDOW = 64  # a counter this far below the highest accepted counter is refused
 MAX_SENDERS = 600
-MAX_PROOFS = 4  # outstanding for one boot, as several of its messages may be under way
-MAX_UNPROVEN_BOOTS = 4  # of one sender, as replays make some
-MAX_REPLACED_BOOTS = 16  # of one sender that are remembered as replaced
-HEADER = struct.Struct(">BB8sQ8s")  # version, length of the name, boot, counter, proof
-NO_PROOF = bytes(PROOF_SIZE)
+MAX_CHALLENGES = 4  # unanswered per boot: several datagrams of a boot may be in flight
+MAX_UNPROVEN_BOOTS = 4  # per sender: replayed datagrams add unproven boots
+MAX_REPLACED_BOOTS = 16  # remembered per sender
+HEADER = struct.Struct(">BB8sQ8s")  # version, length of the name, boot, counter, challenge
+NO_CHALLENGE = bytes(CHALLENGE_SIZE)
 MAX_DATAGRAM = 60_000  # bytes
 
 
 class AuthenticationError(Exception):
-    """Why a datagram was refused."""
+    """A datagram was refused; the message is the reason."""
 
 
 class UnprovenSenderError(AuthenticationError):
-    """The hash is right, but the boot is not known yet.
+    """The hash of a datagram is valid, but the sender's boot is unknown.
 
-    `proof` is what the sender has to repeat, `body` what it sent, which must not be trusted.
+    `challenge` is what the sender must echo. `body` is the body of the datagram, which may be a
+    replay and must not be trusted.
     """
 
-    def __init__(self, name: str, proof: bytes, body: bytes) -> None:
-        super().__init__("a boot that is not known yet")
+    def __init__(self, name: str, challenge: bytes, body: bytes) -> None:
+        super().__init__("sender's boot is unknown")
         self.name = name
-        self.proof = proof
+        self.challenge = challenge
         self.body = body
 
 
 class SenderState:
-    """What a receiver remembers of one sender."""
+    """The current boot of one sender, its accepted counters, and its earlier boots."""
 
-    __slots__ = ("boot", "highest", "seen", "replaced")
+    __slots__ = ("boot", "highest_counter", "accepted_bits", "replaced_boots")
 
     def __init__(self, boot: bytes) -> None:
         self.boot = boot
-        self.highest = 0  # counter
-        self.seen = 0  # bit n: whether the counter `highest - n` was accepted
-        self.replaced: list[bytes] = []  # earlier boots, the oldest first
+        self.highest_counter = 0  # highest counter accepted so far
+        self.accepted_bits = 0  # bit n is set if `highest_counter - n` was accepted
+        self.replaced_boots: list[bytes] = []  # oldest first
 
     def restart(self, boot: bytes) -> None:
-        """Starts anew with a boot that has proved itself."""
-        self.replaced = [*self.replaced, self.boot][-MAX_REPLACED_BOOTS:]
+        """Replaces the boot by a new, proven one and resets the counters."""
+        self.replaced_boots = [*self.replaced_boots, self.boot][-MAX_REPLACED_BOOTS:]
         self.boot = boot
-        self.highest = 0
-        self.seen = 0
+        self.highest_counter = 0
+        self.accepted_bits = 0
+
+    def accept_counter(self, counter: int) -> None:
+        """Accepts a counter once; counters within the replay window may come in any order.
 
-    def accept(self, counter: int) -> None:
-        """Accepts each counter once, in any order within the window; raises AuthenticationError."""
-        ahead = counter - self.highest
+        Raises AuthenticationError.
+        """
+        ahead = counter - self.highest_counter
         if ahead > 0:
             self._advance(counter, ahead)
-        elif -ahead >= REPLAY_WINDOW or self.seen >> -ahead & 1:
-            raise AuthenticationError("a message that came before")
+        elif -ahead >= REPLAY_WINDOW or self.accepted_bits >> -ahead & 1:
+            raise AuthenticationError("counter was already accepted or is too old")
         else:
-            self.seen |= 1 << -ahead
+            self.accepted_bits |= 1 << -ahead
 
     def _advance(self, counter: int, ahead: int) -> None:
         window = (1 << REPLAY_WINDOW) - 1
-        self.seen = (self.seen << ahead | 1) & window if ahead < REPLAY_WINDOW else 1
-        self.highest = counter
+        self.accepted_bits = (
+            (self.accepted_bits << ahead | 1) & window if ahead < REPLAY_WINDOW else 1
+        )
+        self.highest_counter = counter
 
 
 class Datagram(NamedTuple):
-    """A datagram whose hash is right."""
+    """The fields of a datagram with a valid hash."""
 
     name: str
     boot: bytes
     counter: int
-    proof: bytes
+    challenge: bytes
     body: bytes
 
 
 class Authenticator:
-    """Closes outgoing and opens incoming datagrams of one member.
+    """Seals outgoing datagrams and opens incoming datagrams of one member.
+
+    `keys`: the first key seals, and every key opens, so that keys can be rotated without downtime.
+    `name`: the name of this member. `boot`: 8 bytes that differ at each start of the process.
 
-    `keys`: the first is used for sending, all for receiving, so keys can be rotated in service.
-    `boot`: 8 bytes, new at each start.
+    Raises ValueError if there is no key or a key does not have `KEY_SIZE` bytes.
     """
 
     def __init__(self, keys: Sequence[bytes], name: str, boot: bytes) -> None:
@@ -103,96 +114,108 @@
         self.keys = list(keys)
         self.name = name.encode()
         self.boot = boot
-        self.counter = 0  # of the newest datagram sent
-        self.senders: dict[str, SenderState] = {}  # whose boot has proved itself
-        self.proofs: dict[str, bytes] = {}  # by member, to be repeated to it
-        self.expected: dict[str, dict[bytes, list[bytes]]] = {}  # proofs made, by sender and boot
-        self.issued = 0  # number of proofs made
+        self.counter = 0  # counter of the newest sent datagram
+        self.senders: dict[str, SenderState] = {}  # proven senders, by name
+        self.received_challenges: dict[str, bytes] = {}  # to echo, by the member that issued them
+        # Unanswered challenges, by sender and boot.
+        self.issued_challenges: dict[str, dict[bytes, list[bytes]]] = {}
+        self.challenge_count = 0  # challenges issued so far
 
     # Sending.
 
     def seal(self, body: bytes, to: str = "") -> bytes:
-        """A datagram for the member `to`; empty where its name is not known yet."""
+        """Returns the datagram with `body` for the member `to`, empty if its name is unknown."""
         self.counter += 1
-        proof = self.proofs.get(to, NO_PROOF)
-        header = HEADER.pack(VERSION, len(self.name), self.boot, self.counter, proof)
+        challenge = self.received_challenges.get(to, NO_CHALLENGE)
+        header = HEADER.pack(VERSION, len(self.name), self.boot, self.counter, challenge)
         data = header + self.name + body
         return data + self._hash(self.keys[0], data)
 
-    def store_proof(self, name: str, proof: bytes) -> None:
-        """Stores the proof that a member wants repeated, as it or this one has just started."""
-        self.proofs[name] = proof
-        if len(self.proofs) > MAX_SENDERS:
-            self.proofs.pop(next(iter(self.proofs)))
+    def store_challenge(self, name: str, challenge: bytes) -> None:
+        """Stores the challenge of a member, which later datagrams to that member echo."""
+        self.received_challenges[name] = challenge
+        if len(self.received_challenges) > MAX_SENDERS:
+            self.received_challenges.pop(next(iter(self.received_challenges)))
 
     # Receiving.
 
     def open(self, data: bytes) -> tuple[str, bytes]:
-        """The sender's name and the body.
+        """Returns the name of the sender and the body.
 
-        Raises AuthenticationError, and UnprovenSenderError where the sender must prove itself
-        first.
+        Raises UnprovenSenderError if the sender must first echo a challenge, and another
+        AuthenticationError if the datagram is refused.
         """
         datagram = self._parse(data)
         name = datagram.name
         if name.encode() == self.name and datagram.boot == self.boot:
-            raise AuthenticationError("our own message came back")
+            raise AuthenticationError("datagram was sent by this controller itself")
         if not self._is_proven(datagram):
-            raise UnprovenSenderError(name, self._make_proof(name, datagram.boot), datagram.body)
-        self.senders[name].accept(datagram.counter)
+            raise UnprovenSenderError(
+                name, self._issue_challenge(name, datagram.boot), datagram.body
+            )
+        self.senders[name].accept_counter(datagram.counter)
         return name, datagram.body
 
     def _parse(self, data: bytes) -> Datagram:
         if len(data) < HEADER.size + HASH_SIZE or len(data) > MAX_DATAGRAM:
-            raise AuthenticationError("expected a sealed message")
-        version, name_size, boot, counter, proof = HEADER.unpack_from(data)
+            raise AuthenticationError("datagram is too short or too long")
+        version, name_size, boot, counter, challenge = HEADER.unpack_from(data)
         if version != VERSION:
             raise AuthenticationError(f"expected version {VERSION}, got {version}")
         signed = data[:-HASH_SIZE]
         digest = data[-HASH_SIZE:]
         if not any(compare_digest(self._hash(key, signed), digest) for key in self.keys):
-            raise AuthenticationError("the hash does not fit: forged, changed, or another fleet's")
+            raise AuthenticationError(
+                "hash matches no key: the datagram was forged, modified or sent by another fleet"
+            )
         body_at = HEADER.size + name_size
         if len(signed) < body_at:
-            raise AuthenticationError("expected a sender")
+            raise AuthenticationError("datagram ends before the end of the sender's name")
         name = signed[HEADER.size : body_at].decode("utf-8", "replace")
-        return Datagram(name, boot, counter, proof, signed[body_at:])
+        return Datagram(name, boot, counter, challenge, signed[body_at:])
 
     @staticmethod
     def _hash(key: bytes, data: bytes) -> bytes:
         return blake3(data, key=key).digest(HASH_SIZE)
 
-    # Proofs.
+    # Challenges.
 
     def _is_proven(self, datagram: Datagram) -> bool:
-        """Whether the boot is the sender's known one, or has proved just now that it lives."""
+        """Returns whether the boot is proven already or the datagram echoes a valid challenge.
+
+        Raises AuthenticationError if the boot was replaced or there are too many senders.
+        """
         name, boot = datagram.name, datagram.boot
         sender = self.senders.get(name)
         if sender is not None and sender.boot == boot:
             return True
-        if sender is not None and boot in sender.replaced:
-            raise AuthenticationError("a boot that was replaced")
-        expected = self.expected.get(name, {}).get(boot, ())
-        if not any(compare_digest(datagram.proof, proof) for proof in expected):
+        if sender is not None and boot in sender.replaced_boots:
+            raise AuthenticationError("sender's boot was replaced by a later one")
+        unanswered = self.issued_challenges.get(name, {}).get(boot, ())
+        if not any(compare_digest(datagram.challenge, challenge) for challenge in unanswered):
             return False
-        del self.expected[name]  # further boots of this sender have to prove themselves anew
+        del self.issued_challenges[name]  # other boots of this sender need a new challenge
         if sender is not None:
             sender.restart(boot)
         elif len(self.senders) < MAX_SENDERS:
             self.senders[name] = SenderState(boot)
         else:
-            raise AuthenticationError("too many senders")
+            raise AuthenticationError(f"more than {MAX_SENDERS} senders")
         return True
 
-    def _make_proof(self, name: str, boot: bytes) -> bytes:
-        """A new proof each time, as one made before another boot was accepted proves nothing."""
-        self.issued += 1
-        challenge = self.boot + boot + self.issued.to_bytes(8, "big")
-        proof = blake3(challenge, key=self.keys[0]).digest(PROOF_SIZE)
-        if name not in self.expected and len(self.expected) >= MAX_SENDERS:
-            self.expected.pop(next(iter(self.expected)))
-        boots = self.expected.setdefault(name, {})
+    def _issue_challenge(self, name: str, boot: bytes) -> bytes:
+        """Returns a new challenge for a boot of a sender.
+
+        Each call returns another challenge, because accepting a boot invalidates the earlier
+        challenges of all boots of that sender.
+        """
+        self.challenge_count += 1
+        challenge_input = self.boot + boot + self.challenge_count.to_bytes(8, "big")
+        challenge = blake3(challenge_input, key=self.keys[0]).digest(CHALLENGE_SIZE)
+        if name not in self.issued_challenges and len(self.issued_challenges) >= MAX_SENDERS:
+            self.issued_challenges.pop(next(iter(self.issued_challenges)))
+        boots = self.issued_challenges.setdefault(name, {})
         if boot not in boots and len(boots) >= MAX_UNPROVEN_BOOTS:
             boots.pop(next(iter(boots)))
-        boots[boot] = [*boots.get(boot, ()), proof][-MAX_PROOFS:]
-        return proof
+        boots[boot] = [*boots.get(boot, ()), challenge][-MAX_CHALLENGES:]
+        return challenge
--- a/peatlead/fleet/gossip.py
+++ b/peatlead/fleet/gossip.py
@@ -1,7 +1,7 @@
-"""One controller's gossip endpoint: a UDP socket for membership and ownership.
+"""The UDP socket of one controller for messages between the controllers of a fleet.
 
-Besides membership, it carries planners' advice, operators' pins and drain requests. None of these
-is retransmitted here: what must arrive is sent again by whoever sends it.
+The socket carries membership messages, planners' advice, operators' pins and pin targets. This
+module retransmits nothing: a sender whose message must arrive sends that message repeatedly.
 """
 
 import asyncio
@@ -35,46 +35,49 @@
 
 TICK_INTERVAL = 0.05  # seconds
 MAX_ADVICE_SIZE = 1000  # bytes
-MAX_ADVICE_RATE = 100  # pieces of advice accepted in a second
+MAX_ADVICE_RATE = 100  # accepted advice messages per window
 ADVICE_WINDOW = 1.0  # seconds
-COUNTERS = ("in", "out", "bytes out", "refused", "unproven", "notes", "notes dropped")  # datagrams
-PROVE = b"prove"  # prefix of a body that asks the receiver to repeat the proof that follows
+# Names of the counters: datagrams, except for "bytes out"; a note is an advice message.
+COUNTERS = ("in", "out", "bytes out", "refused", "unproven", "notes", "notes dropped")
+CHALLENGE_PREFIX = b"prove"  # starts a body that carries a challenge, which the receiver echoes
 
 
-class AdviceLimit:
-    """At most `MAX_ADVICE_RATE` pieces of advice in each window."""
+class AdviceRateLimit:
+    """Allows at most `MAX_ADVICE_RATE` advice messages in each window of `ADVICE_WINDOW`."""
 
     def __init__(self) -> None:
-        self.left = MAX_ADVICE_RATE  # in the current window
-        self.window_at = 0.0  # when the window began
+        self.remaining = MAX_ADVICE_RATE  # messages still allowed in the current window
+        self.window_started_at = 0.0
 
     def allows(self, now: float) -> bool:
-        """Whether one more is allowed; begins a new window where it is time."""
-        if now - self.window_at >= ADVICE_WINDOW:
-            self.left = MAX_ADVICE_RATE
-            self.window_at = now
-        return self.left > 0
+        """Returns whether another message is allowed; starts a new window when one is due."""
+        if now - self.window_started_at >= ADVICE_WINDOW:
+            self.remaining = MAX_ADVICE_RATE
+            self.window_started_at = now
+        return self.remaining > 0
 
-    def count(self) -> None:
-        """Counts an accepted one."""
-        self.left -= 1
+    def count_accepted(self) -> None:
+        """Counts an accepted message."""
+        self.remaining -= 1
 
 
-def ignore(*_: Any) -> None:
-    """The handler of what nobody subscribed to."""
+def ignore_message(*_: Any) -> None:
+    """Default handler: ignores a message."""
 
 
 class GossipNode(asyncio.DatagramProtocol):
-    """The endpoint of one controller.
+    """The gossip endpoint of one controller.
 
-    `settings`: of the whole fleet; `me`: this controller's part of them; `boot`: 8 bytes, new at
-    each start. `count_proxies()` gives the number of connected proxies; `log(event, **fields)`
-    writes a log line. `on_advice(sender, payload)` gets planners' advice, the sender by its
-    position in the settings; `on_pins(payload)` and `on_drain_request(payload)` get these
-    messages.
+    `settings`: the settings of the fleet. `me`: this controller's entry in the settings. `boot`:
+    8 bytes that differ at each start of the process. `count_proxies()` returns the number of
+    connected proxies. `log(event, **fields)` writes a log line.
+
+    `on_advice(sender, payload)` handles a message of another controller's planner; `sender` is the
+    index of that controller in the settings. `on_pins(payload)` handles operators' pins, and
+    `on_pin_target(payload)` handles the table that a pin holds a proxy to.
     """
 
-    def __init__(  # noqa: PLR0913 - each is a collaborator of its own
+    def __init__(  # noqa: PLR0913 - each argument is a separate collaborator
         self,
         settings: Mapping[str, Any],
         me: Mapping[str, Any],
@@ -82,9 +85,9 @@
         boot: bytes,
         count_proxies: Callable[[], int],
         log: Callable[..., None],
-        on_advice: Callable[[int, bytes], None] = ignore,
-        on_pins: Callable[[bytes], None] = ignore,
-        on_pin_target: Callable[[bytes], None] = ignore,
+        on_advice: Callable[[int, bytes], None] = ignore_message,
+        on_pins: Callable[[bytes], None] = ignore_message,
+        on_pin_target: Callable[[bytes], None] = ignore_message,
     ) -> None:
         self.me = me
         self.count_proxies = count_proxies
@@ -92,22 +95,27 @@
         self.on_advice = on_advice
         self.on_pins = on_pins
         self.on_pin_target = on_pin_target
-        self.controller_indices = {one["name"]: at for at, one in enumerate(settings["steward"])}
-        self.advice_limit = AdviceLimit()
+        self.controller_indices = {
+            controller["name"]: index for index, controller in enumerate(settings["steward"])
+        }
+        self.advice_limit = AdviceRateLimit()
         keys = [bytes.fromhex(key) for key in settings["fleet"]["keys"]]
         self.authenticator = Authenticator(keys, me["name"], boot)
         self.membership = self._make_membership(settings, rng)
         self.ownership = Ownership(me["name"], settings["fleet"]["joins_rate"], rng)
-        self.names: dict[Address, str] = {}  # members by the address of their last datagram
+        # Names of members, by the address that their last datagram came from.
+        self.names_by_address: dict[Address, str] = {}
         self.loop: asyncio.AbstractEventLoop
         self.transport: Optional[asyncio.DatagramTransport] = None
-        self.timer: Optional[asyncio.TimerHandle] = None
+        self.tick_timer: Optional[asyncio.TimerHandle] = None
         self.counts = dict.fromkeys(COUNTERS, 0)
         self.last_refusal = ""
 
     def _make_membership(self, settings: Mapping[str, Any], rng: Random) -> Membership:
         name = self.me["name"]
-        seeds = [one["peer"] for one in settings["steward"] if one["name"] != name]
+        seeds = [
+            controller["peer"] for controller in settings["steward"] if controller["name"] != name
+        ]
         proxy_address = self.me["grpc"] or ()
         info = MemberInfo(name, self.me["peer"], MemberState.ALIVE, 0, proxy_address)
         timers = settings["fleet"]
@@ -115,49 +123,54 @@
             info, seeds, rng, timers["probe_every"], timers["probe_wait"], timers["suspect"]
         )
 
-    # The endpoint's life.
+    # Opening and closing.
 
     async def open(self) -> None:
-        """Binds the socket and starts probing."""
+        """Binds the socket and starts probing. Raises OSError."""
         self.loop = asyncio.get_running_loop()
         await self.loop.create_datagram_endpoint(lambda: self, local_addr=self.me["peer"])
         self._tick()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Called by asyncio once the socket is bound."""
+        """Stores the transport; asyncio calls this when the socket is bound."""
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def leave(self) -> None:
-        """Tells the others that this controller stops, and closes the socket."""
+        """Tells the other controllers that this one stops, and closes the socket."""
         if self.transport is None:
             return
         self.handle_events([Leave()])
-        if self.timer is not None:
-            self.timer.cancel()
+        if self.tick_timer is not None:
+            self.tick_timer.cancel()
         self.transport.close()
         self.transport = None
 
     def error_received(self, exc: Exception) -> None:
-        """Ignored: nobody listens there, which its missing answer shows as well."""
+        """Ignores a socket error: missing answers to pings show that a member is unreachable."""
 
     # Membership.
 
     def member_info(self, name: str) -> Optional[MemberInfo]:
-        """What is known of a live controller."""
+        """Returns the facts on a live controller, None for an unknown or failed one."""
         return self.membership.live_members().get(name)
 
     def _tick(self) -> None:
         self.handle_events([LocalStatus(self.count_proxies(), self.ownership.draining), Tick()])
-        self.timer = self.loop.call_later(TICK_INTERVAL, self._tick)
+        self.tick_timer = self.loop.call_later(TICK_INTERVAL, self._tick)
 
     def handle_events(self, events: list[Event]) -> None:
-        """Hands events to the membership, carries out its actions, and updates the ownership."""
+        """Passes events to the membership, carries out its actions, and updates the ownership."""
         now = self.loop.time()
         for action in self.membership.decide(now, events):
             if isinstance(action, SendDatagram):
                 self.send(action.address, msgspec.msgpack.encode(action.message))
             else:
-                self.log("member", name=action.name, before=action.before, after=action.after)
+                self.log(
+                    "member state changed",
+                    name=action.name,
+                    before=action.before,
+                    after=action.after,
+                )
         live = self.membership.live_members()
         self.ownership.update_controllers(
             now,
@@ -167,7 +180,10 @@
     # Sending.
 
     def broadcast_advice(self, payload: bytes) -> None:
-        """Sends the planner's advice to all live controllers; too long a payload is dropped."""
+        """Sends the planner's advice to all live controllers.
+
+        A payload of more than `MAX_ADVICE_SIZE` bytes is dropped.
+        """
         if len(payload) <= MAX_ADVICE_SIZE:
             self._broadcast(AdviceMessage(payload))
 
@@ -176,7 +192,7 @@
         self._broadcast(PinsMessage(payload))
 
     def broadcast_pin_target(self, payload: bytes) -> None:
-        """Sends a drain request to all live controllers."""
+        """Sends the table that a pin holds a proxy to, to all live controllers."""
         self._broadcast(PinTargetMessage(payload))
 
     def _broadcast(self, message: Message) -> None:
@@ -186,7 +202,7 @@
 
     def send(self, address: Address, body: bytes) -> None:
         """Authenticates a message body and sends it."""
-        data = self.authenticator.seal(body, self.names.get(address, ""))
+        data = self.authenticator.seal(body, self.names_by_address.get(address, ""))
         self.counts["out"] += 1
         self.counts["bytes out"] += len(data)
         if self.transport is not None:
@@ -195,13 +211,13 @@
     # Receiving.
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
-        """Called by asyncio for each datagram."""
+        """Opens and dispatches a datagram; asyncio calls this for each one."""
         self.counts["in"] += 1
         try:
             name, message = self._open(data, addr)
         except UnprovenSenderError as error:
             self.counts["unproven"] += 1
-            self._answer_unproven(addr, error)
+            self._challenge_sender(addr, error)
         except (AuthenticationError, msgspec.MsgspecError) as error:
             self._log_refusal(addr, str(error))
         else:
@@ -209,31 +225,37 @@
                 self._dispatch(name, addr, message)
 
     def _open(self, data: bytes, address: Address) -> tuple[str, Optional[Message]]:
-        """The sender and its message; no message where it only asked for a proof."""
+        """Returns the name of the sender and its message, None if the body is a challenge."""
         name, body = self.authenticator.open(data)
-        if self.names.get(address) != name:
-            others = {place: other for place, other in self.names.items() if other != name}
-            self.names = {**others, address: name}
-        if body.startswith(PROVE):
-            self.authenticator.store_proof(name, body.removeprefix(PROVE))
+        if self.names_by_address.get(address) != name:
+            other_addresses = {
+                known_address: known_name
+                for known_address, known_name in self.names_by_address.items()
+                if known_name != name
+            }
+            self.names_by_address = {**other_addresses, address: name}
+        if body.startswith(CHALLENGE_PREFIX):
+            self.authenticator.store_challenge(name, body.removeprefix(CHALLENGE_PREFIX))
             return name, None
         return name, DECODER.decode(body)
 
-    def _answer_unproven(self, address: Address, error: UnprovenSenderError) -> None:
-        """Asks a sender that is not known yet to prove itself.
+    def _challenge_sender(self, address: Address, error: UnprovenSenderError) -> None:
+        """Sends a challenge to an unproven sender, or stores the challenge that it has sent.
 
-        Nothing it sent is used but a proof that it asks for: two that are new to each other could
-        never begin.
+        Only a challenge is used of what an unproven sender sends. Otherwise two controllers that
+        are both unproven to each other could never prove themselves.
         """
-        self.names[address] = error.name
-        if error.body.startswith(PROVE):
-            self.authenticator.store_proof(error.name, error.body.removeprefix(PROVE))
+        self.names_by_address[address] = error.name
+        if error.body.startswith(CHALLENGE_PREFIX):
+            self.authenticator.store_challenge(
+                error.name, error.body.removeprefix(CHALLENGE_PREFIX)
+            )
         else:
-            self.send(address, PROVE + error.proof)
+            self.send(address, CHALLENGE_PREFIX + error.challenge)
 
     def _log_refusal(self, address: Address, reason: str) -> None:
         self.counts["refused"] += 1
-        if reason != self.last_refusal:  # one line for a flood of the same
+        if reason != self.last_refusal:  # repeated refusals with one reason are logged once
             self.last_refusal = reason
             self.log("member message refused", address=str(address), why=reason)
 
@@ -249,12 +271,15 @@
                 self.handle_events([DatagramReceived(address, message)])
 
     def _on_advice(self, name: str, payload: bytes) -> None:
-        """Drops and counts what exceeds the rate: advice that is lost costs little."""
+        """Passes on advice, unless it exceeds a limit or the sender is not in the settings.
+
+        Dropped advice is only counted: planners can do without it.
+        """
         limit = self.advice_limit
         allowed = limit.allows(self.loop.time())
         if not allowed or len(payload) > MAX_ADVICE_SIZE or name not in self.controller_indices:
             self.counts["notes dropped"] += 1
             return
-        limit.count()
+        limit.count_accepted()
         self.counts["notes"] += 1
         self.on_advice(self.controller_indices[name], payload)
--- a/peatlead/fleet/member_table.py
+++ b/peatlead/fleet/member_table.py
@@ -1,7 +1,7 @@
-"""What one controller knows of the others, and what it disseminates next. Pure: no I/O, no clock.
+"""The facts that one controller knows of all members of the fleet. No I/O and no clock.
 
-The dissemination half of SWIM: facts are ordered by incarnation and state, and each is
-piggybacked on a bounded number of messages, the least often sent first.
+This is the dissemination component of SWIM. Facts are ordered by incarnation and state. Each fact
+is piggybacked on a limited number of messages; the facts that were sent least often go first.
 """
 
 from collections.abc import Iterable
@@ -14,22 +14,22 @@
 from .messages import Address, MemberInfo, MemberState
 
 MAX_MEMBERS = 500
-MAX_FACTS = 12  # facts in one message, which keeps a datagram below 1200 bytes
-RETRANSMIT_FACTOR = 3  # a fact is sent this often times log2 of the number of members
-FORGET_AFTER = 60.0  # seconds a dead or departed member is kept, so that old facts can't revive it
+MAX_FACTS = 12  # in one message; keeps a datagram below 1200 bytes
+RETRANSMIT_FACTOR = 3  # a fact is sent this factor times log2(members) times
+FORGET_DELAY = 60.0  # seconds that a dead or departed member is kept, so that old facts are ignored
 
-PRECEDENCE: dict[str, int] = {  # at the same incarnation, the higher state overrides the lower
+PRECEDENCE: dict[str, int] = {  # at the same incarnation, the greater value overrides the lower
     MemberState.ALIVE: 0,
     MemberState.SUSPECT: 1,
     MemberState.DEAD: 2,
     MemberState.LEFT: 3,
 }
-REACHABLE = (MemberState.ALIVE, MemberState.SUSPECT)
-GONE = (MemberState.DEAD, MemberState.LEFT)
+REACHABLE_STATES = (MemberState.ALIVE, MemberState.SUSPECT)
+INACTIVE_STATES = (MemberState.DEAD, MemberState.LEFT)
 
 
 class StateChanged(NamedTuple):
-    """A member is believed to be in another state; `before` is None for a new member."""
+    """Action: the believed state of a member has changed; `before` is None for a new member."""
 
     name: str
     before: Optional[str]
@@ -40,23 +40,24 @@
 class Member:
     """One known member."""
 
-    info: MemberInfo  # the fact that is believed
-    state_since: float  # when its state last changed
-    times_sent: int = 0  # how often the fact was disseminated
-    suspect_until: Optional[float] = None  # when a suspect is declared dead
+    info: MemberInfo  # the newest fact on the member
+    state_since: float  # when the state last changed
+    times_sent: int = 0  # number of messages that carried the fact
+    suspect_until: Optional[float] = None  # when a suspected member is declared dead
 
 
 def overrides(new: MemberInfo, old: MemberInfo) -> bool:
-    """Whether a fact replaces a known one: by incarnation, then by precedence of the state."""
+    """Returns whether a fact replaces a known one: by incarnation, then by state precedence."""
     new_rank = new.incarnation, PRECEDENCE[new.state]
     old_rank = old.incarnation, PRECEDENCE[old.state]
     return new_rank > old_rank
 
 
 class MemberTable:
-    """All known members by name, this one (`me`) among them.
+    """All known members by name, including this one (`me`).
 
-    `suspicion_timeout`: seconds in a fleet of up to four members; larger fleets scale it.
+    `suspicion_timeout`: seconds until a suspected member is declared dead, in a fleet of up to
+    four members; the time grows with the logarithm of the number of members.
     """
 
     def __init__(self, me: MemberInfo, suspicion_timeout: float) -> None:
@@ -65,25 +66,25 @@
         self.suspicion_timeout = suspicion_timeout
 
     def reachable(self) -> dict[str, MemberInfo]:
-        """Members that are alive or only suspected, sorted by name."""
+        """Returns the members that are alive or suspected, sorted by name."""
         return {
             name: member.info
             for name, member in sorted(self.members.items())
-            if member.info.state in REACHABLE
+            if member.info.state in REACHABLE_STATES
         }
 
     def peers(self) -> list[str]:
-        """Names of the reachable members but this one."""
+        """Returns the names of the reachable members except this one."""
         return [name for name in self.reachable() if name != self.me.name]
 
     def at_address(self, address: Address) -> list[Member]:
-        """Members whose gossip socket is `address`, in any state."""
+        """Returns the members with this gossip address, in any state."""
         return [member for member in self.members.values() if member.info.address == address]
 
     # Merging facts.
 
     def merge(self, now: float, info: MemberInfo) -> Optional[StateChanged]:
-        """Takes in a fact, if it is new; a wrong one on this member is refuted."""
+        """Stores a fact if it is newer than the known one; refutes a wrong fact on this member."""
         info = msgspec.structs.replace(
             info, address=tuple(info.address), proxy_address=tuple(info.proxy_address)
         )
@@ -98,7 +99,7 @@
         return self._replace(now, known, info)
 
     def _add(self, now: float, info: MemberInfo) -> Optional[StateChanged]:
-        if len(self.members) >= MAX_MEMBERS or info.state in GONE:
+        if len(self.members) >= MAX_MEMBERS or info.state in INACTIVE_STATES:
             return None
         member = Member(info, now)
         self.members[info.name] = member
@@ -107,8 +108,8 @@
 
     def _replace(self, now: float, known: Member, info: MemberInfo) -> Optional[StateChanged]:
         before = known.info.state
-        if before in GONE and info.state == MemberState.SUSPECT:
-            # A suspicion at a later incarnation than its end shows that the member came back.
+        if before in INACTIVE_STATES and info.state == MemberState.SUSPECT:
+            # A member that is suspected at a later incarnation than its death is alive again.
             info = msgspec.structs.replace(info, state=MemberState.ALIVE)
         known.info = info
         known.times_sent = 0
@@ -120,49 +121,55 @@
 
     # Suspicion.
 
-    def suspicion(self) -> float:
-        """Seconds a suspect has to refute: facts take log2 of the number of members to spread."""
+    def suspicion_duration(self) -> float:
+        """Returns the seconds until a suspected member is declared dead.
+
+        The time grows with log2 of the number of members, as the time to disseminate a fact does.
+        """
         return self.suspicion_timeout * max(1.0, log2(len(self.members)) / 2)
 
     def _set_suspicion(self, now: float, member: Member) -> None:
         suspected = member.info.state == MemberState.SUSPECT
-        member.suspect_until = now + self.suspicion() if suspected else None
+        member.suspect_until = now + self.suspicion_duration() if suspected else None
 
     def restart_suspicions(self, now: float) -> None:
-        """Gives all suspects their whole time again."""
+        """Restarts the timeouts of all suspected members."""
         for member in self.members.values():
             if member.suspect_until is not None:
-                member.suspect_until = now + self.suspicion()
+                member.suspect_until = now + self.suspicion_duration()
 
     def expire(self, now: float) -> Iterable[StateChanged]:
-        """Declares suspects dead whose time is over, and forgets those long gone."""
+        """Declares suspects dead after their timeout, and forgets members that left long ago."""
         for member in list(self.members.values()):
             if member.suspect_until is not None and now >= member.suspect_until:
                 dead = msgspec.structs.replace(member.info, state=MemberState.DEAD)
                 change = self.merge(now, dead)
                 if change is not None:
                     yield change
-            elif member.info.state in GONE and now - member.state_since > FORGET_AFTER:
+            elif member.info.state in INACTIVE_STATES and now - member.state_since > FORGET_DELAY:
                 del self.members[member.info.name]
 
     # This member's own fact.
 
     def _refute_if_wrong(self, info: MemberInfo) -> None:
-        said_gone = info.state != MemberState.ALIVE and info.incarnation >= self.me.incarnation
-        if said_gone and self.me.state != MemberState.LEFT:
+        declared_inactive = (
+            info.state != MemberState.ALIVE and info.incarnation >= self.me.incarnation
+        )
+        if declared_inactive and self.me.state != MemberState.LEFT:
             self.refute(info.incarnation)
         elif info.incarnation > self.me.incarnation:
-            self.refute(
-                info.incarnation
-            )  # of an earlier life of this member, which it has forgotten
+            # The fact is of an earlier start of this member, whose incarnation it no longer knows.
+            self.refute(info.incarnation)
 
     def refute(self, incarnation: int) -> None:
-        """Declares this member alive past `incarnation`."""
-        newer = max(incarnation, self.me.incarnation) + 1
-        self.update_me(msgspec.structs.replace(self.me, incarnation=newer, state=MemberState.ALIVE))
+        """Declares this member alive, at an incarnation above `incarnation`."""
+        next_incarnation = max(incarnation, self.me.incarnation) + 1
+        self.update_me(
+            msgspec.structs.replace(self.me, incarnation=next_incarnation, state=MemberState.ALIVE)
+        )
 
     def update_me(self, info: MemberInfo) -> None:
-        """Replaces this member's own fact, to be disseminated anew."""
+        """Replaces the fact on this member, and restarts its dissemination."""
         self.me = info
         member = self.members[info.name]
         member.info = info
@@ -171,12 +178,15 @@
     # Dissemination.
 
     def next_facts(self, everything: bool = False) -> list[MemberInfo]:
-        """The facts for the next message: this member's own first, then those sent least often.
+        """Returns the facts for the next message: this member's own, then the least often sent.
 
-        `everything`: also facts that were sent often enough, for a newcomer.
+        `everything`: includes facts that have reached their number of retransmissions, for a
+        receiver that has just joined.
         """
         limit = RETRANSMIT_FACTOR * ceil(log2(len(self.members) + 1))
-        pending = (one for one in self.members.values() if everything or one.times_sent < limit)
+        pending = (
+            known for known in self.members.values() if everything or known.times_sent < limit
+        )
         chosen = sorted(pending, key=self._dissemination_order)[:MAX_FACTS]
         for member in chosen:
             member.times_sent += 1
--- a/peatlead/fleet/membership.py
+++ b/peatlead/fleet/membership.py
@@ -1,12 +1,14 @@
-"""Which controllers of the fleet are alive. Pure: no I/O, no clock; randomness is handed in.
+"""Failure detection between the controllers of a fleet. No I/O and no clock.
 
-Failure detection after SWIM (Das, Gupta, Motivala 2002), with its suspicion mechanism. A member
-pings one other at a time, in an order shuffled for each round. One that doesn't answer, nor
-through two helpers that ping it on request, is suspected; it is declared dead unless it refutes
-the suspicion in time, by raising its incarnation. Facts on members ride on the probes
-(`member_table`).
+The caller passes a random number generator and the time.
 
-One entry point: `Membership.decide(now, events) -> actions`.
+The algorithm is SWIM (Das, Gupta, Motivala 2002) with its suspicion mechanism. A member pings one
+other member at a time, in an order that is shuffled for each round. If a member answers neither
+the ping nor the indirect pings of two helpers, it is suspected. A suspected member is declared
+dead unless it refutes the suspicion in time by raising its incarnation. Probes carry facts on
+members (`member_table`).
+
+The entry point is `Membership.decide(now, events) -> actions`.
 """
 
 from collections.abc import Iterable
@@ -42,33 +44,33 @@
     "Tick",
 ]
 
-HELPERS = 2  # members asked for an indirect ping (k in the paper)
-STALL_INTERVALS = 3  # probe intervals without a tick after which this member was itself stopped
-RELAY_TIMEOUTS = 3  # ack timeouts that a helper waits before it forgets whom it pings for
-INDIRECT_TIMEOUTS = 2  # ack timeouts for an answer through helpers: twice the way
-UNKNOWN_INCARNATION = 1 << 62  # above all real ones
+MAX_HELPERS = 2  # members asked for an indirect ping (k in the SWIM paper)
+STALL_INTERVALS = 3  # probe intervals without a tick after which this process counts as stalled
+RELAY_TIMEOUTS = 3  # ack timeouts that a helper waits for the answer to an indirect ping
+INDIRECT_TIMEOUTS = 2  # ack timeouts for an indirect answer, which travels twice as far
+MAX_INCARNATION = 1 << 62  # greater than every incarnation in use
 
 
 class DatagramReceived(NamedTuple):
-    """Event: a message of another member has come from `address`."""
+    """Event: a message of another member has arrived from `address`."""
 
     address: Address
     message: MembershipMessage
 
 
 class Tick(NamedTuple):
-    """Event: time has passed; expected several times in a probe interval."""
+    """Event: time has passed; expected several times per probe interval."""
 
 
 class LocalStatus(NamedTuple):
-    """Event: what the others should know of this member."""
+    """Event: the status of this member that the others should know."""
 
     load: int  # connected proxies
     draining: bool
 
 
 class Leave(NamedTuple):
-    """Event: this member stops, and says so."""
+    """Event: this member stops and announces that to the others."""
 
 
 class SendDatagram(NamedTuple):
@@ -83,27 +85,27 @@
 
 
 class Probe(NamedTuple):
-    """A ping whose answer is awaited until `deadline`."""
+    """A ping that must be answered before `deadline`."""
 
-    name: str
-    indirect: bool  # whether helpers have been asked already
+    name: str  # of the pinged member
+    indirect: bool  # whether helpers have been asked to ping it too
     deadline: float
 
 
 class Relay(NamedTuple):
-    """A ping on behalf of `requester`, whose own number for it is `number`."""
+    """A ping on behalf of another member, to whose address the answer is passed on."""
 
     requester: Address
-    number: int
+    number: int  # of the requester's `IndirectPing`
     deadline: float
 
 
 class Membership:
     """The failure detector of one member.
 
-    `seeds`: addresses pinged as long as no reachable member has them. `probe_interval`,
-    `ack_timeout`, `suspicion_timeout`: seconds between probes, until an answer is late, and that
-    a suspect has to refute.
+    `seeds`: addresses to ping while no reachable member has them. `probe_interval`: seconds
+    between probes. `ack_timeout`: seconds to wait for an answer. `suspicion_timeout`: seconds that
+    a suspected member has to refute the suspicion (see `MemberTable`).
     """
 
     def __init__(
@@ -120,8 +122,8 @@
         self.rng = rng
         self.probe_interval = probe_interval
         self.ack_timeout = ack_timeout
-        self.probe_queue: list[str] = []  # members still to be probed in this round, the last first
-        self.number = 0  # of the newest ping
+        self.probe_queue: list[str] = []  # members to probe in this round, from last to first
+        self.last_ping_number = 0
         self.probes: dict[int, Probe] = {}  # by ping number
         self.relays: dict[int, Relay] = {}  # by ping number
         self.next_probe_at = 0.0
@@ -131,20 +133,23 @@
 
     @property
     def me(self) -> MemberInfo:
-        """This member's own fact."""
+        """The fact on this member."""
         return self.table.me
 
     @property
     def members(self) -> dict[str, Member]:
-        """All known members by name, the dead and departed ones included."""
+        """All known members by name, including dead and departed ones."""
         return self.table.members
 
     def live_members(self) -> dict[str, MemberInfo]:
-        """Members that are alive or only suspected, sorted by name."""
+        """Returns the members that are alive or suspected, sorted by name."""
         return self.table.reachable()
 
     def decide(self, now: float, events: Iterable[Event]) -> list[Action]:
-        """Handles the events in order; `now` in seconds of any clock that never goes back."""
+        """Handles the events in order and returns the actions to carry out.
+
+        `now`: seconds of a monotonic clock.
+        """
         self.now = now
         self.actions = []
         for event in events:
@@ -165,8 +170,8 @@
     # Time.
 
     def _on_tick(self) -> None:
-        if self._was_stalled():
-            self._resume()
+        if self._has_stalled():
+            self._recover_from_stall()
         self.last_tick = self.now
         for number, probe in list(self.probes.items()):
             if self.now >= probe.deadline:
@@ -180,12 +185,12 @@
             self._probe_next()
             self._ping_seed()
 
-    def _was_stalled(self) -> bool:
-        longest = STALL_INTERVALS * self.probe_interval
-        return self.last_tick is not None and self.now - self.last_tick > longest
+    def _has_stalled(self) -> bool:
+        max_interval = STALL_INTERVALS * self.probe_interval
+        return self.last_tick is not None and self.now - self.last_tick > max_interval
 
-    def _resume(self) -> None:
-        """Forgives all: a member that was stopped didn't read the answers of the others."""
+    def _recover_from_stall(self) -> None:
+        """Cancels all probes: answers may have arrived while this process was stalled."""
         self.probes = {}
         self.relays = {}
         self.table.restart_suspicions(self.now)
@@ -207,7 +212,7 @@
         self._send(self.members[name].info.address, Ping(number, self.table.next_facts()))
 
     def _ping_seed(self) -> None:
-        """Pings one seed that no reachable member has, to join or to heal a partition."""
+        """Pings one seed that no reachable member has, to join the fleet or heal a partition."""
         known = {info.address for info in self.live_members().values()}
         unknown = [seed for seed in self.seeds if seed not in known]
         if not unknown:
@@ -231,13 +236,13 @@
     def _probe_indirectly(self, number: int, member: MemberInfo, helpers: list[str]) -> None:
         deadline = self.now + INDIRECT_TIMEOUTS * self.ack_timeout
         self.probes[number] = Probe(member.name, True, deadline)
-        for helper in self.rng.sample(helpers, min(HELPERS, len(helpers))):
+        for helper in self.rng.sample(helpers, min(MAX_HELPERS, len(helpers))):
             request = IndirectPing(number, member.address, self.table.next_facts())
             self._send(self.members[helper].info.address, request)
 
     def _next_number(self) -> int:
-        self.number += 1
-        return self.number
+        self.last_ping_number += 1
+        return self.last_ping_number
 
     # Messages.
 
@@ -260,17 +265,17 @@
 
     @staticmethod
     def _corrections(senders: list[Member], facts: list[MemberInfo]) -> list[MemberInfo]:
-        """What the sender must know to refute it.
+        """Returns the facts on the sender of a ping that the sender has to refute.
 
-        That others believe it gone, or that they know a later incarnation, from before it
-        restarted.
+        These are facts that do not say that it is alive, and facts of a later incarnation than it
+        reports, from before a restart of the sender.
         """
         incarnations = {info.name: info.incarnation for info in facts}
         return [
             sender.info
             for sender in senders
             if sender.info.state != MemberState.ALIVE
-            or incarnations.get(sender.info.name, UNKNOWN_INCARNATION) < sender.info.incarnation
+            or incarnations.get(sender.info.name, MAX_INCARNATION) < sender.info.incarnation
         ]
 
     def _on_ack(self, ack: Ack) -> None:
@@ -292,15 +297,17 @@
     def _on_status(self, load: int, draining: bool) -> None:
         if (load, draining) == (self.me.load, self.me.draining):
             return
-        newer = self.me.incarnation + 1
+        next_incarnation = self.me.incarnation + 1
         self.table.update_me(
-            msgspec.structs.replace(self.me, load=load, draining=draining, incarnation=newer)
+            msgspec.structs.replace(
+                self.me, load=load, draining=draining, incarnation=next_incarnation
+            )
         )
 
     def _on_leave(self) -> None:
-        newer = self.me.incarnation + 1
+        next_incarnation = self.me.incarnation + 1
         self.table.update_me(
-            msgspec.structs.replace(self.me, state=MemberState.LEFT, incarnation=newer)
+            msgspec.structs.replace(self.me, state=MemberState.LEFT, incarnation=next_incarnation)
         )
         for name in self.table.peers()[:MAX_FACTS]:
             self._send(self.members[name].info.address, Ping(0, [self.me]))
--- a/peatlead/fleet/messages.py
+++ b/peatlead/fleet/messages.py
@@ -1,7 +1,7 @@
-"""Datagrams between the controllers of one fleet: their bodies, before authentication.
+"""Messages between the controllers of one fleet, as carried in the bodies of sealed datagrams.
 
-Each message is a MessagePack array `[tag, field, ...]`. Tags and the order of the fields are the
-wire format and must not change; the names of classes and fields are free.
+Each message is a MessagePack array `[tag, field, ...]`. The tags and the order of the fields are
+the wire format and must not change. The names of classes and fields are not on the wire.
 """
 
 from enum import StrEnum
@@ -9,11 +9,11 @@
 
 import msgspec
 
-Address = tuple[Any, ...]  # (host, port), as the socket takes it
+Address = tuple[Any, ...]  # (host, port), as passed to the socket
 
 
 class MemberState(StrEnum):
-    """What is believed of a member (SWIM, section 4.2, and a voluntary leave)."""
+    """Believed state of a member: those of SWIM (section 4.2) and a voluntary leave."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -22,33 +22,33 @@
 
 
 class MemberInfo(msgspec.Struct, array_like=True, frozen=True):
-    """One disseminated fact: a member's state at one incarnation."""
+    """A fact on a member: its state and status at one incarnation."""
 
     name: str
-    address: Address  # its gossip socket
-    state: str  # a `MemberState`; not validated, as a later release may send further states
-    incarnation: int  # only the member itself raises it
-    proxy_address: Address = ()  # where proxies connect to it; empty where it takes none
+    address: Address  # of the member's gossip socket
+    state: str  # a `MemberState`; not validated, because a later release may add states
+    incarnation: int  # only the member itself raises its incarnation
+    proxy_address: Address = ()  # of the gRPC server; empty if the member serves no proxies
     load: int = 0  # connected proxies
-    draining: bool = False  # whether it takes no more proxies
+    draining: bool = False  # whether the member admits no more proxies
 
 
 class Ping(msgspec.Struct, array_like=True, tag="Ping"):
-    """A direct probe; `number` is repeated by its `Ack`."""
+    """A direct probe; its `Ack` repeats `number`."""
 
     number: int
     facts: list[MemberInfo]
 
 
 class Ack(msgspec.Struct, array_like=True, tag="Ack"):
-    """The answer to a `Ping` or, through a helper, to an `IndirectPing`."""
+    """The answer to a `Ping`; a helper forwards it as the answer to an `IndirectPing`."""
 
     number: int
     facts: list[MemberInfo]
 
 
 class IndirectPing(msgspec.Struct, array_like=True, tag="TryFor"):
-    """A request to ping `address` and to pass its answer back (SWIM's ping-req)."""
+    """A request to ping `address` and to forward its answer (ping-req in the SWIM paper)."""
 
     number: int
     address: Address
@@ -56,19 +56,19 @@
 
 
 class AdviceMessage(msgspec.Struct, array_like=True, tag="Note"):
-    """Advice from one member's planner to another's; only planners interpret the payload."""
+    """Advice from one planner to the others; only planners interpret the payload."""
 
     payload: bytes
 
 
 class PinsMessage(msgspec.Struct, array_like=True, tag="PinsTold"):
-    """Operators' pins, as `tables.pins` writes them."""
+    """Operators' pins, as encoded by `tables.pins`."""
 
     payload: bytes
 
 
 class PinTargetMessage(msgspec.Struct, array_like=True, tag="WishTold"):
-    """What one proxy held before a pin, from the controller that owned the proxy then."""
+    """The table of one proxy before a pin, from the controller that owned the proxy then."""
 
     payload: bytes
 
--- a/peatlead/fleet/ownership.py
+++ b/peatlead/fleet/ownership.py
@@ -1,15 +1,15 @@
-"""Which controller owns a proxy, and whose updates the proxy follows. Pure: no I/O, no clock.
-
-Every controller ranks the live ones for a proxy by rendezvous hashing (Thaler, Ravishankar 1998)
-with bounded loads: the first that is neither draining nor full owns it. There is no consensus
-between them. What makes an owner effective is a fencing token at the proxy: it follows one
-stream, and takes only updates of the newest epoch it has seen. A controller that admits a proxy
-gives it the epoch after the newest that the proxy reports, so epochs never go back, whatever the
-controllers believe of each other.
-
-A controller that is not the owner redirects the proxy, unless the proxy reports that it could not
-reach the owner, or was redirected too often. Admissions are paced; proxies keep their tables
-meanwhile.
+"""Decides which controller owns a proxy. No I/O and no clock.
+
+Every controller ranks the live controllers for a proxy by rendezvous hashing (Thaler, Ravishankar
+1998) with bounded loads. The owner is the first controller by rank that is neither draining nor
+full. The controllers do not run a consensus protocol: they may disagree for a while, and the proxy
+itself fences off former owners. A proxy follows one stream and accepts only updates of the newest
+epoch that it has seen. A controller that admits a proxy assigns the epoch after the newest one
+that the proxy reports, so the epochs of a proxy only increase.
+
+A controller that does not own a connecting proxy redirects the proxy to its owner. The controller
+admits the proxy nevertheless if the proxy reports that it could not reach the owner, or was
+redirected too often. The rate of admissions is limited. Proxies keep their tables while they wait.
 """
 
 from collections.abc import Collection, Iterable, Mapping
@@ -19,23 +19,21 @@
 
 from blake3 import blake3
 
-MAX_HOPS = 2  # a proxy redirected this often is admitted wherever it arrives
-LOAD_BOUND = 1.25  # a controller is full at this much of the mean load ...
-LOAD_SLACK = 4  # ... and this many proxies more
-REDIRECT_FRACTION = (
-    0.05  # of its proxies that a controller redirects in a second, once another should own them
-)
+MAX_HOPS = 2  # a proxy that was redirected this often is admitted by any controller
+MAX_LOAD_RATIO = 1.25  # of the mean load, above which a controller is full
+LOAD_ALLOWANCE = 4  # proxies that a controller may have beyond `MAX_LOAD_RATIO`
+REDIRECT_FRACTION = 0.05  # of a controller's proxies, redirected per second at most
 REDIRECT_INTERVAL = 0.2  # seconds between batches of redirects
-DRAIN_SPEEDUP = 5  # a draining controller redirects this many times as fast
-SETTLE_TIME = 3.0  # seconds without a membership change before proxies are moved for balance
-UNREACHABLE_TIME = 5.0  # seconds that a proxy's report of unreachable controllers holds
-ADMISSION_BURST = 50  # admissions at once before they are paced
-MAX_JITTER = 1.5  # a paced proxy waits the time of one burst, times 0.5 to 1.5
+DRAIN_SPEEDUP = 5  # factor of the redirect rate of a draining controller
+SETTLE_DELAY = 3.0  # seconds without a membership change before proxies are redirected
+UNREACHABLE_REPORT_LIFETIME = 5.0  # seconds that a proxy's report of unreachable controllers counts
+ADMISSION_BURST = 50  # admissions before the rate limit applies
+MAX_JITTER = 1.5  # factor of the mean delay until a proxy that has to wait connects again
 MIN_JITTER = 0.5
 
 
 class AdmissionReason(StrEnum):
-    """Why a proxy was admitted or not; the text is sent to refused proxies."""
+    """Why a proxy was admitted or not; refused proxies receive the text."""
 
     OWNED_BY_OTHER = "another's by rank"
     PACED = "paced"
@@ -44,63 +42,63 @@
 
 
 class AdmissionDecision(NamedTuple):
-    """What to do with a proxy that has connected."""
+    """The decision on a proxy that has connected to this controller."""
 
-    owner: str  # name of the controller that should have it
-    admitted: bool  # whether this controller admits it
-    retry_delay: (
-        float  # seconds until it should connect again; 0 where it is admitted or redirected
-    )
+    owner: str  # name of the controller that should own the proxy
+    admitted: bool  # whether this controller admits the proxy
+    retry_delay: float  # seconds to wait before connecting again; 0 if admitted or redirected
     reason: AdmissionReason
 
 
 class ControllerStatus(NamedTuple):
-    """What ownership depends on, of one live controller."""
+    """The state of a live controller that ownership depends on."""
 
     load: int  # connected proxies
     draining: bool
 
 
 class ReportedUnreachable(NamedTuple):
-    """Controllers that a proxy could not reach, when it was admitted."""
+    """The controllers that a proxy reported as unreachable when it was admitted."""
 
-    at: float
-    names: tuple[str, ...]
+    reported_at: float
+    controllers: tuple[str, ...]
 
 
-UNKNOWN_CONTROLLER = ControllerStatus(
-    0, False
-)  # assumed of a controller that is not known to be live
+UNKNOWN_CONTROLLER = ControllerStatus(0, False)  # status of a controller not known to be live
 
 
-def score(proxy: str, controller: str) -> bytes:
-    """The rendezvous hash of a pair."""
+def rendezvous_score(proxy: str, controller: str) -> bytes:
+    """Returns the rendezvous hash of a proxy and a controller."""
     return blake3(proxy.encode() + b"\0" + controller.encode()).digest(8)
 
 
-def rank_controllers(proxy: str, names: Iterable[str]) -> list[str]:
-    """The controllers for a proxy, best first: the same order on each of them."""
-    return sorted(names, key=lambda name: (score(proxy, name), name), reverse=True)
+def rank_controllers(proxy: str, controllers: Iterable[str]) -> list[str]:
+    """Returns the controllers for a proxy, best first; the order is the same everywhere."""
+    return sorted(controllers, key=lambda name: (rendezvous_score(proxy, name), name), reverse=True)
 
 
 class Ownership:
-    """One controller's part. `joins_rate`: admissions a second after a burst of `JOIN_BURST`."""
+    """Ownership of proxies as one controller sees it.
+
+    `me`: the name of this controller. `max_admission_rate`: admissions per second after a burst of
+    `ADMISSION_BURST`.
+    """
 
     def __init__(self, me: str, max_admission_rate: float, rng: Random) -> None:
         self.me = me
         self.max_admission_rate = max_admission_rate
         self.rng = rng
-        self.controllers: dict[str, ControllerStatus] = {}  # this controller included
-        self.changed_at = 0.0  # when a controller last came, went or changed its draining
-        self.draining = False  # whether this controller hands over all its proxies
-        self.epochs: dict[str, int] = {}  # given to each connected proxy
-        self.unreachable: dict[str, ReportedUnreachable] = {}  # by connected proxy
-        self.tokens = float(ADMISSION_BURST)  # token bucket of admissions
-        self.tokens_at = 0.0  # when it was last refilled
+        self.controllers: dict[str, ControllerStatus] = {}  # live ones by name, this one included
+        self.changed_at = 0.0  # when a controller last joined, left or changed its draining state
+        self.draining = False  # whether this controller redirects all its proxies to others
+        self.epochs: dict[str, int] = {}  # by connected proxy
+        self.unreachable_reports: dict[str, ReportedUnreachable] = {}  # by connected proxy
+        self.tokens = float(ADMISSION_BURST)  # token bucket of the admission rate
+        self.tokens_at = 0.0  # when the token bucket was last refilled
         self.next_redirects_at = 0.0
 
     def update_controllers(self, now: float, controllers: Mapping[str, ControllerStatus]) -> None:
-        """All controllers that live now, this one included."""
+        """Sets the controllers that are live now, this one included."""
         if controllers.keys() != self.controllers.keys() or any(
             controllers[name].draining != self.controllers[name].draining for name in controllers
         ):
@@ -110,19 +108,22 @@
     # New proxies.
 
     def owner_of(self, proxy: str, unreachable_controllers: Collection[str] = ()) -> str:
-        """The controller for a new proxy: the first by rank that is neither draining nor full."""
-        order = [
+        """Returns the owner of a new proxy: the first by rank that is neither draining nor full.
+
+        If all are full, the owner is the first by rank that is not draining.
+        """
+        ranked = [
             name
             for name in rank_controllers(proxy, self.controllers)
             if name not in unreachable_controllers
         ] or [self.me]
         total = sum(status.load for status in self.controllers.values()) + 1
-        capacity = total / max(1, len(self.controllers)) * LOAD_BOUND + LOAD_SLACK
-        accepting = [name for name in order if not self._status(name).draining]
+        max_load = total / max(1, len(self.controllers)) * MAX_LOAD_RATIO + LOAD_ALLOWANCE
+        accepting = [name for name in ranked if not self._status(name).draining]
         for name in accepting:
-            if self._status(name).load < capacity:
+            if self._status(name).load < max_load:
                 return name
-        return (accepting or order)[0]
+        return (accepting or ranked)[0]
 
     def _status(self, name: str) -> ControllerStatus:
         return self.controllers.get(name, UNKNOWN_CONTROLLER)
@@ -131,25 +132,27 @@
         self,
         now: float,
         proxy: str,
-        seen: int,
+        last_epoch: int,
         hops: int = 0,
         unreachable_controllers: Collection[str] = (),
     ) -> AdmissionDecision:
-        """Decides on a proxy that has connected; an admitted one gets an epoch past `seen`.
+        """Decides on a proxy that has connected; an admitted proxy gets a new epoch.
 
-        `hops`: how often it was redirected. `avoid`: controllers that it could not reach.
+        `last_epoch`: the newest epoch that the proxy or this controller knows of; the new epoch is
+        greater. `hops`: how often the proxy was redirected. `unreachable_controllers`: the
+        controllers that the proxy could not reach.
         """
         owner = self.owner_of(proxy, unreachable_controllers)
         if owner != self.me and hops < MAX_HOPS and owner in self.controllers:
             return AdmissionDecision(owner, False, 0.0, AdmissionReason.OWNED_BY_OTHER)
         if not self._take_token(now):
-            # All proxies of a dead controller come at once: jitter spreads them out.
+            # All proxies of a failed controller connect at once; jitter spreads their retries.
             retry_delay = (
                 self.rng.uniform(MIN_JITTER, MAX_JITTER) * ADMISSION_BURST / self.max_admission_rate
             )
             return AdmissionDecision(self.me, False, retry_delay, AdmissionReason.PACED)
-        self.epochs[proxy] = max(seen, self.epochs.get(proxy, 0)) + 1
-        self.unreachable[proxy] = ReportedUnreachable(now, tuple(unreachable_controllers))
+        self.epochs[proxy] = max(last_epoch, self.epochs.get(proxy, 0)) + 1
+        self.unreachable_reports[proxy] = ReportedUnreachable(now, tuple(unreachable_controllers))
         owned = owner == self.me
         reason = AdmissionReason.OWNED if owned else AdmissionReason.OWNER_UNREACHABLE
         return AdmissionDecision(self.me, True, 0.0, reason)
@@ -168,17 +171,17 @@
     def forget(self, proxy: str) -> None:
         """Forgets a proxy that has disconnected."""
         self.epochs.pop(proxy, None)
-        self.unreachable.pop(proxy, None)
+        self.unreachable_reports.pop(proxy, None)
 
     def due_redirects(self, now: float) -> list[tuple[str, str]]:
-        """The (proxy, new owner) pairs to redirect now.
+        """Returns the proxies to redirect now, as (proxy, new owner) pairs.
 
-        A few at a time, and only while the membership is stable; a draining controller doesn't
-        wait for that.
+        Each call returns a limited number of proxies, and none until the membership has been
+        stable for `SETTLE_DELAY`. A draining controller does not wait for a stable membership.
         """
         if now < self.next_redirects_at or not self.epochs:
             return []
-        if not self.draining and now - self.changed_at < SETTLE_TIME:
+        if not self.draining and now - self.changed_at < SETTLE_DELAY:
             return []
         self.next_redirects_at = now + REDIRECT_INTERVAL
         limit = self._redirect_limit()
@@ -197,68 +200,78 @@
         return max(1, round(len(self.epochs) * REDIRECT_FRACTION * REDIRECT_INTERVAL * speedup))
 
     def _could_not_reach(self, now: float, proxy: str, owner: str) -> bool:
-        """Whether the proxy would only come back, as it could not reach its owner just now."""
-        report = self.unreachable.get(proxy)
-        return report is not None and owner in report.names and now - report.at < UNREACHABLE_TIME
+        """Returns whether the proxy has recently reported its owner as unreachable."""
+        report = self.unreachable_reports.get(proxy)
+        return (
+            report is not None
+            and owner in report.controllers
+            and now - report.reported_at < UNREACHABLE_REPORT_LIFETIME
+        )
 
     def preferred_owner(self, proxy: str) -> str:
-        """The controller that should have a proxy which is connected to this one.
+        """Returns the controller that should own a proxy that is connected to this controller.
 
-        It stays while its owner is only a little over the mean load, or two full controllers
-        would redirect it to each other.
+        The proxy stays here if the first controller by rank is full; otherwise two full
+        controllers could redirect the proxy to each other again and again. A draining controller
+        chooses the first other controller that is not full, or else the least loaded one.
         """
-        order = [
+        ranked = [
             name
             for name in rank_controllers(proxy, self.controllers)
             if not self.controllers[name].draining
         ]
         if self.draining:
-            order = [name for name in order if name != self.me]
-        if not order:
+            ranked = [name for name in ranked if name != self.me]
+        if not ranked:
             return self.me
-        bound = sum(status.load for status in self.controllers.values()) / len(order) * LOAD_BOUND
+        max_load = (
+            sum(status.load for status in self.controllers.values()) / len(ranked) * MAX_LOAD_RATIO
+        )
         if not self.draining:
-            return order[0] if self.controllers[order[0]].load < bound else self.me
-        for name in order:
-            if self.controllers[name].load < bound:
+            return ranked[0] if self.controllers[ranked[0]].load < max_load else self.me
+        for name in ranked:
+            if self.controllers[name].load < max_load:
                 return name
-        return min(order, key=lambda name: self.controllers[name].load)
+        return min(ranked, key=lambda name: self.controllers[name].load)
 
 
 class Fence(NamedTuple):
-    """A proxy's own rule for which updates it follows."""
+    """The fencing token of a proxy, which rejects updates of former owners."""
 
-    newest: tuple[int, int] = (0, 0)  # the greatest (epoch, serial) it has seen
+    newest: tuple[int, int] = (0, 0)  # greatest (epoch, serial) that the proxy has seen
 
     def allows(self, epoch: int, serial: int) -> bool:
-        """Whether an update is newer than all before."""
+        """Returns whether an update is newer than all earlier ones."""
         return (epoch, serial) > self.newest
 
     def advanced_to(self, epoch: int, serial: int) -> "Fence":
-        """The fence after an update was seen."""
+        """Returns the fence after an update with this epoch and serial."""
         return Fence(max(self.newest, (epoch, serial)))
 
 
 class OwnershipReport(TypedDict):
-    """An operator's view of one proxy."""
+    """The ownership of one proxy, as shown to operators."""
 
     proxy: str
     rank: list[str]  # controllers, best first
     owner: str
-    here: bool  # whether it is connected to this controller
-    epoch: Optional[int]
-    since: Optional[float]  # seconds connected
+    here: bool  # whether the proxy is connected to this controller
+    epoch: Optional[int]  # None if the proxy is not connected to this controller
+    since: Optional[float]  # seconds since the proxy connected to this controller
 
 
 def explain_ownership(
-    ownership: Ownership, proxy: str, joined_since: Optional[float], now: float
+    ownership: Ownership, proxy: str, joined_at: Optional[float], now: float
 ) -> OwnershipReport:
-    """Explains a proxy's ownership; `joined_since`: when it connected to this controller."""
+    """Returns a proxy's ownership for operators.
+
+    `joined_at`: when the proxy connected to this controller, None if it is not connected.
+    """
     return {
         "proxy": proxy,
         "rank": rank_controllers(proxy, ownership.controllers),
         "owner": ownership.owner_of(proxy),
         "here": proxy in ownership.epochs,
         "epoch": ownership.epochs.get(proxy),
-        "since": None if joined_since is None else now - joined_since,
+        "since": None if joined_at is None else now - joined_at,
     }
--- a/tests/fleet/test_gossip.py
+++ b/tests/fleet/test_gossip.py
@@ -12,26 +12,26 @@
 
 
 class AdviceTest(unittest.TestCase):
-    """Advice between planners."""
+    """Advice that one planner sends to another."""
 
     def test_advice_arrives_authenticated_and_a_flood_is_limited(self):
         async def case():
             port, received, nodes = free_port(), [], []
             script = SCRIPT
-            for at in (1, 2):
-                here = f'"127.1.0.{at}:'
+            for index in (1, 2):
+                address = f'"127.1.0.{index}:'
                 script = script.replace(
-                    f"control = {here}", f'peer = {here}{{grpc}}", control = {here}'
+                    f"control = {address}", f'peer = {address}{{grpc}}", control = {address}'
                 )
             fleet_settings = settings(port, script=script, more=f"fleet(keys = [{KEY.hex()!r}])")
             controllers = fleet_settings["steward"]
-            for at, me in enumerate(controllers):
+            for index, me in enumerate(controllers):
                 nodes.append(
                     GossipNode(
                         fleet_settings,
                         me,
-                        random.Random(at),
-                        bytes([at]) * 8,
+                        random.Random(index),
+                        bytes([index]) * 8,
                         lambda: 0,
                         lambda *_, **__: None,
                         lambda sender, payload: received.append((sender, payload)),
@@ -39,7 +39,7 @@
                 )
                 await nodes[-1].open()
             try:
-                await until(lambda: all(len(one.membership.live_members()) == 2 for one in nodes))
+                await until(lambda: all(len(node.membership.live_members()) == 2 for node in nodes))
                 nodes[0].broadcast_advice(b"host-0 3.0 2.0 0.1")
                 await until(lambda: received)
                 self.assertEqual(received[0], (0, b"host-0 3.0 2.0 0.1"))
@@ -50,7 +50,7 @@
                 nodes[1]._on_advice("stranger", b"x")
                 self.assertLessEqual(len(received), 2 * MAX_ADVICE_RATE + 1)
             finally:
-                for one in nodes:
-                    one.leave()
+                for node in nodes:
+                    node.leave()
 
         run(case())
--- a/tests/fleet/test_membership.py
+++ b/tests/fleet/test_membership.py
@@ -1,4 +1,4 @@
-"""The failure detector on a simulated network: kills, partitions, losses, stalls and restarts."""
+"""Failure detection on a simulated network with kills, partitions, losses, stalls and restarts."""
 
 import unittest
 
@@ -25,7 +25,7 @@
         net.run(
             60.0,
             lambda: dead_beliefs.append(
-                sum(s == "dead" for n in net.nodes for s in net.states(n).values())
+                sum(state == "dead" for name in net.nodes for state in net.states(name).values())
             ),
         )
         self.assertLess(sum(map(bool, dead_beliefs)), len(dead_beliefs) * 0.05)
@@ -36,10 +36,12 @@
     def test_a_partition_splits_the_membership_and_heals(self):
         net = Net(5)
         net.run(5.0)
-        one, other = ("n0", "n3"), ("n1", "n2", "n4")
-        net.cut = {(a, b) for a in one for b in other} | {(b, a) for a in one for b in other}
+        first_side, second_side = ("n0", "n3"), ("n1", "n2", "n4")
+        net.cut = {(a, b) for a in first_side for b in second_side} | {
+            (b, a) for a in first_side for b in second_side
+        }
         net.run(10.0)
-        self.assertTrue(net.agreed(one) and net.agreed(other))
+        self.assertTrue(net.agreed(first_side) and net.agreed(second_side))
         net.cut = set()
         net.run(10.0)
         self.assertTrue(net.agreed(sorted(net.nodes)))
@@ -79,7 +81,7 @@
         net.step("n1", [LocalStatus(4, False)])
         net.run(5.0)
         net.dead.add("n1")
-        net.run(0.4)  # sooner than anybody noticed
+        net.run(0.4)  # restarts before the other members notice
         net.start("n1")
         net.run(5.0)
         self.assertTrue(net.agreed(sorted(net.nodes)))
@@ -96,7 +98,9 @@
     def test_messages_are_bounded_in_a_large_fleet(self):
         net = Net(60)
         longest = [0]
-        net.run(6.0, lambda: longest.append(max((len(one[3]) for one in net.way), default=0)))
+        net.run(
+            6.0, lambda: longest.append(max((len(datagram[3]) for datagram in net.way), default=0))
+        )
         self.assertLess(max(longest), 1200)
 
     def test_load_and_draining_are_disseminated(self):
@@ -126,27 +130,27 @@
             for name in net.nodes:
                 if name in net.dead:
                     continue
-                for other, one in net.nodes[name].members.items():
-                    key = name, id(net.nodes[name]), other
-                    if one.state_since <= net.now:
-                        self.assertGreaterEqual(one.info.incarnation, seen.get(key, 0))
-                        seen[key] = one.info.incarnation
+                for member_name, member in net.nodes[name].members.items():
+                    key = name, id(net.nodes[name]), member_name
+                    if member.state_since <= net.now:
+                        self.assertGreaterEqual(member.info.incarnation, seen.get(key, 0))
+                        seen[key] = member.info.incarnation
 
         net.run(3.0, watch)
         for verb, a, b, wait in faults:
-            one, other = f"n{a}", f"n{b}"
+            node, other_node = f"n{a}", f"n{b}"
             if verb == "kill":
-                net.dead.add(one)
-            elif verb == "start" and one in net.dead:
-                net.start(one)
+                net.dead.add(node)
+            elif verb == "start" and node in net.dead:
+                net.start(node)
             elif verb == "cut":
-                net.cut.add((one, other))
+                net.cut.add((node, other_node))
             elif verb == "heal":
-                net.cut.discard((one, other))
+                net.cut.discard((node, other_node))
             elif verb == "freeze":
-                net.frozen.add(one)
+                net.frozen.add(node)
             elif verb == "wake":
-                net.frozen.discard(one)
+                net.frozen.discard(node)
             else:
                 net.loss = 0.2
             net.run(wait, watch)
--- a/tests/transcripts/test_gossip_transcripts.py
+++ b/tests/transcripts/test_gossip_transcripts.py
@@ -76,7 +76,7 @@
 
 
 def learn(seal, name, proof):
-    seal.store_proof(name, proof)
+    seal.store_challenge(name, proof)
 
 
 def open_sealed(seal, data):
@@ -85,7 +85,7 @@
         name, body = seal.open(data)
         return ["taken", name, body.hex()]
     except UNPROVEN as problem:
-        return ["unproven", problem.name, problem.proof.hex()]
+        return ["unproven", problem.name, problem.challenge.hex()]
     except STRAY:
         return ["refused", "", ""]
 
