--- a/peatlead/grpc/discovery.py
+++ b/peatlead/grpc/discovery.py
@@ -1,8 +1,10 @@
-"""One proxy's aggregated discovery stream, state-of-the-world variant. Pure.
+"""The aggregated discovery stream (ADS) of one proxy, state-of-the-world variant. No I/O.
 
-For each resource type at most one response awaits its ACK or NACK; what changes meanwhile is sent
-after that, only the newest. A proxy that rejects a response keeps its old resources, is reported,
-and doesn't get the same again. Source: the xDS transport protocol (nonces, ACK and NACK).
+For each resource type at most one response awaits its ACK or NACK. If the resources change in the
+meantime, only their newest state is sent after the ACK or NACK. A proxy that rejects a response
+keeps its old resources; the NACK is reported, and the same resources are not sent again.
+
+Source: the xDS transport protocol (nonces, ACK and NACK).
 """
 
 from collections.abc import Callable
@@ -14,50 +16,52 @@
 
 from ..tables.version import Version, parse_version
 
-MAX_SUBSCRIPTIONS = 1000  # resource names of one type that a proxy may subscribe to
+MAX_SUBSCRIPTIONS = 1000  # subscribed resource names per proxy and resource type
 MAX_ERROR_TEXT = 500  # characters of a NACK's error detail
 
-Resources = dict[str, bytes]  # serialized, by name
+Resources = dict[str, bytes]  # serialized resources by name
 
 
 class SentResources(NamedTuple):
-    """The newest response of a type."""
+    """The contents of the newest response of a resource type."""
 
     version: Version
     resources: Resources
 
 
 class Subscription:
-    """One resource type on the stream."""
+    """The state of one resource type on the stream."""
 
     __slots__ = ("names", "nonce", "sent", "dirty", "requested")
 
     def __init__(self) -> None:
-        self.names: tuple[str, ...] = ()  # subscribed; empty: all
-        self.nonce = ""  # of the response that awaits its ACK or NACK
+        self.names: tuple[str, ...] = ()  # subscribed names; empty for all resources
+        self.nonce = ""  # of the response that awaits its ACK or NACK, else empty
         self.sent: Optional[SentResources] = None
-        self.dirty = False  # whether the resources may have changed since
-        self.requested = False  # whether a first request has come
+        self.dirty = False  # whether the resources may have changed since the last response
+        self.requested = False  # whether the first request has arrived
 
 
 class Nack(NamedTuple):
-    """A proxy's NACK."""
+    """The rejection of a response by a proxy."""
 
     type_url: str
     version: str
-    text: str  # its error detail
+    text: str  # error message of the proxy
 
 
 def ignore_response_sent(version: Version, type_url: str) -> None:
-    """The handler of sent versions where nobody keeps them."""
+    """Default handler: ignores that a response was sent."""
 
 
 class Discovery:
-    """The stream of one proxy.
+    """The discovery stream of one proxy.
+
+    `epoch`: the epoch of this controller's ownership of the proxy. `resources(type_url, names)`
+    returns the current resources, or None if they are not known yet. `identity`: the name of this
+    controller. `on_response_sent(version, type_url)` is called for each response.
 
-    `epoch`: the owner's for this proxy. `resources(type_url, names)` gives the resources as they
-    stand, or None while they are not known; `published(version, type_url)` is called for each
-    response. The caller empties `refusals` and `applied`.
+    The caller reads and clears `nacks` and `acks`.
     """
 
     def __init__(
@@ -69,29 +73,29 @@
     ) -> None:
         self.epoch = epoch
         self.resources = resources
-        self.identity = identity  # of this controller, in each response
+        self.identity = identity  # sent in each response
         self.on_response_sent = on_response_sent
         self.subscriptions: dict[str, Subscription] = {}  # by type URL
         self.serial = 0  # of the newest response
-        self.nacks: list[Nack] = []  # NACKs
-        self.acks: list[tuple[str, Version]] = []  # ACKs: type URL and version
+        self.nacks: list[Nack] = []
+        self.acks: list[tuple[str, Version]] = []  # type URL and version
 
     def handle_request(self, request: Message) -> list[Message]:
-        """The DiscoveryResponses that are due after a DiscoveryRequest."""
+        """Handles a DiscoveryRequest; returns the DiscoveryResponses to send."""
         type_url = request.type_url
         subscription = self.subscriptions.setdefault(type_url, Subscription())
         if request.response_nonce:
             if request.response_nonce != subscription.nonce:
-                return []  # of a response that a newer one has replaced
-            self._acknowledge(subscription, request)
+                return []  # the request refers to a response that a newer one has replaced
+            self._handle_acknowledgement(subscription, request)
         names = tuple(sorted(set(request.resource_names)))[:MAX_SUBSCRIPTIONS]
         if names != subscription.names or not subscription.requested:
             subscription.names = names
             subscription.dirty = True
             subscription.requested = True
-        return self._due(type_url, subscription)
+        return self._due_responses(type_url, subscription)
 
-    def _acknowledge(self, subscription: Subscription, request: Message) -> None:
+    def _handle_acknowledgement(self, subscription: Subscription, request: Message) -> None:
         """Handles an ACK or a NACK of the newest response."""
         subscription.nonce = ""
         if not request.HasField("error_detail"):
@@ -102,21 +106,21 @@
         self.nacks.append(Nack(request.type_url, version, text))
 
     def resources_changed(self, type_url: str) -> list[Message]:
-        """The responses that are due after resources of a type may have changed."""
+        """Returns the responses to send after resources of a type may have changed."""
         subscription = self.subscriptions.get(type_url)
         if subscription is None:
             return []
         subscription.dirty = True
-        return self._due(type_url, subscription)
+        return self._due_responses(type_url, subscription)
 
-    def _due(self, type_url: str, subscription: Subscription) -> list[Message]:
+    def _due_responses(self, type_url: str, subscription: Subscription) -> list[Message]:
         if not subscription.dirty or subscription.nonce:
             return []
         resources = self.resources(type_url, subscription.names)
         subscription.dirty = False
         sent = subscription.sent
         if resources is None or (sent is not None and sent.resources == resources):
-            return []  # unchanged, or what was rejected just now: the same would be rejected again
+            return []  # the proxy has these resources, or has rejected them
         return [self._respond(type_url, subscription, resources)]
 
     def _respond(self, type_url: str, subscription: Subscription, resources: Resources) -> Message:
--- a/peatlead/grpc/encoder.py
+++ b/peatlead/grpc/encoder.py
@@ -1,9 +1,11 @@
-"""ClusterLoadAssignments, joined from parts that are serialized once. Pure.
+"""Serializes ClusterLoadAssignments from cached parts. No I/O.
 
-A thousand proxies get almost the same entry for one endpoint: its LbEndpoint with its weight is
-serialized once and joined into each proxy's message, in the order and form of protobuf's
-deterministic serialization, against which this is tested. Source: the protocol buffers encoding
-(varints, tags, length-delimited fields); the field numbers of envoy.config.endpoint.v3.
+Many proxies get the same LbEndpoint for an endpoint. Each LbEndpoint is therefore serialized once
+per weight, and the bytes are inserted into the messages of all proxies. The result equals
+protobuf's deterministic serialization.
+
+Sources: the protocol buffers encoding (varints, tags, length-delimited fields) and the field
+numbers of envoy.config.endpoint.v3.
 """
 
 from collections.abc import Mapping, Sequence
@@ -15,9 +17,9 @@
 from envoy.type.v3 import percent_pb2
 from google.protobuf.wrappers_pb2 import UInt32Value
 
-CACHE_SIZE = 65_536  # parts of each sort; the least recently used is evicted
+CACHE_SIZE = 65_536  # parts in each cache; the least recently used part is evicted
 
-LENGTH_DELIMITED = 2  # wire type
+LENGTH_DELIMITED = 2  # protobuf wire type
 
 # Field numbers of ClusterLoadAssignment.
 CLUSTER_NAME = 1
@@ -31,11 +33,11 @@
 
 DROP_CATEGORY = "level"
 
-WeightedAddress = tuple[str, int, int]  # address, port, weight in whole units above 0
+WeightedAddress = tuple[str, int, int]  # address, port, quantized weight above 0
 
 
 def varint(value: int) -> bytes:
-    """A base-128 varint."""
+    """Encodes a non-negative integer as a base-128 varint."""
     encoded = bytearray()
     while value > 0x7F:
         encoded.append(value & 0x7F | 0x80)
@@ -45,7 +47,7 @@
 
 
 def length_delimited(number: int, data: bytes) -> bytes:
-    """A length-delimited field."""
+    """Encodes a length-delimited field with this field number."""
     return varint(number << 3 | LENGTH_DELIMITED) + varint(len(data)) + data
 
 
@@ -56,7 +58,7 @@
 
 @lru_cache(CACHE_SIZE)
 def _lb_endpoint(address: str, port: int, weight: int) -> bytes:
-    """One LbEndpoint, as a field of its locality."""
+    """Encodes one LbEndpoint as a field of its locality."""
     message = endpoint_components_pb2.LbEndpoint()
     message.endpoint.address.socket_address.address = address
     message.endpoint.address.socket_address.port_value = port
@@ -76,7 +78,7 @@
 
 @lru_cache(CACHE_SIZE)
 def _policy(dropped: int) -> bytes:
-    """The drop policy, in millionths of the requests."""
+    """Encodes the drop policy; `dropped` is in millionths of the requests."""
     message = endpoint_pb2.ClusterLoadAssignment.Policy()
     drop = message.drop_overloads.add(category=DROP_CATEGORY)
     drop.drop_percentage.numerator = dropped
@@ -93,9 +95,9 @@
 def assemble_assignment(
     cluster: str, zones: Mapping[str, Sequence[WeightedAddress]], dropped: int = 0
 ) -> bytes:
-    """A serialized ClusterLoadAssignment, its localities and endpoints in the order given.
+    """Serializes a ClusterLoadAssignment with localities and endpoints in the given order.
 
-    `dropped`: millionths of the requests that proxies drop.
+    `zones`: the endpoints by zone. `dropped`: the millionths of the requests that proxies drop.
     """
     parts = [length_delimited(CLUSTER_NAME, cluster.encode())]
     for zone, entries in zones.items():
--- a/peatlead/grpc/framing.py
+++ b/peatlead/grpc/framing.py
@@ -1,4 +1,4 @@
-"""gRPC over HTTP/2: message framing, status codes and timeouts. Sans-I/O.
+"""gRPC over HTTP/2: message framing, status codes and timeouts. No I/O.
 
 Source: the gRPC protocol over HTTP/2 specification (Length-Prefixed-Message, Status,
 Status-Message, Timeout).
@@ -9,7 +9,7 @@
 
 
 class StatusCode(IntEnum):
-    """The gRPC status codes that are used here."""
+    """The gRPC status codes that this project uses."""
 
     OK = 0
     CANCELLED = 1
@@ -22,16 +22,16 @@
     UNAVAILABLE = 14
 
 
-TIMEOUT_UNITS = {"H": 3600.0, "M": 60.0, "S": 1.0, "m": 1e-3, "u": 1e-6, "n": 1e-9}  # seconds
+TIMEOUT_UNITS = {"H": 3600.0, "M": 60.0, "S": 1.0, "m": 1e-3, "u": 1e-6, "n": 1e-9}  # in seconds
 MAX_TIMEOUT_SIZE = 9  # characters: at most eight digits and a unit
 MAX_MESSAGE = 4 << 20  # bytes
-MAX_STATUS_MESSAGE = 1000  # characters once encoded
-PREFIX_SIZE = 5  # bytes before each message: compressed flag (1) and length (4, big-endian)
+MAX_STATUS_MESSAGE = 1000  # characters after percent-encoding
+PREFIX_SIZE = 5  # bytes: compressed flag (1) and message length (4, big-endian)
 NOT_COMPRESSED = 0
 
 
 class FramingError(Exception):
-    """A message that can't be taken; `status` is the code to end the call with."""
+    """An invalid message; `status` is the status code to end the call with."""
 
     def __init__(self, status: StatusCode, text: str) -> None:
         super().__init__(text)
@@ -39,19 +39,22 @@
 
 
 def frame(message: bytes) -> bytes:
-    """A message with its length prefix, uncompressed."""
+    """Returns an uncompressed message with its length prefix."""
     return b"\0" + len(message).to_bytes(4, "big") + message
 
 
 class MessageDeframer:
-    """Extracts messages from a stream's bytes; buffers at most one of `max_message` bytes."""
+    """Extracts messages from the data of a stream.
+
+    The buffer holds at most one incomplete message of `max_message` bytes.
+    """
 
     def __init__(self, max_message: int = MAX_MESSAGE) -> None:
         self.max_message = max_message
         self.buffer = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The messages that are now complete. Raises FramingError."""
+        """Adds data and returns the messages that are now complete. Raises FramingError."""
         self.buffer += data
         messages = []
         start = 0
@@ -66,8 +69,8 @@
         return messages
 
     def _read_prefix(self, start: int) -> int:
-        """The size of the message whose prefix is at `start`."""
-        if self.buffer[start] != NOT_COMPRESSED:  # no encoding is negotiated, so none may be used
+        """Returns the size of the message whose prefix is at `start`."""
+        if self.buffer[start] != NOT_COMPRESSED:  # no compression was negotiated
             raise FramingError(
                 StatusCode.UNIMPLEMENTED, "expected a message that is not compressed"
             )
@@ -81,7 +84,7 @@
 
 
 def parse_timeout(value: str) -> Optional[float]:
-    """Seconds of a `grpc-timeout` header, or None where it is invalid."""
+    """Returns the seconds of a `grpc-timeout` header, or None if it is invalid."""
     digits, unit = value[:-1], value[-1:]
     if len(value) > MAX_TIMEOUT_SIZE or not digits.isdigit() or unit not in TIMEOUT_UNITS:
         return None
@@ -89,7 +92,10 @@
 
 
 def percent_encode(text: str) -> str:
-    """A `grpc-message` header: percent-encoded beyond printable ASCII, of bounded size."""
+    """Encodes a text as a `grpc-message` header of limited size.
+
+    Characters other than printable ASCII are percent-encoded.
+    """
     encoded = "".join(map(_percent_encode_byte, text.encode()))
     return encoded[:MAX_STATUS_MESSAGE]
 
--- a/peatlead/grpc/handler.py
+++ b/peatlead/grpc/handler.py
@@ -1,4 +1,4 @@
-"""What the gRPC server expects of the controller behind it."""
+"""The interface between the gRPC server and the controller behind it."""
 
 from __future__ import annotations
 
@@ -14,52 +14,55 @@
     from .session import Session
 
 
-# How the stream of a proxy is ended that is not admitted: status, text and trailing metadata.
+# Status, text and trailing metadata that end the stream of a proxy that is not admitted.
 Rejection = tuple[int, str, Mapping[str, str]]
 
 
 class ProxyHandler(Protocol):
-    """The controller's part: admission, tables, and load reports of proxies."""
+    """The controller's decisions on admission, tables and load reports of proxies."""
 
     load_aggregator: LoadAggregator
 
     def admit(self, node: ProxyNode, /) -> tuple[int, Optional[Rejection]]:
-        """The epoch of an admitted proxy, or a Rejection."""
+        """Decides on a proxy; returns its epoch, and a rejection if it is not admitted."""
 
     def failover_metadata(self, node: ProxyNode, /) -> Mapping[str, str]:
-        """Metadata for an admitted proxy: where to connect when this controller ends."""
+        """Returns the metadata that tells an admitted proxy to which controllers to fail over."""
 
     def on_join(self, session: Session, /) -> None:
-        """A proxy has been admitted."""
+        """Handles the admission of a proxy."""
 
     def on_leave(self, session: Session, /) -> None:
-        """An admitted proxy's stream has ended."""
+        """Handles the end of an admitted proxy's stream."""
 
-    def on_nack(self, session: Session, refusal: Nack, /) -> None:
-        """A proxy has sent a NACK."""
+    def on_nack(self, session: Session, nack: Nack, /) -> None:
+        """Handles a NACK of a proxy."""
 
     def on_ack(self, session: Session, type_url: str, version: Version, /) -> None:
-        """A proxy has sent an ACK."""
+        """Handles an ACK of a proxy."""
 
     def on_response_sent(
         self, session: Session, version: Version, parts: Collection[str], /
     ) -> None:
-        """A version of these parts of a proxy's tables is sent to it."""
+        """Records that a version of these parts of a proxy's tables is sent to the proxy."""
 
     def endpoint_weights(self, session: Session, request_class: int, /) -> Mapping[int, float]:
-        """The endpoints that a proxy is to hold now, and their weights."""
+        """Returns the weights of the endpoints in a proxy's current table, by endpoint index."""
 
     def address_of(self, endpoint: int, /) -> tuple[str, int, str]:
-        """An endpoint's address, port and zone."""
+        """Returns an endpoint's address, port and zone."""
 
-    def endpoint_at(self, place: tuple[str, int], /) -> Optional[int]:
-        """The endpoint at an address and port."""
+    def endpoint_at(self, address: tuple[str, int], /) -> Optional[int]:
+        """Returns the endpoint at an address and port, or None if there is none."""
 
     def accepts_report(self, session: Session, now: float, /) -> bool:
-        """Whether a load report is processed, or shed."""
+        """Returns whether to process a load report, which is dropped otherwise."""
 
-    def on_report_processed(self, session: Session, started: float, /) -> None:
-        """A load report has been processed since `started`."""
+    def on_report_processed(self, session: Session, started_at: float, /) -> None:
+        """Records that a load report was processed, beginning at `started_at`."""
 
     def report_interval(self, session: Optional[Session], /) -> float:
-        """Seconds between load reports of a proxy; None: of one that is not connected."""
+        """Returns the seconds between load reports of a proxy.
+
+        `session` is None for a proxy that has not joined.
+        """
--- a/peatlead/grpc/http2.py
+++ b/peatlead/grpc/http2.py
@@ -1,7 +1,8 @@
-"""gRPC over HTTP/2: calls on a stream connection, with flow control and protection against misuse.
+"""gRPC over HTTP/2: connections with calls, flow control and limits against misuse by peers.
 
-h2 reads and writes the frames (RFC 9113). What waits for a peer's window is bounded for each call
-(`call`); whoever sends state asks `Call.idle` first, so that a slow reader gets only the newest.
+The h2 library reads and writes the frames (RFC 9113). The data that waits for a peer's
+flow-control window is limited for each call (`call`). A sender of state checks `Call.idle` before
+it sends, so that a slow reader gets only the newest state.
 """
 
 import asyncio
@@ -20,50 +21,46 @@
 from .call import Call, Metadata, to_headers
 from .framing import FramingError, StatusCode, parse_timeout
 
-MAX_CALLS = 16  # of one peer at a time
-MAX_HEADER_LIST = 16384  # bytes of one header list
-MAX_UNSENT = 16 << 20  # bytes in the socket's buffer
+MAX_CALLS = 16  # concurrent calls per peer
+MAX_HEADER_LIST = 16384  # bytes per header list
+MAX_UNSENT_BYTES = 16 << 20  # in the write buffer of the socket
 
-MAX_CONTROL_FRAMES = (
-    200  # resets, pings and settings of a peer within CONTROL_WINDOW: more is a flood
-)
+MAX_CONTROL_FRAMES = 200  # per CONTROL_WINDOW: resets, pings, settings and similar frames of a peer
 CONTROL_WINDOW = 10.0  # seconds
-WINDOW_UPDATES_PER_FRAME = 3  # that a peer may send for each data frame it got, uncounted
-
-PING_INTERVAL = 1.0  # seconds without a byte until a peer is pinged
-PING_TIMEOUT = 1.0  # seconds for its answer
-PING_SLACK = 0.01  # seconds; a timer of a shorter remainder might fire in the same instant for ever
-MAX_PING_RATE = (
-    500  # a second, over all connections of a listener; more connections are pinged less often
-)
+WINDOW_UPDATES_PER_FRAME = 3  # uncounted window updates of a peer per data frame sent to it
+
+PING_INTERVAL = 1.0  # seconds without received data until a peer is pinged
+PING_TIMEOUT = 1.0  # seconds to wait for the answer
+MIN_PING_DELAY = 0.01  # seconds; with a shorter delay the timer could fire again at the same time
+MAX_PING_RATE = 500  # per second, for all connections of a listener together
 PING_DATA = b"peatlead"
 
 GRPC_CONTENT_TYPE = "application/grpc"
-NO_STREAM = -1  # of events that concern the whole connection
+NO_STREAM = -1  # stream of events that concern the whole connection
 
 
 class ControlFrameLimit:
-    """Counts frames that cost the peer little and this side some work, to find a flood of them."""
+    """Detects floods of frames that are cheap to send and expensive to handle."""
 
-    __slots__ = ("times", "window_updates_left")
+    __slots__ = ("frame_times", "window_updates_left")
 
     def __init__(self) -> None:
-        self.times: deque[float] = deque()  # of the frames within the window
+        self.frame_times: deque[float] = deque()  # of the counted frames in the current window
         self.window_updates_left = 2 * WINDOW_UPDATES_PER_FRAME
 
     def add(self, now: float) -> bool:
-        """Counts a frame; whether there are too many."""
-        self.times.append(now)
-        while now - self.times[0] > CONTROL_WINDOW:
-            self.times.popleft()
-        return len(self.times) > MAX_CONTROL_FRAMES
+        """Counts a frame; returns whether the peer has exceeded the limit."""
+        self.frame_times.append(now)
+        while now - self.frame_times[0] > CONTROL_WINDOW:
+            self.frame_times.popleft()
+        return len(self.frame_times) > MAX_CONTROL_FRAMES
 
     def allow_window_updates(self) -> None:
-        """Notes a data frame to the peer, which it may answer with window updates."""
+        """Allows the peer more window updates, after a data frame was sent to it."""
         self.window_updates_left += WINDOW_UPDATES_PER_FRAME
 
     def take_window_update(self) -> bool:
-        """Whether a window update of the peer is an expected one, which doesn't count."""
+        """Returns whether a window update of the peer is an expected one, which is not counted."""
         self.window_updates_left -= 1
         if self.window_updates_left >= 0:
             return True
@@ -72,19 +69,22 @@
 
 
 def ignore_call(call: Call) -> None:
-    """The default handler of a peer's calls."""
+    """Default handler: ignores a call."""
 
 
 def ignore_end(reason: str) -> None:
-    """The default handler of a connection's end."""
+    """Default handler: ignores the end of a connection."""
 
 
 class Connection(Stream):
-    """Either side of a connection.
+    """One side of an HTTP/2 connection.
+
+    `client`: whether this is the client's side. `on_call(call)` handles each call that the peer
+    starts. `ping_interval`: seconds without received data until the peer is pinged; 0 disables
+    pings. `ping_timeout`: seconds to wait for the answer.
 
-    `serve(call)` gets each call of a client; `ended_all(reason)` is called at the end.
-    `connection_count()` gives how many connections share the rate of pings; `ping_every` 0 sends
-    none.
+    The user may set two more functions: `on_end(reason)` is called when the connection has ended,
+    and `connection_count()` returns the number of connections that share `MAX_PING_RATE`.
     """
 
     def __init__(
@@ -94,7 +94,7 @@
         ping_interval: float = PING_INTERVAL,
         ping_timeout: float = PING_TIMEOUT,
     ) -> None:
-        super().__init__(0.0, MAX_UNSENT)
+        super().__init__(0.0, MAX_UNSENT_BYTES)
         self.h2_connection = h2.connection.H2Connection(
             h2.config.H2Configuration(
                 client_side=client, header_encoding="utf-8", validate_inbound_headers=True
@@ -102,29 +102,30 @@
         )
         self.client = client
         self.on_call = on_call
-        self.calls: dict[int, Call] = {}  # by the number of their HTTP/2 stream
+        self.calls: dict[int, Call] = {}  # by HTTP/2 stream ID
         self.control_frames = ControlFrameLimit()
         self.ping_interval = ping_interval
         self.ping_timeout = ping_timeout
         self.ping_timer: Optional[asyncio.TimerHandle] = None
-        self.ping_sent_at: Optional[float] = None  # when the unanswered ping was sent
-        self.going_away = False
-        self.last_received_at = 0.0  # when the peer's last bytes came
+        self.ping_sent_at: Optional[float] = None  # time of the unanswered ping
+        self.going_away = False  # whether this side has sent GOAWAY
+        self.last_received_at = 0.0  # when the last data of the peer arrived
         self.on_end: Callable[[str], object] = ignore_end
         self.connection_count: Callable[[], int] = lambda: 0
 
     @property
     def is_open(self) -> bool:
-        """Whether anything may still be sent.
+        """Whether data may be sent.
 
-        Between the closing of a connection and its end its calls still stand, and may be used.
+        The calls of a closing connection remain until the connection has ended, and their methods
+        may still be called.
         """
         return self.transport is not None and not self.transport.is_closing()
 
-    # The connection's life.
+    # Start, end and pings.
 
     def opened(self) -> None:
-        """Sends the settings."""
+        """Sends the HTTP/2 settings and starts the ping timer."""
         self.h2_connection.local_settings = h2.settings.Settings(
             client=self.client,
             initial_values={
@@ -139,7 +140,7 @@
             self.ping_timer = self.loop.call_later(self.ping_interval, self.ping)
 
     def ended(self, reason: str) -> None:
-        """Ends all calls with the connection."""
+        """Ends all calls, and calls the `on_end` handler."""
         if self.ping_timer is not None:
             self.ping_timer.cancel()
         for call in list(self.calls.values()):
@@ -147,21 +148,21 @@
         self.on_end(reason)
 
     def ping(self) -> None:
-        """Pings a silent peer, and ends the connection where a ping was not answered.
+        """Pings a silent peer, and ends the connection if the last ping was not answered.
 
-        So a peer whose machine has failed is found. One that sends needs no pings: with 3,000
-        proxies they were most of an idle controller's work.
+        This detects peers whose machine has failed. A peer that sends data is not pinged, which
+        saves work with thousands of connections.
         """
         if not self.is_open:
             return
         now = self.loop.time()
         if self.ping_sent_at is not None and self.last_received_at < self.ping_sent_at:
-            self.abort("no answer to pings")
+            self.abort("peer did not answer a ping")
             return
         self.ping_sent_at = None
         interval = max(self.ping_interval, self.connection_count() / MAX_PING_RATE)
         wait = interval - (now - self.last_received_at)
-        if wait < PING_SLACK:
+        if wait < MIN_PING_DELAY:
             wait = max(interval, self.ping_timeout)
             self.ping_sent_at = now
             self.h2_connection.ping(PING_DATA)
@@ -169,14 +170,14 @@
         self.ping_timer = self.loop.call_later(wait, self.ping)
 
     def go_away(self) -> None:
-        """Accepts no new calls; those in progress may end."""
+        """Sends GOAWAY: the peer starts no more calls, and calls in progress may finish."""
         if not self.going_away and self.transport is not None:
             self.going_away = True
             self.h2_connection.close_connection(last_stream_id=max(self.calls, default=0))
             self.flush()
 
     def flush(self) -> None:
-        """Sends what h2 has to send."""
+        """Sends the frames that the h2 library has buffered."""
         data = self.h2_connection.data_to_send()
         if data:
             self.send(data)
@@ -184,14 +185,14 @@
     # Incoming frames.
 
     def received(self, data: bytes) -> None:
-        """Handles bytes of the peer."""
+        """Handles data of the peer; closes the connection if the data violates HTTP/2."""
         self.last_received_at = self.loop.time()
         try:
             for event in self.h2_connection.receive_data(data):
                 self._on_event(event)
         except (h2.exceptions.ProtocolError, UnicodeDecodeError, ValueError) as error:
-            self.flush()  # h2's GOAWAY
-            self.close_reason = f"not HTTP/2: {type(error).__name__}"
+            self.flush()  # the GOAWAY frame of the h2 library
+            self.close_reason = f"HTTP/2 protocol error of the peer: {type(error).__name__}"
             self.close()
             return
         self.flush()
@@ -203,7 +204,7 @@
             handler(self, event, self.calls.get(stream_id))
 
     def _on_data(self, event: Any, call: Optional[Call]) -> None:
-        # Messages are handled at once, so the window is given back at once.
+        # Messages are handled immediately, so the flow-control window is restored immediately.
         if event.flow_controlled_length:
             self.h2_connection.acknowledge_received_data(
                 event.flow_controlled_length, event.stream_id
@@ -234,11 +235,11 @@
         is_grpc = headers.get("content-type", "").startswith(GRPC_CONTENT_TYPE)
         if headers.get(":method") != "POST" or not is_grpc:
             self.h2_connection.send_headers(event.stream_id, [(":status", "415")], end_stream=True)
-            call.end(StatusCode.UNIMPLEMENTED, "not gRPC")
+            call.end(StatusCode.UNIMPLEMENTED, "request is not a gRPC call")
             return
         timeout = parse_timeout(headers.get("grpc-timeout", ""))
         if timeout is not None:
-            call.deadline = self.loop.call_later(
+            call.deadline_timer = self.loop.call_later(
                 timeout, call.finish, StatusCode.DEADLINE_EXCEEDED, "its deadline has passed"
             )
         self.on_call(call)
@@ -265,35 +266,37 @@
     def _on_stream_reset(self, _: Any, call: Optional[Call]) -> None:
         self._count_control_frame()
         if call is not None:
-            call.end(StatusCode.CANCELLED, "reset by the peer")
+            call.end(StatusCode.CANCELLED, "peer reset the stream")
 
     def _on_control_frame(self, _: Any, __: Optional[Call]) -> None:
         self._count_control_frame()
-        self._pump_all()
+        self._send_all_pending()
 
     def _on_window_update(self, _: Any, __: Optional[Call]) -> None:
         if not self.control_frames.take_window_update():
             self._count_control_frame()
-        self._pump_all()
+        self._send_all_pending()
 
     def _on_terminated(self, _: Any, __: Optional[Call]) -> None:
-        self.close_reason = "the peer went away"
+        self.close_reason = "peer sent GOAWAY"
         if not self.going_away:
             self.close()
 
     def _count_control_frame(self) -> None:
-        """Ends the connection of a peer that sends too many control frames."""
+        """Counts a control frame; ends the connection if the peer has sent too many."""
         if self.control_frames.add(self.loop.time()):
             self.h2_connection.close_connection(h2.errors.ErrorCodes.ENHANCE_YOUR_CALM)
             self.flush()
-            self.abort("flood of control frames")
+            self.abort(
+                f"peer sent more than {MAX_CONTROL_FRAMES} control frames in {CONTROL_WINDOW} s"
+            )
 
     # Calls.
 
     def call(self, path: str, authority: str, headers: Iterable[tuple[str, str]] = ()) -> Call:
-        """Starts a call as a client; messages may be sent at once.
+        """Starts a call as the client; messages may be sent immediately.
 
-        Raises h2's ProtocolError beyond the peer's limit of calls.
+        Raises h2.exceptions.ProtocolError if the peer's limit of concurrent calls is reached.
         """
         stream_id = self.h2_connection.get_next_available_stream_id()
         call = Call(self, stream_id, path)
@@ -314,20 +317,20 @@
         self.flush()
         return call
 
-    def accept(self, call: Call, **metadata: str) -> None:
-        """Sends the server's first headers and metadata, once."""
+    def send_initial_metadata(self, call: Call, **metadata: str) -> None:
+        """Sends the server's response headers with metadata, unless they have been sent."""
         if call.headers_sent or call.is_closed or not self.is_open:
             return
         call.headers_sent = True
         headers = [(":status", "200"), ("content-type", GRPC_CONTENT_TYPE), *to_headers(metadata)]
         self.h2_connection.send_headers(call.stream_id, headers)
 
-    def pump(self, call: Call) -> None:
+    def send_pending(self, call: Call) -> None:
         """Sends as much of a call's backlog as the peer's window allows, then its trailers."""
         if not self.is_open or call.is_closed:
             return
         if not self.client:
-            self.accept(call)
+            self.send_initial_metadata(call)
         had_backlog = bool(call.backlog)
         self._send_backlog(call)
         if not call.backlog and call.trailers is not None:
@@ -351,10 +354,10 @@
             self.control_frames.allow_window_updates()
             call.drop_chunk(len(chunk))
 
-    def _pump_all(self) -> None:
+    def _send_all_pending(self) -> None:
         for call in list(self.calls.values()):
             if call.backlog:
-                self.pump(call)
+                self.send_pending(call)
 
     def reset(self, call: Call, code: int) -> None:
         """Resets a call's HTTP/2 stream."""
@@ -362,10 +365,10 @@
             self.h2_connection.reset_stream(call.stream_id, code)
             self.flush()
         except h2.exceptions.ProtocolError:
-            pass  # the peer was first
+            pass  # the peer has already closed or reset the stream
 
-    def forget(self, call: Call) -> None:
-        """Drops a call that is over."""
+    def remove_call(self, call: Call) -> None:
+        """Removes a closed call."""
         self.calls.pop(call.stream_id, None)
 
 
@@ -394,7 +397,7 @@
     ping_interval: float = PING_INTERVAL,
     ping_timeout: float = PING_TIMEOUT,
 ) -> Connection:
-    """Connects as a client, from the address `local` where given.
+    """Connects as a client, from the address `local_host` if given, within `timeout` seconds.
 
     Raises OSError or asyncio.TimeoutError.
     """
--- a/peatlead/grpc/incremental.py
+++ b/peatlead/grpc/incremental.py
@@ -1,12 +1,14 @@
-"""One proxy's aggregated discovery stream, incremental variant. Pure: requests in, responses out.
+"""The aggregated discovery stream (ADS) of one proxy, incremental variant. No I/O.
 
-Endpoints are resources of their own, in collections by request class and zone (locality endpoint
-discovery): a changed weight sends one resource, not its table. A resource's version is its value,
-so a proxy that reports its versions reports all it holds, whoever owned it before; what differs
-is sent. Each response carries a stamp as its `system_version_info`: the digest of the state it
-starts from, and of the one it leads to. A proxy of this project checks both and rejects what
-doesn't match; it then gets the whole state, at most `WHOLES_MOST` times in a row. Other xDS
-clients ignore the stamp, and are served alike.
+Each endpoint is a resource of its own, in a collection for each request class and zone (locality
+endpoint discovery, LEDS). When a weight changes, only the resource of that endpoint is sent. The
+version of a resource is its value. A proxy that reports the versions of its resources therefore
+reports all it holds, even if another controller sent them, and gets only the differences.
+
+Each response carries a stamp in its `system_version_info`: the digests of the proxy's state before
+and after the response. A proxy of this project verifies both and rejects a response that does not
+match. The proxy then gets the full state, at most `MAX_FULL_RESYNCS` times in a row. Other xDS
+clients ignore the stamp and get the same responses.
 
 Sources: the xDS transport protocol (incremental variant, nonces, ACK and NACK,
 initial_resource_versions), envoy.config.endpoint.v3.LbEndpoint and LedsClusterLocalityConfig, xDS
@@ -37,27 +39,27 @@
     LB_ENDPOINT_TYPE_URL: "line",
     ASSIGNMENT_TYPE_URL: "level",
     ROUTE_TYPE_URL: "retry",
-}  # type URL -> part of the tables
-MAX_FULL_RESYNCS = 3  # responses with the whole state, in a row, after rejections
-MISMATCHES = (BASE, DIGEST)  # error details of a proxy that holds something else than assumed
+}  # part of the tables by type URL
+MAX_FULL_RESYNCS = 3  # consecutive responses with the full state after rejections
+MISMATCHES = (BASE, DIGEST)  # error messages of a proxy whose state differs from the assumed one
 WILDCARD = "*"
 COLLECTION_SUFFIX = "/*"
 
 Value = str | int
 Items = dict[str, Value]
-ItemChanges = Mapping[str, Optional[Value]]  # None: removed
+ItemChanges = Mapping[str, Optional[Value]]  # None for a removed item
 
 
 class InFlight(NamedTuple):
     """A response that awaits its ACK or NACK."""
 
     version: Version
-    items: Items  # held once it is applied
-    digest: Digest  # of these
+    items: Items  # that the proxy holds after the response
+    digest: Digest  # of these items
 
 
 class Subscription:
-    """One resource type on the stream."""
+    """The state of one resource type on the stream."""
 
     __slots__ = (
         "held",
@@ -72,25 +74,25 @@
     )
 
     def __init__(self) -> None:
-        self.held: Optional[Items] = {}  # by the proxy, as it reported; None: not known
-        self.digest = Digest()  # of what is held
+        self.held: Optional[Items] = {}  # acknowledged or reported by the proxy; None if unknown
+        self.digest = Digest()  # of the held items
         self.in_flight: Optional[InFlight] = None
         self.nonce = ""  # of the response in flight
-        self.requested = False  # whether a first request has come
+        self.requested = False  # whether the first request has arrived
         self.dirty = False  # whether the items may have changed since the last response
-        self.rejected: Optional[Items] = None  # by the last NACK
-        self.full_resyncs = 0  # responses with the whole state, in a row
-        self.names: set[str] = set()  # subscribed; empty: all
+        self.rejected: Optional[Items] = None  # items that the last NACK rejected
+        self.full_resyncs = 0  # consecutive responses with the full state
+        self.names: set[str] = set()  # subscribed names; empty for all resources
 
     def start(self, request: Message) -> None:
-        """Takes over what the proxy reports with its first request."""
+        """Stores the items that the proxy reports with its first request."""
         self.requested = True
         self.dirty = True
         self.held = decode_initial_versions(request)
         self.digest = Digest(self.held)
 
     def subscribe(self, request: Message) -> None:
-        """Changes the subscribed names."""
+        """Applies the changes of the subscribed names in a request."""
         added = self.names | set(request.resource_names_subscribe)
         names = added - set(request.resource_names_unsubscribe)
         bounded = set(sorted(names)[:MAX_SUBSCRIPTIONS])
@@ -98,7 +100,7 @@
         self.names = bounded
 
     def includes(self, key: str) -> bool:
-        """Whether an item is subscribed: by its name, its collection's, or a wildcard."""
+        """Returns whether an item is subscribed, by name, collection or wildcard."""
         name = resource_name(key)
         if not self.names or WILDCARD in self.names or name in self.names:
             return True
@@ -109,11 +111,14 @@
 
 
 class IncrementalDiscovery:
-    """The stream of one proxy.
+    """The incremental discovery stream of one proxy.
+
+    `epoch`: the epoch of this controller's ownership of the proxy. `items(part)` returns the
+    current items of a part of the tables, or None if they are not known yet. `identity`: the name
+    of this controller. `on_response_sent(version, parts)` is called for each response. `zones`:
+    the zones of which each request class has a collection.
 
-    `epoch`: the owner's for this proxy. `items(part)` gives the items as they stand, or None
-    while they are not known; `published(version, parts)` is called for each response; `zones`
-    name the collections of a request class. The caller empties `refusals` and `applied`.
+    The caller reads and clears `nacks` and `acks`.
     """
 
     def __init__(
@@ -126,18 +131,18 @@
     ) -> None:
         self.epoch = epoch
         self.items = items
-        self.identity = identity  # of this controller, in each response
+        self.identity = identity  # sent in each response
         self.on_response_sent = on_response_sent
         self.zones = zones
         self.subscriptions: dict[str, Subscription] = {}  # by type URL
         self.serial = 0  # of the newest response
-        self.nacks: list[Nack] = []  # NACKs
-        self.acks: list[tuple[str, Version]] = []  # ACKs: type URL and version
-        self.resources_sent = 0  # resources, removals among them
-        self.full_resyncs = 0  # responses with the whole state after a rejection
+        self.nacks: list[Nack] = []
+        self.acks: list[tuple[str, Version]] = []  # type URL and version
+        self.resources_sent = 0  # including removals
+        self.full_resyncs = 0  # responses with the full state after a rejection
 
     def handle_request(self, request: Message) -> list[Message]:
-        """The DeltaDiscoveryResponses that are due after a DeltaDiscoveryRequest."""
+        """Handles a DeltaDiscoveryRequest; returns the DeltaDiscoveryResponses to send."""
         type_url = request.type_url
         if type_url not in PART_BY_TYPE:
             return []
@@ -147,10 +152,10 @@
         subscription.subscribe(request)
         in_flight = subscription.in_flight
         if in_flight is not None and request.response_nonce == subscription.nonce:
-            self._acknowledge(subscription, in_flight, request)
-        return self._due(type_url, subscription)
+            self._handle_acknowledgement(subscription, in_flight, request)
+        return self._due_responses(type_url, subscription)
 
-    def _acknowledge(
+    def _handle_acknowledgement(
         self, subscription: Subscription, in_flight: InFlight, request: Message
     ) -> None:
         """Handles an ACK or a NACK of the response in flight."""
@@ -172,42 +177,48 @@
             subscription.held = None
             subscription.dirty = True
         else:
-            subscription.rejected = in_flight.items  # the same again would be rejected again
+            subscription.rejected = in_flight.items  # not sent again
 
     def resources_changed(self, type_url: str) -> list[Message]:
-        """The responses that are due after items of a type may have changed."""
+        """Returns the responses to send after items of a type may have changed."""
         subscription = self.subscriptions.get(type_url)
         if subscription is None:
             return []
         subscription.dirty = True
-        return self._due(type_url, subscription)
+        return self._due_responses(type_url, subscription)
 
-    def _due(self, type_url: str, subscription: Subscription) -> list[Message]:
+    def _due_responses(self, type_url: str, subscription: Subscription) -> list[Message]:
         if not subscription.dirty or subscription.in_flight is not None:
             return []
         items = self.items(PART_BY_TYPE[type_url])
         subscription.dirty = False
         if items is None:
             return []
-        wanted = {key: value for key, value in items.items() if subscription.includes(key)}
-        if wanted == subscription.rejected:
+        wanted_items = {key: value for key, value in items.items() if subscription.includes(key)}
+        if wanted_items == subscription.rejected:
             return []
         if subscription.held is None:
-            return [self._respond_whole(type_url, subscription, wanted)]
-        moved = changes(subscription.held, wanted)
-        if not moved:
+            return [self._respond_with_full_state(type_url, subscription, wanted_items)]
+        changed_items = changes(subscription.held, wanted_items)
+        if not changed_items:
             return []
         digest = subscription.digest.copy()
-        for key, value in moved.items():
+        for key, value in changed_items.items():
             digest.update(key, subscription.held.get(key), value)
-        in_flight = self._next_in_flight(wanted, digest)
-        return [self._respond(type_url, subscription, in_flight, str(subscription.digest), moved)]
-
-    def _respond_whole(self, type_url: str, subscription: Subscription, wanted: Items) -> Message:
+        in_flight = self._next_in_flight(wanted_items, digest)
+        return [
+            self._respond(
+                type_url, subscription, in_flight, str(subscription.digest), changed_items
+            )
+        ]
+
+    def _respond_with_full_state(
+        self, type_url: str, subscription: Subscription, wanted_items: Items
+    ) -> Message:
         subscription.full_resyncs += 1
         self.full_resyncs += 1
-        in_flight = self._next_in_flight(wanted, Digest(wanted))
-        return self._respond(type_url, subscription, in_flight, WHOLE_STATE, wanted)
+        in_flight = self._next_in_flight(wanted_items, Digest(wanted_items))
+        return self._respond(type_url, subscription, in_flight, WHOLE_STATE, wanted_items)
 
     def _next_in_flight(self, items: Items, digest: Digest) -> InFlight:
         self.serial += 1
@@ -219,13 +230,13 @@
         subscription: Subscription,
         in_flight: InFlight,
         base: str,
-        moved: ItemChanges,
+        changed_items: ItemChanges,
     ) -> Message:
-        """The response that leads from the state with the digest `base` to the one in flight."""
+        """Returns a response with the changes from the state with digest `base`."""
         version = in_flight.version
         subscription.in_flight = in_flight
         subscription.nonce = str(version)
-        self.resources_sent += len(moved)
+        self.resources_sent += len(changed_items)
         self.on_response_sent(version, (PART_BY_TYPE[type_url],))
         response = discovery_pb2.DeltaDiscoveryResponse(
             type_url=type_url,
@@ -233,7 +244,7 @@
             system_version_info=str(Stamp(version, base, str(in_flight.digest))),
             control_plane={"identifier": self.identity},
         )
-        for key, value in sorted(moved.items()):
+        for key, value in sorted(changed_items.items()):
             if value is None:
                 response.removed_resources.append(resource_name(key))
             else:
@@ -250,7 +261,10 @@
 
 
 def decode_initial_versions(request: Message) -> Items:
-    """The items that a proxy reports with its first request of a type, without foreign ones."""
+    """Returns the items that a proxy reports with its first request of a type.
+
+    Resources of another control plane are ignored.
+    """
     held: Items = {}
     for name, version in request.initial_resource_versions.items():
         try:
@@ -262,15 +276,15 @@
 
 
 def decode_delta(response: Message) -> tuple[str, dict[str, Optional[Value]], Stamp]:
-    """A response as its proxy reads it: type URL, changed items (None: removed) and stamp.
+    """Decodes a response; returns its type URL, changed items (None if removed) and stamp.
 
-    Raises ValueError with what was expected.
+    Raises ValueError.
     """
     type_url: str = response.type_url
-    moved: dict[str, Optional[Value]] = {}
+    changed_items: dict[str, Optional[Value]] = {}
     for name in response.removed_resources:
-        moved[parse_resource_name(type_url, name)] = None
+        changed_items[parse_resource_name(type_url, name)] = None
     for resource in response.resources:
         key = parse_resource_name(type_url, resource.name)
-        moved[key] = decode_item(key, resource.resource.value)
-    return type_url, moved, parse_stamp(response.system_version_info)
+        changed_items[key] = decode_item(key, resource.resource.value)
+    return type_url, changed_items, parse_stamp(response.system_version_info)
--- a/peatlead/grpc/load_aggregation.py
+++ b/peatlead/grpc/load_aggregation.py
@@ -1,9 +1,9 @@
-"""Sums of load reports on their way to the planner. Pure: no I/O, no clock.
+"""Aggregation of load reports for the planner. No I/O and no clock.
 
-Thousands of proxies report on the same endpoints. Their reports are summed on arrival, by
-endpoint and zone, and by proxy and request class, and the planner gets each sum once. The sums
-are exact, and bounded by endpoints times zones and by connected proxies times request classes.
-Reports on unlisted endpoints and overflowed counters are left out before (`load_reports`).
+Many proxies report on the same endpoints. The aggregator adds up their reports by endpoint and
+zone, and by proxy and request class, and passes each total to the planner once. The number of
+totals is limited by endpoints times zones, and by connected proxies times request classes.
+`load_reports` filters out unlisted endpoints and overflowed counters before.
 """
 
 from dataclasses import dataclass
@@ -14,22 +14,22 @@
 
 @dataclass(slots=True)
 class EndpointTotals:
-    """What one zone met at one endpoint."""
+    """Totals of the attempts of one zone at one endpoint."""
 
     attempts: int
     errors: int
-    seconds: float  # of the attempts that succeeded, together
-    utilization: float  # sum of the reported utilizations
+    total_latency: float  # seconds, of the successful attempts
+    total_utilization: float  # sum of the reported utilizations
     utilization_reports: int
-    window: float  # seconds, of the longest report
+    window: float  # seconds that the longest report covers
 
     def to_stats(self, endpoint: int, zone: int) -> interface.EndpointStats:
-        """The event for the planner."""
+        """Returns the event for the planner."""
         load_report: Optional[interface.LoadReport] = None
         if self.utilization_reports:
-            load_report = {"util": self.utilization / self.utilization_reports}
+            load_report = {"util": self.total_utilization / self.utilization_reports}
         successes = self.attempts - self.errors
-        mean_latency = self.seconds / max(1, successes)
+        mean_latency = self.total_latency / max(1, successes)
         return interface.EndpointStats(
             endpoint, zone, self.attempts, self.errors, self.window, mean_latency, load_report
         )
@@ -37,56 +37,56 @@
 
 @dataclass(slots=True)
 class RequestTotals:
-    """Requests of one class at one proxy."""
+    """Totals of the requests of one class at one proxy."""
 
     requests: int = 0
     unanswered: int = 0
-    window: float = 0.0  # seconds, of all reports together
+    window: float = 0.0  # seconds that all reports together cover
 
 
 class LoadAggregator:
-    """Sums reports until they are due, `wait` seconds after the first."""
+    """Adds up reports until the totals are due, `max_delay` seconds after the first report."""
 
     def __init__(self) -> None:
         self.endpoints: dict[tuple[int, int], EndpointTotals] = {}  # by (endpoint, zone)
         self.requests: dict[int, dict[int, RequestTotals]] = {}  # by proxy, then request class
-        self.started_at: Optional[float] = None  # when the first report came
+        self.first_report_at: Optional[float] = None  # None if there are no totals
         self.max_delay = 0.0  # seconds
 
     def on_report(self, now: float) -> None:
-        """Notes that a report has come, whose sums are added next."""
-        if self.started_at is None:
-            self.started_at = now
+        """Records the arrival of a report, before its figures are added."""
+        if self.first_report_at is None:
+            self.first_report_at = now
 
-    def add_endpoint(  # noqa: PLR0913 - called for each endpoint of each report: no object for it
+    def add_endpoint(  # noqa: PLR0913 - called often: creating an argument object costs time
         self,
         endpoint: int,
         zone: int,
         attempts: int,
         errors: int,
-        seconds: float,
-        utilization: float,
+        total_latency: float,
+        total_utilization: float,
         utilization_reports: int,
         window: float,
     ) -> None:
-        """Adds what one proxy reports on an endpoint, as in EndpointTotals."""
+        """Adds one proxy's report on an endpoint; the arguments are those of EndpointTotals."""
         totals = self.endpoints.get((endpoint, zone))
         if totals is None:
             self.endpoints[endpoint, zone] = EndpointTotals(
-                attempts, errors, seconds, utilization, utilization_reports, window
+                attempts, errors, total_latency, total_utilization, utilization_reports, window
             )
             return
         totals.attempts += attempts
         totals.errors += errors
-        totals.seconds += seconds
-        totals.utilization += utilization
+        totals.total_latency += total_latency
+        totals.total_utilization += total_utilization
         totals.utilization_reports += utilization_reports
         totals.window = max(totals.window, window)
 
     def add_requests(
         self, proxy: int, request_class: int, requests: int, unanswered: int, window: float
     ) -> None:
-        """Adds what one proxy reports on a request class."""
+        """Adds one proxy's report on a request class; `window` is in seconds."""
         classes = self.requests.setdefault(proxy, {})
         totals = classes.get(request_class)
         if totals is None:
@@ -96,8 +96,11 @@
         totals.window += window
 
     def take_due(self, now: float) -> list[interface.RequestStats | interface.EndpointStats]:
-        """The sums as events once they are due, endpoints in the order of their indices."""
-        if self.started_at is None or now - self.started_at < self.max_delay:
+        """Returns the totals as events and clears them, or returns nothing if they are not due.
+
+        Events on endpoints are ordered by endpoint index.
+        """
+        if self.first_report_at is None or now - self.first_report_at < self.max_delay:
             return []
         events: list[interface.RequestStats | interface.EndpointStats] = [
             interface.RequestStats(
@@ -110,9 +113,9 @@
             events.append(self.endpoints[endpoint, zone].to_stats(endpoint, zone))
         self.endpoints = {}
         self.requests = {}
-        self.started_at = None
+        self.first_report_at = None
         return events
 
     def forget_proxy(self, proxy: int) -> None:
-        """Drops the sums of a proxy that has disconnected, which the planner no longer knows."""
+        """Drops the totals of a disconnected proxy, which the planner no longer knows."""
         self.requests.pop(proxy, None)
--- a/peatlead/grpc/load_report_stream.py
+++ b/peatlead/grpc/load_report_stream.py
@@ -1,4 +1,4 @@
-"""One proxy's load report stream (LRS)."""
+"""The load report stream of one proxy (load reporting service, LRS)."""
 
 from __future__ import annotations
 
@@ -18,24 +18,24 @@
 
 
 class LoadReportStream:
-    """Reads the reports of one proxy, and tells it how often to report."""
+    """Reads the load reports of one proxy, and sends the proxy its report interval."""
 
     def __init__(self, server: GrpcServer, call: Call) -> None:
         self.server = server
         self.handler = server.handler
         self.call = call
-        self.node: Optional[str] = None  # the proxy's id, until the first report
-        self.interval: Optional[float] = None  # seconds, as last sent
+        self.node_id: Optional[str] = None  # None until the first report
+        self.sent_interval: Optional[float] = None  # seconds; the interval last sent
         call.on_message = self._on_message
 
     def _session(self) -> Optional[Session]:
-        return None if self.node is None else self.server.sessions.get(self.node)
+        return None if self.node_id is None else self.server.sessions.get(self.node_id)
 
     def _on_message(self, data: bytes) -> None:
-        started = asyncio.get_running_loop().time()
+        started_at = asyncio.get_running_loop().time()
         session = self._session()
-        # Shed before it is parsed: parsing is most of what a report costs.
-        if session is not None and not self.handler.accepts_report(session, started):
+        # Drops a report before parsing, which is the most expensive part of its processing.
+        if session is not None and not self.handler.accepts_report(session, started_at):
             self._send_interval(session)
             return
         try:
@@ -43,16 +43,16 @@
         except DecodeError:
             self.call.finish(StatusCode.INVALID_ARGUMENT, "expected a LoadStatsRequest")
             return
-        if self.node is None:
-            self.node = request.node.id
+        if self.node_id is None:
+            self.node_id = request.node.id
             session = self._session()
         self._send_interval(session)
         if not request.cluster_stats:
             return
-        if session is None:  # the proxy of another controller
+        if session is None:  # the proxy is connected to another controller
             self.call.finish(StatusCode.NOT_FOUND, "expected a proxy that has joined")
             return
-        self.handler.load_aggregator.on_report(started)
+        self.handler.load_aggregator.on_report(started_at)
         read_report(
             request,
             self.server.class_indices,
@@ -61,14 +61,18 @@
             session.zone,
             self.handler.load_aggregator,
         )
-        self.handler.on_report_processed(session, started)
+        self.handler.on_report_processed(session, started_at)
 
     def _send_interval(self, session: Optional[Session]) -> None:
-        """Sends a changed interval with the answer to a report, never to thousands at once."""
+        """Sends the report interval if it has changed.
+
+        The interval is sent only in answer to a report, so that a change does not send a message
+        to all proxies at once.
+        """
         interval = self.handler.report_interval(session)
-        if self.interval == interval:
+        if self.sent_interval == interval:
             return
-        self.interval = interval
+        self.sent_interval = interval
         response = lrs_pb2.LoadStatsResponse(
             send_all_clusters=True, report_endpoint_granularity=True
         )
--- a/peatlead/grpc/load_reports.py
+++ b/peatlead/grpc/load_reports.py
@@ -1,8 +1,9 @@
-"""LRS load reports, as sums for the planner. Pure.
+"""Reads load reports of the load reporting service (LRS) into the aggregator. No I/O.
 
-A cluster is a request class. Each endpoint's load metrics `seconds` and `util` carry the time of
-its successful answers and its utilization. Source: envoy.service.load_stats.v3,
-envoy.config.endpoint.v3 (load_report.proto).
+A cluster of a report is a request class. The load metric `seconds` of an endpoint is the total
+latency of its successful attempts, and `util` is its utilization.
+
+Sources: envoy.service.load_stats.v3, envoy.config.endpoint.v3 (load_report.proto).
 """
 
 from collections.abc import Callable, Mapping
@@ -10,14 +11,14 @@
 
 from .load_aggregation import LoadAggregator
 
-MIN_INTERVAL = 0.05  # seconds that a report covers; others are ignored
-MAX_INTERVAL = 600.0
-MAX_COUNT = 10_000_000  # attempts in one report; more is an overflowed counter
+MIN_INTERVAL = 0.05  # seconds; a report that covers less is ignored
+MAX_INTERVAL = 600.0  # seconds; a report that covers more is ignored
+MAX_COUNT = 10_000_000  # attempts per report; a greater count is an overflowed counter
 MAX_METRIC_TOTAL = 1e9
 SECONDS_METRIC = "seconds"
 UTILIZATION_METRIC = "util"
 
-EndpointLookup = Callable[[tuple[str, int]], Optional[int]]  # (address, port) -> index
+EndpointLookup = Callable[[tuple[str, int]], Optional[int]]  # (address, port) -> endpoint index
 
 
 def read_report(
@@ -30,7 +31,7 @@
 ) -> None:
     """Adds one LoadStatsRequest to the aggregator.
 
-    What names unknown endpoints or request classes, or has impossible counts, is left out.
+    Entries with unknown endpoints, unknown request classes or impossible counts are ignored.
     """
     for cluster in request.cluster_stats:
         request_class = request_classes.get(cluster.cluster_name)
@@ -52,7 +53,10 @@
     window: float,
     aggregator: LoadAggregator,
 ) -> tuple[int, int]:
-    """Adds the endpoints of a cluster; attempts and successes at all of them, known or not."""
+    """Adds the endpoints of a cluster; returns the attempts and successes at all of them.
+
+    The returned counts include endpoints that are not listed.
+    """
     all_attempts = 0
     all_successes = 0
     for locality in cluster.upstream_locality_stats:
@@ -73,7 +77,7 @@
 
 
 def _read_metrics(stats: Any) -> tuple[float, float, int]:
-    """Seconds of the successful attempts together, sum of the utilizations, and their number."""
+    """Returns the total latency (seconds), total utilization and number of utilization reports."""
     seconds = 0.0
     utilization = 0.0
     utilization_reports = 0
--- a/peatlead/grpc/proxy_node.py
+++ b/peatlead/grpc/proxy_node.py
@@ -1,7 +1,7 @@
-"""What a proxy reports of itself with the first request of a stream. Pure.
+"""Reads what a proxy reports about itself in the first request of a stream. No I/O.
 
-Source: envoy.config.core.v3.Node. The metadata fields are this project's: `epoch`, `rate`,
-`held`, `hops`, `avoid`.
+Source: envoy.config.core.v3.Node. The metadata fields `epoch`, `rate`, `held`, `hops` and `avoid`
+are specific to this project.
 """
 
 from typing import Any, NamedTuple
@@ -9,43 +9,43 @@
 from ..tables.version import WEIGHT_SCALE, parse_line_key, parse_version
 from .resources import LB_ENDPOINT_TYPE_URL, WeightedEndpoint, parse_resource_name
 
-MAX_HELD = 2000  # endpoints of a request class that a proxy may report
+MAX_HELD_ENDPOINTS = 2000  # per request class in a report
 MAX_NODE_ID = 200  # characters
-MAX_AVOIDED = 100
-MAX_EPOCH = 2**53  # above it a JSON number is not exact
-MIN_RATE = 0.01  # requests a second
-MAX_RATE = 1e6
-DEFAULT_RATE = 1.0
-NO_REDIRECTS = 100  # hops of a proxy that doesn't report any, and so doesn't follow redirects
-LINE_FIELDS = 4
+MAX_AVOIDED = 100  # controllers
+MAX_EPOCH = 2**53  # greater integers are not exact in a protobuf Struct, which holds doubles
+MIN_RATE = 0.01  # requests per second
+MAX_RATE = 1e6  # requests per second
+DEFAULT_RATE = 1.0  # requests per second
+HOPS_IF_UNREPORTED = 100  # a proxy that reports no hops does not support redirects
+ENDPOINT_FIELDS = 4  # of a held endpoint
 
 Held = dict[str, list[WeightedEndpoint]]  # endpoints by request class
 
 
 class ProxyNode(NamedTuple):
-    """A proxy, as it reports itself."""
+    """What a proxy reports about itself."""
 
     name: str
     zone: str
-    epoch: int  # the newest that it has seen
-    held: Held  # what it has from an earlier stream
-    rate: float  # requests a second
-    hops: int  # how often it was redirected
-    unreachable_controllers: tuple[str, ...]  # controllers that it could not reach
+    epoch: int  # newest epoch that the proxy has seen
+    held: Held  # endpoints of the proxy's tables from an earlier stream
+    rate: float  # requests per second
+    hops: int  # redirects in a row
+    unreachable_controllers: tuple[str, ...]
 
 
 def read_node(request: Any) -> ProxyNode:
-    """The node of a stream's first request. Raises ValueError with what was expected."""
+    """Returns the node of a stream's first request. Raises ValueError if it is invalid."""
     node = request.node
     if not node.id or len(node.id) > MAX_NODE_ID:
         raise ValueError("expected a node id")
     metadata = node.metadata.fields
     epoch = _read_epoch(request, metadata)
     rate = _read_rate(metadata)
-    held = _read_held_metadata(metadata)
+    held = _read_held(metadata)
     if request.type_url == LB_ENDPOINT_TYPE_URL:
-        _add_held_versions(request, held)
-    hops = int(metadata["hops"].number_value) if "hops" in metadata else NO_REDIRECTS
+        _add_held_resources(request, held)
+    hops = int(metadata["hops"].number_value) if "hops" in metadata else HOPS_IF_UNREPORTED
     return ProxyNode(node.id, node.locality.zone, epoch, held, rate, hops, _read_avoided(metadata))
 
 
@@ -69,34 +69,38 @@
     return tuple(value.string_value for value in metadata["avoid"].list_value.values[:MAX_AVOIDED])
 
 
-def _read_held_metadata(metadata: Any) -> Held:
+def _read_held(metadata: Any) -> Held:
     if "held" not in metadata:
         return {}
     return {
         request_class: [
-            _read_held_line(value.string_value) for value in lines.list_value.values[:MAX_HELD]
+            _parse_held_endpoint(value.string_value)
+            for value in endpoints.list_value.values[:MAX_HELD_ENDPOINTS]
         ]
-        for request_class, lines in metadata["held"].struct_value.fields.items()
+        for request_class, endpoints in metadata["held"].struct_value.fields.items()
     }
 
 
-def _read_held_line(text: str) -> WeightedEndpoint:
+def _parse_held_endpoint(text: str) -> WeightedEndpoint:
     """Parses `ADDRESS|PORT|ZONE|WEIGHT`."""
-    padded = text.split("|") + [""] * LINE_FIELDS
-    address, port, zone, weight = padded[:LINE_FIELDS]
+    padded = text.split("|") + [""] * ENDPOINT_FIELDS
+    address, port, zone, weight = padded[:ENDPOINT_FIELDS]
     try:
         return WeightedEndpoint(address, int(port), zone, float(weight))
     except ValueError:
         raise ValueError(f"expected ADDRESS|PORT|ZONE|WEIGHT, got {text!r}") from None
 
 
-def _add_held_versions(request: Any, held: Held) -> None:
-    """Adds what a proxy of the incremental variant holds: its resources' versions are weights."""
-    for name, version in list(request.initial_resource_versions.items())[:MAX_HELD]:
+def _add_held_resources(request: Any, held: Held) -> None:
+    """Adds the endpoints that a proxy of the incremental variant holds.
+
+    The version of an endpoint's resource is its weight.
+    """
+    for name, version in list(request.initial_resource_versions.items())[:MAX_HELD_ENDPOINTS]:
         try:
             key = parse_resource_name(LB_ENDPOINT_TYPE_URL, name)
             request_class, zone, address, port = parse_line_key(key)
-            line = WeightedEndpoint(address, port, zone, int(version) / WEIGHT_SCALE)
+            endpoint = WeightedEndpoint(address, port, zone, int(version) / WEIGHT_SCALE)
         except ValueError:
-            continue  # of another control plane
-        held.setdefault(request_class, []).append(line)
+            continue  # resource of another control plane
+        held.setdefault(request_class, []).append(endpoint)
--- a/peatlead/grpc/resources.py
+++ b/peatlead/grpc/resources.py
@@ -1,8 +1,10 @@
-"""What a proxy holds, as published xDS resources, and back. Pure: protobuf in and out.
+"""Encodes the tables of proxies as xDS resources, and decodes them. No I/O.
 
-A cluster is a request class. Its endpoints are a ClusterLoadAssignment by zone and weight, its
-admitted fraction a drop percentage there; retries are a route's retry policy. Sources:
-envoy.config.endpoint.v3, envoy.config.route.v3, the xDS transport protocol.
+A cluster is a request class. Its ClusterLoadAssignment lists the endpoints by zone with their
+weights, and expresses the admitted fraction as a drop percentage. The retry policy of a request
+class is that of its route in the RouteConfiguration.
+
+Sources: envoy.config.endpoint.v3, envoy.config.route.v3, the xDS transport protocol.
 """
 
 from collections.abc import Iterable, Mapping
@@ -24,8 +26,8 @@
 ROUTE_TYPE_URL = "type.googleapis.com/envoy.config.route.v3.RouteConfiguration"
 LB_ENDPOINT_TYPE_URL = "type.googleapis.com/envoy.config.endpoint.v3.LbEndpoint"
 
-ROUTE_CONFIGURATION_NAME = "peatlead"  # of the only RouteConfiguration
-LB_ENDPOINT_NAMES = "xdstp://peatlead/envoy.config.endpoint.v3.LbEndpoint/"
+ROUTE_CONFIGURATION_NAME = "peatlead"  # name of the only RouteConfiguration
+LB_ENDPOINT_NAME_PREFIX = "xdstp://peatlead/envoy.config.endpoint.v3.LbEndpoint/"
 MAX_RESOURCE_NAME = 200  # characters
 MAX_PORT = 65535
 ROUTE_CACHE_SIZE = 1024
@@ -33,7 +35,7 @@
 
 
 class RetrySettings(NamedTuple):
-    """A route's retry policy."""
+    """The fields of a route's retry policy."""
 
     retry_on: str
     num_retries: int
@@ -49,11 +51,11 @@
 
 
 class ResourceError(ValueError):
-    """A resource or a resource's name is not as expected; the text says what was."""
+    """A resource or the name of a resource is invalid; the message says what was expected."""
 
 
 class WeightedEndpoint(NamedTuple):
-    """One endpoint of a request class, and its weight."""
+    """An endpoint of a request class with its weight."""
 
     address: str
     port: int
@@ -77,29 +79,29 @@
 
 
 def encode_assignment(
-    request_class: str, lines: Iterable[WeightedEndpoint], admitted_fraction: float
+    request_class: str, endpoints: Iterable[WeightedEndpoint], admitted_fraction: float
 ) -> bytes:
-    """Serializes a ClusterLoadAssignment; `admitted_fraction` from 0 to 1."""
+    """Serializes a ClusterLoadAssignment; `admitted_fraction` is from 0 to 1."""
     zones: dict[str, list[WeightedAddress]] = {}
-    for line in sorted(lines, key=lambda line: (line.zone, line)):
-        entry = line.address, line.port, quantize_weight(line.weight)
-        zones.setdefault(line.zone, []).append(entry)
+    for endpoint in sorted(endpoints, key=lambda endpoint: (endpoint.zone, endpoint)):
+        entry = endpoint.address, endpoint.port, quantize_weight(endpoint.weight)
+        zones.setdefault(endpoint.zone, []).append(entry)
     dropped = round((1 - admitted_fraction) * MILLION) if admitted_fraction < 1 else 0
     return assemble_assignment(request_class, zones, dropped)
 
 
 def decode_assignment(data: bytes) -> tuple[str, list[WeightedEndpoint], float]:
-    """The request class, endpoints and admitted fraction of a ClusterLoadAssignment.
+    """Decodes a ClusterLoadAssignment; returns request class, endpoints and admitted fraction.
 
     Raises ResourceError.
     """
     assignment = _parse(endpoint_pb2.ClusterLoadAssignment, data, "a ClusterLoadAssignment")
-    lines = [
+    endpoints = [
         _read_lb_endpoint(assignment.cluster_name, locality.locality.zone, lb_endpoint)
         for locality in assignment.endpoints
         for lb_endpoint in locality.lb_endpoints
     ]
-    return assignment.cluster_name, lines, _admitted_fraction(assignment.policy)
+    return assignment.cluster_name, endpoints, _admitted_fraction(assignment.policy)
 
 
 def _read_lb_endpoint(cluster: str, zone: str, lb_endpoint: Any) -> WeightedEndpoint:
@@ -131,7 +133,7 @@
 
 @lru_cache(ROUTE_CACHE_SIZE)
 def _encode_routes(retries: tuple[tuple[str, str], ...]) -> bytes:
-    """Cached, as all proxies of a controller get the same."""
+    """Serializes a RouteConfiguration; cached because all proxies of a controller get the same."""
     message = route_pb2.RouteConfiguration(name=ROUTE_CONFIGURATION_NAME)
     virtual_host = message.virtual_hosts.add(name=ROUTE_CONFIGURATION_NAME, domains=["*"])
     for request_class, policy in retries:
@@ -146,7 +148,10 @@
 
 
 def decode_routes(data: bytes) -> dict[str, str]:
-    """The retry policy of each request class. Raises ResourceError."""
+    """Decodes a RouteConfiguration; returns the retry policy of each request class.
+
+    Raises ResourceError.
+    """
     configuration = _parse(route_pb2.RouteConfiguration, data, "a RouteConfiguration")
     return {
         route.route.cluster: _read_retry_policy(route)
@@ -165,25 +170,25 @@
     return known
 
 
-# Single items, for the incremental variant. The name of an endpoint's resource is that of its
-# collection (request class and zone), and its address.
+# Single items, for the incremental variant. The name of an endpoint's resource consists of the
+# name of its collection (request class and zone) and the endpoint's address and port.
 
 
 def resource_name(key: str) -> str:
-    """The name of the resource for an item's key."""
+    """Returns the name of the resource for an item's key."""
     part, _, rest = key.partition("/")
-    return LB_ENDPOINT_NAMES + rest if part == "line" else rest
+    return LB_ENDPOINT_NAME_PREFIX + rest if part == "line" else rest
 
 
 def parse_resource_name(type_url: str, name: str) -> str:
-    """An item's key. Raises ValueError with what was expected."""
+    """Returns the key of an item by the name of its resource. Raises ValueError."""
     shown = name[:MAX_RESOURCE_NAME]
     if type_url == LB_ENDPOINT_TYPE_URL:
-        if not name.startswith(LB_ENDPOINT_NAMES):
+        if not name.startswith(LB_ENDPOINT_NAME_PREFIX):
             raise ResourceError(
-                f"expected {LB_ENDPOINT_NAMES}KIND/ZONE/ADDRESS:PORT, got {shown!r}"
+                f"expected {LB_ENDPOINT_NAME_PREFIX}KIND/ZONE/ADDRESS:PORT, got {shown!r}"
             )
-        key = "line/" + name.removeprefix(LB_ENDPOINT_NAMES)
+        key = "line/" + name.removeprefix(LB_ENDPOINT_NAME_PREFIX)
         parse_line_key(key)
         return key
     if not name or len(name) > MAX_RESOURCE_NAME:
@@ -192,11 +197,12 @@
 
 
 def encode_item(key: str, value: Any, zones: Iterable[str] = ()) -> bytes:
-    """Serializes one item's resource.
+    """Serializes the resource of one item.
 
-    For an endpoint with its weight an LbEndpoint; for a request class with its admitted fraction
-    in millionths a ClusterLoadAssignment, whose endpoints are one collection for each of `zones`;
-    for one with its retry policy a RouteConfiguration.
+    The resource of an endpoint, whose value is a weight, is an LbEndpoint. The resource of a
+    request class whose value is the admitted fraction (in millionths) is a ClusterLoadAssignment,
+    which refers to one collection of endpoints for each of `zones`. The resource of a request
+    class whose value is the retry policy is a RouteConfiguration.
     """
     part, _, rest = key.partition("/")
     if part == "line":
@@ -216,7 +222,7 @@
 
 
 def _encode_collections(request_class: str, admitted: int, zones: Iterable[str]) -> bytes:
-    """A ClusterLoadAssignment that refers to locality endpoint discovery (LEDS)."""
+    """Serializes a ClusterLoadAssignment that refers to locality endpoint discovery (LEDS)."""
     message = endpoint_pb2.ClusterLoadAssignment(cluster_name=request_class)
     for zone in zones:
         locality = message.endpoints.add()
@@ -224,7 +230,7 @@
         leds = locality.leds_cluster_locality_config
         leds.leds_config.ads.SetInParent()
         leds.leds_config.resource_api_version = config_source_pb2.ApiVersion.V3
-        leds.leds_collection_name = f"{LB_ENDPOINT_NAMES}{request_class}/{zone}/*"
+        leds.leds_collection_name = f"{LB_ENDPOINT_NAME_PREFIX}{request_class}/{zone}/*"
     if admitted < MILLION:
         drop = message.policy.drop_overloads.add(category=DROP_CATEGORY)
         drop.drop_percentage.numerator = MILLION - admitted
@@ -233,7 +239,7 @@
 
 
 def decode_item(key: str, data: bytes) -> str | int:
-    """An item's value from its resource. Raises ValueError with what was expected."""
+    """Decodes the value of an item from its serialized resource. Raises ValueError."""
     part, _, rest = key.partition("/")
     if part == "retry":
         return _decode_retry(rest, data)
--- a/peatlead/grpc/server.py
+++ b/peatlead/grpc/server.py
@@ -1,4 +1,4 @@
-"""The gRPC server of one controller: discovery streams and load report streams of proxies."""
+"""The gRPC server of one controller, for discovery and load report streams of proxies."""
 
 import asyncio
 from collections.abc import Sequence
@@ -17,12 +17,15 @@
     "/envoy.service.discovery.v3.AggregatedDiscoveryService/DeltaAggregatedResources"
 )
 LOAD_REPORTING_PATH = "/envoy.service.load_stats.v3.LoadReportingService/StreamLoadStats"
-MAX_CONNECTIONS = 10_000  # beyond it the one idle for longest is cut
+MAX_CONNECTIONS = 10_000  # above it the connection that is idle for longest is closed
 LISTEN_BACKLOG = 1024
 
 
 class GrpcServer:
-    """The listener. `kinds`: names of the request classes; `zones`: names of all zones."""
+    """Listens for proxies, and keeps the sessions of admitted proxies.
+
+    `identity`: the name of this controller. `request_classes`, `zones`: their names.
+    """
 
     def __init__(
         self,
@@ -33,19 +36,21 @@
         zones: Sequence[str] = (),
     ) -> None:
         self.handler = handler
-        self.identity = identity  # of this controller
+        self.identity = identity
         self.zones = zones
         self.class_indices = {name: index for index, name in enumerate(request_classes)}
-        self.sessions: dict[str, Session] = {}  # admitted proxies by name
+        self.sessions: dict[str, Session] = {}  # of admitted proxies, by name
         self.connections = ConnectionSet(max_connections)
         self.server: Optional[asyncio.Server] = None
 
     async def open(self, address: tuple[str, int]) -> None:
-        """Listens on an address."""
+        """Listens on an address. Raises OSError."""
         loop = asyncio.get_running_loop()
-        self.server = await loop.create_server(self._connect, *address, backlog=LISTEN_BACKLOG)
+        self.server = await loop.create_server(
+            self._create_connection, *address, backlog=LISTEN_BACKLOG
+        )
 
-    def _connect(self) -> Connection:
+    def _create_connection(self) -> Connection:
         connection = Connection(False, self._serve)
         connection.on_end = lambda reason: self.connections.remove(connection)
         connection.connection_count = lambda: len(self.connections.streams)
@@ -64,18 +69,18 @@
             call.finish(StatusCode.UNIMPLEMENTED, expected)
 
     def add(self, session: Session) -> None:
-        """Adds an admitted proxy.
+        """Adds the session of an admitted proxy.
 
-        An older stream of the same proxy is that of a half-open connection, and ends.
+        An older session of the same proxy belongs to a half-open connection and is ended.
         """
         name = session.node.name
-        old = self.sessions.get(name)
+        replaced_session = self.sessions.get(name)
         self.sessions[name] = session
-        if old is not None:
-            old.call.finish(StatusCode.UNAVAILABLE, "replaced by a newer stream")
+        if replaced_session is not None:
+            replaced_session.call.finish(StatusCode.UNAVAILABLE, "replaced by a newer stream")
 
     def remove(self, session: Session) -> bool:
-        """Removes a proxy; False where a newer stream of it has been added."""
+        """Removes a session; returns False if a newer session of the proxy has replaced it."""
         name = session.node.name
         if self.sessions.get(name) is not session:
             return False
@@ -83,7 +88,7 @@
         return True
 
     def close(self) -> None:
-        """Stops listening, and closes all connections once their calls have ended."""
+        """Stops listening, sends GOAWAY on all connections and closes them."""
         if self.server is not None:
             self.server.close()
         for connection in list(self.connections.streams):
--- a/peatlead/grpc/session.py
+++ b/peatlead/grpc/session.py
@@ -1,4 +1,4 @@
-"""One connected proxy: its discovery stream, what it is to hold, and what it has acknowledged."""
+"""The session of one connected proxy: its discovery stream and the state that the handler keeps."""
 
 from __future__ import annotations
 
@@ -29,18 +29,18 @@
 if TYPE_CHECKING:
     from .server import GrpcServer
 
-FULL_ADMISSION = 1.0  # admitted fraction of a request class that the planner has not limited
+FULL_ADMISSION = 1.0  # admitted fraction of a request class without a limit of the planner
 
 
 class Session:
-    """The stream of one proxy, state-of-the-world variant.
+    """The session of one proxy on a state-of-the-world discovery stream.
 
-    The proxy joins with its first request, and leaves when the stream ends.
+    The proxy joins with its first request and leaves when the stream ends.
     """
 
-    REQUEST: ClassVar[Any] = discovery_pb2.DiscoveryRequest
-    # Parts of the proxy's tables in each resource type.
-    TYPES: ClassVar[Mapping[str, set[str]]] = {
+    REQUEST_TYPE: ClassVar[Any] = discovery_pb2.DiscoveryRequest
+    # Parts of the proxy's tables that each resource type contains.
+    PARTS_BY_TYPE_URL: ClassVar[Mapping[str, set[str]]] = {
         ASSIGNMENT_TYPE_URL: {"line", "level"},
         ROUTE_TYPE_URL: {"retry"},
     }
@@ -51,43 +51,42 @@
         self.server = server
         self.handler = server.handler
         self.call = call
-        self._node: Optional[ProxyNode] = None  # until the first request
-        self.discovery: Optional[Union[Discovery, IncrementalDiscovery]] = (
-            None  # while it is admitted
-        )
-        self.admitted_at = 0.0  # when it was admitted
-        self.ready = False  # whether there is anything to send
-        self.stale_types: set[str] = set()  # resource types that have changed since they were sent
-        # Kept by the handler.
-        self.number: Any = None
-        self.state: Any = None
-        self.zone = 0
-        self.admitted_fractions: dict[str, float] = {}  # admitted fraction by request class
-        self.retry_policies: dict[str, str] = {}  # retry policy by request class
-        self.causes: dict[Any, None] = {}  # of what is sent next
-        self.held: Version = NO_VERSION  # acknowledged
-        self.last_report_at: Optional[float] = None  # when its last load report was processed
-        self.report_count = 0  # load reports that have come
+        self._node: Optional[ProxyNode] = None  # None until the first request
+        # The discovery stream, None unless the proxy is admitted.
+        self.discovery: Optional[Union[Discovery, IncrementalDiscovery]] = None
+        self.admitted_at = 0.0  # event loop time
+        self.ready = False  # whether the handler has tables for the proxy
+        self.stale_types: set[str] = set()  # types that have changed since they were sent
+        # The handler sets the following attributes.
+        self.number: Any = None  # the planner's number of the proxy
+        self.state: Any = None  # the tables that the planner has assigned
+        self.zone = 0  # index
+        self.admitted_fractions: dict[str, float] = {}  # by request class
+        self.retry_policies: dict[str, str] = {}  # by request class
+        self.causes: dict[Any, None] = {}  # causes of the next response
+        self.held: Version = NO_VERSION  # newest acknowledged version
+        self.last_report_at: Optional[float] = None  # when a load report was last processed
+        self.report_count = 0  # received load reports
         call.on_message = self._on_message
         call.on_end = self._on_end
         call.on_writable = self.push
 
     @property
     def node(self) -> ProxyNode:
-        """The proxy, as it reported itself. Raises RuntimeError before its first request."""
+        """What the proxy reported about itself. Raises RuntimeError before its first request."""
         if self._node is None:
-            raise RuntimeError("expected a first request before this")
+            raise RuntimeError("the proxy has not sent its first request")
         return self._node
 
     # Requests.
 
     def _on_message(self, data: bytes) -> None:
         try:
-            request = self.REQUEST.FromString(data)
+            request = self.REQUEST_TYPE.FromString(data)
             if self._node is None:
                 self._join(read_node(request))
         except DecodeError:
-            expected = f"expected a {self.REQUEST.DESCRIPTOR.name}"
+            expected = f"expected a {self.REQUEST_TYPE.DESCRIPTOR.name}"
             self.call.finish(StatusCode.INVALID_ARGUMENT, expected)
             return
         except ValueError as error:
@@ -107,20 +106,22 @@
         self.epoch = epoch
         self.discovery = self._make_discovery(epoch)
         self.admitted_at = asyncio.get_running_loop().time()
-        self.call.connection.accept(self.call, **self.handler.failover_metadata(node))
+        self.call.connection.send_initial_metadata(
+            self.call, **self.handler.failover_metadata(node)
+        )
         self.call.connection.flush()
         self.handler.on_join(self)
 
     def _make_discovery(self, epoch: int) -> Union[Discovery, IncrementalDiscovery]:
-        return Discovery(epoch, self._resources, self.server.identity, self._on_published)
+        return Discovery(epoch, self._resources, self.server.identity, self._on_response_sent)
 
-    def _on_published(self, version: Version, type_url: str) -> None:
-        self.handler.on_response_sent(self, version, sorted(self.TYPES[type_url]))
+    def _on_response_sent(self, version: Version, type_url: str) -> None:
+        self.handler.on_response_sent(self, version, sorted(self.PARTS_BY_TYPE_URL[type_url]))
 
     def _report_acknowledgements(self, discovery: Union[Discovery, IncrementalDiscovery]) -> None:
-        """Hands ACKs and NACKs to the handler."""
-        for refusal in discovery.nacks:
-            self.handler.on_nack(self, refusal)
+        """Passes ACKs and NACKs to the handler."""
+        for nack in discovery.nacks:
+            self.handler.on_nack(self, nack)
         for type_url, version in discovery.acks:
             self.handler.on_ack(self, type_url, version)
         discovery.nacks = []
@@ -131,19 +132,20 @@
             self.discovery = None
             self.handler.on_leave(self)
 
-    # What the proxy is to hold.
+    # The current tables.
 
     def _resources(self, type_url: str, names: tuple[str, ...]) -> Optional[Resources]:
-        """The resources as they stand.
+        """Returns the current resources of a type.
 
-        None while there is nothing to send: what the proxy brought is valid until then.
+        Returns None until the handler has tables; until then the proxy keeps the tables that it
+        holds from an earlier stream.
         """
         if not self.ready:
             return None
         if type_url == ASSIGNMENT_TYPE_URL:
             return {
                 name: encode_assignment(
-                    name, self._lines(name), self.admitted_fractions.get(name, FULL_ADMISSION)
+                    name, self._endpoints(name), self.admitted_fractions.get(name, FULL_ADMISSION)
                 )
                 for name in self.server.class_indices
                 if name in names or not names
@@ -151,15 +153,15 @@
         if type_url == ROUTE_TYPE_URL:
             return {
                 ROUTE_CONFIGURATION_NAME: encode_routes(
-                    {name: self._retry(name) for name in self.server.class_indices}
+                    {name: self._retry_policy(name) for name in self.server.class_indices}
                 )
             }
         return {}
 
-    def _retry(self, request_class: str) -> str:
+    def _retry_policy(self, request_class: str) -> str:
         return self.retry_policies.get(request_class, RetryPolicy.UNSTARTED.value)
 
-    def _lines(self, request_class: str) -> list[WeightedEndpoint]:
+    def _endpoints(self, request_class: str) -> list[WeightedEndpoint]:
         weights = self.handler.endpoint_weights(self, self.server.class_indices[request_class])
         return [
             WeightedEndpoint(*self.handler.address_of(endpoint), weight)
@@ -167,39 +169,51 @@
         ]
 
     def items(self, part: str) -> Optional[Items]:
-        """The items of a part of the tables as they stand; None while there is nothing to send."""
+        """Returns the current items of a part of the tables, None until the handler has tables."""
         if not self.ready:
             return None
-        kinds = self.server.class_indices
+        request_classes = self.server.class_indices
         if part == "line":
             return {
-                line_key(kind, line.zone, line.address, line.port): quantize_weight(line.weight)
-                for kind in kinds
-                for line in self._lines(kind)
+                line_key(
+                    request_class, endpoint.zone, endpoint.address, endpoint.port
+                ): quantize_weight(endpoint.weight)
+                for request_class in request_classes
+                for endpoint in self._endpoints(request_class)
             }
         if part == "level":
             return {
-                f"level/{kind}": round(self.admitted_fractions.get(kind, FULL_ADMISSION) * MILLION)
-                for kind in kinds
+                f"level/{request_class}": round(
+                    self.admitted_fractions.get(request_class, FULL_ADMISSION) * MILLION
+                )
+                for request_class in request_classes
             }
-        return {f"retry/{kind}": self._retry(kind) for kind in kinds}
+        return {
+            f"retry/{request_class}": self._retry_policy(request_class)
+            for request_class in request_classes
+        }
 
     # Sending.
 
     def on_tables_changed(self, parts: Iterable[str] = PARTS) -> None:
-        """Sends these parts of the tables, which have changed; to a slow reader only the newest."""
+        """Sends changed parts of the tables, or sends them later if the proxy reads slowly.
+
+        A slow reader gets only the newest state.
+        """
         if not self.ready:
             self.ready = True
             parts = PARTS
         changed = set(parts)
         self.stale_types.update(
-            type_url for type_url, covers in self.TYPES.items() if covers & changed
+            type_url
+            for type_url, type_parts in self.PARTS_BY_TYPE_URL.items()
+            if type_parts & changed
         )
         self.push()
 
     def push(self) -> None:
-        """Sends what has changed, as long as nothing waits for the proxy."""
-        for type_url in self.TYPES:
+        """Sends the changed resource types while the call has no backlog."""
+        for type_url in self.PARTS_BY_TYPE_URL:
             if type_url in self.stale_types and self.call.idle and self.discovery is not None:
                 self.stale_types.discard(type_url)
                 self._send(self.discovery.resources_changed(type_url))
@@ -209,15 +223,18 @@
             self.call.send(response.SerializeToString(deterministic=True))
 
     def redirect(self, text: str, **metadata: str) -> None:
-        """Redirects the proxy to another controller; it keeps what it holds."""
+        """Redirects the proxy to another controller; the proxy keeps its tables."""
         self.call.finish(StatusCode.UNAVAILABLE, text, **metadata)
 
 
 class DeltaSession(Session):
-    """The stream of one proxy, incremental variant: endpoints as resources of their own."""
+    """The session of one proxy on an incremental discovery stream.
+
+    Each endpoint is a resource of its own.
+    """
 
-    REQUEST = discovery_pb2.DeltaDiscoveryRequest
-    TYPES = {
+    REQUEST_TYPE = discovery_pb2.DeltaDiscoveryRequest
+    PARTS_BY_TYPE_URL = {
         LB_ENDPOINT_TYPE_URL: {"line"},
         ASSIGNMENT_TYPE_URL: {"level"},
         ROUTE_TYPE_URL: {"retry"},
@@ -225,8 +242,8 @@
 
     def _make_discovery(self, epoch: int) -> Union[Discovery, IncrementalDiscovery]:
         return IncrementalDiscovery(
-            epoch, self.items, self.server.identity, self._on_parts_published, self.server.zones
+            epoch, self.items, self.server.identity, self._on_delta_response_sent, self.server.zones
         )
 
-    def _on_parts_published(self, version: Version, parts: tuple[str, ...]) -> None:
+    def _on_delta_response_sent(self, version: Version, parts: tuple[str, ...]) -> None:
         self.handler.on_response_sent(self, version, parts)
--- a/tests/controller/test_many_proxies.py
+++ b/tests/controller/test_many_proxies.py
@@ -171,7 +171,7 @@
         call.send(b"an order")
         call.finish(14, "moved")
         connection.ping()
-        connection.accept(call)
+        connection.send_initial_metadata(call)
         connection.connection_lost(None)
         self.assertEqual((connection.calls, call.is_closed), ({}, True))
 
--- a/tests/grpc/test_http2.py
+++ b/tests/grpc/test_http2.py
@@ -95,7 +95,7 @@
             client.on_end = over.set_result
             return await over
 
-        self.assertEqual(run_with_standins(case), "no answer to pings")
+        self.assertEqual(run_with_standins(case), "peer did not answer a ping")
 
     def test_floods_and_invalid_frames_end_the_connection(self):
         async def case(world):
