--- a/tests/grpc/simulated_fleet.py
+++ b/tests/grpc/simulated_fleet.py
@@ -1,4 +1,4 @@
-"""Three controllers and their proxies, on loopback addresses."""
+"""Helpers for tests with three controllers and simulated proxies on loopback addresses."""
 
 import asyncio
 
@@ -8,15 +8,15 @@
 
 from ..standin_fleet import SCRIPT, MemoryRecorder, run_with_standins
 
-FLEET = SCRIPT
-for at in (1, 2):
-    FLEET = FLEET.replace(
-        f'control = "127.1.0.{at}:{{control}}")',
-        f'control = "127.1.0.{at}:{{control}}", '
-        f'grpc = "127.1.0.{at}:{{grpc}}", peer = "127.1.0.{at}:{{control}}")',
+FLEET_SCRIPT = SCRIPT
+for index in (1, 2):
+    FLEET_SCRIPT = FLEET_SCRIPT.replace(
+        f'control = "127.1.0.{index}:{{control}}")',
+        f'control = "127.1.0.{index}:{{control}}", '
+        f'grpc = "127.1.0.{index}:{{grpc}}", peer = "127.1.0.{index}:{{control}}")',
     )
-FLEET = (
-    FLEET.replace("view(", "# view(").replace("open_views = 4", "open_views = 0")
+FLEET_SCRIPT = (
+    FLEET_SCRIPT.replace("view(", "# view(").replace("open_views = 4", "open_views = 0")
     + """
 steward(name = "ns3", zone = "north", listen = "127.1.0.3:{port}", control = "127.1.0.3:{control}",
         grpc = "127.1.0.3:{grpc}", peer = "127.1.0.3:{control}")
@@ -25,30 +25,30 @@
 """
     % ("ab" * 32)
 )
-KINDS = [
+REQUEST_CLASSES = [
     Kind("look", 0.5, 0.5, 1.5, 1.0, "replayable"),
     Kind("file", 0.5, 0.5, 1.5, 1.0, "non-replayable"),
 ]
-ENTRIES = [
+WEIGHTED_ENDPOINTS = [
     WeightedEndpoint("127.10.9.1", 80, "north", 1.0),
     WeightedEndpoint("127.10.9.2", 80, "south", 0.25),
 ]
 
 
-def run_fleet(case, **more):
-    """Plays a case with three controllers whose settings are FLEET."""
+def run_fleet(case, **options):
+    """Runs a test case with the settings of FLEET_SCRIPT, which has three controllers."""
 
-    async def one(world):
+    async def run_case(world):
         world.settings["limits"]["messages_most"] = 40
         return await case(world)
 
-    return run_with_standins(one, script=FLEET, **more)
+    return run_with_standins(run_case, script=FLEET_SCRIPT, **options)
 
 
-def connect_proxy(world, name="p0", order=(1, 2, 3)):
-    """Starts a simulated proxy that knows the controllers in this order."""
-    controllers = [[f"127.1.0.{at}", world.port + 2] for at in order]
-    plan = Plan(name, "north", "127.60.9.1", controllers, world.port, 20.0, KINDS)
+def connect_proxy(world, name="p0", controller_order=(1, 2, 3)):
+    """Starts a simulated proxy that knows the controllers of these numbers, in this order."""
+    controllers = [[f"127.1.0.{index}", world.port + 2] for index in controller_order]
+    plan = Plan(name, "north", "127.60.9.1", controllers, world.port, 20.0, REQUEST_CLASSES)
     proxy = Agent(plan, world.random, MemoryRecorder())
     proxy.begin(asyncio.get_running_loop().time())
     world.cleanups.append(lambda: setattr(proxy, "stopped", True))
--- a/tests/grpc/test_failover.py
+++ b/tests/grpc/test_failover.py
@@ -1,4 +1,4 @@
-"""Several controllers: which one serves a proxy when others fail, drain or are cut off."""
+"""Failover of proxies between controllers that fail, drain or lose contact to each other."""
 
 import asyncio
 import unittest
@@ -8,7 +8,7 @@
 
 
 class FailoverTest(unittest.TestCase):
-    async def three(self, world):
+    async def start_three_controllers(self, world):
         controllers = {name: await world.start_controller(name) for name in ("ns1", "ns2", "ns3")}
         await until(
             lambda: all(
@@ -18,7 +18,7 @@
         )
         return controllers
 
-    def owner(self, controllers, name="p0"):
+    def owner_of(self, controllers, name="p0"):
         ownership = [
             key
             for key, controller in controllers.items()
@@ -26,35 +26,39 @@
         ]
         return ownership[0] if len(ownership) == 1 else None
 
-    def test_the_ranked_owner_admits_a_proxy_and_a_killed_one_is_replaced(self):
+    def test_the_first_controller_by_rank_admits_a_proxy_and_is_replaced_when_killed(self):
         async def case(world):
-            controllers = await self.three(world)
+            controllers = await self.start_three_controllers(world)
             proxy = connect_proxy(world)
-            await until(lambda: self.owner(controllers))
-            first = self.owner(controllers)
-            self.assertEqual(first, controllers["ns1"].fleet.ownership.owner_of("p0"))
+            await until(lambda: self.owner_of(controllers))
+            first_owner = self.owner_of(controllers)
+            self.assertEqual(first_owner, controllers["ns1"].fleet.ownership.owner_of("p0"))
             await until(lambda: proxy.lines)
-            held, epoch = dict(proxy.lines), proxy.fence.newest[0]
-            controllers.pop(first).stop()
-            await until(lambda: self.owner(controllers))
+            held_endpoints, epoch = dict(proxy.lines), proxy.fence.newest[0]
+            controllers.pop(first_owner).stop()
+            await until(lambda: self.owner_of(controllers))
             await until(lambda: proxy.fence.newest[0] > epoch)
             self.assertEqual(
-                set(held["look"]), set(proxy.lines["look"])
-            )  # same shard, whoever owns it
+                set(held_endpoints["look"]), set(proxy.lines["look"])
+            )  # the shard does not depend on the owner
             await proxy.finish()
 
         run_fleet(case)
 
     def test_a_partition_between_controllers_duplicates_no_version_and_heals(self):
         async def case(world):
-            controllers = await self.three(world)
+            controllers = await self.start_three_controllers(world)
             proxies = [
-                connect_proxy(world, f"p{at}", (at % 3 + 1, (at + 1) % 3 + 1, (at + 2) % 3 + 1))
-                for at in range(6)
+                connect_proxy(
+                    world, f"p{index}", (index % 3 + 1, (index + 1) % 3 + 1, (index + 2) % 3 + 1)
+                )
+                for index in range(6)
             ]
-            await until(lambda: all(self.owner(controllers, proxy.plan.name) for proxy in proxies))
-            real = {name: controller.fleet.send for name, controller in controllers.items()}
-            for controller in controllers.values():  # each believes that it is alone
+            await until(
+                lambda: all(self.owner_of(controllers, proxy.plan.name) for proxy in proxies)
+            )
+            original = {name: controller.fleet.send for name, controller in controllers.items()}
+            for controller in controllers.values():  # no gossip message is delivered
                 controller.fleet.send = lambda address, body: None
             await until(
                 lambda: all(
@@ -66,13 +70,13 @@
             world.write_list()
             await until(
                 lambda: all(
-                    {line.address for line in proxy.lines["look"]}
+                    {endpoint.address for endpoint in proxy.lines["look"]}
                     == {"127.10.9.1", "127.10.9.3", "127.10.9.4"}
                     for proxy in proxies
                 )
             )
             for name, controller in controllers.items():
-                controller.fleet.send = real[name]
+                controller.fleet.send = original[name]
             await until(
                 lambda: all(
                     len(controller.fleet.membership.live_members()) == 3
@@ -81,14 +85,14 @@
             )
             await until(
                 lambda: all(
-                    self.owner(controllers, proxy.plan.name)
+                    self.owner_of(controllers, proxy.plan.name)
                     == controllers["ns1"].fleet.ownership.preferred_owner(proxy.plan.name)
                     for proxy in proxies
                 ),
                 15,
             )
-            orders = [row for proxy in proxies for row in proxy.record.rows_of("order")]
-            versions = [(row[2], row[4], row[5]) for row in orders if row[6] == "applied"]
+            order_rows = [row for proxy in proxies for row in proxy.record.rows_of("order")]
+            versions = [(row[2], row[4], row[5]) for row in order_rows if row[6] == "applied"]
             self.assertEqual(len(versions), len(set(versions)))
             for proxy in proxies:
                 await proxy.finish()
@@ -97,19 +101,23 @@
 
     def test_draining_a_controller_moves_all_proxies_with_their_endpoints(self):
         async def case(world):
-            controllers = await self.three(world)
-            proxies = [connect_proxy(world, f"p{at}") for at in range(5)]
+            controllers = await self.start_three_controllers(world)
+            proxies = [connect_proxy(world, f"p{index}") for index in range(5)]
             await until(
                 lambda: all(
-                    self.owner(controllers, proxy.plan.name) and proxy.lines for proxy in proxies
+                    self.owner_of(controllers, proxy.plan.name) and proxy.lines for proxy in proxies
                 )
             )
-            busy = max(controllers, key=lambda name: len(controllers[name].proxies.front.sessions))
-            controllers[busy].answer_fleet_question(type("Q", (), {"do": "drain", "host": ""}))
-            await until(lambda: not controllers[busy].proxies.front.sessions, 15)
-            await until(lambda: all(self.owner(controllers, proxy.plan.name) for proxy in proxies))
+            busiest = max(
+                controllers, key=lambda name: len(controllers[name].proxies.front.sessions)
+            )
+            controllers[busiest].answer_fleet_question(type("Q", (), {"do": "drain", "host": ""}))
+            await until(lambda: not controllers[busiest].proxies.front.sessions, 15)
+            await until(
+                lambda: all(self.owner_of(controllers, proxy.plan.name) for proxy in proxies)
+            )
             self.assertTrue(all(proxy.lines["look"] for proxy in proxies))
-            answer = controllers[busy].answer_fleet_question(
+            answer = controllers[busiest].answer_fleet_question(
                 type("Q", (), {"do": "why", "host": "p0"})
             )
             self.assertFalse(answer["here"])
@@ -120,39 +128,44 @@
 
     def test_updates_of_an_earlier_owner_are_fenced_off(self):
         async def case(world):
-            controllers = await self.three(world)
+            controllers = await self.start_three_controllers(world)
             proxy = connect_proxy(world)
-            await until(lambda: self.owner(controllers) and proxy.lines)
-            first = self.owner(controllers)
-            session = controllers[first].proxies.front.sessions["p0"]
-            # Seen from the agent it is frozen: pings go unanswered. Then it wakes, and still believes that it owns.
+            await until(lambda: self.owner_of(controllers) and proxy.lines)
+            first_owner = self.owner_of(controllers)
+            session = controllers[first_owner].proxies.front.sessions["p0"]
+            # The owner stops answering pings, as if frozen, and later resumes without knowing of the new owner.
             connection = session.call.connection
             connection.ping_timer.cancel()
-            real, connection.received = connection.received, lambda data: None
+            original, connection.received = connection.received, lambda data: None
             await until(
-                lambda: any(self.owner({k: s}) for k, s in controllers.items() if k != first), 15
+                lambda: any(
+                    self.owner_of({name: controller})
+                    for name, controller in controllers.items()
+                    if name != first_owner
+                ),
+                15,
             )
             await until(
                 lambda: proxy.fence.newest[0] > 1
                 and proxy.record.rows_of("order")[-1][6] == "applied",
                 15,
             )
-            connection.received = real
-            held = dict(proxy.lines)
+            connection.received = original
+            held_endpoints = dict(proxy.lines)
             session.state.withdrawn.update(range(3))
             session.ready = True
-            for kind in session.discovery.subscriptions.values():
-                kind.nonce = ""
+            for subscription in session.discovery.subscriptions.values():
+                subscription.nonce = ""
             session.on_tables_changed()
             await until(lambda: any(row[6] == "old" for row in proxy.record.rows_of("order")))
-            self.assertEqual(proxy.lines, held)
+            self.assertEqual(proxy.lines, held_endpoints)
             await proxy.finish()
 
         run_fleet(case)
 
     def test_forged_gossip_changes_nothing(self):
         async def case(world):
-            controllers = await self.three(world)
+            controllers = await self.start_three_controllers(world)
             loop = asyncio.get_running_loop()
             transport, _ = await loop.create_datagram_endpoint(
                 asyncio.DatagramProtocol, local_addr=("127.1.0.9", 0)
--- a/tests/grpc/test_framing.py
+++ b/tests/grpc/test_framing.py
@@ -11,10 +11,10 @@
 class FramingTest(unittest.TestCase):
     @given(st.lists(st.binary(max_size=300), max_size=8), st.integers(1, 50))
     def test_messages_are_reassembled_from_any_fragments(self, messages, size):
-        data, unframer, found = b"".join(map(frame, messages)), MessageDeframer(), []
-        for at in range(0, len(data), size):
-            found += unframer.feed(data[at : at + size])
-        self.assertEqual(found, messages)
+        data, deframer, received = b"".join(map(frame, messages)), MessageDeframer(), []
+        for offset in range(0, len(data), size):
+            received += deframer.feed(data[offset : offset + size])
+        self.assertEqual(received, messages)
 
     def test_compressed_and_oversized_messages_are_refused(self):
         for data, status in ((b"\x01\0\0\0\0", 12), (b"\0\xff\xff\xff\xff", 8)):
@@ -22,6 +22,6 @@
                 MessageDeframer().feed(data)
             self.assertEqual(caught.exception.status, status)
         self.assertEqual(
-            [parse_timeout(t) for t in ("3S", "250m", "x", "1", "999999999H", "")],
+            [parse_timeout(text) for text in ("3S", "250m", "x", "1", "999999999H", "")],
             [3.0, 0.25, None, None, None, None],
         )
--- a/tests/grpc/test_http2.py
+++ b/tests/grpc/test_http2.py
@@ -21,65 +21,65 @@
 
 
 class Http2Test(unittest.TestCase):
-    async def server(self, world, serve):
-        loop, made = asyncio.get_running_loop(), []
+    async def start_server(self, world, serve):
+        loop, connections = asyncio.get_running_loop(), []
 
         def connect():
-            made.append(Connection(False, serve, ping_interval=0.0))
-            return made[-1]
+            connections.append(Connection(False, serve, ping_interval=0.0))
+            return connections[-1]
 
         server = await loop.create_server(connect, "127.1.0.1", 0)
         world.cleanups.append(server.close)
-        return server.sockets[0].getsockname(), made
+        return server.sockets[0].getsockname(), connections
 
-    def test_a_slow_reader_is_bounded_and_gets_all_once_it_reads(self):
+    def test_the_backlog_of_a_slow_reader_is_bounded_and_sent_once_it_reads(self):
         async def case(world):
-            calls, big = [], bytes(100_000)
-            address, _ = await self.server(world, calls.append)
+            calls, message = [], bytes(100_000)
+            address, _ = await self.start_server(world, calls.append)
             client = await dial(address, ping_interval=0.0)
-            got, real = [], client.h2_connection.acknowledge_received_data
-            held = []
-            client.h2_connection.acknowledge_received_data = lambda size, number: held.append(
-                (size, number)
+            received, original_acknowledge = [], client.h2_connection.acknowledge_received_data
+            held_acknowledgements = []
+            client.h2_connection.acknowledge_received_data = (
+                lambda size, stream_id: held_acknowledgements.append((size, stream_id))
             )
             call = client.call("/x", "y")
-            call.on_message = got.append
+            call.on_message = received.append
             await until(lambda: calls)
             sent = 0
-            while calls[0].send(big) and sent < 200:
+            while calls[0].send(message) and sent < 200:
                 sent += 1
-            self.assertLess(sent, 100)  # bounded: the call was reset, not the memory filled
+            self.assertLess(sent, 100)  # the call is reset before the backlog grows further
             self.assertTrue(calls[0].is_closed)
             call = client.call("/x", "y")
-            call.on_message = got.append
+            call.on_message = received.append
             await until(lambda: len(calls) == 2)
             for _ in range(5):
-                calls[1].send(big)
+                calls[1].send(message)
             await asyncio.sleep(0.1)
             self.assertFalse(calls[1].idle)
-            client.h2_connection.acknowledge_received_data = real
-            for size, number in held:
+            client.h2_connection.acknowledge_received_data = original_acknowledge
+            for size, stream_id in held_acknowledgements:
                 try:
-                    real(size, number)
-                except Exception:  # of the call that was reset
+                    original_acknowledge(size, stream_id)
+                except Exception:  # the stream of the call was reset
                     client.h2_connection._inbound_flow_control_window_manager.process_bytes(size)
             client.flush()
-            await until(lambda: got.count(big) >= 5)
+            await until(lambda: received.count(message) >= 5)
             client.close()
 
         run_with_standins(case)
 
     def test_a_call_ends_at_its_deadline(self):
         async def case(world):
-            address, _ = await self.server(world, lambda call: None)
-            client, over = (
+            address, _ = await self.start_server(world, lambda call: None)
+            client, connection_ended = (
                 await dial(address, ping_interval=0.0),
                 asyncio.get_running_loop().create_future(),
             )
             client.call("/x", "y", [("grpc-timeout", "50m")]).on_end = (
-                lambda *told: over.set_result(told)
+                lambda *arguments: connection_ended.set_result(arguments)
             )
-            return await asyncio.wait_for(over, 5)
+            return await asyncio.wait_for(connection_ended, 5)
 
         self.assertEqual(run_with_standins(case), (4, "its deadline has passed"))
 
@@ -91,30 +91,39 @@
             client = await dial(
                 silent.sockets[0].getsockname(), ping_interval=0.1, ping_timeout=0.1
             )
-            over = loop.create_future()
-            client.on_end = over.set_result
-            return await over
+            connection_ended = loop.create_future()
+            client.on_end = connection_ended.set_result
+            return await connection_ended
 
         self.assertEqual(run_with_standins(case), "peer did not answer a ping")
 
     def test_floods_and_invalid_frames_end_the_connection(self):
         async def case(world):
-            address, made = await self.server(world, lambda call: None)
+            address, connections = await self.start_server(world, lambda call: None)
             ended = []
-            for kind in ("pings", "settings", "resets", "junk"):
+            for fault in ("pings", "settings", "resets", "junk"):
                 client = await dial(address, ping_interval=0.0)
-                over = asyncio.get_running_loop().create_future()
-                client.on_end = lambda reason, over=over: over.done() or over.set_result(reason)
-                for at in range(400):  # it stops once its own side knows that it was sent away
-                    if client.transport is None or client.transport.is_closing() or over.done():
+                connection_ended = asyncio.get_running_loop().create_future()
+                client.on_end = (
+                    lambda reason, connection_ended=connection_ended: connection_ended.done()
+                    or connection_ended.set_result(reason)
+                )
+                for attempt in range(400):  # ends early once the client notices the end
+                    if (
+                        client.transport is None
+                        or client.transport.is_closing()
+                        or connection_ended.done()
+                    ):
                         break
                     try:
-                        if kind == "pings":
+                        if fault == "pings":
                             client.h2_connection.ping(b"12345678")
-                        elif kind == "settings":
-                            size = {h2.settings.SettingCodes.INITIAL_WINDOW_SIZE: 70_000 + at}
-                            client.h2_connection.update_settings(size)
-                        elif kind == "resets":
+                        elif fault == "settings":
+                            new_settings = {
+                                h2.settings.SettingCodes.INITIAL_WINDOW_SIZE: 70_000 + attempt
+                            }
+                            client.h2_connection.update_settings(new_settings)
+                        elif fault == "resets":
                             client.call("/x", "y").reset("no")
                         else:
                             client.send(b"\0\0\5\xff\xff\xff\xff\xff\xffjunk!")
@@ -122,18 +131,18 @@
                         break
                     client.flush()
                     await asyncio.sleep(0)
-                await asyncio.wait_for(over, 5)
-                ended.append(kind)
-            await until(lambda: all(one.transport is None for one in made))
-            return ended, [len(one.calls) for one in made]
+                await asyncio.wait_for(connection_ended, 5)
+                ended.append(fault)
+            await until(lambda: all(connection.transport is None for connection in connections))
+            return ended, [len(connection.calls) for connection in connections]
 
         self.assertEqual(
             run_with_standins(case), (["pings", "settings", "resets", "junk"], [0] * 4)
         )
 
-    def test_mutated_frames_raise_nothing(self):
+    def test_mutated_frames_raise_no_exception(self):
         async def case(world):
-            chance = random.Random(5)
+            rng = random.Random(5)
             client = h2.connection.H2Connection(h2.config.H2Configuration(header_encoding="utf-8"))
             client.initiate_connection()
             client.send_headers(
@@ -152,13 +161,13 @@
                     discovery_pb2.DiscoveryRequest(type_url=ASSIGNMENT_TYPE_URL).SerializeToString()
                 ),
             )
-            whole = client.data_to_send()
+            client_data = client.data_to_send()
             await world.start_controller()
             loop = asyncio.get_running_loop()
             for _ in range(300):
-                data = bytearray(whole)
-                for _ in range(chance.randrange(1, 6)):
-                    data[chance.randrange(24, len(data))] = chance.randrange(256)
+                data = bytearray(client_data)
+                for _ in range(rng.randrange(1, 6)):
+                    data[rng.randrange(24, len(data))] = rng.randrange(256)
                 _, stream = await loop.create_connection(Stream, "127.1.0.1", world.port + 2)
                 stream.send(bytes(data))
                 await asyncio.sleep(0)
--- a/tests/grpc/test_incremental.py
+++ b/tests/grpc/test_incremental.py
@@ -1,4 +1,4 @@
-"""The incremental variant over a link that fragments, delays and breaks."""
+"""Incremental discovery over a link that fragments, delays and cuts connections."""
 
 import asyncio
 import random
@@ -7,35 +7,45 @@
 from peatlead.standin.xds_proxies import Agent, Plan
 
 from ..standin_fleet import MemoryRecorder, until
-from .simulated_fleet import KINDS, run_fleet
+from .simulated_fleet import REQUEST_CLASSES, run_fleet
 
 
 class LossyLinkTest(unittest.TestCase):
-    """Deltas over a loopback link that fragments, delays and cuts connections."""
+    """A relay on loopback forwards chunks of random sizes, with delays and cuts."""
 
     def test_a_proxy_converges_to_the_last_published_state_over_a_lossy_link(self):
         async def case(world):
-            controller, rng, cuts, pieces = await world.start_controller(), random.Random(7), [], []
+            controller, rng, cut_links, chunks = (
+                await world.start_controller(),
+                random.Random(7),
+                [],
+                [],
+            )
 
-            async def carry(reader, writer, other):
-                while piece := await reader.read(rng.randrange(1, 2000)):
+            async def forward(reader, writer, other_writer):
+                while chunk := await reader.read(rng.randrange(1, 2000)):
                     await asyncio.sleep(rng.uniform(0.0, 0.004))
-                    pieces.append(True)
-                    if rng.random() < 0.015 or len(pieces) == 60:
-                        cuts.append(True)
+                    chunks.append(True)
+                    if rng.random() < 0.015 or len(chunks) == 60:
+                        cut_links.append(True)
                         break
-                    writer.write(piece)
+                    writer.write(chunk)
                 writer.close()
-                other.close()
+                other_writer.close()
 
-            async def serve(reader, writer):
-                there, back = await asyncio.open_connection("127.1.0.1", world.port + 2)
+            async def relay(reader, writer):
+                server_reader, server_writer = await asyncio.open_connection(
+                    "127.1.0.1", world.port + 2
+                )
                 try:
-                    await asyncio.gather(carry(reader, back, writer), carry(there, writer, back))
+                    await asyncio.gather(
+                        forward(reader, server_writer, writer),
+                        forward(server_reader, writer, server_writer),
+                    )
                 except ConnectionError:
                     pass
 
-            server = await asyncio.start_server(serve, "127.1.0.9", world.port + 2)
+            server = await asyncio.start_server(relay, "127.1.0.9", world.port + 2)
             world.cleanups.append(server.close)
             plan = Plan(
                 "p0",
@@ -44,7 +54,7 @@
                 [["127.1.0.9", world.port + 2]],
                 world.port,
                 20.0,
-                KINDS,
+                REQUEST_CLASSES,
                 incremental=True,
             )
             proxy = Agent(plan, world.random, MemoryRecorder())
@@ -53,21 +63,22 @@
             await until(lambda: len(proxy.lines.get("look", ())) == 4)
             await world.change_list_repeatedly(40, 0.08)
 
-            def same():
+            def has_converged():
                 items = controller.published.store.histories["p0"].items
-                lines = {key: value for key, value in items.items() if key.startswith("line/")}
+                line_items = {key: value for key, value in items.items() if key.startswith("line/")}
                 return (
-                    proxy.holder.parts["line"] == lines
-                    and len({line.address for line in proxy.lines["look"]}) == 3
+                    proxy.holder.parts["line"] == line_items
+                    and len({endpoint.address for endpoint in proxy.lines["look"]}) == 3
                 )
 
-            await until(same)
+            await until(has_converged)
             self.assertTrue(proxy.holder.is_consistent("line"))
             self.assertNotIn(
-                "127.10.9.2", {line.address for lines in proxy.lines.values() for line in lines}
+                "127.10.9.2",
+                {endpoint.address for endpoints in proxy.lines.values() for endpoint in endpoints},
             )
             self.assertFalse([row for row in proxy.record.rows_of("held") if not row[7]])
-            self.assertTrue(cuts)
+            self.assertTrue(cut_links)
             await proxy.finish()
 
         run_fleet(case)
--- a/tests/grpc/test_load_aggregation.py
+++ b/tests/grpc/test_load_aggregation.py
@@ -1,3 +1,5 @@
+"""Aggregation of load reports by endpoint, zone, proxy and request class."""
+
 import unittest
 
 from peatlead import interface
@@ -5,23 +7,23 @@
 
 
 class LoadAggregatorTest(unittest.TestCase):
-    def test_reports_are_summed_by_endpoint_and_zone(self):
+    def test_reports_are_added_up_by_endpoint_and_zone(self):
         aggregator = LoadAggregator()
-        for at in range(100):
+        for index in range(100):
             aggregator.on_report(5.0)
-            aggregator.add_endpoint(3, at % 2, 4, 1, 0.6, 0.5, 1, 1.0 + at / 100)
-            aggregator.add_requests(at, 0, 4, 1, 1.0)
+            aggregator.add_endpoint(3, index % 2, 4, 1, 0.6, 0.5, 1, 1.0 + index / 100)
+            aggregator.add_requests(index, 0, 4, 1, 1.0)
         aggregator.add_requests(7, 0, 6, 0, 2.0)
         events = aggregator.take_due(5.0)
-        hosts = [event for event in events if type(event) is interface.EndpointStats]
+        endpoint_events = [event for event in events if type(event) is interface.EndpointStats]
         self.assertEqual(
             [
                 (event.endpoint, event.zone, event.attempts, event.errors, event.load_report)
-                for event in hosts
+                for event in endpoint_events
             ],
             [(3, 0, 200, 50, {"util": 0.5}), (3, 1, 200, 50, {"util": 0.5})],
         )
-        self.assertEqual([round(event.mean_latency, 9) for event in hosts], [0.2, 0.2])
+        self.assertEqual([round(event.mean_latency, 9) for event in endpoint_events], [0.2, 0.2])
         self.assertEqual(
             [
                 event
@@ -32,7 +34,7 @@
         )
         self.assertEqual(aggregator.take_due(6.0), [])
 
-    def test_sums_wait_for_their_time_and_drop_proxies_that_left(self):
+    def test_totals_are_delayed_and_exclude_disconnected_proxies(self):
         aggregator = LoadAggregator()
         aggregator.max_delay = 0.5
         aggregator.on_report(1.0)
--- a/tests/grpc/test_load_reports.py
+++ b/tests/grpc/test_load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports, as sums for the planner."""
+"""Reading of load reports into totals for the planner."""
 
 import unittest
 
@@ -10,35 +10,35 @@
 
 
 class LoadReportsTest(unittest.TestCase):
-    def test_reports_are_summed_and_invalid_ones_ignored(self):
+    def test_reports_are_added_up_and_invalid_ones_ignored(self):
         request = lrs_pb2.LoadStatsRequest()
-        for name, span, good, bad in (
+        for cluster_name, interval, successes, errors in (
             ("look", 1.0, 8, 2),
             ("other", 1.0, 5, 0),
             ("file", 1e6, 5, 0),
         ):
-            cluster = request.cluster_stats.add(cluster_name=name, total_dropped_requests=3)
-            cluster.load_report_interval.FromNanoseconds(int(span * 1e9))
+            cluster = request.cluster_stats.add(cluster_name=cluster_name, total_dropped_requests=3)
+            cluster.load_report_interval.FromNanoseconds(int(interval * 1e9))
             for address in ("127.10.9.1", "203.0.113.9"):
-                one = cluster.upstream_locality_stats.add().upstream_endpoint_stats.add()
-                one.address.socket_address.address, one.address.socket_address.port_value = (
+                stats = cluster.upstream_locality_stats.add().upstream_endpoint_stats.add()
+                stats.address.socket_address.address, stats.address.socket_address.port_value = (
                     address,
                     80,
                 )
-                one.total_successful_requests, one.total_error_requests = good, bad
-                one.load_metric_stats.add(
+                stats.total_successful_requests, stats.total_error_requests = successes, errors
+                stats.load_metric_stats.add(
                     metric_name="seconds",
                     num_requests_finished_with_metric=8,
                     total_metric_value=2.0,
                 )
-                one.load_metric_stats.add(
+                stats.load_metric_stats.add(
                     metric_name="util", num_requests_finished_with_metric=4, total_metric_value=2.0
                 )
-        gathered = LoadAggregator()
-        gathered.on_report(0.0)
-        read_report(request, {"look": 0, "file": 1}, {("127.10.9.1", 80): 5}.get, 70, 1, gathered)
+        aggregator = LoadAggregator()
+        aggregator.on_report(0.0)
+        read_report(request, {"look": 0, "file": 1}, {("127.10.9.1", 80): 5}.get, 70, 1, aggregator)
         self.assertEqual(
-            gathered.take_due(0.0),
+            aggregator.take_due(0.0),
             [
                 interface.RequestStats(70, 0, 23, 7, 1.0),
                 interface.EndpointStats(5, 1, 10, 2, 1.0, 0.25, {"util": 0.5}),
--- a/tests/grpc/test_resources.py
+++ b/tests/grpc/test_resources.py
@@ -1,4 +1,4 @@
-"""Assignments and routes as xDS resources, and back."""
+"""Encoding and decoding of assignments and routes as xDS resources."""
 
 import unittest
 
@@ -14,7 +14,7 @@
     encode_routes,
 )
 
-from .simulated_fleet import ENTRIES
+from .simulated_fleet import WEIGHTED_ENDPOINTS
 
 
 class ResourcesTest(unittest.TestCase):
@@ -31,14 +31,22 @@
         ),
         st.floats(0.0, 1.0),
     )
-    def test_assembled_assignments_equal_protobuf_serialization(self, lines, level):
-        self.assertEqual(encode_assignment("look", lines, level), write_whole("look", lines, level))
+    def test_assembled_assignments_equal_protobuf_serialization(self, endpoints, admitted_fraction):
+        self.assertEqual(
+            encode_assignment("look", endpoints, admitted_fraction),
+            write_whole("look", endpoints, admitted_fraction),
+        )
 
     def test_assignments_and_routes_round_trip(self):
-        kind, lines, level = decode_assignment(encode_assignment("look", ENTRIES, 0.85))
-        self.assertEqual((kind, sorted(lines), round(level, 6)), ("look", sorted(ENTRIES), 0.85))
-        retries = {"a": "never", "b": "unstarted", "c": "once", "d": "twice"}
-        self.assertEqual(decode_routes(encode_routes(retries)), retries)
+        request_class, endpoints, admitted_fraction = decode_assignment(
+            encode_assignment("look", WEIGHTED_ENDPOINTS, 0.85)
+        )
+        self.assertEqual(
+            (request_class, sorted(endpoints), round(admitted_fraction, 6)),
+            ("look", sorted(WEIGHTED_ENDPOINTS), 0.85),
+        )
+        retry_policies = {"a": "never", "b": "unstarted", "c": "once", "d": "twice"}
+        self.assertEqual(decode_routes(encode_routes(retry_policies)), retry_policies)
         for data in (
             b"\xff\xff",
             encode_assignment("x", [WeightedEndpoint("", 80, "z", 1.0)], 1.0),
--- a/tests/grpc/test_server.py
+++ b/tests/grpc/test_server.py
@@ -1,4 +1,4 @@
-"""Proxies and independent xDS clients that connect to one controller."""
+"""Simulated proxies and independent xDS clients that connect to one controller."""
 
 import asyncio
 import queue
@@ -19,24 +19,24 @@
 
 
 class ServerTest(unittest.TestCase):
-    def test_a_proxy_joins_gets_endpoints_and_its_reports_are_summed(self):
+    def test_a_proxy_joins_gets_endpoints_and_its_load_reports_reach_the_planner(self):
         async def case(world):
             controller = await world.start_controller()
-            proxy = connect_proxy(world, order=(1,))
+            proxy = connect_proxy(world, controller_order=(1,))
             await until(lambda: len(proxy.lines.get("look", ())) == 4 and proxy.tables.retries)
             received = []
-            real = controller.planner.handlers[interface.EndpointStats]
+            original = controller.planner.handlers[interface.EndpointStats]
             controller.planner.handlers[interface.EndpointStats] = lambda event: (
                 received.append(event),
-                real(event),
+                original(event),
             )
             await until(lambda: sum(event.attempts for event in received) > 5)
             self.assertEqual(proxy.tables.retries, {"look": "unstarted", "file": "unstarted"})
             await until(
                 lambda: [
-                    x["held"] == x["sent"] != "0.0"
-                    for x in controller.published.proxy_versions()
-                    if x["proxy"] == proxy.plan.name
+                    row["held"] == row["sent"] != "0.0"
+                    for row in controller.published.proxy_versions()
+                    if row["proxy"] == proxy.plan.name
                 ]
                 == [True]
             )
@@ -44,7 +44,7 @@
             world.phases["h1"] = "draining"
             world.write_list()
             await until(
-                lambda: {line.address for line in proxy.lines["look"]}
+                lambda: {endpoint.address for endpoint in proxy.lines["look"]}
                 == {"127.10.9.1", "127.10.9.3", "127.10.9.4"}
             )
             await proxy.finish()
@@ -54,24 +54,24 @@
     def test_an_independent_client_completes_both_streams(self):
         async def case(world):
             await world.start_controller()
-            loop, found = asyncio.get_running_loop(), {}
+            loop, results = asyncio.get_running_loop(), {}
 
-            def client():
+            def run_client():
                 with grpc.insecure_channel(f"127.1.0.1:{world.port + 2}") as channel:
-                    done = threading.Event()
-                    first = discovery_pb2.DiscoveryRequest(
+                    acknowledged = threading.Event()
+                    first_request = discovery_pb2.DiscoveryRequest(
                         type_url=ASSIGNMENT_TYPE_URL, resource_names=["look", "file"]
                     )
-                    first.node.id, first.node.locality.zone = "plain", "north"
+                    first_request.node.id, first_request.node.locality.zone = "plain", "north"
 
                     def requests():
-                        yield first
-                        done.wait(10)
+                        yield first_request
+                        acknowledged.wait(10)
                         yield discovery_pb2.DiscoveryRequest(
                             type_url=ASSIGNMENT_TYPE_URL,
                             resource_names=["look", "file"],
-                            response_nonce=found["nonce"],
-                            version_info=found["version"],
+                            response_nonce=results["nonce"],
+                            version_info=results["version"],
                         )
 
                     stream = channel.stream_stream(
@@ -79,49 +79,49 @@
                         discovery_pb2.DiscoveryRequest.SerializeToString,
                         discovery_pb2.DiscoveryResponse.FromString,
                     )(requests(), timeout=10)
-                    answer = next(stream)
-                    found.update(
-                        nonce=answer.nonce,
-                        version=answer.version_info,
-                        lines=len(decode_assignment(answer.resources[0].value)[1]),
+                    response = next(stream)
+                    results.update(
+                        nonce=response.nonce,
+                        version=response.version_info,
+                        lines=len(decode_assignment(response.resources[0].value)[1]),
                     )
-                    done.set()
+                    acknowledged.set()
                     report = lrs_pb2.LoadStatsRequest()
                     report.node.id = "plain"
-                    loads = channel.stream_stream(
+                    load_stream = channel.stream_stream(
                         LOAD_REPORTING_PATH,
                         lrs_pb2.LoadStatsRequest.SerializeToString,
                         lrs_pb2.LoadStatsResponse.FromString,
                     )(iter([report]), timeout=10)
-                    found["every"] = next(loads).load_reporting_interval.ToMilliseconds()
-                    list(loads)
-                    found["loads"] = loads.code()
+                    results["every"] = next(load_stream).load_reporting_interval.ToMilliseconds()
+                    list(load_stream)
+                    results["loads"] = load_stream.code()
                     try:
                         channel.unary_unary("/x/Y")(b"", timeout=5)
-                    except grpc.RpcError as problem:
-                        found["unknown"] = problem.code()
+                    except grpc.RpcError as error:
+                        results["unknown"] = error.code()
                     stream.cancel()
 
-            await loop.run_in_executor(None, client)
-            return found["lines"], found["every"], found["loads"], found["unknown"]
+            await loop.run_in_executor(None, run_client)
+            return results["lines"], results["every"], results["loads"], results["unknown"]
 
         self.assertEqual(
             run_fleet(case), (4, 200, grpc.StatusCode.OK, grpc.StatusCode.UNIMPLEMENTED)
         )
 
-    def test_an_independent_client_follows_the_incremental_variant(self):
-        """It ignores our stamps: assignments name the collections, these contain the endpoints."""
+    def test_an_independent_client_uses_the_incremental_variant(self):
+        """The client ignores stamps; assignments name collections, which contain the endpoints."""
 
         async def case(world):
             controller = await world.start_controller()
-            loop, found, asks = asyncio.get_running_loop(), {}, queue.Queue()
+            loop, results, requests_queue = asyncio.get_running_loop(), {}, queue.Queue()
 
-            def ask(**fields):
-                asks.put(discovery_pb2.DeltaDiscoveryRequest(**fields))
+            def send_request(**fields):
+                requests_queue.put(discovery_pb2.DeltaDiscoveryRequest(**fields))
 
-            def client():
+            def run_client():
                 with grpc.insecure_channel(f"127.1.0.1:{world.port + 2}") as channel:
-                    ask(
+                    send_request(
                         type_url=ASSIGNMENT_TYPE_URL,
                         resource_names_subscribe=["look"],
                         node={"id": "plain", "locality": {"zone": "north"}},
@@ -130,53 +130,57 @@
                         DELTA_DISCOVERY_PATH,
                         discovery_pb2.DeltaDiscoveryRequest.SerializeToString,
                         discovery_pb2.DeltaDiscoveryResponse.FromString,
-                    )(iter(asks.get, None), timeout=20)
-                    answer = next(stream)
-                    table = endpoint_pb2.ClusterLoadAssignment.FromString(
-                        answer.resources[0].resource.value
+                    )(iter(requests_queue.get, None), timeout=20)
+                    response = next(stream)
+                    assignment = endpoint_pb2.ClusterLoadAssignment.FromString(
+                        response.resources[0].resource.value
                     )
                     names = [
-                        one.leds_cluster_locality_config.leds_collection_name
-                        for one in table.endpoints
+                        locality.leds_cluster_locality_config.leds_collection_name
+                        for locality in assignment.endpoints
                     ]
-                    ask(type_url=ASSIGNMENT_TYPE_URL, response_nonce=answer.nonce)
-                    ask(type_url=LB_ENDPOINT_TYPE_URL, resource_names_subscribe=names)
-                    answer = next(stream)
-                    found["lines"] = {one.name.rpartition("/")[2] for one in answer.resources}
-                    found["names"] = {one.name.split("/")[4] for one in answer.resources}
-                    ask(type_url=LB_ENDPOINT_TYPE_URL, response_nonce=answer.nonce)
-                    found["first"] = True
-                    answer = next(stream)
-                    found["gone"] = list(answer.removed_resources), len(answer.resources)
-                    asks.put(None)
+                    send_request(type_url=ASSIGNMENT_TYPE_URL, response_nonce=response.nonce)
+                    send_request(type_url=LB_ENDPOINT_TYPE_URL, resource_names_subscribe=names)
+                    response = next(stream)
+                    results["lines"] = {
+                        resource.name.rpartition("/")[2] for resource in response.resources
+                    }
+                    results["names"] = {
+                        resource.name.split("/")[4] for resource in response.resources
+                    }
+                    send_request(type_url=LB_ENDPOINT_TYPE_URL, response_nonce=response.nonce)
+                    results["first"] = True
+                    response = next(stream)
+                    results["gone"] = list(response.removed_resources), len(response.resources)
+                    requests_queue.put(None)
                     stream.cancel()
 
-            task = loop.run_in_executor(None, client)
-            await until(lambda: "first" in found)
+            task = loop.run_in_executor(None, run_client)
+            await until(lambda: "first" in results)
             await until(lambda: controller.proxies.acks >= 2)
             world.phases["h1"] = "draining"
             world.write_list()
             await task
-            return found
+            return results
 
-        found = run_fleet(case)
-        self.assertEqual((len(found["lines"]), found["names"]), (4, {"look"}))
-        self.assertEqual(len(found["gone"][0]), 1)
-        self.assertIn("127.10.9.2", found["gone"][0][0])
+        results = run_fleet(case)
+        self.assertEqual((len(results["lines"]), results["names"]), (4, {"look"}))
+        self.assertEqual(len(results["gone"][0]), 1)
+        self.assertIn("127.10.9.2", results["gone"][0][0])
 
     def test_a_rejecting_proxy_keeps_its_old_endpoints_and_is_reported(self):
         async def case(world):
             controller = await world.start_controller()
-            proxy = connect_proxy(world, order=(1,))
+            proxy = connect_proxy(world, controller_order=(1,))
             await until(lambda: len(proxy.lines.get("look", ())) == 4)
-            before, real = dict(proxy.lines), proxy._apply
-            proxy._apply = lambda response: (_ for _ in ()).throw(ValueError("planted"))
+            endpoints_before, original = dict(proxy.lines), proxy._apply
+            proxy._apply = lambda response: (_ for _ in ()).throw(ValueError("simulated error"))
             world.phases["h1"] = "draining"
             world.write_list()
             await until(lambda: controller.proxies.refusals)
-            self.assertEqual(proxy.lines, before)
-            self.assertEqual(dict(world.log)["assignment refused"]["why"], "planted")
-            proxy._apply = real
+            self.assertEqual(proxy.lines, endpoints_before)
+            self.assertEqual(dict(world.log)["assignment refused"]["why"], "simulated error")
+            proxy._apply = original
             await proxy.finish()
 
         run_fleet(case)
--- a/tests/transcripts/test_gossip_transcripts.py
+++ b/tests/transcripts/test_gossip_transcripts.py
@@ -1,7 +1,7 @@
-"""Datagrams between controllers, byte for byte as recorded in tests/data/wire/gossip.json.
+"""Compares datagrams between controllers byte by byte with tests/data/wire/gossip.json.
 
-A change of the wire format that is meant is recorded anew by
-`python -m tests.transcripts.test_gossip_transcripts`; a renaming must pass on the old record.
+After an intended change of the wire format, record the file again with
+`python -m tests.transcripts.test_gossip_transcripts`. Renamed code must match the existing file.
 """
 
 import random
@@ -10,14 +10,12 @@
 
 import msgspec
 
-from peatlead.fleet import authentication as seals
-from peatlead.fleet import gossip as nodes
-from peatlead.fleet import membership, messages, ownership
+from peatlead.fleet import authentication, gossip, membership, messages, ownership
 
 from ..standin_fleet import SCRIPT, settings
 from . import recorded
 
-# Adapter: all internal names that these tests use. Structs are made by position.
+# All names of the package that these tests use. Structs are created with positional arguments.
 
 Ping, Ack, IndirectPing, MemberInfo = (
     messages.Ping,
@@ -31,206 +29,226 @@
     messages.PinTargetMessage,
 )
 TIMERS = {"probe_interval": 0.3, "ack_timeout": 0.15, "suspicion_timeout": 1.0}
-STRAY, UNPROVEN = seals.AuthenticationError, seals.UnprovenSenderError
+AUTHENTICATION_ERROR, UNPROVEN_SENDER_ERROR = (
+    authentication.AuthenticationError,
+    authentication.UnprovenSenderError,
+)
 
 
 def decode(data):
     return messages.DECODER.decode(data)
 
 
-def make_member(name, seeds, chance):
+def make_member(name, seeds, rng):
     return membership.Membership(
-        MemberInfo(name, (name, 1), "alive", 0, ((name, 2),)), seeds, chance, **TIMERS
+        MemberInfo(name, (name, 1), "alive", 0, ((name, 2),)), seeds, rng, **TIMERS
     )
 
 
-def sends(machine, now, events):
-    """[(target name, bytes)] and [[name, before, after]] of one step."""
+def run_step(member, now, events):
+    """Returns the datagrams as [(target name, bytes)] and state changes as [[name, before, after]]."""
     datagrams, changes = [], []
-    for order in machine.decide(now, events):
-        if type(order) is membership.SendDatagram:
-            datagrams.append((order.address[0], msgspec.msgpack.encode(order.message)))
+    for action in member.decide(now, events):
+        if type(action) is membership.SendDatagram:
+            datagrams.append((action.address[0], msgspec.msgpack.encode(action.message)))
         else:
-            changes.append(list(order))
+            changes.append(list(action))
     return datagrams, changes
 
 
 def rank(proxy, names):
-    """Controllers for a proxy, best first."""
+    """Returns the controllers for a proxy, best first."""
     return ownership.rank_controllers(proxy, names)
 
 
-def heard(source, data):
+def datagram_event(source, data):
     return membership.DatagramReceived((source, 1), decode(data))
 
 
-TICK, LEAVE, load_news = membership.Tick(), membership.Leave(), membership.LocalStatus
+TICK, LEAVE, local_status = membership.Tick(), membership.Leave(), membership.LocalStatus
 
 
-def make_seal(keys, name, boot):
-    return seals.Authenticator(keys, name, boot)
+def make_authenticator(keys, name, boot):
+    return authentication.Authenticator(keys, name, boot)
 
 
-def close(seal, body, to):
-    return seal.seal(body, to)
+def seal_body(authenticator, body, to):
+    return authenticator.seal(body, to)
 
 
-def learn(seal, name, proof):
-    seal.store_challenge(name, proof)
+def store_challenge(authenticator, name, challenge):
+    authenticator.store_challenge(name, challenge)
 
 
-def open_sealed(seal, data):
-    """[outcome, name, body or proof] as plain values."""
+def open_datagram(authenticator, data):
+    """Returns [outcome, name, body or challenge] as plain values."""
     try:
-        name, body = seal.open(data)
+        name, body = authenticator.open(data)
         return ["taken", name, body.hex()]
-    except UNPROVEN as problem:
-        return ["unproven", problem.name, problem.challenge.hex()]
-    except STRAY:
+    except UNPROVEN_SENDER_ERROR as error:
+        return ["unproven", error.name, error.challenge.hex()]
+    except AUTHENTICATION_ERROR:
         return ["refused", "", ""]
 
 
 def fleet_settings(key):
-    """Settings of two controllers that know each other, and their addresses."""
+    """Returns the settings of two controllers that know each other, and their addresses."""
     script = SCRIPT
-    for at in (1, 2):
-        here = f'"127.1.0.{at}:'
-        script = script.replace(f"control = {here}", f'peer = {here}{{grpc}}", control = {here}')
-    only = settings(5300, script=script, more=f"fleet(keys = [{key.hex()!r}])")
-    return only, [tuple(one["peer"]) for one in only["steward"]]
-
-
-def make_node(only, at, clock, wire, told):
-    """A GossipNode on a clock and a wire that are made up."""
-    me = only["steward"][at]
-    made = nodes.GossipNode(
-        only,
+    for index in (1, 2):
+        address = f'"127.1.0.{index}:'
+        script = script.replace(
+            f"control = {address}", f'peer = {address}{{grpc}}", control = {address}'
+        )
+    all_settings = settings(5300, script=script, more=f"fleet(keys = [{key.hex()!r}])")
+    return all_settings, [tuple(controller["peer"]) for controller in all_settings["steward"]]
+
+
+def make_node(all_settings, index, clock, transport, received):
+    """Returns a GossipNode with a simulated clock and transport."""
+    me = all_settings["steward"][index]
+    node = gossip.GossipNode(
+        all_settings,
         me,
-        random.Random(at),
-        bytes([at + 1]) * 8,
-        lambda: 3 + at,
+        random.Random(index),
+        bytes([index + 1]) * 8,
+        lambda: 3 + index,
         lambda *_, **__: None,
-        lambda sender, payload: told.append([at, "note", sender, payload.hex()]),
-        lambda payload: told.append([at, "pins", payload.hex()]),
-        lambda payload: told.append([at, "wish", payload.hex()]),
+        lambda sender, payload: received.append([index, "note", sender, payload.hex()]),
+        lambda payload: received.append([index, "pins", payload.hex()]),
+        lambda payload: received.append([index, "wish", payload.hex()]),
     )
-    made.loop = clock
-    made.connection_made(wire)
-    return made
+    node.loop = clock
+    node.connection_made(transport)
+    return node
 
 
-def node_step(node):
-    node.handle_events([load_news(node.count_proxies(), False), TICK])
+def run_tick(node):
+    node.handle_events([local_status(node.count_proxies(), False), TICK])
 
 
-def node_take(node, data, address):
+def deliver(node, data, address):
     node.datagram_received(data, address)
 
 
-def node_tell(node, verb, payload):
+def broadcast(node, kind, payload):
     {
         "note": node.broadcast_advice,
         "pins": node.broadcast_pins,
         "wish": node.broadcast_pin_target,
-    }[verb](payload)
+    }[kind](payload)
 
 
-# End of the adapter.
+# Test data and transcripts.
 
-NEWS = (
+DRAINING_MEMBER = (
     b"\x97\xa2n1\x92\xa9127.0.0.1\xcd\x14\xb4\xa5alive\x02\x92\xa9127.0.0.1\xcd\x14\xb5\x11\xc3",
     MemberInfo("n1", ("127.0.0.1", 5300), "alive", 2, ("127.0.0.1", 5301), 17, True),
 )
-PLAIN = (
+SUSPECTED_MEMBER = (
     b"\x97\xa2n2\x92\xa1x\x01\xa7suspect\x00\x90\x00\xc2",
     MemberInfo("n2", ("x", 1), "suspect", 0),
 )
 MESSAGES = (
-    (b"\x93\xa4Ping\x07\x92" + NEWS[0] + PLAIN[0], Ping(7, [NEWS[1], PLAIN[1]])),
-    (b"\x93\xa3Ack\xcd\x01\x00\x91" + PLAIN[0], Ack(256, [PLAIN[1]])),
-    (b"\x94\xa6TryFor\x01\x92\xa1x\x01\x91" + NEWS[0], IndirectPing(1, ("x", 1), [NEWS[1]])),
+    (
+        b"\x93\xa4Ping\x07\x92" + DRAINING_MEMBER[0] + SUSPECTED_MEMBER[0],
+        Ping(7, [DRAINING_MEMBER[1], SUSPECTED_MEMBER[1]]),
+    ),
+    (b"\x93\xa3Ack\xcd\x01\x00\x91" + SUSPECTED_MEMBER[0], Ack(256, [SUSPECTED_MEMBER[1]])),
+    (
+        b"\x94\xa6TryFor\x01\x92\xa1x\x01\x91" + DRAINING_MEMBER[0],
+        IndirectPing(1, ("x", 1), [DRAINING_MEMBER[1]]),
+    ),
     (b"\x92\xa4Note\xc4\x03abc", AdviceMessage(b"abc")),
     (b"\x92\xa8PinsTold\xc4\x02\x00\xff", PinsMessage(b"\x00\xff")),
     (b"\x92\xa8WishTold\xc4\x00", PinTargetMessage(b"")),
 )
-KEY, OTHER = b"k" * 32, b"o" * 32
+KEY, OTHER_KEY = b"k" * 32, b"o" * 32
+
 
+def run_members(count, seconds, seed, events):
+    """Simulates members; returns their datagrams and the state changes that they saw.
 
-def run_members(many, seconds, seed, what):
-    """Each datagram of a seeded run as [milliseconds, source, target, bytes], and each change that a member saw.
-    `what`: {milliseconds: (verb, name)}."""
-    chance, now, way, datagrams, changes = random.Random(seed), 0, [], [], []
-    names = [f"n{at}" for at in range(many)]
+    A datagram is [milliseconds, source, target, bytes]. `events`: {milliseconds: (verb, name)}.
+    """
+    rng, now, in_flight, datagrams, changes = random.Random(seed), 0, [], [], []
+    names = [f"n{index}" for index in range(count)]
     seeds = [(name, 1) for name in names[:2]]
-    machines = {
-        name: make_member(name, seeds, random.Random(seed + at)) for at, name in enumerate(names)
+    members = {
+        name: make_member(name, seeds, random.Random(seed + index))
+        for index, name in enumerate(names)
     }
-    gone, cut = set(), set()
+    stopped, cut_links = set(), set()
 
-    def step(name, events):
-        found, moved = sends(machines[name], now / 1000, events)
-        changes.extend([now, name, *one] for one in moved)
-        for target, data in found:
+    def step(name, member_events):
+        sent, state_changes = run_step(members[name], now / 1000, member_events)
+        changes.extend([now, name, *change] for change in state_changes)
+        for target, data in sent:
             datagrams.append([now, name, target, data])
-            if chance.random() >= 0.03:
-                way.append((now + chance.randrange(1, 20), len(datagrams), name, target, data))
+            if rng.random() >= 0.03:
+                in_flight.append((now + rng.randrange(1, 20), len(datagrams), name, target, data))
 
     while now < seconds * 1000:
         now += 50
-        verb, name = what.get(now, ("", ""))
+        verb, name = events.get(now, ("", ""))
         if verb == "load":
-            step(name, [load_news(9, True)])
+            step(name, [local_status(9, True)])
         elif verb == "cut":
-            cut |= {(name, other) for other in names[:2]}
+            cut_links |= {(name, seed_name) for seed_name in names[:2]}
         elif verb == "leave":
             step(name, [LEAVE])
         elif verb == "start":
-            machines[name] = make_member(name, seeds, random.Random(seed + 99))
-            gone.discard(name)
+            members[name] = make_member(name, seeds, random.Random(seed + 99))
+            stopped.discard(name)
         if verb in ("leave", "kill"):
-            gone.add(name)
-        due = sorted(one for one in way if one[0] <= now)
-        way[:] = [one for one in way if one[0] > now]
-        for _, _, source, target, data in due:
-            if target not in gone and (source, target) not in cut:
-                step(target, [heard(source, data)])
+            stopped.add(name)
+        arrived = sorted(datagram for datagram in in_flight if datagram[0] <= now)
+        in_flight[:] = [datagram for datagram in in_flight if datagram[0] > now]
+        for _, _, source, target, data in arrived:
+            if target not in stopped and (source, target) not in cut_links:
+                step(target, [datagram_event(source, data)])
         for name in names:
-            if name not in gone:
+            if name not in stopped:
                 step(name, [TICK])
     return datagrams, changes
 
 
-def seal_transcript():
-    """[what was done, datagram or input, outcome] over fixed boots and keys."""
-    one, other, found = (
-        make_seal([KEY], "a", b"1" * 8),
-        make_seal([OTHER, KEY], "béta", b"2" * 8),
+def authentication_transcript():
+    """Returns [operation, datagram, outcome] of each step, with fixed boots and keys."""
+    first_authenticator, second_authenticator, steps = (
+        make_authenticator([KEY], "a", b"1" * 8),
+        make_authenticator([OTHER_KEY, KEY], "béta", b"2" * 8),
         [],
     )
 
     def carry(sender, receiver, body, to):
-        data = close(sender, body, to)
-        outcome = open_sealed(receiver, data)
-        found.append(["close and open", data.hex(), outcome])
+        data = seal_body(sender, body, to)
+        outcome = open_datagram(receiver, data)
+        steps.append(["close and open", data.hex(), outcome])
         return data, outcome
 
-    _, asked = carry(one, other, b"hello", "béta")
-    learn(one, "béta", bytes.fromhex(asked[2]))
-    first, _ = carry(one, other, b"x", "béta")
-    for data in (first, first[:-1] + b"\0", b"\x07" + first[1:], first[:20], b""):
-        found.append(["open", data.hex(), open_sealed(other, data)])
-    carry(one, one, b"own", "")
-    _, refused = carry(other, one, b"its first key is another", "a")
-    one.keys = [KEY, OTHER]
-    _, asked = carry(other, one, b"\x92\xa4Note\xc4\x00", "a")
-    learn(other, "a", bytes.fromhex(asked[2]))
-    carry(other, one, b"\x92\xa4Note\xc4\x00", "a")
-    anew = make_seal([KEY], "a", b"3" * 8)
-    _, asked = carry(anew, other, b"again", "béta")
-    learn(anew, "béta", bytes.fromhex(asked[2]))
-    carry(anew, other, b"again", "béta")
-    carry(one, other, b"replaced", "béta")
-    return found
+    _, unproven = carry(first_authenticator, second_authenticator, b"hello", "béta")
+    store_challenge(first_authenticator, "béta", bytes.fromhex(unproven[2]))
+    first_datagram, _ = carry(first_authenticator, second_authenticator, b"x", "béta")
+    for data in (
+        first_datagram,
+        first_datagram[:-1] + b"\0",
+        b"\x07" + first_datagram[1:],
+        first_datagram[:20],
+        b"",
+    ):
+        steps.append(["open", data.hex(), open_datagram(second_authenticator, data)])
+    carry(first_authenticator, first_authenticator, b"own", "")
+    _, refused = carry(second_authenticator, first_authenticator, b"its first key is another", "a")
+    first_authenticator.keys = [KEY, OTHER_KEY]
+    _, unproven = carry(second_authenticator, first_authenticator, b"\x92\xa4Note\xc4\x00", "a")
+    store_challenge(second_authenticator, "a", bytes.fromhex(unproven[2]))
+    carry(second_authenticator, first_authenticator, b"\x92\xa4Note\xc4\x00", "a")
+    restarted = make_authenticator([KEY], "a", b"3" * 8)
+    _, unproven = carry(restarted, second_authenticator, b"again", "béta")
+    store_challenge(restarted, "béta", bytes.fromhex(unproven[2]))
+    carry(restarted, second_authenticator, b"again", "béta")
+    carry(first_authenticator, second_authenticator, b"replaced", "béta")
+    return steps
 
 
 class Clock:
@@ -241,57 +259,68 @@
 
 
 def node_transcript():
-    """Sealed datagrams of two nodes on a made-up wire, and what each was told."""
-    only, places = fleet_settings(KEY)
-    clock, way, datagrams, told = Clock(), [], [], []
+    """Returns the sealed datagrams of two nodes and the messages that each node received."""
+    all_settings, addresses = fleet_settings(KEY)
+    clock, in_flight, datagrams, received = Clock(), [], [], []
 
-    class Wire:
-        def __init__(self, at):
-            self.at = at
+    class Transport:
+        def __init__(self, index):
+            self.index = index
 
         def sendto(self, data, address):
-            datagrams.append([round(clock.now * 1000), self.at, recorded.to_base64(data)])
-            way.append((self.at, tuple(address), data))
+            datagrams.append([round(clock.now * 1000), self.index, recorded.to_base64(data)])
+            in_flight.append((self.index, tuple(address), data))
 
-    made = [make_node(only, at, clock, Wire(at), told) for at in range(2)]
+    nodes = [
+        make_node(all_settings, index, clock, Transport(index), received) for index in range(2)
+    ]
     for tick in range(60):
         clock.now = round(0.05 * (tick + 1), 6)
-        for source, address, data in way[:]:
-            node_take(made[places.index(address)], data, places[source])
-            way.remove((source, address, data))
-        for node in made:
-            node_step(node)
+        for source, address, data in in_flight[:]:
+            deliver(nodes[addresses.index(address)], data, addresses[source])
+            in_flight.remove((source, address, data))
+        for node in nodes:
+            run_tick(node)
         if tick in (30, 35, 40):
             verb = {30: "note", 35: "pins", 40: "wish"}[tick]
-            node_tell(made[tick // 5 % 2], verb, b"payload of " + verb.encode())
-    return datagrams, told
+            broadcast(nodes[tick // 5 % 2], verb, b"payload of " + verb.encode())
+    return datagrams, received
 
 
-WHAT = {
+SHORT_RUN_EVENTS = {
     1500: ("load", "n1"),
     2000: ("cut", "n2"),
     3000: ("kill", "n3"),
     4500: ("start", "n3"),
     5500: ("leave", "n0"),
 }
-LONG = {5000: ("kill", "n4"), 12000: ("start", "n4"), 15000: ("cut", "n5"), 20000: ("leave", "n0")}
+LONG_RUN_EVENTS = {
+    5000: ("kill", "n4"),
+    12000: ("start", "n4"),
+    15000: ("cut", "n5"),
+    20000: ("leave", "n0"),
+}
 
 
 def transcript():
-    datagrams, changes = run_members(4, 6, 11, WHAT)
-    long, seen = run_members(7, 30, 5, LONG)
-    sealed, told = node_transcript()
+    datagrams, changes = run_members(4, 6, 11, SHORT_RUN_EVENTS)
+    long_run_datagrams, long_run_changes = run_members(7, 30, 5, LONG_RUN_EVENTS)
+    sealed_datagrams, received = node_transcript()
     return {
-        "datagrams": [[*one[:3], recorded.to_base64(one[3])] for one in datagrams],
+        "datagrams": [[*datagram[:3], recorded.to_base64(datagram[3])] for datagram in datagrams],
         "changes": changes,
         "long run": {
-            "datagrams": len(long),
-            "changes": len(seen),
-            "sha256": sha256(b"".join(f"{one[:3]}".encode() + one[3] for one in long)).hexdigest(),
+            "datagrams": len(long_run_datagrams),
+            "changes": len(long_run_changes),
+            "sha256": sha256(
+                b"".join(
+                    f"{datagram[:3]}".encode() + datagram[3] for datagram in long_run_datagrams
+                )
+            ).hexdigest(),
         },
-        "seal": seal_transcript(),
-        "sealed datagrams": sealed,
-        "told": told,
+        "seal": authentication_transcript(),
+        "sealed datagrams": sealed_datagrams,
+        "told": received,
         "ranks": [
             [proxy, rank(proxy, ["ns1", "ns2", "ns3", "béta"])]
             for proxy in ("p0", "p1", "p2", "p3", "é")
@@ -306,9 +335,9 @@
 
     def test_literal_bytes_are_decoded_to_each_message_and_back(self):
         for data, message in MESSAGES:
-            found = decode(data)
-            self.assertIs(type(found), type(message))
-            self.assertEqual(msgspec.msgpack.encode(found), data)
+            decoded = decode(data)
+            self.assertIs(type(decoded), type(message))
+            self.assertEqual(msgspec.msgpack.encode(decoded), data)
 
     def test_an_unknown_tag_is_refused(self):
         with self.assertRaises(msgspec.ValidationError):
@@ -320,16 +349,18 @@
         recorded.compare(self, "gossip", transcript())
 
     def test_the_record_holds_every_kind_of_message(self):
-        kept = recorded.read("gossip")
-        kinds = {decode_kind(one[3]) for one in kept["datagrams"]}
-        self.assertEqual(kinds, {b"Ping", b"Ack", b"TryFor"})
-        self.assertEqual({one[1] for one in kept["told"]}, {"note", "pins", "wish"})
-        self.assertEqual({one[2][0] for one in kept["seal"]}, {"taken", "unproven", "refused"})
-
-
-def decode_kind(text):
-    """The tag by the msgpack format itself: an array's head, then a short string."""
-    data = recorded.b64decode(text)
+        record = recorded.read("gossip")
+        tags = {decode_tag(entry[3]) for entry in record["datagrams"]}
+        self.assertEqual(tags, {b"Ping", b"Ack", b"TryFor"})
+        self.assertEqual({entry[1] for entry in record["told"]}, {"note", "pins", "wish"})
+        self.assertEqual(
+            {entry[2][0] for entry in record["seal"]}, {"taken", "unproven", "refused"}
+        )
+
+
+def decode_tag(encoded):
+    """Returns the tag by the MessagePack format: an array header, then a short string."""
+    data = recorded.b64decode(encoded)
     return data[2 : 2 + (data[1] & 0x1F)]
 
 
