--- a/peatlead/benchmarks/lab_speed.py
+++ b/peatlead/benchmarks/lab_speed.py
@@ -61,7 +61,7 @@
         "simulated a cpu second": round(played.seconds / spent, 2),
         "us a req": round(spent / requests * 1e6),
         "deliveries": played.events,
-        "finds": played.finds,
+        "finds": played.problems,
         "peak MB": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // 1024,
     }
 
--- a/peatlead/benchmarks/members.py
+++ b/peatlead/benchmarks/members.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from ..lab.members import Net
+from ..lab.members import MembershipNetwork
 
 SIZES = (3, 10, 50)
 SEEDS = 9
@@ -29,7 +29,7 @@
     cpu: float  # seconds, with the simulated network's own
 
 
-def seconds_until(net: Net, reached: Callable[[], bool]) -> float:
+def seconds_until(net: MembershipNetwork, reached: Callable[[], bool]) -> float:
     """Run until a state is reached or the timeout is over; returns the simulated seconds."""
     start = net.now
     while not reached() and net.now - start < TIMEOUT:
@@ -39,19 +39,19 @@
 
 def measure(size: int, seed: int) -> Figures:
     """Let members join, run undisturbed, lose one of them and get it back."""
-    net = Net(size, seed)
+    net = MembershipNetwork(size, seed)
     joined = seconds_until(net, lambda: bool(net.agreed(sorted(net.nodes))))
-    messages_before = net.sent
-    bytes_before = net.bytes
+    messages_before = net.messages_sent
+    bytes_before = net.bytes_sent
     start = net.now
     cpu_before = time.process_time()
     net.run(STEADY)
     cpu = time.process_time() - cpu_before
-    messages = net.sent - messages_before
-    sent_bytes = net.bytes - bytes_before
+    messages = net.messages_sent - messages_before
+    sent_bytes = net.bytes_sent - bytes_before
     seconds = net.now - start
     net.dead.add("n1")
-    death_known = seconds_until(net, lambda: set(net.states("n1").values()) == {"dead"})
+    death_known = seconds_until(net, lambda: set(net.states_of("n1").values()) == {"dead"})
     net.start("n1")
     rejoined = seconds_until(net, lambda: bool(net.agreed(sorted(net.nodes))))
     return Figures(
--- a/peatlead/benchmarks/reality.py
+++ b/peatlead/benchmarks/reality.py
@@ -11,7 +11,7 @@
 from typing import Any, NamedTuple
 
 from ..lab.day import play_day
-from ..scenario.kinds import BASE, CASES
+from ..scenario.kinds import BASE_SCRIPT, CASES
 from ..scenario.script import load_day
 
 HEADER = (
@@ -31,13 +31,13 @@
 
 def play_case(name: str) -> LabResult:
     """Play a case's day in the lab."""
-    day = load_day(name, BASE + CASES[name])
+    day = load_day(name, BASE_SCRIPT + CASES[name])
     played = play_day(day, day["day"]["seed"])
     return LabResult(
         name,
         played.report.service["whole"]["part"],
         [finding.nearest for finding in played.report.findings],
-        played.finds,
+        played.problems,
     )
 
 
--- a/peatlead/benchmarks/tables_rollback.py
+++ b/peatlead/benchmarks/tables_rollback.py
@@ -41,7 +41,7 @@
         broken_rules = 0
         for seed in range(1, seeds + 1):
             played = play_day(day(spread), seed)
-            broken_rules += len(played.finds)
+            broken_rules += len(played.problems)
             delays += rollback_delays(played, spread)
         delays.sort()
         median = delays[int(len(delays) * 0.5)]
--- a/peatlead/cli/lab.py
+++ b/peatlead/cli/lab.py
@@ -26,11 +26,11 @@
 
 def day_of(script: Optional[str], seed: int, kind: str) -> Settings:
     """A day from a script, or drawn by seed."""
-    from ..lab.random_scenario import draw
+    from ..lab.random_scenario import draw_scenario
     from ..scenario.script import read_day
 
     try:
-        scenario: Settings = draw(seed, kind) if script is None else read_day(script)
+        scenario: Settings = draw_scenario(seed, kind) if script is None else read_day(script)
     except SettingsError as problem:
         raise click.ClickException(str(problem)) from None
     return scenario
@@ -54,12 +54,12 @@
     played = play_day(day_of(script, seed, kind), seed, planner)
     if played.report is not None:
         show(played.report, f"simulated, seed {seed}")
-    for find in played.finds:
+    for find in played.problems:
         click.echo(f"found: {find}")
     click.echo(
         f"digest {played.digest}, {played.events} events, {played.seconds:.1f} simulated seconds"
     )
-    sys.exit(1 if played.finds else 0)
+    sys.exit(1 if played.problems else 0)
 
 
 @contextmanager
@@ -108,12 +108,12 @@
     first: int, last: int, workers: Optional[int], most: int, length: float, kind: str
 ) -> None:
     """Plays seeds FIRST to LAST (not included); what breaks is cut down to a day script."""
-    from ..lab.hunt import hunt
+    from ..lab.hunt import search_seeds
 
     with progress(f"hunting {kind}", last - first) as (say, step):
-        finds, played = hunt(range(first, last), kind, length, workers, say, most, step)
+        finds, played = search_seeds(range(first, last), kind, length, workers, say, most, step)
     for find in finds:
-        click.echo(f"\n# seed {find.seed}: {'; '.join(find.what[:3])}\n{find.script}")
+        click.echo(f"\n# seed {find.seed}: {'; '.join(find.problems[:3])}\n{find.script}")
     click.echo(f"{played} seeds of {kind}, {len(finds)} finds")
     sys.exit(1 if finds else 0)
 
@@ -160,13 +160,14 @@
 @BASE
 def lab_study(file: str, workers: Optional[int], base: str) -> None:
     """Plays what is missing of a study; may be stopped and run again."""
-    from ..lab.study import Results, run
+    from ..lab.study import Results, run_study
 
     study, results = study_of(file), Results(base)
     with progress(
-        study.head["name"], len(study.cells()) - len(results.done(study.head["name"]))
+        study.parameters["name"],
+        len(study.cells()) - len(results.finished_cells(study.parameters["name"])),
     ) as (say, step):
-        run(study, results, workers, say, step)
+        run_study(study, results, workers, say, step)
 
 
 @lab.command(name="compare")
@@ -175,7 +176,7 @@
 @BASE
 def lab_compare(file: str, figure: str, base: str) -> None:
     """Paired differences of FIGURE to the first variant and policy, with 95% intervals."""
-    from ..lab.study import Results, compare
+    from ..lab.study import Results, compare_paired
 
     study, results = study_of(file), Results(base)
     base_line, *others = [
@@ -184,7 +185,9 @@
     for case in study.cases:
         for other in others:
             try:
-                found = compare(results, study.head["name"], figure, base_line, other, case)
+                found = compare_paired(
+                    results, study.parameters["name"], figure, base_line, other, case
+                )
             except ValueError as problem:
                 raise click.ClickException(str(problem)) from None
             difference = "not played"
@@ -200,8 +203,8 @@
 @BASE
 def lab_report(file: str, out: Optional[str], base: str) -> None:
     """Writes a study's tables and charts as one HTML file."""
-    from ..lab.report import write
+    from ..lab.report import write_report
     from ..lab.study import Results
 
-    write(Results(base), study_of(file), out)
+    write_report(Results(base), study_of(file), out)
     click.echo(out)
--- a/peatlead/cli/scenarios.py
+++ b/peatlead/cli/scenarios.py
@@ -109,10 +109,10 @@
 @click.option("--at-once", type=int, default=3, help="cases played side by side")
 def kinds(out: str, only: Optional[str], at_once: int) -> None:
     """Plays each kind of trouble alone, beside the plain baseline, and keeps a table."""
-    from ..scenario.kinds import play_kinds
+    from ..scenario.kinds import play_cases
 
     try:
-        found = asyncio.run(play_kinds(Path(out), only, at_once, click.echo))
+        found = asyncio.run(play_cases(Path(out), only, at_once, click.echo))
     except KeyError:
         raise click.ClickException(f"--only: no case is called {only!r}") from None
     sys.exit(0 if found else 1)
--- a/peatlead/lab/day.py
+++ b/peatlead/lab/day.py
@@ -30,7 +30,7 @@
 POLICIES = (*PLANNERS, "oracle")
 
 
-class Rows:
+class MemoryRecorder:
     """A recorder in memory, one for all processes, with the world's time."""
 
     def __init__(self):
@@ -45,7 +45,7 @@
         pass
 
 
-class Child:
+class SimulatedProcess:
     """A simulated process, as the day's driver knows processes."""
 
     def __init__(self, loop):
@@ -70,16 +70,22 @@
             self.loop.resume()
 
 
-class LabDay(Day):
+class SimulatedDay(Day):
     def __init__(self, world, day, folder, planner="shards", swap=None):
         super().__init__(day, folder, planner, port=PORT)
-        self.world, self.rows, self.logs, self.swap, self.starts = world, Rows(), [], swap or {}, 0
+        self.world, self.rows, self.logs, self.swap, self.starts = (
+            world,
+            MemoryRecorder(),
+            [],
+            swap or {},
+            0,
+        )
         self.inside = []  # the stand-ins' own objects: the oracle looks into them
 
     def begin_record(self):
         return self.rows
 
-    def place(self):
+    def place_addresses(self):
         """Where each address stands: hosts, desks and agents in their zones, stewards in theirs."""
         links, zones = self.world.links, self.fleet.zones
         for plan in self.fleet.hosts:
@@ -164,7 +170,7 @@
 
     def run_in(self, loop, serve):
         self.world.schedule(self.world.now, loop, self.begin_task, loop, serve)
-        return Child(loop)
+        return SimulatedProcess(loop)
 
     def begin_task(self, loop, serve):
         task = loop.create_task(serve())
@@ -199,7 +205,7 @@
         return check(Read(self.rows.rows, 0), settings["limits"], gain)
 
 
-class Played:
+class DayResult:
     """What came of one day in the lab."""
 
     __slots__ = ("report", "digest", "events", "wrong", "logs", "rows", "seconds", "trace")
@@ -215,7 +221,7 @@
         )
 
     @property
-    def finds(self):
+    def problems(self):
         """Rules broken and exceptions, in words."""
         found = list(self.wrong)
         if self.report is not None:
@@ -243,12 +249,12 @@
     world = Simulation(seed, timers, trace)
     with seldom_collected(), tempfile.TemporaryDirectory(prefix="peatlead-lab-") as folder:
         loop = world.process("day")
-        day = LabDay(world, made, Path(folder), planner, swap)
-        day.place()
+        day = SimulatedDay(world, made, Path(folder), planner, swap)
+        day.place_addresses()
         report = None
         try:
             report = play(world, loop, day.play(), made["day"]["length"] + 120.0)
         except (RuntimeError, TimeoutError, asyncio.TimeoutError) as problem:
             if not world.failures:
                 world.report_failure(loop, problem, "day")
-    return Played(report, world, day)
+    return DayResult(report, world, day)
--- a/peatlead/lab/hunt.py
+++ b/peatlead/lab/hunt.py
@@ -5,20 +5,20 @@
 from typing import NamedTuple
 
 from .day import play_day
-from .random_scenario import as_script, draw
+from .random_scenario import as_script, draw_scenario
 
 MOST_FINDS = 5  # a hunt ends after so many
 
 
-class Find(NamedTuple):
+class FailingSeed(NamedTuple):
     seed: int
     kind: str
-    what: list
+    problems: list
     digest: str
     script: str
 
 
-def symptom(finds):
+def symptoms(finds):
     """What has to show again for a smaller day to count as the same find: the rule, or the error's type."""
     return {
         one.split(":")[0] if one.startswith("rule") else one.split(" s in ")[-1].split("(")[0]
@@ -30,11 +30,11 @@
     """(seed, finds, digest, events, real seconds) of one seed."""
     seed, kind, length = job
     start = time.perf_counter()
-    played = play_day(draw(seed, kind, length), seed)
-    return seed, played.finds, played.digest, played.events, time.perf_counter() - start
+    played = play_day(draw_scenario(seed, kind, length), seed)
+    return seed, played.problems, played.digest, played.events, time.perf_counter() - start
 
 
-def hunt(
+def search_seeds(
     seeds, kind, length=20.0, workers=None, say=print, most=MOST_FINDS, step=lambda done, note: None
 ):
     """([Find], seeds played): each find is cut down and replayed before it is told. `step(done, note)` is called
@@ -53,22 +53,24 @@
                 say(f"{done} seeds, {note}")
             if finds:
                 say(f"seed {seed} ({kind}): {finds[0]}")
-                found.append(Find(seed, kind, finds, digest, ""))
+                found.append(FailingSeed(seed, kind, finds, digest, ""))
                 if len(found) >= most:
                     pool.terminate()
                     break
     return [
-        one._replace(script=as_script(shrink(draw(one.seed, kind, length), one.seed, one.what)))
+        one._replace(
+            script=as_script(shrink(draw_scenario(one.seed, kind, length), one.seed, one.problems))
+        )
         for one in sorted(found)
     ], done
 
 
 def shrink(made, seed, finds, play=play_day, tries=60):
     """The day with as few troubles, and as short, as still shows the same symptom."""
-    wanted = symptom(finds)
+    wanted = symptoms(finds)
 
     def shows(candidate):
-        return bool(wanted & symptom(play(candidate, seed).finds))
+        return bool(wanted & symptoms(play(candidate, seed).problems))
 
     size = max(1, len(made["troubles"]) // 2)
     while size and tries > 0:
--- a/peatlead/lab/members.py
+++ b/peatlead/lab/members.py
@@ -18,33 +18,31 @@
 STEP = 0.05
 
 
-class Net:
+class MembershipNetwork:
     """Members on a made-up network: delays, losses, cuts (one way too), kills and freezes, all by seed."""
 
     def __init__(self, many, seed=1, loss=0.0, **timers):
-        self.chance, self.loss, self.now, self.way = random.Random(seed), loss, 0.0, []
+        self.rng, self.loss, self.now, self.in_flight = random.Random(seed), loss, 0.0, []
         self.cut, self.dead, self.frozen, self.timers = set(), set(), set(), timers
-        self.sent = self.bytes = 0
+        self.messages_sent = self.bytes_sent = 0
         self.nodes = {}
         for at in range(many):
             self.start(f"n{at}", [f"n{other}" for other in range(min(3, many))])
 
     def start(self, name, seeds=("n0", "n1", "n2")):
         about = MemberInfo(name, (name, 1), "alive", 0)
-        self.nodes[name] = Membership(
-            about, [(seed, 1) for seed in seeds], self.chance, **self.timers
-        )
+        self.nodes[name] = Membership(about, [(seed, 1) for seed in seeds], self.rng, **self.timers)
         self.dead.discard(name)
 
-    def step(self, name, events):
+    def deliver(self, name, events):
         for order in self.nodes[name].decide(self.now, events):
             if type(order) is SendDatagram:
                 data = msgspec.msgpack.encode(order.message)
-                self.sent += 1
-                self.bytes += len(data)
-                if self.chance.random() >= self.loss:
-                    self.way.append(
-                        (self.now + self.chance.uniform(0.001, 0.02), name, order.address[0], data)
+                self.messages_sent += 1
+                self.bytes_sent += len(data)
+                if self.rng.random() >= self.loss:
+                    self.in_flight.append(
+                        (self.now + self.rng.uniform(0.001, 0.02), name, order.address[0], data)
                     )
 
     def run(self, seconds, each=None):
@@ -52,9 +50,9 @@
         while self.now < end:
             self.now = round(self.now + STEP, 6)
             due = sorted(
-                one for one in self.way if one[0] <= self.now and one[2] not in self.frozen
+                one for one in self.in_flight if one[0] <= self.now and one[2] not in self.frozen
             )
-            self.way = [one for one in self.way if one not in due]
+            self.in_flight = [one for one in self.in_flight if one not in due]
             for _, source, target, data in due:
                 if (
                     target in self.nodes
@@ -62,14 +60,14 @@
                     and (source, target) not in self.cut
                 ):
                     message = msgspec.msgpack.decode(data, type=Ping | Ack | IndirectPing)
-                    self.step(target, [DatagramReceived((source, 1), message)])
+                    self.deliver(target, [DatagramReceived((source, 1), message)])
             for name in sorted(self.nodes):
                 if name not in self.dead and name not in self.frozen:
-                    self.step(name, [Tick()])
+                    self.deliver(name, [Tick()])
             if each is not None:
                 each()
 
-    def states(self, of):
+    def states_of(self, of):
         return {
             name: one.members[of].about.state
             for name, one in self.nodes.items()
--- a/peatlead/lab/random_scenario.py
+++ b/peatlead/lab/random_scenario.py
@@ -14,7 +14,7 @@
 NOT_DRAWN = ("fleet_drained",)
 
 
-def draw(seed, kind="fleet", length=20.0):
+def draw_scenario(seed, kind="fleet", length=20.0):
     """A day's map; `kind`: "fleet" (agents and three controllers) or "dns" (desks and two stewards)."""
     chance = Random(f"{kind}:{seed}")
     zones = ["a", "b", "c"][: chance.choice((2, 3))]
--- a/peatlead/lab/report.py
+++ b/peatlead/lab/report.py
@@ -4,7 +4,7 @@
 import html
 import io
 
-from .study import compare
+from .study import compare_paired
 
 SHOWN = ("service", "worst_kind", "lost", "shed", "rule1", "rule3", "rule4", "rule5")
 LIMITS = """<h2>How far to trust this</h2><p>Simulated: hosts' work is time, not computation; the network has delay,
@@ -19,11 +19,11 @@
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
-    from .study import interval
+    from .study import bootstrap_interval
 
     ways = [(variant, policy) for variant in study.variants for policy in study.policies]
     drawing, place = pyplot.subplots(figsize=(max(7.5, 1.1 * len(ways)), 3.2))
-    columns = [results.column(study.head["name"], figure, case, *way) for way in ways]
+    columns = [results.values_by_seed(study.parameters["name"], figure, case, *way) for way in ways]
     for seed in sorted(set.intersection(*(set(one) for one in columns))) if columns else ():
         place.plot(
             range(len(ways)), [one[seed] for one in columns], color="0.85", linewidth=0.6, zorder=1
@@ -33,7 +33,7 @@
             place.scatter(
                 [at] * len(one), list(one.values()), s=8, color="tab:blue", alpha=0.4, zorder=2
             )
-            mean, low, high = interval(list(one.values()))
+            mean, low, high = bootstrap_interval(list(one.values()))
             place.errorbar(
                 [at + 0.12],
                 [mean],
@@ -66,10 +66,12 @@
     for figure in SHOWN:
         cells = []
         for way in ways:
-            values = list(results.column(study.head["name"], figure, case, *way).values())
+            values = list(
+                results.values_by_seed(study.parameters["name"], figure, case, *way).values()
+            )
             said = f"{sum(values) / len(values):.4g}" if values else "-"
             difference = (
-                compare(results, study.head["name"], figure, ways[0], way, case)
+                compare_paired(results, study.parameters["name"], figure, ways[0], way, case)
                 if way != ways[0]
                 else None
             )
@@ -81,8 +83,8 @@
     return "<table>" + "".join(rows) + "</table>"
 
 
-def write(results, study, path):
-    head = study.head
+def write_report(results, study, path):
+    head = study.parameters
     parts = [
         f"<h1>{html.escape(head['name'])}</h1><p>{html.escape(head['question'])}</p>",
         f"<p>{head['seeds']} seeds a cell; differences are to the first column, paired by seed, with 95% "
@@ -93,7 +95,7 @@
         parts += [
             f"<img src='{chart(results, study, figure, case)}'>" for figure in ("service", "rule4")
         ]
-    broken = results.broken(head["name"])
+    broken = results.cells_with_problems(head["name"])
     parts.append(
         f"<h2>Rules broken or errors: {len(broken)} days</h2><ul>"
         + "".join(
--- a/peatlead/lab/study.py
+++ b/peatlead/lab/study.py
@@ -23,7 +23,7 @@
 from .day import POLICIES, play_day
 from .planner_constants import modules_with, replaced
 
-FIGURES = (
+METRICS = (
     "service",
     "worst_kind",
     "lost",
@@ -73,7 +73,7 @@
         heads = [values for called, values in said if called == "study"]
         if len(heads) != 1:
             raise SettingsError(f"{name}:1: expected one call of study(), got {len(heads)}")
-        self.head = heads[0]
+        self.parameters = heads[0]
         self.cases = {
             v["name"]: load_day(f"{name} case {v['name']}", v["script"])
             for c, v in said
@@ -99,7 +99,7 @@
             for case in self.cases
             for variant in self.variants
             for policy in self.policies
-            for seed in range(self.head["seeds"])
+            for seed in range(self.parameters["seeds"])
         ]
 
 
@@ -122,7 +122,7 @@
     """{figure: value} of one day."""
     report, outcomes = played.report, {}
     if report is None:
-        return dict.fromkeys(FIGURES)
+        return dict.fromkeys(METRICS)
     whole = report.service["whole"]
     outcomes = whole["outcomes"]
     spans = sorted(span for _, span in report.takeovers)
@@ -149,7 +149,7 @@
     made, constants = changed(made, changes)
     with replaced(constants):
         played = play_day(made, seed, policy)
-    return key, played.digest, played.finds, figures(played)
+    return key, played.digest, played.problems, figures(played)
 
 
 class Results:
@@ -157,20 +157,20 @@
 
     def __init__(self, path):
         Path(path).parent.mkdir(parents=True, exist_ok=True)
-        self.base = sqlite3.connect(path)
-        columns = ", ".join(f"{name} REAL" for name in FIGURES)
-        self.base.execute(
+        self.database = sqlite3.connect(path)
+        columns = ", ".join(f"{name} REAL" for name in METRICS)
+        self.database.execute(
             "CREATE TABLE IF NOT EXISTS cells (study TEXT, cell TEXT, case_name TEXT, variant TEXT, policy TEXT, "
             f"seed INTEGER, digest TEXT, kept INTEGER, finds TEXT, {columns}, PRIMARY KEY (study, cell))"
         )
 
-    def done(self, study):
+    def finished_cells(self, study):
         return {
             cell
-            for (cell,) in self.base.execute("SELECT cell FROM cells WHERE study = ?", (study,))
+            for (cell,) in self.database.execute("SELECT cell FROM cells WHERE study = ?", (study,))
         }
 
-    def keep(self, study, key, digest, finds, found):
+    def store(self, study, key, digest, finds, found):
         case, variant, policy, seed = key
         row = (
             study,
@@ -182,31 +182,37 @@
             digest,
             int(not finds),
             "\n".join(finds),
-            *(found[name] for name in FIGURES),
+            *(found[name] for name in METRICS),
         )
-        self.base.execute(f"INSERT OR REPLACE INTO cells VALUES ({', '.join('?' * len(row))})", row)
-        self.base.commit()
+        self.database.execute(
+            f"INSERT OR REPLACE INTO cells VALUES ({', '.join('?' * len(row))})", row
+        )
+        self.database.commit()
 
-    def column(self, study, figure, case, variant, policy):
+    def values_by_seed(self, study, figure, case, variant, policy):
         """{seed: value} of a figure; `figure` is one of FIGURES."""
-        if figure not in FIGURES:
-            raise ValueError(f"expected one of {', '.join(FIGURES)}, got {figure!r}")
-        rows = self.base.execute(
+        if figure not in METRICS:
+            raise ValueError(f"expected one of {', '.join(METRICS)}, got {figure!r}")
+        rows = self.database.execute(
             f"SELECT seed, {figure} FROM cells WHERE study = ? AND case_name = ? AND variant = ? AND policy = ? "
             "ORDER BY seed",
             (study, case, variant, policy),
         )
         return {seed: value for seed, value in rows if value is not None}
 
-    def broken(self, study):
-        return self.base.execute(
+    def cells_with_problems(self, study):
+        return self.database.execute(
             "SELECT cell, finds FROM cells WHERE study = ? AND kept = 0 ORDER BY cell", (study,)
         ).fetchall()
 
 
-def run(study, results, workers=None, say=print, step=lambda done, note: None):
+def run_study(study, results, workers=None, say=print, step=lambda done, note: None):
     """Plays what is missing. Returns how many cells were played. `step(done, note)` is called after each."""
-    name, done, broken = study.head["name"], results.done(study.head["name"]), 0
+    name, done, broken = (
+        study.parameters["name"],
+        results.finished_cells(study.parameters["name"]),
+        0,
+    )
     jobs = [
         ((case, variant, policy, seed), study.cases[case], study.variants[variant], policy, seed)
         for case, variant, policy, seed in study.cells()
@@ -217,7 +223,7 @@
         return 0
     with multiprocessing.get_context("spawn").Pool(workers) as pool:
         for at, (key, digest, finds, found) in enumerate(pool.imap_unordered(play_cell, jobs), 1):
-            results.keep(name, key, digest, finds, found)
+            results.store(name, key, digest, finds, found)
             broken += bool(finds)
             step(at, f"{broken} with finds")
             if at % 20 == 0 or at == len(jobs):
@@ -225,7 +231,7 @@
     return len(jobs)
 
 
-def interval(differences, seed=1, part=0.95):
+def bootstrap_interval(differences, seed=1, part=0.95):
     """(mean, low, high) of paired differences by bootstrap over seeds."""
     if not differences:
         return None
@@ -235,9 +241,9 @@
     return statistics.fmean(differences), low, means[int(BOOTSTRAPS * (1 + part) / 2) - 1]
 
 
-def compare(results, study, figure, base, other, case):
+def compare_paired(results, study, figure, base, other, case):
     """(mean, low, high, pairs) of `other` less `base`, each (variant, policy), paired by seed."""
-    one, two = (results.column(study, figure, case, *which) for which in (base, other))
+    one, two = (results.values_by_seed(study, figure, case, *which) for which in (base, other))
     pairs = [two[seed] - one[seed] for seed in sorted(one.keys() & two.keys())]
-    found = interval(pairs)
+    found = bootstrap_interval(pairs)
     return (*found, len(pairs)) if found else None
--- a/peatlead/scenario/kinds.py
+++ b/peatlead/scenario/kinds.py
@@ -16,7 +16,7 @@
 PLANNERS = ("shards", "plain")
 BASELINE_ADDRESSES = 32  # in an answer: all endpoints
 LENGTH = 30  # seconds
-BASE = f"day(length = {LENGTH}, seed = 3)\n"
+BASE_SCRIPT = f"day(length = {LENGTH}, seed = 3)\n"
 MIXED = (
     'resolvers = ["keeps", "twice", "tenfold", "least", "stale"], '
     'habits = ["first", "any", "same", "sorted", "holds"]'
@@ -60,7 +60,7 @@
 Reports = dict[tuple[str, str], Report]  # by case and planner
 
 
-async def play_kinds(
+async def play_cases(
     folder: Path, only: str | None, at_once: int, echo: Callable[[str], None]
 ) -> bool:
     """Play all cases or one, and write the table into the folder.
@@ -88,7 +88,7 @@
 
 async def _play(name: str, planner: str, folder: Path, slots: asyncio.Semaphore) -> Report:
     """Play one case under one planner and keep its report."""
-    scenario = load_day(name, BASE + CASES[name])
+    scenario = load_day(name, BASE_SCRIPT + CASES[name])
     if planner == "plain":
         scenario["steering"]["addresses"] = BASELINE_ADDRESSES
     place = folder / name.replace(" ", "-").replace(",", "") / planner
--- a/tests/compatibility/test_lab_digests.py
+++ b/tests/compatibility/test_lab_digests.py
@@ -20,7 +20,7 @@
 from peatlead import interface
 from peatlead.lab import day as lab_day
 from peatlead.lab.day import play_day
-from peatlead.lab.random_scenario import draw
+from peatlead.lab.random_scenario import draw_scenario
 
 # The adapter, with the imports above: all that is known here of names inside the program.
 
@@ -61,8 +61,8 @@
 
 def play(kind, seed):
     """(the lab's own digest of the day, events in the world, what was found wrong)."""
-    played = play_day(draw(seed, kind, LENGTH), seed, PLANNER)
-    return played.digest, played.events, played.finds
+    played = play_day(draw_scenario(seed, kind, LENGTH), seed, PLANNER)
+    return played.digest, played.events, played.problems
 
 
 # The end of the adapter.
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -24,9 +24,9 @@
 from peatlead.controller.controller import Controller
 from peatlead.invariants.checker import check
 from peatlead.invariants.record import Recorder, read_folder
-from peatlead.lab.day import LabDay
+from peatlead.lab.day import SimulatedDay
 from peatlead.lab.simulation import Simulation, play
-from peatlead.lab.study import FIGURES, Results, Study, play_cell, run
+from peatlead.lab.study import METRICS, Results, Study, play_cell, run_study
 from peatlead.planner.planner import Planner
 from peatlead.scenario.script import load_day
 from peatlead.settings import load_settings
@@ -138,28 +138,28 @@
 def results_of(path):
     results, study = Results(str(path)), Study("study", STUDY)
     try:
-        name, cells = study.head["name"], study.cells()
+        name, cells = study.parameters["name"], study.cells()
         ways = sorted({cell[:3] for cell in cells})
         return {
-            "done": sorted(results.done(name)),
-            "broken": [list(one) for one in results.broken(name)],
+            "done": sorted(results.finished_cells(name)),
+            "broken": [list(one) for one in results.cells_with_problems(name)],
             "figures": [
-                [*way, figure, results.column(name, figure, *way)]
+                [*way, figure, results.values_by_seed(name, figure, *way)]
                 for way in ways
-                for figure in FIGURES
+                for figure in METRICS
             ],
         }
     finally:
-        results.base.close()
+        results.database.close()
 
 
 def cells_left(path):
     """How many cells of the study would be played with this results file: none may be."""
     results = Results(str(path))
     try:
-        return run(Study("study", STUDY), results, workers=1, say=lambda said: None)
+        return run_study(Study("study", STUDY), results, workers=1, say=lambda said: None)
     finally:
-        results.base.close()
+        results.database.close()
 
 
 def started(folder, name, case, secondaries=()):
@@ -208,8 +208,8 @@
         made, folder = Path(made), Path(folder)
         script = load_day("stored", DAY)
         world = Simulation(script["day"]["seed"])
-        day = LabDay(world, script, made)
-        day.place()
+        day = SimulatedDay(world, script, made)
+        day.place_addresses()
         play(world, world.process("day"), day.play(), 200.0)
         shutil.rmtree(folder, ignore_errors=True)
         (folder / "record").mkdir(parents=True)
@@ -246,10 +246,14 @@
                     seed,
                 )
             )
-            results.keep(
-                study.head["name"], key, digest, ["rule 1: planted"] if seed == 1 else finds, found
+            results.store(
+                study.parameters["name"],
+                key,
+                digest,
+                ["rule 1: planted"] if seed == 1 else finds,
+                found,
             )
-        results.base.close()
+        results.database.close()
         (folder / "expected.json").write_text(
             json.dumps(everything(folder), separators=(",", ":")) + "\n"
         )
--- a/tests/controller/test_pinned_tables.py
+++ b/tests/controller/test_pinned_tables.py
@@ -176,7 +176,7 @@
 
     def play_without_breach(self, text, seed=1, pins=1):
         played = play_scenario(text, seed)
-        self.assertEqual(played.finds, [])
+        self.assertEqual(played.problems, [])
         self.assertEqual(len([row for row in played.rows if row.kind == "pin"]), pins)
         return played
 
--- a/tests/fleet/test_membership.py
+++ b/tests/fleet/test_membership.py
@@ -6,26 +6,26 @@
 from hypothesis import strategies as st
 
 from peatlead.fleet.membership import Leave, LocalStatus
-from peatlead.lab.members import Net
+from peatlead.lab.members import MembershipNetwork
 
 
 class MembershipTest(unittest.TestCase):
     def test_all_members_agree_and_a_killed_one_is_declared_dead_by_all(self):
         for size in (3, 10, 50):
-            net = Net(size)
+            net = MembershipNetwork(size)
             net.run(8.0)
             self.assertTrue(net.agreed(sorted(net.nodes)), size)
             net.dead.add("n1")
             net.run(14.0)
-            self.assertEqual(set(net.states("n1").values()), {"dead"})
+            self.assertEqual(set(net.states_of("n1").values()), {"dead"})
 
     def test_packet_loss_alone_declares_no_member_dead_for_long(self):
-        net, dead_beliefs = Net(5, loss=0.15), []
+        net, dead_beliefs = MembershipNetwork(5, loss=0.15), []
         net.run(5.0)
         net.run(
             60.0,
             lambda: dead_beliefs.append(
-                sum(s == "dead" for n in net.nodes for s in net.states(n).values())
+                sum(s == "dead" for n in net.nodes for s in net.states_of(n).values())
             ),
         )
         self.assertLess(sum(map(bool, dead_beliefs)), len(dead_beliefs) * 0.05)
@@ -34,7 +34,7 @@
         self.assertTrue(net.agreed(sorted(net.nodes)))
 
     def test_a_partition_splits_the_membership_and_heals(self):
-        net = Net(5)
+        net = MembershipNetwork(5)
         net.run(5.0)
         one, other = ("n0", "n3"), ("n1", "n2", "n4")
         net.cut = {(a, b) for a in one for b in other} | {(b, a) for a in one for b in other}
@@ -45,29 +45,29 @@
         self.assertTrue(net.agreed(sorted(net.nodes)))
 
     def test_indirect_pings_bridge_a_one_way_partition(self):
-        net = Net(3)
+        net = MembershipNetwork(3)
         net.run(5.0)
         net.cut = {("n0", "n1")}
         net.run(20.0)
-        self.assertEqual(net.states("n1")["n0"], "alive")
-        self.assertEqual(net.states("n0")["n1"], "alive")
+        self.assertEqual(net.states_of("n1")["n0"], "alive")
+        self.assertEqual(net.states_of("n0")["n1"], "alive")
 
     def test_members_agree_after_a_flapping_link(self):
-        net = Net(3)
+        net = MembershipNetwork(3)
         net.run(4.0)
         for _ in range(20):
             net.cut = {("n0", "n1"), ("n1", "n0")} if not net.cut else set()
-            net.run(net.chance.uniform(0.2, 2.0))
+            net.run(net.rng.uniform(0.2, 2.0))
         net.cut = set()
         net.run(8.0)
         self.assertTrue(net.agreed(sorted(net.nodes)))
 
     def test_a_stalled_member_refutes_its_death_and_suspects_nobody(self):
-        net = Net(4)
+        net = MembershipNetwork(4)
         net.run(5.0)
         net.frozen.add("n2")
         net.run(10.0)
-        self.assertEqual(set(net.states("n2").values()) - {"alive"}, {"dead"})
+        self.assertEqual(set(net.states_of("n2").values()) - {"alive"}, {"dead"})
         net.frozen.clear()
         net.run(0.2)
         self.assertEqual(set(net.nodes["n2"].live()), set(net.nodes))
@@ -75,8 +75,8 @@
         self.assertTrue(net.agreed(sorted(net.nodes)))
 
     def test_a_member_that_restarts_without_state_rejoins(self):
-        net = Net(3)
-        net.step("n1", [LocalStatus(4, False)])
+        net = MembershipNetwork(3)
+        net.deliver("n1", [LocalStatus(4, False)])
         net.run(5.0)
         net.dead.add("n1")
         net.run(0.4)  # sooner than anybody noticed
@@ -86,23 +86,23 @@
         self.assertGreater(net.nodes["n1"].me.incarnation, 0)
 
     def test_a_member_that_leaves_is_removed_at_once(self):
-        net = Net(3)
+        net = MembershipNetwork(3)
         net.run(5.0)
-        net.step("n2", [Leave()])
+        net.deliver("n2", [Leave()])
         net.dead.add("n2")
         net.run(0.3)
-        self.assertEqual(set(net.states("n2").values()), {"left"})
+        self.assertEqual(set(net.states_of("n2").values()), {"left"})
 
     def test_messages_are_bounded_in_a_large_fleet(self):
-        net = Net(60)
+        net = MembershipNetwork(60)
         longest = [0]
-        net.run(6.0, lambda: longest.append(max((len(one[3]) for one in net.way), default=0)))
+        net.run(6.0, lambda: longest.append(max((len(one[3]) for one in net.in_flight), default=0)))
         self.assertLess(max(longest), 1200)
 
     def test_load_and_draining_are_disseminated(self):
-        net = Net(3)
+        net = MembershipNetwork(3)
         net.run(4.0)
-        net.step("n0", [LocalStatus(17, True)])
+        net.deliver("n0", [LocalStatus(17, True)])
         net.run(3.0)
         about = net.nodes["n2"].live()["n0"]
         self.assertEqual((about.load, about.draining), (17, True))
@@ -120,7 +120,7 @@
         st.integers(0, 1000),
     )
     def test_incarnations_never_go_back_and_members_agree_after_any_faults(self, faults, seed):
-        net, seen = Net(4, seed), {}
+        net, seen = MembershipNetwork(4, seed), {}
 
         def watch():
             for name in net.nodes:
--- a/tests/lab/small_scenario.py
+++ b/tests/lab/small_scenario.py
@@ -1,6 +1,6 @@
 """A short scenario of one fleet, and its digest printed by another process."""
 
-from peatlead.lab.day import Played, play_day
+from peatlead.lab.day import DayResult, play_day
 from peatlead.scenario.script import load_day
 
 SMALL_SCENARIO = """
@@ -13,6 +13,6 @@
 PRINT_DIGEST = "from tests.lab.small_scenario import play_small; print(play_small(3).digest)"
 
 
-def play_small(seed: int, **options) -> Played:
+def play_small(seed: int, **options) -> DayResult:
     """Play the scenario with a seed."""
     return play_day(load_day("d", SMALL_SCENARIO), seed, **options)
--- a/tests/lab/test_hunt.py
+++ b/tests/lab/test_hunt.py
@@ -3,15 +3,15 @@
 import unittest
 
 from peatlead.lab.day import play_day
-from peatlead.lab.hunt import shrink, symptom
-from peatlead.lab.random_scenario import draw
+from peatlead.lab.hunt import shrink, symptoms
+from peatlead.lab.random_scenario import draw_scenario
 
 from ..seeded_faults import SEEDED_FAULTS, seeds_until_found
 
 
 class FaultSearchTest(unittest.TestCase):
     def test_shrinking_keeps_only_the_faults_that_cause_the_finding(self):
-        scenario = draw(3, "dns")
+        scenario = draw_scenario(3, "dns")
         scenario["troubles"] = [
             {"verb": verb, "at": float(at), "length": 1.0}
             for at, verb in enumerate(
@@ -23,17 +23,19 @@
             def __init__(self, day):
                 verbs = [fault["verb"] for fault in day["troubles"]]
                 fails = "hung" in verbs and "list_old" in verbs and day["day"]["length"] > 12
-                self.finds = ["rule 3 drains kept: x"] if fails else []
+                self.problems = ["rule 3 drains kept: x"] if fails else []
 
         small = shrink(scenario, 3, ["rule 3 drains kept: y"], lambda day, seed: SimulatedDay(day))
         self.assertEqual([fault["verb"] for fault in small["troubles"]], ["hung", "list_old"])
         self.assertEqual(small["day"]["length"], 14.0)
-        self.assertEqual(symptom(["at 1.2 s in ns1: KeyError('x') (f)"]), {"ns1: KeyError"})
+        self.assertEqual(symptoms(["at 1.2 s in ns1: KeyError('x') (f)"]), {"ns1: KeyError"})
 
     def test_a_few_seeds_of_both_kinds_break_no_rule(self):
         for seed in range(4):
             for kind in ("fleet", "dns"):
-                self.assertEqual(play_day(draw(seed, kind, 10.0), seed).finds, [], (seed, kind))
+                self.assertEqual(
+                    play_day(draw_scenario(seed, kind, 10.0), seed).problems, [], (seed, kind)
+                )
 
     def test_seeded_faults_are_found(self):
         """Only faults that a few seeds find; docs/results/lab.md has the seeds needed for all."""
--- a/tests/lab/test_study.py
+++ b/tests/lab/test_study.py
@@ -6,8 +6,8 @@
 from pathlib import Path
 
 from peatlead.lab.day import play_day
-from peatlead.lab.report import write
-from peatlead.lab.study import Results, Study, compare, interval, run
+from peatlead.lab.report import write_report
+from peatlead.lab.study import Results, Study, bootstrap_interval, compare_paired, run_study
 from peatlead.scenario.script import load_day
 from peatlead.settings import SettingsError
 
@@ -24,21 +24,21 @@
         with tempfile.TemporaryDirectory() as folder:
             study = Study("s.star", STUDY)
             whole, halted = Results(f"{folder}/whole.sqlite"), Results(f"{folder}/halted.sqlite")
-            self.assertEqual(run(study, whole, 2, lambda _: None), 4)
-            run(study, halted, 2, lambda _: None)
-            halted.base.execute("DELETE FROM cells WHERE seed = 1")
-            halted.base.commit()
-            self.assertEqual(run(study, halted, 2, lambda _: None), 2)
+            self.assertEqual(run_study(study, whole, 2, lambda _: None), 4)
+            run_study(study, halted, 2, lambda _: None)
+            halted.database.execute("DELETE FROM cells WHERE seed = 1")
+            halted.database.commit()
+            self.assertEqual(run_study(study, halted, 2, lambda _: None), 2)
             rows = [
-                base.base.execute("SELECT * FROM cells ORDER BY cell").fetchall()
+                base.database.execute("SELECT * FROM cells ORDER BY cell").fetchall()
                 for base in (whole, halted)
             ]
             self.assertEqual(*rows)
-            mean, low, high, pairs = compare(
+            mean, low, high, pairs = compare_paired(
                 whole, "s", "events", ("as is", "shards"), ("few", "shards"), "one"
             )
             self.assertEqual((pairs, low <= mean <= high), (2, True))
-            write(whole, study, f"{folder}/r.html")
+            write_report(whole, study, f"{folder}/r.html")
             self.assertIn("data:image/png;base64,", Path(f"{folder}/r.html").read_text())
 
     def test_oracle_policy_is_an_upper_bound_of_the_plain_one(self):
@@ -67,5 +67,5 @@
     def test_confidence_intervals_contain_the_mean_and_shrink_with_samples(self):
         draw_ = random.Random(1)
         few, many = ([draw_.gauss(0.5, 1) for _ in range(n)] for n in (8, 200))
-        (_, low, high), (_, lower, higher) = interval(few), interval(many)
+        (_, low, high), (_, lower, higher) = bootstrap_interval(few), bootstrap_interval(many)
         self.assertTrue(low < 0.5 < high and lower < 0.5 < higher and higher - lower < high - low)
--- a/tests/lab/test_takeovers.py
+++ b/tests/lab/test_takeovers.py
@@ -21,7 +21,7 @@
 """,
         )
         played = play_day(day, 5)
-        self.assertEqual(played.finds, [])
+        self.assertEqual(played.problems, [])
         last = {
             row.agent: row.what
             for row in played.rows
--- a/tests/seeded_faults.py
+++ b/tests/seeded_faults.py
@@ -16,7 +16,7 @@
 from peatlead.dns import warmup_thinning
 from peatlead.fleet.ownership import Fence
 from peatlead.lab.day import play_day
-from peatlead.lab.random_scenario import draw
+from peatlead.lab.random_scenario import draw_scenario
 from peatlead.standin.xds_proxies import Agent
 
 
@@ -146,7 +146,7 @@
     patch, kind = SEEDED_FAULTS[name]
     for seed in range(max_seeds):
         with patch():
-            findings = play_day(draw(seed, kind, length), seed).finds
+            findings = play_day(draw_scenario(seed, kind, length), seed).problems
         if findings:
             return seed + 1, findings
     return None, []
