--- a/peatlead/cli/lab.py
+++ b/peatlead/cli/lab.py
@@ -29,11 +29,11 @@
 
     Raises ClickException if the script is not valid.
     """
-    from ..lab.random_scenario import draw
+    from ..lab.random_scenario import draw_scenario
     from ..scenario.script import read_day
 
     try:
-        scenario: Settings = draw(seed, kind) if script is None else read_day(script)
+        scenario: Settings = draw_scenario(seed, kind) if script is None else read_day(script)
     except SettingsError as error:
         raise click.ClickException(str(error)) from None
     return scenario
@@ -57,12 +57,12 @@
     result = play_day(load_scenario(script, seed, kind), seed, planner)
     if result.report is not None:
         show(result.report, f"simulated, seed {seed}")
-    for finding in result.finds:
+    for finding in result.problems:
         click.echo(f"found: {finding}")
     click.echo(
         f"digest {result.digest}, {result.events} events, {result.seconds:.1f} simulated seconds"
     )
-    sys.exit(1 if result.finds else 0)
+    sys.exit(1 if result.problems else 0)
 
 
 @contextmanager
@@ -115,14 +115,14 @@
     first: int, last: int, workers: Optional[int], most: int, length: float, kind: str
 ) -> None:
     """Play the scenarios of a range of seeds and print those that fail as day scripts."""
-    from ..lab.hunt import hunt
+    from ..lab.hunt import search_seeds
 
     with progress(f"searching {kind} scenarios", last - first) as (print_line, report_progress):
-        finds, played_count = hunt(
+        finds, played_count = search_seeds(
             range(first, last), kind, length, workers, print_line, most, report_progress
         )
     for find in finds:
-        click.echo(f"\n# seed {find.seed}: {'; '.join(find.what[:3])}\n{find.script}")
+        click.echo(f"\n# seed {find.seed}: {'; '.join(find.problems[:3])}\n{find.script}")
     click.echo(f"{played_count} {kind} scenarios played, {len(finds)} failed")
     sys.exit(1 if finds else 0)
 
@@ -177,13 +177,14 @@
 @BASE
 def lab_study(file: str, workers: Optional[int], base: str) -> None:
     """Play the cells of a study that have no results yet; can be stopped and run again."""
-    from ..lab.study import Results, run
+    from ..lab.study import Results, run_study
 
     study, results = load_study(file), Results(base)
     with progress(
-        study.head["name"], len(study.cells()) - len(results.done(study.head["name"]))
+        study.parameters["name"],
+        len(study.cells()) - len(results.finished_cells(study.parameters["name"])),
     ) as (print_line, report_progress):
-        run(study, results, workers, print_line, report_progress)
+        run_study(study, results, workers, print_line, report_progress)
 
 
 @lab.command(name="compare")
@@ -192,7 +193,7 @@
 @BASE
 def lab_compare(file: str, figure: str, base: str) -> None:
     """Compare FIGURE with the first variant and policy: paired differences, 95% intervals."""
-    from ..lab.study import Results, compare
+    from ..lab.study import Results, compare_paired
 
     study, results = load_study(file), Results(base)
     baseline, *others = [
@@ -201,7 +202,9 @@
     for case in study.cases:
         for other in others:
             try:
-                comparison = compare(results, study.head["name"], figure, baseline, other, case)
+                comparison = compare_paired(
+                    results, study.parameters["name"], figure, baseline, other, case
+                )
             except ValueError as error:
                 raise click.ClickException(str(error)) from None
             difference = "not played"
@@ -217,8 +220,8 @@
 @BASE
 def lab_report(file: str, out: Optional[str], base: str) -> None:
     """Write a study's tables and charts to one HTML file."""
-    from ..lab.report import write
+    from ..lab.report import write_report
     from ..lab.study import Results
 
-    write(Results(base), load_study(file), out)
+    write_report(Results(base), load_study(file), out)
     click.echo(out)
--- a/peatlead/cli/scenarios.py
+++ b/peatlead/cli/scenarios.py
@@ -109,10 +109,10 @@
 @click.option("--at-once", type=int, default=3, help="number of scenarios played at once")
 def kinds(out: str, only: Optional[str], at_once: int) -> None:
     """Play each kind of fault with the planner and the baseline, and write a table of results."""
-    from ..scenario.kinds import play_kinds
+    from ..scenario.kinds import play_cases
 
     try:
-        kept = asyncio.run(play_kinds(Path(out), only, at_once, click.echo))
+        kept = asyncio.run(play_cases(Path(out), only, at_once, click.echo))
     except KeyError:
         raise click.ClickException(f"--only: expected the name of a case, got {only!r}") from None
     sys.exit(0 if kept else 1)
