--- a/tests/fleet/test_membership.py
+++ b/tests/fleet/test_membership.py
@@ -99,7 +99,10 @@
         net = MembershipNetwork(60)
         longest = [0]
         net.run(
-            6.0, lambda: longest.append(max((len(datagram[3]) for datagram in net.in_flight), default=0))
+            6.0,
+            lambda: longest.append(
+                max((len(datagram[3]) for datagram in net.in_flight), default=0)
+            ),
         )
         self.assertLess(max(longest), 1200)
 
