--- a/peatlead/cli/tables.py
+++ b/peatlead/cli/tables.py
@@ -73,7 +73,7 @@
 def parse_time(text: str) -> float:
     """Return the Unix time in seconds of HH:MM or HH:MM:SS today, or of a date and time (ISO 8601).
 
-    Times are local times. Raises click.BadParameter for another format.
+    Times without a UTC offset are local times. Raises click.BadParameter for another format.
     """
     for time_format in ("%H:%M", "%H:%M:%S"):
         try:
