--- a/peatlead/dns/__init__.py
+++ b/peatlead/dns/__init__.py
@@ -1,1 +1,1 @@
-"""The DNS server: views of clients, which endpoints an answer names, and zone transfers."""
+"""The DNS server: views of clients, answers with weighted endpoints, and zone transfers."""
