--- a/tests/transcripts/test_platform_transcripts.py
+++ b/tests/transcripts/test_platform_transcripts.py
@@ -76,7 +76,7 @@
     messages.Acknowledgement: ("ack", "proxy", "nonce", "duration"),
     messages.LivenessCheck: ("probe",),
 }
-LIST_FIELDS = ("scope", "version", "written", "unread")
+LIST_FIELDS = ("scope", "version", "written", "unusable_names")
 ENTRY_FIELDS = ("name", "zone", "phase", "address", "port", "machine", "pod", "weight", "started")
 CONFIGURATION_FIELDS = ("name", "listen", "discovery", "seed", "sockets")
 REQUEST_CLASSES, OWN_ZONE, WRITES = "req_kinds", "own_zone", "write"
