--- a/peatlead/fleet/gossip.py
+++ b/peatlead/fleet/gossip.py
@@ -242,8 +242,8 @@
     def _challenge_sender(self, address: Address, error: UnprovenSenderError) -> None:
         """Sends a challenge to an unproven sender, or stores the challenge that it has sent.
 
-        Only a challenge is used of what an unproven sender sends. Otherwise two controllers that
-        are both unproven to each other could never prove themselves.
+        All other content of an unproven sender is ignored. Its challenge is needed, because two
+        controllers that are unproven to each other could otherwise never prove themselves.
         """
         self.names_by_address[address] = error.name
         if error.body.startswith(CHALLENGE_PREFIX):
--- a/peatlead/grpc/proxy_node.py
+++ b/peatlead/grpc/proxy_node.py
@@ -9,9 +9,9 @@
 from ..tables.version import WEIGHT_SCALE, parse_line_key, parse_version
 from .resources import LB_ENDPOINT_TYPE_URL, WeightedEndpoint, parse_resource_name
 
-MAX_HELD_ENDPOINTS = 2000  # per request class in a report
+MAX_HELD_ENDPOINTS = 2000  # per request class; per request in the incremental variant
 MAX_NODE_ID = 200  # characters
-MAX_AVOIDED = 100  # controllers
+MAX_UNREACHABLE_CONTROLLERS = 100  # controllers
 MAX_EPOCH = 2**53  # greater integers are not exact in a protobuf Struct, which holds doubles
 MIN_RATE = 0.01  # requests per second
 MAX_RATE = 1e6  # requests per second
@@ -46,7 +46,15 @@
     if request.type_url == LB_ENDPOINT_TYPE_URL:
         _add_held_resources(request, held)
     hops = int(metadata["hops"].number_value) if "hops" in metadata else HOPS_IF_UNREPORTED
-    return ProxyNode(node.id, node.locality.zone, epoch, held, rate, hops, _read_avoided(metadata))
+    return ProxyNode(
+        node.id,
+        node.locality.zone,
+        epoch,
+        held,
+        rate,
+        hops,
+        _read_unreachable_controllers(metadata),
+    )
 
 
 def _read_epoch(request: Any, metadata: Any) -> int:
@@ -63,10 +71,13 @@
     return min(MAX_RATE, max(MIN_RATE, rate))
 
 
-def _read_avoided(metadata: Any) -> tuple[str, ...]:
+def _read_unreachable_controllers(metadata: Any) -> tuple[str, ...]:
     if "avoid" not in metadata:
         return ()
-    return tuple(value.string_value for value in metadata["avoid"].list_value.values[:MAX_AVOIDED])
+    return tuple(
+        value.string_value
+        for value in metadata["avoid"].list_value.values[:MAX_UNREACHABLE_CONTROLLERS]
+    )
 
 
 def _read_held(metadata: Any) -> Held:
