--- a/tests/fleet/test_membership.py
+++ b/tests/fleet/test_membership.py
@@ -108,8 +108,8 @@
         net.run(4.0)
         net.step("n0", [LocalStatus(17, True)])
         net.run(3.0)
-        about = net.nodes["n2"].live_members()["n0"]
-        self.assertEqual((about.load, about.draining), (17, True))
+        info = net.nodes["n2"].live_members()["n0"]
+        self.assertEqual((info.load, info.draining), (17, True))
 
     @given(
         st.lists(
@@ -124,36 +124,38 @@
         st.integers(0, 1000),
     )
     def test_incarnations_never_go_back_and_members_agree_after_any_faults(self, faults, seed):
-        net, seen = Net(4, seed), {}
+        net, last_incarnations = Net(4, seed), {}
 
-        def watch():
+        def check_incarnations():
             for name in net.nodes:
                 if name in net.dead:
                     continue
                 for member_name, member in net.nodes[name].members.items():
                     key = name, id(net.nodes[name]), member_name
                     if member.state_since <= net.now:
-                        self.assertGreaterEqual(member.info.incarnation, seen.get(key, 0))
-                        seen[key] = member.info.incarnation
-
-        net.run(3.0, watch)
-        for verb, a, b, wait in faults:
-            node, other_node = f"n{a}", f"n{b}"
-            if verb == "kill":
+                        self.assertGreaterEqual(
+                            member.info.incarnation, last_incarnations.get(key, 0)
+                        )
+                        last_incarnations[key] = member.info.incarnation
+
+        net.run(3.0, check_incarnations)
+        for fault, index, other_index, wait in faults:
+            node, other_node = f"n{index}", f"n{other_index}"
+            if fault == "kill":
                 net.dead.add(node)
-            elif verb == "start" and node in net.dead:
+            elif fault == "start" and node in net.dead:
                 net.start(node)
-            elif verb == "cut":
+            elif fault == "cut":
                 net.cut.add((node, other_node))
-            elif verb == "heal":
+            elif fault == "heal":
                 net.cut.discard((node, other_node))
-            elif verb == "freeze":
+            elif fault == "freeze":
                 net.frozen.add(node)
-            elif verb == "wake":
+            elif fault == "wake":
                 net.frozen.discard(node)
             else:
                 net.loss = 0.2
-            net.run(wait, watch)
+            net.run(wait, check_incarnations)
         net.cut, net.frozen, net.loss = set(), set(), 0.0
-        net.run(25.0, watch)
+        net.run(25.0, check_incarnations)
         self.assertTrue(net.agreed(sorted(set(net.nodes) - net.dead)))
--- a/tests/grpc/__init__.py
+++ b/tests/grpc/__init__.py
@@ -1,3 +1,3 @@
 """Tests of `peatlead.grpc`."""
 
-from .. import standin_fleet  # noqa: F401 - loads the profile of property tests
+from .. import standin_fleet  # noqa: F401 - loads the hypothesis profile
