--- a/peatlead/planner/class_admission.py
+++ b/peatlead/planner/class_admission.py
@@ -56,8 +56,10 @@
         before, admissions = self.admissions, self._admissions()
         if admissions == before:
             return
-        # The text is part of recorded data: "levels" are admitted fractions by request class.
-        self.context.log(f"levels {[admission.fraction for admission in admissions]}")
+        self.context.log(
+            "admitted fractions by request class: "
+            f"{[admission.fraction for admission in admissions]}"
+        )
         self.context.commands += [
             SetAdmission(None, (request_class,), *admission)
             for request_class, admission in enumerate(admissions)
--- a/peatlead/planner/context.py
+++ b/peatlead/planner/context.py
@@ -45,5 +45,8 @@
         self.commands = []
 
     def log(self, text: str) -> None:
-        """Emit a line for the controller's log."""
+        """Emit a line for the controller's log.
+
+        `tables/change_causes.py` reads lines that begin with `endpoint NUMBER `.
+        """
         self.commands.append(LogMessage(text))
--- a/peatlead/planner/load_relief.py
+++ b/peatlead/planner/load_relief.py
@@ -86,8 +86,7 @@
                 excess -= proxy.request_rate
         self.schedule.activate(endpoint)
         self.changes.mark(endpoint)
-        # The text is part of recorded data: "reach" is the traffic fraction.
-        self.context.log(f"host {endpoint.id} reach {traffic_fraction}")
+        self.context.log(f"endpoint {endpoint.id} traffic fraction set to {traffic_fraction}")
 
     def _subscribers(self, endpoint: EndpointState) -> list[ProxyState]:
         """Return the connected proxies that hold the endpoint or are excluded from it."""
--- a/peatlead/planner/outlier_detection.py
+++ b/peatlead/planner/outlier_detection.py
@@ -151,8 +151,10 @@
         self.changes.removals_pending = True
         self.changes.touch(endpoint)
         self.schedule.activate(endpoint)
-        # The text is part of recorded data: "probes" are health checks, "sums" reported attempts.
-        self.context.log(f"host {endpoint.id} dropped: {'probes' if by_checks else 'sums'}")
+        self.context.log(
+            f"endpoint {endpoint.id} ejected: "
+            f"{'failed health checks' if by_checks else 'high error rate'}"
+        )
 
     def restore_if_due(self, endpoint: EndpointState) -> None:
         """End an ejection that is due, and ramp the endpoint.
--- a/peatlead/planner/zone_paths.py
+++ b/peatlead/planner/zone_paths.py
@@ -89,8 +89,9 @@
                     else INITIAL_AVOIDANCE_DURATION
                 )
                 self.path_states[path] = PathState(now + duration, duration)
-                # The text is part of recorded data: a "way" is a path.
-                self.context.log(f"way from zone {zone} to {other} is bad, {duration} s")
+                self.context.log(
+                    f"path from zone {zone} to zone {other} is slow, avoided for {duration} s"
+                )
 
     def _latencies_by_zone(self, zone: int) -> dict[int, list[float]]:
         """Return by zone of the endpoints their mean latencies for the proxies of one zone."""
--- a/peatlead/tables/change_causes.py
+++ b/peatlead/tables/change_causes.py
@@ -62,14 +62,13 @@
             self.last_events[endpoint] = f"{PHASE_EVENTS[after]}, list {version}{previous}"
 
     def note_planner_message(self, text: str) -> Optional[EndpointEvent]:
-        """Store a log message of the planner, such as `host 3 dropped: sums`.
+        """Store a log message of the planner, such as `endpoint 3 ejected: high error rate`.
 
-        In these messages, `dropped: probes` is an ejection by health checks, `dropped: sums` an
-        ejection by reported attempts, and `reach` the endpoint's traffic fraction. Return the
-        event, or None if the message is not about an endpoint.
+        Return the event (here `ejected: high error rate`), or None if the message is not about an
+        endpoint.
         """
         subject, *rest = text.split(" ")
-        if subject != "host" or len(rest) < 2 or not rest[0].isdigit():
+        if subject != "endpoint" or len(rest) < 2 or not rest[0].isdigit():
             return None
         event = EndpointEvent(int(rest[0]), " ".join(rest[1:]))
         self.last_events[event.endpoint] = event.text
--- a/tests/compatibility/test_lab_digests.py
+++ b/tests/compatibility/test_lab_digests.py
@@ -1,7 +1,8 @@
 """Decisions stay equal: digests of what planners hear and order, over twenty short days of the lab.
 
 The digests stand in tests/data/lab_digests.json. They hold no name of a type or field: an event or order counts as
-its kind's place in the adapter below and its values. A change of names alone leaves them as they are. Where
+its kind's place in the adapter below and its values, and a message of the planner's log in the wording of the version
+that wrote the file. A change of names alone leaves them as they are. Where
 decisions are meant to change, write them anew in the same commit and say there what changed:
 
     python -m tests.compatibility.test_lab_digests write
@@ -9,6 +10,7 @@
 
 import json
 import os
+import re
 import subprocess
 import sys
 import unittest
@@ -19,6 +21,7 @@
 
 from peatlead import interface
 from peatlead.lab import day as lab_day
+from peatlead.lab.canonical_form import canonical_form
 from peatlead.lab.day import play_day
 from peatlead.lab.random_scenario import draw_scenario
 
@@ -59,9 +62,47 @@
 )
 
 
+# The pattern of each message of the planner's log, and the message in its recorded wording with the same values.
+MESSAGES = (
+    (r"admitted fractions by request class: (\[.*\])", r"levels \1"),
+    (r"endpoint (\d+) traffic fraction set to (\S+)", r"host \1 reach \2"),
+    (r"endpoint (\d+) ejected: failed health checks", r"host \1 dropped: probes"),
+    (r"endpoint (\d+) ejected: high error rate", r"host \1 dropped: sums"),
+    (
+        r"path from zone (\d+) to zone (\d+) is slow, avoided for (\S+) s",
+        r"way from zone \1 to \2 is bad, \3 s",
+    ),
+)
+
+
+def recorded_text(text):
+    """A message of the planner in its recorded wording; any other text unchanged."""
+    for pattern, recorded in MESSAGES:
+        match = re.fullmatch(pattern, text)
+        if match:
+            return match.expand(recorded)
+    return text
+
+
+def with_recorded_texts(commands):
+    """The same commands, with log messages in their recorded wording."""
+    return type(commands)(
+        interface.LogMessage(recorded_text(command.text))
+        if type(command) is interface.LogMessage
+        else command
+        for command in commands
+    )
+
+
+def recorded_canonical_form(commands):
+    """What the lab puts into its digest of the day, with log messages in their recorded wording."""
+    return canonical_form(with_recorded_texts(commands))
+
+
 def play(kind, seed):
     """(the lab's own digest of the day, events in the world, what was found wrong)."""
-    played = play_day(draw_scenario(seed, kind, LENGTH), seed, PLANNER)
+    with mock.patch.object(lab_day, "canonical_form", recorded_canonical_form):
+        played = play_day(draw_scenario(seed, kind, LENGTH), seed, PLANNER)
     return played.digest, played.events, played.problems
 
 
@@ -104,7 +145,7 @@
             many += 1
             events.update(repr((now, plain(heard))).encode())
             ordered = decide(now, heard)
-            orders.update(repr((now, plain(ordered))).encode())
+            orders.update(repr((now, plain(with_recorded_texts(ordered)))).encode())
             return ordered
 
         setattr(planner, ORDERED_BY, noted)
--- a/tests/controller/test_dns_controller.py
+++ b/tests/controller/test_dns_controller.py
@@ -39,7 +39,10 @@
             await until(lambda: len(world.answered_endpoints(controller)) == 4)
             world.endpoints[1].tell("silent", True)
             await until(lambda: "h1" not in world.answered_endpoints(controller), 15.0)
-            self.assertIn("host 1 dropped: probes", [more.get("text") for _, more in world.log])
+            self.assertIn(
+                "endpoint 1 ejected: failed health checks",
+                [more.get("text") for _, more in world.log],
+            )
 
         run_with_standins(case)
 
@@ -69,7 +72,9 @@
             await until(lambda: "h1" not in world.answered_endpoints(controller), 15.0)
             task.cancel()
             await asyncio.sleep(0.3)
-            self.assertIn("host 1 dropped: sums", [more.get("text") for _, more in world.log])
+            self.assertIn(
+                "endpoint 1 ejected: high error rate", [more.get("text") for _, more in world.log]
+            )
 
         run_with_standins(case, deep=False)
 
--- a/tests/tables/test_change_causes.py
+++ b/tests/tables/test_change_causes.py
@@ -21,11 +21,19 @@
 
     def test_log_messages_about_endpoints_are_causes_and_others_are_none(self):
         self.assertEqual(
-            self.causes.note_planner_message("host 3 dropped: sums"), (3, "dropped: sums")
+            self.causes.note_planner_message("endpoint 3 ejected: high error rate"),
+            (3, "ejected: high error rate"),
         )
-        for other in ("levels [1.0]", "way from zone 0 to 1 is bad, 10 s", "host x y", "host 3"):
+        for other in (
+            "admitted fractions by request class: [1.0]",
+            "path from zone 0 to zone 1 is slow, avoided for 10.0 s",
+            "endpoint x y",
+            "endpoint 3",
+        ):
             self.assertIsNone(self.causes.note_planner_message(other))
-        self.assertEqual(self.causes.causes_of({("withdrawn", 3): True}), ("h3 dropped: sums",))
+        self.assertEqual(
+            self.causes.causes_of({("withdrawn", 3): True}), ("h3 ejected: high error rate",)
+        )
         self.assertEqual(self.causes.causes_of({("withdrawn", 4): True}), ("h4 withdrawn",))
         self.assertEqual(self.causes.causes_of({("withdrawn", 4): False}), ("h4 restored",))
 
@@ -84,17 +92,17 @@
     def test_an_ejection_is_the_cause_of_a_changed_weight(self):
         eject = self.planner.outlier_detection.eject
         text = self.logged_by(eject, self.ready[3], self.ready, by_checks=True)
-        self.assert_cause(text, 3, "dropped: probes")
+        self.assert_cause(text, 3, "ejected: failed health checks")
         text = self.logged_by(eject, self.ready[12], self.ready, by_checks=False)
-        self.assert_cause(text, 12, "dropped: sums")
+        self.assert_cause(text, 12, "ejected: high error rate")
 
     def test_a_changed_traffic_fraction_is_the_cause_of_a_changed_weight(self):
         relief = self.planner.load_relief
         text = self.logged_by(relief.relieve, self.ready[5], self.ready)
-        self.assert_cause(text, 5, "reach 0.75")
+        self.assert_cause(text, 5, "traffic fraction set to 0.75")
         self.planner.now += 100.0
         text = self.logged_by(relief.restore_if_due, self.ready[5])
-        self.assert_cause(text, 5, "reach 1.0")
+        self.assert_cause(text, 5, "traffic fraction set to 1.0")
 
     def test_messages_about_admissions_and_paths_are_no_causes_of_endpoints(self):
         self.planner.load_shedding.admitted_fraction = 0.5
