--- a/peatlead/lab/__init__.py
+++ b/peatlead/lab/__init__.py
@@ -1,4 +1,4 @@
-"""The emulator: the same program on simulated time, reproducible from one seed.
+"""The lab: runs the program on simulated time, reproducibly from one seed.
 
-Processes, clocks and the network are modelled; controllers, proxies and endpoints run unchanged.
+Processes, clocks and the network are simulated. Controllers, proxies and endpoints run unchanged.
 """
--- a/peatlead/lab/canonical_form.py
+++ b/peatlead/lab/canonical_form.py
@@ -1,7 +1,8 @@
-"""Events and commands as plain values, for digests that names of types and fields don't change.
+"""Conversion of events and commands to plain values, for digests that do not depend on names.
 
-Each is its type's number in `TYPES` and its values in their order. A number is never reused: new
-types go to the end. No I/O.
+An event or command becomes the number of its type in `TYPES` and its field values in order, so that
+renaming types or fields does not change a digest. Numbers are never reused: new types are added at
+the end. No I/O.
 """
 
 from enum import StrEnum
@@ -41,7 +42,7 @@
 
 
 def canonical_form(value: Any) -> Any:
-    """A value as nested tuples of plain values; raises TypeError for what has no lasting form."""
+    """Return a value as nested tuples of plain values. Raises TypeError for other types."""
     value_type = type(value)
     if value_type in NUMBERS:
         return ("kind", NUMBERS[value_type], *map(canonical_form, value))
@@ -56,4 +57,4 @@
         return str(value)
     if value is None or value_type in (bool, int, float, str, bytes):
         return value
-    raise TypeError(f"expected an event, an order or plain values, got {value_type.__name__}")
+    raise TypeError(f"expected an event, a command or plain values, got {value_type.__name__}")
--- a/peatlead/lab/datagrams.py
+++ b/peatlead/lab/datagrams.py
@@ -1,4 +1,4 @@
-"""Simulated datagram endpoints."""
+"""Simulated datagram sockets."""
 
 import asyncio
 from typing import TYPE_CHECKING, Any
@@ -10,7 +10,7 @@
 
 
 class DatagramTransport(asyncio.DatagramTransport):
-    """A bound datagram socket of a process."""
+    """A bound datagram socket of a simulated process."""
 
     def __init__(
         self, loop: "ProcessLoop", address: Address, protocol: asyncio.DatagramProtocol
@@ -60,6 +60,6 @@
     abort = close
 
     def kill(self) -> None:
-        """Unbind the socket, as the kernel does for a process that is gone."""
+        """Unbind the socket, as the kernel does when a process ends."""
         self.closed = True
         self.simulation.datagram_endpoints.pop(self.address, None)
--- a/peatlead/lab/day.py
+++ b/peatlead/lab/day.py
@@ -1,7 +1,8 @@
-"""A day on simulated time: `peatlead.scenario.runner` with its processes in a `World` in place of the system's.
+"""Days on simulated time.
 
-Steward, fronts, membership and stand-ins run unchanged; so does the day's own driver. Only how a process is
-started, killed and frozen differs, and the record is kept in memory.
+`SimulatedDay` is the day of `peatlead.scenario.runner` with processes of a `Simulation` in place of
+operating system processes. Controllers, stand-ins and the day's driver run unchanged. Only starting,
+killing and freezing a process is implemented differently, and the recording is kept in memory.
 """
 
 import asyncio
@@ -25,45 +26,54 @@
 from .simulation import Simulation, play
 
 PORT = 20_000
-SELDOM = 50_000, 20, 100  # objects, younger passes, older ones, until the collector looks again
+# A day creates millions of short-lived objects and few reference cycles.
+GC_THRESHOLDS = 50_000, 20, 100  # see gc.set_threshold()
 PLANNERS = {"shards": Planner, "plain": PlainPlanner, "home": HomePlanner}
 POLICIES = (*PLANNERS, "oracle")
 
 
 class MemoryRecorder:
-    """A recorder in memory, one for all processes, with the world's time."""
+    """An in-memory recorder that all processes of a simulation share."""
 
     def __init__(self):
         self.rows = []
 
     def row(self, kind, at, *fields):
+        """Store a row. Raises ValueError if the number of fields is wrong."""
         if len(fields) != len(ROWS[kind]):
-            raise ValueError(f"a row {kind} has {len(ROWS[kind])} fields, got {len(fields)}")
+            raise ValueError(
+                f"expected {len(ROWS[kind])} fields in a row of kind {kind!r}, got {len(fields)}"
+            )
         self.rows.append(Row(kind, at, dict(zip(ROWS[kind], fields))))
 
     def close(self):
+        """Do nothing: the rows stay available in memory."""
         pass
 
 
 class SimulatedProcess:
-    """A simulated process, as the day's driver knows processes."""
+    """A process of the simulation with the interface of `subprocess.Popen` that a day needs."""
 
     def __init__(self, loop):
         self.loop, self.args = loop, ["", "", "", loop.name]
 
     def poll(self):
+        """Return 0 if the process was killed, else None."""
         return 0 if self.loop.dead else None
 
     def kill(self):
+        """End the process at once."""
         if not self.loop.dead:
             self.loop.kill()
 
     terminate = kill
 
     def wait(self, timeout=None):
+        """Return 0: a killed process has already ended."""
         return 0
 
     def send_signal(self, number):
+        """Freeze the process on SIGSTOP and resume it on SIGCONT; ignore other signals."""
         if number == signal.SIGSTOP:
             self.loop.freeze(1e9)
         elif number == signal.SIGCONT and not self.loop.dead:
@@ -71,190 +81,231 @@
 
 
 class SimulatedDay(Day):
-    def __init__(self, world, day, folder, planner="shards", swap=None):
-        super().__init__(day, folder, planner, port=PORT)
-        self.world, self.rows, self.logs, self.swap, self.starts = (
-            world,
+    """A day whose processes run in a simulation.
+
+    `replacements` may map "steward" to a class that is used in place of `Controller`.
+    """
+
+    def __init__(self, simulation, scenario, folder, planner="shards", replacements=None):
+        super().__init__(scenario, folder, planner, port=PORT)
+        self.simulation, self.recorder, self.logs, self.replacements, self.controller_starts = (
+            simulation,
             MemoryRecorder(),
-            [],
-            swap or {},
+            [],  # (simulated time, controller, event, fields)
+            replacements or {},
             0,
         )
-        self.inside = []  # the stand-ins' own objects: the oracle looks into them
+        self.standin_groups = []  # the stand-ins of each process, which the oracle policy reads
 
-    def begin_record(self):
-        return self.rows
+    def open_recorder(self):
+        """Return the in-memory recorder."""
+        return self.recorder
 
     def place_addresses(self):
-        """Where each address stands: hosts, desks and agents in their zones, stewards in theirs."""
-        links, zones = self.world.links, self.fleet.zones
-        for plan in self.fleet.hosts:
+        """Assign a zone to the address of each endpoint, controller, proxy and resolver."""
+        links, zones = self.simulation.links, self.fleet.zones
+        for plan in self.fleet.endpoints:
             links.places[plan["address"]] = plan["zone"]
-        for at, (address, _) in enumerate(self.fleet.stewards):
-            links.places[address] = zones[at % len(zones)]
-        for agent in self.fleet.agents:
-            links.places[agent["local"]] = agent["zone"]
-        for at, one in enumerate(self.fleet.resolvers):
-            links.places[one["address"]] = zones[at % len(zones)]
-
-    async def add_host(self, plan):
-        self.world.links.places[plan["address"]] = plan["zone"]
-        await super().add_host(plan)
-
-    def spawn(self, kind, at):
-        address, loop = self.address_of(kind, at), self.world.process(f"{kind}{at}")
-        chance = Random(self.seed_of(kind, at))
+        for number, (address, _) in enumerate(self.fleet.controller_addresses):
+            links.places[address] = zones[number % len(zones)]
+        for proxy in self.fleet.proxies:
+            links.places[proxy["local"]] = proxy["zone"]
+        for number, resolver in enumerate(self.fleet.resolvers):
+            links.places[resolver["address"]] = zones[number % len(zones)]
+
+    async def add_endpoint(self, plan):
+        """Assign the endpoint's address to its zone, then add the endpoint to its process."""
+        self.simulation.links.places[plan["address"]] = plan["zone"]
+        await super().add_endpoint(plan)
+
+    def start_standin(self, kind, number):
+        """Start a simulated stand-in process; returns its address for commands."""
+        address, loop = (
+            self.standin_address(kind, number),
+            self.simulation.process(f"{kind}{number}"),
+        )
+        rng = Random(self.standin_seed(kind, number))
 
         async def serve():
-            hall = HALLS[kind](chance, self.rows)
-            self.inside.append(hall)
+            group = HALLS[kind](rng, self.recorder)
+            self.standin_groups.append(group)
             await loop.create_datagram_endpoint(
-                lambda: Orders(hall), local_addr=(address, self.fleet.port)
+                lambda: Orders(group), local_addr=(address, self.fleet.port)
             )
 
-        self.children.append(self.run_in(loop, serve))
+        self.children.append(self.start_process(loop, serve))
         return address, self.fleet.port
 
-    def start_steward(self, at):
-        name = f"ns{at + 1}"
-        loop, settings = self.world.process(name), load_settings("settings.star", self.script())
-        settings["tables"]["sync_every"] = 1e9  # a simulated machine does not die
-        self.starts += 1
-        boot = self.starts.to_bytes(8, "big")
+    def start_controller(self, number):
+        """Start a simulated controller process and record its feed."""
+        name = f"ns{number + 1}"
+        loop, settings = (
+            self.simulation.process(name),
+            load_settings("settings.star", self.settings_text()),
+        )
+        settings["tables"]["sync_every"] = 1e9  # seconds: simulated machines never lose power
+        self.controller_starts += 1
+        boot = self.controller_starts.to_bytes(8, "big")
 
         def log(event, **fields):
-            self.logs.append((self.world.now, name, event, fields))
+            self.logs.append((self.simulation.now, name, event, fields))
 
         async def serve():
-            made = self.swap.get("steward", Controller)(
+            controller = self.replacements.get("steward", Controller)(
                 settings,
                 name,
                 log,
-                PLANNERS.get(self.planner, self.oracle),
+                PLANNERS.get(self.planner, self.create_oracle),
                 str(self.folder / "state"),
                 boot=boot,
-                wall=lambda: self.world.now,
+                wall=lambda: self.simulation.now,
             )
-            await made.start()
-            self.decisions(name, made)
-            if await made.ended != "stopped":
-                self.world.report_failure(
-                    loop, RuntimeError(made.ended.result()), f"steward {name}"
+            await controller.start()
+            self.record_decisions(name, controller)
+            if await controller.ended != "stopped":
+                self.simulation.report_failure(
+                    loop, RuntimeError(controller.ended.result()), f"controller {name}"
                 )
 
-        self.stewards[at] = self.run_in(loop, serve)
-        self.loop.create_task(self.feed(at, self.stewards[at]))
+        self.controllers[number] = self.start_process(loop, serve)
+        self.loop.create_task(self.follow_feed(number, self.controllers[number]))
+
+    def create_oracle(self, settings, seed):
+        """Create the planner of the policy "oracle", which is not in PLANNERS."""
+        return OraclePlanner(settings, seed, self.endpoint_capacities)
 
-    def oracle(self, facts, seed):
-        return OraclePlanner(facts, seed, self.truth)
+    def endpoint_capacities(self):
+        """Return the cores that each running endpoint has for requests now, by endpoint name.
 
-    def truth(self):
-        """{host name: cores that it has for reqs now}: none where it is silent, hung, tipped or going."""
+        An endpoint that is silent, hung, overloaded or draining has 0.
+        """
         return {
-            name: host.able(self.world.now)
-            for hall in self.inside
-            for name, host in getattr(hall, "hosts", {}).items()
-            if host.server is not None
+            name: endpoint.able(self.simulation.now)
+            for group in self.standin_groups
+            for name, endpoint in getattr(group, "hosts", {}).items()
+            if endpoint.server is not None
         }
 
-    def decisions(self, name, steward):
-        """Each decide's orders go into the digest, without the names of their types."""
-        real = steward.planner.decide
+    def record_decisions(self, name, controller):
+        """Add the commands of each planner decision to the digest, in canonical form."""
+        original = controller.planner.decide
 
         def decide(now, events):
-            orders = real(now, events)
-            self.world.record("decide", name, len(events), canonical_form(orders))
-            return orders
+            commands = original(now, events)
+            self.simulation.record("decide", name, len(events), canonical_form(commands))
+            return commands
 
-        steward.planner.decide = decide
+        controller.planner.decide = decide
 
-    def run_in(self, loop, serve):
-        self.world.schedule(self.world.now, loop, self.begin_task, loop, serve)
+    def start_process(self, loop, serve):
+        """Run a coroutine function in a simulated process from the current time on."""
+        self.simulation.schedule(self.simulation.now, loop, self.create_process_task, loop, serve)
         return SimulatedProcess(loop)
 
-    def begin_task(self, loop, serve):
+    def create_process_task(self, loop, serve):
+        """Create the task of a process; its exception is a failure of the simulation."""
         task = loop.create_task(serve())
         task.add_done_callback(
             lambda done: done.cancelled()
             or done.exception() is None
-            or self.world.report_failure(loop, done.exception(), f"process {loop.name}")
+            or self.simulation.report_failure(loop, done.exception(), f"process {loop.name}")
         )
 
-    async def link_cut(self, trouble):
-        one, other, links = trouble["one"], trouble["other"], self.world.links
-        pairs = {(one, other)} | ({(other, one)} if trouble["both"] else set())
+    async def link_cut(self, fault):
+        """Drop all packets between two zones or addresses, or in one direction only."""
+        source, target, links = fault["one"], fault["other"], self.simulation.links
+        pairs = {(source, target)} | ({(target, source)} if fault["both"] else set())
         links.cut |= pairs
-        await asyncio.sleep(trouble["length"])
+        await asyncio.sleep(fault["length"])
         links.cut -= pairs
 
-    async def link_slow(self, trouble):
-        way = trouble["one"], trouble["other"]
-        self.world.links.extra_delay[way] = trouble["late"]
-        await asyncio.sleep(trouble["length"])
-        self.world.links.extra_delay.pop(way, None)
+    async def link_slow(self, fault):
+        """Delay packets from one zone or address to another."""
+        pair = fault["one"], fault["other"]
+        self.simulation.links.extra_delay[pair] = fault["late"]
+        await asyncio.sleep(fault["length"])
+        self.simulation.links.extra_delay.pop(pair, None)
 
-    async def datagrams_lost(self, trouble):
-        self.world.links.loss = trouble["part"]
-        await asyncio.sleep(trouble["length"])
-        self.world.links.loss = 0.0
+    async def datagrams_lost(self, fault):
+        """Lose a random part of all datagrams."""
+        self.simulation.links.loss = fault["part"]
+        await asyncio.sleep(fault["length"])
+        self.simulation.links.loss = 0.0
 
-    def finish(self):
-        settings = load_settings("settings.star", self.script())
-        gain = {kind["name"]: kind["gain"] for kind in self.day["kinds"]}
-        self.rows.rows.sort(key=lambda row: row.at)
-        return check(Read(self.rows.rows, 0), settings["limits"], gain)
+    def check_recording(self):
+        """Return the checker's report of the recorded rows."""
+        settings = load_settings("settings.star", self.settings_text())
+        gains = {kind["name"]: kind["gain"] for kind in self.scenario["kinds"]}
+        self.recorder.rows.sort(key=lambda row: row.at)
+        return check(Read(self.recorder.rows, 0), settings["limits"], gains)
 
 
 class DayResult:
-    """What came of one day in the lab."""
+    """The result of one simulated day.
+
+    `report` is the checker's report, None if the day did not complete; `failures` are the
+    descriptions of unhandled exceptions; `events` counts the events of `digest`; `seconds` is the
+    simulated time at the end; `trace` holds the events themselves if they were kept.
+    """
 
-    __slots__ = ("report", "digest", "events", "wrong", "logs", "rows", "seconds", "trace")
+    __slots__ = ("report", "digest", "events", "failures", "logs", "rows", "seconds", "trace")
 
-    def __init__(self, report, world, day):
-        self.report, self.digest, self.events = report, world.digest.hexdigest(16), world.events
-        self.wrong = [failure.describe() for failure in world.failures]
+    def __init__(self, report, simulation, day):
+        self.report, self.digest, self.events = (
+            report,
+            simulation.digest.hexdigest(16),
+            simulation.events,
+        )
+        self.failures = [failure.describe() for failure in simulation.failures]
         self.logs, self.rows, self.seconds, self.trace = (
             day.logs,
-            day.rows.rows,
-            world.now,
-            world.trace,
+            day.recorder.rows,
+            simulation.now,
+            simulation.trace,
         )
 
     @property
     def problems(self):
-        """Rules broken and exceptions, in words."""
-        found = list(self.wrong)
+        """Descriptions of all failures and broken rules."""
+        descriptions = list(self.failures)
         if self.report is not None:
-            found += [
-                f"rule {one.rule}: {one.said}" for one in self.report.findings if one.breaches
+            descriptions += [
+                f"rule {finding.rule}: {finding.said}"
+                for finding in self.report.findings
+                if finding.breaches
             ]
-        return found
+        return descriptions
 
 
 @contextmanager
-def seldom_collected():
-    """A day makes millions of short-lived objects, few of them in rings: looking for rings at every 700 takes a fifth
-    of its time."""
-    before = gc.get_threshold()
-    gc.set_threshold(*SELDOM)
+def infrequent_garbage_collection():
+    """Run the cyclic garbage collector rarely in this process."""
+    thresholds = gc.get_threshold()
+    gc.set_threshold(*GC_THRESHOLDS)
     try:
         yield
     finally:
-        gc.set_threshold(*before)
-
-
-def play_day(made, seed, planner="shards", swap=None, trace=False, timers=None):
-    """Plays a day's map in a world of its own; the same arguments give the same digest."""
-    made = {**made, "day": {**made["day"], "seed": seed}}
-    world = Simulation(seed, timers, trace)
-    with seldom_collected(), tempfile.TemporaryDirectory(prefix="peatlead-lab-") as folder:
-        loop = world.process("day")
-        day = SimulatedDay(world, made, Path(folder), planner, swap)
+        gc.set_threshold(*thresholds)
+
+
+def play_day(scenario, seed, planner="shards", replacements=None, trace=False, timers=None):
+    """Play a scenario in a simulation of its own and return a `DayResult`.
+
+    `seed` replaces the scenario's own seed. The same arguments give the same digest.
+    """
+    scenario = {**scenario, "day": {**scenario["day"], "seed": seed}}
+    simulation = Simulation(seed, timers, trace)
+    with (
+        infrequent_garbage_collection(),
+        tempfile.TemporaryDirectory(prefix="peatlead-lab-") as folder,
+    ):
+        loop = simulation.process("day")
+        day = SimulatedDay(simulation, scenario, Path(folder), planner, replacements)
         day.place_addresses()
         report = None
         try:
-            report = play(world, loop, day.play(), made["day"]["length"] + 120.0)
+            report = play(simulation, loop, day.play(), scenario["day"]["length"] + 120.0)
         except (RuntimeError, TimeoutError, asyncio.TimeoutError) as problem:
-            if not world.failures:
-                world.report_failure(loop, problem, "day")
-    return DayResult(report, world, day)
+            if not simulation.failures:
+                simulation.report_failure(loop, problem, "day")
+    return DayResult(report, simulation, day)
--- a/peatlead/lab/errors.py
+++ b/peatlead/lab/errors.py
@@ -2,12 +2,12 @@
 
 
 class SimulationError(RuntimeError):
-    """Base of the errors of a simulation."""
+    """Base class of the errors of a simulation."""
 
 
 class SimulationStuckError(SimulationError):
-    """A callback used the CPU for too long without yielding; the text names it."""
+    """A callback used the CPU for too long; the message contains the callback."""
 
 
 class ProcessFailedError(SimulationError):
-    """A simulated process has raised an exception that nothing handled."""
+    """A simulated process raised an exception that was not handled."""
--- a/peatlead/lab/hunt.py
+++ b/peatlead/lab/hunt.py
@@ -1,4 +1,7 @@
-"""Seeds by the thousand until a rule, an invariant or an exception shows; then the day cut down to what matters."""
+"""Search for random scenarios that break a rule or raise an exception.
+
+A failing scenario is reduced to the faults that are needed to reproduce the problem.
+"""
 
 import multiprocessing
 import time
@@ -7,10 +10,12 @@
 from .day import play_day
 from .random_scenario import as_script, draw_scenario
 
-MOST_FINDS = 5  # a hunt ends after so many
+MAX_FAILING_SEEDS = 5  # a search ends after this many
 
 
 class FailingSeed(NamedTuple):
+    """A seed whose scenario had problems; `script` is the reduced scenario."""
+
     seed: int
     kind: str
     problems: list
@@ -18,73 +23,99 @@
     script: str
 
 
-def symptoms(finds):
-    """What has to show again for a smaller day to count as the same find: the rule, or the error's type."""
+def symptoms(problems):
+    """Return the broken rules and the types of exceptions of a list of problems.
+
+    A reduced scenario reproduces a problem if they have a symptom in common.
+    """
     return {
-        one.split(":")[0] if one.startswith("rule") else one.split(" s in ")[-1].split("(")[0]
-        for one in finds
+        problem.split(":")[0]
+        if problem.startswith("rule")
+        else problem.split(" s in ")[-1].split("(")[0]
+        for problem in problems
     }
 
 
-def look(job):
-    """(seed, finds, digest, events, real seconds) of one seed."""
+def play_seed(job):
+    """Play the scenario of a seed; returns (seed, problems, digest, events, real seconds)."""
     seed, kind, length = job
     start = time.perf_counter()
-    played = play_day(draw_scenario(seed, kind, length), seed)
-    return seed, played.problems, played.digest, played.events, time.perf_counter() - start
+    result = play_day(draw_scenario(seed, kind, length), seed)
+    return seed, result.problems, result.digest, result.events, time.perf_counter() - start
 
 
 def search_seeds(
-    seeds, kind, length=20.0, workers=None, say=print, most=MOST_FINDS, step=lambda done, note: None
+    seeds,
+    kind,
+    length=20.0,
+    workers=None,
+    say=print,
+    max_failing=MAX_FAILING_SEEDS,
+    step=lambda done, note: None,
 ):
-    """([Find], seeds played): each find is cut down and replayed before it is told. `step(done, note)` is called
-    after each seed."""
-    found, done, start = [], 0, time.perf_counter()
+    """Play the scenarios of seeds in a pool of processes until `max_failing` of them have failed.
+
+    Returns the FailingSeeds with reduced scripts, and how many seeds were played. Calls
+    `step(done, note)` after each seed and `say(text)` with messages.
+    """
+    failing, done, start = [], 0, time.perf_counter()
     with multiprocessing.get_context("spawn").Pool(workers) as pool:
-        for seed, finds, digest, _, _ in pool.imap_unordered(
-            look, ((seed, kind, length) for seed in seeds)
+        for seed, problems, digest, _, _ in pool.imap_unordered(
+            play_seed, ((seed, kind, length) for seed in seeds)
         ):
             done += 1
             step(
                 done,
-                note := f"{len(found)} finds, {done / (time.perf_counter() - start):.1f} a second",
+                note
+                := f"{len(failing)} failing seeds, {done / (time.perf_counter() - start):.1f} seeds/s",
             )
             if done % 100 == 0:
                 say(f"{done} seeds, {note}")
-            if finds:
-                say(f"seed {seed} ({kind}): {finds[0]}")
-                found.append(FailingSeed(seed, kind, finds, digest, ""))
-                if len(found) >= most:
+            if problems:
+                say(f"seed {seed} ({kind}): {problems[0]}")
+                failing.append(FailingSeed(seed, kind, problems, digest, ""))
+                if len(failing) >= max_failing:
                     pool.terminate()
                     break
     return [
-        one._replace(
-            script=as_script(shrink(draw_scenario(one.seed, kind, length), one.seed, one.problems))
+        found._replace(
+            script=as_script(
+                shrink(draw_scenario(found.seed, kind, length), found.seed, found.problems)
+            )
         )
-        for one in sorted(found)
+        for found in sorted(failing)
     ], done
 
 
-def shrink(made, seed, finds, play=play_day, tries=60):
-    """The day with as few troubles, and as short, as still shows the same symptom."""
-    wanted = symptoms(finds)
+def shrink(scenario, seed, problems, play=play_day, tries=60):
+    """Return the scenario with fewer faults and a shorter length, with the same symptom.
+
+    Plays at most `tries` scenarios to remove faults, and three more to shorten the day.
+    """
+    expected = symptoms(problems)
 
-    def shows(candidate):
-        return bool(wanted & symptoms(play(candidate, seed).problems))
+    def reproduces(candidate):
+        return bool(expected & symptoms(play(candidate, seed).problems))
 
-    size = max(1, len(made["troubles"]) // 2)
+    size = max(1, len(scenario["troubles"]) // 2)
     while size and tries > 0:
-        at, smaller = 0, False
-        while at < len(made["troubles"]) and tries > 0:
-            candidate = {**made, "troubles": made["troubles"][:at] + made["troubles"][at + size :]}
+        start, removed = 0, False
+        while start < len(scenario["troubles"]) and tries > 0:
+            candidate = {
+                **scenario,
+                "troubles": scenario["troubles"][:start] + scenario["troubles"][start + size :],
+            }
             tries -= 1
-            if shows(candidate):
-                made, smaller = candidate, True
+            if reproduces(candidate):
+                scenario, removed = candidate, True
             else:
-                at += size
-        size = size // 2 if not smaller or size > 1 else 0
-    for part in (0.5, 0.7, 0.85):
-        shorter = {**made, "day": {**made["day"], "length": round(made["day"]["length"] * part, 1)}}
-        if shows(shorter):
+                start += size
+        size = size // 2 if not removed or size > 1 else 0
+    for fraction in (0.5, 0.7, 0.85):
+        shorter = {
+            **scenario,
+            "day": {**scenario["day"], "length": round(scenario["day"]["length"] * fraction, 1)},
+        }
+        if reproduces(shorter):
             return shorter
-    return made
+    return scenario
--- a/peatlead/lab/links.py
+++ b/peatlead/lab/links.py
@@ -2,17 +2,18 @@
 
 from random import Random
 
-SAME_PLACE_DELAY = 0.0001  # seconds one way, as within a zone
-CROSS_PLACE_DELAY = 0.001  # seconds one way, as between zones of a region
-JITTER = 0.3  # a delay is drawn between itself and (1 + JITTER) times itself
+SAME_PLACE_DELAY = 0.0001  # one-way delay in seconds, typical within a zone
+CROSS_PLACE_DELAY = 0.001  # one-way delay in seconds, typical between zones of a region
+JITTER = 0.3  # maximum random increase of a delay, as a fraction of the delay
 
 
 class Links:
-    """The links between all addresses, by the places of the addresses.
+    """The links between all addresses, whose delay depends on the places of the addresses.
 
-    `places` maps an address to its place; an address without one is its own. `cut` holds (from, to)
-    pairs of places or of addresses that let nothing through, one way each; `extra_delay` holds
-    seconds that such a pair takes longer.
+    A place is usually a zone. `places` maps addresses to places; an address that is missing is a
+    place of its own. `cut` contains the (source, target) pairs of places or of addresses between
+    which all packets are dropped, in this direction only. `extra_delay` maps such pairs to
+    additional seconds.
     """
 
     def __init__(self, rng: Random) -> None:
@@ -23,15 +24,15 @@
         self.same_place_delay = SAME_PLACE_DELAY
         self.cross_place_delay = CROSS_PLACE_DELAY
         self.jitter = JITTER
-        self.loss = 0.0  # the part of datagrams that is lost
-        self.reordering = 0.0  # the part of datagrams that is delayed past later ones
+        self.loss = 0.0  # fraction of datagrams that are lost
+        self.reordering = 0.0  # fraction of datagrams that get a much longer delay
 
     def place(self, address: str) -> str:
-        """The place of an address."""
+        """Return the place of an address."""
         return self.places.get(address, address)
 
     def delay(self, source: str, target: str) -> float | None:
-        """Seconds for one way between two addresses, drawn anew; None over a cut link."""
+        """Return a random one-way delay in seconds, or None if the link is cut."""
         places = self.place(source), self.place(target)
         if self.cut and (places in self.cut or (source, target) in self.cut):
             return None
@@ -40,11 +41,11 @@
         return base * (1 + self.jitter * self.rng.random()) + extra
 
     def drop_datagram(self) -> bool:
-        """Whether the next datagram is lost, drawn anew."""
+        """Return at random whether the next datagram is lost."""
         return self.loss > 0.0 and self.rng.random() < self.loss
 
     def reordered(self, delay: float) -> float:
-        """A datagram's delay, for some of them long enough to arrive after later ones."""
+        """Return a datagram's delay, at random longer so that later datagrams overtake it."""
         if self.reordering and self.rng.random() < self.reordering:
             return delay * (1 + 10 * self.rng.random())
         return delay
--- a/peatlead/lab/members.py
+++ b/peatlead/lab/members.py
@@ -1,4 +1,7 @@
-"""Membership machines alone, on a made-up network: for tests, and for sizes that sockets would not reach."""
+"""The failure detector of controllers on a simulated network, without the rest of the controller.
+
+For tests, and for benchmarks with more members than sockets allow.
+"""
 
 import random
 
@@ -15,44 +18,53 @@
     Tick,
 )
 
-STEP = 0.05
+TICK_INTERVAL = 0.05  # seconds
 
 
 class MembershipNetwork:
-    """Members on a made-up network: delays, losses, cuts (one way too), kills and freezes, all by seed."""
+    """Members on a simulated network with delays, packet loss, cut links, kills and freezes.
+
+    `cut` contains (source, target) pairs of names, `dead` and `frozen` contain names, and `loss` is
+    the probability that a datagram is lost. `timers` are arguments of `Membership`.
+    """
 
-    def __init__(self, many, seed=1, loss=0.0, **timers):
+    def __init__(self, size, seed=1, loss=0.0, **timers):
         self.rng, self.loss, self.now, self.in_flight = random.Random(seed), loss, 0.0, []
         self.cut, self.dead, self.frozen, self.timers = set(), set(), set(), timers
         self.messages_sent = self.bytes_sent = 0
         self.nodes = {}
-        for at in range(many):
-            self.start(f"n{at}", [f"n{other}" for other in range(min(3, many))])
+        for number in range(size):
+            self.start(f"n{number}", [f"n{other}" for other in range(min(3, size))])
 
     def start(self, name, seeds=("n0", "n1", "n2")):
+        """Start a member, or restart it without state; it joins through the `seeds`."""
         about = MemberInfo(name, (name, 1), "alive", 0)
         self.nodes[name] = Membership(about, [(seed, 1) for seed in seeds], self.rng, **self.timers)
         self.dead.discard(name)
 
     def deliver(self, name, events):
-        for order in self.nodes[name].decide(self.now, events):
-            if type(order) is SendDatagram:
-                data = msgspec.msgpack.encode(order.message)
+        """Pass events to a member and send the datagrams that it returns."""
+        for command in self.nodes[name].decide(self.now, events):
+            if type(command) is SendDatagram:
+                data = msgspec.msgpack.encode(command.message)
                 self.messages_sent += 1
                 self.bytes_sent += len(data)
                 if self.rng.random() >= self.loss:
                     self.in_flight.append(
-                        (self.now + self.rng.uniform(0.001, 0.02), name, order.address[0], data)
+                        (self.now + self.rng.uniform(0.001, 0.02), name, command.address[0], data)
                     )
 
-    def run(self, seconds, each=None):
+    def run(self, seconds, after_tick=None):
+        """Run for some simulated seconds and call `after_tick()` after each tick."""
         end = self.now + seconds
         while self.now < end:
-            self.now = round(self.now + STEP, 6)
+            self.now = round(self.now + TICK_INTERVAL, 6)
             due = sorted(
-                one for one in self.in_flight if one[0] <= self.now and one[2] not in self.frozen
+                datagram
+                for datagram in self.in_flight
+                if datagram[0] <= self.now and datagram[2] not in self.frozen
             )
-            self.in_flight = [one for one in self.in_flight if one not in due]
+            self.in_flight = [datagram for datagram in self.in_flight if datagram not in due]
             for _, source, target, data in due:
                 if (
                     target in self.nodes
@@ -64,15 +76,17 @@
             for name in sorted(self.nodes):
                 if name not in self.dead and name not in self.frozen:
                     self.deliver(name, [Tick()])
-            if each is not None:
-                each()
+            if after_tick is not None:
+                after_tick()
 
-    def states_of(self, of):
+    def states_of(self, member):
+        """Return the state of a member in the view of each running member, by name."""
         return {
-            name: one.members[of].about.state
-            for name, one in self.nodes.items()
-            if name not in self.dead and of in one.members
+            name: node.members[member].about.state
+            for name, node in self.nodes.items()
+            if name not in self.dead and member in node.members
         }
 
     def agreed(self, live):
+        """Return whether each member of `live` considers exactly these members alive."""
         return all(set(self.nodes[name].live()) == set(live) for name in live)
--- a/peatlead/lab/planner_constants.py
+++ b/peatlead/lab/planner_constants.py
@@ -1,8 +1,9 @@
-"""The planner's constants by name, for studies that vary them (`module.COVERAGE` in a script).
+"""Access to the planner's constants by name, for studies that vary them.
 
-Constants stand beside their mechanisms, in the modules of `peatlead.planner`. A name is assigned in
-one module alone (tests/planner/test_planner.py holds that); others may import it. So a name is
-looked up in all of them, and set in each that has it.
+A study's script refers to the constant COVERAGE as `module.COVERAGE`. Constants are defined in the
+modules of `peatlead.planner`. Each name is assigned in only one module, which
+tests/planner/test_planner.py checks, but other modules may import it. Therefore a new value is set
+in every module that has the name.
 """
 
 import importlib
@@ -16,22 +17,25 @@
 
 
 def planner_modules() -> list[ModuleType]:
-    """All modules of the planner's package."""
+    """Return all modules of the planner's package."""
     names = [module.name for module in pkgutil.iter_modules(planner.__path__)]
     return [importlib.import_module(f"{planner.__name__}.{name}") for name in names]
 
 
 def modules_with(constant: str) -> list[ModuleType]:
-    """The planner's modules that define or import a constant; ValueError where there is none."""
-    found = [module for module in planner_modules() if hasattr(module, constant)]
-    if not constant.isupper() or not found:
-        raise ValueError(f"the module has no {constant}")
-    return found
+    """Return the planner's modules that define or import a constant.
+
+    Raises ValueError if there is none.
+    """
+    modules = [module for module in planner_modules() if hasattr(module, constant)]
+    if not constant.isupper() or not modules:
+        raise ValueError(f"the planner has no constant {constant}")
+    return modules
 
 
 @contextmanager
 def replaced(constants: Mapping[str, Any]) -> Iterator[None]:
-    """Give the planner's constants other values for a while, in this process."""
+    """Replace values of the planner's constants in this process, within the context."""
     saved = [
         (module, name, getattr(module, name)) for name in constants for module in modules_with(name)
     ]
--- a/peatlead/lab/policies.py
+++ b/peatlead/lab/policies.py
@@ -1,65 +1,86 @@
-"""Other ways to decide, for studies: home zone only, and an all-seeing oracle as the bound."""
+"""Simple planners for comparison in studies.
+
+`HomePlanner` uses only endpoints of the proxy's own zone. `OraclePlanner` knows the true state of
+all endpoints and gives an upper bound.
+"""
 
 from .. import interface
 
-TICK = 0.1
+TICK_INTERVAL = 0.1  # seconds
 
 
 class TablePlanner:
-    """Lays the tables that `goal(table)` gives, one a zone of proxies, whenever they differ from what stands."""
+    """Base of planners with one table per zone of proxies.
+
+    Subclasses define `goal(zone)`, which returns the weights of a zone's table by endpoint id.
+    """
 
-    def __init__(self, facts, seed):
-        self.kinds, self.zones = tuple(range(len(facts["req_kinds"]))), range(len(facts["zones"]))
-        self.members, self.lines, self.begun = {}, {zone: {} for zone in self.zones}, False
+    def __init__(self, settings, seed):
+        self.request_classes, self.zones = (
+            tuple(range(len(settings["req_kinds"]))),
+            range(len(settings["zones"])),
+        )
+        self.endpoints, self.tables, self.started = {}, {zone: {} for zone in self.zones}, False
 
     def decide(self, now, events):
-        orders = [] if self.begun else [interface.SetTimer(0, TICK)]
-        self.begun = True
+        """Return the commands that follow from a batch of events."""
+        commands = [] if self.started else [interface.SetTimer(0, TICK_INTERVAL)]
+        self.started = True
         for event in events:
             if type(event) is interface.EndpointUpdate and event.scope != "unavailable":
                 if event.scope != "changes":
-                    self.members = {}
-                self.members.update({member.id: member for member in event.endpoints})
+                    self.endpoints = {}
+                self.endpoints.update({endpoint.id: endpoint for endpoint in event.endpoints})
             elif type(event) is interface.ProxyConnected:
-                orders.append(interface.AssignTable(event.proxy, event.zone, self.kinds))
+                commands.append(
+                    interface.AssignTable(event.proxy, event.zone, self.request_classes)
+                )
             elif type(event) is interface.TimerFired:
-                orders.append(interface.SetTimer(0, TICK))
+                commands.append(interface.SetTimer(0, TICK_INTERVAL))
         for zone in self.zones:
-            orders += self.lay(zone, self.goal(zone))
-        return orders
+            commands += self.update_table(zone, self.goal(zone))
+        return commands
 
-    def lay(self, zone, goal):
-        old, self.lines[zone] = self.lines[zone], goal
+    def update_table(self, zone, goal):
+        """Return commands that change a zone's table to the goal."""
+        old, self.tables[zone] = self.tables[zone], goal
         return [
-            interface.SetEntry(zone, host, goal.get(host, 0.0))
-            for host in sorted(old.keys() | goal.keys())
-            if goal.get(host) != old.get(host)
+            interface.SetEntry(zone, endpoint, goal.get(endpoint, 0.0))
+            for endpoint in sorted(old.keys() | goal.keys())
+            if goal.get(endpoint) != old.get(endpoint)
         ]
 
     def ready(self):
-        return [member for member in self.members.values() if member.phase == "ready"]
+        """Return the listed endpoints that are ready."""
+        return [endpoint for endpoint in self.endpoints.values() if endpoint.phase == "ready"]
 
 
 class HomePlanner(TablePlanner):
-    """Every listed host of the proxy's own zone; all, where it has none."""
+    """Uses all ready endpoints of the proxy's own zone, or of all zones if there are none."""
 
     def goal(self, zone):
-        home = [member for member in self.ready() if member.zone == zone] or self.ready()
-        return {member.id: member.weight for member in home}
+        """Return the listed weights of the zone's endpoints."""
+        in_zone = [endpoint for endpoint in self.ready() if endpoint.zone == zone] or self.ready()
+        return {endpoint.id: endpoint.weight for endpoint in in_zone}
 
 
 class OraclePlanner(TablePlanner):
-    """What no real one can: it sees each host's true state now, whatever the list says. `truth()` gives
-    {host name: what it can do, in cores}."""
+    """Uses the true capacity of each endpoint at each moment, whatever the endpoint list says.
+
+    `capacities()` returns the cores that each endpoint can use now, by endpoint name.
+    """
 
-    def __init__(self, facts, seed, truth):
-        super().__init__(facts, seed)
-        self.truth, self.known = truth, {}
+    def __init__(self, settings, seed, capacities):
+        super().__init__(settings, seed)
+        self.capacities, self.ids = capacities, {}
 
     def goal(self, zone):
-        able, found = self.truth(), {}
-        self.known.update({member.name.decode(): member.id for member in self.members.values()})
-        for name, cores in able.items():
-            if name in self.known and cores > 0:
-                found[self.known[name]] = round(cores, 1) or 0.1
-        return found or {member.id: member.weight for member in self.ready()}
+        """Return the capacities as weights, or the listed weights if no endpoint has capacity."""
+        capacities, weights = self.capacities(), {}
+        self.ids.update(
+            {endpoint.name.decode(): endpoint.id for endpoint in self.endpoints.values()}
+        )
+        for name, cores in capacities.items():
+            if name in self.ids and cores > 0:
+                weights[self.ids[name]] = round(cores, 1) or 0.1
+        return weights or {endpoint.id: endpoint.weight for endpoint in self.ready()}
--- a/peatlead/lab/process_loop.py
+++ b/peatlead/lab/process_loop.py
@@ -1,7 +1,7 @@
 """A simulated process: an asyncio event loop on simulated time.
 
-Processes are killed (what they had is gone, peers see resets) and frozen (the kernel still
-receives, nothing runs).
+A process can be killed: its sockets are closed, peers see connection resets. It can also be frozen:
+no callbacks run, but its sockets still receive.
 """
 
 import asyncio
@@ -18,10 +18,8 @@
 if TYPE_CHECKING:
     from .simulation import Simulation
 
-MAX_CALLBACK_CPU = (
-    20.0  # seconds of CPU; a callback above that never yields, however busy the machine
-)
-MAX_TASKS = 4096  # tasks kept until those that are done are dropped
+MAX_CALLBACK_CPU = 20.0  # CPU seconds, above which a callback is considered an endless loop
+MAX_TASKS = 4096  # number of stored tasks above which finished ones are removed
 LOOPBACK = "127.0.0.1"
 
 Result = TypeVar("Result")
@@ -29,7 +27,7 @@
 
 
 class ScheduledCall:
-    """A callback and its handle, like asyncio's handles without their debugging state."""
+    """A callback and its handle: asyncio.TimerHandle without support for debugging."""
 
     __slots__ = ("callback", "args", "context", "at", "__weakref__")
 
@@ -40,13 +38,13 @@
         context: Context | None,
         at: float,
     ) -> None:
-        self.callback = callback  # None once cancelled
+        self.callback = callback  # None after cancel()
         self.args = args
         self.context = context
         self.at = at  # simulated seconds
 
     def __call__(self) -> None:
-        """Run the callback, which was not cancelled."""
+        """Run the callback, which must not be cancelled."""
         assert self.callback is not None and self.args is not None
         if self.context is None:
             self.callback(*self.args)
@@ -57,17 +55,17 @@
         return f"<call of {getattr(self.callback, '__qualname__', self.callback)!r}>"
 
     def cancel(self) -> None:
-        """Never run the callback, and let go of what it holds."""
+        """Cancel the call and release the callback and its arguments."""
         self.callback = None
         self.args = None
         self.context = None
 
     def cancelled(self) -> bool:
-        """Whether it was cancelled."""
+        """Return whether the call was cancelled."""
         return self.callback is None
 
     def when(self) -> float:
-        """The loop time at which it is due."""
+        """Return the loop time at which the call is due."""
         return self.at
 
 
@@ -79,16 +77,18 @@
         self.name = name
         self.dead = False
         self.frozen_until = 0.0  # simulated seconds
-        self.held_calls: deque[tuple[Callback, tuple[Any, ...]]] = deque()  # while frozen
-        self.slowness = 0.0  # seconds by which each callback is late
-        # Ordered, as the order of their resets is that of a killed process's connections.
+        self.held_calls: deque[tuple[Callback, tuple[Any, ...]]] = (
+            deque()
+        )  # callbacks that became due while frozen
+        self.slowness = 0.0  # delay in seconds of callbacks from call_soon()
+        # A dict keeps the order of creation, in which kill() resets the connections.
         self.transports: dict[StreamTransport | DatagramTransport, bool] = {}
         self.tasks: list[asyncio.Task[Any]] = []
 
-    # Time and callbacks. The handles aren't subclasses of asyncio's, which are slower to create.
+    # Time and callbacks. Handles are not subclasses of asyncio's, which are slower to create.
 
     def time(self) -> float:
-        """Simulated seconds."""
+        """Return the simulated time in seconds."""
         return self.simulation.now
 
     def call_soon(  # type: ignore[override]
@@ -116,7 +116,7 @@
         return self.call_at(self.simulation.now + delay, callback, *args, context=context)
 
     def run_callback(self, call: Callback, values: tuple[Any, ...]) -> None:
-        """Run a callback now; hold it back while the process is frozen, drop it if it is dead."""
+        """Run a callback now, or hold it while the process is frozen; drop it if it is dead."""
         simulation = self.simulation
         if self.dead:
             return
@@ -133,7 +133,9 @@
             simulation.report_failure(self, error, getattr(call, "__qualname__", repr(call)))
         cpu_time = time.process_time()
         if cpu_time - simulation.cpu_time > MAX_CALLBACK_CPU:
-            stuck = SimulationStuckError(f"{call!r} did not yield")
+            stuck = SimulationStuckError(
+                f"{call!r} did not yield within {MAX_CALLBACK_CPU:g} CPU seconds"
+            )
             simulation.report_failure(self, stuck, repr(call))
         simulation.cpu_time = cpu_time
 
@@ -159,33 +161,33 @@
         return task
 
     def report_unretrieved_exceptions(self) -> None:
-        """Report the tasks whose exception nobody retrieved.
+        """Report tasks whose exceptions were not retrieved as failures of the simulation.
 
-        asyncio reports them only when they are collected.
+        asyncio reports such a task only when the garbage collector deletes it.
         """
         for task in self.tasks:
             if not self.dead and task.done() and not task.cancelled() and task._log_traceback:
                 self.simulation.report_failure(self, task.exception(), f"task {task.get_name()}")
 
-    # What asyncio and libraries ask of a loop.
+    # Methods of event loops that asyncio and libraries call.
 
     def get_debug(self) -> bool:
-        """False: no debug mode."""
+        """Return False: there is no debug mode."""
         return False
 
     def is_running(self) -> bool:
-        """Always true: the simulation runs it."""
+        """Return True: the simulation always runs the loop."""
         return True
 
     def is_closed(self) -> bool:
-        """Whether the process was killed."""
+        """Return whether the process was killed."""
         return self.dead
 
     def set_exception_handler(self, handler: Any) -> None:
-        """Ignored: unhandled exceptions are failures of the simulation."""
+        """Do nothing: unhandled exceptions are failures of the simulation."""
 
     def call_exception_handler(self, context: dict[str, Any]) -> None:
-        """Report an exception that nothing handled as a failure; it is never only logged."""
+        """Report an unhandled exception as a failure of the simulation."""
         if not self.dead:
             where = f"{context.get('message')} {context.get('handle') or context.get('future')!r}"
             problem = context.get("exception") or context.get("message")
@@ -196,12 +198,12 @@
     def add_signal_handler(  # type: ignore[override]
         self, sig: int, callback: Callback, *args: Any
     ) -> None:
-        """Ignored: simulated processes get no signals."""
+        """Do nothing: simulated processes receive no signals."""
 
     # Faults.
 
     def kill(self) -> None:
-        """End the process at once: its peers see resets, its listeners are gone."""
+        """End the process at once: reset its connections and close its listeners."""
         simulation = self.simulation
         self.dead = True
         for transport in list(self.transports):
@@ -215,17 +217,18 @@
         simulation.record("killed", self.name)
 
     def freeze(self, seconds: float) -> None:
-        """Run nothing for some seconds; what comes meanwhile runs after that."""
+        """Run no callbacks for some seconds; callbacks that become due run afterwards."""
         self.frozen_until = self.simulation.now + seconds
         self.simulation.record("frozen", self.name)
-        self.simulation.schedule(self.frozen_until, None, self._thaw)
+        self.simulation.schedule(self.frozen_until, None, self._run_held_calls)
 
     def resume(self) -> None:
-        """End a freeze now."""
+        """End a freeze at once."""
         self.frozen_until = self.simulation.now
-        self._thaw()
+        self._run_held_calls()
 
-    def _thaw(self) -> None:
+    def _run_held_calls(self) -> None:
+        """Schedule the callbacks that became due during a freeze, unless it was prolonged."""
         if self.dead or self.simulation.now < self.frozen_until:
             return
         calls = self.held_calls
@@ -233,7 +236,7 @@
         for call, values in calls:
             self.simulation.schedule(self.simulation.now, self, call, *values)
 
-    # The network. Options that have no meaning here are ignored.
+    # The network. Options that the simulation does not support are ignored.
 
     async def create_server(  # type: ignore[override]
         self,
@@ -284,5 +287,5 @@
         return transport, protocol
 
     async def run_in_executor(self, executor: Any, func: Callback, *args: Any) -> Any:  # type: ignore[override]
-        """Raise RuntimeError: threads would not be reproducible."""
-        raise RuntimeError("no threads on simulated time")
+        """Raise RuntimeError: the execution of threads is not reproducible."""
+        raise RuntimeError("threads are not available on simulated time")
--- a/peatlead/lab/random_scenario.py
+++ b/peatlead/lab/random_scenario.py
@@ -1,126 +1,134 @@
-"""Days drawn by seed, swarm style. Pure.
+"""Random scenarios by seed, for swarm testing. No I/O.
 
-Each seed turns whole kinds of trouble off, draws the others' moments and sizes from ranges, some aimed at one
-zone, overlapping as they fall. `as_script` writes a day back as the script that plays it, in the lab or on
-sockets.
+Each seed enables a random subset of the kinds of faults, and draws the start times and parameters
+of the enabled ones. Faults may overlap, and some are limited to one zone. `as_script` converts a
+scenario back to a day script, which can be played in the lab or on sockets.
 """
 
 from random import Random
 
-from ..scenario.script import KINDS, ONCE, VERBS, load_day
+from ..scenario.script import FAULT_BUILTINS, RESOLVER_KINDS, SETUP_BUILTINS, load_day
 
-ON = 0.35  # chance that a kind of trouble is on for a seed
+FAULT_PROBABILITY = 0.35  # that a kind of fault is enabled for a seed
 
-NOT_DRAWN = ("fleet_drained",)
+EXCLUDED_FAULTS = ("fleet_drained",)
 
 
 def draw_scenario(seed, kind="fleet", length=20.0):
-    """A day's map; `kind`: "fleet" (agents and three controllers) or "dns" (desks and two stewards)."""
-    chance = Random(f"{kind}:{seed}")
-    zones = ["a", "b", "c"][: chance.choice((2, 3))]
+    """Return a random scenario that lasts `length` seconds.
+
+    Kind "fleet" has proxies and three controllers, kind "dns" has DNS clients and two controllers.
+    """
+    rng = Random(f"{kind}:{seed}")
+    zones = ["a", "b", "c"][: rng.choice((2, 3))]
     lines = [
         f"day(length = {length}, seed = {seed}, stewards = {3 if kind == 'fleet' else 2})",
-        f"fleet(zones = {zones!r}, hosts = {chance.randrange(6, 13)}, pod = {chance.choice((2, 3, 4))}, "
-        f"warm_after = {chance.uniform(4, 10):.1f}, cold_share = {chance.uniform(0.2, 0.5):.2f}, "
-        f"tip_multiple = {chance.uniform(2.5, 4):.1f}, deep_probes = {chance.random() < 0.7})",
+        f"fleet(zones = {zones!r}, hosts = {rng.randrange(6, 13)}, pod = {rng.choice((2, 3, 4))}, "
+        f"warm_after = {rng.uniform(4, 10):.1f}, cold_share = {rng.uniform(0.2, 0.5):.2f}, "
+        f"tip_multiple = {rng.uniform(2.5, 4):.1f}, deep_probes = {rng.random() < 0.7})",
     ]
-    rate = chance.uniform(25, 60)
+    rate = rng.uniform(25, 60)
     if kind == "fleet":
         lines.append(
-            f"agents(many = {chance.randrange(4, 14)}, rate = {rate:.0f}, "
-            f"pick = {chance.choice(('random', 'lighter of two'))!r}, "
-            f"fails_to_shun = {chance.choice((0, 3))}, incremental = {chance.random() < 0.7})"
+            f"agents(many = {rng.randrange(4, 14)}, rate = {rate:.0f}, "
+            f"pick = {rng.choice(('random', 'lighter of two'))!r}, "
+            f"fails_to_shun = {rng.choice((0, 3))}, incremental = {rng.random() < 0.7})"
         )
         lines.append("desks(views = 0, shared = 0)")
     else:
-        resolvers = [chance.choice(KINDS) for _ in range(4)]
-        biggest = chance.choice((0.0, 0.0, 0.4))
+        resolvers = [rng.choice(RESOLVER_KINDS) for _ in range(4)]
+        biggest = rng.choice((0.0, 0.0, 0.4))
         lines.append(
-            f"desks(views = {chance.randrange(4, 14)}, rate = {rate:.0f}, shared = 2, biggest = {biggest}, "
+            f"desks(views = {rng.randrange(4, 14)}, rate = {rate:.0f}, shared = 2, biggest = {biggest}, "
             f"resolvers = {resolvers!r}, habits = ['first', 'any', 'same', 'sorted', 'holds'])"
         )
-    lines += draw_troubles(chance, kind, zones, length)
+    lines += draw_faults(rng, kind, zones, length)
     return load_day(f"seed {seed}", "\n".join(lines))
 
 
-def draw_troubles(chance, kind, zones, length):
-    found = []
-    for verb in sorted(VERBS):
-        if verb in NOT_DRAWN:
+def draw_faults(rng, kind, zones, length):
+    """Return the calls of random faults, in order of their start times."""
+    faults = []
+    for verb in sorted(FAULT_BUILTINS):
+        if verb in EXCLUDED_FAULTS:
             continue
         if kind == "dns" and verb == "rollback":
-            continue  # its stewards share nothing: pins are asked of each (tests/test_tables.py)
+            continue  # these controllers form no fleet, so that a pin would affect one of them only
         if kind == "fleet" and verb in ("burst", "shift"):
             continue
-        if chance.random() >= ON:
+        if rng.random() >= FAULT_PROBABILITY:
             continue
-        for _ in range(chance.choice((1, 1, 2))):
-            at = chance.uniform(1.0, length * 0.7)
-            found.append(
+        for _ in range(rng.choice((1, 1, 2))):
+            start = rng.uniform(1.0, length * 0.7)
+            faults.append(
                 (
-                    at,
+                    start,
                     verb,
-                    draw_values(chance, verb, zones, min(length - at, chance.uniform(1.0, 10.0))),
+                    draw_parameters(rng, verb, zones, min(length - start, rng.uniform(1.0, 10.0))),
                 )
             )
     return [
-        f"{verb}(at = {at:.2f}, {', '.join(f'{k} = {v!r}' for k, v in values.items())})"
-        for at, verb, values in sorted(found)
+        f"{verb}(at = {start:.2f}, {', '.join(f'{name} = {value!r}' for name, value in values.items())})"
+        for start, verb, values in sorted(faults)
     ]
 
 
-def draw_values(chance, verb, zones, length):
+def draw_parameters(rng, verb, zones, length):
+    """Return random values of a fault's fields, except its start time."""
     values = {}
-    fields = VERBS[verb]
+    fields = FAULT_BUILTINS[verb]
     if "length" in fields:
         values["length"] = round(max(0.5, length), 2)
     if "part" in fields:
-        values["part"] = round(chance.uniform(0.08, 0.5), 2)
-    if "zone" in fields and verb != "shift" and chance.random() < 0.3:
-        values["zone"] = chance.choice(zones)
+        values["part"] = round(rng.uniform(0.08, 0.5), 2)
+    if "zone" in fields and verb != "shift" and rng.random() < 0.3:
+        values["zone"] = rng.choice(zones)
     if verb == "shift":
-        values["zone"] = chance.choice(zones)
+        values["zone"] = rng.choice(zones)
     if "steward" in fields:
-        values["steward"] = chance.randrange(2)
+        values["steward"] = rng.randrange(2)
     if "at_once" in fields:
-        values["at_once"] = round(chance.uniform(0.1, 0.4), 2)
+        values["at_once"] = round(rng.uniform(0.1, 0.4), 2)
     if "every" in fields:
-        values["every"] = round(chance.uniform(1.0, 5.0), 2)
+        values["every"] = round(rng.uniform(1.0, 5.0), 2)
     if "ghosts" in fields:
-        values["ghosts"] = chance.randrange(1, 8)
+        values["ghosts"] = rng.randrange(1, 8)
     if "back" in fields:
-        values["back"] = round(chance.uniform(0.0, 8.0), 2)
-        values["over"] = round(chance.choice((0.0, 1.0, 4.0)), 2)
-        values["share"] = round(chance.choice((1.0, 1.0, 0.4)), 2)
+        values["back"] = round(rng.uniform(0.0, 8.0), 2)
+        values["over"] = round(rng.choice((0.0, 1.0, 4.0)), 2)
+        values["share"] = round(rng.choice((1.0, 1.0, 0.4)), 2)
     if "one" in fields:
         values["one"], values["other"] = (
-            chance.sample(zones, 2)
-            if chance.random() < 0.5
-            else [f"127.1.0.{at}" for at in chance.sample((1, 2, 3), 2)]
+            rng.sample(zones, 2)
+            if rng.random() < 0.5
+            else [f"127.1.0.{number}" for number in rng.sample((1, 2, 3), 2)]
         )
         if verb == "link_cut":
-            values["both"] = chance.random() < 0.6
+            values["both"] = rng.random() < 0.6
     return values
 
 
-def as_script(made):
-    """The Starlark script of a day's map: defaults left out."""
+def as_script(scenario):
+    """Return the Starlark script of a scenario, without values that equal the defaults."""
     lines = []
-    for name, fields in ONCE.items():
-        said = {
-            field: value for field, value in made[name].items() if value != fields[field].default
+    for name, fields in SETUP_BUILTINS.items():
+        values = {
+            field: value
+            for field, value in scenario[name].items()
+            if value != fields[field].default
         }
-        lines.append(call(name, said))
-    for trouble in made["troubles"]:
-        fields = VERBS[trouble["verb"]]
-        said = {
-            field: trouble[field]
+        lines.append(format_call(name, values))
+    for fault in scenario["troubles"]:
+        fields = FAULT_BUILTINS[fault["verb"]]
+        values = {
+            field: fault[field]
             for field in fields
-            if field == "at" or trouble[field] != fields[field].default
+            if field == "at" or fault[field] != fields[field].default
         }
-        lines.append(call(trouble["verb"], said))
+        lines.append(format_call(fault["verb"], values))
     return "\n".join(lines) + "\n"
 
 
-def call(name, values):
+def format_call(name, values):
+    """Return a call of a builtin as Starlark source."""
     return f"{name}({', '.join(f'{field} = {value!r}' for field, value in values.items())})"
--- a/peatlead/lab/simulation.py
+++ b/peatlead/lab/simulation.py
@@ -1,9 +1,11 @@
 """Simulated time, processes and network under asyncio's own interface.
 
-A `Simulation` holds the time, the timers and the network; each process has a `ProcessLoop`, an
-asyncio event loop to all that runs in it. All randomness is the simulation's one seeded generator.
+A `Simulation` holds the time, the timers and the network. Each simulated process has a
+`ProcessLoop`, which is the asyncio event loop of the code that runs in it. All random numbers of
+the simulation come from one seeded generator.
 
-What each delivery and decision did goes into a digest (BLAKE3): one seed gives one digest.
+Deliveries, decisions and faults are added to a digest (BLAKE3). Runs with the same seed have the
+same digest.
 """
 
 import asyncio
@@ -43,27 +45,27 @@
 set_running_loop = asyncio._set_running_loop
 
 Result = TypeVar("Result")
-# The process of a callback (None: the network itself), the callback, and its arguments.
+# The process of a callback (None for the network), the callback, and its arguments.
 PendingCall = tuple[ProcessLoop | None, Callable[..., object], tuple[Any, ...]]
 
 
 class Failure(NamedTuple):
-    """An exception that nothing handled, or a report of asyncio's exception handler."""
+    """An unhandled exception, or a message to asyncio's exception handler."""
 
     time: float  # simulated seconds
     process: str
     where: str
-    problem: object  # the exception, or asyncio's text
+    problem: object  # the exception, or the message
 
     def describe(self) -> str:
-        """One line with all of it."""
+        """Return a description in one line."""
         return f"at {self.time:.3f} s in {self.process}: {self.problem!r} ({self.where})"
 
 
 class Simulation:
-    """The time, the timers, the processes and the network of one simulated system.
+    """The time, timers, processes and network of a simulated system.
 
-    `trace` keeps what goes into the digest as tuples, for searching a difference.
+    With `trace`, the events of the digest are also stored as tuples, for comparing two runs.
     """
 
     def __init__(
@@ -72,7 +74,7 @@
         self.rng = Random(seed)
         self.now = 0.0  # simulated seconds
         self.timers = timers or HeapTimers[PendingCall]()
-        # What is due now, in order of insertion: most callbacks never wait.
+        # Callbacks that are due now, in order of insertion. Most callbacks are due at once.
         self.ready: deque[PendingCall] = deque()
         self.links = Links(self.rng)
         self.processes: dict[str, ProcessLoop] = {}
@@ -82,20 +84,22 @@
         self.next_port = FIRST_EPHEMERAL_PORT
         self.failures: list[Failure] = []
         self.digest = blake3()
-        self.events = 0  # that went into the digest
+        self.events = 0  # number of events in the digest
         self.trace: list[tuple[Any, ...]] | None = [] if trace else None
-        # State of killed processes: nothing of theirs may run again, not even on collection.
+        # Keeps objects of killed processes alive, so that their deletion runs no code.
         self.killed_state: list[tuple[Any, ...]] = []
-        self.cpu_time = time.process_time()  # at the end of the last callback
+        self.cpu_time = (
+            time.process_time()
+        )  # CPU seconds of this program at the end of the last callback
 
     def process(self, name: str) -> ProcessLoop:
         """Add a process."""
-        process = ProcessLoop(self, name)  # type: ignore[abstract]  # threads, pipes etc. have no use here
+        process = ProcessLoop(self, name)  # type: ignore[abstract]  # no threads, pipes etc.
         self.processes[name] = process
         return process
 
     def record(self, event: str, *fields: object) -> None:
-        """Add an event to the digest, and to the trace where one is kept."""
+        """Add an event to the digest, and to the trace if there is one."""
         self.events += 1
         parts = [pack_time(self.now), event.encode()]
         parts += [field if type(field) is bytes else str(field).encode() for field in fields]
@@ -106,25 +110,25 @@
     def schedule(
         self, when: float, loop: ProcessLoop | None, call: Callable[..., object], *values: Any
     ) -> None:
-        """Run a callback in a process (None: in the network itself) at a simulated time."""
+        """Schedule a callback of a process (None for the network) at a simulated time."""
         if when <= self.now:
             self.ready.append((loop, call, values))
         else:
             self.timers.push(when, (loop, call, values))
 
-    at = schedule  # former name, which tests/compatibility uses
+    at = schedule  # alias that tests/compatibility uses
 
     def switch_to(self, loop: ProcessLoop | None) -> None:
-        """Make a process's loop the running one to asyncio."""
+        """Make a process's loop the running event loop of asyncio."""
         if loop is not self.running:
             self.running = loop
             set_running_loop(loop)
 
     def step(self, until: float) -> bool:
-        """Run one callback; return False where none is due by `until`.
+        """Run one callback. Returns False if no callback is due until the time `until`.
 
-        Timers that are due run before all that became due at this moment: they were set earlier, so
-        the order is that of one queue by (time, insertion).
+        Timers that are due run before the callbacks in `ready`, because they were inserted earlier.
+        The order is therefore that of a single queue ordered by (time, insertion).
         """
         due = self.timers.peek()
         if self.ready and (due is None or due > self.now):
@@ -134,7 +138,7 @@
             return False
         else:
             earliest = self.timers.pop()
-            assert earliest is not None  # peek() has found one
+            assert earliest is not None  # peek() returned a time
             self.now, (loop, call, values) = earliest
         if loop is None:
             call(*values)
@@ -143,13 +147,13 @@
         return True
 
     def free_port(self) -> int:
-        """A port that no process has been given yet."""
+        """Return a port that no process has used."""
         port = self.next_port
         self.next_port += 1
         return port
 
     def report_failure(self, loop: ProcessLoop | None, problem: object, where: str) -> None:
-        """Record a failure of a process; the simulation ends with the first one."""
+        """Store a failure of a process. The simulation ends after the first failure."""
         process = loop.name if loop else "network"
         self.failures.append(Failure(self.now, process, where, problem))
 
@@ -159,8 +163,8 @@
 ) -> Result:
     """Run a coroutine in a process until it is done, and return its result.
 
-    Raises what it raised, ProcessFailedError where any process failed meanwhile, or TimeoutError
-    where it isn't done at the simulated time `until`.
+    Raises the coroutine's own exception, ProcessFailedError if any process failed, or TimeoutError
+    if the coroutine is not done at the simulated time `until`.
     """
     simulation.cpu_time = time.process_time()
     simulation.switch_to(loop)
--- a/peatlead/lab/streams.py
+++ b/peatlead/lab/streams.py
@@ -12,19 +12,19 @@
 
 Address = tuple[str, int]
 
-MAX_READ_BYTES = 65_536  # handed to a protocol at a time
-RECEIVE_BUFFER_BYTES = 4 << 20  # that a kernel holds for a process that does not read
-GIVE_UP_SECONDS = 30.0  # until a kernel gives up a connection over a cut link
-RETRANSMISSION_SECONDS = 0.2  # between a kernel's attempts over a cut link
+MAX_READ_BYTES = 65_536  # passed to a protocol at a time
+RECEIVE_BUFFER_BYTES = 4 << 20  # received data that a process has not read
+CONNECTION_TIMEOUT = 30.0  # seconds until the kernel ends a connection over a cut link
+RETRANSMISSION_INTERVAL = 0.2  # seconds, over a cut link
 
 
 def timed_out() -> TimeoutError:
-    """The error of a connection that the kernel has given up."""
+    """Return the error of a connection that has timed out."""
     return TimeoutError(errno.ETIMEDOUT, "timed out")
 
 
 class SegmentType(StrEnum):
-    """What a segment carries."""
+    """The type of a segment."""
 
     DATA = "data"
     EOF = "eof"
@@ -32,7 +32,7 @@
 
 
 class Segment(NamedTuple):
-    """What one end of a connection sends to the other at a time."""
+    """Data or a signal that one end of a connection sends to the other."""
 
     type: SegmentType
     data: bytes = b""
@@ -43,7 +43,7 @@
 
 
 class StreamProtocol(Protocol):
-    """What a transport calls of an asyncio.BufferedProtocol, its buffer being a memoryview."""
+    """The methods of asyncio.BufferedProtocol that a transport calls, with memoryview buffers."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """See asyncio."""
@@ -62,7 +62,7 @@
 
 
 class Listener:
-    """A listening socket, in the place of asyncio's server and of its sockets."""
+    """A listening socket; replaces asyncio.Server and the sockets of a server."""
 
     def __init__(
         self, loop: "ProcessLoop", factory: Callable[[], Any], address: Address, backlog: int
@@ -71,22 +71,23 @@
         self.factory = factory
         self.address = address
         self.backlog = backlog
-        self.pending = 0  # connections that the process has not accepted yet
+        self.pending = 0  # connections that are not yet accepted by the process
         self.sockets = [self]
 
     def getsockname(self) -> Address:
-        """The address that it listens on."""
+        """Return the address of the socket."""
         return self.address
 
     def close(self) -> None:
-        """Listen no more."""
+        """Stop listening."""
         self.loop.simulation.listeners.pop(self.address, None)
 
 
 class ConnectionAttempt:
-    """A connection on its way: a round trip, then the listener's kernel takes or refuses it.
+    """The handshake of a connection, which takes one round trip.
 
-    `connected` gets the remote end's transport, or the error.
+    The remote kernel accepts or refuses the connection, or drops the packet. `connected` is
+    completed with the transport of the remote end, or with the error.
     """
 
     def __init__(
@@ -103,7 +104,7 @@
         self.connected = connected
         delay = self.simulation.links.delay(local[0], remote[0])
         if delay is None:
-            self._fail_after(GIVE_UP_SECONDS, timed_out())
+            self._fail_after(CONNECTION_TIMEOUT, timed_out())
         else:
             self.simulation.schedule(self.simulation.now + delay, None, self._arrive)
 
@@ -111,8 +112,8 @@
         listener = self.simulation.listeners.get(self.remote)
         delay = self.simulation.links.delay(self.remote[0], self.local[0])
         if delay is None or listener is not None and listener.pending >= listener.backlog:
-            # A full queue drops the first packet: the client gets no answer and would retry.
-            self._fail_after(GIVE_UP_SECONDS, timed_out())
+            # A listener with a full backlog drops the packet, so that the client times out.
+            self._fail_after(CONNECTION_TIMEOUT, timed_out())
         elif listener is None:
             refused = ConnectionRefusedError(errno.ECONNREFUSED, "Connection refused")
             self._fail_after(delay, refused)
@@ -141,12 +142,12 @@
 class StreamTransport(asyncio.Transport):
     """One end of a stream connection.
 
-    Bytes go to the peer's kernel after the link's delay, in order; from there to the protocol when
-    its process runs.
+    Bytes arrive in order at the peer's kernel after the delay of the link. The kernel passes them
+    to the protocol when the peer's process runs.
     """
 
-    listener: Listener  # of an accepting end
-    protocol: StreamProtocol  # once opened
+    listener: Listener  # of the accepting end
+    protocol: StreamProtocol  # set when the connection is opened
 
     def __init__(self, loop: "ProcessLoop", local: Address, remote: Address) -> None:
         super().__init__()
@@ -154,24 +155,26 @@
         self.simulation = loop.simulation
         self.local = local
         self.remote = remote
-        self.label = f"{local}{remote}".encode()  # in the digest
+        self.label = f"{local}{remote}".encode()  # identifies the connection in the digest
         self.peer: StreamTransport | None = None  # the other end
         self.opened = False
         self.closing = False
         self.closed = False
-        self.received: deque[Segment] = deque()  # by the kernel, and not yet by the protocol
+        self.received: deque[Segment] = (
+            deque()
+        )  # received by the kernel but not passed to the protocol
         self.received_bytes = 0
         self.delivery_scheduled = False
         self.unsent: deque[bytes] = deque()
         self.unsent_bytes = 0
-        self.in_flight_bytes = 0  # sent, and not yet with the peer's kernel
-        self.last_arrival = 0.0  # simulated seconds at which the newest segment arrives
+        self.in_flight_bytes = 0  # sent but not received by the peer's kernel
+        self.last_arrival = 0.0  # simulated time at which the last sent segment arrives
         loop.transports[self] = True
 
     # Opening.
 
     def open_with(self, protocol: StreamProtocol, remote_end: "StreamTransport") -> None:
-        """Open the connecting end, and have the other's process accept the connection."""
+        """Open the connecting end, and schedule the accept in the process of the remote end."""
         self.peer = remote_end
         remote_end.peer = self
         self.simulation.schedule(self.simulation.now, remote_end.loop, remote_end._accept)
@@ -188,7 +191,7 @@
         protocol.connection_made(self)
         self._deliver()
 
-    # The interface of asyncio's transports.
+    # The interface of asyncio.Transport.
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
         """See asyncio."""
@@ -203,7 +206,7 @@
         return self.unsent_bytes
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        """Ignored: protocols are never paused."""
+        """Do nothing: protocols are never paused."""
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
         """See asyncio."""
@@ -230,7 +233,7 @@
             self._end(None)
 
     def kill(self) -> None:
-        """Reset the connection, as the kernel does for a process that is gone."""
+        """Reset the connection, as the kernel does when a process ends."""
         if not self.closed:
             self.closed = True
             if self.peer is not None:
@@ -239,7 +242,7 @@
     # Sending.
 
     def _send(self) -> None:
-        """Send as much as fits into the peer's receive buffer."""
+        """Send unsent data until the peer's receive buffer is full."""
         while (
             self.unsent
             and self.peer is not None
@@ -258,13 +261,13 @@
         now = self.simulation.now
         delay = self.simulation.links.delay(self.local[0], self.remote[0])
         if delay is None:
-            self._retransmit_later(segment, now + GIVE_UP_SECONDS)
+            self._retransmit_later(segment, now + CONNECTION_TIMEOUT)
             return
-        self.last_arrival = max(now + delay, self.last_arrival)  # in order, whatever the jitter
+        self.last_arrival = max(now + delay, self.last_arrival)  # jitter must not reorder segments
         self.simulation.schedule(self.last_arrival, None, self.peer._arrive, segment)
 
     def _retransmit_later(self, segment: Segment, deadline: float) -> None:
-        due = self.simulation.now + RETRANSMISSION_SECONDS
+        due = self.simulation.now + RETRANSMISSION_INTERVAL
         self.simulation.schedule(due, None, self._retransmit, segment, deadline)
 
     def _retransmit(self, segment: Segment, deadline: float) -> None:
@@ -279,7 +282,7 @@
     # Receiving.
 
     def _arrive(self, segment: Segment) -> None:
-        """Take a segment into the kernel's buffer."""
+        """Store a segment in the kernel's buffer and schedule its delivery."""
         is_data = segment.type is SegmentType.DATA
         if self.closed:
             if is_data and self.peer is not None and not self.peer.closed:
@@ -296,7 +299,7 @@
             self.loop.run_callback(self._deliver, ())
 
     def _deliver(self) -> None:
-        """Hand what was received to the protocol."""
+        """Pass all received segments to the protocol."""
         self.delivery_scheduled = False
         while self.received and not self.closed and self.opened:
             segment_type, data = self.received.popleft()
@@ -326,7 +329,7 @@
             rest = rest[size:]
             self.protocol.buffer_updated(size)
 
-    # The end.
+    # Closing.
 
     def _end(self, error: OSError | None) -> None:
         if not self.closed:
--- a/peatlead/lab/study.py
+++ b/peatlead/lab/study.py
@@ -1,12 +1,12 @@
-"""Experiments: days x settings x policies x seeds over a pool of processes, kept in SQLite, resumable.
+"""Studies: experiments over days, settings, policies and seeds, with results in SQLite.
 
-A study is a Starlark script of `study(...)`, `case(...)`, `vary(...)` and `policy(...)`. Each cell (case,
-variant, policy, seed) is one day in the lab; a cell that stands in the file is not played again, so a study
-that was stopped goes on where it was. Comparisons are paired by seed, with bootstrap intervals, never bare
-means.
+A study is a Starlark script that calls `study(...)`, `case(...)`, `vary(...)` and `policy(...)`.
+Each cell (case, variant, policy, seed) is one simulated day. Days are played in a pool of
+processes. A cell that is already in the results file is not played again, so that an interrupted
+study can be continued. Comparisons are paired by seed and have bootstrap confidence intervals.
 
-Table `cells`: study, cell (text key), case_name, variant, policy, seed, digest, kept (0/1), finds, and one
-column a figure in `FIGURES`.
+Table `cells`: study, cell (a key as text), case_name, variant, policy, seed, digest, kept (1 if the
+day had no problems, else 0), finds (the problems), and one column for each name in `METRICS`.
 """
 
 import multiprocessing
@@ -38,55 +38,75 @@
     "takeover_worst",
     "events",
 )
-BOOTSTRAPS = 2000
+BOOTSTRAP_SAMPLES = 2000
 
 
-def values(value):
+def values_by_name(value):
+    """Check a map of names to values. Raises ValueError if it is something else."""
     if not isinstance(value, dict) or not all(isinstance(name, str) for name in value):
         raise expectation_error("a map of names to values", value)
     return value
 
 
-SHAPES = {
+STUDY_BUILTINS = {
     "study": {
-        "name": Field(text, REQUIRED, "what reports call it"),
-        "question": Field(text, REQUIRED, "what it is to answer"),
-        "seeds": Field(number(2, 100_000, True), 20, "days of each cell"),
+        "name": Field(text, REQUIRED, "name of the study"),
+        "question": Field(text, REQUIRED, "question that the study answers"),
+        "seeds": Field(
+            number(2, 100_000, True),
+            20,
+            "number of seeds, from 0, for each combination of case, variant and policy",
+        ),
     },
     "case": {
-        "name": Field(text, REQUIRED, "a day"),
-        "script": Field(text, REQUIRED, "its day script"),
+        "name": Field(text, REQUIRED, "name of the case"),
+        "script": Field(text, REQUIRED, "day script"),
     },
     "vary": {
-        "name": Field(text, REQUIRED, "a variant"),
-        "set": Field(values, {}, "what differs: {'steering.addresses': 4, 'module.COVERAGE': 16}"),
+        "name": Field(text, REQUIRED, "name of the variant"),
+        "set": Field(
+            values_by_name,
+            {},
+            "changed values of day scripts and planner constants: "
+            "{'steering.addresses': 4, 'module.COVERAGE': 16}",
+        ),
+    },
+    "policy": {
+        "names": Field(list_of(one_of(*POLICIES), 1), ["shards"], "policies: planners that decide")
     },
-    "policy": {"names": Field(list_of(one_of(*POLICIES), 1), ["shards"], "who decides")},
 }
 
 
 class Study:
-    """A checked study: `cells()` gives all jobs in a stable order."""
+    """A checked study.
+
+    `parameters` holds the values of `study(...)`, `cases` the scenarios by name, `variants` the
+    changes by name, and `policies` the names of policies.
+    """
 
     def __init__(self, name, source):
-        said = run_script(name, source, SHAPES)
-        heads = [values for called, values in said if called == "study"]
-        if len(heads) != 1:
-            raise SettingsError(f"{name}:1: expected one call of study(), got {len(heads)}")
-        self.parameters = heads[0]
+        calls = run_script(name, source, STUDY_BUILTINS)
+        study_calls = [values for called, values in calls if called == "study"]
+        if len(study_calls) != 1:
+            raise SettingsError(f"{name}:1: expected one call of study(), got {len(study_calls)}")
+        self.parameters = study_calls[0]
         self.cases = {
-            v["name"]: load_day(f"{name} case {v['name']}", v["script"])
-            for c, v in said
-            if c == "case"
+            fields["name"]: load_day(f"{name} case {fields['name']}", fields["script"])
+            for builtin, fields in calls
+            if builtin == "case"
         }
-        self.variants = {v["name"]: v["set"] for c, v in said if c == "vary"} or {"as is": {}}
-        self.policies = [p for c, v in said if c == "policy" for p in v["names"]] or ["shards"]
+        self.variants = {
+            fields["name"]: fields["set"] for builtin, fields in calls if builtin == "vary"
+        } or {"as is": {}}
+        self.policies = [
+            policy for builtin, fields in calls if builtin == "policy" for policy in fields["names"]
+        ] or ["shards"]
         if not self.cases:
             raise SettingsError(f"{name}:1: expected at least one case(...)")
         for variant, changes in self.variants.items():
-            for made in self.cases.values():
+            for scenario in self.cases.values():
                 try:
-                    changed(made, changes)
+                    apply_changes(scenario, changes)
                 except (KeyError, ValueError) as problem:
                     raise SettingsError(
                         f"{name}:1: vary {variant}: expected names of a day or the module: "
@@ -94,6 +114,7 @@
                     ) from None
 
     def cells(self):
+        """Return all cells (case, variant, policy, seed) in a fixed order."""
         return [
             (case, variant, policy, seed)
             for case in self.cases
@@ -103,57 +124,74 @@
         ]
 
 
-def changed(made, changes):
-    """(the day with its changes, {constant of the planner: value})."""
-    made, module = {**made}, {}
+def apply_changes(scenario, changes):
+    """Return a changed copy of a scenario, and changed planner constants by name.
+
+    Raises ValueError for a name that neither the scenario nor the planner has.
+    """
+    scenario, constants = {**scenario}, {}
     for name, value in changes.items():
-        part, _, field = name.partition(".")
-        if part == "module":
-            modules_with(field)  # raises where there is none
-            module[field] = value
-        elif part in made and isinstance(made[part], dict) and field in made[part]:
-            made[part] = {**made[part], field: value}
+        builtin, _, field = name.partition(".")
+        if builtin == "module":
+            modules_with(field)  # raises ValueError if there is no such constant
+            constants[field] = value
+        elif (
+            builtin in scenario
+            and isinstance(scenario[builtin], dict)
+            and field in scenario[builtin]
+        ):
+            scenario[builtin] = {**scenario[builtin], field: value}
         else:
             raise ValueError(f"{name!r}")
-    return made, module
+    return scenario, constants
 
 
-def figures(played):
-    """{figure: value} of one day."""
-    report, outcomes = played.report, {}
+def metrics_of(result):
+    """Return the values of `METRICS` for one day by name; all None if the day has no report."""
+    report, outcomes = result.report, {}
     if report is None:
         return dict.fromkeys(METRICS)
     whole = report.service["whole"]
     outcomes = whole["outcomes"]
-    spans = sorted(span for _, span in report.takeovers)
-    found = {
+    takeover_seconds = sorted(seconds for _, seconds in report.takeovers)
+    metrics = {
         "service": whole["part"],
         "worst_kind": min(
-            one["part"] for kind, one in report.service.items() if kind != "whole" and one["reqs"]
+            service["part"]
+            for kind, service in report.service.items()
+            if kind != "whole" and service["reqs"]
         ),
         "lost": sum(
-            many for outcome, many in outcomes.items() if outcome not in ("done", "late", "shed")
+            count for outcome, count in outcomes.items() if outcome not in ("done", "late", "shed")
         ),
         "late": outcomes.get("late", 0),
         "shed": outcomes.get("shed", 0),
-        "takeover_median": spans[len(spans) // 2] if spans else None,
-        "takeover_worst": spans[-1] if spans else None,
-        "events": played.events,
+        "takeover_median": takeover_seconds[len(takeover_seconds) // 2]
+        if takeover_seconds
+        else None,
+        "takeover_worst": takeover_seconds[-1] if takeover_seconds else None,
+        "events": result.events,
+    }
+    return {
+        **metrics,
+        **{f"rule{index + 1}": report.findings[index].nearest for index in range(5)},
     }
-    return {**found, **{f"rule{at + 1}": report.findings[at].nearest for at in range(5)}}
 
 
 def play_cell(job):
-    """One cell in a process of its own: the planner's constants are set there and put back."""
-    key, made, changes, policy, seed = job
-    made, constants = changed(made, changes)
+    """Play one cell in a worker process, with the variant's planner constants.
+
+    Returns (cell, digest, problems, metrics).
+    """
+    cell, scenario, changes, policy, seed = job
+    scenario, constants = apply_changes(scenario, changes)
     with replaced(constants):
-        played = play_day(made, seed, policy)
-    return key, played.digest, played.problems, figures(played)
+        result = play_day(scenario, seed, policy)
+    return cell, result.digest, result.problems, metrics_of(result)
 
 
 class Results:
-    """The SQLite file of studies."""
+    """The SQLite file with the results of studies."""
 
     def __init__(self, path):
         Path(path).parent.mkdir(parents=True, exist_ok=True)
@@ -165,50 +203,59 @@
         )
 
     def finished_cells(self, study):
+        """Return the keys of the cells of a study that have results."""
         return {
             cell
             for (cell,) in self.database.execute("SELECT cell FROM cells WHERE study = ?", (study,))
         }
 
-    def store(self, study, key, digest, finds, found):
-        case, variant, policy, seed = key
+    def store(self, study, cell, digest, problems, metrics):
+        """Store the results of a cell, replacing earlier ones."""
+        case, variant, policy, seed = cell
         row = (
             study,
-            repr(key),
+            repr(cell),
             case,
             variant,
             policy,
             seed,
             digest,
-            int(not finds),
-            "\n".join(finds),
-            *(found[name] for name in METRICS),
+            int(not problems),
+            "\n".join(problems),
+            *(metrics[name] for name in METRICS),
         )
         self.database.execute(
             f"INSERT OR REPLACE INTO cells VALUES ({', '.join('?' * len(row))})", row
         )
         self.database.commit()
 
-    def values_by_seed(self, study, figure, case, variant, policy):
-        """{seed: value} of a figure; `figure` is one of FIGURES."""
-        if figure not in METRICS:
-            raise ValueError(f"expected one of {', '.join(METRICS)}, got {figure!r}")
+    def values_by_seed(self, study, metric, case, variant, policy):
+        """Return the values of a metric by seed, without seeds that have none.
+
+        Raises ValueError if the metric is not one of METRICS.
+        """
+        if metric not in METRICS:
+            raise ValueError(f"expected one of {', '.join(METRICS)}, got {metric!r}")
         rows = self.database.execute(
-            f"SELECT seed, {figure} FROM cells WHERE study = ? AND case_name = ? AND variant = ? AND policy = ? "
+            f"SELECT seed, {metric} FROM cells WHERE study = ? AND case_name = ? AND variant = ? AND policy = ? "
             "ORDER BY seed",
             (study, case, variant, policy),
         )
         return {seed: value for seed, value in rows if value is not None}
 
     def cells_with_problems(self, study):
+        """Return (cell, problems) of each day of a study with problems, as text."""
         return self.database.execute(
             "SELECT cell, finds FROM cells WHERE study = ? AND kept = 0 ORDER BY cell", (study,)
         ).fetchall()
 
 
 def run_study(study, results, workers=None, say=print, step=lambda done, note: None):
-    """Plays what is missing. Returns how many cells were played. `step(done, note)` is called after each."""
-    name, done, broken = (
+    """Play the cells without results in a pool of processes; returns how many were played.
+
+    Calls `step(done, note)` after each cell and `say(text)` with messages.
+    """
+    name, finished, problem_count = (
         study.parameters["name"],
         results.finished_cells(study.parameters["name"]),
         0,
@@ -216,34 +263,49 @@
     jobs = [
         ((case, variant, policy, seed), study.cases[case], study.variants[variant], policy, seed)
         for case, variant, policy, seed in study.cells()
-        if repr((case, variant, policy, seed)) not in done
+        if repr((case, variant, policy, seed)) not in finished
     ]
     say(f"{name}: {len(jobs)} of {len(study.cells())} cells to play")
     if not jobs:
         return 0
     with multiprocessing.get_context("spawn").Pool(workers) as pool:
-        for at, (key, digest, finds, found) in enumerate(pool.imap_unordered(play_cell, jobs), 1):
-            results.store(name, key, digest, finds, found)
-            broken += bool(finds)
-            step(at, f"{broken} with finds")
-            if at % 20 == 0 or at == len(jobs):
-                say(f"{name}: {at} of {len(jobs)}")
+        for played_count, (cell, digest, problems, metrics) in enumerate(
+            pool.imap_unordered(play_cell, jobs), 1
+        ):
+            results.store(name, cell, digest, problems, metrics)
+            problem_count += bool(problems)
+            step(played_count, f"{problem_count} with problems")
+            if played_count % 20 == 0 or played_count == len(jobs):
+                say(f"{name}: {played_count} of {len(jobs)} cells played")
     return len(jobs)
 
 
 def bootstrap_interval(differences, seed=1, part=0.95):
-    """(mean, low, high) of paired differences by bootstrap over seeds."""
+    """Return (mean, low, high) with the confidence interval of the mean by bootstrapping.
+
+    `part` is the confidence level. Returns None without differences.
+    """
     if not differences:
         return None
-    draw, many = Random(seed), len(differences)
-    means = sorted(statistics.fmean(draw.choices(differences, k=many)) for _ in range(BOOTSTRAPS))
-    low = means[int(BOOTSTRAPS * (1 - part) / 2)]
-    return statistics.fmean(differences), low, means[int(BOOTSTRAPS * (1 + part) / 2) - 1]
-
-
-def compare_paired(results, study, figure, base, other, case):
-    """(mean, low, high, pairs) of `other` less `base`, each (variant, policy), paired by seed."""
-    one, two = (results.values_by_seed(study, figure, case, *which) for which in (base, other))
-    pairs = [two[seed] - one[seed] for seed in sorted(one.keys() & two.keys())]
-    found = bootstrap_interval(pairs)
-    return (*found, len(pairs)) if found else None
+    rng, count = Random(seed), len(differences)
+    means = sorted(
+        statistics.fmean(rng.choices(differences, k=count)) for _ in range(BOOTSTRAP_SAMPLES)
+    )
+    low = means[int(BOOTSTRAP_SAMPLES * (1 - part) / 2)]
+    return statistics.fmean(differences), low, means[int(BOOTSTRAP_SAMPLES * (1 + part) / 2) - 1]
+
+
+def compare_paired(results, study, metric, base, other, case):
+    """Return (mean, low, high, pairs) of the differences `other` minus `base`, paired by seed.
+
+    `base` and `other` are (variant, policy). Returns None if no seed has both values.
+    """
+    base_values, other_values = (
+        results.values_by_seed(study, metric, case, *which) for which in (base, other)
+    )
+    differences = [
+        other_values[seed] - base_values[seed]
+        for seed in sorted(base_values.keys() & other_values.keys())
+    ]
+    estimate = bootstrap_interval(differences)
+    return (*estimate, len(differences)) if estimate else None
--- a/peatlead/scenario/__init__.py
+++ b/peatlead/scenario/__init__.py
@@ -1,1 +1,4 @@
-"""Day scripts: the fleet, its traffic and the faults of a day, and the driver that plays them."""
+"""Scenarios: scripts that define a fleet, its traffic and its faults, and a driver that plays them.
+
+A day is the run of one scenario; the scripts are called day scripts.
+"""
--- a/peatlead/scenario/context.py
+++ b/peatlead/scenario/context.py
@@ -1,4 +1,4 @@
-"""What all faults of a day share."""
+"""The state that all faults of a day share."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Coroutine
@@ -9,14 +9,14 @@
 from .fleet import Fleet, Plan
 from .standin_commands import StandInCommands
 
-RNG_SEED_OFFSET = 1000  # the fleet's layout has the day's seed itself
+RNG_SEED_OFFSET = 1000  # added to the day's seed, which the fleet's layout uses unchanged
 
-Fault = dict[str, Any]  # a call in the day script: its builtin as "verb", and its values
-Verb = Callable[[Fault], Awaitable[None]]  # plays a fault to its end
+Fault = dict[str, Any]  # the values of a call in a day script, and the builtin's name as "verb"
+FaultPlayer = Callable[[Fault], Awaitable[None]]  # returns when the fault has ended
 
 
 class DayContext:
-    """A running day: its fleet, clock, recording, endpoint list and stand-ins."""
+    """The fleet, clock, recording, endpoint list and stand-ins of a running day."""
 
     def __init__(
         self,
@@ -34,15 +34,15 @@
         self._loop = loop
 
     def now(self) -> float:
-        """The time on the event loop's clock, in seconds."""
+        """Return the event loop's time in seconds."""
         return self._loop.time()
 
     def create_task(self, coroutine: Coroutine[Any, Any, None]) -> "asyncio.Task[None]":
-        """Run a coroutine in the background."""
+        """Start a coroutine as a task."""
         return self._loop.create_task(coroutine)
 
     def record_fault(self, fault: Fault, plans: list[Plan]) -> None:
-        """Record that a fault begins, and whom it strikes."""
+        """Record the start and end time of a fault and the addresses of affected endpoints."""
         now = self.now()
         addresses = [plan["address"] for plan in plans]
         self.record.row("trouble", now, fault["verb"], addresses, now + fault.get("length", 0.0))
--- a/peatlead/scenario/controller_faults.py
+++ b/peatlead/scenario/controller_faults.py
@@ -1,4 +1,4 @@
-"""Faults of controllers, and what operators ask of them during a day."""
+"""Faults of controllers, and requests of operators to controllers, during a day."""
 
 import asyncio
 import signal
@@ -7,16 +7,16 @@
 from typing import Any
 
 from ..controller.control_socket import ask_once
-from .context import DayContext, Fault, Verb
+from .context import DayContext, Fault, FaultPlayer
 from .processes import ChildProcess
 
-ENDS_DEADLINE = 1.0  # seconds for a controller's answer at the end of a day
-SHORTEST_ABSENCE = 0.5  # seconds, of a controller that is struck at random
-INTERVAL_SPREAD = (0.3, 1.7)  # of the mean interval
+PUBLISHED_TABLES_TIMEOUT = 1.0  # seconds
+MIN_RANDOM_OUTAGE = 0.5  # seconds
+RANDOM_INTERVAL_FACTORS = (0.3, 1.7)  # range of intervals, relative to the mean interval
 
 
 class ControllerEvent(StrEnum):
-    """What the recording says of a controller."""
+    """Events of a controller in the recording."""
 
     KILLED = "killed"
     STARTED = "started"
@@ -26,7 +26,7 @@
 
 
 class ControllerFaults:
-    """Plays the faults that strike controllers; a controller has one at a time."""
+    """Plays the faults of controllers. A controller is affected by one fault at a time."""
 
     def __init__(
         self,
@@ -35,22 +35,22 @@
         start_controller: Callable[[int], None],
     ) -> None:
         self.context = context
-        self.controllers = controllers  # the running processes, by number
+        self.controllers = controllers  # processes by controller number
         self.start_controller = start_controller
-        self._unavailable: set[int] = set()  # killed or frozen now
+        self._unavailable: set[int] = set()  # numbers of controllers that are killed or frozen
 
-    def verbs(self) -> dict[str, Verb]:
-        """The faults by their builtin in day scripts."""
+    def players(self) -> dict[str, FaultPlayer]:
+        """Return the method that plays each fault, by its builtin in day scripts."""
         return {
             "steward_killed": self.kill,
             "steward_frozen": self.freeze,
-            "stewards_struck": self.strike_at_random,
-            "rollback": self.pin_back,
+            "stewards_struck": self.interrupt_at_random,
+            "rollback": self.pin_older_tables,
             "fleet_drained": self.drain,
         }
 
     async def kill(self, fault: Fault) -> None:
-        """A controller is killed and started again."""
+        """Kill a controller and start it again after the fault's length."""
         number = fault["steward"]
         if not self._reserve(number):
             return
@@ -63,7 +63,7 @@
         self._unavailable.discard(number)
 
     async def freeze(self, fault: Fault) -> None:
-        """A controller is stopped and continued, as by a pause of its virtual machine."""
+        """Freeze a controller for the fault's length, like a pause of its virtual machine."""
         number = fault["steward"]
         if not self._reserve(number):
             return
@@ -75,25 +75,25 @@
         self._record(number, ControllerEvent.RESUMED)
         self._unavailable.discard(number)
 
-    async def strike_at_random(self, fault: Fault) -> None:
-        """Controllers are killed and frozen at random; one at least is left alone."""
+    async def interrupt_at_random(self, fault: Fault) -> None:
+        """Kill and freeze random controllers, but never the last available one."""
         rng = self.context.rng
         end = self.context.now() + fault["length"]
         running = []
         while self.context.now() < end:
-            free = [number for number in self.controllers if number not in self._unavailable]
-            if len(free) > 1:
-                single = {
-                    "steward": rng.choice(free),
-                    "length": rng.uniform(SHORTEST_ABSENCE, fault["most"]),
+            available = [number for number in self.controllers if number not in self._unavailable]
+            if len(available) > 1:
+                single_fault = {
+                    "steward": rng.choice(available),
+                    "length": rng.uniform(MIN_RANDOM_OUTAGE, fault["most"]),
                 }
                 play = self.freeze if rng.random() < fault["freezes"] else self.kill
-                running.append(self.context.create_task(play(single)))
-            await asyncio.sleep(fault["every"] * rng.uniform(*INTERVAL_SPREAD))
+                running.append(self.context.create_task(play(single_fault)))
+            await asyncio.sleep(fault["every"] * rng.uniform(*RANDOM_INTERVAL_FACTORS))
         await asyncio.gather(*running)
 
-    async def pin_back(self, fault: Fault) -> None:
-        """An operator pins older tables, at the first controller that answers."""
+    async def pin_older_tables(self, fault: Fault) -> None:
+        """Pin older tables as an operator, through the first controller that answers."""
         question = _pin_question(fault)
         for offset in range(len(self.controllers)):
             number = (fault["steward"] + offset) % len(self.controllers)
@@ -108,41 +108,50 @@
             return
 
     async def drain(self, fault: Fault) -> None:
-        """An operator lets a controller hand over all that it owns."""
+        """Drain a controller as an operator: it hands over all proxies that it owns."""
         self._record(fault["steward"], ControllerEvent.DRAINING)
         question = {"ask": "fleet", "do": "drain"}
         await ask_once(self._control_address(fault["steward"]), question)
 
     async def record_published_tables(self) -> None:
-        """Record what each controller says that it last published to its proxies."""
+        """Record the version that each controller last published to each of its proxies."""
         for number in self.controllers:
             if number in self._unavailable:
                 continue
             question = {"ask": "tables", "do": "ends"}
             try:
-                answer = await ask_once(self._control_address(number), question, ENDS_DEADLINE)
+                answer = await ask_once(
+                    self._control_address(number), question, PUBLISHED_TABLES_TIMEOUT
+                )
             except (OSError, TimeoutError):
                 continue
-            address, _ = self.context.fleet.stewards[number]
+            address, _ = self.context.fleet.controller_addresses[number]
             for proxy, (epoch, serial, digest, age) in answer.get("ends", {}).items():
                 self.context.record.row(
                     "published", self.context.now(), address, proxy, epoch, serial, digest, age
                 )
 
     def _reserve(self, number: int) -> bool:
-        """False where another fault has the controller, or a study plays the day with fewer."""
+        """Reserve a controller for a fault and return True.
+
+        Returns False if another fault affects the controller, or if it does not exist because a
+        study plays the day with fewer controllers.
+        """
         if number in self._unavailable or number not in self.controllers:
             return False
         self._unavailable.add(number)
         return True
 
     def _record(self, number: int, event: ControllerEvent) -> None:
-        """By its name, as its feed has it, and by its address, as resolvers and proxies know it."""
-        for name in (f"ns{number + 1}", self.context.fleet.stewards[number][0]):
+        """Record an event of a controller twice: by its name and by its address.
+
+        The feed identifies a controller by name, resolvers and proxies by address.
+        """
+        for name in (f"ns{number + 1}", self.context.fleet.controller_addresses[number][0]):
             self.context.record.row("steward", self.context.now(), name, event.value)
 
     def _control_address(self, number: int) -> tuple[str, int]:
-        address, port = self.context.fleet.stewards[number]
+        address, port = self.context.fleet.controller_addresses[number]
         return address, port + 1
 
 
--- a/peatlead/scenario/controller_feeds.py
+++ b/peatlead/scenario/controller_feeds.py
@@ -1,4 +1,7 @@
-"""Recording of the controllers' feeds: each message that left a controller's channel."""
+"""Recording of the controllers' feeds.
+
+A feed is a stream on the control socket that reports each message that left a controller's channel.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -9,31 +12,31 @@
 from .endpoint_list_file import RowRecorder
 from .processes import ChildProcess
 
-RECONNECT_AFTER = 0.02  # seconds
+RECONNECT_DELAY = 0.02  # seconds
 
 
 class ControllerFeeds:
-    """The feeds that are open, and where their messages are recorded."""
+    """Follows the feeds of controllers and records their messages."""
 
     def __init__(self, record: RowRecorder) -> None:
         self._record = record
-        self._streams: dict[int, Asking] = {}  # by the controller's number
+        self._streams: dict[int, Asking] = {}  # by controller number
         self._closed = False
 
     async def follow(self, number: int, child: ChildProcess, address: tuple[str, int]) -> None:
-        """Read a controller's feed as long as its process lives."""
+        """Read the feed at an address, reconnecting until the controller's process ends."""
         while child.poll() is None:
             try:
                 _, stream = await asyncio.get_running_loop().create_connection(
-                    _client(self._record_message), *address
+                    _feed_client(self._record_message), *address
                 )
                 self._streams[number] = stream
                 await stream.over
             except OSError:
-                await asyncio.sleep(RECONNECT_AFTER)
+                await asyncio.sleep(RECONNECT_DELAY)
 
     def close(self) -> None:
-        """End all feeds; what still arrives is not recorded."""
+        """Close all feeds. Messages that still arrive are not recorded."""
         for stream in self._streams.values():
             stream.abort("the day is over")
         self._closed = True
@@ -53,5 +56,5 @@
             )
 
 
-def _client(take: Callable[[bytes], None]) -> Callable[[], Asking]:
+def _feed_client(take: Callable[[bytes], None]) -> Callable[[], Asking]:
     return lambda: Asking({"ask": "feed"}, take)
--- a/peatlead/scenario/controller_settings.py
+++ b/peatlead/scenario/controller_settings.py
@@ -1,22 +1,22 @@
-"""The controllers' settings script of a day, as an operator would write it."""
+"""Generates the settings script of a day's controllers."""
 
 from collections.abc import Iterator
 from pathlib import Path
 
 from .fleet import DOMAIN, GRPC_PORT_OFFSET, RESOLVER_NETWORK, Fleet
 
-FLEET_KEY = "5a" * 32  # no secret
-OPEN_VIEWS = 16  # where there are DNS clients
-CLASS_FIELDS = ("name", "response_target", "client_timeout", "gain", "repeat")
+FLEET_KEY = "5a" * 32  # a test key, not a secret
+OPEN_VIEWS = 16  # in days with DNS clients
+REQUEST_CLASS_FIELDS = ("name", "response_target", "client_timeout", "gain", "repeat")
 
 
 def settings_script(fleet: Fleet, list_path: Path) -> str:
-    """The script of all controllers, one builtin a line."""
+    """Return the settings script that all controllers of a fleet share."""
     lines = [f"zone(name = {zone!r})" for zone in fleet.zones]
     lines.append(_dns(fleet))
     lines.append(_limits(fleet))
     lines.append(f"node_list(path = {str(list_path)!r})")
-    if fleet.agents:
+    if fleet.proxies:
         lines.append(_grpc(fleet))
         lines.append(f"fleet(keys = [{FLEET_KEY!r}])")
     steering = fleet.scenario["steering"]
@@ -30,7 +30,7 @@
 
 def _dns(fleet: Fleet) -> str:
     steering = fleet.scenario["steering"]
-    open_views = OPEN_VIEWS if fleet.desks else 0
+    open_views = OPEN_VIEWS if fleet.client_networks else 0
     return (
         f"dns(zone = {DOMAIN!r}, port = {fleet.port}, lifetime = {steering['lifetime']}, "
         f"addresses = {steering['addresses']}, trusted_resolvers = ['{RESOLVER_NETWORK}.1.0/24'], "
@@ -51,21 +51,21 @@
 def _grpc(fleet: Fleet) -> str:
     proxies = fleet.scenario["agents"]
     return (
-        f"grpc(proxies = {len(fleet.agents)}, pick = {proxies['pick']!r}, "
+        f"grpc(proxies = {len(fleet.proxies)}, pick = {proxies['pick']!r}, "
         f"fails_to_shun = {proxies['fails_to_shun']})"
     )
 
 
 def _request_classes(fleet: Fleet) -> Iterator[str]:
-    kinds = fleet.scenario["kinds"]
-    for kind in kinds:
-        values = ", ".join(f"{name} = {kind[name]!r}" for name in CLASS_FIELDS)
+    request_classes = fleet.scenario["kinds"]
+    for request_class in request_classes:
+        values = ", ".join(f"{name} = {request_class[name]!r}" for name in REQUEST_CLASS_FIELDS)
         yield f"request_kind({values})"
-    yield f"service(label = 'api', kinds = {[kind['name'] for kind in kinds]!r})"
+    yield f"service(label = 'api', kinds = {[kind['name'] for kind in request_classes]!r})"
 
 
 def _controllers(fleet: Fleet) -> Iterator[str]:
-    for number, (address, port) in enumerate(fleet.stewards):
+    for number, (address, port) in enumerate(fleet.controller_addresses):
         zone = fleet.zones[number % len(fleet.zones)]
         yield (
             f"steward(name = 'ns{number + 1}', zone = {zone!r}, seed = {number + 1}, "
@@ -75,24 +75,24 @@
 
 
 def _proxy_addresses(fleet: Fleet, address: str, port: int) -> str:
-    """A controller's addresses for proxies and peers, where the day has proxies."""
-    if not fleet.agents:
+    """Return a controller's addresses for proxies and peers, empty in a day without proxies."""
+    if not fleet.proxies:
         return ""
     peer = f", peer = '{address}:{port + 1}'" if fleet.scenario["agents"]["share"] else ""
     return f", grpc = '{address}:{port + GRPC_PORT_OFFSET}'{peer}"
 
 
 def _views(fleet: Fleet) -> Iterator[str]:
-    """The client networks; a resolver that serves several of them stands in no view."""
+    """Yield a view for each client network, without resolvers that several networks share."""
     resolvers = {
         resolver["name"]: resolver["address"]
         for resolver in fleet.resolvers
         if not resolver["name"].startswith("shared")
     }
-    for number, network in enumerate(fleet.desks):
-        own = [resolvers[network["resolver"]]] if network["resolver"] in resolvers else []
+    for number, network in enumerate(fleet.client_networks):
+        own_resolvers = [resolvers[network["resolver"]]] if network["resolver"] in resolvers else []
         rate = max(0.1, round(network["rate"], 1))
         yield (
             f"view(name = {network['view']!r}, zone = {fleet.zones[number % len(fleet.zones)]!r}, "
-            f"networks = ['{network['network']}/24'], resolvers = {own!r}, rate = {rate})"
+            f"networks = ['{network['network']}/24'], resolvers = {own_resolvers!r}, rate = {rate})"
         )
--- a/peatlead/scenario/endpoint_faults.py
+++ b/peatlead/scenario/endpoint_faults.py
@@ -4,27 +4,27 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from .context import DayContext, Fault, Verb
+from .context import DayContext, Fault, FaultPlayer
 from .fleet import Plan
 from .standin_commands import EndpointCommand
 
-LISTED_AFTER = 0.3  # seconds until the list has an endpoint that started
-DRAIN_LISTED_AFTER = 0.2  # seconds until the list has one that drains
+START_LISTING_DELAY = 0.3  # seconds from an endpoint's start until the list contains it
+DRAIN_LISTING_DELAY = 0.2  # seconds until the list marks an endpoint as draining
 POD_DOWNTIME = 1.0  # seconds
 
 
 class EndpointFaults:
-    """Plays the faults that strike endpoints; an endpoint has one at a time."""
+    """Plays the faults of endpoints. An endpoint is affected by one fault at a time."""
 
     def __init__(
         self, context: DayContext, add_endpoint: Callable[[Plan], Awaitable[None]]
     ) -> None:
         self.context = context
         self.add_endpoint = add_endpoint
-        self._affected: set[str] = set()  # names of endpoints that have a fault now
+        self._affected: set[str] = set()  # names of endpoints with a fault
 
-    def verbs(self) -> dict[str, Verb]:
-        """The faults by their builtin in day scripts."""
+    def players(self) -> dict[str, FaultPlayer]:
+        """Return the method that plays each fault, by its builtin in day scripts."""
         return {
             "silent": self.silent,
             "hung": self.hung,
@@ -42,39 +42,41 @@
         }
 
     async def list_fault(self, fault: Fault) -> None:
-        """The endpoint list is wrong."""
+        """Write a wrong endpoint list for the fault's length."""
         self.context.endpoint_list.begin(fault["verb"], fault, self.context.rng)
         await asyncio.sleep(fault["length"])
         self.context.endpoint_list.end()
 
     async def silent(self, fault: Fault) -> None:
-        """No answer and no reset; then the process comes back cold."""
-        plans = await self._strike(fault, EndpointCommand.SILENT, True, False)
+        """Let endpoints neither answer nor reset connections, then restart them cold."""
+        plans = await self._apply_for_duration(fault, EndpointCommand.SILENT, True, False)
         await self.context.standins.command_endpoints(plans, EndpointCommand.START)
         self._list_as_started(plans)
-        self._release_endpoints(plans)
+        self._mark_unaffected(plans)
 
     async def hung(self, fault: Fault) -> None:
-        """Connections are accepted and never answered."""
-        self._release_endpoints(await self._strike(fault, EndpointCommand.HUNG, True, False))
+        """Let endpoints accept connections but never answer."""
+        self._mark_unaffected(
+            await self._apply_for_duration(fault, EndpointCommand.HUNG, True, False)
+        )
 
     async def quick_errors(self, fault: Fault) -> None:
-        """Some requests fail at once."""
-        plans = await self._strike(fault, EndpointCommand.ERRORS, fault["errors"], 0.0)
-        self._release_endpoints(plans)
+        """Let endpoints answer some requests with an error at once."""
+        plans = await self._apply_for_duration(fault, EndpointCommand.ERRORS, fault["errors"], 0.0)
+        self._mark_unaffected(plans)
 
     async def neighbour(self, fault: Fault) -> None:
-        """Other work on the machine takes some of the cores."""
-        plans = await self._strike(fault, EndpointCommand.STOLEN, fault["stolen"], 0.0)
-        self._release_endpoints(plans)
+        """Take some of the endpoints' CPU capacity, like other work on the same machine."""
+        plans = await self._apply_for_duration(fault, EndpointCommand.STOLEN, fault["stolen"], 0.0)
+        self._mark_unaffected(plans)
 
     async def lost_answers(self, fault: Fault) -> None:
-        """Requests are served and some answers never arrive."""
-        plans = await self._strike(fault, EndpointCommand.LOST, fault["lost"], 0.0)
-        self._release_endpoints(plans)
+        """Let endpoints process requests but lose some of the answers."""
+        plans = await self._apply_for_duration(fault, EndpointCommand.LOST, fault["lost"], 0.0)
+        self._mark_unaffected(plans)
 
     async def pauses(self, fault: Fault) -> None:
-        """The process stands still for a moment, again and again."""
+        """Pause endpoints repeatedly."""
         plans = self._choose_endpoints(fault)
         end = self.context.now() + fault["length"]
         while self.context.now() < end:
@@ -82,31 +84,31 @@
                 plans, EndpointCommand.PAUSE, fault["pause"]
             )
             await asyncio.sleep(fault["every"])
-        self._release_endpoints(plans)
+        self._mark_unaffected(plans)
 
     async def pod_restart(self, fault: Fault) -> None:
-        """All processes of a pod end at once and come back cold; the list never drops them."""
+        """Restart all endpoints of some pods at once, cold; they stay in the endpoint list."""
         fleet = self.context.fleet
-        pods = sorted({plan["pod"] for plan in fleet.hosts})
+        pods = sorted({plan["pod"] for plan in fleet.endpoints})
         chosen = set(self.context.rng.sample(pods, min(fault["pods"], len(pods))))
         plans = [
             plan
-            for plan in fleet.hosts
+            for plan in fleet.endpoints
             if plan["pod"] in chosen and plan["name"] not in self._affected
         ]
         await self.context.standins.command_endpoints(plans, EndpointCommand.STOP)
         await asyncio.sleep(POD_DOWNTIME)
         for plan in plans:
             await self.context.standins.restart_endpoint(plan)
-        await asyncio.sleep(LISTED_AFTER)
+        await asyncio.sleep(START_LISTING_DELAY)
         self._list_as_started(plans)
 
     async def release(self, fault: Fault) -> None:
-        """A rolling release: each endpoint drains, stops and has a cold successor."""
+        """Play a rolling release: each endpoint drains, stops and is replaced by a cold one."""
         plans = self._choose_endpoints(fault)
         running: set[asyncio.Task[None]] = set()
         interval = fault["length"] / max(1, len(plans))
-        at_once = max(1, round(len(self.context.fleet.hosts) * fault["at_once"]))
+        at_once = max(1, round(len(self.context.fleet.endpoints) * fault["at_once"]))
         for plan in plans:
             while len(running) >= at_once:
                 await asyncio.wait(running, return_when=asyncio.FIRST_COMPLETED)
@@ -118,10 +120,13 @@
             await asyncio.wait(running)
 
     async def _replace(self, plan: Plan, drain: float) -> None:
-        """Drain for so many seconds and stop; the successor has another name and address."""
+        """Drain an endpoint for `drain` seconds, stop it and start its successor.
+
+        The successor has another name and address.
+        """
         standins = self.context.standins
         await standins.command_endpoints([plan], EndpointCommand.DRAINING)
-        await asyncio.sleep(DRAIN_LISTED_AFTER)
+        await asyncio.sleep(DRAIN_LISTING_DELAY)
         self._list(plan, "draining", 0.0)
         await standins.command_endpoints([plan], EndpointCommand.DRAIN)
         await asyncio.sleep(drain)
@@ -131,13 +136,16 @@
         await self.add_endpoint(successor)
         self.context.fleet.replace(plan, successor)
         started = self.context.now()
-        await asyncio.sleep(LISTED_AFTER)
+        await asyncio.sleep(START_LISTING_DELAY)
         self._list(successor, "ready", started)
 
-    async def _strike(
+    async def _apply_for_duration(
         self, fault: Fault, command: EndpointCommand, value: Any, after: Any
     ) -> list[Plan]:
-        """Set a value at chosen endpoints for the fault's length, then another; returns whose."""
+        """Choose endpoints, set `value` for the fault's length and then `after`.
+
+        Returns the plans of the chosen endpoints, which stay marked as affected.
+        """
         plans = self._choose_endpoints(fault)
         await self.context.standins.command_endpoints(plans, command, value)
         await asyncio.sleep(fault["length"])
@@ -145,21 +153,21 @@
         return plans
 
     def _choose_endpoints(self, fault: Fault) -> list[Plan]:
-        """Draw among the endpoints that run and have no fault yet."""
+        """Choose random endpoints without a fault and mark them as affected."""
         in_zone = [
             plan
-            for plan in self.context.fleet.hosts
+            for plan in self.context.fleet.endpoints
             if not fault["zone"] or plan["zone"] == fault["zone"]
         ]
         count = max(1, round(len(in_zone) * fault["part"]))
-        free = [plan for plan in in_zone if plan["name"] not in self._affected]
-        chosen = self.context.rng.sample(free, min(count, len(free)))
+        unaffected = [plan for plan in in_zone if plan["name"] not in self._affected]
+        chosen = self.context.rng.sample(unaffected, min(count, len(unaffected)))
         self._affected.update(plan["name"] for plan in chosen)
         self.context.record_fault(fault, chosen)
         return chosen
 
-    def _release_endpoints(self, plans: list[Plan]) -> None:
-        """Other faults may strike these again."""
+    def _mark_unaffected(self, plans: list[Plan]) -> None:
+        """Let other faults affect these endpoints again."""
         self._affected.difference_update(plan["name"] for plan in plans)
 
     def _list(self, plan: Plan, phase: str, started: float) -> None:
--- a/peatlead/scenario/endpoint_list_file.py
+++ b/peatlead/scenario/endpoint_list_file.py
@@ -1,7 +1,7 @@
 """The endpoint list of a day: a JSON file that lags behind the fleet and can be made wrong.
 
-Keys of the file are the format that `peatlead.sources` reads; keys of fault maps are the fields of
-the day script's verbs.
+The file has the format that `peatlead.sources` reads. Parameters of list faults are the fields of
+their builtins in day scripts.
 """
 
 import os
@@ -12,53 +12,53 @@
 
 import msgspec
 
-OLD_VERSIONS = 5  # how many versions `list_old` goes back
-GHOST_WEIGHT = 4.0
+VERSIONS_BACK = 5  # how much older the version number of an outdated list is
+GHOST_WEIGHT = 4.0  # weight of a listed endpoint that does not exist
 
 Entry = dict[str, Any]  # an endpoint in the file
 
 
 class RowRecorder(Protocol):
-    """What keeps the rows of `peatlead.invariants.record.ROWS`."""
+    """Records rows of the kinds in `peatlead.invariants.record.ROWS`."""
 
     def row(self, kind: str, at: float, *fields: Any) -> None:
-        """Keep one row."""
+        """Record a row."""
 
     def close(self) -> None:
-        """Complete the recording."""
+        """Close the recording."""
 
 
 class Contents(NamedTuple):
-    """What one version of the file says."""
+    """The contents of one version of the file."""
 
     endpoints: list[Entry]
     version: int
 
 
 class ListFault(NamedTuple):
-    """How a file is wrong: its contents in place of the right ones, and whether it is cut short."""
+    """A fault of the file: replaces its contents and may truncate the written data."""
 
     apply: Callable[[Contents], Contents]
-    torn: bool = False
+    truncated: bool = False
 
 
 class EndpointListFile:
-    """The known endpoints, and the file that lists them, with a fault or without.
+    """The known endpoints, and the file that lists them.
 
-    Each write is recorded as a row `list`, which says whether the file was right: the checker
-    holds nobody to a wrong list.
+    Each write is recorded as a row `list`, which contains whether the file was correct. The checker
+    does not require controllers to follow an incorrect list.
     """
 
     def __init__(self, path: Path, now: Callable[[], float], record: RowRecorder) -> None:
         self.path = Path(path)
-        self.now = now  # the day's clock, in seconds
+        self.now = now  # returns the time in seconds
         self.record = record
         self.endpoints: dict[str, Entry] = {}  # by name
         self.version = 0
         self.fault: ListFault | None = None
 
     def put(self, plan: dict[str, Any], phase: str, started: float) -> None:
-        """Set the entry of an endpoint; the file has it from the next `write`."""
+        """Set the entry of an endpoint, which the next `write` writes to the file."""
         self.endpoints[plan["name"]] = {
             "name": plan["name"],
             "address": plan["address"],
@@ -91,7 +91,7 @@
             "hosts": contents.endpoints,
         }
         data = msgspec.json.encode(document)
-        if self.fault is not None and self.fault.torn:
+        if self.fault is not None and self.fault.truncated:
             self.path.write_bytes(data[: len(data) * 2 // 3])
             return
         temporary = self.path.with_name(self.path.name + ".new")
@@ -99,12 +99,12 @@
         os.replace(temporary, self.path)
 
     def begin(self, verb: str, parameters: dict[str, Any], rng: Random) -> None:
-        """Make the file wrong until `end`. `verb` is one of those that start with `list_`."""
+        """Make the file wrong until `end`; `verb` is a builtin whose name starts with `list_`."""
         match verb:
             case "list_empty":
                 self.fault = ListFault(lambda contents: Contents([], contents.version))
             case "list_torn":
-                self.fault = ListFault(lambda contents: contents, torn=True)
+                self.fault = ListFault(lambda contents: contents, truncated=True)
             case "list_old":
                 self.fault = self._outdated()
             case "list_shrunk":
@@ -114,18 +114,18 @@
         self.write()
 
     def end(self) -> None:
-        """Make the file right again."""
+        """End the fault and write the correct contents."""
         self.fault = None
         self.write()
 
     def _outdated(self) -> ListFault:
-        """All endpoints as ready, under an older version."""
+        """Return a fault that lists all current endpoints as ready, with an older version."""
         ready = [dict(entry, phase="ready") for entry in self.endpoints.values()]
-        old = Contents(ready, max(0, self.version - OLD_VERSIONS))
+        old = Contents(ready, max(0, self.version - VERSIONS_BACK))
         return ListFault(lambda contents: old)
 
     def _incomplete(self, fraction: float, rng: Random) -> ListFault:
-        """Without some of the endpoints that are known now."""
+        """Return a fault that omits a random fraction of the current endpoints."""
         missing = {name for name in sorted(self.endpoints) if rng.random() < fraction}
 
         def apply(contents: Contents) -> Contents:
@@ -135,7 +135,7 @@
         return ListFault(apply)
 
     def _with_ghosts(self, count: int) -> ListFault:
-        """With endpoints that do not exist."""
+        """Return a fault that adds endpoints that do not exist."""
         zones = sorted({entry["zone"] for entry in self.endpoints.values()})
         ghosts = [
             {
--- a/peatlead/scenario/fleet.py
+++ b/peatlead/scenario/fleet.py
@@ -1,7 +1,8 @@
-"""The fleet of a day, out of its script and its seed: endpoints, controllers, clients and proxies.
+"""The fleet of a day, planned from its script and seed: endpoints, controllers, clients, proxies.
 
-Plans are the maps that stand-ins are sent, under the names that they read. Draws no numbers but for
-the rates of client networks and proxies, in this order.
+A plan is the map that a stand-in is configured with; its keys are part of the stand-ins' command
+format. The only random values are the request rates, drawn first for client networks and then for
+proxies.
 """
 
 from math import exp, fsum
@@ -12,42 +13,44 @@
 ENDPOINT_NETWORK = "127.10"
 RESOLVER_NETWORK = "127.20"
 CONTROLLER_NETWORK = "127.1.0"
-LEAST_RATE = 0.05  # requests a second
-CLIENTS = (2, 40)  # of a network, at least and at most
-GRPC_PORT_OFFSET = 2  # from a controller's DNS port; its control socket has the port between
-CLASS_FIELDS = ("name", "share", "response_target", "client_timeout", "gain", "repeat")
+MIN_RATE = 0.05  # requests per second
+CLIENT_COUNT_RANGE = (2, 40)  # minimum and maximum per network
+GRPC_PORT_OFFSET = 2  # from a controller's DNS port; the port between is its control socket
+REQUEST_CLASS_FIELDS = ("name", "share", "response_target", "client_timeout", "gain", "repeat")
 
 Plan = dict[str, Any]
 
 
 class Fleet:
-    """All that a day begins with."""
+    """The plans and addresses of everything that exists when a day begins."""
 
     def __init__(self, scenario: dict[str, Any], port: int) -> None:
         self.scenario = scenario
-        self.port = port  # of endpoints and of the controllers' DNS
+        self.port = port  # of all endpoints and of the controllers' DNS
         self.zones: list[str] = scenario["fleet"]["zones"]
         self._rng = Random(scenario["day"]["seed"])
         self._endpoints_planned = 0
-        self.hosts = [self._plan_first(number) for number in range(scenario["fleet"]["hosts"])]
-        self.stewards = [  # the controllers' DNS addresses
+        self.endpoints = [
+            self._plan_initial_endpoint(number) for number in range(scenario["fleet"]["hosts"])
+        ]
+        self.controller_addresses = [  # for DNS
             (f"{CONTROLLER_NETWORK}.{number + 1}", port)
             for number in range(scenario["day"]["stewards"])
         ]
         self.resolvers: list[Plan] = []
-        self.desks = self._plan_client_networks()
-        self.agents = self._plan_proxies()
+        self.client_networks = self._plan_client_networks()
+        self.proxies = self._plan_proxies()
 
     def plan_successor(self, plan: Plan) -> Plan:
-        """The plan of the cold endpoint that takes another's place."""
+        """Return the plan of the cold endpoint that replaces another."""
         return self._plan_endpoint(plan["zone"], plan["pod"], plan["cores"], cold=True)
 
     def replace(self, plan: Plan, successor: Plan) -> None:
-        """Take an endpoint out and its successor in."""
-        self.hosts = [other for other in self.hosts if other is not plan] + [successor]
+        """Remove an endpoint from the fleet and add its successor."""
+        self.endpoints = [other for other in self.endpoints if other is not plan] + [successor]
 
-    def _plan_first(self, number: int) -> Plan:
-        """The plan of an endpoint that runs from the start."""
+    def _plan_initial_endpoint(self, number: int) -> Plan:
+        """Return the plan of an endpoint that runs from the start."""
         fleet = self.scenario["fleet"]
         zone = self.zones[number % len(self.zones)]
         pod = number // fleet["pod"]
@@ -87,21 +90,21 @@
         return plans
 
     def _network_rates(self) -> list[float]:
-        """Requests a second of each client network."""
+        """Return the requests per second of each client network."""
         networks = self.scenario["desks"]
-        parts = self._draw_parts(networks["views"], networks["uneven"])
+        shares = self._draw_shares(networks["views"], networks["uneven"])
         if networks["biggest"]:
-            rest = fsum(parts[1:]) or 1.0
-            parts[0] = rest * networks["biggest"] / max(1e-6, 1 - networks["biggest"])
-        return _rates(networks["rate"], parts)
+            other_shares = fsum(shares[1:]) or 1.0
+            shares[0] = other_shares * networks["biggest"] / max(1e-6, 1 - networks["biggest"])
+        return _rates(networks["rate"], shares)
 
-    def _draw_parts(self, count: int, spread: float) -> list[float]:
-        """Log-normal shares of the whole rate."""
+    def _draw_shares(self, count: int, spread: float) -> list[float]:
+        """Return log-normally distributed shares of a total rate; their sum is not 1."""
         return [exp(self._rng.gauss(0.0, spread)) for _ in range(count)]
 
     def _plan_client_network(self, number: int, rate: float, resolver: str, shared: bool) -> Plan:
         networks = self.scenario["desks"]
-        fewest, most = CLIENTS
+        min_clients, max_clients = CLIENT_COUNT_RANGE
         return {
             "view": f"desk{number}",
             "network": f"127.{30 + number // 256}.{number % 256}.0",
@@ -109,7 +112,7 @@
             "name": f"api.{DOMAIN}",
             "port": self.port,
             "rate": rate,
-            "clients": max(fewest, min(most, int(rate))),
+            "clients": max(min_clients, min(max_clients, int(rate))),
             "habits": networks["habits"],
             "kinds": self._request_classes(),
             "retries": networks["retries"],
@@ -117,28 +120,28 @@
         }
 
     def _add_resolver(self, name: str, number: int, shared: bool) -> None:
-        """Plan the resolver of a client network; a shared one is planned with its first."""
+        """Plan the resolver of a client network, unless another network's plan included it."""
         if any(resolver["name"] == name for resolver in self.resolvers):
             return
         if shared:
             address = f"{RESOLVER_NETWORK}.1.{number // 2 % 250 + 1}"
         else:
             address = f"{RESOLVER_NETWORK}.{2 + number // 250}.{number % 250 + 1}"
-        kinds = self.scenario["desks"]["resolvers"]
+        resolver_kinds = self.scenario["desks"]["resolvers"]
         self.resolvers.append(
             {
                 "do": "resolver",
                 "name": name,
-                "kind": kinds[number % len(kinds)],
+                "kind": resolver_kinds[number % len(resolver_kinds)],
                 "rotates": number % 2 == 0,
                 "address": address,
-                "servers": [list(controller) for controller in self.stewards],
+                "servers": [list(controller) for controller in self.controller_addresses],
             }
         )
 
     def _plan_proxies(self) -> list[Plan]:
         proxies = self.scenario["agents"]
-        rates = _rates(proxies["rate"], self._draw_parts(proxies["many"], proxies["uneven"]))
+        rates = _rates(proxies["rate"], self._draw_shares(proxies["many"], proxies["uneven"]))
         return [self._plan_proxy(number, rate) for number, rate in enumerate(rates)]
 
     def _plan_proxy(self, number: int, rate: float) -> Plan:
@@ -149,7 +152,9 @@
             "port": self.port,
             "local": f"127.{60 + number // 250}.{number % 250}.1",
             "rate": rate,
-            "controllers": [[address, port + GRPC_PORT_OFFSET] for address, port in self.stewards],
+            "controllers": [
+                [address, port + GRPC_PORT_OFFSET] for address, port in self.controller_addresses
+            ],
             "kinds": self._request_classes(),
             "pick": proxies["pick"],
             "fails_to_shun": proxies["fails_to_shun"],
@@ -157,8 +162,11 @@
         }
 
     def _request_classes(self) -> list[Plan]:
-        return [{name: kind[name] for name in CLASS_FIELDS} for kind in self.scenario["kinds"]]
+        return [
+            {name: kind[name] for name in REQUEST_CLASS_FIELDS} for kind in self.scenario["kinds"]
+        ]
 
 
-def _rates(total: float, parts: list[float]) -> list[float]:
-    return [max(LEAST_RATE, total * part / fsum(parts)) for part in parts]
+def _rates(total: float, shares: list[float]) -> list[float]:
+    """Distribute a total rate by shares; each rate is at least MIN_RATE."""
+    return [max(MIN_RATE, total * share / fsum(shares)) for share in shares]
--- a/peatlead/scenario/kinds.py
+++ b/peatlead/scenario/kinds.py
@@ -1,6 +1,6 @@
-"""Plays each kind of fault alone, beside the baseline planner.
+"""Plays each kind of fault in a day of its own, under the planner and the baseline planner.
 
-The table of docs/results/kinds.md comes from here.
+Generates the table in docs/results/kinds.md.
 """
 
 import asyncio
@@ -14,14 +14,14 @@
 from .script import load_day
 
 PLANNERS = ("shards", "plain")
-BASELINE_ADDRESSES = 32  # in an answer: all endpoints
-LENGTH = 30  # seconds
-BASE_SCRIPT = f"day(length = {LENGTH}, seed = 3)\n"
-MIXED = (
+BASELINE_ADDRESSES = 32  # per answer: more than the days have endpoints
+DAY_LENGTH = 30  # seconds
+BASE_SCRIPT = f"day(length = {DAY_LENGTH}, seed = 3)\n"
+MIXED_CLIENTS = (
     'resolvers = ["keeps", "twice", "tenfold", "least", "stale"], '
     'habits = ["first", "any", "same", "sorted", "holds"]'
 )
-CASES = {  # day scripts by the name of their case
+CASES = {  # day scripts by case name
     "quiet": "",
     "silent": "silent(at = 5, length = 15, part = 0.1)",
     "hung, deep probes": "hung(at = 5, length = 15, part = 0.1)",
@@ -47,7 +47,7 @@
     "heavy tail": "heavy_tail(at = 5, length = 15)",
     "lost answers": "lost_answers(at = 5, length = 15, part = 0.2, lost = 0.3)",
     "neighbours": "neighbour(at = 5, length = 15, part = 0.4, stolen = 0.5)",
-    "caches past the lifetime": f"desks({MIXED})\nrelease(at = 4, length = 18, part = 0.6)",
+    "caches past the lifetime": f"desks({MIXED_CLIENTS})\nrelease(at = 4, length = 18, part = 0.6)",
     "half behind one resolver, fleet returns": (
         "desks(biggest = 0.5, rate = 200)\nrelease(at = 3, length = 20, part = 0.9)"
     ),
@@ -63,9 +63,10 @@
 async def play_cases(
     folder: Path, only: str | None, at_once: int, echo: Callable[[str], None]
 ) -> bool:
-    """Play all cases or one, and write the table into the folder.
+    """Play all cases, or the case `only`, and write the table into the folder.
 
-    True where no case broke a rule under our planner. Raises KeyError for an unknown case.
+    Returns True if no case broke a rule under the planner "shards". At most `at_once` days run at
+    the same time. Raises KeyError for an unknown case.
     """
     cases = {only: CASES[only]} if only else CASES
     slots = asyncio.Semaphore(at_once)
@@ -87,19 +88,19 @@
 
 
 async def _play(name: str, planner: str, folder: Path, slots: asyncio.Semaphore) -> Report:
-    """Play one case under one planner and keep its report."""
+    """Play a case under a planner, and store and return its report."""
     scenario = load_day(name, BASE_SCRIPT + CASES[name])
     if planner == "plain":
         scenario["steering"]["addresses"] = BASELINE_ADDRESSES
-    place = folder / name.replace(" ", "-").replace(",", "") / planner
+    case_folder = folder / name.replace(" ", "-").replace(",", "") / planner
     async with slots:
-        report = await Day(scenario, place, planner).play()
-    (place / "report.json").write_text(json.dumps(as_data(report), indent=1))
+        report = await Day(scenario, case_folder, planner).play()
+    (case_folder / "report.json").write_text(json.dumps(as_data(report), indent=1))
     return report
 
 
 def as_table(cases: Iterable[str], reports: Reports) -> str:
-    """The reports as a Markdown table, a case a row."""
+    """Return the reports as a Markdown table with one row per case."""
     lines = [
         "| trouble | service | plain | not served | plain | rules: nearest 1 to 5 | plain breaks |",
         "| --- | --- | --- | --- | --- | --- | --- |",
@@ -108,14 +109,14 @@
     return "\n".join(lines) + "\n"
 
 
-def _table_row(name: str, ours: Report, plain: Report) -> str:
+def _table_row(name: str, planned: Report, baseline: Report) -> str:
     nearest = ", ".join(
-        f"{finding.nearest:.2f}" + "!" * bool(finding.breaches) for finding in ours.findings
+        f"{finding.nearest:.2f}" + "!" * bool(finding.breaches) for finding in planned.findings
     )
-    broken = [finding.rule[0] for finding in plain.findings if finding.breaches]
+    broken_rules = [finding.rule[0] for finding in baseline.findings if finding.breaches]
     return (
-        f"| {name} | {_service(ours)} | {_service(plain)} | {_not_served(ours)} "
-        f"| {_not_served(plain)} | {nearest} | {', '.join(broken) or 'none'} |"
+        f"| {name} | {_service(planned)} | {_service(baseline)} | {_not_served(planned)} "
+        f"| {_not_served(baseline)} | {nearest} | {', '.join(broken_rules) or 'none'} |"
     )
 
 
--- a/peatlead/scenario/plain.py
+++ b/peatlead/scenario/plain.py
@@ -1,4 +1,4 @@
-"""The baseline planner: every listed endpoint in every answer, without health checks or shards."""
+"""The baseline planner: all ready endpoints in every answer, without health checks or shards."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -14,21 +14,21 @@
     TimerFired,
 )
 
-TABLE = 0  # the only one
-TICK_TIMER = 0
-TICK = 0.1  # seconds
+TABLE = 0  # the number of the only table
+TICK_TIMER = 0  # timer number
+TICK_INTERVAL = 0.1  # seconds
 
 
 class PlainPlanner:
-    """A planner that gives all ready endpoints to all proxies, at their listed weights, at once."""
+    """Assigns all ready endpoints to all proxies, with their listed weights and without delay."""
 
     def __init__(self, settings: dict[str, Any], seed: int) -> None:
         self.request_classes = tuple(range(len(settings["req_kinds"])))
-        self.weights: dict[int, float] = {}  # by endpoint, as the table has them
-        self.started = False  # whether the first batch has set the timer
+        self.weights: dict[int, float] = {}  # in the table, by endpoint
+        self.started = False  # whether the timer was set
 
     def decide(self, now: float, events: Iterable[Event]) -> list[Command]:
-        """The commands that follow from a batch of events."""
+        """Return the commands that follow from a batch of events."""
         commands: list[Command] = []
         for event in events:
             if type(event) is EndpointUpdate and event.scope != "unavailable":
@@ -36,14 +36,14 @@
             elif type(event) is ProxyConnected:
                 commands.append(AssignTable(event.proxy, TABLE, self.request_classes))
             elif type(event) is TimerFired:
-                commands.append(SetTimer(TICK_TIMER, TICK))
+                commands.append(SetTimer(TICK_TIMER, TICK_INTERVAL))
         if not self.started:
             self.started = True
-            commands.append(SetTimer(TICK_TIMER, TICK))
+            commands.append(SetTimer(TICK_TIMER, TICK_INTERVAL))
         return commands
 
     def _update_table(self, update: EndpointUpdate) -> list[Command]:
-        """The entries that differ between the table and the endpoint list."""
+        """Return commands that make the table equal to the endpoint list."""
         listed = {
             endpoint.id: endpoint.weight
             for endpoint in update.endpoints
--- a/peatlead/scenario/processes.py
+++ b/peatlead/scenario/processes.py
@@ -1,4 +1,4 @@
-"""The processes of a day: stand-ins and controllers, each with a log file of its own."""
+"""Starts and stops the processes of a day: stand-ins and controllers, each with a log file."""
 
 import signal
 import subprocess
@@ -8,20 +8,20 @@
 from pathlib import Path
 from typing import Any, Protocol
 
-STOP_DEADLINE = 5.0  # seconds until a process that was asked to end is killed
+STOP_TIMEOUT = 5.0  # seconds from SIGTERM until SIGKILL
 
 Address = tuple[str, int]
 
 
 class StandIn(StrEnum):
-    """Kinds of stand-in process, as `peatlead.standin.process` calls them."""
+    """Kinds of stand-in process; the values are arguments of `peatlead.standin.process`."""
 
     ENDPOINTS = "hosts"
     DNS_CLIENTS = "desks"
     PROXIES = "agents"
 
 
-STANDIN_NETWORKS: dict[str, int] = {  # third part of 127.2.x.y; seeds differ by it too
+STANDIN_NETWORKS: dict[str, int] = {  # x in addresses 127.2.x.y; also part of the seeds
     StandIn.ENDPOINTS: 1,
     StandIn.DNS_CLIENTS: 2,
     StandIn.PROXIES: 3,
@@ -29,32 +29,32 @@
 
 
 class ChildProcess(Protocol):
-    """What a day needs of `subprocess.Popen`."""
+    """The part of the interface of `subprocess.Popen` that a day uses."""
 
     @property
     def args(self) -> Any:
-        """The command line."""
+        """Return the command line."""
 
     def poll(self) -> int | None:
-        """The exit code of a process that has ended."""
+        """Return the exit code, None while the process runs."""
 
     def wait(self, timeout: float | None = None) -> int:
-        """Wait for the end. Raises subprocess.TimeoutExpired."""
+        """Wait for the end of the process. Raises subprocess.TimeoutExpired."""
 
     def send_signal(self, sig: int, /) -> None:
         """Send a signal."""
 
     def terminate(self) -> None:
-        """Ask the process to end."""
+        """Send SIGTERM."""
 
     def kill(self) -> None:
-        """End the process."""
+        """Send SIGKILL."""
 
 
 def start_standin(
     kind: str, address: Address, seed: int, folder: Path, name: str
 ) -> "subprocess.Popen[bytes]":
-    """Start a stand-in that takes commands at an address; its recording goes into the folder."""
+    """Start a stand-in that receives commands at an address and records into the folder."""
     command = [
         sys.executable,
         "-m",
@@ -70,7 +70,7 @@
 
 
 def start_controller(folder: Path, name: str, planner: str) -> "subprocess.Popen[bytes]":
-    """Start a controller with the settings and the state in the folder."""
+    """Start a controller whose settings and state are in the folder."""
     command = [
         sys.executable,
         "-m",
@@ -89,7 +89,7 @@
 
 
 def stop_all(children: Iterable[ChildProcess], controllers: Iterable[ChildProcess]) -> None:
-    """End all processes; a controller may be frozen."""
+    """End all processes, after resuming controllers, which may be frozen."""
     controllers = list(controllers)
     for controller in controllers:
         controller.send_signal(signal.SIGCONT)
@@ -98,7 +98,7 @@
         process.terminate()
     for process in processes:
         try:
-            process.wait(STOP_DEADLINE)
+            process.wait(STOP_TIMEOUT)
         except subprocess.TimeoutExpired:
             process.kill()
             process.wait()
--- a/peatlead/scenario/script.py
+++ b/peatlead/scenario/script.py
@@ -1,7 +1,8 @@
-"""Loads day scripts: Starlark whose builtins lay out a fleet, its traffic and its faults.
+"""Loads day scripts: Starlark scripts whose builtins define a fleet, its traffic and its faults.
 
-A day is a map: the values of each builtin of `ONCE` under its name, "kinds" with the request
-classes, and "troubles" with the faults in order of their time, each with its builtin as "verb".
+A scenario is a map: the values of each builtin of `SETUP_BUILTINS` under its name, "kinds" with the
+request classes, and "troubles" with the faults in order of their start. A fault has the name of its
+builtin as "verb".
 """
 
 from pathlib import Path
@@ -10,15 +11,21 @@
 from ..settings.consistency import require_unique
 from ..settings.errors import SettingsError
 from ..settings.starlark_runner import Call, run_script
-from .script_schema import DEFAULT_KINDS, KIND, KINDS, ONCE, VERBS
+from .script_schema import (
+    DEFAULT_REQUEST_CLASSES,
+    FAULT_BUILTINS,
+    REQUEST_CLASS_FIELDS,
+    RESOLVER_KINDS,
+    SETUP_BUILTINS,
+)
 
-__all__ = ["KINDS", "ONCE", "VERBS", "load_day", "read_day"]
+__all__ = ["RESOLVER_KINDS", "SETUP_BUILTINS", "FAULT_BUILTINS", "load_day", "read_day"]
 
 Scenario = dict[str, Any]
 
 
 def read_day(path: str | Path) -> Scenario:
-    """The checked day of a script file. Raises SettingsError where the script is wrong."""
+    """Read and check a script file. Raises SettingsError if the file or the script is invalid."""
     try:
         source = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -27,14 +34,16 @@
 
 
 def load_day(name: str, source: str) -> Scenario:
-    """The checked day of a script's text; `name` stands in errors, which are SettingsErrors."""
-    calls = run_script(name, source, {**ONCE, **VERBS, "request_kind": KIND})
-    scenario: Scenario = {builtin: _single_call(name, calls, builtin) for builtin in ONCE}
+    """Load and check the text of a script; `name` appears in errors. Raises SettingsError."""
+    calls = run_script(
+        name, source, {**SETUP_BUILTINS, **FAULT_BUILTINS, "request_kind": REQUEST_CLASS_FIELDS}
+    )
+    scenario: Scenario = {builtin: _single_call(name, calls, builtin) for builtin in SETUP_BUILTINS}
     scenario["kinds"] = [
         call.values for call in calls if call.builtin == "request_kind"
-    ] or DEFAULT_KINDS
+    ] or DEFAULT_REQUEST_CLASSES
     scenario["troubles"] = sorted(
-        ({"verb": call.builtin, **call.values} for call in calls if call.builtin in VERBS),
+        ({"verb": call.builtin, **call.values} for call in calls if call.builtin in FAULT_BUILTINS),
         key=lambda fault: fault["at"],
     )
     try:
@@ -45,17 +54,17 @@
 
 
 def _single_call(name: str, calls: list[Call], builtin: str) -> dict[str, Any]:
-    """The values of the only call of a builtin, or its defaults."""
+    """Return the values of the only call of a builtin, or its defaults if there is none."""
     values = [call.values for call in calls if call.builtin == builtin]
     if len(values) > 1:
         raise SettingsError(f"{name}:1: expected one call of {builtin}(), got {len(values)}")
     if values:
         return values[0]
-    return {field: spec.default for field, spec in ONCE[builtin].items()}
+    return {field: spec.default for field, spec in SETUP_BUILTINS[builtin].items()}
 
 
 def _check(scenario: Scenario) -> None:
-    """Raise ValueError where values of different calls do not fit together."""
+    """Raise ValueError if values of different calls contradict each other."""
     require_unique(scenario["fleet"]["zones"], "zone")
     require_unique([kind["name"] for kind in scenario["kinds"]], "request kind")
     for fault in scenario["troubles"]:
--- a/peatlead/scenario/script_schema.py
+++ b/peatlead/scenario/script_schema.py
@@ -1,7 +1,8 @@
-"""The builtins of day scripts: what each takes, its defaults and its meaning.
+"""The builtins of day scripts and their fields, with checks, defaults and descriptions.
 
-Builtins and fields are the language of the scripts and keep their words: a host is an endpoint, a
-desk a network of DNS clients, an agent a proxy, a steward a controller, a req a request.
+The names of builtins and fields are a format and differ from the terms of the code: a host is an
+endpoint, a desk is a network of DNS clients, an agent is a proxy, a steward is a controller, and a
+kind of request is a request class.
 """
 
 from ..settings.checks import (
@@ -16,189 +17,225 @@
 )
 from ..settings.fields import Field, Schema
 
-# Kinds of stand-in resolver.
-KINDS = ("keeps", "twice", "tenfold", "least", "stale")
-AT = Field(seconds, 0.0, "seconds into the day")
-LENGTH = Field(positive_seconds, 10.0, "seconds that it lasts")
-PART = Field(fraction, 0.1, "part of the hosts")
-# Which endpoints a fault strikes, and when.
-PICK = {
-    "at": AT,
-    "length": LENGTH,
-    "part": PART,
-    "zone": Field(text, "", "only hosts there; none: anywhere"),
+# Kinds of stand-in resolvers; see peatlead.standin for their caching behaviour.
+RESOLVER_KINDS = ("keeps", "twice", "tenfold", "least", "stale")
+START_TIME = Field(seconds, 0.0, "seconds from the start of the day")
+DURATION = Field(positive_seconds, 10.0, "duration in seconds")
+ENDPOINT_FRACTION = Field(fraction, 0.1, "fraction of the endpoints")
+# The fields of faults of endpoints: when a fault occurs and which endpoints it affects.
+ENDPOINT_FAULT_FIELDS = {
+    "at": START_TIME,
+    "length": DURATION,
+    "part": ENDPOINT_FRACTION,
+    "zone": Field(text, "", "only endpoints of this zone; empty: of all zones"),
 }
 
-# Builtins that a script calls once at most.
-ONCE: Schema = {
+# Builtins that a script calls at most once.
+SETUP_BUILTINS: Schema = {
     "day": {
-        "length": Field(positive_seconds, 60.0, "seconds of reqs"),
-        "seed": Field(number(0, whole=True), 1, "of all chance"),
-        "stewards": Field(number(1, 9, True), 2, "how many"),
+        "length": Field(positive_seconds, 60.0, "seconds during which requests are sent"),
+        "seed": Field(number(0, whole=True), 1, "seed of all random numbers"),
+        "stewards": Field(number(1, 9, True), 2, "number of controllers"),
     },
     "fleet": {
-        "zones": Field(list_of(text, 1), ["bangna", "silom", "rama"], "halls"),
-        "hosts": Field(number(1, 2000, True), 24, "running at the start"),
-        "pod": Field(number(1, 100, True), 4, "hosts a pod"),
+        "zones": Field(list_of(text, 1), ["bangna", "silom", "rama"], "names of the zones"),
+        "hosts": Field(number(1, 2000, True), 24, "number of endpoints at the start"),
+        "pod": Field(number(1, 100, True), 4, "endpoints per pod"),
         "cores": Field(
-            list_of(number(1, 64, True), 1), [2, 4], "of hosts in turn; the list weighs them by it"
+            list_of(number(1, 64, True), 1),
+            [2, 4],
+            "cores of the endpoints, in turn; also their listed weights",
         ),
         "cold_share": Field(
-            number(0.01, 1.0), 0.25, "part of its capacity that a started host has"
+            number(0.01, 1.0), 0.25, "fraction of its capacity that an endpoint has after its start"
+        ),
+        "warm_after": Field(
+            positive_seconds,
+            12.0,
+            "seconds from an endpoint's start until it has all of its capacity",
+        ),
+        "tip_multiple": Field(
+            number(1.0), 3.0, "multiple of its capacity above which load makes a cold endpoint fail"
+        ),
+        "tip_span": Field(
+            positive_seconds, 1.5, "seconds of such load that make a cold endpoint fail"
+        ),
+        "deep_probes": Field(flag, True, "health checks are queued and processed like requests"),
+        "connections": Field(
+            number(1, 100000, True), 400, "maximum number of connections of an endpoint"
         ),
-        "warm_after": Field(positive_seconds, 12.0, "seconds until it has all"),
-        "tip_multiple": Field(number(1.0), 3.0, "of its capacity pushes a cold host over"),
-        "tip_span": Field(positive_seconds, 1.5, "... within this"),
-        "deep_probes": Field(flag, True, "a probe waits and is served like a req"),
-        "connections": Field(number(1, 100000, True), 400, "that a host accepts"),
     },
     "desks": {
-        "views": Field(number(0, 5000, True), 60, "desks, each its own network"),
-        "rate": Field(number(0.1, 1e6), 300.0, "reqs a second of all"),
-        "uneven": Field(number(0.0, 3.0), 1.0, "spread of the desks' rates (of their logarithm)"),
-        "biggest": Field(fraction, 0.0, "part of all reqs that one desk brings"),
-        "resolvers": Field(list_of(one_of(*KINDS), 1), ["keeps"], "kinds of resolver, in turn"),
+        "views": Field(number(0, 5000, True), 60, "number of client networks, each with a view"),
+        "rate": Field(number(0.1, 1e6), 300.0, "total requests per second"),
+        "uneven": Field(
+            number(0.0, 3.0), 1.0, "standard deviation of the logarithm of the networks' rates"
+        ),
+        "biggest": Field(fraction, 0.0, "fraction of all requests that one network sends"),
+        "resolvers": Field(
+            list_of(one_of(*RESOLVER_KINDS), 1), ["keeps"], "kinds of resolvers, in turn"
+        ),
         "habits": Field(
             list_of(one_of("first", "any", "same", "sorted", "holds"), 1),
             ["first", "any", "same"],
-            "of clients, in turn",
+            "how clients choose an address, in turn",
         ),
         "shared": Field(
-            number(0, 1000, True), 4, "desks behind resolvers that serve two and tell subnets"
+            number(0, 1000, True),
+            4,
+            "networks whose resolver serves two networks and sends the client subnet",
         ),
-        "retries": Field(number(0, 5, True), 2, "a client's own"),
+        "retries": Field(number(0, 5, True), 2, "number of retries of a client"),
     },
     "agents": {
         "many": Field(
-            number(0, 5000, True), 0, "proxies that follow assignments over gRPC; 0: none"
+            number(0, 5000, True), 0, "number of proxies that receive assignments over gRPC"
+        ),
+        "rate": Field(number(0.1, 1e6), 300.0, "total requests per second"),
+        "uneven": Field(
+            number(0.0, 3.0), 0.7, "standard deviation of the logarithm of the proxies' rates"
         ),
-        "rate": Field(number(0.1, 1e6), 300.0, "reqs a second of all"),
-        "uneven": Field(number(0.0, 3.0), 0.7, "spread of their rates (of their logarithm)"),
         "pick": Field(
-            one_of("random", "lighter of two"), "lighter of two", "how they choose a line"
+            one_of("random", "lighter of two"), "lighter of two", "how a proxy chooses an endpoint"
         ),
         "fails_to_shun": Field(
-            number(0, 100, True), 3, "failures in a row at which one shuns a host"
+            number(0, 100, True), 3, "consecutive failures after which a proxy avoids an endpoint"
         ),
-        "share": Field(flag, True, "stewards are one fleet; False: they share nothing"),
+        "share": Field(flag, True, "whether the controllers form one fleet"),
         "incremental": Field(
-            flag, False, "they follow deltas and check them; False: state of the world"
+            flag, False, "use incremental xDS and check each delta; False: state of the world"
         ),
     },
     "steering": {
-        "lifetime": Field(number(0, 60, True), 1, "of answers, seconds"),
-        "addresses": Field(number(1, 32, True), 8, "in an answer"),
-        "drain_grace": Field(positive_seconds, 3.0, "see the steward's settings"),
-        "bare_most": Field(positive_seconds, 4.0, "see the steward's settings"),
-        "gone_is_advice": Field(flag, True, "see the steward's settings"),
-        "probe_deadline": Field(positive_seconds, 0.8, "see the steward's settings"),
+        "lifetime": Field(number(0, 60, True), 1, "lifetime (TTL) of answers in seconds"),
+        "addresses": Field(number(1, 32, True), 8, "number of addresses in an answer"),
+        "drain_grace": Field(positive_seconds, 3.0, "see the controllers' settings"),
+        "bare_most": Field(positive_seconds, 4.0, "see the controllers' settings"),
+        "gone_is_advice": Field(flag, True, "see the controllers' settings"),
+        "probe_deadline": Field(positive_seconds, 0.8, "see the controllers' settings"),
     },
 }
-# Faults and load changes, each with the time at which it begins.
-VERBS: Schema = {
-    "silent": PICK,
-    "hung": PICK,
-    "quick_errors": {**PICK, "errors": Field(fraction, 0.8, "part of reqs that err")},
+# Builtins of faults and load changes, which a script calls once for each.
+FAULT_BUILTINS: Schema = {
+    "silent": ENDPOINT_FAULT_FIELDS,
+    "hung": ENDPOINT_FAULT_FIELDS,
+    "quick_errors": {
+        **ENDPOINT_FAULT_FIELDS,
+        "errors": Field(fraction, 0.8, "fraction of requests that fail"),
+    },
     "release": {
-        **PICK,
-        "drain": Field(positive_seconds, 3.5, "from drained to stopped"),
-        "at_once": Field(fraction, 0.15, "part of the fleet in work at a time"),
+        **ENDPOINT_FAULT_FIELDS,
+        "drain": Field(positive_seconds, 3.5, "seconds from the start of draining until the stop"),
+        "at_once": Field(fraction, 0.15, "fraction of the fleet that is replaced at the same time"),
     },
-    "pod_restart": {"at": AT, "pods": Field(number(1, 100, True), 1, "how many pods")},
+    "pod_restart": {"at": START_TIME, "pods": Field(number(1, 100, True), 1, "number of pods")},
     "pauses": {
-        **PICK,
-        "pause": Field(positive_seconds, 0.4, "seconds of each"),
-        "every": Field(positive_seconds, 3.0, "seconds between"),
+        **ENDPOINT_FAULT_FIELDS,
+        "pause": Field(positive_seconds, 0.4, "seconds per pause"),
+        "every": Field(positive_seconds, 3.0, "seconds between the starts of pauses"),
+    },
+    "neighbour": {**ENDPOINT_FAULT_FIELDS, "stolen": Field(fraction, 0.5, "fraction of the cores")},
+    "lost_answers": {
+        **ENDPOINT_FAULT_FIELDS,
+        "lost": Field(fraction, 0.2, "fraction of the answers"),
     },
-    "neighbour": {**PICK, "stolen": Field(fraction, 0.5, "part of the cores")},
-    "lost_answers": {**PICK, "lost": Field(fraction, 0.2, "part of the answers")},
     "heavy_tail": {
-        "at": AT,
-        "length": LENGTH,
-        "kind": Field(text, "record-lookup", "request kind"),
-        "share": Field(fraction, 0.02, "part of its reqs"),
-        "times": Field(number(1.0), 10.0, "the work"),
+        "at": START_TIME,
+        "length": DURATION,
+        "kind": Field(text, "record-lookup", "name of the request class"),
+        "share": Field(fraction, 0.02, "fraction of the requests of that class"),
+        "times": Field(number(1.0), 10.0, "factor of their CPU work"),
+    },
+    "burst": {
+        "at": START_TIME,
+        "length": DURATION,
+        "times": Field(number(0.0), 2.0, "factor of the request rate"),
     },
-    "burst": {"at": AT, "length": LENGTH, "times": Field(number(0.0), 2.0, "the reqs")},
     "shift": {
-        "at": AT,
-        "length": LENGTH,
-        "zone": Field(text, "", "whose desks ask more; others ask less"),
-        "times": Field(number(0.0), 1.8, "the reqs"),
+        "at": START_TIME,
+        "length": DURATION,
+        "zone": Field(text, "", "zone whose networks send more requests; empty: a random zone"),
+        "times": Field(number(0.0), 1.8, "factor of that zone's request rate"),
     },
     "steward_killed": {
-        "at": AT,
-        "length": LENGTH,
-        "steward": Field(number(0, 8, True), 0, "which"),
+        "at": START_TIME,
+        "length": DURATION,
+        "steward": Field(number(0, 8, True), 0, "number of the controller"),
     },
     "steward_frozen": {
-        "at": AT,
-        "length": LENGTH,
-        "steward": Field(number(0, 8, True), 1, "which"),
+        "at": START_TIME,
+        "length": DURATION,
+        "steward": Field(number(0, 8, True), 1, "number of the controller"),
     },
     "stewards_struck": {
-        "at": AT,
-        "length": LENGTH,
-        "every": Field(positive_seconds, 6.0, "mean seconds between"),
-        "most": Field(positive_seconds, 8.0, "longest that one is away"),
-        "freezes": Field(fraction, 0.5, "part that are frozen, not killed"),
+        "at": START_TIME,
+        "length": DURATION,
+        "every": Field(positive_seconds, 6.0, "mean seconds between outages"),
+        "most": Field(positive_seconds, 8.0, "maximum seconds of an outage"),
+        "freezes": Field(fraction, 0.5, "fraction of outages that are freezes instead of kills"),
     },
     "rollback": {
-        "at": AT,
-        "length": LENGTH,
-        "back": Field(seconds, 3.0, "to what stood so many seconds before"),
-        "zone": Field(text, "", "only proxies there; none: all"),
-        "share": Field(fraction, 1.0, "of the proxies"),
-        "over": Field(seconds, 2.0, "seconds of its stages"),
-        "steward": Field(number(0, 8, True), 0, "which is asked"),
-    },
-    "fleet_drained": {"at": AT, "steward": Field(number(0, 8, True), 0, "which hands all over")},
+        "at": START_TIME,
+        "length": DURATION,
+        "back": Field(seconds, 3.0, "seconds to go back"),
+        "zone": Field(text, "", "only proxies of this zone; empty: of all zones"),
+        "share": Field(fraction, 1.0, "fraction of the proxies"),
+        "over": Field(seconds, 2.0, "seconds over which the rollback is spread"),
+        "steward": Field(number(0, 8, True), 0, "number of the controller that is asked first"),
+    },
+    "fleet_drained": {
+        "at": START_TIME,
+        "steward": Field(number(0, 8, True), 0, "number of the controller that is drained"),
+    },
     "link_cut": {
-        "at": AT,
-        "length": LENGTH,
-        "one": Field(text, "", "a zone, or an address"),
-        "other": Field(text, "", "another"),
-        "both": Field(flag, True, "both ways"),
+        "at": START_TIME,
+        "length": DURATION,
+        "one": Field(text, "", "a zone or an address"),
+        "other": Field(text, "", "another zone or address"),
+        "both": Field(flag, True, "in both directions"),
     },
     "link_slow": {
-        "at": AT,
-        "length": LENGTH,
-        "one": Field(text, "", "a zone, or an address"),
-        "other": Field(text, "", "another"),
-        "late": Field(positive_seconds, 0.3, "seconds more, one way"),
+        "at": START_TIME,
+        "length": DURATION,
+        "one": Field(text, "", "a zone or an address"),
+        "other": Field(text, "", "another zone or address"),
+        "late": Field(positive_seconds, 0.3, "additional seconds in one direction"),
     },
     "datagrams_lost": {
-        "at": AT,
-        "length": LENGTH,
-        "part": Field(fraction, 0.1, "of all datagrams"),
+        "at": START_TIME,
+        "length": DURATION,
+        "part": Field(fraction, 0.1, "fraction of all datagrams"),
     },
-    "list_empty": {"at": AT, "length": LENGTH},
-    "list_torn": {"at": AT, "length": LENGTH},
-    "list_old": {"at": AT, "length": LENGTH},
+    "list_empty": {"at": START_TIME, "length": DURATION},
+    "list_torn": {"at": START_TIME, "length": DURATION},
+    "list_old": {"at": START_TIME, "length": DURATION},
     "list_shrunk": {
-        "at": AT,
-        "length": LENGTH,
-        "part": Field(fraction, 0.5, "of hosts that it forgets"),
+        "at": START_TIME,
+        "length": DURATION,
+        "part": Field(fraction, 0.5, "fraction of the endpoints that the list omits"),
     },
     "list_ghosts": {
-        "at": AT,
-        "length": LENGTH,
-        "ghosts": Field(number(1, 200, True), 6, "hosts that are none"),
+        "at": START_TIME,
+        "length": DURATION,
+        "ghosts": Field(number(1, 200, True), 6, "number of listed endpoints that do not exist"),
     },
 }
-# Of the builtin `request_kind`, and the request classes of a script that calls it nowhere.
-KIND: dict[str, Field] = {
-    "name": Field(text, "", "request kind"),
-    "share": Field(fraction, 1.0, "of the reqs"),
-    "work": Field(positive_seconds, 0.1, "mean seconds of a core"),
-    "response_target": Field(positive_seconds, 0.8, "see the steward's settings"),
-    "client_timeout": Field(positive_seconds, 2.5, "see the steward's settings"),
-    "gain": Field(number(0.0), 1.0, "see the steward's settings"),
+# The fields of the builtin `request_kind`.
+REQUEST_CLASS_FIELDS: dict[str, Field] = {
+    "name": Field(text, "", "name of the request class"),
+    "share": Field(fraction, 1.0, "fraction of the requests"),
+    "work": Field(positive_seconds, 0.1, "mean CPU seconds of a request"),
+    "response_target": Field(positive_seconds, 0.8, "see the controllers' settings"),
+    "client_timeout": Field(positive_seconds, 2.5, "see the controllers' settings"),
+    "gain": Field(number(0.0), 1.0, "see the controllers' settings"),
     "repeat": Field(
-        one_of("replayable", "uniqued", "non-replayable"), "replayable", "may it run again"
+        one_of("replayable", "uniqued", "non-replayable"),
+        "replayable",
+        "whether a request may be repeated",
     ),
 }
-DEFAULT_KINDS = [
+# The request classes of a script that does not call `request_kind`.
+DEFAULT_REQUEST_CLASSES = [
     {
         "name": "record-lookup",
         "share": 0.59,
--- a/peatlead/scenario/standin_commands.py
+++ b/peatlead/scenario/standin_commands.py
@@ -13,7 +13,7 @@
 
 
 class EndpointCommand(StrEnum):
-    """What a stand-in endpoint can be told to do or to suffer."""
+    """Faults and actions that a stand-in endpoint can be commanded to perform."""
 
     SILENT = "silent"
     HUNG = "hung"
@@ -29,18 +29,18 @@
 
 
 class StandInCommands:
-    """The command addresses of the stand-ins, and who stands in which process."""
+    """Sends commands to stand-ins and knows which process runs each of them."""
 
     def __init__(self) -> None:
         self.endpoint_processes: list[Address] = []
         self.client_processes: list[Address] = []
         self.proxy_processes: list[Address] = []
-        self._process_of: dict[str, Address] = {}  # by an endpoint's name
+        self._process_of: dict[str, Address] = {}  # by endpoint name
         self._transport: asyncio.BaseTransport | None = None
         self._sender: Any = None
 
     async def open(self) -> None:
-        """Open the socket that commands are sent from."""
+        """Open the socket for commands."""
         self._transport, self._sender = await asyncio.get_running_loop().create_datagram_endpoint(
             Teller, local_addr=LOCAL_ADDRESS
         )
@@ -51,7 +51,10 @@
             self._transport.close()
 
     async def send(self, process: Address, command: dict[str, Any]) -> None:
-        """Send a command and wait until it is done. Raises RuntimeError or TimeoutError."""
+        """Send a command and wait until it is carried out.
+
+        Raises RuntimeError if the command failed, or TimeoutError if there was no reply.
+        """
         await self._sender.tell(process, command)
 
     async def add_endpoint(self, plan: Plan) -> None:
@@ -61,13 +64,13 @@
         await self.send(process, {"do": "host", "plan": plan})
 
     async def restart_endpoint(self, plan: Plan) -> None:
-        """Start an endpoint that was stopped; it is cold."""
+        """Start a stopped endpoint again, cold."""
         await self.send(self._process_of[plan["name"]], {"do": "begin", "host": plan["name"]})
 
     async def command_endpoints(
         self, plans: Iterable[Plan], command: EndpointCommand, value: Any = True
     ) -> None:
-        """Give one command to endpoints, with one datagram a process."""
+        """Send one command for several endpoints, in one datagram per process."""
         for process in self.endpoint_processes:
             names = [plan["name"] for plan in plans if self._process_of[plan["name"]] == process]
             if names:
@@ -76,7 +79,7 @@
                 )
 
     async def add_clients(self, resolvers: list[Plan], networks: list[Plan]) -> None:
-        """Add the resolvers and the networks of DNS clients behind them."""
+        """Add the resolvers, and their networks of DNS clients to the same processes."""
         names = sorted(resolver["name"] for resolver in resolvers)
 
         def process_of(resolver: str) -> Address:
@@ -90,23 +93,23 @@
             )
 
     async def add_proxies(self, plans: list[Plan]) -> None:
-        """Add the proxies, to their processes in turn."""
+        """Add the proxies, distributed over the processes in turn."""
         for number, plan in enumerate(plans):
             process = self.proxy_processes[number % len(self.proxy_processes)]
             await self.send(process, {"do": "agent", "plan": plan})
 
     async def set_request_rate(self, networks: list[str], factor: float) -> None:
-        """Multiply the request rate of client networks; an empty list names all."""
+        """Set the factor of client networks' request rates; an empty list means all networks."""
         for process in self.client_processes:
             await self.send(process, {"do": "rate", "views": networks, "times": factor})
 
     async def begin_requests(self, start: float) -> None:
-        """Let clients and proxies send requests from `start` on, by the event loop's clock."""
+        """Start the requests of clients and proxies at the event loop time `start`, in seconds."""
         for process in self.client_processes + self.proxy_processes:
             await self.send(process, {"do": "begin", "at": start})
 
     async def finish_requests(self) -> None:
-        """Let clients and proxies end."""
+        """Stop the requests of clients and proxies."""
         await asyncio.gather(
             *(
                 self.send(process, {"do": "finish"})
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -220,8 +220,8 @@
             tables.note("zone serial", b"2026120207")
             tables.end()
         for where in (folder, folder / "record"):
-            (where / "settings.star").write_text(day.script().replace(str(made), "/nowhere"))
-        rows = sorted(day.rows.rows, key=lambda row: row.at)
+            (where / "settings.star").write_text(day.settings_text().replace(str(made), "/nowhere"))
+        rows = sorted(day.recorder.rows, key=lambda row: row.at)
         for at in range(2):
             record = Recorder(folder / "record" / f"part{at}.rec")
             for row in rows[at::2]:
--- a/tests/lab/small_scenario.py
+++ b/tests/lab/small_scenario.py
@@ -1,4 +1,4 @@
-"""A short scenario of one fleet, and its digest printed by another process."""
+"""A short scenario with a fleet, and code that prints its digest in another process."""
 
 from peatlead.lab.day import DayResult, play_day
 from peatlead.scenario.script import load_day
@@ -14,5 +14,5 @@
 
 
 def play_small(seed: int, **options) -> DayResult:
-    """Play the scenario with a seed."""
+    """Play the scenario with a seed; `options` are arguments of `play_day`."""
     return play_day(load_day("d", SMALL_SCENARIO), seed, **options)
--- a/tests/lab/test_day.py
+++ b/tests/lab/test_day.py
@@ -1,4 +1,4 @@
-"""Scenarios on simulated time, and the timeline of a request in one."""
+"""Scenarios on simulated time, and the timeline of a request."""
 
 import unittest
 
@@ -9,8 +9,8 @@
 from .small_scenario import play_small
 
 
-class Day(unittest.TestCase):
-    def test_late_requests_count_from_their_due_time(self):
+class SimulatedDayTest(unittest.TestCase):
+    def test_requests_stay_due_while_endpoints_pause(self):
         day = load_day(
             "d",
             """
@@ -21,16 +21,16 @@
 """,
         )
         rows = [row for row in play_day(day, 1).rows if row.kind == "req"]
-        starts = sorted(row.due for row in rows)
+        due_times = sorted(row.due for row in rows)
         self.assertLess(
-            max(b - a for a, b in zip(starts, starts[1:])), 1.0
-        )  # arrivals went on meanwhile
+            max(later - earlier for earlier, later in zip(due_times, due_times[1:])), 1.0
+        )  # requests were due during the pauses too
         self.assertGreater(max(row.at - row.due for row in rows), 1.0)
 
     def test_timeline_follows_one_request(self):
         played = play_small(3)
-        req = next(row.req for row in played.rows if row.kind == "effect")
-        lines = timeline(played.rows, req)
+        request = next(row.req for row in played.rows if row.kind == "effect")
+        lines = timeline(played.rows, request)
         self.assertTrue(
             any("effect" in line for line in lines)
             and any("outcome=done" in line for line in lines)
--- a/tests/lab/test_random_scenario.py
+++ b/tests/lab/test_random_scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios drawn by seed."""
+"""Random scenarios by seed."""
 
 import unittest
 
@@ -6,18 +6,18 @@
 from peatlead.scenario.script import load_day
 
 
-class RandomScenarios(unittest.TestCase):
-    def test_scenario_equals_its_script_read_again(self):
+class RandomScenarioTest(unittest.TestCase):
+    def test_a_scenario_equals_its_loaded_script(self):
         for seed in range(30):
             for kind in ("fleet", "dns"):
                 scenario = draw_scenario(seed, kind)
                 self.assertEqual(load_day("again", as_script(scenario)), scenario)
 
-    def test_each_fault_is_on_for_a_part_of_seeds(self):
-        verbs = [
-            {trouble["verb"] for trouble in draw_scenario(seed, "dns")["troubles"]}
+    def test_each_kind_of_fault_is_enabled_for_some_seeds(self):
+        kinds_by_seed = [
+            {fault["verb"] for fault in draw_scenario(seed, "dns")["troubles"]}
             for seed in range(60)
         ]
         for verb in ("silent", "release", "list_empty", "steward_killed", "link_cut"):
-            on = sum(verb in one for one in verbs)
-            self.assertTrue(5 < on < 40, (verb, on))
+            count = sum(verb in kinds for kinds in kinds_by_seed)
+            self.assertTrue(5 < count < 40, (verb, count))
--- a/tests/lab/test_reproducibility.py
+++ b/tests/lab/test_reproducibility.py
@@ -1,4 +1,4 @@
-"""One seed gives one digest, whatever the process, the hash seed and the timer queue."""
+"""A seed determines the digest, independent of the process, the hash seed and the timer queue."""
 
 import subprocess
 import sys
@@ -15,14 +15,14 @@
 from .small_scenario import PRINT_DIGEST, play_small
 
 
-class Reproducibility(unittest.TestCase):
-    def test_one_seed_gives_one_digest_across_processes_and_hash_seeds(self):
+class ReproducibilityTest(unittest.TestCase):
+    def test_a_seed_has_the_same_digest_in_all_processes_and_timer_queues(self):
         digests = set()
-        for hashes in ("0", "7"):
+        for hash_seed in ("0", "7"):
             digests.add(
                 subprocess.run(
                     [sys.executable, "-c", PRINT_DIGEST],
-                    env={"PYTHONHASHSEED": hashes, "PATH": "/usr/bin"},
+                    env={"PYTHONHASHSEED": hash_seed, "PATH": "/usr/bin"},
                     check=True,
                     capture_output=True,
                     text=True,
@@ -34,29 +34,28 @@
         self.assertEqual(len(digests), 1, digests)
         self.assertNotIn(play_small(4).digest + "\n", digests)
 
-    def test_endpoint_closes_connections_in_order_of_arrival(self):
-        # Kept in a set they went in the order of their addresses in memory: seed 1 of the dns kind gave another
-        # digest from run to run, on Python 3.12.
-        host, closed = Host.__new__(Host), []
-        host.loop, host.connections, host.queue, host.running = (
+    def test_a_draining_endpoint_closes_connections_in_order_of_arrival(self):
+        # A set would order connections by their memory addresses, which differ between runs.
+        endpoint, closed = Host.__new__(Host), []
+        endpoint.loop, endpoint.connections, endpoint.queue, endpoint.running = (
             mock.Mock(time=lambda: 1.0),
             {},
             deque(),
             0,
         )
-        host.draining = host.hung = host.silent = host.tipped = False
-        host.paused_until, host.stolen, host.plan = 0.0, 0.0, mock.Mock(cores=1)
-        for at in range(50):
-            one = mock.Mock(job=None, close=lambda at=at: closed.append(at))
-            host.connections[one] = True
-        host.tell("drain", True)
+        endpoint.draining = endpoint.hung = endpoint.silent = endpoint.tipped = False
+        endpoint.paused_until, endpoint.stolen, endpoint.plan = 0.0, 0.0, mock.Mock(cores=1)
+        for number in range(50):
+            connection = mock.Mock(job=None, close=lambda number=number: closed.append(number))
+            endpoint.connections[connection] = True
+        endpoint.tell("drain", True)
         self.assertEqual(closed, list(range(50)))
 
     def test_use_of_the_wall_clock_changes_the_digest(self):
-        real = Planner.publish_admissions
+        original = Planner.publish_admissions
 
         def publish_admissions(self):
-            real(self)
+            original(self)
             self.context.rng.shuffle([time.perf_counter()] * (time.perf_counter_ns() % 5 + 2))
             self.commands.append(
                 __import__("peatlead.interface").interface.LogMessage(str(time.perf_counter_ns()))
--- a/tests/lab/test_simulated_streams.py
+++ b/tests/lab/test_simulated_streams.py
@@ -25,7 +25,7 @@
         self.end_reason = reason
 
 
-class SimulatedStreams(unittest.TestCase):
+class SimulatedStreamTest(unittest.TestCase):
     def run_case(self, case, until=60.0, server=EchoStream):
         simulation = Simulation(1)
         client_loop, server_loop = simulation.process("client"), simulation.process("server")
@@ -39,17 +39,17 @@
 
         return play(simulation, client_loop, main(), until)
 
-    def test_bytes_arrive_complete_and_in_order(self):
+    def test_all_bytes_arrive_in_order(self):
         async def case(simulation, server_loop, client):
             data = random.Random(2).randbytes(300_000)
-            for at in range(0, len(data), 999):
-                client.send(data[at : at + 999])
+            for start in range(0, len(data), 999):
+                client.send(data[start : start + 999])
             await asyncio.sleep(1)
             return client.data == data
 
         self.assertTrue(self.run_case(case))
 
-    def test_frozen_process_receives_and_answers_after_it_resumes(self):
+    def test_a_frozen_process_answers_after_it_resumes(self):
         async def case(simulation, server_loop, client):
             server_loop.freeze(5.0)
             client.send(b"x")
@@ -60,7 +60,7 @@
 
         self.assertEqual(self.run_case(case), (b"", b"x"))
 
-    def test_killed_process_resets_its_peers_and_refuses_connections(self):
+    def test_a_killed_process_resets_its_connections_and_refuses_new_ones(self):
         async def case(simulation, server_loop, client):
             server_loop.kill()
             await asyncio.sleep(0.1)
@@ -70,7 +70,7 @@
 
         self.assertEqual(self.run_case(case), "ConnectionResetError")
 
-    def test_cut_link_delays_bytes_until_it_is_restored_or_times_out(self):
+    def test_a_cut_link_delays_bytes_until_it_is_restored_or_times_out(self):
         async def case(simulation, server_loop, client):
             simulation.links.cut = {("a", "b")}
             client.send(b"x")
@@ -84,7 +84,7 @@
 
         self.assertEqual(self.run_case(case), (b"", b"x", "TimeoutError"))
 
-    def test_stopped_reader_fills_only_bounded_buffers(self):
+    def test_buffers_for_a_frozen_reader_are_bounded(self):
         async def case(simulation, server_loop, client):
             server_loop.freeze(1e6)
             for _ in range(300):
--- a/tests/lab/test_takeovers.py
+++ b/tests/lab/test_takeovers.py
@@ -1,4 +1,4 @@
-"""Takeovers within a fleet of controllers."""
+"""Takeovers of proxies within a fleet of three controllers, in days on simulated time."""
 
 import unittest
 
@@ -6,10 +6,8 @@
 from peatlead.scenario.script import load_day
 
 
-class Takeovers(unittest.TestCase):
-    """Hard cases of the shared fleet, each as a day on simulated time."""
-
-    def play_without_findings(self, troubles, agents=12, more=""):
+class TakeoverTest(unittest.TestCase):
+    def play_without_problems(self, faults, agents=12, more=""):
         day = load_day(
             "d",
             f"""
@@ -17,51 +15,51 @@
 fleet(hosts = 9, zones = ["a", "b", "c"], pod = 3, warm_after = 5)
 desks(views = 0, shared = 0)
 agents(many = {agents}, rate = 40)
-{troubles}
+{faults}
 """,
         )
         played = play_day(day, 5)
         self.assertEqual(played.problems, [])
-        last = {
+        last_stream_events = {
             row.agent: row.what
             for row in played.rows
             if row.kind == "stream" and row.at < played.seconds - 3
         }
-        self.assertEqual(set(last.values()), {"joined"})
+        self.assertEqual(set(last_stream_events.values()), {"joined"})
         return played
 
-    def test_second_takeover_within_a_second_of_the_first(self):
-        self.play_without_findings(
+    def test_a_second_takeover_within_a_second_of_the_first(self):
+        self.play_without_problems(
             "steward_killed(at = 3, length = 5, steward = 0)\n"
             "steward_killed(at = 3.6, length = 4, steward = 1)"
         )
 
-    def test_all_controllers_restart_with_an_old_list(self):
-        played = self.play_without_findings(
+    def test_all_controllers_restart_with_an_outdated_list(self):
+        played = self.play_without_problems(
             "release(at = 1, length = 3, part = 0.3)\nlist_old(at = 5, length = 4)\n"
             + "\n".join(
-                f"steward_killed(at = {5.2 + at / 10}, length = 2, steward = {at})"
-                for at in range(3)
+                f"steward_killed(at = {5.2 + number / 10}, length = 2, steward = {number})"
+                for number in range(3)
             )
         )
-        self.assertTrue(any(what == "killed" for what, _ in played.report.takeovers))
+        self.assertTrue(any(cause == "killed" for cause, _ in played.report.takeovers))
 
-    def test_controller_killed_during_a_withdrawal_and_staged_updates(self):
-        for late in (0.15, 0.25, 0.35, 0.6):
-            self.play_without_findings(
-                f"release(at = 3, length = 4, part = 0.5)\nsteward_killed(at = {3.2 + late}, length = 4)"
+    def test_a_controller_is_killed_during_a_withdrawal_and_staged_updates(self):
+        for delay in (0.15, 0.25, 0.35, 0.6):
+            self.play_without_problems(
+                f"release(at = 3, length = 4, part = 0.5)\nsteward_killed(at = {3.2 + delay}, length = 4)"
             )
 
-    def test_controllers_frozen_with_commands_in_flight_resume_after_takeover(self):
-        played = self.play_without_findings(
+    def test_frozen_controllers_with_commands_in_flight_resume_after_the_takeover(self):
+        played = self.play_without_problems(
             "release(at = 2, length = 8, part = 0.6)\n"
             "steward_frozen(at = 3, length = 6, steward = 0)\n"
             "steward_frozen(at = 4, length = 3, steward = 1)"
         )
         self.assertIn("0 applied twice, 0 old ones applied", played.report.findings[5].said)
 
-    def test_all_proxies_reconnecting_at_once_stay_under_the_limits(self):
-        played = self.play_without_findings(
+    def test_reconnection_of_all_proxies_at_once_stays_within_the_limits(self):
+        played = self.play_without_problems(
             "steward_killed(at = 3, length = 8, steward = 0)\n"
             "steward_killed(at = 3, length = 7, steward = 1)",
             agents=150,
@@ -70,8 +68,8 @@
 
     def test_cut_one_way_cut_and_flapping_links_between_controllers(self):
         cut = "link_cut(at = {}, length = {}, one = '127.1.0.1', other = '127.1.0.2', both = {})"
-        self.play_without_findings(cut.format(2, 6, True))
-        self.play_without_findings(cut.format(2, 6, False))
-        self.play_without_findings(
-            "\n".join(cut.format(2 + at, 0.5, at % 2 == 0) for at in range(8))
+        self.play_without_problems(cut.format(2, 6, True))
+        self.play_without_problems(cut.format(2, 6, False))
+        self.play_without_problems(
+            "\n".join(cut.format(2 + number, 0.5, number % 2 == 0) for number in range(8))
         )
--- a/tests/lab/test_timer_wheel.py
+++ b/tests/lab/test_timer_wheel.py
@@ -1,25 +1,25 @@
-"""The timer wheel against the heap."""
+"""The timer wheel returns the same order as the heap."""
 
 import unittest
 
 from hypothesis import given
-from hypothesis import strategies as some
+from hypothesis import strategies as st
 
 from peatlead.lab.timer_wheel import HeapTimers, WheelTimers
 
 
-class TimerWheel(unittest.TestCase):
-    @given(some.lists(some.tuples(some.floats(0, 5000), some.integers(0, 3)), max_size=200))
-    def test_wheel_and_heap_return_timers_in_the_same_order(self, steps):
+class TimerWheelTest(unittest.TestCase):
+    @given(st.lists(st.tuples(st.floats(0, 5000), st.integers(0, 3)), max_size=200))
+    def test_the_wheel_and_the_heap_return_timers_in_the_same_order(self, steps):
         wheel, heap, now = WheelTimers(), HeapTimers(), 0.0
-        for at, (ahead, pops) in enumerate(steps):
-            for one in (wheel, heap):
-                one.push(now + ahead, at)
+        for number, (delay, pops) in enumerate(steps):
+            for timers in (wheel, heap):
+                timers.push(now + delay, number)
             for _ in range(pops):
                 self.assertEqual(wheel.peek(), heap.peek())
-                left, right = wheel.pop(), heap.pop()
-                self.assertEqual(left, right)
-                now = left[0] if left else now
+                from_wheel, from_heap = wheel.pop(), heap.pop()
+                self.assertEqual(from_wheel, from_heap)
+                now = from_wheel[0] if from_wheel else now
         self.assertEqual(len(wheel), len(heap))
         while len(heap):
             self.assertEqual(wheel.pop(), heap.pop())
