--- a/peatlead/lab/members.py
+++ b/peatlead/lab/members.py
@@ -82,11 +82,11 @@
     def states_of(self, member):
         """Return the state of a member in the view of each running member, by name."""
         return {
-            name: node.members[member].about.state
+            name: node.members[member].info.state
             for name, node in self.nodes.items()
             if name not in self.dead and member in node.members
         }
 
     def agreed(self, live):
         """Return whether each member of `live` considers exactly these members alive."""
-        return all(set(self.nodes[name].live()) == set(live) for name in live)
+        return all(set(self.nodes[name].live_members()) == set(live) for name in live)
