--- a/peatlead/lab/hunt.py
+++ b/peatlead/lab/hunt.py
@@ -49,14 +49,14 @@
     kind,
     length=20.0,
     workers=None,
-    say=print,
+    print_line=print,
     max_failing=MAX_FAILING_SEEDS,
-    step=lambda done, note: None,
+    report_progress=lambda done, note: None,
 ):
     """Play the scenarios of seeds in a pool of processes until `max_failing` of them have failed.
 
     Returns the FailingSeeds with reduced scripts, and how many seeds were played. Calls
-    `step(done, note)` after each seed and `say(text)` with messages.
+    `report_progress(done, note)` after each seed and `print_line(text)` with messages.
     """
     failing, done, start = [], 0, time.perf_counter()
     with multiprocessing.get_context("spawn").Pool(workers) as pool:
@@ -64,15 +64,15 @@
             play_seed, ((seed, kind, length) for seed in seeds)
         ):
             done += 1
-            step(
+            report_progress(
                 done,
                 note
                 := f"{len(failing)} failing seeds, {done / (time.perf_counter() - start):.1f} seeds/s",
             )
             if done % 100 == 0:
-                say(f"{done} seeds, {note}")
+                print_line(f"{done} seeds, {note}")
             if problems:
-                say(f"seed {seed} ({kind}): {problems[0]}")
+                print_line(f"seed {seed} ({kind}): {problems[0]}")
                 failing.append(FailingSeed(seed, kind, problems, digest, ""))
                 if len(failing) >= max_failing:
                     pool.terminate()
--- a/peatlead/lab/process_loop.py
+++ b/peatlead/lab/process_loop.py
@@ -77,9 +77,8 @@
         self.name = name
         self.dead = False
         self.frozen_until = 0.0  # simulated seconds
-        self.held_calls: deque[tuple[Callback, tuple[Any, ...]]] = (
-            deque()
-        )  # callbacks that became due while frozen
+        # Callbacks that became due while the process was frozen.
+        self.held_calls: deque[tuple[Callback, tuple[Any, ...]]] = deque()
         self.slowness = 0.0  # delay in seconds of callbacks from call_soon()
         # A dict keeps the order of creation, in which kill() resets the connections.
         self.transports: dict[StreamTransport | DatagramTransport, bool] = {}
--- a/peatlead/lab/simulation.py
+++ b/peatlead/lab/simulation.py
@@ -88,9 +88,8 @@
         self.trace: list[tuple[Any, ...]] | None = [] if trace else None
         # Keeps objects of killed processes alive, so that their deletion runs no code.
         self.killed_state: list[tuple[Any, ...]] = []
-        self.cpu_time = (
-            time.process_time()
-        )  # CPU seconds of this program at the end of the last callback
+        # CPU seconds of this program at the end of the last callback.
+        self.cpu_time = time.process_time()
 
     def process(self, name: str) -> ProcessLoop:
         """Add a process."""
--- a/peatlead/lab/streams.py
+++ b/peatlead/lab/streams.py
@@ -13,7 +13,7 @@
 Address = tuple[str, int]
 
 MAX_READ_BYTES = 65_536  # passed to a protocol at a time
-RECEIVE_BUFFER_BYTES = 4 << 20  # received data that a process has not read
+RECEIVE_BUFFER_BYTES = 4 << 20  # maximum size of received data that a process has not read
 CONNECTION_TIMEOUT = 30.0  # seconds until the kernel ends a connection over a cut link
 RETRANSMISSION_INTERVAL = 0.2  # seconds, over a cut link
 
@@ -160,9 +160,8 @@
         self.opened = False
         self.closing = False
         self.closed = False
-        self.received: deque[Segment] = (
-            deque()
-        )  # received by the kernel but not passed to the protocol
+        # Segments that the kernel has received but not passed to the protocol.
+        self.received: deque[Segment] = deque()
         self.received_bytes = 0
         self.delivery_scheduled = False
         self.unsent: deque[bytes] = deque()
--- a/peatlead/lab/study.py
+++ b/peatlead/lab/study.py
@@ -250,10 +250,12 @@
         ).fetchall()
 
 
-def run_study(study, results, workers=None, say=print, step=lambda done, note: None):
+def run_study(
+    study, results, workers=None, print_line=print, report_progress=lambda done, note: None
+):
     """Play the cells without results in a pool of processes; returns how many were played.
 
-    Calls `step(done, note)` after each cell and `say(text)` with messages.
+    Calls `report_progress(done, note)` after each cell and `print_line(text)` with messages.
     """
     name, finished, problem_count = (
         study.parameters["name"],
@@ -265,7 +267,7 @@
         for case, variant, policy, seed in study.cells()
         if repr((case, variant, policy, seed)) not in finished
     ]
-    say(f"{name}: {len(jobs)} of {len(study.cells())} cells to play")
+    print_line(f"{name}: {len(jobs)} of {len(study.cells())} cells to play")
     if not jobs:
         return 0
     with multiprocessing.get_context("spawn").Pool(workers) as pool:
@@ -274,9 +276,9 @@
         ):
             results.store(name, cell, digest, problems, metrics)
             problem_count += bool(problems)
-            step(played_count, f"{problem_count} with problems")
+            report_progress(played_count, f"{problem_count} with problems")
             if played_count % 20 == 0 or played_count == len(jobs):
-                say(f"{name}: {played_count} of {len(jobs)} cells played")
+                print_line(f"{name}: {played_count} of {len(jobs)} cells played")
     return len(jobs)
 
 
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -157,7 +157,7 @@
     """How many cells of the study would be played with this results file: none may be."""
     results = Results(str(path))
     try:
-        return run_study(Study("study", STUDY), results, workers=1, say=lambda said: None)
+        return run_study(Study("study", STUDY), results, workers=1, print_line=lambda line: None)
     finally:
         results.database.close()
 
--- a/tests/lab/test_day.py
+++ b/tests/lab/test_day.py
@@ -22,9 +22,10 @@
         )
         rows = [row for row in play_day(day, 1).rows if row.kind == "req"]
         due_times = sorted(row.due for row in rows)
+        # Requests were due during the pauses too.
         self.assertLess(
             max(later - earlier for earlier, later in zip(due_times, due_times[1:])), 1.0
-        )  # requests were due during the pauses too
+        )
         self.assertGreater(max(row.at - row.due for row in rows), 1.0)
 
     def test_timeline_follows_one_request(self):
