--- a/peatlead/benchmarks/reality.py
+++ b/peatlead/benchmarks/reality.py
@@ -36,7 +36,7 @@
     return LabResult(
         name,
         played.report.service["whole"]["part"],
-        [finding.nearest for finding in played.report.findings],
+        [finding.fraction_of_limit for finding in played.report.findings],
         played.problems,
     )
 
--- a/peatlead/cli/lab.py
+++ b/peatlead/cli/lab.py
@@ -51,12 +51,12 @@
 @KIND
 def lab_run(script: Optional[str], seed: int, planner: str, kind: str) -> None:
     """Play a day script, or a random scenario made from the seed, in simulated time."""
-    from ..invariants.report import show
+    from ..invariants.report import print_report
     from ..lab.day import play_day
 
     result = play_day(load_scenario(script, seed, kind), seed, planner)
     if result.report is not None:
-        show(result.report, f"simulated, seed {seed}")
+        print_report(result.report, f"simulated, seed {seed}")
     for finding in result.problems:
         click.echo(f"found: {finding}")
     click.echo(
--- a/peatlead/cli/scenarios.py
+++ b/peatlead/cli/scenarios.py
@@ -50,7 +50,7 @@
     if planner == "both":
         compare(reports)
     click.echo(f"recording and logs: {folder}")
-    sys.exit(0 if reports[chosen[0]].kept else 1)
+    sys.exit(0 if reports[chosen[0]].all_rules_kept else 1)
 
 
 async def play_all(
@@ -70,9 +70,9 @@
 
 def show_report(report: "Report", folder: Path, planner: str) -> None:
     """Print a report and store it in the folder of its recording."""
-    from ..invariants.report import as_data, show
+    from ..invariants.report import as_data, print_report
 
-    show(report, TITLES[planner])
+    print_report(report, TITLES[planner])
     (folder / "report.json").write_text(json.dumps(as_data(report), indent=1))
 
 
@@ -124,10 +124,10 @@
     """Check the recording in FOLDER against the five rules again."""
     from ..invariants.checker import check as check_rows
     from ..invariants.record import read_folder
-    from ..invariants.report import show
+    from ..invariants.report import print_report
 
     settings = settings_or_exit(str(Path(folder) / "settings.star"))
     gains = {entry["name"]: entry["gain"] for entry in settings["request_kind"]}
     report = check_rows(read_folder(folder), settings["limits"], gains)
-    show(report, folder)
-    sys.exit(0 if report.kept else 1)
+    print_report(report, folder)
+    sys.exit(0 if report.all_rules_kept else 1)
--- a/peatlead/invariants/checker.py
+++ b/peatlead/invariants/checker.py
@@ -13,7 +13,7 @@
 from .effects import check_assignments, check_effects
 from .findings import Finding, Limits, Report
 from .published_tables import check_published_tables
-from .record import Read, Row
+from .record import Recording, Row
 from .service import failed_endpoints, measure_service
 from .slow_start import check_slow_start
 from .takeovers import find_takeovers
@@ -21,7 +21,7 @@
 __all__ = ["Finding", "Report", "check"]
 
 
-def check(read: Read, limits: Limits, gains: dict[str, float]) -> Report:
+def check(read: Recording, limits: Limits, gains: dict[str, float]) -> Report:
     """The report of a day's recordings; `gains` is the gain of one request by class."""
     rows: defaultdict[str, list[Row]] = defaultdict(list)
     for row in read.rows:
@@ -47,5 +47,5 @@
         failed_endpoints(rows),
         find_takeovers(rows),
         len(read.rows),
-        read.torn,
+        read.torn_bytes,
     )
--- a/peatlead/invariants/findings.py
+++ b/peatlead/invariants/findings.py
@@ -22,9 +22,9 @@
     """
 
     rule: str
-    nearest: float
+    fraction_of_limit: float
     breaches: int
-    said: str
+    summary: str
 
 
 class FailedEndpoint(NamedTuple):
@@ -50,20 +50,27 @@
     service: dict[str, dict[str, Any]]  # by request class: requests, part of the gain, outcomes
     late_sends: dict[str, dict[str, float]]  # by resolver kind: sends after a drain's grace
     answers: dict[str, int]  # by resolver kind
-    named: list[FailedEndpoint]
+    failed_endpoints: list[FailedEndpoint]
     takeovers: list[Takeover]
     rows: int
-    torn: int  # bytes at the end of files that held no whole row
+    torn_bytes: int  # bytes at the end of files that held no whole row
 
     @property
-    def kept(self) -> bool:
+    def all_rules_kept(self) -> bool:
         """Whether no rule was broken."""
         return all(not finding.breaches for finding in self.findings)
 
 
-def finding(rule: str, nearest: float, said: str, breaches: Optional[int] = None) -> Finding:
+def finding(
+    rule: str, fraction_of_limit: float, summary: str, breaches: Optional[int] = None
+) -> Finding:
     """A finding; where breaches aren't counted, a nearest approach of 1 or more is one."""
-    return Finding(rule, nearest, int(nearest >= 1) if breaches is None else breaches, said)
+    return Finding(
+        rule,
+        fraction_of_limit,
+        int(fraction_of_limit >= 1) if breaches is None else breaches,
+        summary,
+    )
 
 
 def in_order(rows: RowsByKind, kinds: Iterable[str]) -> list[Row]:
--- a/peatlead/invariants/record.py
+++ b/peatlead/invariants/record.py
@@ -96,11 +96,11 @@
             self.file.close()
 
 
-class Read(NamedTuple):
+class Recording(NamedTuple):
     """Rows of one or more files."""
 
     rows: list[Row]
-    torn: int  # bytes at the end of files that held no whole row
+    torn_bytes: int  # bytes at the end of files that held no whole row
 
 
 def read_file(path: Union[str, Path]) -> tuple[list[Row], int]:
@@ -131,13 +131,13 @@
     return data
 
 
-def read_folder(folder: Union[str, Path]) -> Read:
+def read_folder(folder: Union[str, Path]) -> Recording:
     """All rows of a folder's *.rec files, by time."""
     rows: list[Row] = []
-    torn = 0
+    torn_bytes = 0
     for path in sorted(Path(folder).glob("*.rec")):
         found, left = read_file(path)
         rows += found
-        torn += left
+        torn_bytes += left
     rows.sort(key=lambda row: row.at)
-    return Read(rows, torn)
+    return Recording(rows, torn_bytes)
--- a/peatlead/invariants/report.py
+++ b/peatlead/invariants/report.py
@@ -13,7 +13,7 @@
 QUANTILES = (0.5, 0.99, 1.0)
 
 
-def show(report: Report, title: str, console: Optional[Console] = None) -> None:
+def print_report(report: Report, title: str, console: Optional[Console] = None) -> None:
     """Print a report's tables; those of takeovers and failed endpoints only where there are any."""
     console = console or Console(width=WIDTH)
     console.print(rules_table(report, title))
@@ -21,8 +21,8 @@
     console.print(late_sends_table(report))
     if report.takeovers:
         console.print(takeovers_table(report.takeovers))
-    if report.named:
-        console.print(failed_endpoints_table(report.named))
+    if report.failed_endpoints:
+        console.print(failed_endpoints_table(report.failed_endpoints))
 
 
 def make_table(title: str, columns: Iterable[str], justify_right: bool) -> Table:
@@ -110,19 +110,19 @@
 def as_data(report: Report) -> dict[str, Any]:
     """A report as plain values, the form of `report.json`."""
     return {
-        "kept": report.kept,
+        "kept": report.all_rules_kept,
         "rows": report.rows,
-        "torn": report.torn,
+        "torn": report.torn_bytes,
         "service": report.service,
         "late_sends": report.late_sends,
         "answers": report.answers,
-        "named": report.named,
+        "named": report.failed_endpoints,
         "takeovers": report.takeovers,
         "rules": {
             finding.rule: {
-                "nearest": finding.nearest,
+                "nearest": finding.fraction_of_limit,
                 "breaches": finding.breaches,
-                "said": finding.said,
+                "said": finding.summary,
             }
             for finding in report.findings
         },
--- a/peatlead/lab/day.py
+++ b/peatlead/lab/day.py
@@ -14,12 +14,12 @@
 
 from ..controller.controller import Controller
 from ..invariants.checker import check
-from ..invariants.record import ROWS, Read, Row
+from ..invariants.record import ROWS, Recording, Row
 from ..planner.planner import Planner
 from ..scenario.plain import PlainPlanner
 from ..scenario.runner import Day
 from ..settings.loader import load_settings
-from ..standin.process import HALLS, Orders
+from ..standin.process import STANDIN_GROUPS, CommandServer
 from .canonical_form import canonical_form
 from .policies import HomePlanner, OraclePlanner
 from .simulation import Simulation, play
@@ -106,10 +106,10 @@
         chance = Random(self.seed_of(kind, at))
 
         async def serve():
-            hall = HALLS[kind](chance, self.rows)
+            hall = STANDIN_GROUPS[kind](chance, self.rows)
             self.inside.append(hall)
             await loop.create_datagram_endpoint(
-                lambda: Orders(hall), local_addr=(address, self.fleet.port)
+                lambda: CommandServer(hall), local_addr=(address, self.fleet.port)
             )
 
         self.children.append(self.run_in(loop, serve))
@@ -151,7 +151,7 @@
     def truth(self):
         """{host name: cores that it has for reqs now}: none where it is silent, hung, tipped or going."""
         return {
-            name: host.able(self.world.now)
+            name: host.available_cores(self.world.now)
             for hall in self.inside
             for name, host in getattr(hall, "hosts", {}).items()
             if host.server is not None
@@ -202,7 +202,7 @@
         settings = load_settings("settings.star", self.script())
         gain = {kind["name"]: kind["gain"] for kind in self.day["kinds"]}
         self.rows.rows.sort(key=lambda row: row.at)
-        return check(Read(self.rows.rows, 0), settings["limits"], gain)
+        return check(Recording(self.rows.rows, 0), settings["limits"], gain)
 
 
 class DayResult:
@@ -226,7 +226,7 @@
         found = list(self.wrong)
         if self.report is not None:
             found += [
-                f"rule {one.rule}: {one.said}" for one in self.report.findings if one.breaches
+                f"rule {one.rule}: {one.summary}" for one in self.report.findings if one.breaches
             ]
         return found
 
--- a/peatlead/lab/study.py
+++ b/peatlead/lab/study.py
@@ -140,7 +140,7 @@
         "takeover_worst": spans[-1] if spans else None,
         "events": played.events,
     }
-    return {**found, **{f"rule{at + 1}": report.findings[at].nearest for at in range(5)}}
+    return {**found, **{f"rule{at + 1}": report.findings[at].fraction_of_limit for at in range(5)}}
 
 
 def play_cell(job):
--- a/peatlead/scenario/kinds.py
+++ b/peatlead/scenario/kinds.py
@@ -76,14 +76,16 @@
         reports[name, planner] = report
         echo(
             f"{name} ({planner}): service {report.service['whole']['part']:.4f}, "
-            f"{'rules kept' if report.kept else 'RULES BROKEN'}"
+            f"{'rules kept' if report.all_rules_kept else 'RULES BROKEN'}"
         )
 
     await asyncio.gather(*(play_case(name, planner) for name in cases for planner in PLANNERS))
     table = as_table(cases, reports)
     (folder / "kinds.md").write_text(table)
     echo(table)
-    return all(report.kept for (_, planner), report in reports.items() if planner == "shards")
+    return all(
+        report.all_rules_kept for (_, planner), report in reports.items() if planner == "shards"
+    )
 
 
 async def _play(name: str, planner: str, folder: Path, slots: asyncio.Semaphore) -> Report:
@@ -110,7 +112,8 @@
 
 def _table_row(name: str, ours: Report, plain: Report) -> str:
     nearest = ", ".join(
-        f"{finding.nearest:.2f}" + "!" * bool(finding.breaches) for finding in ours.findings
+        f"{finding.fraction_of_limit:.2f}" + "!" * bool(finding.breaches)
+        for finding in ours.findings
     )
     broken = [finding.rule[0] for finding in plain.findings if finding.breaches]
     return (
--- a/peatlead/scenario/standin_commands.py
+++ b/peatlead/scenario/standin_commands.py
@@ -5,7 +5,7 @@
 from enum import StrEnum
 from typing import Any
 
-from ..standin.process import Teller
+from ..standin.process import CommandClient
 from .fleet import Plan
 from .processes import Address
 
@@ -42,7 +42,7 @@
     async def open(self) -> None:
         """Open the socket that commands are sent from."""
         self._transport, self._sender = await asyncio.get_running_loop().create_datagram_endpoint(
-            Teller, local_addr=LOCAL_ADDRESS
+            CommandClient, local_addr=LOCAL_ADDRESS
         )
 
     def close(self) -> None:
@@ -52,7 +52,7 @@
 
     async def send(self, process: Address, command: dict[str, Any]) -> None:
         """Send a command and wait until it is done. Raises RuntimeError or TimeoutError."""
-        await self._sender.tell(process, command)
+        await self._sender.execute(process, command)
 
     async def add_endpoint(self, plan: Plan) -> None:
         """Add an endpoint to the process of its pod."""
--- a/peatlead/standin/dns_clients.py
+++ b/peatlead/standin/dns_clients.py
@@ -60,7 +60,7 @@
 }
 
 
-class Kind(msgspec.Struct):
+class RequestClass(msgspec.Struct):
     """A request class; times in seconds, `repeat` its repeat semantics."""
 
     name: str
@@ -71,7 +71,7 @@
     repeat: str
 
 
-class Plan(msgspec.Struct):
+class ClientSitePlan(msgspec.Struct):
     """The clients of one view.
 
     `name` is what they resolve; `network` is the client subnet that is sent with `tells_subnet`.
@@ -85,7 +85,7 @@
     rate: float  # requests per second
     clients: int
     habits: list[str]
-    kinds: list[Kind]
+    kinds: list[RequestClass]
     retries: int = 2
     late_gain: float = 0.1  # part of the gain of a request that is late
     tells_subnet: bool = False
@@ -134,7 +134,7 @@
     """A request under way; times are of the event loop's clock."""
 
     id: str
-    request_class: Kind
+    request_class: RequestClass
     client: Client
     due: float
     deadline: float
@@ -148,7 +148,7 @@
     retry: bool
 
 
-def may_retry(request_class: Kind, outcome: str, sent: bool) -> bool:
+def may_retry(request_class: RequestClass, outcome: str, sent: bool) -> bool:
     """Whether a client tries again after an attempt; `sent`: some of it may have arrived."""
     if outcome in (Outcome.DONE, Outcome.SHED):
         return False  # a client that is shed would come again in vain
@@ -160,12 +160,12 @@
     """The clients of one view; `rate` may change while it runs."""
 
     def __init__(
-        self, plan: Plan, resolver: Resolver, rng: Random, record: Recorder, number: str
+        self, plan: ClientSitePlan, resolver: Resolver, rng: Random, recorder: Recorder, number: str
     ) -> None:
         self.plan = plan
         self.resolver = resolver
         self.rng = rng
-        self.record = record
+        self.recorder = recorder
         self.number = number  # begins the ids of its requests
         self.loop = asyncio.get_running_loop()
         self.rate = plan.rate
@@ -231,7 +231,7 @@
             gain = request_class.gain * (self.plan.late_gain if late else 1.0)
         if outcome == Outcome.DONE and late:
             outcome = Outcome.LATE.value
-        self.record.row(
+        self.recorder.row(
             "req",
             now,
             request.id,
@@ -315,7 +315,7 @@
     def _record_attempt(
         self, request: Request, address: str, number: int, outcome: str, sent: bool
     ) -> None:
-        self.record.row(
+        self.recorder.row(
             "try",
             self.loop.time(),
             request.id,
@@ -339,9 +339,9 @@
 class DnsClientGroup:
     """The clients and resolvers of one process, controlled by commands (standin/process.py)."""
 
-    def __init__(self, rng: Random, record: Recorder) -> None:
+    def __init__(self, rng: Random, recorder: Recorder) -> None:
         self.rng = rng
-        self.record = record
+        self.recorder = recorder
         self.resolvers: dict[str, Resolver] = {}
         self.sites: list[ClientSite] = []
 
@@ -367,16 +367,16 @@
             command["address"],
             servers,
             self.rng,
-            self.record,
+            self.recorder,
             command["rotates"],
         )
         self.resolvers[command["name"]] = resolver
         await resolver.begin()
 
     def _add_site(self, command: dict[str, Any]) -> None:
-        plan = msgspec.convert(command["plan"], Plan)
+        plan = msgspec.convert(command["plan"], ClientSitePlan)
         resolver = self.resolvers[plan.resolver]
-        self.sites.append(ClientSite(plan, resolver, self.rng, self.record, str(command["desk"])))
+        self.sites.append(ClientSite(plan, resolver, self.rng, self.recorder, str(command["desk"])))
 
     def _change_rate(self, views: list[str], factor: float) -> None:
         """Multiply the planned rate of some views, or of all where none is named."""
--- a/peatlead/standin/endpoint_work.py
+++ b/peatlead/standin/endpoint_work.py
@@ -12,7 +12,7 @@
     from .hosts import Connection
 
 
-class Plan(msgspec.Struct):
+class EndpointPlan(msgspec.Struct):
     """What an endpoint is.
 
     `work` is the mean seconds of one core and `repeat` the repeat semantics, both by request class.
--- a/peatlead/standin/hosts.py
+++ b/peatlead/standin/hosts.py
@@ -15,9 +15,9 @@
 from ..invariants.record import Recorder
 from ..net.http import ServerConnection
 from ..net.orca import LOAD_REPORT_HEADER, format_load_report
-from .endpoint_work import CountReport, HeavyRequests, Job, Plan, Pods, RequestCounts
+from .endpoint_work import CountReport, EndpointPlan, HeavyRequests, Job, Pods, RequestCounts
 
-__all__ = ["Connection", "EndpointGroup", "Host", "Plan", "Pods"]
+__all__ = ["Connection", "EndpointGroup", "EndpointPlan", "Pods", "StandInEndpoint"]
 
 IDLE_TIMEOUT = 30.0  # seconds without a byte until a connection is closed
 ADMISSION_LIFETIME = 5.0  # seconds: a controller that died must not shed for good
@@ -31,20 +31,20 @@
 NO_REQUESTS = RequestCounts(seconds=0)
 
 
-class Host:
+class StandInEndpoint:
     """One endpoint process. `begin()` opens its socket; faults are attributes that `tell` sets."""
 
-    def __init__(self, plan: Plan, rng: Random, record: Recorder, pods: Pods) -> None:
+    def __init__(self, plan: EndpointPlan, rng: Random, recorder: Recorder, pods: Pods) -> None:
         self.plan = plan
         self.rng = rng
-        self.record = record
+        self.recorder = recorder
         self.pods = pods
         self.loop = asyncio.get_running_loop()
         self.server: Optional[asyncio.Server] = None
         # In order of arrival; a set of objects would be in that of their memory addresses.
         self.connections: dict[Connection, bool] = {}
         # (request class, controller's address) -> (admitted fraction, when it was set)
-        self.levels: dict[tuple[str, str], tuple[float, float]] = {}
+        self.admitted_fractions: dict[tuple[str, str], tuple[float, float]] = {}
         self.boots = 0
         self.reset(cold=plan.cold)
 
@@ -92,7 +92,7 @@
             return 1.0
         return self.plan.cold_share + (1 - self.plan.cold_share) * age
 
-    def able(self, now: float) -> float:
+    def available_cores(self, now: float) -> float:
         """Return the cores that it has for requests at this moment."""
         if self.silent or self.hung or self.tipped or self.draining or now < self.paused_until:
             return 0.0
@@ -116,10 +116,10 @@
         while self.offered and now - self.offered[0][0] > span:
             self.offered_work -= self.offered.popleft()[1]
         part = self.offered_work / (self.plan.tip_multiple * cores * span)
-        self.record.row("cold", now, self.plan.name, part, since)
+        self.recorder.row("cold", now, self.plan.name, part, since)
         if part > 1 and not self.tipped:
             self.tipped = True
-            self.record.row("tipped", now, self.plan.name, since)
+            self.recorder.row("tipped", now, self.plan.name, since)
 
     def _measure(self, now: float) -> float:
         """Return the part of the cores in use, measured anew once the interval has passed."""
@@ -178,7 +178,7 @@
         """Count a request and answer it at once if it is to be shed or to fail."""
         counts = self.count(connection.network, request_class)
         counts.arrived += 1
-        if self.rng.random() >= self.level(request_class, now):
+        if self.rng.random() >= self.admitted_fraction(request_class, now):
             counts.shed += 1
             connection.respond(429, [], b"shed", self.draining)
             return True
@@ -210,18 +210,18 @@
         for pair in text.split(","):
             request_class, _, fraction = pair.partition("=")
             try:
-                self.levels[request_class, controller] = float(fraction), now
+                self.admitted_fractions[request_class, controller] = float(fraction), now
             except ValueError:
                 continue
 
-    def level(self, request_class: str, now: float) -> float:
+    def admitted_fraction(self, request_class: str, now: float) -> float:
         """Return the admitted fraction: the mean of what controllers sent lately.
 
         Each of them steers all requests, so the lowest of two that waver would shed for both.
         """
         fractions = [
             fraction
-            for (name, _), (fraction, set_at) in self.levels.items()
+            for (name, _), (fraction, set_at) in self.admitted_fractions.items()
             if name == request_class and now - set_at < ADMISSION_LIFETIME
         ]
         return fsum(fractions) / len(fractions) if fractions else 1.0
@@ -267,7 +267,7 @@
         """Record the effect of a request and answer it."""
         repeat_class = self.plan.repeat[job.request_class]
         if not job.repeat:
-            self.record.row(
+            self.recorder.row(
                 "effect", now, self.plan.name, job.request_id, job.request_class, repeat_class
             )
         counts = self.count(job.network, job.request_class)
@@ -310,7 +310,7 @@
             lambda: Connection(self), self.plan.address, self.plan.port, backlog=LISTEN_BACKLOG
         )
 
-    def tell(self, fault: str, value: Any) -> None:
+    def inject_fault(self, fault: str, value: Any) -> None:
         """Cause a fault: an attribute's new value, or "drain", "stop", "start" or "pause"."""
         now = self.loop.time()
         if fault == "drain":
@@ -359,7 +359,7 @@
 class Connection(ServerConnection):
     """A client's connection to an endpoint."""
 
-    def __init__(self, host: Host) -> None:
+    def __init__(self, host: StandInEndpoint) -> None:
         super().__init__(IDLE_TIMEOUT)
         self.host = host
         self.job: Optional[Job] = None  # the request that is not answered yet
@@ -387,25 +387,25 @@
 class EndpointGroup:
     """The endpoints of one process, controlled by commands (standin/process.py)."""
 
-    def __init__(self, rng: Random, record: Recorder) -> None:
+    def __init__(self, rng: Random, recorder: Recorder) -> None:
         self.rng = rng
-        self.record = record
+        self.recorder = recorder
         self.pods = Pods()
-        self.hosts: dict[str, Host] = {}
+        self.hosts: dict[str, StandInEndpoint] = {}
 
     async def command(self, command: dict[str, Any], /) -> None:
         """Carry out a command."""
         match command["do"]:
             case "host":
-                plan = msgspec.convert(command["plan"], Plan)
-                host = Host(plan, self.rng, self.record, self.pods)
+                plan = msgspec.convert(command["plan"], EndpointPlan)
+                host = StandInEndpoint(plan, self.rng, self.recorder, self.pods)
                 self.hosts[plan.name] = host
                 await host.begin()
             case "tell":
                 for name in command["hosts"]:
                     if name in self.hosts:
-                        self.hosts[name].tell(command["fault"], command["value"])
+                        self.hosts[name].inject_fault(command["fault"], command["value"])
             case "begin":
                 host = self.hosts[command["host"]]
                 await host.begin()
-                host.tell("start", True)
+                host.inject_fault("start", True)
--- a/peatlead/standin/platform_fleet.py
+++ b/peatlead/standin/platform_fleet.py
@@ -35,13 +35,13 @@
 class FleetPlan(NamedTuple):
     """The size of a fleet and the habits of its proxies."""
 
-    stewards: int  # controllers
+    controllers: int
     proxies: int
-    hosts: int  # endpoints
+    endpoints: int
     port: int  # of all controllers and the discovery agent
-    channel_part: float = 1.0  # real pace of each channel, as a part of the configured one
-    redial: tuple[float, float] = (0.3, 0.4)  # seconds until a proxy dials after its stream broke
-    rehome: float = 0.0  # seconds until a proxy returns to its own controller, 0 for never
+    channel_rate_fraction: float = 1.0  # of the configured rate
+    redial_delay: tuple[float, float] = (0.3, 0.4)  # seconds after a stream ended
+    return_delay: float = 0.0  # seconds until a proxy returns to its own controller, 0 for never
     seed: int = 1
 
 
@@ -57,8 +57,8 @@
     """How long proxies could reach endpoints that drain or have left."""
 
     longest: float  # seconds after the controller was notified, or the proxy joined it
-    late: list[LateWithdrawal]  # past the grace, one for each pair
-    most_waiting: float  # the longest queue of any channel, in entries
+    late_withdrawals: list[LateWithdrawal]  # past the grace, one for each pair
+    max_waiting: float  # the longest queue of any channel, in entries
 
 
 class ProxyStream(LineStream):
@@ -76,7 +76,11 @@
         proxy = self.proxy
         proxy.joined_at = self.loop.time()
         self._send_message(
-            msg="hello", node=proxy.number, locality=proxy.zone, w=2.0, cold=not proxy.ordered
+            msg="hello",
+            node=proxy.number,
+            locality=proxy.zone,
+            w=2.0,
+            cold=not proxy.received_full_table,
         )
 
     def line(self, data: bytes) -> None:
@@ -114,17 +118,17 @@
         self.plan = plan
         self.folder = folder  # of the controllers' configurations and logs
         self.rng = Random(plan.seed)
-        self.names = [f"n{rank}" for rank in range(plan.stewards)]  # of controllers
+        self.controller_names = [f"n{rank}" for rank in range(plan.controllers)]  # of controllers
         self.zones: list[str] = settings["zones"]
         self.proxies = self._build_proxies()
         self.streams: dict[ProxyState, ProxyStream] = {}
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
         self.tasks: set[asyncio.Task[None]] = set()
         self.channels = self._build_channels()
-        self.reachable_for: dict[tuple[int, str], float] = {}  # seconds, by proxy and endpoint
+        self.reachable_seconds: dict[tuple[int, str], float] = {}  # seconds, by proxy and endpoint
         self.stopped = False
         self.endpoint_list = EndpointList()
-        self.list_hosts([self.host(number) for number in range(plan.hosts)])
+        self.update_endpoints([self.endpoint_entry(number) for number in range(plan.endpoints)])
 
     def _build_proxies(self) -> list[ProxyState]:
         request_classes = [request_class["name"] for request_class in self.settings["classes"]]
@@ -135,12 +139,12 @@
 
     def _build_channels(self) -> dict[str, PacedChannel[ProxyStream]]:
         family = self.settings["familyInfo"]
-        pace = family["channelRate"] * self.plan.channel_part
-        return {name: PacedChannel(pace, family["perMessage"]) for name in self.names}
+        pace = family["channelRate"] * self.plan.channel_rate_fraction
+        return {name: PacedChannel(pace, family["perMessage"]) for name in self.controller_names}
 
     # The endpoint list.
 
-    def host(self, number: int, lifecycle: str = ACTIVE) -> Endpoint:
+    def endpoint_entry(self, number: int, lifecycle: str = ACTIVE) -> Endpoint:
         """Return an endpoint's entry in the list."""
         return {
             "instanceId": f"s-{number}",
@@ -153,7 +157,7 @@
             "startedAtMs": 0.0,
         }
 
-    def list_hosts(self, endpoints: Iterable[Endpoint]) -> None:
+    def update_endpoints(self, endpoints: Iterable[Endpoint]) -> None:
         """Update the list, sent at once to all controllers that watch it."""
         self.endpoint_list.update(endpoints)
 
@@ -161,7 +165,7 @@
 
     def address(self, name: str) -> str:
         """Return a controller's address."""
-        return f"127.4.0.{self.names.index(name) + 1}"
+        return f"127.4.0.{self.controller_names.index(name) + 1}"
 
     async def start(self) -> None:
         """Start the controllers, wait until each answers and let the proxies join them."""
@@ -169,10 +173,10 @@
         self.server = await loop.create_server(
             lambda: DiscoveryAgent(self.endpoint_list), DISCOVERY_ADDRESS, self.plan.port
         )
-        for name in self.names:
+        for name in self.controller_names:
             self.restart(name)
-        for name in self.names:
-            await self.ready(name)
+        for name in self.controller_names:
+            await self.wait_until_ready(name)
         self._spawn(self._run_checks())
         for proxy in self.proxies:
             self._spawn(self._dial(proxy, self._home(proxy)))
@@ -191,11 +195,11 @@
 
     def _configuration(self, name: str) -> dict[str, Any]:
         """Return a controller's configuration, with the list of the fleet's first moment."""
-        rank = self.names.index(name)
+        rank = self.controller_names.index(name)
         known = {
             "generation": 0,
             "reset": True,
-            "instances": [self.host(number) for number in range(self.plan.hosts)],
+            "instances": [self.endpoint_entry(number) for number in range(self.plan.endpoints)],
         }
         return {
             "name": name,
@@ -207,7 +211,7 @@
             "settings": {**self.settings, "rank": rank, "locality": rank % len(self.zones)},
         }
 
-    async def ready(self, name: str) -> None:
+    async def wait_until_ready(self, name: str) -> None:
         """Wait until a controller answers a probe; raises TimeoutError."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + READY_TIMEOUT
@@ -231,7 +235,7 @@
         self.processes[name].wait()
         self.channels[name].clear()
 
-    def log_of(self, name: str) -> list[dict[str, Any]]:
+    def read_log(self, name: str) -> list[dict[str, Any]]:
         """Return a controller's log lines."""
         with open(f"{self.folder}/{name}.log") as file:
             return [json.loads(line) for line in file]
@@ -240,7 +244,7 @@
 
     def _home(self, proxy: ProxyState) -> str:
         """Return the name of a proxy's own controller."""
-        return self.names[proxy.number % len(self.names)]
+        return self.controller_names[proxy.number % len(self.controller_names)]
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
@@ -249,9 +253,9 @@
 
     async def _dial(self, proxy: ProxyState, first: str) -> None:
         """Connect a proxy to a controller, or to the next that accepts."""
-        rank = self.names.index(first)
+        rank = self.controller_names.index(first)
         while not self.stopped:
-            name = self.names[rank % len(self.names)]
+            name = self.controller_names[rank % len(self.controller_names)]
             try:
                 _, stream = await asyncio.get_running_loop().create_connection(
                     partial(ProxyStream, self, proxy, name),
@@ -271,8 +275,8 @@
         self.streams[proxy] = stream
         if former is not None:
             former.abort("moved")
-        if self.plan.rehome and stream.controller != self._home(proxy):
-            delay = self.rng.uniform(0.5, 1.0) * self.plan.rehome
+        if self.plan.return_delay and stream.controller != self._home(proxy):
+            delay = self.rng.uniform(0.5, 1.0) * self.plan.return_delay
             asyncio.get_running_loop().call_later(delay, self._go_home, proxy, stream)
 
     def _go_home(self, proxy: ProxyState, stream: ProxyStream) -> None:
@@ -285,7 +289,7 @@
         if self.streams.get(proxy) is stream and not self.stopped:
             del self.streams[proxy]
             proxy.joined_at = None
-            delay = self.rng.uniform(*self.plan.redial)
+            delay = self.rng.uniform(*self.plan.redial_delay)
             asyncio.get_running_loop().call_later(
                 delay, lambda: self._spawn(self._dial(proxy, stream.controller))
             )
@@ -319,22 +323,22 @@
             for endpoint in proxy.reachable() & drained_at.keys():
                 seconds = now - max(drained_at[endpoint], proxy.joined_at or now)
                 pair = (proxy.number, endpoint)
-                self.reachable_for[pair] = max(seconds, self.reachable_for.get(pair, 0.0))
+                self.reachable_seconds[pair] = max(seconds, self.reachable_seconds.get(pair, 0.0))
 
     def drain_report(self, grace: float) -> DrainReport:
         """Return what the checks have found, for a grace in seconds."""
-        late = [
+        late_withdrawals = [
             LateWithdrawal(proxy, endpoint, round(seconds, 3))
-            for (proxy, endpoint), seconds in self.reachable_for.items()
+            for (proxy, endpoint), seconds in self.reachable_seconds.items()
             if seconds > grace
         ]
         return DrainReport(
-            max(self.reachable_for.values(), default=0.0),
-            sorted(late),
-            max(channel.most_waiting for channel in self.channels.values()),
+            max(self.reachable_seconds.values(), default=0.0),
+            sorted(late_withdrawals),
+            max(channel.max_waiting for channel in self.channels.values()),
         )
 
-    def still_held(self) -> int:
+    def count_proxies_with_drained(self) -> int:
         """Count the proxies that can reach an endpoint that drains or has left."""
         drained = self.endpoint_list.drained_at.keys()
         return sum(bool(proxy.reachable() & drained) for proxy in self.streams)
--- a/peatlead/standin/platform_proxies.py
+++ b/peatlead/standin/platform_proxies.py
@@ -23,7 +23,7 @@
         self.request_classes = tuple(request_classes)
         self.tables: dict[str, dict[str, float]] = {name: {} for name in self.request_classes}
         self.ejected: set[str] = set()
-        self.ordered = False  # whether a controller ever sent it a full table
+        self.received_full_table = False  # whether a controller ever sent it a full table
         self.joined_at: Optional[float] = None  # start of its present stream
 
     def apply(self, parts: Iterable[MessagePart]) -> None:
@@ -37,7 +37,7 @@
     def _update_table(self, table: dict[str, float], part: MessagePart) -> None:
         if part.get("full"):
             table.clear()
-            self.ordered = True
+            self.received_full_table = True
         for endpoint, weight in part.get("endpoints", ()):
             if weight:
                 table[endpoint] = weight
@@ -84,14 +84,14 @@
         self.queue: deque[QueuedMessage[StreamT]] = deque()
         self.free_at = 0.0  # when the last message left
         self.waiting = 0.0  # entries in the queue
-        self.most_waiting = 0.0  # the largest value of `waiting` so far
+        self.max_waiting = 0.0  # the largest value of `waiting` so far
 
     def put(self, now: float, stream: StreamT, parts: Sequence[MessagePart]) -> None:
         """Add a message whose last byte has arrived now."""
         message = QueuedMessage(stream, parts, self.message_cost + count_entries(parts), now)
         self.queue.append(message)
         self.waiting += message.size
-        self.most_waiting = max(self.most_waiting, self.waiting)
+        self.max_waiting = max(self.max_waiting, self.waiting)
 
     def take(self, now: float) -> list[QueuedMessage[StreamT]]:
         """Remove and return the messages that have left by now."""
--- a/peatlead/standin/process.py
+++ b/peatlead/standin/process.py
@@ -39,7 +39,7 @@
         """Carry out a command."""
 
 
-HALLS: dict[str, Callable[[Random, Recorder], Group]] = {
+STANDIN_GROUPS: dict[str, Callable[[Random, Recorder], Group]] = {
     "hosts": hosts.EndpointGroup,
     "desks": dns_clients.DnsClientGroup,
     "agents": xds_proxies.ProxyGroup,
@@ -53,7 +53,7 @@
     error: str
 
 
-class Orders(asyncio.DatagramProtocol):
+class CommandServer(asyncio.DatagramProtocol):
     """Carries out each command once; a repeat of one that is done only has its reply sent again."""
 
     transport: asyncio.DatagramTransport
@@ -92,7 +92,7 @@
         self.transport.sendto(self.replies[number], peer)
 
 
-class Teller(asyncio.DatagramProtocol):
+class CommandClient(asyncio.DatagramProtocol):
     """Sends commands to stand-in processes and repeats each until it is answered."""
 
     transport: asyncio.DatagramTransport
@@ -112,7 +112,9 @@
         if waiter is not None and not waiter.done():
             waiter.set_result(reply.error)
 
-    async def tell(self, peer: Address, command: Command, timeout: float = COMMAND_TIMEOUT) -> None:
+    async def execute(
+        self, peer: Address, command: Command, timeout: float = COMMAND_TIMEOUT
+    ) -> None:
         """Have a command carried out.
 
         Raises CommandFailedError with the stand-in's own text, or TimeoutError after `timeout`
@@ -140,13 +142,13 @@
 
 
 async def serve(kind: str, address: str, port: int, seed: int, path: str) -> None:
-    """Run stand-ins of a kind (a key of `HALLS`) until SIGTERM, recording to a file."""
+    """Run stand-ins of a kind (a key of `STANDIN_GROUPS`) until SIGTERM, recording to a file."""
     loop = asyncio.get_running_loop()
     recorder = Recorder(path)
     stopped = asyncio.Event()
     loop.add_signal_handler(signal.SIGTERM, stopped.set)
-    group = HALLS[kind](Random(seed), recorder)
-    await loop.create_datagram_endpoint(lambda: Orders(group), local_addr=(address, port))
+    group = STANDIN_GROUPS[kind](Random(seed), recorder)
+    await loop.create_datagram_endpoint(lambda: CommandServer(group), local_addr=(address, port))
     stop = loop.create_task(stopped.wait())
     while not stop.done():
         await asyncio.wait([stop], timeout=FLUSH_INTERVAL)
--- a/peatlead/standin/proxy_plan.py
+++ b/peatlead/standin/proxy_plan.py
@@ -4,12 +4,12 @@
 
 import msgspec
 
-from .dns_clients import Kind
+from .dns_clients import RequestClass
 
 TWO_CHOICES = "lighter of two"  # of two endpoints drawn by weight, the one with less in flight
 
 
-class Plan(msgspec.Struct):
+class ProxyPlan(msgspec.Struct):
     """One proxy: where it is, which controllers it knows, and the requests that it sends."""
 
     name: str
@@ -18,7 +18,7 @@
     controllers: list[list[Any]]  # [host, port]
     port: int  # of all endpoints
     rate: float  # requests per second
-    kinds: list[Kind]
+    kinds: list[RequestClass]
     pick: str = TWO_CHOICES
     fails_to_shun: int = 3  # failures in a row until an endpoint is ejected; 0 for never
     shun_for: float = 3.0  # seconds that an endpoint is ejected for, on average
--- a/peatlead/standin/proxy_requests.py
+++ b/peatlead/standin/proxy_requests.py
@@ -10,8 +10,8 @@
 from ..invariants.record import Recorder
 from ..net.http import RequestFailedError, connect
 from ..net.http.client import ClientConnection, Response
-from .dns_clients import OUTCOME_BY_STATUS, Kind, Outcome
-from .proxy_plan import TWO_CHOICES, Plan
+from .dns_clients import OUTCOME_BY_STATUS, Outcome, RequestClass
+from .proxy_plan import TWO_CHOICES, ProxyPlan
 from .proxy_stats import EndpointTally, LoadStats
 
 CONNECT_TIMEOUT = 0.7  # seconds
@@ -25,13 +25,13 @@
     """What a controller assigned to the proxy, by request class."""
 
     def __init__(self) -> None:
-        self.lines: dict[str, list[WeightedEndpoint]] = {}
+        self.entries: dict[str, list[WeightedEndpoint]] = {}
         self.admissions: dict[str, float] = {}  # admitted fraction of requests
         self.retries: dict[str, str] = {}  # retry policy
 
     def addresses(self) -> set[str]:
         """Return the addresses of all endpoints."""
-        return {entry.address for entries in self.lines.values() for entry in entries}
+        return {entry.address for entries in self.entries.values() for entry in entries}
 
 
 @dataclass(slots=True)
@@ -39,7 +39,7 @@
     """A request under way; times are of the event loop's clock."""
 
     id: str
-    request_class: Kind
+    request_class: RequestClass
     due: float
     deadline: float
     retry: str  # the retry policy
@@ -56,11 +56,13 @@
 class RequestSender:
     """Sends a proxy's requests by its tables and counts them."""
 
-    def __init__(self, plan: Plan, tables: ProxyTables, rng: Random, record: Recorder) -> None:
+    def __init__(
+        self, plan: ProxyPlan, tables: ProxyTables, rng: Random, recorder: Recorder
+    ) -> None:
         self.plan = plan
         self.tables = tables
         self.rng = rng
-        self.record = record
+        self.recorder = recorder
         self.loop = asyncio.get_running_loop()
         self.stats = LoadStats(plan, self.loop.time())
         self.idle: dict[str, list[ClientConnection]] = {}  # connections by address
@@ -68,7 +70,7 @@
         self.failures: defaultdict[str, int] = defaultdict(int)  # in a row, by address
         self.ejected_until: dict[str, float] = {}
 
-    async def run(self, request_id: str, request_class: Kind, due: float) -> None:
+    async def run(self, request_id: str, request_class: RequestClass, due: float) -> None:
         """Admit or shed a request, try it until it ends, and record it."""
         tried: list[str] = []
         if self.rng.random() >= self.tables.admissions.get(request_class.name, 1.0):
@@ -81,7 +83,9 @@
             outcome = await self._try(request, tried)
         self._record_request(request, outcome, len(tried))
 
-    def _build_request(self, request_id: str, request_class: Kind, due: float) -> ProxyRequest:
+    def _build_request(
+        self, request_id: str, request_class: RequestClass, due: float
+    ) -> ProxyRequest:
         retry = self.tables.retries.get(request_class.name, "unstarted")
         deadline = due + request_class.client_timeout
         return ProxyRequest(request_id, request_class, due, deadline, retry, MAX_ATTEMPTS[retry])
@@ -108,7 +112,7 @@
             gain = request_class.gain * (self.plan.late_gain if late else 1.0)
         if outcome == Outcome.DONE and late:
             outcome = Outcome.LATE.value
-        self.record.row(
+        self.recorder.row(
             "req",
             now,
             request.id,
@@ -124,7 +128,7 @@
 
     def _choose(self, request_class: str, tried: list[str]) -> Optional[WeightedEndpoint]:
         """Draw an endpoint by weight; ejected ones only where there are no others."""
-        entries = self.tables.lines.get(request_class, ())
+        entries = self.tables.entries.get(request_class, ())
         untried = [entry for entry in entries if entry.address not in tried]
         now = self.loop.time()
         fit = [entry for entry in untried if self.ejected_until.get(entry.address, 0.0) <= now]
@@ -181,7 +185,7 @@
         )
 
     def _record_sent(self, request: ProxyRequest, address: str, number: int) -> None:
-        self.record.row(
+        self.recorder.row(
             "try",
             self.loop.time(),
             request.id,
--- a/peatlead/standin/proxy_stats.py
+++ b/peatlead/standin/proxy_stats.py
@@ -5,7 +5,7 @@
 
 from envoy.service.load_stats.v3 import lrs_pb2
 
-from .proxy_plan import Plan
+from .proxy_plan import ProxyPlan
 
 NANOSECONDS = 1e9  # in a second
 
@@ -26,7 +26,7 @@
 class LoadStats:
     """The counts since the last report, and the report made of them."""
 
-    def __init__(self, plan: Plan, now: float) -> None:
+    def __init__(self, plan: ProxyPlan, now: float) -> None:
         self.plan = plan
         self.reported_at = now
         self.endpoints: defaultdict[tuple[str, str], EndpointTally] = defaultdict(EndpointTally)
--- a/peatlead/standin/resolvers.py
+++ b/peatlead/standin/resolvers.py
@@ -78,7 +78,7 @@
         address: str,
         servers: Sequence[Server],
         rng: Random,
-        record: Recorder,
+        recorder: Recorder,
         rotates: bool = True,
     ) -> None:
         self.kind = kind
@@ -86,7 +86,7 @@
         self.address = address
         self.servers = servers
         self.rng = rng
-        self.record = record
+        self.recorder = recorder
         self.rotates = rotates  # whether the order of addresses changes between lookups
         self.cache: dict[CacheKey, CachedAnswer] = {}
         self.queries: dict[CacheKey, asyncio.Task[Optional[CachedAnswer]]] = {}  # under way
@@ -166,7 +166,7 @@
     ) -> None:
         now = self.loop.time()
         duration = now - start
-        self.record.row(
+        self.recorder.row(
             "answer", now, view, self.kind, server, rcode, addresses, lifetime, duration
         )
 
--- a/peatlead/standin/secondary.py
+++ b/peatlead/standin/secondary.py
@@ -88,7 +88,7 @@
         self.address = address
         self.primary = primary
         self.zone = dns.zone.Zone(origin)  # the version that it holds
-        self.fetched: dict[str, int] = {}  # fetches by outcome
+        self.fetch_counts: dict[str, int] = {}  # fetches by outcome
         self.task: Optional[asyncio.Task[None]] = None
         self.notified = False  # during the present fetch
 
@@ -105,7 +105,7 @@
         soa = self.zone.get_rdataset("@", "SOA")
         return soa[0].serial if soa else None
 
-    def sound(self) -> bool:
+    def verify_digest(self) -> bool:
         """Return True; raises dns.zone.DigestVerificationFailure where ZONEMD does not match."""
         self.zone.verify_digest()
         return True
@@ -133,7 +133,7 @@
             outcome = await self._transfer(self.serial)
             if outcome != DONE:
                 outcome = await self._transfer(None)  # differences failed: the whole zone
-            self.fetched[outcome] = self.fetched.get(outcome, 0) + 1
+            self.fetch_counts[outcome] = self.fetch_counts.get(outcome, 0) + 1
 
     async def _transfer(self, serial: Optional[int]) -> str:
         """Fetch the differences since a serial, or the whole zone, and return the outcome."""
--- a/peatlead/standin/xds_proxies.py
+++ b/peatlead/standin/xds_proxies.py
@@ -33,10 +33,10 @@
 from ..invariants.record import Recorder
 from ..tables.replica import APPLIED, OLD, Replica
 from ..tables.version import MILLION, WEIGHT_SCALE, Version, parse_line_key, parse_version
-from .proxy_plan import Plan
+from .proxy_plan import ProxyPlan
 from .proxy_requests import ProxyTables, RequestSender
 
-__all__ = ["Agent", "Plan", "ProxyGroup"]
+__all__ = ["ProxyGroup", "ProxyPlan", "StandInProxy"]
 
 JOIN_TIMEOUT = 1.0  # seconds for a controller to respond
 AVOID_FOR = 5.0  # seconds that a controller that did not respond is avoided
@@ -93,17 +93,17 @@
         future.set_result(result)
 
 
-class Agent:
+class StandInProxy:
     """One proxy."""
 
-    def __init__(self, plan: Plan, rng: Random, record: Recorder) -> None:
+    def __init__(self, plan: ProxyPlan, rng: Random, recorder: Recorder) -> None:
         self.plan = plan
         self.rng = rng
-        self.record = record
+        self.recorder = recorder
         self.loop = asyncio.get_running_loop()
         self.tables = ProxyTables()
-        self.requests = RequestSender(plan, self.tables, rng, record)
-        self.holder = Replica()  # of the incremental variant: its state, verified on arrival
+        self.requests = RequestSender(plan, self.tables, rng, recorder)
+        self.replica = Replica()  # of the incremental variant: its state, verified on arrival
         self.fence = Fence()
         self.current: Optional[Call] = None  # the discovery stream that it follows
         self.hints: list[Address] = []  # controllers, best first, as the last one named them
@@ -115,9 +115,9 @@
         self.stopped = False
 
     @property
-    def lines(self) -> dict[str, list[WeightedEndpoint]]:
+    def entries(self) -> dict[str, list[WeightedEndpoint]]:
         """The endpoints that it holds, by request class."""
-        return self.tables.lines
+        return self.tables.entries
 
     def begin(self, start: float) -> None:
         """Join a controller, and let requests arrive from a time on."""
@@ -225,7 +225,7 @@
         )
         call.on_headers = lambda metadata: set_once(responded, dict(metadata))
         call.on_end = lambda *_: set_once(ended, dict(call.peer_metadata))
-        receive = self.take_delta if self.plan.incremental else self.take
+        receive = self.receive_delta if self.plan.incremental else self.receive_response
         call.on_message = lambda data: receive(call, controller, data)
         self.current = call
         return call
@@ -239,10 +239,10 @@
     ) -> None:
         """Report loads, and wait until the stream ends or the controller does not answer."""
         self._read_hints(call.peer_metadata)
-        self.record.row("stream", self.loop.time(), self.plan.name, controller, "joined")
+        self.recorder.row("stream", self.loop.time(), self.plan.name, controller, "joined")
         self._spawn(self._report(connection))
         await self._watch(connection, ended)
-        self.record.row("stream", self.loop.time(), self.plan.name, controller, "lost")
+        self.recorder.row("stream", self.loop.time(), self.plan.name, controller, "lost")
 
     async def _watch(self, connection: Connection, ended: asyncio.Future[dict[str, str]]) -> None:
         """Wait until the stream ends or the controller does not answer pings."""
@@ -283,7 +283,7 @@
         self._describe_node(request, hops)
         held = {
             name: [f"{one.address}|{one.port}|{one.zone}|{one.weight}" for one in entries]
-            for name, entries in self.lines.items()
+            for name, entries in self.entries.items()
         }
         request.node.metadata.update({"held": held})
         call.send(request.SerializeToString(deterministic=True))
@@ -294,13 +294,13 @@
 
     def _send_first_deltas(self, call: Call, hops: int) -> None:
         """Subscribe to all parts of the tables, naming the versions of what it holds."""
-        self.holder.reject_up_to(Version(*self.fence.newest))
+        self.replica.reject_up_to(Version(*self.fence.newest))
         for type_url, part in PART_BY_TYPE.items():
             request = discovery_pb2.DeltaDiscoveryRequest(
                 type_url=type_url, resource_names_subscribe=["*"]
             )
             self._describe_node(request, hops)
-            for key, value in self.holder.parts[part].items():
+            for key, value in self.replica.parts[part].items():
                 request.initial_resource_versions[resource_name(key)] = str(value)
             call.send(request.SerializeToString(deterministic=True))
 
@@ -321,7 +321,7 @@
 
     # Assignments.
 
-    def take(self, call: Call, controller: str, data: bytes) -> None:
+    def receive_response(self, call: Call, controller: str, data: bytes) -> None:
         """Apply a DiscoveryResponse completely, or reject it with the reason."""
         response = discovery_pb2.DiscoveryResponse.FromString(data)
         version = parse_version(response.version_info)
@@ -354,11 +354,11 @@
             return
         assignments = [decode_assignment(resource.value) for resource in response.resources]
         for request_class, entries, admission in assignments:
-            self.tables.lines[request_class] = entries
+            self.tables.entries[request_class] = entries
             self.tables.admissions[request_class] = admission
         self.requests.close_unassigned()
 
-    def take_delta(self, call: Call, controller: str, data: bytes) -> None:
+    def receive_delta(self, call: Call, controller: str, data: bytes) -> None:
         """Apply a DeltaDiscoveryResponse completely, or reject it with the reason."""
         response = discovery_pb2.DeltaDiscoveryResponse.FromString(data)
         version = parse_version(response.nonce)
@@ -369,7 +369,7 @@
             type_url, changes, stamp = decode_delta(response)
             version = stamp.version
             part = PART_BY_TYPE[type_url]
-            outcome = str(self.holder.apply_delta(part, stamp, changes))
+            outcome = str(self.replica.apply_delta(part, stamp, changes))
         except ValueError as problem:
             outcome = str(problem)
         if outcome == OLD:
@@ -397,35 +397,35 @@
 
     def _rebuild_tables(self) -> None:
         """Build the tables of the replica's items."""
-        lines: dict[str, list[WeightedEndpoint]] = {name: [] for name in self._class_names()}
-        for key, weight in self.holder.parts["line"].items():
+        entries: dict[str, list[WeightedEndpoint]] = {name: [] for name in self._class_names()}
+        for key, weight in self.replica.parts["line"].items():
             request_class, zone, address, port = parse_line_key(key)
             entry = WeightedEndpoint(address, port, zone, cast(int, weight) / WEIGHT_SCALE)
-            lines.setdefault(request_class, []).append(entry)
-        self.tables.lines = lines
-        for key, fraction in self.holder.parts["level"].items():
+            entries.setdefault(request_class, []).append(entry)
+        self.tables.entries = entries
+        for key, fraction in self.replica.parts["level"].items():
             self.tables.admissions[key.partition("/")[2]] = cast(int, fraction) / MILLION
-        for key, policy in self.holder.parts["retry"].items():
+        for key, policy in self.replica.parts["retry"].items():
             self.tables.retries[key.partition("/")[2]] = cast(str, policy)
         self.requests.close_unassigned()
 
     def _record_assignment(
         self, controller: str, version: Version, outcome: AssignmentOutcome
     ) -> None:
-        fewest = min((len(self.lines.get(name, ())) for name in self._class_names()), default=0)
+        fewest = min((len(self.entries.get(name, ())) for name in self._class_names()), default=0)
         now = self.loop.time()
-        self.record.row("order", now, self.plan.name, controller, *version, outcome.value, fewest)
+        self.recorder.row("order", now, self.plan.name, controller, *version, outcome.value, fewest)
 
     def _record_held(self, controller: str, version: Version) -> None:
         """Record the digest of what it holds, and the addresses that are in it."""
-        self.record.row(
+        self.recorder.row(
             "held",
             self.loop.time(),
             self.plan.name,
             controller,
             *version,
-            str(self.holder.digests["line"]),
-            self.holder.is_consistent("line"),
+            str(self.replica.digests["line"]),
+            self.replica.is_consistent("line"),
             sorted(self.tables.addresses()),
         )
 
@@ -474,17 +474,17 @@
 class ProxyGroup:
     """The proxies of one process, controlled by commands (standin/process.py)."""
 
-    def __init__(self, rng: Random, record: Recorder) -> None:
+    def __init__(self, rng: Random, recorder: Recorder) -> None:
         self.rng = rng
-        self.record = record
-        self.proxies: dict[str, Agent] = {}
+        self.recorder = recorder
+        self.proxies: dict[str, StandInProxy] = {}
 
     async def command(self, command: dict[str, Any], /) -> None:
         """Carry out a command."""
         match command["do"]:
             case "agent":
-                plan = msgspec.convert(command["plan"], Plan)
-                self.proxies[plan.name] = Agent(plan, self.rng, self.record)
+                plan = msgspec.convert(command["plan"], ProxyPlan)
+                self.proxies[plan.name] = StandInProxy(plan, self.rng, self.recorder)
             case "begin":
                 for proxy in self.proxies.values():
                     proxy.begin(command["at"])
--- a/tests/compatibility/test_mixed_fleet.py
+++ b/tests/compatibility/test_mixed_fleet.py
@@ -19,23 +19,23 @@
 from pathlib import Path
 
 from peatlead.controller.control_socket import ask_once
-from peatlead.standin.dns_clients import Kind
-from peatlead.standin.xds_proxies import Agent, Plan
+from peatlead.standin.dns_clients import RequestClass
+from peatlead.standin.xds_proxies import ProxyPlan, StandInProxy
 from tests.standin_fleet import SCRIPT, MemoryRecorder, run_with_standins, until
 
 # The adapter, with the imports above: all that is known here of names inside the program.
 
 KINDS = [
-    Kind("look", 0.5, 0.5, 1.5, 1.0, "replayable"),
-    Kind("file", 0.5, 0.5, 1.5, 1.0, "non-replayable"),
+    RequestClass("look", 0.5, 0.5, 1.5, 1.0, "replayable"),
+    RequestClass("file", 0.5, 0.5, 1.5, 1.0, "non-replayable"),
 ]
 
 
 def agent(world, name):
     """A proxy that follows one of the two stewards and sends reqs."""
     controllers = [[address, world.port + 2] for address in ADDRESSES.values()]
-    made = Agent(
-        Plan(name, "north", "127.60.9.1", controllers, world.port, 5.0, KINDS),
+    made = StandInProxy(
+        ProxyPlan(name, "north", "127.60.9.1", controllers, world.port, 5.0, KINDS),
         world.random,
         MemoryRecorder(),
     )
@@ -46,11 +46,11 @@
 
 def lines(one):
     """Addresses by request kind that a proxy holds."""
-    return {kind: {line.address for line in held} for kind, held in one.lines.items()}
+    return {kind: {line.address for line in held} for kind, held in one.entries.items()}
 
 
 def fail(world, host):
-    world.endpoints[host].tell("errors", 1.0)
+    world.endpoints[host].inject_fault("errors", 1.0)
 
 
 # The end of the adapter.
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -123,15 +123,16 @@
     rows = [[row.kind, row.at, list(row.fields.values())] for row in read.rows]
     return rows, {
         "rules": [
-            [int(one.rule.split(" ")[0]), one.nearest, one.breaches] for one in report.findings
+            [int(one.rule.split(" ")[0]), one.fraction_of_limit, one.breaches]
+            for one in report.findings
         ],
         "service": report.service,
         "late": report.late_sends,
         "answers": report.answers,
-        "named": report.named,
+        "named": report.failed_endpoints,
         "takeovers": report.takeovers,
         "rows": report.rows,
-        "torn": report.torn,
+        "torn": report.torn_bytes,
     }
 
 
--- a/tests/controller/test_dns_controller.py
+++ b/tests/controller/test_dns_controller.py
@@ -37,7 +37,7 @@
         async def case(world):
             controller = await world.start_controller()
             await until(lambda: len(world.answered_endpoints(controller)) == 4)
-            world.endpoints[1].tell("silent", True)
+            world.endpoints[1].inject_fault("silent", True)
             await until(lambda: "h1" not in world.answered_endpoints(controller), 15.0)
             self.assertIn("host 1 dropped: probes", [more.get("text") for _, more in world.log])
 
@@ -47,7 +47,7 @@
         async def case(world):
             controller, loop = await world.start_controller(), asyncio.get_running_loop()
             await until(lambda: len(world.answered_endpoints(controller)) == 4)
-            world.endpoints[1].tell("hung", True)
+            world.endpoints[1].inject_fault("hung", True)
 
             async def send_request(address):
                 try:
--- a/tests/controller/test_health_checks.py
+++ b/tests/controller/test_health_checks.py
@@ -25,10 +25,14 @@
             await until(lambda: world.answered_endpoints(controller))
             controller.health_checks.admission = {0: 0.4, 1: 1.0}
             now = asyncio.get_running_loop().time
-            await until(lambda: all(host.level("look", now()) == 0.4 for host in world.endpoints))
-            world.endpoints[0].levels["look", "other"] = 0.2, now()
-            self.assertAlmostEqual(world.endpoints[0].level("look", now()), 0.3)
+            await until(
+                lambda: all(
+                    host.admitted_fraction("look", now()) == 0.4 for host in world.endpoints
+                )
+            )
+            world.endpoints[0].admitted_fractions["look", "other"] = 0.2, now()
+            self.assertAlmostEqual(world.endpoints[0].admitted_fraction("look", now()), 0.3)
             # What a dead controller ordered must not hold for good.
-            return world.endpoints[0].level("look", now() + 60.0)
+            return world.endpoints[0].admitted_fraction("look", now() + 60.0)
 
         self.assertEqual(run_with_standins(case), 1.0)
--- a/tests/dns/test_zone_transfer.py
+++ b/tests/dns/test_zone_transfer.py
@@ -41,7 +41,7 @@
         async def case(world, controller, secondary):
             await until(lambda: len(secondary.zone.get_rdataset("desk0.api", "A") or ()) == 4)
             first_serial = secondary.serial
-            self.assertTrue(secondary.sound())
+            self.assertTrue(secondary.verify_digest())
             world.phases["h0"] = "draining"
             world.write_list()
             await until(lambda: secondary.zone.get_node("h0.hosts") is None)
@@ -49,8 +49,8 @@
                 "h0.hosts", str(secondary.zone.get_rdataset("_http._tcp.desk0.api", "SRV"))
             )
             await until(lambda: secondary.serial == controller.secondaries.history.serial)
-            self.assertTrue(is_newer(secondary.serial, first_serial) and secondary.sound())
-            self.assertEqual(set(secondary.fetched), {"done"})
+            self.assertTrue(is_newer(secondary.serial, first_serial) and secondary.verify_digest())
+            self.assertEqual(set(secondary.fetch_counts), {"done"})
 
         self.run_case(case)
 
@@ -61,13 +61,13 @@
             world.write_list()
             await until(
                 lambda: is_newer(controller.secondaries.history.serial, secondary.serial)
-                or secondary.fetched["done"] > 1
+                or secondary.fetch_counts["done"] > 1
             )
             await until(
                 lambda: secondary.serial == controller.secondaries.history.serial
                 and secondary.zone.get_rdataset("desk0.api", "A")
             )
-            self.assertTrue(secondary.sound())
+            self.assertTrue(secondary.verify_digest())
 
         self.run_case(case)
 
@@ -80,7 +80,7 @@
             secondary.fetch()
             await until(lambda: is_newer(controller.secondaries.history.serial, ahead.serial))
             await until(lambda: secondary.serial == controller.secondaries.history.serial)
-            self.assertTrue(secondary.sound())
+            self.assertTrue(secondary.verify_digest())
             self.assertEqual(controller.secondaries.counts["passed"], 1)
             self.assertEqual(controller.published.zone_serial(), secondary.serial)
 
@@ -173,8 +173,8 @@
                 == controller.secondaries.published_change_count,
                 30.0,
             )
-            self.assertTrue(secondary.sound())
+            self.assertTrue(secondary.verify_digest())
             self.assertEqual(relay.copies_sent, {0, 1, 2})
-            self.assertEqual(set(secondary.fetched), {"done"})
+            self.assertEqual(set(secondary.fetch_counts), {"done"})
 
         run_with_standins(case, script=SCRIPT_WITH_SECONDARY)
--- a/tests/grpc/simulated_fleet.py
+++ b/tests/grpc/simulated_fleet.py
@@ -3,8 +3,8 @@
 import asyncio
 
 from peatlead.grpc.resources import WeightedEndpoint
-from peatlead.standin.dns_clients import Kind
-from peatlead.standin.xds_proxies import Agent, Plan
+from peatlead.standin.dns_clients import RequestClass
+from peatlead.standin.xds_proxies import ProxyPlan, StandInProxy
 
 from ..standin_fleet import SCRIPT, MemoryRecorder, run_with_standins
 
@@ -26,8 +26,8 @@
     % ("ab" * 32)
 )
 REQUEST_CLASSES = [
-    Kind("look", 0.5, 0.5, 1.5, 1.0, "replayable"),
-    Kind("file", 0.5, 0.5, 1.5, 1.0, "non-replayable"),
+    RequestClass("look", 0.5, 0.5, 1.5, 1.0, "replayable"),
+    RequestClass("file", 0.5, 0.5, 1.5, 1.0, "non-replayable"),
 ]
 WEIGHTED_ENDPOINTS = [
     WeightedEndpoint("127.10.9.1", 80, "north", 1.0),
@@ -48,8 +48,8 @@
 def connect_proxy(world, name="p0", controller_order=(1, 2, 3)):
     """Starts a simulated proxy that knows the controllers of these numbers, in this order."""
     controllers = [[f"127.1.0.{index}", world.port + 2] for index in controller_order]
-    plan = Plan(name, "north", "127.60.9.1", controllers, world.port, 20.0, REQUEST_CLASSES)
-    proxy = Agent(plan, world.random, MemoryRecorder())
+    plan = ProxyPlan(name, "north", "127.60.9.1", controllers, world.port, 20.0, REQUEST_CLASSES)
+    proxy = StandInProxy(plan, world.random, MemoryRecorder())
     proxy.begin(asyncio.get_running_loop().time())
     world.cleanups.append(lambda: setattr(proxy, "stopped", True))
     return proxy
--- a/tests/grpc/test_failover.py
+++ b/tests/grpc/test_failover.py
@@ -33,13 +33,13 @@
             await until(lambda: self.owner_of(controllers))
             first_owner = self.owner_of(controllers)
             self.assertEqual(first_owner, controllers["ns1"].fleet.ownership.owner_of("p0"))
-            await until(lambda: proxy.lines)
-            held_endpoints, epoch = dict(proxy.lines), proxy.fence.newest[0]
+            await until(lambda: proxy.entries)
+            held_endpoints, epoch = dict(proxy.entries), proxy.fence.newest[0]
             controllers.pop(first_owner).stop()
             await until(lambda: self.owner_of(controllers))
             await until(lambda: proxy.fence.newest[0] > epoch)
             self.assertEqual(
-                set(held_endpoints["look"]), set(proxy.lines["look"])
+                set(held_endpoints["look"]), set(proxy.entries["look"])
             )  # the shard does not depend on the owner
             await proxy.finish()
 
@@ -70,7 +70,7 @@
             world.write_list()
             await until(
                 lambda: all(
-                    {endpoint.address for endpoint in proxy.lines["look"]}
+                    {endpoint.address for endpoint in proxy.entries["look"]}
                     == {"127.10.9.1", "127.10.9.3", "127.10.9.4"}
                     for proxy in proxies
                 )
@@ -91,7 +91,7 @@
                 ),
                 15,
             )
-            order_rows = [row for proxy in proxies for row in proxy.record.rows_of("order")]
+            order_rows = [row for proxy in proxies for row in proxy.recorder.rows_of("order")]
             versions = [(row[2], row[4], row[5]) for row in order_rows if row[6] == "applied"]
             self.assertEqual(len(versions), len(set(versions)))
             for proxy in proxies:
@@ -105,7 +105,8 @@
             proxies = [connect_proxy(world, f"p{index}") for index in range(5)]
             await until(
                 lambda: all(
-                    self.owner_of(controllers, proxy.plan.name) and proxy.lines for proxy in proxies
+                    self.owner_of(controllers, proxy.plan.name) and proxy.entries
+                    for proxy in proxies
                 )
             )
             busiest = max(
@@ -116,7 +117,7 @@
             await until(
                 lambda: all(self.owner_of(controllers, proxy.plan.name) for proxy in proxies)
             )
-            self.assertTrue(all(proxy.lines["look"] for proxy in proxies))
+            self.assertTrue(all(proxy.entries["look"] for proxy in proxies))
             answer = controllers[busiest].answer_fleet_question(
                 type("Q", (), {"do": "why", "host": "p0"})
             )
@@ -130,7 +131,7 @@
         async def case(world):
             controllers = await self.start_three_controllers(world)
             proxy = connect_proxy(world)
-            await until(lambda: self.owner_of(controllers) and proxy.lines)
+            await until(lambda: self.owner_of(controllers) and proxy.entries)
             first_owner = self.owner_of(controllers)
             session = controllers[first_owner].proxies.front.sessions["p0"]
             # The owner stops answering pings, as if frozen, and later resumes without knowing of the new owner.
@@ -147,18 +148,18 @@
             )
             await until(
                 lambda: proxy.fence.newest[0] > 1
-                and proxy.record.rows_of("order")[-1][6] == "applied",
+                and proxy.recorder.rows_of("order")[-1][6] == "applied",
                 15,
             )
             connection.received = original
-            held_endpoints = dict(proxy.lines)
+            held_endpoints = dict(proxy.entries)
             session.state.withdrawn.update(range(3))
             session.ready = True
             for subscription in session.discovery.subscriptions.values():
                 subscription.nonce = ""
             session.on_tables_changed()
-            await until(lambda: any(row[6] == "old" for row in proxy.record.rows_of("order")))
-            self.assertEqual(proxy.lines, held_endpoints)
+            await until(lambda: any(row[6] == "old" for row in proxy.recorder.rows_of("order")))
+            self.assertEqual(proxy.entries, held_endpoints)
             await proxy.finish()
 
         run_fleet(case)
--- a/tests/grpc/test_incremental.py
+++ b/tests/grpc/test_incremental.py
@@ -4,7 +4,7 @@
 import random
 import unittest
 
-from peatlead.standin.xds_proxies import Agent, Plan
+from peatlead.standin.xds_proxies import ProxyPlan, StandInProxy
 
 from ..standin_fleet import MemoryRecorder, until
 from .simulated_fleet import REQUEST_CLASSES, run_fleet
@@ -47,7 +47,7 @@
 
             server = await asyncio.start_server(relay, "127.1.0.9", world.port + 2)
             world.cleanups.append(server.close)
-            plan = Plan(
+            plan = ProxyPlan(
                 "p0",
                 "north",
                 "127.60.9.1",
@@ -57,27 +57,31 @@
                 REQUEST_CLASSES,
                 incremental=True,
             )
-            proxy = Agent(plan, world.random, MemoryRecorder())
+            proxy = StandInProxy(plan, world.random, MemoryRecorder())
             proxy.begin(asyncio.get_running_loop().time())
             world.cleanups.append(lambda: setattr(proxy, "stopped", True))
-            await until(lambda: len(proxy.lines.get("look", ())) == 4)
+            await until(lambda: len(proxy.entries.get("look", ())) == 4)
             await world.change_list_repeatedly(40, 0.08)
 
             def has_converged():
                 items = controller.published.store.histories["p0"].items
                 line_items = {key: value for key, value in items.items() if key.startswith("line/")}
                 return (
-                    proxy.holder.parts["line"] == line_items
-                    and len({endpoint.address for endpoint in proxy.lines["look"]}) == 3
+                    proxy.replica.parts["line"] == line_items
+                    and len({endpoint.address for endpoint in proxy.entries["look"]}) == 3
                 )
 
             await until(has_converged)
-            self.assertTrue(proxy.holder.is_consistent("line"))
+            self.assertTrue(proxy.replica.is_consistent("line"))
             self.assertNotIn(
                 "127.10.9.2",
-                {endpoint.address for endpoints in proxy.lines.values() for endpoint in endpoints},
+                {
+                    endpoint.address
+                    for endpoints in proxy.entries.values()
+                    for endpoint in endpoints
+                },
             )
-            self.assertFalse([row for row in proxy.record.rows_of("held") if not row[7]])
+            self.assertFalse([row for row in proxy.recorder.rows_of("held") if not row[7]])
             self.assertTrue(cut_links)
             await proxy.finish()
 
--- a/tests/grpc/test_server.py
+++ b/tests/grpc/test_server.py
@@ -23,7 +23,7 @@
         async def case(world):
             controller = await world.start_controller()
             proxy = connect_proxy(world, controller_order=(1,))
-            await until(lambda: len(proxy.lines.get("look", ())) == 4 and proxy.tables.retries)
+            await until(lambda: len(proxy.entries.get("look", ())) == 4 and proxy.tables.retries)
             received = []
             original = controller.planner.handlers[interface.EndpointStats]
             controller.planner.handlers[interface.EndpointStats] = lambda event: (
@@ -44,7 +44,7 @@
             world.phases["h1"] = "draining"
             world.write_list()
             await until(
-                lambda: {endpoint.address for endpoint in proxy.lines["look"]}
+                lambda: {endpoint.address for endpoint in proxy.entries["look"]}
                 == {"127.10.9.1", "127.10.9.3", "127.10.9.4"}
             )
             await proxy.finish()
@@ -172,13 +172,13 @@
         async def case(world):
             controller = await world.start_controller()
             proxy = connect_proxy(world, controller_order=(1,))
-            await until(lambda: len(proxy.lines.get("look", ())) == 4)
-            endpoints_before, original = dict(proxy.lines), proxy._apply
+            await until(lambda: len(proxy.entries.get("look", ())) == 4)
+            endpoints_before, original = dict(proxy.entries), proxy._apply
             proxy._apply = lambda response: (_ for _ in ()).throw(ValueError("simulated error"))
             world.phases["h1"] = "draining"
             world.write_list()
             await until(lambda: controller.proxies.refusals)
-            self.assertEqual(proxy.lines, endpoints_before)
+            self.assertEqual(proxy.entries, endpoints_before)
             self.assertEqual(dict(world.log)["assignment refused"]["why"], "simulated error")
             proxy._apply = original
             await proxy.finish()
--- a/tests/invariants/test_checker.py
+++ b/tests/invariants/test_checker.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 from peatlead.invariants.checker import check
-from peatlead.invariants.record import ROWS, Read, Recorder, Row, read_folder
+from peatlead.invariants.record import ROWS, Recorder, Recording, Row, read_folder
 
 LIMITS = {
     "drain_grace": 3.0,
@@ -38,7 +38,7 @@
 
 
 def found(*rows):
-    return check(Read(sorted(rows, key=lambda one: one.at), 0), LIMITS, {"look": 2.0})
+    return check(Recording(sorted(rows, key=lambda one: one.at), 0), LIMITS, {"look": 2.0})
 
 
 class RuleTest(unittest.TestCase):
@@ -89,7 +89,7 @@
             sent(15, "a1", "tenfold"),
             sent(11, "a1", "tenfold"),
         )
-        self.assertTrue(report.kept)
+        self.assertTrue(report.all_rules_kept)
         self.assertEqual(report.late_sends["tenfold"], {"sends": 2, "after grace": 1, "worst": 2.0})
 
     def test_drain_list_replaced_before_it_was_read_binds_nobody(self):
@@ -118,7 +118,9 @@
         self.assertEqual(
             self.broken(told, row("cold", 4, "h1", 1.2, 0.9), row("tipped", 4, "h1", 0.9)), ["4"]
         )
-        self.assertEqual(found(told, row("cold", 4, "h1", 0.4, 0.9)).findings[3].nearest, 0.4)
+        self.assertEqual(
+            found(told, row("cold", 4, "h1", 0.4, 0.9)).findings[3].fraction_of_limit, 0.4
+        )
 
     def test_slow_start_overload_before_the_start_was_listed_is_counted_apart(self):
         again = listed(0, "ready"), listed(10, "ready", started=9.0)
@@ -127,8 +129,8 @@
             self.broken(again[0], row("tipped", 1, "h1", 0.9)), ["4"]
         )  # it is new: all who name it know
         report = found(*again, row("cold", 12, "h1", 1.2, 9.0), row("tipped", 12, "h1", 9.0))
-        self.assertTrue(report.kept)
-        self.assertIn("1 tipped before", report.findings[3].said)
+        self.assertTrue(report.all_rules_kept)
+        self.assertIn("1 tipped before", report.findings[3].summary)
         self.assertEqual(
             self.broken(again[0], row("tipped", 20, "h1", 15.0)), []
         )  # a start that no list told
--- a/tests/lab/test_reproducibility.py
+++ b/tests/lab/test_reproducibility.py
@@ -10,7 +10,7 @@
 
 from peatlead.lab.timer_wheel import WheelTimers
 from peatlead.planner.planner import Planner
-from peatlead.standin.hosts import Host
+from peatlead.standin.hosts import StandInEndpoint
 
 from .small_scenario import PRINT_DIGEST, play_small
 
@@ -37,7 +37,7 @@
     def test_endpoint_closes_connections_in_order_of_arrival(self):
         # Kept in a set they went in the order of their addresses in memory: seed 1 of the dns kind gave another
         # digest from run to run, on Python 3.12.
-        host, closed = Host.__new__(Host), []
+        host, closed = StandInEndpoint.__new__(StandInEndpoint), []
         host.loop, host.connections, host.queue, host.running = (
             mock.Mock(time=lambda: 1.0),
             {},
@@ -49,7 +49,7 @@
         for at in range(50):
             one = mock.Mock(job=None, close=lambda at=at: closed.append(at))
             host.connections[one] = True
-        host.tell("drain", True)
+        host.inject_fault("drain", True)
         self.assertEqual(closed, list(range(50)))
 
     def test_use_of_the_wall_clock_changes_the_digest(self):
--- a/tests/lab/test_takeovers.py
+++ b/tests/lab/test_takeovers.py
@@ -58,7 +58,7 @@
             "steward_frozen(at = 3, length = 6, steward = 0)\n"
             "steward_frozen(at = 4, length = 3, steward = 1)"
         )
-        self.assertIn("0 applied twice, 0 old ones applied", played.report.findings[5].said)
+        self.assertIn("0 applied twice, 0 old ones applied", played.report.findings[5].summary)
 
     def test_all_proxies_reconnecting_at_once_stay_under_the_limits(self):
         played = self.play_without_findings(
@@ -66,7 +66,7 @@
             "steward_killed(at = 3, length = 7, steward = 1)",
             agents=150,
         )
-        self.assertLess(played.report.findings[4].nearest, 1.0)
+        self.assertLess(played.report.findings[4].fraction_of_limit, 1.0)
 
     def test_cut_one_way_cut_and_flapping_links_between_controllers(self):
         cut = "link_cut(at = {}, length = {}, one = '127.1.0.1', other = '127.1.0.2', both = {})"
--- a/tests/platform/test_drains.py
+++ b/tests/platform/test_drains.py
@@ -52,9 +52,9 @@
             fleet = Fleet(SETTINGS, FleetPlan(4, 320, 40, free_port(), **plan_options), folder)
             try:
                 await fleet.start()
-                await until(lambda: all(state.ordered for state in fleet.proxies), 20.0)
+                await until(lambda: all(state.received_full_table for state in fleet.proxies), 20.0)
                 await case(fleet)
-                await until(lambda: not fleet.still_held(), 30.0)
+                await until(lambda: not fleet.count_proxies_with_drained(), 30.0)
                 await asyncio.sleep(0.5)
                 return fleet.drain_report(DRAIN_GRACE + GRACE_TOLERANCE)
             finally:
@@ -65,13 +65,13 @@
 
 
 def drain(fleet, endpoints):
-    fleet.list_hosts([fleet.host(number, "leaving") for number in endpoints])
+    fleet.update_endpoints([fleet.endpoint_entry(number, "leaving") for number in endpoints])
 
 
 class Drains(unittest.TestCase):
     def assert_no_late_removals(self, report):
-        self.assertEqual(report.late, [])
-        self.assertLessEqual(report.most_waiting, SETTINGS["familyInfo"]["pendingMax"])
+        self.assertEqual(report.late_withdrawals, [])
+        self.assertLessEqual(report.max_waiting, SETTINGS["familyInfo"]["pendingMax"])
 
     def test_a_controller_that_takes_over_all_proxies_removes_draining_endpoints_in_time(
         self,
@@ -81,7 +81,7 @@
         async def case(fleet):
             drain(fleet, range(6))
             await asyncio.sleep(0.2)
-            for name in fleet.names[:3]:
+            for name in fleet.controller_names[:3]:
                 fleet.kill(name)
             await asyncio.sleep(0.4)
             drain(fleet, range(6, 12))
@@ -100,20 +100,20 @@
             drain(fleet, range(6, 10))
             await asyncio.sleep(0.6)
             fleet.restart("n0")
-            await fleet.ready("n0")
+            await fleet.wait_until_ready("n0")
             await asyncio.sleep(1.0)
             drain(fleet, range(10, 14))
 
-        self.assert_no_late_removals(run_with_fleet(case, rehome=1.0))
+        self.assert_no_late_removals(run_with_fleet(case, return_delay=1.0))
 
     def test_simultaneously_restarted_controllers_remove_endpoints_that_drained_meanwhile(self):
         async def case(fleet):
             drain(fleet, range(6))
             await asyncio.sleep(0.3)
-            for name in fleet.names:
+            for name in fleet.controller_names:
                 fleet.kill(name)
             drain(fleet, range(6, 10))
-            for name in fleet.names:
+            for name in fleet.controller_names:
                 fleet.restart(name)
             await asyncio.sleep(1.0)
             drain(fleet, range(10, 14))
--- a/tests/seeded_faults.py
+++ b/tests/seeded_faults.py
@@ -17,13 +17,13 @@
 from peatlead.fleet.ownership import Fence
 from peatlead.lab.day import play_day
 from peatlead.lab.random_scenario import draw_scenario
-from peatlead.standin.xds_proxies import Agent
+from peatlead.standin.xds_proxies import StandInProxy
 
 
 @contextlib.contextmanager
 def ownership_not_checked():
     """Proxies apply commands of earlier owners."""
-    original = Agent.take
+    original = StandInProxy.receive_response
 
     def take(self, call, steward, data):
         self.current = call
@@ -31,7 +31,7 @@
 
     with (
         mock.patch.object(Fence, "allows", lambda self, *_: True),
-        mock.patch.object(Agent, "take", take),
+        mock.patch.object(StandInProxy, "receive_response", take),
     ):
         yield
 
--- a/tests/standin/test_process.py
+++ b/tests/standin/test_process.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from peatlead.scenario.runner import free_port
-from peatlead.standin.process import CommandFailedError, Orders, Teller
+from peatlead.standin.process import CommandClient, CommandFailedError, CommandServer
 
 
 class RecordingGroup:
@@ -33,15 +33,15 @@
             group = RecordingGroup()
             address = ("127.0.0.1", free_port())
             server, _ = await loop.create_datagram_endpoint(
-                lambda: Orders(group), local_addr=address
+                lambda: CommandServer(group), local_addr=address
             )
             transport, client = await loop.create_datagram_endpoint(
-                Teller, local_addr=("127.0.0.1", 0)
+                CommandClient, local_addr=("127.0.0.1", 0)
             )
-            await client.tell(address, {"do": "begin", "at": 1.0})
+            await client.execute(address, {"do": "begin", "at": 1.0})
             transport.sendto(msgspec.json.encode({"do": "begin", "at": 1.0, "number": 1}), address)
             with self.assertRaisesRegex(CommandFailedError, "fail: ValueError.*no such stand-in"):
-                await client.tell(address, {"do": "fail"})
+                await client.execute(address, {"do": "fail"})
             server.close()
             transport.close()
             return group.commands
@@ -55,9 +55,9 @@
         async def case(address):
             loop = asyncio.get_running_loop()
             transport, client = await loop.create_datagram_endpoint(
-                Teller, local_addr=("127.0.0.1", 0)
+                CommandClient, local_addr=("127.0.0.1", 0)
             )
-            await client.tell(address, {"do": "finish"}, 30.0)
+            await client.execute(address, {"do": "finish"}, 30.0)
             transport.close()
 
         port = free_port()
--- a/tests/standin_fleet.py
+++ b/tests/standin_fleet.py
@@ -13,7 +13,7 @@
 from peatlead.planner.planner import Planner
 from peatlead.scenario.runner import free_port
 from peatlead.settings import load_settings
-from peatlead.standin.hosts import Host, Plan, Pods
+from peatlead.standin.hosts import EndpointPlan, Pods, StandInEndpoint
 
 hypothesis_settings.register_profile("steady", derandomize=True, deadline=None, max_examples=60)
 hypothesis_settings.load_profile("steady")  # property tests give the same result on every run
@@ -105,7 +105,7 @@
         self.settings = settings(self.port, f"{folder}/nodes.json", script)
         self.random = Random(4)
         self.pods = Pods()
-        self.endpoints = []  # Host objects
+        self.endpoints = []  # StandInEndpoint objects
         self.controllers = []
         self.log = []  # (event, fields) of all controllers
         self.cleanups = []  # functions that `stop` calls
@@ -115,7 +115,7 @@
         self.extra_entries = []  # entries of the list that are no stand-in endpoints
 
     def _plan(self, number, deep, cold):
-        return Plan(
+        return EndpointPlan(
             name=f"h{number}",
             zone=ZONES[number % 2],
             pod=0,
@@ -135,7 +135,7 @@
     async def start(self):
         """Start the endpoints and write the first list."""
         for plan in self.plans:
-            self.endpoints.append(Host(plan, self.random, self.record, self.pods))
+            self.endpoints.append(StandInEndpoint(plan, self.random, self.record, self.pods))
             await self.endpoints[-1].begin()
         self.write_list()
         return self
