--- a/peatlead/lab/day.py
+++ b/peatlead/lab/day.py
@@ -15,12 +15,12 @@
 
 from ..controller.controller import Controller
 from ..invariants.checker import check
-from ..invariants.record import ROWS, Read, Row
+from ..invariants.record import ROWS, Recording, Row
 from ..planner.planner import Planner
 from ..scenario.plain import PlainPlanner
 from ..scenario.runner import Day
 from ..settings.loader import load_settings
-from ..standin.process import HALLS, Orders
+from ..standin.process import STANDIN_GROUPS, CommandServer
 from .canonical_form import canonical_form
 from .policies import HomePlanner, OraclePlanner
 from .simulation import Simulation, play
@@ -127,10 +127,10 @@
         rng = Random(self.standin_seed(kind, number))
 
         async def serve():
-            group = HALLS[kind](rng, self.recorder)
+            group = STANDIN_GROUPS[kind](rng, self.recorder)
             self.standin_groups.append(group)
             await loop.create_datagram_endpoint(
-                lambda: Orders(group), local_addr=(address, self.fleet.port)
+                lambda: CommandServer(group), local_addr=(address, self.fleet.port)
             )
 
         self.children.append(self.start_process(loop, serve))
@@ -180,7 +180,7 @@
         An endpoint that is silent, hung, overloaded or draining has 0.
         """
         return {
-            name: endpoint.able(self.simulation.now)
+            name: endpoint.available_cores(self.simulation.now)
             for group in self.standin_groups
             for name, endpoint in getattr(group, "hosts", {}).items()
             if endpoint.server is not None
@@ -237,7 +237,7 @@
         settings = load_settings("settings.star", self.settings_text())
         gains = {kind["name"]: kind["gain"] for kind in self.scenario["kinds"]}
         self.recorder.rows.sort(key=lambda row: row.at)
-        return check(Read(self.recorder.rows, 0), settings["limits"], gains)
+        return check(Recording(self.recorder.rows, 0), settings["limits"], gains)
 
 
 class DayResult:
@@ -270,7 +270,7 @@
         descriptions = list(self.failures)
         if self.report is not None:
             descriptions += [
-                f"rule {finding.rule}: {finding.said}"
+                f"rule {finding.rule}: {finding.summary}"
                 for finding in self.report.findings
                 if finding.breaches
             ]
--- a/peatlead/lab/study.py
+++ b/peatlead/lab/study.py
@@ -174,7 +174,7 @@
     }
     return {
         **metrics,
-        **{f"rule{index + 1}": report.findings[index].nearest for index in range(5)},
+        **{f"rule{index + 1}": report.findings[index].fraction_of_limit for index in range(5)},
     }
 
 
--- a/tests/lab/test_reproducibility.py
+++ b/tests/lab/test_reproducibility.py
@@ -10,7 +10,7 @@
 
 from peatlead.lab.timer_wheel import WheelTimers
 from peatlead.planner.planner import Planner
-from peatlead.standin.hosts import Host
+from peatlead.standin.hosts import StandInEndpoint
 
 from .small_scenario import PRINT_DIGEST, play_small
 
@@ -36,7 +36,7 @@
 
     def test_a_draining_endpoint_closes_connections_in_order_of_arrival(self):
         # A set would order connections by their memory addresses, which differ between runs.
-        endpoint, closed = Host.__new__(Host), []
+        endpoint, closed = StandInEndpoint.__new__(StandInEndpoint), []
         endpoint.loop, endpoint.connections, endpoint.queue, endpoint.running = (
             mock.Mock(time=lambda: 1.0),
             {},
@@ -48,7 +48,7 @@
         for number in range(50):
             connection = mock.Mock(job=None, close=lambda number=number: closed.append(number))
             endpoint.connections[connection] = True
-        endpoint.tell("drain", True)
+        endpoint.inject_fault("drain", True)
         self.assertEqual(closed, list(range(50)))
 
     def test_use_of_the_wall_clock_changes_the_digest(self):
