--- a/peatlead/benchmarks/paced_runs.py
+++ b/peatlead/benchmarks/paced_runs.py
@@ -54,19 +54,19 @@
         self.acknowledged = []
         self.spent += spent
         self.longest = max(self.longest, spent)
-        routed = self.publisher.take(commands)
+        routed = self.publisher.route(commands)
         for proxy in sorted(routed.messages):
-            self.channel.offer(
+            self.channel.enqueue(
                 self.now, proxy, routed.messages[proxy], routed.nonces.get(proxy, ())
             )
-        for proxy, message in self.channel.due(self.now):
+        for proxy, message in self.channel.take_due(self.now):
             self.acknowledged += [
-                interface.Acknowledged(proxy, nonce, self.now - message.offered)
-                for nonce in message.marks
+                interface.Acknowledged(proxy, nonce, self.now - message.enqueued_at)
+                for nonce in message.nonces
             ]
             self.count_message(proxy)
-            self.operations += len(message.ops)
-            self.states[proxy].apply(message.ops)
+            self.operations += len(message.operations)
+            self.states[proxy].apply(message.operations)
         return spent
 
     def count_message(self, proxy: int) -> None:
@@ -88,7 +88,7 @@
                 for proxy in range(self.proxies)
             ]
         )
-        while any(not state.bound for state in self.states.values()):
+        while any(not state.assigned_tables for state in self.states.values()):
             self.ticks(1)
         return spent
 
@@ -96,7 +96,7 @@
         """Count proxies without an entry, and find the most that a cold endpoint gets."""
         load: dict[int, float] = {}  # requests a second, by endpoint
         for state in self.states.values():
-            entries = state.lines(0)
+            entries = state.weights(0)
             total = sum(entries.values())
             self.without_entries += not entries
             for number, weight in entries.items():
@@ -145,7 +145,7 @@
         return {
             "lines a proxy": round(self.operations / self.proxies, 1),
             "messages a proxy in 10 s, most": self.most_messages,
-            "queue, deepest part": round(self.channel.deepest / self.channel.most, 2),
+            "queue, deepest part": round(self.channel.peak_size / self.channel.max_size, 2),
             "proxies without a line": self.without_entries,
             "cold host, most of what tips it": round(self.worst_cold_load, 3),
             "CPU s": round(self.spent, 2),
--- a/peatlead/benchmarks/scale.py
+++ b/peatlead/benchmarks/scale.py
@@ -90,7 +90,7 @@
             run.join()
             run.ticks(100)
             run.operations = 0
-            run.channel.deepest = 0.0
+            run.channel.peak_size = 0.0
             row = {"hosts": endpoints, "proxies": proxies, "lines a second": rate}
             print(json.dumps({**row, **run.replace()}), flush=True)
 
--- a/peatlead/benchmarks/tables_wire.py
+++ b/peatlead/benchmarks/tables_wire.py
@@ -147,7 +147,7 @@
                 name, f"z{number % 3}", f"10.0.{number // 250}.{number % 250}", 80
             ): quantize_weight(weight)
             for index, name in enumerate(REQUEST_CLASSES)
-            for number, weight in self.views[proxy].lines(index).items()
+            for number, weight in self.views[proxy].weights(index).items()
         }
 
     def play(self, events: list[interface.Event], seconds: float) -> None:
@@ -157,10 +157,10 @@
             batch = [*events, *self.acknowledged, interface.TimerFired(0)]
             self.acknowledged = []
             events = []
-            routed = self.publisher.take(self.planner.decide(self.now, batch))
+            routed = self.publisher.route(self.planner.decide(self.now, batch))
             for proxy in sorted(routed.messages):
                 nonces = routed.nonces.get(proxy, ())
-                self.commands.offer(self.now, proxy, routed.messages[proxy], nonces)
+                self.commands.enqueue(self.now, proxy, routed.messages[proxy], nonces)
             self.deliver_commands()
             self.drain(self.deltas, self.counts.delta_waits)
             self.drain(self.whole, self.counts.whole_waits)
@@ -169,22 +169,22 @@
     def deliver_commands(self) -> None:
         """Apply the commands that leave within this tick, and send what they change."""
         channel = self.commands
-        while channel.next_at is not None and channel.next_at < self.now + TICK:
-            for proxy, message in channel.due(max(self.now, channel.next_at)):
+        while channel.next_due_at is not None and channel.next_due_at < self.now + TICK:
+            for proxy, message in channel.take_due(max(self.now, channel.next_due_at)):
                 left = max(self.now, channel.free_at)
                 self.acknowledged += [
-                    interface.Acknowledged(proxy, nonce, left - message.offered)
-                    for nonce in message.marks
+                    interface.Acknowledged(proxy, nonce, left - message.enqueued_at)
+                    for nonce in message.nonces
                 ]
-                self.counts.command_waits.append(left - message.offered)
-                self.views[proxy].apply(message.ops)
+                self.counts.command_waits.append(left - message.enqueued_at)
+                self.views[proxy].apply(message.operations)
                 self.send(proxy)
 
     def drain(self, channel: Channel, waits: list[float]) -> None:
         """Let messages leave that may within this tick, and record their waits."""
-        while channel.next_at is not None and channel.next_at < self.now + TICK:
-            for _, message in channel.due(max(self.now, channel.next_at)):
-                waits.append(max(self.now, channel.free_at) - message.offered)
+        while channel.next_due_at is not None and channel.next_due_at < self.now + TICK:
+            for _, message in channel.take_due(max(self.now, channel.next_due_at)):
+                waits.append(max(self.now, channel.free_at) - message.enqueued_at)
 
     def send(self, proxy: int) -> None:
         """Send a proxy's items in both forms, where they have changed."""
@@ -225,7 +225,9 @@
 
     def offer(self, channel: Channel, proxy: int, lines: int) -> None:
         """Queue a message of that many operations; their content doesn't matter."""
-        channel.offer(self.now, proxy, {(ADMISSION, number): (1.0, "") for number in range(lines)})
+        channel.enqueue(
+            self.now, proxy, {(ADMISSION, number): (1.0, "") for number in range(lines)}
+        )
 
     def pin(self, items: dict[int, Items]) -> None:
         """Hold all proxies to past items; none: release them."""
--- a/peatlead/cli/controller.py
+++ b/peatlead/cli/controller.py
@@ -66,7 +66,7 @@
     logger = structlog.get_logger().bind(steward=name)
     make_planner = {"shards": Planner, "plain": PlainPlanner}[planner]
     controller = Controller(
-        settings, name, logger.info, make_planner, state, boot=os.urandom(8), wall=time.time
+        settings, name, logger.info, make_planner, state, boot=os.urandom(8), wall_clock=time.time
     )
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
--- a/peatlead/controller/answer_freshness.py
+++ b/peatlead/controller/answer_freshness.py
@@ -17,7 +17,7 @@
 
     def __init__(self, controller: "Controller") -> None:
         self._controller = controller
-        self._front = controller.front
+        self._front = controller.dns_server
         self._period: float = controller.settings["limits"]["bare_most"] / PERIODS_IN_BARE_LIMIT
         self._recovering = False  # the list was fetched after a stall, answers wait for it
 
--- a/peatlead/controller/batch_loop.py
+++ b/peatlead/controller/batch_loop.py
@@ -43,10 +43,10 @@
         self.ended: asyncio.Future[str] = self.loop.create_future()
         self.publisher = Publisher()
         self.inbox: list[interface.Event] = []  # events of the next batch
-        self.step_scheduled = False
+        self.batch_scheduled = False
         self.batch_started_at = 0.0  # seconds on the loop's clock
-        self.decided = 0  # batches
-        self.slowest = 0.0  # seconds that the longest decision took
+        self.batch_count = 0  # batches
+        self.longest_decision = 0.0  # seconds that the longest decision took
         self.command_handlers: dict[type, CommandHandler] = {
             interface.SetTimer: self.set_timer,
             interface.LogMessage: self.log_message,
@@ -54,10 +54,10 @@
 
     # Hooks for subclasses.
 
-    def before(self, now: float) -> None:
+    def on_batch_start(self, now: float) -> None:
         """Add to the inbox what else belongs to the batch that begins."""
 
-    def offer(
+    def send_messages(
         self,
         now: float,
         commands: list[interface.Command],
@@ -70,11 +70,11 @@
         `commands` are all commands of the batch.
         """
 
-    def after(self, now: float, events: list[interface.Event]) -> None:
+    def on_batch_end(self, now: float, events: list[interface.Event]) -> None:
         """Do what follows a batch whose commands have all been carried out."""
 
-    def stop(self, why: str = "stopped") -> None:
-        """End the controller; `why` becomes the result of `ended`."""
+    def stop(self, reason: str = "stopped") -> None:
+        """End the controller; `reason` becomes the result of `ended`."""
         raise NotImplementedError
 
     # The loop.
@@ -86,43 +86,43 @@
     def submit(self, event: interface.Event) -> None:
         """Add an event to the next batch, which runs in the loop's next turn."""
         self.inbox.append(event)
-        if not self.step_scheduled:
-            self.step_scheduled = True
-            self.loop.call_soon(self.step)
+        if not self.batch_scheduled:
+            self.batch_scheduled = True
+            self.loop.call_soon(self.run_batch)
 
-    def step(self) -> None:
+    def run_batch(self) -> None:
         """Run one batch: one decision on all collected events, and all of its commands."""
-        self.step_scheduled = False
+        self.batch_scheduled = False
         if self.ended.done():
             return
         now = self.loop.time()
         self.batch_started_at = now
-        self.before(now)
+        self.on_batch_start(now)
         events = self.inbox
         self.inbox = []
         try:
             commands = self.planner.decide(now, events)
         except Exception as error:
             self.log_failure(error, events)
-            self.failed(error)
+            self.on_decision_failed(error)
             return
-        self.decided += 1
-        self.slowest = max(self.slowest, self.loop.time() - now)
-        self.carry_out(now, commands)
-        self.after(now, events)
+        self.batch_count += 1
+        self.longest_decision = max(self.longest_decision, self.loop.time() - now)
+        self.execute_commands(now, commands)
+        self.on_batch_end(now, events)
 
-    def carry_out(self, now: float, commands: list[interface.Command]) -> None:
+    def execute_commands(self, now: float, commands: list[interface.Command]) -> None:
         """Run the handlers of a batch's commands, then offer its messages.
 
         Handlers come first: a planner whose timers are lost to an error in a message would never
         run again.
         """
-        messages, nonces, others = self.publisher.take(commands)
+        messages, nonces, others = self.publisher.route(commands)
         for command in others:
             handler = self.command_handlers.get(type(command))
             if handler is not None:
                 handler(command)
-        self.offer(now, commands, messages, nonces)
+        self.send_messages(now, commands, messages, nonces)
 
     def log_failure(self, error: Exception, events: list[interface.Event]) -> None:
         """Log where a decision failed, and on which events."""
@@ -134,7 +134,7 @@
             events=[type(event).__name__ for event in events][:EVENTS_LOGGED],
         )
 
-    def failed(self, error: Exception, /) -> None:
+    def on_decision_failed(self, error: Exception, /) -> None:
         """Stop after a decision that raised.
 
         The planner's state may be inconsistent, and another controller of the fleet can take over.
@@ -146,14 +146,16 @@
     def set_timer(self, command: interface.SetTimer) -> None:
         """Schedule a timer of the current planner, due `delay` seconds after the batch began."""
         due = self.batch_started_at + command.delay
-        self.loop.call_later(command.delay, self.fire_if_current, self.planner, command.token, due)
+        self.loop.call_later(
+            command.delay, self.fire_timer_if_current, self.planner, command.token, due
+        )
 
-    def fire_if_current(self, planner: object, token: int, due: float) -> None:
+    def fire_timer_if_current(self, planner: object, token: int, due: float) -> None:
         """Fire a timer unless the planner that set it has been replaced."""
         if planner is self.planner:
-            self.fire(token, due)
+            self.fire_timer(token, due)
 
-    def fire(self, token: int, due: float) -> None:
+    def fire_timer(self, token: int, due: float) -> None:
         """Report a timer to the planner that was due at `due`, in seconds on the loop's clock."""
         self.submit(interface.TimerFired(token))
 
--- a/peatlead/controller/channel.py
+++ b/peatlead/controller/channel.py
@@ -14,7 +14,7 @@
 from collections.abc import Iterable
 from typing import Optional
 
-from .message import Message, Operations, put, removed_endpoints
+from .message import Message, Operations, removed_endpoints, set_operation
 
 CAUSES_MOST = 8  # causes kept of a message that was merged many times
 URGENT_RUN = 3  # messages that take endpoints away, between two that do not
@@ -24,7 +24,7 @@
 
 
 class Channel:
-    """A queue of messages: `offer` adds to it, `due` returns what may leave from `next_at` on.
+    """A queue of messages: `offer` adds to it, `due` returns what may leave from `next_due_at` on.
 
     `rate` is in operations a second, `head` the operations that a message counts for beside its
     own, and `most` the number of queued operations that the planner keeps to. The channel itself
@@ -34,17 +34,17 @@
     def __init__(self, rate: float, head: float, most: float) -> None:
         self.rate = rate
         self.overhead = head
-        self.most = most
+        self.max_size = most
         self.queue: dict[int, Message] = {}  # waiting messages by subscriber
         self.urgent: Lane = OrderedDict()  # subscribers whose message takes an endpoint away
-        self.calm: Lane = OrderedDict()  # the other subscribers of the queue
+        self.normal: Lane = OrderedDict()  # the other subscribers of the queue
         self.urgent_run = 0  # urgent messages sent in a row
         self.free_at = 0.0  # when the last message has left, in seconds on the loop's clock
-        self.waiting = 0.0  # size of the queue in operations, overheads included
-        self.deepest = 0.0  # largest size of the queue so far
-        self.past = 0  # offers so far after which the queue was larger than `most`
+        self.size = 0.0  # size of the queue in operations, overheads included
+        self.peak_size = 0.0  # largest size of the queue so far
+        self.overflow_count = 0  # offers so far after which the queue was larger than `most`
 
-    def offer(
+    def enqueue(
         self,
         now: float,
         subscriber: int,
@@ -56,22 +56,23 @@
         message = self.queue.get(subscriber)
         if message is None:
             message = self.queue[subscriber] = Message(now)
-            self.waiting += self.overhead
-        before = len(message.ops)
+            self.size += self.overhead
+        before = len(message.operations)
         for key, value in ops.items():
-            put(message.ops, key, value)
+            set_operation(message.operations, key, value)
         self.choose_lane(subscriber, message)
-        message.marks = list(marks) or message.marks  # the newest nonce acknowledges all before it
+        # The newest nonce acknowledges all before it.
+        message.nonces = list(marks) or message.nonces
         if len(message.causes) < CAUSES_MOST:
             message.causes.update(dict.fromkeys(causes))
-        self.waiting += len(message.ops) - before
-        self.deepest = max(self.deepest, self.waiting)
-        self.past += self.waiting > self.most
+        self.size += len(message.operations) - before
+        self.peak_size = max(self.peak_size, self.size)
+        self.overflow_count += self.size > self.max_size
 
     def choose_lane(self, subscriber: int, message: Message) -> None:
         """Put a subscriber into its message's lane; one that is there already keeps its place."""
-        urgent = bool(removed_endpoints(message.ops))
-        lane, other = (self.urgent, self.calm) if urgent else (self.calm, self.urgent)
+        urgent = bool(removed_endpoints(message.operations))
+        lane, other = (self.urgent, self.normal) if urgent else (self.normal, self.urgent)
         other.pop(subscriber, None)
         lane.setdefault(subscriber, True)
 
@@ -79,34 +80,34 @@
         """Drop what waits for a subscriber that has left."""
         message = self.queue.pop(subscriber, None)
         self.urgent.pop(subscriber, None)
-        self.calm.pop(subscriber, None)
+        self.normal.pop(subscriber, None)
         if message is not None:
-            self.waiting -= self.overhead + len(message.ops)
+            self.size -= self.overhead + len(message.operations)
 
     @property
-    def next_at(self) -> Optional[float]:
+    def next_due_at(self) -> Optional[float]:
         """When the next message may leave, None where none waits."""
         return self.free_at if self.queue else None
 
     def next_subscriber(self) -> int:
         """Take the next subscriber off its lane; at least one must wait."""
-        if self.urgent and (self.urgent_run < URGENT_RUN or not self.calm):
+        if self.urgent and (self.urgent_run < URGENT_RUN or not self.normal):
             self.urgent_run += 1
             return self.urgent.popitem(last=False)[0]
         self.urgent_run = 0
-        return self.calm.popitem(last=False)[0]
+        return self.normal.popitem(last=False)[0]
 
-    def due(self, now: float, most: int = UNLIMITED) -> list[tuple[int, Message]]:
+    def take_due(self, now: float, most: int = UNLIMITED) -> list[tuple[int, Message]]:
         """Dequeue the messages that may leave by now, at most `most`, with their subscribers."""
         leaving: list[tuple[int, Message]] = []
         while self.queue and self.free_at <= now and len(leaving) < most:
             subscriber = self.next_subscriber()
             message = self.queue.pop(subscriber)
-            size = self.overhead + len(message.ops)
-            self.waiting -= size
+            size = self.overhead + len(message.operations)
+            self.size -= size
             # An idle channel accumulates no credit for a burst.
-            self.free_at = max(self.free_at, message.offered) + size / self.rate
+            self.free_at = max(self.free_at, message.enqueued_at) + size / self.rate
             leaving.append((subscriber, message))
         if not self.queue:
-            self.waiting = 0.0  # no rounding errors accumulate
+            self.size = 0.0  # no rounding errors accumulate
         return leaving
--- a/peatlead/controller/control_socket.py
+++ b/peatlead/controller/control_socket.py
@@ -128,7 +128,7 @@
         self.connections.close()
 
 
-class Asking(Lines):
+class ControlClient(Lines):
     """The client's side: sends one question and gives each line of the answer to `take`."""
 
     def __init__(self, question: object, take: Callable[[bytes], None]) -> None:
@@ -172,7 +172,7 @@
             reason = over.result()
             answer.set_exception(OSError(f"the steward ended the connection: {reason}"))
 
-    _, stream = await loop.create_connection(lambda: Asking(question, take), *address)
+    _, stream = await loop.create_connection(lambda: ControlClient(question, take), *address)
     stream.over.add_done_callback(connection_ended)
     try:
         return await answer
--- a/peatlead/controller/controller.py
+++ b/peatlead/controller/controller.py
@@ -45,8 +45,8 @@
 
     `log(event, **fields)` writes a log line. `planner(settings, seed)` creates the planner.
     `folder` keeps what outlives the process, None for nothing. `boot` is eight bytes that no other
-    start of this controller has had, where it is one of a fleet. `wall()` is the time of day, for
-    stamps that people read: nothing is decided by it.
+    start of this controller has had, where it is one of a fleet. `wall_clock()` is the time of day,
+    for stamps that people read: nothing is decided by it.
 
     `start()` opens the sockets and raises OSError where it can't. `ended` is a future: "stopped",
     or the error.
@@ -61,30 +61,33 @@
         folder: str | None = None,
         source: SourceFactory = FileSource,
         boot: bytes = DEFAULT_BOOT,
-        wall: Callable[[], float] = lambda: 0.0,
+        wall_clock: Callable[[], float] = lambda: 0.0,
     ) -> None:
         self._read_settings(settings, name)
-        seed: int = self.me["seed"]
-        super().__init__(planner(planner_settings(settings, self.me, len(self.numbers)), seed), log)
+        seed: int = self.own_settings["seed"]
+        super().__init__(
+            planner(planner_settings(settings, self.own_settings, len(self.view_numbers)), seed),
+            log,
+        )
         self._create_channel(seed)
-        self.published = Publication(
-            self, folder and f"{folder}/tables-{name}", wall, settings["tables"], boot
+        self.publication = Publication(
+            self, folder and f"{folder}/tables-{name}", wall_clock, settings["tables"], boot
         )
         rng = Random(seed)
         self._create_dns(rng)
         self.endpoint_lists = EndpointLists(self, source, folder and f"{folder}/list-{name}")
         self.health_checks = HealthChecks(self)
-        self.fleet = self._create_gossip(rng, boot)
+        self.gossip = self._create_gossip(rng, boot)
         self.proxies = self._create_proxies()
-        self.queries = OperatorQueries(self)
-        self.control = ControlSocket(self._has_time, self.queries.handlers())
+        self.operator_queries = OperatorQueries(self)
+        self.control_socket = ControlSocket(self._has_time, self.operator_queries.handlers())
         self._register_order_handlers()
 
     def _read_settings(self, settings: dict[str, Any], name: str) -> None:
         """Take what the parts need of the settings."""
         self.settings = settings
         # This controller's own entry.
-        self.me: dict[str, Any] = next(
+        self.own_settings: dict[str, Any] = next(
             entry for entry in settings["steward"] if entry["name"] == name
         )
         self.zone_names: list[str] = [entry["name"] for entry in settings["zone"]]
@@ -92,7 +95,7 @@
         self.port: int = settings["dns"]["port"]  # that endpoints listen on
         self.views = Views(settings)
         # The planner's numbers of the views, by index.
-        self.numbers: list[int] = [view.number for view in self.views.views]
+        self.view_numbers: list[int] = [view.number for view in self.views.views]
 
     def _register_order_handlers(self) -> None:
         """Say who carries out the planner's orders that are not for recipients."""
@@ -115,95 +118,97 @@
         )
         self.propagation = PropagationTrace()
         self.recipients = Recipients(self)
-        self.messages = MessagePump(self)
+        self.message_pump = MessagePump(self)
 
     def _create_dns(self, rng: Random) -> None:
         """Create the DNS server and what its answers are made of."""
         self.answers = Answers(self.settings, self.views, rng.uniform)
-        self.front = DnsServer(self.settings["dns"], self.answers)
-        self.dns = DnsPublication(self, self.answers)
-        self.freshness = AnswerFreshness(self)
+        self.dns_server = DnsServer(self.settings["dns"], self.answers)
+        self.dns_publication = DnsPublication(self, self.answers)
+        self.answer_freshness = AnswerFreshness(self)
         self.secondaries: Secondaries | None = None  # created when it starts
 
     def _create_gossip(self, rng: Random, boot: bytes) -> GossipNode | None:
         """Create this controller's place in the fleet, if the settings give it one."""
-        if not self.me["peer"]:
+        if not self.own_settings["peer"]:
             return None
         return GossipNode(
             self.settings,
-            self.me,
+            self.own_settings,
             Random(rng.random()),
             boot,
             self.count_proxies,
             self.log,
             self._gossip_received,
-            self.published.receive_pins,
-            self.published.receive_target,
+            self.publication.receive_pins,
+            self.publication.receive_target,
         )
 
     def _create_proxies(self) -> Proxies | None:
         """Create the gRPC side, if the settings give it an address."""
-        if not self.me["grpc"]:
+        if not self.own_settings["grpc"]:
             return None
-        if self.fleet is None:
+        if self.gossip is None:
             return Proxies(self, None, None)
-        return Proxies(self, self.fleet.ownership, self.fleet.about)
+        return Proxies(self, self.gossip.ownership, self.gossip.about)
 
     # Life cycle.
 
     async def start(self) -> None:
         """Open the sockets, take up what is on disk and begin. Raises OSError."""
-        await self.front.open(self.me["listen"])
-        await self.control.open(self.me["control"])
+        await self.dns_server.open(self.own_settings["listen"])
+        await self.control_socket.open(self.own_settings["control"])
         if self.proxies:
-            await self.proxies.front.open(self.me["grpc"])
-        if self.fleet:
-            await self.fleet.open()
-        self.published.recall(self.loop.time())
+            await self.proxies.server.open(self.own_settings["grpc"])
+        if self.gossip:
+            await self.gossip.open()
+        self.publication.recall(self.loop.time())
         if self.settings["dns"]["secondaries"]:
             self.secondaries = self._create_secondaries()
-            await self.secondaries.open(self.me["listen"][0])
+            await self.secondaries.open(self.own_settings["listen"][0])
         self.endpoint_lists.recall()
         for view in self.views.views:
             self.publisher.join(view.number)
             self.proxy_joined(view.number, view.zone, view.rate, True)
         self.endpoint_lists.source.start()
-        self.log("steward started", listen=str(self.me["listen"]), views=len(self.numbers))
+        self.log(
+            "steward started", listen=str(self.own_settings["listen"]), views=len(self.view_numbers)
+        )
 
     def _create_secondaries(self) -> Secondaries:
         names = [entry["name"] for entry in self.settings["steward"]]
         return Secondaries(
             self.answers,
             self.settings["dns"]["secondaries"],
-            names.index(self.me["name"]),
+            names.index(self.own_settings["name"]),
             len(names),
-            self.published.zone_serial(),
-            Random(self.me["seed"] + SECONDARIES_SEED),
-            self.published.store_zone_serial,
+            self.publication.zone_serial(),
+            Random(self.own_settings["seed"] + SECONDARIES_SEED),
+            self.publication.store_zone_serial,
         )
 
-    def stop(self, why: str = "stopped") -> None:
+    def stop(self, reason: str = "stopped") -> None:
         """End in order: no more answers, no more orders, then the sockets."""
         if self.ended.done():
             return
-        self.freshness.end()
+        self.answer_freshness.end()
         self.endpoint_lists.source.stop()
         self.health_checks.prober.stop()
-        self.front.close()
-        if self.fleet:
-            self.fleet.leave()  # before its proxies dial others, so that these know whose they are
+        self.dns_server.close()
+        if self.gossip:
+            self.gossip.leave()  # before its proxies dial others, so that these know whose they are
         if self.proxies:
-            self.proxies.front.close()
-        self.control.close()
+            self.proxies.server.close()
+        self.control_socket.close()
         if self.secondaries:
             self.secondaries.close()
-        self.published.stop(self.loop.time())
-        self.log("steward stopped", why=why, decided=self.decided)
-        self.ended.set_result(why)
+        self.publication.stop(self.loop.time())
+        self.log("steward stopped", why=reason, decided=self.batch_count)
+        self.ended.set_result(reason)
 
     # Steps of the batch loop.
 
-    def fire(self, token: int, due: float) -> None:
+    def fire_timer(self, token: int, due: float) -> None:
         """Pass the planner's timer on; how late it runs is a measure of overload."""
         now = self.loop.time()
         for order in self.overload.decide(now, [TimerLateness(now - due, self.count_proxies())]):
@@ -211,18 +216,18 @@
                 self.proxies.gathered.wait = order.seconds
             elif type(order) is LogOverload:
                 self.log("burden", text=order.text)
-        super().fire(token, due)
+        super().fire_timer(token, due)
 
-    def before(self, now: float) -> None:
+    def on_batch_start(self, now: float) -> None:
         """Find out about a stall first of all, then add the load reports that are due."""
-        self.freshness.check(now)
+        self.answer_freshness.check(now)
         stats = self.health_checks.stats_due(now)
         self.inbox += stats
         if self.proxies:
             self.inbox += self.proxies.gathered.due(now)
-        self.dns.record_rates(stats)
+        self.dns_publication.record_rates(stats)
 
-    def offer(
+    def send_messages(
         self,
         now: float,
         orders: Sequence[Any],
@@ -237,31 +242,31 @@
             for endpoint in removed_endpoints(operations):
                 if self.recipients.holds(number, endpoint):
                     self.propagation.begin_withdrawal(now, endpoint, number)
-            causes = self.published.causes.causes_of(operations)
-            self.channel.offer(now, number, operations, marks.get(number, ()), causes)
+            causes = self.publication.causes.causes_of(operations)
+            self.channel.enqueue(now, number, operations, marks.get(number, ()), causes)
 
     def _record_cause(self, now: float, order: object) -> None:
         """Record what an order says of an endpoint, for the causes of later versions."""
         if type(order) is interface.LogMessage:
-            note = self.published.causes.note_planner_message(order.text)
+            note = self.publication.causes.note_planner_message(order.text)
             if note:
                 self.propagation.note(now, *note)
         elif type(order) is interface.WithdrawEndpoint:
-            self.published.endpoint_withdrawn(order.endpoint, order.withdrawn)
+            self.publication.endpoint_withdrawn(order.endpoint, order.withdrawn)
             text = "withdrawn" if order.withdrawn else "let in again"
             self.propagation.note(now, order.endpoint, text)
 
-    def after(self, now: float, events: Sequence[object]) -> None:
+    def on_batch_end(self, now: float, events: Sequence[object]) -> None:
         """Send what may leave, and in each round of the planner's timer do all that is periodic."""
-        self.messages.send_due()
+        self.message_pump.send_due()
         timer_fired = any(type(event) is interface.TimerFired for event in events)
-        if not timer_fired and self.decided != 1:
+        if not timer_fired and self.batch_count != 1:
             return
-        self.freshness.renew(now)
-        self.published.tick(now)
+        self.answer_freshness.renew(now)
+        self.publication.tick(now)
         if self.secondaries:
             self.secondaries.tick(now)
-        if self.fleet and self.proxies:
+        if self.gossip and self.proxies:
             self.proxies.move_on(now)
 
     # Orders.
@@ -270,8 +275,8 @@
         self.endpoint_lists.fetch_soon()
 
     def _send_gossip(self, order: interface.SendGossip) -> None:
-        if self.fleet:
-            self.fleet.broadcast_advice(order.payload)
+        if self.gossip:
+            self.gossip.broadcast_advice(order.payload)
 
     # Events.
 
@@ -291,7 +296,7 @@
 
     def count_proxies(self) -> int:
         """Return how many proxies have joined."""
-        return len(self.proxies.front.sessions) if self.proxies else 0
+        return len(self.proxies.server.sessions) if self.proxies else 0
 
     def planned_tables(self, number: int) -> list[PlannedTable]:
         """Return what the planner wants of a view or proxy now."""
@@ -299,7 +304,7 @@
 
     def answer_fleet_question(self, question: Question) -> Answer:
         """Answer a question about the fleet. Raises KeyError where this controller is in none."""
-        return self.queries.handlers()["fleet"](question)
+        return self.operator_queries.handlers()["fleet"](question)
 
     def _has_time(self) -> bool:
         """Return whether there is time for one more question of an operator."""
--- a/peatlead/controller/dns_publication.py
+++ b/peatlead/controller/dns_publication.py
@@ -52,7 +52,7 @@
         """Return what the planner wants of a view, by service."""
         state = self._states[view.index]
         return [
-            PlannedTable(label, state.lines(request_classes[0]))
+            PlannedTable(label, state.weights(request_classes[0]))
             for label, request_classes in zip(self._labels, self._request_classes)
         ]
 
@@ -62,10 +62,10 @@
 
     def apply(self, now: float, view: View, message: Message) -> list[EndpointWeights]:
         """Take a message that has left the channel. Return the view's tables, by service."""
-        self._states[view.index].apply(message.ops)
+        self._states[view.index].apply(message.operations)
         self._controller.propagation.applied(now, view.number)
         tables = self._tables_of(view)
-        self._controller.published.record_view(
+        self._controller.publication.record_view(
             VIEW_PREFIX + view.name, self._items_of_tables(tables), tuple(message.causes)
         )
         return tables
@@ -122,12 +122,12 @@
         """Return a view's tables: the planner's, through the guard where the view is pinned."""
         zone = self._controller.zone_names[view.zone]
         return [
-            self._controller.published.lines(VIEW_PREFIX + view.name, zone, label, planned)
+            self._controller.publication.lines(VIEW_PREFIX + view.name, zone, label, planned)
             for label, planned in self.planned_tables(view)
         ]
 
     def _items_of_tables(self, tables: list[EndpointWeights]) -> LineWeights:
         items: LineWeights = {}
         for label, table in zip(self._labels, tables):
-            items.update(self._controller.published.items_of_lines(label, table))
+            items.update(self._controller.publication.items_of_lines(label, table))
         return items
--- a/peatlead/controller/endpoint_lists.py
+++ b/peatlead/controller/endpoint_lists.py
@@ -66,9 +66,9 @@
         index = endpoint.id
         entry = controller.registry.entries[index]
         self.weights[index] = entry.weight
-        change = controller.published.endpoint_listed(index, entry)
+        change = controller.publication.endpoint_listed(index, entry)
         if change is not None:
-            causes = controller.published.causes
+            causes = controller.publication.causes
             causes.phases({index: change}, list_version)
             controller.propagation.note(now, index, causes.last_events[index])
         controller.answers.know(index, entry.name, entry.address, entry.address6)
--- a/peatlead/controller/endpoint_registry.py
+++ b/peatlead/controller/endpoint_registry.py
@@ -36,10 +36,10 @@
         self.zones = {zone: number for number, zone in enumerate(zones)}
         self.machines = {machine: number for number, machine in enumerate(machines)}
         self.log = log
-        self.index: dict[str, int] = {}  # number of each name
+        self.numbers: dict[str, int] = {}  # number of each name
         self.entries: dict[int, ListedEndpoint] = {}  # the last entry of each number
         self.starts: dict[str, ProcessStart] = {}
-        self.listed = False  # whether a list has ever arrived
+        self.list_received = False  # whether a list has ever arrived
         self.assume_old = assume_old
         self.age_of = age_of
         self.next_number = 0
@@ -53,17 +53,17 @@
                 self.log_unknown_zone(entry)
                 continue
             endpoints.append(self.register(entry, zone, listing.written, now))
-        self.listed = self.listed or listing.scope != interface.ListScope.UNAVAILABLE
+        self.list_received = self.list_received or listing.scope != interface.ListScope.UNAVAILABLE
         return interface.EndpointUpdate(listing.scope, listing.version, tuple(endpoints))
 
     def register(
         self, entry: ListedEndpoint, zone: int, written: float, now: float
     ) -> interface.Endpoint:
         """Store an entry, under a new number where its name is new, and return its event."""
-        number = self.index.get(entry.name)
+        number = self.numbers.get(entry.name)
         if number is None:
             number = self.next_number
-            self.index[entry.name] = number
+            self.numbers[entry.name] = number
             self.next_number += 1
         self.entries[number] = entry
         return interface.Endpoint(
@@ -100,10 +100,10 @@
             if self.age_of is not None:
                 return self.age_of(entry.started)
             return max(0.0, written - entry.started)
-        return UNKNOWN_AGE if self.assume_old or not self.listed else 0.0
+        return UNKNOWN_AGE if self.assume_old or not self.list_received else 0.0
 
     def forget(self, number: int) -> None:
         """Drop an endpoint that is in no table any more; listed again, it gets a new number."""
         entry = self.entries.pop(number)
-        del self.index[entry.name]
+        del self.numbers[entry.name]
         self.starts.pop(entry.name, None)
--- a/peatlead/controller/health_checks.py
+++ b/peatlead/controller/health_checks.py
@@ -59,7 +59,7 @@
         self._counts = LoadReportCounts(
             controller.request_classes,
             self._view_of,
-            controller.zone_names.index(controller.me["zone"]),
+            controller.zone_names.index(controller.own_settings["zone"]),
             settings["choices"]["sums_every"],
         )
         self.prober = Prober(
@@ -67,7 +67,7 @@
             self._completed,
             read_answer,
             self._headers,
-            controller.me["listen"][0],
+            controller.own_settings["listen"][0],
         )
 
     def check(self, order: interface.CheckHealth) -> None:
@@ -88,7 +88,7 @@
 
     def stats_due(self, now: float) -> list[Any]:
         """Return the planner's events from what endpoints have reported, once they are due."""
-        events: list[Any] = self._counts.due(now, self._controller.numbers)
+        events: list[Any] = self._counts.due(now, self._controller.view_numbers)
         return events
 
     def _headers(self) -> list[tuple[str, str]]:
--- a/peatlead/controller/message.py
+++ b/peatlead/controller/message.py
@@ -42,16 +42,17 @@
 class Message:
     """The operations that wait for one subscriber, with the nonces and causes that go with them."""
 
-    __slots__ = ("ops", "offered", "marks", "causes")
+    __slots__ = ("operations", "enqueued_at", "nonces", "causes")
 
     def __init__(self, now: float) -> None:
-        self.ops: Operations = {}
-        self.offered = now  # when its first operation was offered, in seconds on the loop's clock
-        self.marks: list[int] = []  # nonces to acknowledge once the message is applied
+        self.operations: Operations = {}
+        # When the first operation was queued, in seconds on the loop's clock.
+        self.enqueued_at = now
+        self.nonces: list[int] = []  # nonces to acknowledge once the message is applied
         self.causes: dict[str, None] = {}  # why it was sent, in order, for logs and stored versions
 
 
-def put(ops: Operations, key: OperationKey, value: Any) -> None:
+def set_operation(ops: Operations, key: OperationKey, value: Any) -> None:
     """Set an operation and move it behind all others: operations are applied in order."""
     ops.pop(key, None)
     ops[key] = value
--- a/peatlead/controller/message_pump.py
+++ b/peatlead/controller/message_pump.py
@@ -30,9 +30,9 @@
             self._timer.cancel()
             self._timer = None
         changed: dict[Seat, EndpointWeights] = {}
-        for number, message in controller.channel.due(now, MESSAGES_EACH_CALLBACK):
-            for nonce in message.marks:
-                delay = now - message.offered
+        for number, message in controller.channel.take_due(now, MESSAGES_EACH_CALLBACK):
+            for nonce in message.nonces:
+                delay = now - message.enqueued_at
                 controller.submit_later(interface.Acknowledged(number, nonce, delay))
             controller.propagation.left(number)
             view = controller.views.by_number.get(number)
@@ -41,9 +41,9 @@
             else:
                 changed.update(self._send_to_view(now, view, message))
         if changed:
-            controller.dns.update_answers(changed, ())
-        if controller.channel.next_at is not None:
-            due_at = max(now, controller.channel.next_at)
+            controller.dns_publication.update_answers(changed, ())
+        if controller.channel.next_due_at is not None:
+            due_at = max(now, controller.channel.next_due_at)
             self._timer = controller.loop.call_at(due_at, self.send_due)
 
     def _send_to_proxy(self, now: float, number: int, message: Message) -> None:
@@ -55,22 +55,22 @@
     def _send_to_view(
         self, now: float, view: View, message: Message
     ) -> dict[Seat, EndpointWeights]:
-        tables = self._controller.dns.apply(now, view, message)
+        tables = self._controller.dns_publication.apply(now, view, message)
         self._feed(now, view.name, message, [len(table) for table in tables])
         return {(view.index, service): table for service, table in enumerate(tables)}
 
     def _feed(self, now: float, name: str, message: Message, line_counts: list[int]) -> None:
         """Report a sent message to the operators that follow the feed."""
         controller = self._controller
-        controller.control.publish(
+        controller.control_socket.publish(
             {
                 "at": now,
-                "steward": controller.me["name"],
+                "steward": controller.own_settings["name"],
                 "view": name,
-                "lines": len(message.ops),
-                "offered": message.offered,
-                "waiting": controller.channel.waiting,
-                "most": controller.channel.most,
+                "lines": len(message.operations),
+                "offered": message.enqueued_at,
+                "waiting": controller.channel.size,
+                "most": controller.channel.max_size,
                 "held": line_counts,
             }
         )
--- a/peatlead/controller/operator_queries.py
+++ b/peatlead/controller/operator_queries.py
@@ -52,11 +52,11 @@
             "answer": self.answer,
             "status": self.status,
             "drained": self.drained,
-            "tables": self._controller.published.answer,
+            "tables": self._controller.publication.answer,
             "why": self.why,
         }
-        if self._controller.fleet:
-            handlers["fleet"] = partial(self.fleet, self._controller.fleet)
+        if self._controller.gossip:
+            handlers["fleet"] = partial(self.fleet, self._controller.gossip)
         return handlers
 
     def answer(self, question: Question) -> Answer:
@@ -79,20 +79,20 @@
                 self._describe_line(endpoint, weight, endpoint in seat.lines)
                 for endpoint, weight in sorted(seat.planned_weights.items())
             ],
-            "fresh": controller.freshness.fresh,
+            "fresh": controller.answer_freshness.fresh,
         }
 
     def why(self, question: Question) -> Answer:
         """Return what is known of an endpoint or proxy, and of its withdrawals."""
         controller = self._controller
-        index, planner = controller.registry.index.get(question.host), controller.planner
+        index, planner = controller.registry.numbers.get(question.host), controller.planner
         if index is not None and isinstance(planner, DescribesEndpoints):
             now = controller.loop.time()
             endpoint = planner.describe(index, now)
             if endpoint is not None:
                 return self._why_endpoint(question.host, index, endpoint, now)
         proxies = controller.proxies
-        session = proxies.front.sessions.get(question.host) if proxies else None
+        session = proxies.server.sessions.get(question.host) if proxies else None
         if proxies is not None and session is not None:
             return self._why_proxy(question.host, proxies, session)
         return {"error": f"expected a host of the list or a joined proxy, got {question.host!r}"}
@@ -100,11 +100,11 @@
     def drained(self, question: Question) -> Answer:
         """Return whether answers still name an endpoint, and until when resolvers may."""
         controller = self._controller
-        endpoint = controller.registry.index.get(question.host)
+        endpoint = controller.registry.numbers.get(question.host)
         if endpoint is None:
             return {"error": f"expected a host of the list, got {question.host!r}"}
-        views = controller.dns.views_naming(endpoint)
-        unnamed = controller.dns.seconds_unnamed(endpoint)
+        views = controller.dns_publication.views_naming(endpoint)
+        unnamed = controller.dns_publication.seconds_unnamed(endpoint)
         remaining = None
         if not views:
             remaining = max(0.0, controller.answers.lifetime - (unnamed or 0.0))
@@ -129,12 +129,12 @@
         elif question.do == "why" and proxies:
             return dict(proxies.explain_ownership(question.host))
         return {
-            "steward": controller.me["name"],
+            "steward": controller.own_settings["name"],
             "draining": ownership.draining,
             "members": self._describe_members(gossip),
             "messages": dict(gossip.counts),
             **(proxies.status() if proxies else {}),
-            "pins": sorted(controller.published.pins.standing()),
+            "pins": sorted(controller.publication.pins.standing()),
             "owned": self._owned_proxies(gossip),
         }
 
@@ -149,28 +149,28 @@
             status["secondaries"] = {**controller.secondaries.counts, "serial": serial}
         return {
             **status,
-            "steward": controller.me["name"],
-            "views": len(controller.numbers),
+            "steward": controller.own_settings["name"],
+            "views": len(controller.view_numbers),
             "hosts": len(controller.registry.entries),
-            "decided": controller.decided,
-            "slowest_decide": controller.slowest,
+            "decided": controller.batch_count,
+            "slowest_decide": controller.longest_decision,
             "answers": dict(controller.answers.counts),
-            "unanswered": controller.front.unanswered,
+            "unanswered": controller.dns_server.unanswered,
             "prepared": controller.answers.prepared,
             "channel": self._describe_channel(),
             "burden": controller.overload.status(),
             "probes_dropped": controller.health_checks.prober.dropped,
             "levels": controller.health_checks.admission_text(),
-            "fresh": controller.freshness.fresh,
+            "fresh": controller.answer_freshness.fresh,
         }
 
     def _describe_channel(self) -> Answer:
         channel = self._controller.channel
         return {
-            "waiting": channel.waiting,
-            "deepest": channel.deepest,
-            "most": channel.most,
-            "past": channel.past,
+            "waiting": channel.size,
+            "deepest": channel.peak_size,
+            "most": channel.max_size,
+            "past": channel.overflow_count,
         }
 
     def _describe_line(self, endpoint: int, weight: float, named: bool) -> Answer:
@@ -188,7 +188,7 @@
         controller = self._controller
         return {
             "host": name,
-            "steward": controller.me["name"],
+            "steward": controller.own_settings["name"],
             **describe_endpoint(endpoint),
             "holders": endpoint.subscribers,
             **controller.propagation.status(now, index),
@@ -196,11 +196,11 @@
 
     def _why_proxy(self, name: str, proxies: Proxies, session: Session) -> Answer:
         controller = self._controller
-        name_of = controller.published.name_of
+        name_of = controller.publication.name_of
         withdrawals = controller.propagation.holding.get(session.number, ())
         return {
             "proxy": name,
-            "steward": controller.me["name"],
+            "steward": controller.own_settings["name"],
             "zone": session.node.zone,
             "joined seconds ago": round(controller.loop.time() - session.since, 1),
             "epoch": session.epoch,
@@ -212,7 +212,7 @@
                     name_of(endpoint): weight
                     for endpoint, weight in sorted(proxies.lines_of(session, index).items())
                 }
-                for request_class, index in proxies.front.kinds.items()
+                for request_class, index in proxies.server.kinds.items()
             },
         }
 
@@ -233,7 +233,7 @@
         """Return each proxy that has joined here, with its epoch and the seconds since."""
         now = self._controller.loop.time()
         proxies = self._controller.proxies
-        sessions = proxies.front.sessions if proxies else {}
+        sessions = proxies.server.sessions if proxies else {}
         return {
             name: [epoch, now - sessions[name].since]
             for name, epoch in sorted(gossip.ownership.epochs.items())
--- a/peatlead/controller/pin_commands.py
+++ b/peatlead/controller/pin_commands.py
@@ -144,7 +144,7 @@
         return answer
 
     def _add_guard_result(self, answer: Answer, table: GuardedTable) -> None:
-        name_of = self._controller.published.name_of
+        name_of = self._controller.publication.name_of
         for endpoint, reason in table.taken.items():
             name = name_of(endpoint) if endpoint >= 0 else "an unknown address"
             answer["taken"][name] = reason
--- a/peatlead/controller/pin_control.py
+++ b/peatlead/controller/pin_control.py
@@ -31,9 +31,9 @@
     def __init__(self, controller: "Controller", log: TableLog, boot: bytes) -> None:
         self._controller = controller
         self._log = log
-        in_fleet = controller.me["peer"] is not None
+        in_fleet = controller.own_settings["peer"] is not None
         suffix = "-" + blake3(boot).hexdigest()[:4] if in_fleet else ""
-        self.pins = Pins(controller.me["name"], suffix)
+        self.pins = Pins(controller.own_settings["name"], suffix)
         self._stored_at = 0.0
         self._announced_at = 0.0
 
@@ -68,12 +68,12 @@
     def announce(self, now: float) -> None:
         """Send all pins to the other controllers."""
         self._announced_at = now
-        if not self._controller.fleet:
+        if not self._controller.gossip:
             return
         pins = self.pins.snapshot(now)
         for start in range(0, len(pins), PINS_EACH_DATAGRAM):
             payload = encode_pins(pins[start : start + PINS_EACH_DATAGRAM])
-            self._controller.fleet.broadcast_pins(payload)
+            self._controller.gossip.broadcast_pins(payload)
 
     def commit_change(self, now: float) -> None:
         """Write an operator's change to disk and send it before the operator gets an answer."""
--- a/peatlead/controller/pin_targets.py
+++ b/peatlead/controller/pin_targets.py
@@ -125,7 +125,7 @@
         The others are sent too: a controller that was frozen does not know yet which of its proxies
         have moved.
         """
-        if not self._controller.fleet:
+        if not self._controller.gossip:
             return
         joined = {name for _, name, _ in self._controller.recipients.everyone()}
         for active in self._pins.standing().values():
@@ -136,7 +136,7 @@
 
     def send_announcements(self) -> None:
         """Send some of the scheduled targets to the other controllers."""
-        gossip = self._controller.fleet
+        gossip = self._controller.gossip
         if gossip is None:
             return
         due = [key for key, sent in self._announced.items() if not sent]
--- a/peatlead/controller/pinned_tables.py
+++ b/peatlead/controller/pinned_tables.py
@@ -75,8 +75,8 @@
     def context(self) -> GuardContext:
         """Return the guard's view of all endpoints now."""
         publisher = self._controller.publisher
-        if self._fractions_as_of != publisher.changed:
-            self._fractions_as_of = publisher.changed
+        if self._fractions_as_of != publisher.change_count:
+            self._fractions_as_of = publisher.change_count
             self._fractions = self._compute_fractions()
         return GuardContext(self._phases, self._withdrawn, self._fractions)
 
@@ -84,7 +84,7 @@
         listed = self._controller.endpoint_lists.weights
         return {
             endpoint: max(tables.values()) / max(LEAST_WEIGHT, listed.get(endpoint, 1.0))
-            for endpoint, tables in self._controller.publisher.holders.items()
+            for endpoint, tables in self._controller.publisher.weights_of_endpoint.items()
             if tables
         }
 
@@ -170,7 +170,7 @@
                 self._enforce_on(now, number, name, active)
             if not urgent and self._channel_is_busy():
                 break
-        self._controller.messages.send_due()
+        self._controller.message_pump.send_due()
 
     def _endpoint_sets_changed(self) -> bool:
         fractions = self._endpoints.context().parts
@@ -183,7 +183,7 @@
 
     def _channel_is_busy(self) -> bool:
         channel = self._controller.channel
-        return bool(channel.waiting > CHANNEL_FRACTION * channel.most)
+        return bool(channel.size > CHANNEL_FRACTION * channel.max_size)
 
     def _enforce_on(self, now: float, number: int, name: str, active: ActivePin | None) -> None:
         pending = self.pending_changes(name, number)
@@ -202,7 +202,7 @@
             operations: Operations = {
                 (PIN_CHECK, key): True for key in pending
             }  # only says that lines changed
-            self._controller.channel.offer(
+            self._controller.channel.enqueue(
                 now, number, operations, (), (self._cause(name, active),)
             )
         if active is not None:
--- a/peatlead/controller/proxies.py
+++ b/peatlead/controller/proxies.py
@@ -85,9 +85,9 @@
         self._port: int = settings["dns"]["port"]  # that endpoints listen on
         self.gathered = LoadAggregator()
         self.admission = ProxyAdmission(controller, ownership, member_info)
-        self.front = GrpcServer(
+        self.server = GrpcServer(
             self,
-            controller.me["name"],
+            controller.own_settings["name"],
             controller.request_classes,
             settings["grpc"]["connections_most"],
             controller.zone_names,
@@ -115,27 +115,27 @@
         session.number = proxy_number(NUMBER_PREFIX + node.name)
         session.state = ViewState()
         session.zone = controller.registry.zones.get(node.zone, 0)
-        self.front.add(session)
+        self.server.add(session)
         self.by_number[session.number] = session
         self._progress[session] = ProxyProgress()
         self._reset_orders(session)
         has_all_tables = self._take_brought_tables(session)
         self._copy_admission(session)
         lines = self._brought_lines(node)
-        controller.published.record_join(node.name, session.epoch, lines)
+        controller.publication.record_join(node.name, session.epoch, lines)
         controller.proxy_joined(session.number, session.zone, node.rate, not has_all_tables)
 
     def left(self, session: Session) -> None:
         """Take that a session has ended; one that a newer session replaced changes nothing."""
         self._progress.pop(session, None)
-        if not self.front.drop(session):
+        if not self.server.drop(session):
             return
         controller = self._controller
         self.by_number.pop(session.number, None)
         controller.channel.forget(session.number)
         controller.publisher.leave(session.number)
         self.gathered.forget(session.number)
-        controller.published.record_leave(session.node.name)
+        controller.publication.record_leave(session.node.name)
         self.admission.left(session.node.name)
         controller.proxy_left(session.number)
 
@@ -182,20 +182,20 @@
         if "line" in parts:
             self._controller.propagation.sent(session.number, version)
         name = session.node.name
-        if self.front.sessions.get(name) is not session:
+        if self.server.sessions.get(name) is not session:
             return
         items: TableItems = {}
         for part in parts:
             items.update(session.items(part) or {})
         causes = tuple(self._progress[session].causes)
-        self._controller.published.record_sent(name, version, parts, items, causes)
+        self._controller.publication.record_sent(name, version, parts, items, causes)
 
     def lines_of(self, session: Session, request_class: int) -> EndpointWeights:
         """Return the lines that a proxy is to hold now."""
-        name = list(self.front.kinds)[request_class]
-        planned = session.state.lines(request_class)
+        name = list(self.server.kinds)[request_class]
+        planned = session.state.weights(request_class)
         node = session.node
-        return self._controller.published.lines(node.name, node.zone, name, planned)
+        return self._controller.publication.lines(node.name, node.zone, name, planned)
 
     def host_of(self, place: AddressAndPort) -> int | None:
         """Return the endpoint at an address and port, None where no list has named one."""
@@ -224,15 +224,17 @@
         session = self.by_number.get(number)
         if session is None:
             return None
-        pinned = self._controller.published.pin_of(session.node.name, session.node.zone) is not None
+        pinned = (
+            self._controller.publication.pin_of(session.node.name, session.node.zone) is not None
+        )
         before = all_items(session) if pinned and session.ready else None
-        session.state.apply(message.ops)
+        session.state.apply(message.operations)
         self._copy_admission(session)
         unchanged = before is not None and before == all_items(session)
         if unchanged and not self._has_pending_changes(session):
             return None
         self._add_causes(session, message)
-        operations = [op[0] for op in message.ops if concerns(session, op)]
+        operations = [op[0] for op in message.operations if concerns(session, op)]
         if pinned or operations:
             session.changed(PARTS if pinned else changed_parts(operations))
         return session
@@ -241,7 +243,7 @@
         """Return all joined proxies, by name."""
         return [
             Recipient(session.number, name, session.node.zone)
-            for name, session in sorted(self.front.sessions.items())
+            for name, session in sorted(self.server.sessions.items())
             if session.number is not None
         ]
 
@@ -252,27 +254,27 @@
 
     def line_counts(self, session: Session) -> list[int]:
         """Return how many lines a proxy is to hold, by request class."""
-        return [len(self.lines_of(session, index)) for index in self.front.kinds.values()]
+        return [len(self.lines_of(session, index)) for index in self.server.kinds.values()]
 
     def move_on(self, now: float) -> None:
         """Send some proxies that another controller should own to that one."""
-        self.admission.move_on(now, self.front)
+        self.admission.move_on(now, self.server)
 
     def explain_ownership(self, name: str) -> OwnershipReport:
         """Return for operators why a proxy is, or is not, this controller's."""
-        session = self.front.sessions.get(name)
+        session = self.server.sessions.get(name)
         return self.admission.explain(name, session.since if session else None)
 
     def status(self) -> dict[str, int]:
         """Return counts for operators."""
         return {
-            "joined": len(self.front.sessions),
+            "joined": len(self.server.sessions),
             "acks": self.acks,
             "refusals": self.refusals,
             "moved": self.admission.moved,
             "sent on": self.admission.sent_on,
             "paced": self.admission.paced,
-            "connections": len(self.front.connections.streams),
+            "connections": len(self.server.connections.streams),
         }
 
     def _reset_orders(self, session: Session) -> None:
@@ -281,7 +283,7 @@
         self._controller.channel.forget(session.number)
         publisher.leave(session.number)
         publisher.join(session.number, enforces_admission=True)
-        session.state.levels.update(publisher.levels)
+        session.state.admissions.update(publisher.admissions)
 
     def _take_brought_tables(self, session: Session) -> bool:
         """Let the tables that a proxy brought stand until the planner assigns others.
@@ -290,12 +292,12 @@
         list has named are left out. Return whether there is a table for every request class.
         """
         for request_class, lines in session.node.held.items():
-            index = self.front.kinds.get(request_class)
+            index = self.server.kinds.get(request_class)
             table = self._known_weights(lines)
             if index is not None and table:
                 session.state.tables[BROUGHT_TABLE, request_class] = table
-                session.state.bound[index] = BROUGHT_TABLE, request_class
-        return len(session.state.bound) == len(self.front.kinds)
+                session.state.assigned_tables[index] = BROUGHT_TABLE, request_class
+        return len(session.state.assigned_tables) == len(self.server.kinds)
 
     def _known_weights(self, lines: Iterable[WeightedEndpoint]) -> EndpointWeights:
         weights: EndpointWeights = {}
@@ -311,7 +313,7 @@
                 line.weight
             )
             for request_class, lines in node.held.items()
-            if request_class in self.front.kinds
+            if request_class in self.server.kinds
             for line in lines
             if line.weight > 0
         }
@@ -324,10 +326,10 @@
 
     def _has_pending_changes(self, session: Session) -> bool:
         """Return whether a proxy's last version is not what it is to hold: a pin came or went."""
-        return bool(self._controller.published.pending_changes(session.node.name, session.number))
+        return bool(self._controller.publication.pending_changes(session.node.name, session.number))
 
     def _copy_admission(self, session: Session) -> None:
-        names = list(self.front.kinds)
-        admission = session.state.levels.items()
+        names = list(self.server.kinds)
+        admission = session.state.admissions.items()
         session.levels = {names[index]: fraction for index, (fraction, _) in admission}
         session.retries = {names[index]: retry for index, (_, retry) in admission}
--- a/peatlead/controller/proxy_admission.py
+++ b/peatlead/controller/proxy_admission.py
@@ -62,7 +62,7 @@
     def admit(self, node: ProxyNode) -> Admission:
         """Decide on a proxy that has dialled."""
         # Either side may have forgotten the epoch: the greater one counts.
-        seen = max(node.epoch, self._controller.published.newest_epoch(node.name))
+        seen = max(node.epoch, self._controller.publication.newest_epoch(node.name))
         now = self._controller.loop.time()
         holds_no_table = not any(node.held.values())
         wait = self._controller.overload.join_delay(now, holds_no_table)
--- a/peatlead/controller/publisher.py
+++ b/peatlead/controller/publisher.py
@@ -4,7 +4,15 @@
 from typing import NamedTuple
 
 from .. import interface
-from .message import ADMISSION, ASSIGNMENT, ENTRY, UNASSIGNED_TABLE, WITHDRAWN, Operations, put
+from .message import (
+    ADMISSION,
+    ASSIGNMENT,
+    ENTRY,
+    UNASSIGNED_TABLE,
+    WITHDRAWN,
+    Operations,
+    set_operation,
+)
 
 Messages = dict[int, Operations]  # by subscriber
 
@@ -27,18 +35,21 @@
 
     def __init__(self) -> None:
         self.tables: dict[int, dict[int, float]] = {}  # weights of endpoints, by table
-        self.users: dict[int, set[int]] = {}  # subscribers of each table
-        self.bound: dict[int, dict[int, int]] = {}  # subscriber -> table of each request class
+        self.subscribers: dict[int, set[int]] = {}  # subscribers of each table
+        # Table of each request class, by subscriber.
+        self.assigned_tables: dict[int, dict[int, int]] = {}
         self.joined: set[int] = set()
         self.unassigned: set[int] = set()  # joined, and on no table of ours yet
         self.enforcing: set[int] = set()  # joined, and enforce admission themselves
-        self.holders: dict[int, dict[int, float]] = {}  # endpoint -> its weight in each table
-        self.changed = 0  # changes of table entries so far
+        # Weight of each endpoint in each table that names it.
+        self.weights_of_endpoint: dict[int, dict[int, float]] = {}
+        self.change_count = 0  # changes of table entries so far
         self.notified: dict[
             int, set[int]
         ] = {}  # ejected endpoint -> subscribers that were notified
         self.ejected: dict[int, set[int]] = {}  # subscriber -> endpoints ejected since it joined
-        self.levels: dict[int, tuple[float, str]] = {}  # (admitted fraction, retry policy) by class
+        # (admitted fraction, retry policy), by request class.
+        self.admissions: dict[int, tuple[float, str]] = {}
 
     def join(self, subscriber: int, enforces_admission: bool = False) -> None:
         """Add a subscriber; `levelled` where it enforces admission itself."""
@@ -54,16 +65,16 @@
         self.enforcing.discard(subscriber)
         self.unassigned.discard(subscriber)
         self.ejected.pop(subscriber, None)
-        for table in self.bound.pop(subscriber, {}).values():
-            self.users[table].discard(subscriber)
+        for table in self.assigned_tables.pop(subscriber, {}).values():
+            self.subscribers[table].discard(subscriber)
 
     def forget(self, endpoint: int) -> None:
         """Drop what is kept about an endpoint that is gone and in no table."""
-        self.holders.pop(endpoint, None)
+        self.weights_of_endpoint.pop(endpoint, None)
         for subscriber in self.notified.pop(endpoint, ()):
             self.ejected.get(subscriber, set()).discard(endpoint)
 
-    def take(self, commands: Iterable[interface.Command]) -> RoutedCommands:
+    def route(self, commands: Iterable[interface.Command]) -> RoutedCommands:
         """Route a batch's commands, and update the tables by them."""
         routed = RoutedCommands({}, {}, [])
         messages = routed.messages
@@ -84,7 +95,7 @@
                 self.request_acknowledgement(routed, command)
             else:
                 if isinstance(command, interface.SetAdmission):
-                    self.admit(messages, command)
+                    self.set_admission(messages, command)
                 routed.others.append(command)
         return routed
 
@@ -124,26 +135,28 @@
             self.ejected[subscriber].add(endpoint)
         return unaware
 
-    def admit(self, messages: Messages, command: interface.SetAdmission) -> None:
+    def set_admission(self, messages: Messages, command: interface.SetAdmission) -> None:
         """Set the admitted fraction and retry policy of request classes."""
         admission = (command.fraction, command.retry_policy)
         for request_class in command.request_classes:
-            self.levels[request_class] = admission
+            self.admissions[request_class] = admission
             for subscriber in self.enforcing:
-                put(messages.setdefault(subscriber, {}), (ADMISSION, request_class), admission)
+                set_operation(
+                    messages.setdefault(subscriber, {}), (ADMISSION, request_class), admission
+                )
 
     def set_entry(self, messages: Messages, table: int, endpoint: int, weight: float) -> None:
         """Set the weight of an endpoint for all subscribers of a table; 0 removes the entry."""
         entries = self.tables.setdefault(table, {})
-        tables = self.holders.setdefault(endpoint, {})
+        tables = self.weights_of_endpoint.setdefault(endpoint, {})
         entries.pop(endpoint, None)
         tables.pop(table, None)
-        self.changed += 1
+        self.change_count += 1
         if weight:
             entries[endpoint] = weight
             tables[table] = weight
-        for subscriber in self.users.get(table, ()):
-            put(messages.setdefault(subscriber, {}), (ENTRY, table, endpoint), weight)
+        for subscriber in self.subscribers.get(table, ()):
+            set_operation(messages.setdefault(subscriber, {}), (ENTRY, table, endpoint), weight)
 
     def assign(self, messages: Messages, command: interface.AssignTable) -> None:
         """Route request classes of a proxy by a table, and send it the whole table.
@@ -154,14 +167,14 @@
         proxy, table = command.proxy, command.table
         ops = messages.setdefault(proxy, {})
         self.unassigned.discard(proxy)
-        assigned = self.bound.setdefault(proxy, {})
+        assigned = self.assigned_tables.setdefault(proxy, {})
         for request_class in command.request_classes:
             previous = assigned.get(request_class)
             assigned[request_class] = table
-            put(ops, (ASSIGNMENT, request_class), table)
+            set_operation(ops, (ASSIGNMENT, request_class), table)
             if previous is not None and previous not in assigned.values():
-                self.users[previous].discard(proxy)
-                put(ops, (UNASSIGNED_TABLE, previous), True)
-        self.users.setdefault(table, set()).add(proxy)
+                self.subscribers[previous].discard(proxy)
+                set_operation(ops, (UNASSIGNED_TABLE, previous), True)
+        self.subscribers.setdefault(table, set()).add(proxy)
         for endpoint, weight in self.tables.get(table, {}).items():
-            put(ops, (ENTRY, table, endpoint), weight)
+            set_operation(ops, (ENTRY, table, endpoint), weight)
--- a/peatlead/controller/recipients.py
+++ b/peatlead/controller/recipients.py
@@ -55,21 +55,21 @@
         """Return what the planner wants of a recipient now."""
         view = self._controller.views.by_number.get(number)
         if view is not None:
-            return self._controller.dns.planned_tables(view)
+            return self._controller.dns_publication.planned_tables(view)
         proxies = self._controller.proxies
         session = self.session_of(number)
         if proxies is None or session is None:
             return []
         return [
-            PlannedTable(request_class, session.state.lines(index))
-            for request_class, index in proxies.front.kinds.items()
+            PlannedTable(request_class, session.state.weights(index))
+            for request_class, index in proxies.server.kinds.items()
         ]
 
     def items_of(self, number: int) -> TableItems | None:
         """Return the lines that a recipient is to hold now; None while that is not known."""
         view = self._controller.views.by_number.get(number)
         if view is not None:
-            return self._controller.dns.items_of(view)
+            return self._controller.dns_publication.items_of(view)
         session = self.session_of(number)
         items: TableItems | None = session.items("line") if session else None
         return items
@@ -79,7 +79,7 @@
         view = self._controller.views.by_number.get(number)
         session = self.session_of(number)
         if view is not None:
-            state = self._controller.dns.state_of(view)
+            state = self._controller.dns_publication.state_of(view)
         elif session is not None:
             state = session.state
         else:
--- a/peatlead/controller/table_queries.py
+++ b/peatlead/controller/table_queries.py
@@ -118,7 +118,7 @@
             if history and history.entries and not name.startswith(VIEW_PREFIX):
                 digest = Digest(line_items(history.items))
                 ends[name] = [*history.last, str(digest), now - history.entries[-1].at]
-        return {"steward": self._controller.me["name"], "ends": ends}
+        return {"steward": self._controller.own_settings["name"], "ends": ends}
 
     def status(self, arguments: Arguments) -> Answer:
         """Return the state of the store, the log on disk and the pins."""
@@ -127,7 +127,7 @@
         log = self._publication.log
         pins = self._publication.pins
         return {
-            "steward": self._controller.me["name"],
+            "steward": self._controller.own_settings["name"],
             "proxies": len(self._controller.recipients.everyone()),
             "versions": store.entry_count,
             "bytes": store.size,
--- a/peatlead/controller/view_state.py
+++ b/peatlead/controller/view_state.py
@@ -6,13 +6,14 @@
 class ViewState:
     """What a DNS view or proxy holds; messages must be applied in the order of sending."""
 
-    __slots__ = ("tables", "bound", "withdrawn", "levels")
+    __slots__ = ("tables", "assigned_tables", "withdrawn", "admissions")
 
     def __init__(self) -> None:
         self.tables: dict[TableId, dict[int, float]] = {}  # weights of endpoints, by table
-        self.bound: dict[int, TableId] = {}  # table of each request class
+        self.assigned_tables: dict[int, TableId] = {}  # table of each request class
         self.withdrawn: set[int] = set()  # ejected endpoints, whatever the tables say
-        self.levels: dict[int, tuple[float, str]] = {}  # (admitted fraction, retry policy) by class
+        # (admitted fraction, retry policy), by request class.
+        self.admissions: dict[int, tuple[float, str]] = {}
 
     def apply(self, ops: Operations) -> None:
         """Apply the operations of one message."""
@@ -23,20 +24,20 @@
                 if value:
                     entries[key[2]] = value
             elif key[0] == ASSIGNMENT:
-                self.bound[key[1]] = value
+                self.assigned_tables[key[1]] = value
             elif key[0] == UNASSIGNED_TABLE:
                 self.tables.pop(key[1], None)
             elif key[0] == ADMISSION:
-                self.levels[key[1]] = value
+                self.admissions[key[1]] = value
             elif key[0] == WITHDRAWN and value:
                 self.withdrawn.add(key[1])
             elif key[0] == WITHDRAWN:
                 self.withdrawn.discard(key[1])
             # PIN_CHECK changes nothing: what a pin makes of the state has changed.
 
-    def lines(self, request_class: int) -> dict[int, float]:
+    def weights(self, request_class: int) -> dict[int, float]:
         """Return the weights that route requests of a class, without ejected endpoints."""
-        table = self.bound.get(request_class)
+        table = self.assigned_tables.get(request_class)
         entries = {} if table is None else self.tables.get(table, {})
         return {
             endpoint: weight
--- a/peatlead/lab/day.py
+++ b/peatlead/lab/day.py
@@ -127,7 +127,7 @@
                 PLANNERS.get(self.planner, self.oracle),
                 str(self.folder / "state"),
                 boot=boot,
-                wall=lambda: self.world.now,
+                wall_clock=lambda: self.world.now,
             )
             await made.start()
             self.decisions(name, made)
--- a/peatlead/platform/controller.py
+++ b/peatlead/platform/controller.py
@@ -135,7 +135,7 @@
             self.ready = True
             self.listener.answer_pending_checks()
 
-    def stop(self, why: str = STOPPED) -> None:
+    def stop(self, reason: str = STOPPED) -> None:
         """End the controller.
 
         Events that have come are decided on and what follows is written; each stream ends when
@@ -143,10 +143,10 @@
         """
         if self.stopping:
             return
-        if why == STOPPED and self.inbox:
-            self.step()
+        if reason == STOPPED and self.inbox:
+            self.run_batch()
         self.stopping = True
-        self.stop_reason = why
+        self.stop_reason = reason
         self.reloader.stop()
         self.watch.stop()
         self.prober.stop()
@@ -166,8 +166,8 @@
         self.log(
             "steward stopped",
             why=self.stop_reason,
-            decided=self.decided,
-            slowest=round(self.slowest, 3),
+            decided=self.batch_count,
+            slowest=round(self.longest_decision, 3),
             ends=self.listener.counts,
         )
 
@@ -178,12 +178,12 @@
         if not self.stopping:
             super().submit(event)
 
-    def step(self) -> None:
+    def run_batch(self) -> None:
         """Run one batch, unless the controller stops."""
         if not self.stopping:
-            super().step()
+            super().run_batch()
 
-    def failed(self, problem: Exception) -> None:
+    def on_decision_failed(self, problem: Exception) -> None:
         """Replace a planner that raised, or stop if that has happened too often."""
         now = self.loop.time()
         self.failures.record_failure(now)
@@ -205,7 +205,7 @@
             self.publisher.join(proxy, enforces_admission=True)
             self.submit(interface.ProxyConnected(proxy, session.zone, session.request_rate, False))
 
-    def offer(
+    def send_messages(
         self,
         now: float,
         orders: Sequence[interface.Command],
@@ -236,7 +236,7 @@
             session.send(data)
             self.telemetry.message_written(proxy, operations)
 
-    def after(self, now: float, events: Sequence[interface.Event]) -> None:
+    def on_batch_end(self, now: float, events: Sequence[interface.Event]) -> None:
         """Log what happened in the batch."""
         self.telemetry.end_batch(now, self.planner)
 
--- a/peatlead/platform/endpoint_tracker.py
+++ b/peatlead/platform/endpoint_tracker.py
@@ -37,7 +37,7 @@
         """Record a list and return the planner's event; `now` is in the loop's seconds."""
         endpoint_list = self.with_unread_endpoints(endpoint_list)
         previous = {entry.name: self.phase_of(entry.name) for entry in endpoint_list.hosts}
-        is_first = not self.registry.listed
+        is_first = not self.registry.list_received
         update: EndpointUpdate = self.registry.endpoint_update(endpoint_list, now)
         if endpoint_list.scope != ListScope.CHANGES:
             listed = {endpoint.id for endpoint in update.endpoints}
@@ -45,7 +45,7 @@
                 endpoint for endpoint in self.registry.entries if endpoint not in listed
             )
         for entry in endpoint_list.hosts:
-            endpoint = self.registry.index.get(entry.name)
+            endpoint = self.registry.numbers.get(entry.name)
             was_known = is_first or self.was_listed_before(entry.name, previous[entry.name])
             is_change = endpoint_list.scope == ListScope.CHANGES
             has_changed = may_have_changed(entry, previous[entry.name], is_change)
@@ -91,9 +91,9 @@
         if endpoint_list.scope != ListScope.WHOLE or not unread:
             return endpoint_list
         kept = [
-            self.registry.entries[self.registry.index[name]]
+            self.registry.entries[self.registry.numbers[name]]
             for name in unread
-            if name is not None and name in self.registry.index
+            if name is not None and name in self.registry.numbers
         ]
         kept_names = {entry.name for entry in kept}
         others = [entry for entry in endpoint_list.hosts if entry.name not in kept_names]
@@ -104,7 +104,7 @@
 
     def phase_of(self, name: str) -> Optional[str]:
         """Return the phase that an endpoint is known with, if it is known."""
-        endpoint = self.registry.index.get(name)
+        endpoint = self.registry.numbers.get(name)
         if endpoint is None:
             return None
         phase: str = self.registry.entries[endpoint].phase
--- a/peatlead/platform/push.py
+++ b/peatlead/platform/push.py
@@ -69,7 +69,8 @@
 
         The tables that the proxy's request classes were assigned to in this batch are sent whole.
         """
-        assigned: dict[int, int] = publisher.bound.get(proxy, {})  # table of each request class
+        # Table of each request class.
+        assigned: dict[int, int] = publisher.assigned_tables.get(proxy, {})
         whole = {table for key, table in operations.items() if key[0] == ASSIGNMENT}
         admissions = admissions_of(publisher, assigned, whole, operations)
         entries = self.entries_by_table(whole, operations)
@@ -112,8 +113,8 @@
     """
     by_class = {key[1]: value for key, value in operations.items() if key[0] == ADMISSION}
     for request_class, table in assigned.items():
-        if table in whole and request_class in publisher.levels:
-            by_class[request_class] = publisher.levels[request_class]
+        if table in whole and request_class in publisher.admissions:
+            by_class[request_class] = publisher.admissions[request_class]
     by_admission: dict[Admission, list[int]] = {}
     for request_class, admission in sorted(by_class.items()):
         by_admission.setdefault(Admission(*admission), []).append(request_class)
--- a/peatlead/platform/reports.py
+++ b/peatlead/platform/reports.py
@@ -35,7 +35,7 @@
 
     def endpoint_stats(self, report: EndpointOutcomes) -> Optional[interface.EndpointStats]:
         """Return what a zone's proxies met at an endpoint."""
-        endpoint = self.registry.index.get(report.endpoint)
+        endpoint = self.registry.numbers.get(report.endpoint)
         zone = self.registry.zones.get(report.zone)
         if endpoint is None or zone is None:
             return None
--- a/peatlead/scenario/controller_feeds.py
+++ b/peatlead/scenario/controller_feeds.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from ..controller.control_socket import Asking
+from ..controller.control_socket import ControlClient
 from .endpoint_list_file import RowRecorder
 from .processes import ChildProcess
 
@@ -17,7 +17,7 @@
 
     def __init__(self, record: RowRecorder) -> None:
         self._record = record
-        self._streams: dict[int, Asking] = {}  # by the controller's number
+        self._streams: dict[int, ControlClient] = {}  # by the controller's number
         self._closed = False
 
     async def follow(self, number: int, child: ChildProcess, address: tuple[str, int]) -> None:
@@ -53,5 +53,5 @@
             )
 
 
-def _client(take: Callable[[bytes], None]) -> Callable[[], Asking]:
-    return lambda: Asking({"ask": "feed"}, take)
+def _client(take: Callable[[bytes], None]) -> Callable[[], ControlClient]:
+    return lambda: ControlClient({"ask": "feed"}, take)
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -79,7 +79,7 @@
         async def case(world):
             controller = await world.steward()
             await until(lambda: len(world.named(controller)) == 4)
-            first = str(controller.published.store.histories["view:desk0"].last)
+            first = str(controller.publication.store.histories["view:desk0"].last)
             file = world.folder / "service.star"
             file.write_text(
                 SCRIPT.format(
@@ -97,7 +97,7 @@
             world.phases["h0"] = "draining"
             world.write()
             await until(lambda: world.named(controller) == {"h1", "h2", "h3"})
-            last = str(controller.published.store.histories["view:desk0"].last)
+            last = str(controller.publication.store.histories["view:desk0"].last)
             ns1 = "--name", "ns1"
             code, output = await tables("log", "desk0", *ns1)
             self.assertTrue(code == 0 and "h0 drains" in output, output)
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -184,7 +184,7 @@
                 Planner,
                 str(folder / "state"),
                 boot=b"12345678",
-                wall=lambda: 1000.0 + world.now,
+                wall_clock=lambda: 1000.0 + world.now,
             )
         )
         await made[0].start()
--- a/tests/controller/test_batch_loop.py
+++ b/tests/controller/test_batch_loop.py
@@ -27,14 +27,14 @@
         self.actions, self.lines = [], []
         super().__init__(planner, lambda event, **fields: self.lines.append((event, fields)))
 
-    def offer(self, now, commands, messages, nonces):
+    def send_messages(self, now, commands, messages, nonces):
         self.actions.append(("offer", messages, nonces))
 
     def log_message(self, command):
         self.actions.append(("log", command.text))
 
-    def stop(self, why="stopped"):
-        self.ended.set_result(why)
+    def stop(self, reason="stopped"):
+        self.ended.set_result(reason)
 
 
 class BatchLoopTest(unittest.TestCase):
@@ -47,7 +47,7 @@
             for event in events[1:]:
                 loop.submit(event)
             await until(lambda: planner.batches)
-            self.assertEqual((planner.batches, loop.decided), ([events], 1))
+            self.assertEqual((planner.batches, loop.batch_count), ([events], 1))
 
         run(case())
 
@@ -56,7 +56,7 @@
             planner = RecordingPlanner()
             loop = RecordingLoop(planner)
             loop.submit_later(interface.ProxyDisconnected(1))
-            self.assertEqual((loop.step_scheduled, len(loop.inbox)), (False, 1))
+            self.assertEqual((loop.batch_scheduled, len(loop.inbox)), (False, 1))
 
         run(case())
 
@@ -72,7 +72,7 @@
             loop = RecordingLoop(RecordingPlanner(commands))
             loop.publisher.join(7)
             loop.submit(interface.ProxyDisconnected(1))
-            await until(lambda: loop.decided)
+            await until(lambda: loop.batch_count)
             message = {("bind", 0): 0, ("line", 0, 5): 1.0}
             self.assertEqual(loop.actions, [("log", "done"), ("offer", {7: message}, {7: [9]})])
 
@@ -96,6 +96,6 @@
             ((event, fields),) = loop.lines
             self.assertEqual((event, fields["events"]), ("decide failed", ["ProxyDisconnected"]))
             self.assertIn("test_batch_loop.py:", fields["at"])
-            self.assertEqual((loop.decided, loop.actions), (0, []))
+            self.assertEqual((loop.batch_count, loop.actions), (0, []))
 
         run(case())
--- a/tests/controller/test_channel.py
+++ b/tests/controller/test_channel.py
@@ -41,8 +41,8 @@
         for view in range(3):
             publisher.join(view)
         for commands in batches:
-            for view, ops in publisher.take(commands)[0].items():
-                channel.offer(now, view, ops)
+            for view, ops in publisher.route(commands)[0].items():
+                channel.enqueue(now, view, ops)
             for command in commands:
                 if type(command) is interface.SetEntry:
                     tables.setdefault(command.table, {})[command.endpoint] = command.weight
@@ -53,47 +53,47 @@
                 else:
                     (withdrawn.add if command.withdrawn else withdrawn.discard)(command.endpoint)
             now += rng.random()
-            for view, message in channel.due(now):
-                states[view].apply(message.ops)
-        for view, message in channel.due(1e9):
-            states[view].apply(message.ops)
+            for view, message in channel.take_due(now):
+                states[view].apply(message.operations)
+        for view, message in channel.take_due(1e9):
+            states[view].apply(message.operations)
         for view, state in states.items():
             expected = {
                 h: w
                 for h, w in tables.get(assigned.get(view), {}).items()
                 if w and h not in withdrawn
             }
-            self.assertEqual(state.lines(0), expected)
-        self.assertEqual(channel.waiting, 0.0)
+            self.assertEqual(state.weights(0), expected)
+        self.assertEqual(channel.size, 0.0)
 
     def test_messages_are_paced_and_waiting_ones_are_merged(self):
         channel = Channel(10.0, 6.0, 100.0)
-        channel.offer(0.0, 1, {("line", 0, 1): 1.0})
+        channel.enqueue(0.0, 1, {("line", 0, 1): 1.0})
         for weight in range(50):
-            channel.offer(0.0, 2, {("line", 0, 1): float(weight)})
-        self.assertEqual(channel.waiting, 14.0)
-        self.assertEqual([view for view, _ in channel.due(0.0)], [1])
-        self.assertEqual(channel.due(0.6), [])
-        ((view, message),) = channel.due(0.75)
-        self.assertEqual((view, message.ops), (2, {("line", 0, 1): 49.0}))
+            channel.enqueue(0.0, 2, {("line", 0, 1): float(weight)})
+        self.assertEqual(channel.size, 14.0)
+        self.assertEqual([view for view, _ in channel.take_due(0.0)], [1])
+        self.assertEqual(channel.take_due(0.6), [])
+        ((view, message),) = channel.take_due(0.75)
+        self.assertEqual((view, message.operations), (2, {("line", 0, 1): 49.0}))
 
     def test_a_withdrawal_is_merged_into_the_waiting_message(self):
         channel = Channel(10.0, 6.0, 100.0)
-        channel.offer(0.0, 1, {("line", 0, 1): 1.0})
-        channel.offer(0.0, 1, {("withdrawn", 1): True})
-        ((_, message),) = channel.due(0.0)
+        channel.enqueue(0.0, 1, {("line", 0, 1): 1.0})
+        channel.enqueue(0.0, 1, {("withdrawn", 1): True})
+        ((_, message),) = channel.take_due(0.0)
         state = ViewState()
-        state.apply({("bind", 0): 0, **message.ops})
-        self.assertEqual(state.lines(0), {})
+        state.apply({("bind", 0): 0, **message.operations})
+        self.assertEqual(state.weights(0), {})
 
     def test_removals_leave_first_without_starving_other_messages(self):
         # At 3,000 proxies a withdrawal waited behind every staged delta and whole table that was offered before it.
         channel = Channel(1e9, 6.0, 1e6)
         for view in range(40):
-            channel.offer(0.0, view, {("line", view, 1): 1.0})
+            channel.enqueue(0.0, view, {("line", view, 1): 1.0})
         for view in range(20, 60):
-            channel.offer(0.0, view, {("withdrawn", 3): True})
-        sent = [view for view, _ in channel.due(1.0)]
+            channel.enqueue(0.0, view, {("withdrawn", 3): True})
+        sent = [view for view, _ in channel.take_due(1.0)]
         self.assertEqual(sorted(sent), list(range(60)))
         positions = [at for at, view in enumerate(sent) if view < 20]
         self.assertEqual(positions[:5], [3, 7, 11, 15, 19])
@@ -101,16 +101,16 @@
 
     def test_a_revoked_withdrawal_is_no_longer_urgent(self):
         channel = Channel(1e9, 6.0, 1e6)
-        channel.offer(0.0, 1, {("line", 0, 1): 1.0})
-        channel.offer(0.0, 2, {("withdrawn", 3): True})
-        channel.offer(0.0, 2, {("withdrawn", 3): False})
-        channel.offer(0.0, 3, {("line", 0, 1): 0.0})
+        channel.enqueue(0.0, 1, {("line", 0, 1): 1.0})
+        channel.enqueue(0.0, 2, {("withdrawn", 3): True})
+        channel.enqueue(0.0, 2, {("withdrawn", 3): False})
+        channel.enqueue(0.0, 3, {("line", 0, 1): 0.0})
         channel.forget(3)
-        self.assertEqual([view for view, _ in channel.due(1.0)], [1, 2])
-        self.assertEqual((len(channel.urgent), len(channel.calm), channel.waiting), (0, 0, 0.0))
+        self.assertEqual([view for view, _ in channel.take_due(1.0)], [1, 2])
+        self.assertEqual((len(channel.urgent), len(channel.normal), channel.size), (0, 0, 0.0))
 
     def test_due_returns_at_most_the_given_number_of_messages(self):
         channel = Channel(1e9, 6.0, 1e6)
         for view in range(100):
-            channel.offer(0.0, view, {("line", view, 1): 1.0})
-        self.assertEqual([len(channel.due(0.1, 30)) for _ in range(5)], [30, 30, 30, 10, 0])
+            channel.enqueue(0.0, view, {("line", view, 1): 1.0})
+        self.assertEqual([len(channel.take_due(0.1, 30)) for _ in range(5)], [30, 30, 30, 10, 0])
--- a/tests/controller/test_dns_controller.py
+++ b/tests/controller/test_dns_controller.py
@@ -161,15 +161,15 @@
             controller.endpoint_lists.source.stop()
             world.phases["h0"] = "draining"
             world.write()
-            controller.front.fresh_until = loop.time() - 5.0
+            controller.dns_server.fresh_until = loop.time() - 5.0
             wire = dns.message.make_query("api.example.org", "A").to_wire()
-            before = controller.front.unanswered
+            before = controller.dns_server.unanswered
             resolver.transport.sendto(wire, ("127.1.0.1", world.port))
             await until(
-                lambda: controller.front.unanswered > before
-                or controller.front.fresh_until > loop.time()
+                lambda: controller.dns_server.unanswered > before
+                or controller.dns_server.fresh_until > loop.time()
             )
-            await until(lambda: controller.front.fresh_until > loop.time())
+            await until(lambda: controller.dns_server.fresh_until > loop.time())
             return "h0" in world.named(controller), "stood still" in dict(world.log)
 
         self.assertEqual(play(case), (False, True))
@@ -178,8 +178,8 @@
         async def case(world):
             controllers = [await world.steward("ns1"), await world.steward("ns2")]
             await until(lambda: all(world.named(one) for one in controllers))
-            controllers[0].freshness.renew = lambda now: None
-            controllers[0].front.fresh_until = 0.1
+            controllers[0].answer_freshness.renew = lambda now: None
+            controllers[0].dns_server.fresh_until = 0.1
             resolver = await start_resolver(world, servers=("127.1.0.1", "127.1.0.2"))
             return [
                 bool(await resolver.lookup(f"desk{at % 2}.api.example.org", "", "x"))
--- a/tests/controller/test_dns_over_tcp.py
+++ b/tests/controller/test_dns_over_tcp.py
@@ -45,11 +45,11 @@
             controller = await world.steward()
             await until(lambda: world.named(controller))
             streams = [await dial(world) for _ in range(4)]
-            await until(lambda: controller.front.connections.evicted == 1)
+            await until(lambda: controller.dns_server.connections.evicted == 1)
             await until(lambda: streams[0].over.done())
             streams[1].send(b"\x00\x05abcde")
             await until(lambda: streams[1].over.done())
             await until(lambda: streams[2].over.done() and streams[3].over.done())
-            return len(controller.front.connections.streams)
+            return len(controller.dns_server.connections.streams)
 
         self.assertEqual(play(case), 0)
--- a/tests/controller/test_endpoint_registry.py
+++ b/tests/controller/test_endpoint_registry.py
@@ -38,7 +38,7 @@
         registry = EndpointRegistry(["north"], lambda *_, **__: None)
         registry.endpoint_update(read_document(document(HOST)), 1000.0)
         registry.forget(0)
-        self.assertEqual((registry.index, registry.entries), ({}, {}))
+        self.assertEqual((registry.numbers, registry.entries), ({}, {}))
         again = registry.endpoint_update(
             read_document(document(HOST, version=2, written=130.0)), 1031.0
         )
--- a/tests/controller/test_many_proxies.py
+++ b/tests/controller/test_many_proxies.py
@@ -238,11 +238,11 @@
                 await asyncio.sleep(0.03)
             calls = [
                 call
-                for one in controller.proxies.front.connections.streams
+                for one in controller.proxies.server.connections.streams
                 for call in one.calls.values()
             ]
             self.assertTrue(calls and all(call.waiting < 10_000 for call in calls))
-            self.assertEqual(len(controller.proxies.front.sessions), 36)
+            self.assertEqual(len(controller.proxies.server.sessions), 36)
             for agent in slow:
                 agent.connection.transport.resume_reading()
             world.phases["h0"] = "ready"
--- a/tests/controller/test_operator_queries.py
+++ b/tests/controller/test_operator_queries.py
@@ -32,11 +32,11 @@
             controller = await world.steward()
             await until(lambda: len(world.named(controller)) == 4)
             question = Question("why", host="h2")
-            await until(lambda: controller.queries.why(question)["holders"], 5.0)
-            unknown = controller.queries.why(Question("why", host="none"))
-            endpoint = controller.registry.index["h2"]
+            await until(lambda: controller.operator_queries.why(question)["holders"], 5.0)
+            unknown = controller.operator_queries.why(Question("why", host="none"))
+            endpoint = controller.registry.numbers["h2"]
             holders = len(controller.planner.context.holders.subscribers(endpoint))
-            return controller.queries.why(question), unknown, holders
+            return controller.operator_queries.why(question), unknown, holders
 
         answer, unknown, holders = play(case)
         self.assertIn("expected a host of the list", unknown["error"])
@@ -70,16 +70,18 @@
             controller = await world.steward()
             await until(lambda: len(world.named(controller)) == 4)
             question = Question("drained", host="h2")
-            before = controller.queries.drained(question)
+            before = controller.operator_queries.drained(question)
             world.phases["h2"] = "draining"
             world.write()
             await until(
-                lambda: controller.queries.drained(question)[
+                lambda: controller.operator_queries.drained(question)[
                     "seconds until no kept answer names it"
                 ]
                 == 0,
                 5.0,
             )
-            return before["named by views"] > 0, controller.queries.drained(question)["phase"]
+            return before["named by views"] > 0, controller.operator_queries.drained(question)[
+                "phase"
+            ]
 
         self.assertEqual(play(case), (True, "draining"))
--- a/tests/controller/test_pin_targets.py
+++ b/tests/controller/test_pin_targets.py
@@ -26,7 +26,7 @@
         controller = SimpleNamespace(
             log=lambda event, **fields: self.events.append(event),
             loop=SimpleNamespace(time=lambda: 100.0),
-            fleet=None,
+            gossip=None,
         )
         self.pins = Pins("ns1")
         self.store = Store()
--- a/tests/controller/test_pinned_tables.py
+++ b/tests/controller/test_pinned_tables.py
@@ -14,7 +14,7 @@
 
 
 def ask(controller, do, **args):
-    return controller.published.answer(Question("tables", do=do, args=args))
+    return controller.publication.answer(Question("tables", do=do, args=args))
 
 
 class RunningControllerTest(unittest.TestCase):
@@ -47,7 +47,7 @@
                 to=before,
             )
             self.assertEqual(dry["each"][0]["taken"], {"h0": "drains"})
-            self.assertFalse(controller.published.pins.held)
+            self.assertFalse(controller.publication.pins.held)
             ask(
                 controller,
                 "pin",
@@ -81,7 +81,7 @@
                 to=before,
                 over=0.0,
             )
-            await until(lambda: controller.published.covered)
+            await until(lambda: controller.publication.covered)
             dry = ask(
                 controller, "pin", dry=True, whom="zone", which="south", target="back", to="60"
             )
@@ -113,14 +113,14 @@
             controller = await world.steward()
             await until(lambda: len(world.named(controller)) == 4)
             pin = ask(controller, "pin", whom="all", over=0.0)["pin"]
-            await until(lambda: controller.published.covered)
-            versions = controller.published.store.entry_count
-            controller.published.log.close = lambda: None  # killed: nothing is closed
+            await until(lambda: controller.publication.covered)
+            versions = controller.publication.store.entry_count
+            controller.publication.log.close = lambda: None  # killed: nothing is closed
             controller.stop()
             await asyncio.sleep(0.05)  # its sockets are closed by the loop
             restarted = await world.steward()
-            self.assertIn(pin, restarted.published.pins.standing())
-            self.assertGreaterEqual(restarted.published.store.entry_count, versions)
+            self.assertIn(pin, restarted.publication.pins.standing())
+            self.assertGreaterEqual(restarted.publication.store.entry_count, versions)
             await until(lambda: len(world.named(restarted)) == 4)
             self.assertEqual(ask(restarted, "status")["pins"][0]["target not known"], [])
 
@@ -158,7 +158,7 @@
                 ("log", {"since": "x"}),
             ):
                 self.assertIn("error", ask(controller, do, **args), (do, args))
-            self.assertFalse(controller.published.pins.held)
+            self.assertFalse(controller.publication.pins.held)
 
         play(case)
 
@@ -216,9 +216,9 @@
                 zstandard.compress(b"\0" * 3_000_000),
                 zstandard.compress(msgspec.msgpack.encode(["ns1-1", "a", 1, 1, {"line/x": 1}])),
             ):
-                controller.published.receive_target(malformed)
+                controller.publication.receive_target(malformed)
             self.assertEqual(sum(event == "wish refused" for event, _ in world.log), 5)
-            self.assertFalse(controller.published.offered)
+            self.assertFalse(controller.publication.offered)
 
         play(case)
 
--- a/tests/controller/test_propagation.py
+++ b/tests/controller/test_propagation.py
@@ -107,22 +107,28 @@
             world.phases[name] = "draining"
             world.write()
             await until(lambda: not any(address in agent.hosts for agent in agents))
-            index = controller.registry.index[name]
+            index = controller.registry.numbers[name]
             await until(lambda: index not in controller.propagation.open)
-            answer = await ask_once(controller.me["control"], {"ask": "why", "host": name})
+            answer = await ask_once(
+                controller.own_settings["control"], {"ask": "why", "host": name}
+            )
             self.assertEqual((answer["phase"], answer["holders"]), ("draining", 0))
             self.assertTrue(any("drains" in text for _, text in answer["notes"]), answer["notes"])
             loss = answer["losses"][-1]
             self.assertGreaterEqual(loss["without it"], holders)
             self.assertEqual(loss["still to go"], 0)
-            proxy = await ask_once(controller.me["control"], {"ask": "why", "host": "agent3"})
+            proxy = await ask_once(
+                controller.own_settings["control"], {"ask": "why", "host": "agent3"}
+            )
             self.assertEqual((proxy["zone"], proxy["losses under way"]), ("a", []))
             self.assertNotIn(name, proxy["lines"]["look"])
             self.assertIn(
                 "expected a host",
-                (await ask_once(controller.me["control"], {"ask": "why", "host": "nobody"}))[
-                    "error"
-                ],
+                (
+                    await ask_once(
+                        controller.own_settings["control"], {"ask": "why", "host": "nobody"}
+                    )
+                )["error"],
             )
             for agent in agents:
                 agent.connection.cut("over")
--- a/tests/controller/test_publisher.py
+++ b/tests/controller/test_publisher.py
@@ -10,27 +10,27 @@
         publisher = Publisher()
         for view in range(6):
             publisher.join(view, enforces_admission=view < 5)
-        publisher.take([interface.AssignTable(view, view, (0,)) for view in range(4)])
-        publisher.take([interface.SetEntry(1, 9, 1.0), interface.SetEntry(2, 9, 1.0)])
-        withdrawals, _, _ = publisher.take([interface.WithdrawEndpoint(9, True)])
+        publisher.route([interface.AssignTable(view, view, (0,)) for view in range(4)])
+        publisher.route([interface.SetEntry(1, 9, 1.0), interface.SetEntry(2, 9, 1.0)])
+        withdrawals, _, _ = publisher.route([interface.WithdrawEndpoint(9, True)])
         self.assertEqual(
             sorted(withdrawals), [4, 5]
         )  # one on no table yet and a DNS view; holders lose the entry instead
         publisher.leave(4)
         publisher.join(4, enforces_admission=True)
-        restorations, _, _ = publisher.take([interface.WithdrawEndpoint(9, False)])
+        restorations, _, _ = publisher.route([interface.WithdrawEndpoint(9, False)])
         self.assertEqual(sorted(restorations), [4, 5])
-        self.assertEqual(publisher.take([interface.WithdrawEndpoint(9, False)])[0], {})
+        self.assertEqual(publisher.route([interface.WithdrawEndpoint(9, False)])[0], {})
 
     def test_a_nonce_goes_to_all_subscribers_or_to_those_written_to(self):
         publisher = Publisher()
         for view in (1, 2):
             publisher.join(view)
-        publisher.take([interface.AssignTable(1, 0, (0,))])
-        _, nonces, _ = publisher.take(
+        publisher.route([interface.AssignTable(1, 0, (0,))])
+        _, nonces, _ = publisher.route(
             [interface.SetEntry(0, 5, 1.0), interface.RequestAcknowledgement(7, False)]
         )
         self.assertEqual(nonces, {1: [7]})
         self.assertEqual(
-            publisher.take([interface.RequestAcknowledgement(8, True)])[1], {1: [8], 2: [8]}
+            publisher.route([interface.RequestAcknowledgement(8, True)])[1], {1: [8], 2: [8]}
         )
--- a/tests/dns/test_zone_transfer.py
+++ b/tests/dns/test_zone_transfer.py
@@ -84,7 +84,7 @@
             await until(lambda: secondary.serial == controller.secondaries.history.serial)
             self.assertTrue(secondary.sound())
             self.assertEqual(controller.secondaries.counts["passed"], 1)
-            self.assertEqual(controller.published.zone_serial(), secondary.serial)
+            self.assertEqual(controller.publication.zone_serial(), secondary.serial)
 
         self.play(case)
 
--- a/tests/grpc/test_failover.py
+++ b/tests/grpc/test_failover.py
@@ -12,7 +12,7 @@
         controllers = {name: await world.steward(name) for name in ("ns1", "ns2", "ns3")}
         await until(
             lambda: all(
-                len(controller.fleet.members.live()) == 3 for controller in controllers.values()
+                len(controller.gossip.members.live()) == 3 for controller in controllers.values()
             )
         )
         return controllers
@@ -21,7 +21,7 @@
         ownership = [
             key
             for key, controller in controllers.items()
-            if name in controller.proxies.front.sessions
+            if name in controller.proxies.server.sessions
         ]
         return ownership[0] if len(ownership) == 1 else None
 
@@ -31,7 +31,7 @@
             proxy = connect_proxy(world)
             await until(lambda: self.owner(controllers))
             first = self.owner(controllers)
-            self.assertEqual(first, controllers["ns1"].fleet.ownership.owner_of("p0"))
+            self.assertEqual(first, controllers["ns1"].gossip.ownership.owner_of("p0"))
             await until(lambda: proxy.lines)
             held, epoch = dict(proxy.lines), proxy.fence.newest[0]
             controllers.pop(first).stop()
@@ -52,12 +52,13 @@
                 for at in range(6)
             ]
             await until(lambda: all(self.owner(controllers, proxy.plan.name) for proxy in proxies))
-            real = {name: controller.fleet.send for name, controller in controllers.items()}
+            real = {name: controller.gossip.send for name, controller in controllers.items()}
             for controller in controllers.values():  # each believes that it is alone
-                controller.fleet.send = lambda address, body: None
+                controller.gossip.send = lambda address, body: None
             await until(
                 lambda: all(
-                    len(controller.fleet.members.live()) == 1 for controller in controllers.values()
+                    len(controller.gossip.members.live()) == 1
+                    for controller in controllers.values()
                 )
             )
             world.phases["h1"] = "draining"
@@ -70,16 +71,17 @@
                 )
             )
             for name, controller in controllers.items():
-                controller.fleet.send = real[name]
+                controller.gossip.send = real[name]
             await until(
                 lambda: all(
-                    len(controller.fleet.members.live()) == 3 for controller in controllers.values()
+                    len(controller.gossip.members.live()) == 3
+                    for controller in controllers.values()
                 )
             )
             await until(
                 lambda: all(
                     self.owner(controllers, proxy.plan.name)
-                    == controllers["ns1"].fleet.ownership.preferred_owner(proxy.plan.name)
+                    == controllers["ns1"].gossip.ownership.preferred_owner(proxy.plan.name)
                     for proxy in proxies
                 ),
                 15,
@@ -101,9 +103,9 @@
                     self.owner(controllers, proxy.plan.name) and proxy.lines for proxy in proxies
                 )
             )
-            busy = max(controllers, key=lambda name: len(controllers[name].proxies.front.sessions))
+            busy = max(controllers, key=lambda name: len(controllers[name].proxies.server.sessions))
             controllers[busy].answer_fleet_question(type("Q", (), {"do": "drain", "host": ""}))
-            await until(lambda: not controllers[busy].proxies.front.sessions, 15)
+            await until(lambda: not controllers[busy].proxies.server.sessions, 15)
             await until(lambda: all(self.owner(controllers, proxy.plan.name) for proxy in proxies))
             self.assertTrue(all(proxy.lines["look"] for proxy in proxies))
             answer = controllers[busy].answer_fleet_question(
@@ -121,7 +123,7 @@
             proxy = connect_proxy(world)
             await until(lambda: self.owner(controllers) and proxy.lines)
             first = self.owner(controllers)
-            session = controllers[first].proxies.front.sessions["p0"]
+            session = controllers[first].proxies.server.sessions["p0"]
             # Seen from the agent it is frozen: pings go unanswered. Then it wakes, and still believes that it owns.
             connection = session.call.connection
             connection.ping_timer.cancel()
@@ -155,8 +157,8 @@
             )
             for data in (b"junk", b"\x01" * 90, bytes(60), b"\x01\x03" + bytes(80)):
                 transport.sendto(data, ("127.1.0.1", world.port + 1))
-            await until(lambda: controllers["ns1"].fleet.counts["refused"] >= 4)
+            await until(lambda: controllers["ns1"].gossip.counts["refused"] >= 4)
             transport.close()
-            return len(controllers["ns1"].fleet.members.live())
+            return len(controllers["ns1"].gossip.members.live())
 
         self.assertEqual(run_fleet(case), 3)
--- a/tests/grpc/test_incremental.py
+++ b/tests/grpc/test_incremental.py
@@ -54,7 +54,7 @@
             await world.shake(40, 0.08)
 
             def same():
-                items = controller.published.store.histories["p0"].items
+                items = controller.publication.store.histories["p0"].items
                 lines = {key: value for key, value in items.items() if key.startswith("line/")}
                 return (
                     proxy.holder.parts["line"] == lines
--- a/tests/grpc/test_server.py
+++ b/tests/grpc/test_server.py
@@ -36,7 +36,7 @@
             await until(
                 lambda: [
                     x["held"] == x["sent"] != "0.0"
-                    for x in controller.published.proxy_versions()
+                    for x in controller.publication.proxy_versions()
                     if x["proxy"] == proxy.plan.name
                 ]
                 == [True]
--- a/tests/planner/test_channel_budget.py
+++ b/tests/planner/test_channel_budget.py
@@ -28,7 +28,7 @@
                         "changes", tick, (make_endpoint(endpoint, endpoint % 2, "draining"),)
                     )
                 )
-            messages, nonces, _ = publisher.take(
+            messages, nonces, _ = publisher.route(
                 planner.decide(now, [interface.TimerFired(0), *events])
             )
             channel += [
--- a/tests/planner/test_planner_at_scale.py
+++ b/tests/planner/test_planner_at_scale.py
@@ -234,7 +234,7 @@
         run = PacedRun(planner_module, 60, 200, channel_rate=2800.0)
         run.join()
         run.ticks(100)
-        run.channel.deepest = 0.0
+        run.channel.peak_size = 0.0
         figures = run.replace()
         self.assertEqual(figures["proxies without a line"], 0)
         self.assertLess(figures["cold host, most of what tips it"], 0.5)
--- a/tests/planner/test_withdrawals.py
+++ b/tests/planner/test_withdrawals.py
@@ -48,11 +48,11 @@
         publisher = Publisher()
         publisher.join(10, enforces_admission=True)
         publisher.join(11, enforces_admission=True)
-        self.assertEqual(publisher.take([interface.WithdrawEndpoint(3, True, ())])[0], {})
+        self.assertEqual(publisher.route([interface.WithdrawEndpoint(3, True, ())])[0], {})
         self.assertEqual(
-            list(publisher.take([interface.WithdrawEndpoint(3, True, (10, 12))])[0]), [10]
+            list(publisher.route([interface.WithdrawEndpoint(3, True, (10, 12))])[0]), [10]
         )
-        self.assertEqual(list(publisher.take([interface.WithdrawEndpoint(3, True)])[0]), [11])
+        self.assertEqual(list(publisher.route([interface.WithdrawEndpoint(3, True)])[0]), [11])
         planner.budget.backlog.unanswered = 0.0
         planner.budget.backlog.batches.clear()
         commands = [
--- a/tests/plants.py
+++ b/tests/plants.py
@@ -45,12 +45,12 @@
 
 def withdrawals_forgotten():
     """Orders that take endpoints away are not published."""
-    real = Publisher.take
+    real = Publisher.route
 
-    def take(self, orders):
+    def route(self, orders):
         return real(self, [order for order in orders if not takes_endpoint_away(order)])
 
-    return mock.patch.object(Publisher, "take", take)
+    return mock.patch.object(Publisher, "route", route)
 
 
 def cold_bound_ignored():
@@ -80,12 +80,12 @@
 
 def retried_after_any_failure():
     """Proxies retry requests that must not be sent twice."""
-    real = Publisher.admit
+    real = Publisher.set_admission
 
-    def admit(self, out, order):
+    def set_admission(self, out, order):
         real(self, out, order._replace(retry_policy="once"))
 
-    return mock.patch.object(Publisher, "admit", admit)
+    return mock.patch.object(Publisher, "set_admission", set_admission)
 
 
 def error_when_an_endpoint_leaves():
@@ -102,9 +102,9 @@
 
 def tables_emptied_by_a_drain():
     """One withdrawal takes all endpoints out of a table."""
-    real = ViewState.lines
+    real = ViewState.weights
     return mock.patch.object(
-        ViewState, "lines", lambda self, kind: {} if self.withdrawn else real(self, kind)
+        ViewState, "weights", lambda self, kind: {} if self.withdrawn else real(self, kind)
     )
 
 
--- a/tests/platform/test_endpoint_tracker.py
+++ b/tests/platform/test_endpoint_tracker.py
@@ -42,7 +42,7 @@
             platform.controller.on_health_check(3, "timed out", 0.2, None, None)
             platform.controller.on_endpoint_list(endpoint_list(2, instance(3, "z1")))
             await until(
-                lambda: platform.controller.endpoints.registry.index["s-3"] == 4
+                lambda: platform.controller.endpoints.registry.numbers["s-3"] == 4
                 and 4 in platform.controller.planner.endpoints
             )
 
--- a/tests/platform/test_planner_restart.py
+++ b/tests/platform/test_planner_restart.py
@@ -24,10 +24,10 @@
                 platform.controller.submit(interface.ProxyDisconnected(3))
                 await until(lambda: platform.controller.planner is not planner)
             await until(lambda: whole_tables(proxy) == 2, 20)
-            before = platform.controller.decided
+            before = platform.controller.batch_count
             platform.discovery.publish(instance(1, "z1", "leaving"))
             await until(lambda: "s-1" in removed_endpoints(proxy))
-            await until(lambda: platform.controller.decided > before + 5)  # its timers go on
+            await until(lambda: platform.controller.batch_count > before + 5)  # its timers go on
             self.assertIsNone(proxy.end_reason)
 
         run_with_platform(case)
@@ -36,9 +36,9 @@
         async def case(platform):
             events = []
             platform.controller.submit = events.append
-            platform.controller.fire_if_current(object(), 0, 0.0)
+            platform.controller.fire_timer_if_current(object(), 0, 0.0)
             self.assertEqual(events, [])
-            platform.controller.fire_if_current(platform.controller.planner, 0, 0.0)
+            platform.controller.fire_timer_if_current(platform.controller.planner, 0, 0.0)
             self.assertEqual(events, [interface.TimerFired(0)])
 
         run_with_platform(case)
--- a/tests/platform/test_push.py
+++ b/tests/platform/test_push.py
@@ -119,7 +119,7 @@
         async def case(platform):
             await until(lambda: platform.controller.watch.version == 1)
             platform.discovery.publish(instance(7, started=1.9e12))
-            await until(lambda: "s-7" in platform.controller.endpoints.registry.index)
+            await until(lambda: "s-7" in platform.controller.endpoints.registry.numbers)
             self.assertEqual(platform.controller.endpoints.possibly_ejected, set())
             platform.discovery.publish(
                 instance(1, "z1")
@@ -139,19 +139,19 @@
     def test_a_withdrawal_is_sent_once_per_stream(self):
         publisher = Publisher()
         publisher.join(5, enforces_admission=True)
-        sent = [publisher.take([interface.WithdrawEndpoint(1, True)])[0] for _ in range(2)]
+        sent = [publisher.route([interface.WithdrawEndpoint(1, True)])[0] for _ in range(2)]
         publisher.leave(5)
         publisher.join(5, enforces_admission=True)
         self.assertEqual(
-            [*sent, publisher.take([interface.WithdrawEndpoint(1, True)])[0]],
+            [*sent, publisher.route([interface.WithdrawEndpoint(1, True)])[0]],
             [{5: {("withdrawn", 1): True}}, {}, {5: {("withdrawn", 1): True}}],
         )
         self.assertEqual(
-            publisher.take([interface.WithdrawEndpoint(1, False)])[0],
+            publisher.route([interface.WithdrawEndpoint(1, False)])[0],
             {5: {("withdrawn", 1): False}},
         )
         self.assertEqual(
-            publisher.take([interface.WithdrawEndpoint(1, True)])[0], {5: {("withdrawn", 1): True}}
+            publisher.route([interface.WithdrawEndpoint(1, True)])[0], {5: {("withdrawn", 1): True}}
         )
 
 
@@ -167,8 +167,8 @@
             await until(lambda: proxy.end_reason and "s-1" in removed_endpoints(other))
             platform.controller.push.table_updates = tables
             again = await platform.proxy_with_table(0)
-            before = platform.controller.decided
-            await until(lambda: platform.controller.decided > before + 3)
+            before = platform.controller.batch_count
+            await until(lambda: platform.controller.batch_count > before + 3)
             self.assertIsNone(again.end_reason)
 
         run_with_platform(case)
--- a/tests/platform/test_shutdown.py
+++ b/tests/platform/test_shutdown.py
@@ -51,17 +51,17 @@
         async def case(platform):
             proxy = await platform.proxy_with_table()
             platform.controller.stop()
-            decided = platform.controller.decided
+            decided = platform.controller.batch_count
             platform.controller.stop("again")
             platform.configuration = platform.configuration._replace(
                 discovery=Address(DISCOVERY_HOST, 1)
             )
             platform.controller.reload()
-            platform.controller.fire_if_current(platform.controller.planner, 0, 0.0)
+            platform.controller.fire_timer_if_current(platform.controller.planner, 0, 0.0)
             platform.controller.on_health_check(0, "ok", 0.1, None, None)
             await until(lambda: proxy.end_reason and platform.controller.ended.done())
             self.assertEqual(
-                (platform.controller.ended.result(), platform.controller.decided),
+                (platform.controller.ended.result(), platform.controller.batch_count),
                 ("stopped", decided),
             )
 
