--- a/peatlead/controller/channel.py
+++ b/peatlead/controller/channel.py
@@ -1,13 +1,14 @@
-"""A paced, bounded queue of messages to subscribers, without I/O.
+"""A rate-limited queue of messages to subscribers, without I/O.
 
-Messages leave one after the other, each taking (overhead + operations) / rate seconds. A message
-for a subscriber that has one waiting is merged into it, and a newer operation replaces an older one
-of the same key: so the queue is bounded by the number of distinct operations, and no subscriber
-gets an older state after a newer one.
+Messages leave one after the other, and each occupies the channel for (overhead + operations) / rate
+seconds. The queue holds at most one message for each subscriber: further operations are merged into
+that message, and a newer operation replaces an older operation with the same key. The number of
+distinct operations therefore bounds the queue, and no subscriber receives an older state after a
+newer state.
 
-Messages that take an endpoint away leave before others, since requests sent to it meanwhile fail.
-After `URGENT_RUN` of them one of the others leaves: a proxy without a table must not wait for the
-loss of a whole zone.
+Messages that remove an endpoint are urgent and leave first, because requests to that endpoint fail
+until the message is applied. After `MAX_URGENT_RUN` urgent messages a normal message leaves, so
+that a proxy without a table doesn't wait for the withdrawals of a whole zone.
 """
 
 from collections import OrderedDict
@@ -16,68 +17,68 @@
 
 from .message import Message, Operations, removed_endpoints, set_operation
 
-CAUSES_MOST = 8  # causes kept of a message that was merged many times
-URGENT_RUN = 3  # messages that take endpoints away, between two that do not
-UNLIMITED = 1 << 30  # messages
+MAX_CAUSES = 8  # no further causes are added to a message that has this many
+MAX_URGENT_RUN = 3  # urgent messages in a row while normal messages wait
+UNLIMITED = 1 << 30  # number of messages
 
-Lane = OrderedDict[int, bool]  # subscribers in the order of sending
+Lane = OrderedDict[int, bool]  # subscribers in the order of sending; used as an ordered set
 
 
 class Channel:
-    """A queue of messages: `offer` adds to it, `due` returns what may leave from `next_due_at` on.
+    """A queue of messages: `enqueue` adds operations, `take_due` removes messages that may leave.
 
-    `rate` is in operations a second, `head` the operations that a message counts for beside its
-    own, and `most` the number of queued operations that the planner keeps to. The channel itself
-    refuses nothing.
+    `rate` is in operations per second. `overhead` is the cost of a message beside its operations,
+    in operations. `max_size` is the number of queued operations that the planner must not exceed;
+    the channel only counts violations and refuses nothing.
     """
 
-    def __init__(self, rate: float, head: float, most: float) -> None:
+    def __init__(self, rate: float, overhead: float, max_size: float) -> None:
         self.rate = rate
-        self.overhead = head
-        self.max_size = most
-        self.queue: dict[int, Message] = {}  # waiting messages by subscriber
-        self.urgent: Lane = OrderedDict()  # subscribers whose message takes an endpoint away
-        self.normal: Lane = OrderedDict()  # the other subscribers of the queue
+        self.overhead = overhead
+        self.max_size = max_size
+        self.queue: dict[int, Message] = {}  # queued messages by subscriber
+        self.urgent: Lane = OrderedDict()  # subscribers whose message removes an endpoint
+        self.normal: Lane = OrderedDict()  # all other subscribers with a queued message
         self.urgent_run = 0  # urgent messages sent in a row
-        self.free_at = 0.0  # when the last message has left, in seconds on the loop's clock
-        self.size = 0.0  # size of the queue in operations, overheads included
-        self.peak_size = 0.0  # largest size of the queue so far
-        self.overflow_count = 0  # offers so far after which the queue was larger than `most`
+        self.free_at = 0.0  # when the next message may leave, in seconds on the loop's clock
+        self.size = 0.0  # queued operations, with the overhead of each message
+        self.peak_size = 0.0  # the largest `size` so far
+        self.overflow_count = 0  # calls of `enqueue` after which `size` exceeded `max_size`
 
     def enqueue(
         self,
         now: float,
         subscriber: int,
-        ops: Operations,
-        marks: Iterable[int] = (),
+        operations: Operations,
+        nonces: Iterable[int] = (),
         causes: Iterable[str] = (),
     ) -> None:
-        """Queue operations for a subscriber, with nonces to acknowledge and causes to record."""
+        """Queue operations for a subscriber, with nonces to acknowledge and the causes."""
         message = self.queue.get(subscriber)
         if message is None:
             message = self.queue[subscriber] = Message(now)
             self.size += self.overhead
-        before = len(message.operations)
-        for key, value in ops.items():
+        count_before = len(message.operations)
+        for key, value in operations.items():
             set_operation(message.operations, key, value)
         self.choose_lane(subscriber, message)
-        # The newest nonce acknowledges all before it.
-        message.nonces = list(marks) or message.nonces
-        if len(message.causes) < CAUSES_MOST:
+        # The newest nonce acknowledges all earlier nonces.
+        message.nonces = list(nonces) or message.nonces
+        if len(message.causes) < MAX_CAUSES:
             message.causes.update(dict.fromkeys(causes))
-        self.size += len(message.operations) - before
+        self.size += len(message.operations) - count_before
         self.peak_size = max(self.peak_size, self.size)
         self.overflow_count += self.size > self.max_size
 
     def choose_lane(self, subscriber: int, message: Message) -> None:
-        """Put a subscriber into its message's lane; one that is there already keeps its place."""
+        """Move a subscriber to the lane of its message; within the same lane it keeps its place."""
         urgent = bool(removed_endpoints(message.operations))
         lane, other = (self.urgent, self.normal) if urgent else (self.normal, self.urgent)
         other.pop(subscriber, None)
         lane.setdefault(subscriber, True)
 
     def forget(self, subscriber: int) -> None:
-        """Drop what waits for a subscriber that has left."""
+        """Drop the queued message of a subscriber that has left."""
         message = self.queue.pop(subscriber, None)
         self.urgent.pop(subscriber, None)
         self.normal.pop(subscriber, None)
@@ -86,28 +87,28 @@
 
     @property
     def next_due_at(self) -> Optional[float]:
-        """When the next message may leave, None where none waits."""
+        """When the next message may leave, or None if the queue is empty."""
         return self.free_at if self.queue else None
 
     def next_subscriber(self) -> int:
-        """Take the next subscriber off its lane; at least one must wait."""
-        if self.urgent and (self.urgent_run < URGENT_RUN or not self.normal):
+        """Remove the next subscriber from its lane and return it; the queue must not be empty."""
+        if self.urgent and (self.urgent_run < MAX_URGENT_RUN or not self.normal):
             self.urgent_run += 1
             return self.urgent.popitem(last=False)[0]
         self.urgent_run = 0
         return self.normal.popitem(last=False)[0]
 
-    def take_due(self, now: float, most: int = UNLIMITED) -> list[tuple[int, Message]]:
-        """Dequeue the messages that may leave by now, at most `most`, with their subscribers."""
-        leaving: list[tuple[int, Message]] = []
-        while self.queue and self.free_at <= now and len(leaving) < most:
+    def take_due(self, now: float, limit: int = UNLIMITED) -> list[tuple[int, Message]]:
+        """Dequeue up to `limit` messages that may leave now; return (subscriber, message) pairs."""
+        due: list[tuple[int, Message]] = []
+        while self.queue and self.free_at <= now and len(due) < limit:
             subscriber = self.next_subscriber()
             message = self.queue.pop(subscriber)
-            size = self.overhead + len(message.operations)
-            self.size -= size
+            message_size = self.overhead + len(message.operations)
+            self.size -= message_size
             # An idle channel accumulates no credit for a burst.
-            self.free_at = max(self.free_at, message.enqueued_at) + size / self.rate
-            leaving.append((subscriber, message))
+            self.free_at = max(self.free_at, message.enqueued_at) + message_size / self.rate
+            due.append((subscriber, message))
         if not self.queue:
-            self.size = 0.0  # no rounding errors accumulate
-        return leaving
+            self.size = 0.0  # removes accumulated rounding errors
+        return due
--- a/peatlead/controller/control_socket.py
+++ b/peatlead/controller/control_socket.py
@@ -1,4 +1,4 @@
-"""The operators' socket: one question a line as JSON over TCP, one answer a line, and a feed.
+"""The control socket for operators: JSON over TCP, with one question or answer per line.
 
     {"ask": "answer", "view": NAME, "service": LABEL}
     {"ask": "status"}
@@ -8,7 +8,7 @@
     {"ask": "fleet", "do": "status|drain|undrain|why", "host": PROXY}
     {"ask": "tables", "do": "log|show|diff|pin|resume|status|ends", "args": {...}}
 
-The feed reports each message that is sent to a view or proxy.
+After `feed` the connection also receives a line for each message that is sent to a view or proxy.
 """
 
 import asyncio
@@ -19,20 +19,20 @@
 
 from ..net.streams import ConnectionSet, Lines, within
 
-CONNECTIONS_LIMIT = 64  # operators' connections at a time
-IDLE_SECONDS = 3600.0  # until a silent connection is closed
-QUESTION_BYTES = 65536  # the longest question
-WAITING_BYTES = 8 << 20  # output that may wait for a slow reader; more ends the connection
-ANSWER_BYTES = 64 << 20  # the longest answer that a client reads
-DEFAULT_DEADLINE = 2.0  # seconds until a client gives up
+MAX_CONNECTIONS = 64
+IDLE_TIMEOUT = 3600.0  # seconds until an idle connection is closed
+MAX_QUESTION_BYTES = 65536
+MAX_UNSENT_BYTES = 8 << 20  # output for a slow reader; more ends the connection
+MAX_ANSWER_BYTES = 64 << 20  # that a client accepts
+DEFAULT_TIMEOUT = 2.0  # seconds that a client waits for an answer
 FEED = "feed"
 
 Answer = dict[str, Any]
-"""An answer to an operator: encoded as JSON."""
+"""An answer to an operator, encoded as a JSON object."""
 
 
 class Question(msgspec.Struct):
-    """One question; which fields count depends on `ask`."""
+    """One question; `ask` determines which other fields are used."""
 
     ask: str
     view: str = ""
@@ -43,7 +43,7 @@
 
 
 Handler = Callable[[Question], Answer]
-"""Answers one kind of question."""
+"""Answers the questions with one value of `ask`."""
 
 
 def encode_line(message: Answer) -> bytes:
@@ -55,15 +55,15 @@
     """One operator's connection."""
 
     def __init__(self, control: "ControlSocket") -> None:
-        super().__init__(IDLE_SECONDS, QUESTION_BYTES, WAITING_BYTES)
+        super().__init__(IDLE_TIMEOUT, MAX_QUESTION_BYTES, MAX_UNSENT_BYTES)
         self._control = control
 
     def opened(self) -> None:
-        """Count the connection."""
+        """Register the connection."""
         self._control.connections.add(self)
 
     def ended(self, reason: str) -> None:
-        """Forget the connection."""
+        """Unregister the connection."""
         self._control.connections.drop(self)
         self._control.feeds.pop(self, None)
 
@@ -85,36 +85,36 @@
 
 
 class ControlSocket:
-    """Listens for operators and passes their questions on.
+    """Listens for operators and passes their questions to handlers.
 
-    `has_time()` says whether there is time for one more question; orders, which have a `do`, are
-    always taken. A feed whose reader is too slow is cut.
+    `accepts_query()` returns whether there is time for another question. Questions with a `do` are
+    always accepted. A feed whose reader is too slow is cut.
     """
 
-    def __init__(self, has_time: Callable[[], bool], handlers: Mapping[str, Handler]) -> None:
-        self._has_time = has_time
-        self._handlers = handlers  # by the question's `ask`
-        self.connections = ConnectionSet(CONNECTIONS_LIMIT)
+    def __init__(self, accepts_query: Callable[[], bool], handlers: Mapping[str, Handler]) -> None:
+        self._accepts_query = accepts_query
+        self._handlers = handlers  # by value of `ask`
+        self.connections = ConnectionSet(MAX_CONNECTIONS)
         self.feeds: dict[OperatorConnection, bool] = {}  # used as an ordered set
         self._server: asyncio.Server | None = None
 
     async def open(self, address: tuple[str, int]) -> None:
-        """Start to listen. Raises OSError."""
+        """Start to listen on an address. Raises OSError."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(lambda: OperatorConnection(self), *address)
 
     def reply(self, question: Question) -> Answer:
-        """Answer a question; what cannot be answered is said under the key `error`."""
+        """Return the answer to a question; a failure is reported under the key `error`."""
         handler = self._handlers.get(question.ask)
         if handler is None:
             expected = ", ".join(sorted([*self._handlers, FEED]))
             return {"error": f"expected ask to be one of {expected}"}
-        if not question.do and not self._has_time():
-            return {"error": "more questions than there is time for: ask again in a second"}
+        if not question.do and not self._accepts_query():
+            return {"error": "too many questions: ask again in a second"}
         return handler(question)
 
     def publish(self, message: Answer) -> None:
-        """Send a message to all that follow the feed."""
+        """Send a message to all connections with a feed."""
         if not self.feeds:
             return
         line = encode_line(message)
@@ -129,12 +129,15 @@
 
 
 class ControlClient(Lines):
-    """The client's side: sends one question and gives each line of the answer to `take`."""
+    """The client's side: sends one question and passes each received line to `on_line`.
 
-    def __init__(self, question: object, take: Callable[[bytes], None]) -> None:
-        super().__init__(waiting_most=QUESTION_BYTES, longest=ANSWER_BYTES)
+    `over` is a future that completes with the reason when the connection has ended.
+    """
+
+    def __init__(self, question: object, on_line: Callable[[bytes], None]) -> None:
+        super().__init__(waiting_most=MAX_QUESTION_BYTES, longest=MAX_ANSWER_BYTES)
         self._question = question
-        self._take = take
+        self._on_line = on_line
         self.over: asyncio.Future[str] = asyncio.get_running_loop().create_future()
 
     def opened(self) -> None:
@@ -142,8 +145,8 @@
         self.send(msgspec.json.encode(self._question) + b"\n")
 
     def line(self, data: bytes) -> None:
-        """Pass a line on."""
-        self._take(data)
+        """Pass a received line to the callback."""
+        self._on_line(data)
 
     def ended(self, reason: str) -> None:
         """Complete `over` with the reason."""
@@ -152,10 +155,13 @@
 
 
 async def ask_once(
-    address: tuple[str, int], question: object, deadline: float = DEFAULT_DEADLINE
+    address: tuple[str, int], question: object, timeout: float = DEFAULT_TIMEOUT
 ) -> Answer:
-    """Ask one question and return the answer. Raises OSError or asyncio.TimeoutError."""
-    answer: Answer = await within(deadline, _ask(address, question))
+    """Ask one question and return the answer. Raises OSError or asyncio.TimeoutError.
+
+    `timeout` is in seconds.
+    """
+    answer: Answer = await within(timeout, _ask(address, question))
     return answer
 
 
@@ -163,16 +169,16 @@
     loop = asyncio.get_running_loop()
     answer: asyncio.Future[Answer] = loop.create_future()
 
-    def take(data: bytes) -> None:
+    def set_answer(data: bytes) -> None:
         if not answer.done():
             answer.set_result(msgspec.json.decode(data))
 
     def connection_ended(over: asyncio.Future[str]) -> None:
         if not answer.done():
             reason = over.result()
-            answer.set_exception(OSError(f"the steward ended the connection: {reason}"))
+            answer.set_exception(OSError(f"the controller ended the connection: {reason}"))
 
-    _, stream = await loop.create_connection(lambda: ControlClient(question, take), *address)
+    _, stream = await loop.create_connection(lambda: ControlClient(question, set_answer), *address)
     stream.over.add_done_callback(connection_ended)
     try:
         return await answer
--- a/peatlead/controller/controller.py
+++ b/peatlead/controller/controller.py
@@ -1,6 +1,6 @@
-"""The controller: events go to the planner, its orders become tables, DNS answers and assignments.
+"""The controller: passes events to the planner and publishes its commands to views and proxies.
 
-`Controller` composes the parts; each of them has a module of its own.
+`Controller` composes the parts of a controller; each part has its own module.
 """
 
 from collections.abc import Callable, Collection, Mapping, Sequence
@@ -33,23 +33,25 @@
 from .publication import Publication
 from .recipients import PlannedTable, Recipients
 
-# Added to the controller's seed, so that parts draw from generators of their own.
-SECONDARIES_SEED = 7
-OVERLOAD_SEED = 11
+# Added to the controller's seed, so that each part has its own random generator.
+SECONDARIES_SEED_OFFSET = 7
+OVERLOAD_SEED_OFFSET = 11
 
 DEFAULT_BOOT = b"\1" * 8
 
 
 class Controller(BatchLoop):
-    """One controller of a settings map.
+    """One controller.
 
-    `log(event, **fields)` writes a log line. `planner(settings, seed)` creates the planner.
-    `folder` keeps what outlives the process, None for nothing. `boot` is eight bytes that no other
-    start of this controller has had, where it is one of a fleet. `wall_clock()` is the time of day,
-    for stamps that people read: nothing is decided by it.
+    `settings` are those of the whole fleet, and `name` selects this controller's entry.
+    `log(event, **fields)` writes a log line. `create_planner(settings, seed)` returns the planner.
+    `state_folder` holds the persistent state, or is None to store nothing. `create_source` is a
+    `SourceFactory` for endpoint lists. `boot` is eight bytes that no other start of this controller
+    has used; only a fleet needs it. `wall_clock()` returns the time of day, for timestamps that
+    people read; no decision depends on it.
 
-    `start()` opens the sockets and raises OSError where it can't. `ended` is a future: "stopped",
-    or the error.
+    `start()` opens the sockets and raises OSError if that fails. `ended` is a future whose result
+    is "stopped" or the error.
     """
 
     def __init__(
@@ -57,48 +59,56 @@
         settings: dict[str, Any],
         name: str,
         log: Callable[..., Any],
-        planner: Callable[[dict[str, Any], int], Any] = Planner,
-        folder: str | None = None,
-        source: SourceFactory = FileSource,
+        create_planner: Callable[[dict[str, Any], int], Any] = Planner,
+        state_folder: str | None = None,
+        create_source: SourceFactory = FileSource,
         boot: bytes = DEFAULT_BOOT,
         wall_clock: Callable[[], float] = lambda: 0.0,
     ) -> None:
         self._read_settings(settings, name)
         seed: int = self.own_settings["seed"]
         super().__init__(
-            planner(planner_settings(settings, self.own_settings, len(self.view_numbers)), seed),
+            create_planner(
+                planner_settings(settings, self.own_settings, len(self.view_numbers)), seed
+            ),
             log,
         )
         self._create_channel(seed)
         self.publication = Publication(
-            self, folder and f"{folder}/tables-{name}", wall_clock, settings["tables"], boot
+            self,
+            state_folder and f"{state_folder}/tables-{name}",
+            wall_clock,
+            settings["tables"],
+            boot,
         )
         rng = Random(seed)
         self._create_dns(rng)
-        self.endpoint_lists = EndpointLists(self, source, folder and f"{folder}/list-{name}")
+        self.endpoint_lists = EndpointLists(
+            self, create_source, state_folder and f"{state_folder}/list-{name}"
+        )
         self.health_checks = HealthChecks(self)
         self.gossip = self._create_gossip(rng, boot)
         self.proxies = self._create_proxies()
         self.operator_queries = OperatorQueries(self)
-        self.control_socket = ControlSocket(self._has_time, self.operator_queries.handlers())
-        self._register_order_handlers()
+        self.control_socket = ControlSocket(self._accepts_query, self.operator_queries.handlers())
+        self._register_command_handlers()
 
     def _read_settings(self, settings: dict[str, Any], name: str) -> None:
-        """Take what the parts need of the settings."""
+        """Set the attributes that the parts read from the settings."""
         self.settings = settings
-        # This controller's own entry.
+        # This controller's entry in the settings.
         self.own_settings: dict[str, Any] = next(
             entry for entry in settings["steward"] if entry["name"] == name
         )
         self.zone_names: list[str] = [entry["name"] for entry in settings["zone"]]
         self.request_classes: list[str] = [entry["name"] for entry in settings["request_kind"]]
-        self.port: int = settings["dns"]["port"]  # that endpoints listen on
+        self.port: int = settings["dns"]["port"]  # the port of all endpoints
         self.views = Views(settings)
-        # The planner's numbers of the views, by index.
+        # The planner's number of each view, by the view's index.
         self.view_numbers: list[int] = [view.number for view in self.views.views]
 
-    def _register_order_handlers(self) -> None:
-        """Say who carries out the planner's orders that are not for recipients."""
+    def _register_command_handlers(self) -> None:
+        """Register handlers for the commands that concern this controller itself."""
         self.command_handlers.update(
             {
                 interface.CheckHealth: self.health_checks.check,
@@ -109,27 +119,27 @@
         )
 
     def _create_channel(self, seed: int) -> None:
-        """Create the way from the planner's orders to their recipients."""
+        """Create the channel and the parts that move messages through it."""
         limits = self.settings["limits"]
         self.channel = Channel(limits["channel_rate"], limits["message_head"], limits["queue_most"])
         self.registry = EndpointRegistry(self.zone_names, self.log)
         self.overload = OverloadControl(
-            self.settings["choices"]["sums_every"], Random(seed + OVERLOAD_SEED).uniform
+            self.settings["choices"]["sums_every"], Random(seed + OVERLOAD_SEED_OFFSET).uniform
         )
         self.propagation = PropagationTrace()
         self.recipients = Recipients(self)
         self.message_pump = MessagePump(self)
 
     def _create_dns(self, rng: Random) -> None:
-        """Create the DNS server and what its answers are made of."""
+        """Create the DNS server and the tables that its answers use."""
         self.answers = Answers(self.settings, self.views, rng.uniform)
         self.dns_server = DnsServer(self.settings["dns"], self.answers)
         self.dns_publication = DnsPublication(self, self.answers)
         self.answer_freshness = AnswerFreshness(self)
-        self.secondaries: Secondaries | None = None  # created when it starts
+        self.secondaries: Secondaries | None = None  # created in `start`, if configured
 
     def _create_gossip(self, rng: Random, boot: bytes) -> GossipNode | None:
-        """Create this controller's place in the fleet, if the settings give it one."""
+        """Create the gossip node, if the settings give this controller a peer address."""
         if not self.own_settings["peer"]:
             return None
         return GossipNode(
@@ -145,7 +155,7 @@
         )
 
     def _create_proxies(self) -> Proxies | None:
-        """Create the gRPC side, if the settings give it an address."""
+        """Create the gRPC side, if the settings give this controller a gRPC address."""
         if not self.own_settings["grpc"]:
             return None
         if self.gossip is None:
@@ -155,18 +165,18 @@
     # Life cycle.
 
     async def start(self) -> None:
-        """Open the sockets, take up what is on disk and begin. Raises OSError."""
+        """Open the sockets, restore the stored state and start. Raises OSError."""
         await self.dns_server.open(self.own_settings["listen"])
         await self.control_socket.open(self.own_settings["control"])
         if self.proxies:
             await self.proxies.server.open(self.own_settings["grpc"])
         if self.gossip:
             await self.gossip.open()
-        self.publication.recall(self.loop.time())
+        self.publication.restore(self.loop.time())
         if self.settings["dns"]["secondaries"]:
             self.secondaries = self._create_secondaries()
             await self.secondaries.open(self.own_settings["listen"][0])
-        self.endpoint_lists.recall()
+        self.endpoint_lists.restore()
         for view in self.views.views:
             self.publisher.join(view.number)
             self.proxy_joined(view.number, view.zone, view.rate, True)
@@ -183,12 +193,12 @@
             names.index(self.own_settings["name"]),
             len(names),
             self.publication.zone_serial(),
-            Random(self.own_settings["seed"] + SECONDARIES_SEED),
+            Random(self.own_settings["seed"] + SECONDARIES_SEED_OFFSET),
             self.publication.store_zone_serial,
         )
 
     def stop(self, reason: str = "stopped") -> None:
-        """End in order: no more answers, no more orders, then the sockets."""
+        """Stop answering, then stop publishing, then close the remaining sockets."""
         if self.ended.done():
             return
         self.answer_freshness.end()
@@ -196,7 +206,8 @@
         self.health_checks.prober.stop()
         self.dns_server.close()
         if self.gossip:
-            self.gossip.leave()  # before its proxies dial others, so that these know whose they are
+            # Before the proxies disconnect, so that the other controllers know their new owners.
+            self.gossip.leave()
         if self.proxies:
             self.proxies.server.close()
         self.control_socket.close()
@@ -206,22 +217,22 @@
         self.log("steward stopped", why=reason, decided=self.batch_count)
         self.ended.set_result(reason)
 
-    # Steps of the batch loop.
+    # Hooks of the batch loop.
 
     def fire_timer(self, token: int, due: float) -> None:
-        """Pass the planner's timer on; how late it runs is a measure of overload."""
+        """Submit the planner's timer event, and let overload control use the timer's lateness."""
         now = self.loop.time()
-        for order in self.overload.decide(now, [TimerLateness(now - due, self.count_proxies())]):
-            if type(order) is SetGatherWindow and self.proxies:
-                self.proxies.gathered.wait = order.seconds
-            elif type(order) is LogOverload:
-                self.log("burden", text=order.text)
+        for command in self.overload.decide(now, [TimerLateness(now - due, self.count_proxies())]):
+            if type(command) is SetGatherWindow and self.proxies:
+                self.proxies.gathered.wait = command.seconds
+            elif type(command) is LogOverload:
+                self.log("overload control", text=command.text)
         super().fire_timer(token, due)
 
     def on_batch_start(self, now: float) -> None:
-        """Find out about a stall first of all, then add the load reports that are due."""
+        """Check for a stall before anything else, then add the load statistics that are due."""
         self.answer_freshness.check(now)
-        stats = self.health_checks.stats_due(now)
+        stats = self.health_checks.take_due_stats(now)
         self.inbox += stats
         if self.proxies:
             self.inbox += self.proxies.gathered.due(now)
@@ -230,34 +241,34 @@
     def send_messages(
         self,
         now: float,
-        orders: Sequence[Any],
+        commands: Sequence[Any],
         messages: Mapping[int, Operations],
-        marks: Mapping[int, Collection[int]],
+        nonces: Mapping[int, Collection[int]],
     ) -> None:
-        """Put a batch's messages into the channel, with what caused them."""
-        for order in orders:
-            self._record_cause(now, order)
+        """Queue a batch's messages in the channel, with their causes."""
+        for command in commands:
+            self._record_cause(now, command)
         for number in sorted(messages):
             operations = messages[number]
             for endpoint in removed_endpoints(operations):
                 if self.recipients.holds(number, endpoint):
                     self.propagation.begin_withdrawal(now, endpoint, number)
             causes = self.publication.causes.causes_of(operations)
-            self.channel.enqueue(now, number, operations, marks.get(number, ()), causes)
-
-    def _record_cause(self, now: float, order: object) -> None:
-        """Record what an order says of an endpoint, for the causes of later versions."""
-        if type(order) is interface.LogMessage:
-            note = self.publication.causes.note_planner_message(order.text)
-            if note:
-                self.propagation.note(now, *note)
-        elif type(order) is interface.WithdrawEndpoint:
-            self.publication.endpoint_withdrawn(order.endpoint, order.withdrawn)
-            text = "withdrawn" if order.withdrawn else "let in again"
-            self.propagation.note(now, order.endpoint, text)
+            self.channel.enqueue(now, number, operations, nonces.get(number, ()), causes)
+
+    def _record_cause(self, now: float, command: object) -> None:
+        """Record the event of an endpoint that a command implies, as a cause of later versions."""
+        if type(command) is interface.LogMessage:
+            event = self.publication.causes.note_planner_message(command.text)
+            if event:
+                self.propagation.record_event(now, *event)
+        elif type(command) is interface.WithdrawEndpoint:
+            self.publication.endpoint_withdrawn(command.endpoint, command.withdrawn)
+            text = "withdrawn" if command.withdrawn else "restored"
+            self.propagation.record_event(now, command.endpoint, text)
 
     def on_batch_end(self, now: float, events: Sequence[object]) -> None:
-        """Send what may leave, and in each round of the planner's timer do all that is periodic."""
+        """Send the messages that are due; after a round of the planner's timer do periodic work."""
         self.message_pump.send_due()
         timer_fired = any(type(event) is interface.TimerFired for event in events)
         if not timer_fired and self.batch_count != 1:
@@ -267,46 +278,46 @@
         if self.secondaries:
             self.secondaries.tick(now)
         if self.gossip and self.proxies:
-            self.proxies.move_on(now)
+            self.proxies.redirect_proxies(now)
 
-    # Orders.
+    # Command handlers.
 
     def _fetch_endpoints(self, _: interface.FetchEndpoints) -> None:
         self.endpoint_lists.fetch_soon()
 
-    def _send_gossip(self, order: interface.SendGossip) -> None:
+    def _send_gossip(self, command: interface.SendGossip) -> None:
         if self.gossip:
-            self.gossip.broadcast_advice(order.payload)
+            self.gossip.broadcast_advice(command.payload)
 
     # Events.
 
     def proxy_joined(self, number: int, zone: int, rate: float, needs_tables: bool) -> None:
-        """Tell the planner of a view or proxy that has joined; `rate` in requests a second."""
+        """Submit the event of a view or proxy that has joined; `rate` is in requests per second."""
         self.submit(interface.ProxyConnected(number, zone, rate, needs_tables))
 
     def proxy_left(self, number: int) -> None:
-        """Tell the planner of a proxy that has left."""
-        self.propagation.ended(self.loop.time(), number)
+        """Submit the event of a proxy that has left."""
+        self.propagation.holder_left(self.loop.time(), number)
         self.submit(interface.ProxyDisconnected(number))
 
     def _gossip_received(self, sender: int, payload: bytes) -> None:
         self.submit(interface.GossipReceived(sender, payload))
 
-    # Questions of the parts.
+    # Queries.
 
     def count_proxies(self) -> int:
-        """Return how many proxies have joined."""
+        """Return the number of joined proxies."""
         return len(self.proxies.server.sessions) if self.proxies else 0
 
     def planned_tables(self, number: int) -> list[PlannedTable]:
-        """Return what the planner wants of a view or proxy now."""
+        """Return the planned tables of a view or proxy."""
         return self.recipients.planned_tables(number)
 
     def answer_fleet_question(self, question: Question) -> Answer:
-        """Answer a question about the fleet. Raises KeyError where this controller is in none."""
+        """Answer a query about the fleet. Raises KeyError if this controller is in no fleet."""
         return self.operator_queries.handlers()["fleet"](question)
 
-    def _has_time(self) -> bool:
-        """Return whether there is time for one more question of an operator."""
-        has_time: bool = self.overload.takes_question(self.loop.time())
-        return has_time
+    def _accepts_query(self) -> bool:
+        """Return whether the controller has time for another query of an operator."""
+        accepted: bool = self.overload.accepts_query(self.loop.time())
+        return accepted
--- a/peatlead/controller/dns_publication.py
+++ b/peatlead/controller/dns_publication.py
@@ -1,4 +1,4 @@
-"""From messages to DNS answers: what each view holds, and what its answers may name."""
+"""The tables of DNS views, and the endpoints that DNS answers may name."""
 
 from collections.abc import Iterable, Mapping
 from typing import TYPE_CHECKING, Any
@@ -15,55 +15,56 @@
 if TYPE_CHECKING:
     from .controller import Controller
 
-Seat = tuple[int, int]
-"""The index of a view and of a service: answers are placed for each pair."""
+ViewService = tuple[int, int]
+"""The index of a view and the index of a service; answers are set for each such pair."""
 
 
 def service_request_classes(settings: Mapping[str, Any]) -> list[list[int]]:
-    """Return for each service of the settings the indices of its request classes."""
+    """Return the indices of the request classes of each service in the settings."""
     indices = {entry["name"]: index for index, entry in enumerate(settings["request_kind"])}
     return [[indices[name] for name in service["kinds"]] for service in settings["service"]]
 
 
 class DnsPublication:
-    """The tables of all DNS views, and the answers that follow from them."""
+    """Holds the tables of all DNS views, and updates the DNS answers when they change."""
 
     def __init__(self, controller: "Controller", answers: Answers) -> None:
         settings = controller.settings
         self._controller = controller
         self._answers = answers
-        self._labels: list[str] = [service["label"] for service in settings["service"]]
+        self._service_labels: list[str] = [service["label"] for service in settings["service"]]
         self._request_classes = service_request_classes(settings)  # by service
         views = controller.views.views
         self._states = [ViewState() for _ in views]
         self.thinning = WarmupThinning(
             {(view.index, service): view.rate for view in views for service in self._services()}
         )
-        self._unnamed_at: dict[int, float] = {}  # endpoint -> when the last answer could name it
+        # When each endpoint was removed from the last view, in seconds on the loop's clock.
+        self._unnamed_at: dict[int, float] = {}
 
     def _services(self) -> range:
-        return range(len(self._labels))
+        return range(len(self._service_labels))
 
     def state_of(self, view: View) -> ViewState:
-        """Return what a view holds of the planner's tables."""
+        """Return the planned state of a view, as far as messages have left the channel."""
         return self._states[view.index]
 
     def planned_tables(self, view: View) -> list[PlannedTable]:
-        """Return what the planner wants of a view, by service."""
+        """Return the planned tables of a view, by service."""
         state = self._states[view.index]
         return [
             PlannedTable(label, state.weights(request_classes[0]))
-            for label, request_classes in zip(self._labels, self._request_classes)
+            for label, request_classes in zip(self._service_labels, self._request_classes)
         ]
 
     def items_of(self, view: View) -> LineWeights:
-        """Return the items that a view is to hold now."""
+        """Return the published items that a view should have now."""
         return self._items_of_tables(self._tables_of(view))
 
     def apply(self, now: float, view: View, message: Message) -> list[EndpointWeights]:
-        """Take a message that has left the channel. Return the view's tables, by service."""
+        """Apply a message that has left the channel. Return the view's tables, by service."""
         self._states[view.index].apply(message.operations)
-        self._controller.propagation.applied(now, view.number)
+        self._controller.propagation.version_applied(now, view.number)
         tables = self._tables_of(view)
         self._controller.publication.record_view(
             VIEW_PREFIX + view.name, self._items_of_tables(tables), tuple(message.causes)
@@ -72,29 +73,29 @@
 
     def update_answers(
         self,
-        changed: Mapping[Seat, EndpointWeights],
-        rates: Iterable[tuple[Seat, float]],
+        changed: Mapping[ViewService, EndpointWeights],
+        rates: Iterable[tuple[ViewService, float]],
     ) -> None:
-        """Take new tables or request rates, as far as they change what answers name."""
+        """Update the DNS answers for changed tables and request rates (requests per second)."""
         listed = self._controller.endpoint_lists.weights
-        named_before = {
-            endpoint for seat in changed for endpoint in self.thinning.tables.get(seat, ())
+        previous_endpoints = {
+            endpoint for key in changed for endpoint in self.thinning.tables.get(key, ())
         }
-        for seat, named in self.thinning.decide(changed, listed, rates).items():
-            view, service = seat
-            self._answers.place(view, service, named, self.thinning.tables[seat])
-        for seat in changed:
-            table = self.thinning.tables[seat]
-            view, service = seat
+        for key, pool in self.thinning.decide(changed, listed, rates).items():
+            view, service = key
+            self._answers.place(view, service, pool, self.thinning.tables[key])
+        for key in changed:
+            table = self.thinning.tables[key]
+            view, service = key
             if table != self._answers.seats[view][service].planned_weights:
-                self._answers.place(view, service, self.thinning.named[seat], table)
-        for endpoint in named_before:
+                self._answers.place(view, service, self.thinning.named[key], table)
+        for endpoint in previous_endpoints:
             if not self.thinning.holders[endpoint]:
                 self._unnamed_at[endpoint] = self._controller.loop.time()
 
     def record_rates(self, events: Iterable[object]) -> None:
-        """Take the request rates of views, by service: what answers may name depends on them."""
-        rates: dict[Seat, float] = {}
+        """Update the DNS answers for the request rates in `RequestStats` events."""
+        rates: dict[ViewService, float] = {}
         for event in events:
             if type(event) is not interface.RequestStats:
                 continue
@@ -103,8 +104,8 @@
                 continue
             for service, request_classes in enumerate(self._request_classes):
                 if event.request_class in request_classes:
-                    seat = view.index, service
-                    rates[seat] = rates.get(seat, 0.0) + event.requests / event.window
+                    key = view.index, service
+                    rates[key] = rates.get(key, 0.0) + event.requests / event.window
         if rates:
             self.update_answers({}, sorted(rates.items()))
 
@@ -113,21 +114,26 @@
         return {view for view, _ in self.thinning.holders.get(endpoint, ())}
 
     def seconds_unnamed(self, endpoint: int) -> float | None:
-        """Return the seconds since the last answer could name an endpoint; None if one can now."""
+        """Return the seconds since an answer could last name an endpoint.
+
+        None means that answers can name the endpoint now, or never could.
+        """
         if self.views_naming(endpoint) or endpoint not in self._unnamed_at:
             return None
         return self._controller.loop.time() - self._unnamed_at[endpoint]
 
     def _tables_of(self, view: View) -> list[EndpointWeights]:
-        """Return a view's tables: the planner's, through the guard where the view is pinned."""
+        """Return a view's tables by service: the planned tables, or guarded tables under a pin."""
         zone = self._controller.zone_names[view.zone]
         return [
-            self._controller.publication.lines(VIEW_PREFIX + view.name, zone, label, planned)
+            self._controller.publication.effective_weights(
+                VIEW_PREFIX + view.name, zone, label, planned
+            )
             for label, planned in self.planned_tables(view)
         ]
 
     def _items_of_tables(self, tables: list[EndpointWeights]) -> LineWeights:
         items: LineWeights = {}
-        for label, table in zip(self._labels, tables):
-            items.update(self._controller.publication.items_of_lines(label, table))
+        for label, table in zip(self._service_labels, tables):
+            items.update(self._controller.publication.items_of_table(label, table))
         return items
--- a/peatlead/controller/endpoint_lists.py
+++ b/peatlead/controller/endpoint_lists.py
@@ -1,4 +1,4 @@
-"""Endpoint lists: read from their source, remembered on disk, handed on to all that need them."""
+"""Endpoint lists: received from a source, stored on disk, and passed to the controller's parts."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
@@ -11,13 +11,13 @@
     from .controller import Controller
 
 SourceFactory = Callable[..., Any]
-"""Creates a source of the settings under `node_list`, a callback for lists and a log function."""
+"""Creates a source from the `node_list` settings, a callback for lists and a log function."""
 
 
 class EndpointLists:
-    """The source of endpoint lists and what follows from each list.
+    """Receives endpoint lists and updates the controller's parts.
 
-    `cache_path` is the file that the last whole list is remembered in, None for nowhere.
+    `cache_path` is the file that stores the last whole list, or None to store nothing.
     """
 
     def __init__(
@@ -28,22 +28,22 @@
         self.source = create_source(controller.settings["node_list"], self.receive, controller.log)
         self.weights: dict[int, float] = {}  # endpoint -> its listed weight
 
-    def recall(self) -> None:
-        """Take the list that was remembered before this start, if any."""
-        remembered, reason = self._cache.recall()
-        if remembered:
-            self.source.remember(remembered.version)
-            self.receive(remembered)
+    def restore(self) -> None:
+        """Load the list that an earlier start has stored, if any."""
+        stored_list, reason = self._cache.recall()
+        if stored_list:
+            self.source.remember(stored_list.version)
+            self.receive(stored_list)
         else:
-            self._controller.log("no list remembered", why=reason)
+            self._controller.log("no stored endpoint list", why=reason)
 
     def fetch_soon(self) -> None:
-        """Read the whole list again, in the next turn of the event loop."""
+        """Read the whole list again, in the next iteration of the event loop."""
         loop = self._controller.loop
         loop.call_soon(lambda: self.source.fetch(loop.time()))
 
     def receive(self, endpoint_list: EndpointList) -> None:
-        """Take a list from the source."""
+        """Handle a list from the source."""
         controller = self._controller
         now = controller.loop.time()
         update = controller.registry.endpoint_update(endpoint_list, now)
@@ -51,14 +51,14 @@
             self._update_endpoint(now, endpoint, endpoint_list.version)
         ready = sum(entry.phase == interface.EndpointPhase.READY for entry in endpoint_list.hosts)
         controller.log(
-            "list",
+            "endpoint list received",
             scope=endpoint_list.scope,
             version=endpoint_list.version,
             hosts=len(endpoint_list.hosts),
             ready=ready,
         )
         if endpoint_list.scope == interface.ListScope.WHOLE and endpoint_list.hosts:
-            self._remember(endpoint_list)
+            self._store(endpoint_list)
         controller.submit(update)
 
     def _update_endpoint(self, now: float, endpoint: interface.Endpoint, list_version: int) -> None:
@@ -70,7 +70,7 @@
         if change is not None:
             causes = controller.publication.causes
             causes.phases({index: change}, list_version)
-            controller.propagation.note(now, index, causes.last_events[index])
+            controller.propagation.record_event(now, index, causes.last_events[index])
         controller.answers.know(index, entry.name, entry.address, entry.address6)
         if controller.proxies:
             controller.proxies.endpoint_listed(index, entry)
@@ -79,8 +79,8 @@
         else:
             controller.answers.open_hosts.discard(index)
 
-    def _remember(self, endpoint_list: EndpointList) -> None:
+    def _store(self, endpoint_list: EndpointList) -> None:
         try:
             self._cache.keep(endpoint_list)
         except OSError as error:
-            self._controller.log("list not remembered", why=str(error))
+            self._controller.log("endpoint list not stored", why=str(error))
--- a/peatlead/controller/endpoint_registry.py
+++ b/peatlead/controller/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""Assigns numbers to listed endpoints, and translates endpoint lists into the planner's events."""
+"""Assigns numbers to listed endpoints and translates endpoint lists into planner events."""
 
 from collections.abc import Callable, Iterable
 from typing import NamedTuple, Optional
@@ -6,23 +6,23 @@
 from .. import interface
 from ..sources.endpoint_list import EndpointList, ListedEndpoint
 
-UNKNOWN_AGE = 1e6  # seconds; the age of an endpoint on the first list where its start is unknown
+UNKNOWN_AGE = 1e6  # seconds; assumed for an endpoint on the first list whose start is unknown
 
 
 class ProcessStart(NamedTuple):
-    """When an endpoint's process started, by the clock of its list and by the controller's."""
+    """When an endpoint's process started, in seconds on the list's and the controller's clock."""
 
     listed: float
     local: float
 
 
 class EndpointRegistry:
-    """Endpoints by name outside, by number inside.
+    """Maps the names of endpoints to the numbers that the planner uses.
 
-    A number is never used again, since commands refer to endpoints by number. `zones` and
-    `machines` are names in the order of the settings. With `unstarted_old`, an endpoint whose start
-    is unknown counts as old whenever it is first listed. `age_of` returns the seconds since a Unix
-    time, for lists whose own time is not comparable.
+    A number is never reused, because commands refer to endpoints by number. `zones` and `machines`
+    are names in the order of the settings. With `assume_old`, an endpoint whose start is unknown
+    counts as old whenever it is first listed. `age_of` returns the seconds since a Unix time, for
+    lists whose own timestamp is not comparable with the start times.
     """
 
     def __init__(
@@ -36,30 +36,34 @@
         self.zones = {zone: number for number, zone in enumerate(zones)}
         self.machines = {machine: number for number, machine in enumerate(machines)}
         self.log = log
-        self.numbers: dict[str, int] = {}  # number of each name
-        self.entries: dict[int, ListedEndpoint] = {}  # the last entry of each number
-        self.starts: dict[str, ProcessStart] = {}
+        self.numbers: dict[str, int] = {}  # by endpoint name
+        self.entries: dict[int, ListedEndpoint] = {}  # latest list entry, by endpoint number
+        self.process_starts: dict[str, ProcessStart] = {}
         self.list_received = False  # whether a list has ever arrived
         self.assume_old = assume_old
         self.age_of = age_of
         self.next_number = 0
 
-    def endpoint_update(self, listing: EndpointList, now: float) -> interface.EndpointUpdate:
-        """Return the planner's event for a list, without entries of unknown zones."""
+    def endpoint_update(self, endpoint_list: EndpointList, now: float) -> interface.EndpointUpdate:
+        """Return the planner's event for a list; entries of unknown zones are omitted."""
         endpoints = []
-        for entry in listing.hosts:
+        for entry in endpoint_list.hosts:
             zone = self.zones.get(entry.zone)
             if zone is None:
                 self.log_unknown_zone(entry)
                 continue
-            endpoints.append(self.register(entry, zone, listing.written, now))
-        self.list_received = self.list_received or listing.scope != interface.ListScope.UNAVAILABLE
-        return interface.EndpointUpdate(listing.scope, listing.version, tuple(endpoints))
+            endpoints.append(self.register(entry, zone, endpoint_list.written, now))
+        self.list_received = (
+            self.list_received or endpoint_list.scope != interface.ListScope.UNAVAILABLE
+        )
+        return interface.EndpointUpdate(
+            endpoint_list.scope, endpoint_list.version, tuple(endpoints)
+        )
 
     def register(
         self, entry: ListedEndpoint, zone: int, written: float, now: float
     ) -> interface.Endpoint:
-        """Store an entry, under a new number where its name is new, and return its event."""
+        """Store an entry, with a new number if its name is new, and return the endpoint."""
         number = self.numbers.get(entry.name)
         if number is None:
             number = self.next_number
@@ -78,24 +82,25 @@
         )
 
     def log_unknown_zone(self, entry: ListedEndpoint) -> None:
-        """Log an entry whose zone the settings don't name."""
-        why = f"zone {entry.zone!r} is not in the settings"
-        self.log("list entry left out", host=entry.name, why=why)
+        """Log an entry whose zone is not in the settings."""
+        reason = f"zone {entry.zone!r} is not in the settings"
+        self.log("list entry left out", host=entry.name, why=reason)
 
     def started_at(self, entry: ListedEndpoint, written: float, now: float) -> float:
-        """Return when an endpoint's process started, on the controller's clock.
+        """Return when an endpoint's process started, in seconds on the controller's clock.
 
-        Only the difference of the list's two times is used: it holds whichever clock they are by. A
-        process keeps the start that it was first seen with, or each new list would move it.
+        Only the difference of the list's two times is used, so the list may use any clock. A
+        process keeps the start time computed from the first list that named it; otherwise each new
+        list would shift the start time.
         """
-        start = self.starts.get(entry.name)
+        start = self.process_starts.get(entry.name)
         if start is None or start.listed != entry.started:
             start = ProcessStart(entry.started, now - self.age(entry, written))
-            self.starts[entry.name] = start
+            self.process_starts[entry.name] = start
         return start.local
 
     def age(self, entry: ListedEndpoint, written: float) -> float:
-        """Return the age in seconds of a process that is seen for the first time."""
+        """Return the age in seconds of a process that is listed for the first time."""
         if written > 0 and entry.started > 0:
             if self.age_of is not None:
                 return self.age_of(entry.started)
@@ -103,7 +108,7 @@
         return UNKNOWN_AGE if self.assume_old or not self.list_received else 0.0
 
     def forget(self, number: int) -> None:
-        """Drop an endpoint that is in no table any more; listed again, it gets a new number."""
+        """Drop an endpoint that is in no table; if it is listed again, it gets a new number."""
         entry = self.entries.pop(number)
         del self.numbers[entry.name]
-        self.starts.pop(entry.name, None)
+        self.process_starts.pop(entry.name, None)
--- a/peatlead/controller/health_checks.py
+++ b/peatlead/controller/health_checks.py
@@ -1,6 +1,7 @@
-"""Health checks: sent on the planner's orders, and what endpoints report in their answers.
+"""Health checks that the planner commands, and the load reports in the endpoints' answers.
 
-A check also carries the admitted fractions to the endpoint, which enforces them for DNS clients.
+A health check also carries the admitted fractions to the endpoint, which enforces them for DNS
+clients.
 """
 
 from ipaddress import ip_address
@@ -17,7 +18,7 @@
     from .controller import Controller
 
 ADMISSION_HEADER = "peatlead-levels"
-NETWORKS_CACHED = 100_000  # client networks whose view is remembered; when full, all go
+MAX_CACHED_NETWORKS = 100_000  # client networks with a cached view; a full cache is cleared
 
 PASSED = interface.HealthCheckOutcome.OK.value
 OUTCOME_OF_STATUS = {
@@ -28,11 +29,11 @@
 OUTCOME_OF_OTHER_STATUS = interface.HealthCheckOutcome.ERRORED.value
 
 LoadReport = dict[str, float]
-"""An ORCA load report, by our names of its fields."""
+"""An ORCA load report, by the field names of `net.orca`."""
 
 
 class CheckedAnswer(NamedTuple):
-    """What an endpoint's answer to a health check says."""
+    """The contents of an endpoint's answer to a health check."""
 
     outcome: str  # the value of a HealthCheckOutcome
     load_report: LoadReport | None
@@ -40,7 +41,7 @@
 
 
 def read_answer(answer: Response) -> CheckedAnswer:
-    """Read an endpoint's answer to a health check."""
+    """Parse an endpoint's answer to a health check."""
     outcome = OUTCOME_OF_STATUS.get(answer.status, OUTCOME_OF_OTHER_STATUS)
     load_report = read_report(answer.headers.get(HEADER, "")) or None
     request_counts = parse_endpoint_report(answer.body) if outcome == PASSED else None
@@ -48,13 +49,13 @@
 
 
 class HealthChecks:
-    """Sends health checks and turns their results into the planner's events."""
+    """Sends health checks and translates their results into planner events."""
 
     def __init__(self, controller: "Controller") -> None:
         settings = controller.settings
         self._controller = controller
         self._port: int = settings["probes"]["port"]
-        self._view_of_network: dict[str, View | None] = {}  # a cache
+        self._view_by_network: dict[str, View | None] = {}  # a cache
         self.admission: dict[int, float] = {}  # request class -> admitted fraction
         self._counts = LoadReportCounts(
             controller.request_classes,
@@ -70,24 +71,24 @@
             controller.own_settings["listen"][0],
         )
 
-    def check(self, order: interface.CheckHealth) -> None:
-        """Carry out the planner's order of a health check."""
-        entry = self._controller.registry.entries[order.endpoint]
-        self.prober.probe(order.endpoint, (entry.address or entry.address6, self._port))
+    def check(self, command: interface.CheckHealth) -> None:
+        """Send the health check that the planner commands."""
+        entry = self._controller.registry.entries[command.endpoint]
+        self.prober.probe(command.endpoint, (entry.address or entry.address6, self._port))
 
-    def set_admission(self, order: interface.SetAdmission) -> None:
-        """Carry out the planner's order of an admitted fraction: the next checks bear it."""
-        self.admission.update(dict.fromkeys(order.request_classes, order.fraction))
+    def set_admission(self, command: interface.SetAdmission) -> None:
+        """Set the admitted fraction that the next health checks carry."""
+        self.admission.update(dict.fromkeys(command.request_classes, command.fraction))
 
     def admission_text(self) -> str:
-        """Return the admitted fractions as the header has them: `CLASS=FRACTION,...`."""
+        """Return the admitted fractions in the header's format: `CLASS=FRACTION,...`."""
         names = self._controller.request_classes
         return ",".join(
             f"{names[index]}={fraction}" for index, fraction in sorted(self.admission.items())
         )
 
-    def stats_due(self, now: float) -> list[Any]:
-        """Return the planner's events from what endpoints have reported, once they are due."""
+    def take_due_stats(self, now: float) -> list[Any]:
+        """Return planner events for the endpoints' reports, or an empty list until they are due."""
         events: list[Any] = self._counts.due(now, self._controller.view_numbers)
         return events
 
@@ -109,12 +110,12 @@
         )
 
     def _view_of(self, network: str) -> View | None:
-        """Return the view of a client network, cached: endpoints report the same ones each time."""
-        if network not in self._view_of_network:
-            if len(self._view_of_network) > NETWORKS_CACHED:
-                self._view_of_network = {}
-            self._view_of_network[network] = self._find_view(network)
-        return self._view_of_network[network]
+        """Return the view of a client network; endpoints report the same networks repeatedly."""
+        if network not in self._view_by_network:
+            if len(self._view_by_network) > MAX_CACHED_NETWORKS:
+                self._view_by_network = {}
+            self._view_by_network[network] = self._find_view(network)
+        return self._view_by_network[network]
 
     def _find_view(self, network: str) -> View | None:
         try:
--- a/peatlead/controller/message.py
+++ b/peatlead/controller/message.py
@@ -1,18 +1,18 @@
 """Messages to subscribers (DNS views and proxies) and the operations that they consist of.
 
-A message is a map of operations. The key names what an operation sets, its first element being one
-of the kinds below, and the value is what it is set to; so a later operation with the same key
-replaces an earlier one:
-
-    (ENTRY, table, endpoint): weight             an entry of a table; weight 0 removes it
-    (WITHDRAWN, endpoint): withdrawn             eject an endpoint from every table, or restore it
-    (ASSIGNMENT, request class): table           the table that routes a request class
-    (ADMISSION, request class): (fraction, retry policy)
-    (UNASSIGNED_TABLE, table): True              forget a table that routes nothing any more
-    (PIN_CHECK, entry key): True                 compare what is held with what a pin demands
-
-Keys are plain tuples of strings and integers: hundreds of thousands are built while a fleet
-restarts.
+A message is a map of operations. An operation sets the part of the subscriber's state that its key
+names to the operation's value, so a later operation replaces an earlier operation with the same
+key. The first element of a key is the kind of the operation:
+
+    (ENTRY, table, endpoint): weight             set a table entry; weight 0 removes the entry
+    (WITHDRAWN, endpoint): withdrawn             eject an endpoint from all tables, or restore it
+    (ASSIGNMENT, request class): table           assign a table to a request class
+    (ADMISSION, request class): (admitted fraction, retry policy)
+    (UNASSIGNED_TABLE, table): True              drop a table that is assigned to no class
+    (PIN_CHECK, entry key): True                 check the entry against the pin in force
+
+Keys are plain tuples of strings and integers, which are cheap to create: the restart of a fleet
+creates hundreds of thousands of keys.
 """
 
 from typing import Any, Final, Literal, Union
@@ -24,7 +24,7 @@
 UNASSIGNED_TABLE: Final = "left"
 PIN_CHECK: Final = "look"
 
-# The planner's number of a table, or ("held", class) for entries that a proxy held when it joined.
+# The planner's number of a table, or ("held", class) for a table that a proxy held when it joined.
 TableId = Union[int, tuple[str, str]]
 
 EntryKey = tuple[Literal["line"], TableId, int]
@@ -40,7 +40,7 @@
 
 
 class Message:
-    """The operations that wait for one subscriber, with the nonces and causes that go with them."""
+    """The queued operations of one subscriber, with their nonces and causes."""
 
     __slots__ = ("operations", "enqueued_at", "nonces", "causes")
 
@@ -49,22 +49,22 @@
         # When the first operation was queued, in seconds on the loop's clock.
         self.enqueued_at = now
         self.nonces: list[int] = []  # nonces to acknowledge once the message is applied
-        self.causes: dict[str, None] = {}  # why it was sent, in order, for logs and stored versions
+        self.causes: dict[str, None] = {}  # why it is sent, in order; used as an ordered set
 
 
-def set_operation(ops: Operations, key: OperationKey, value: Any) -> None:
-    """Set an operation and move it behind all others: operations are applied in order."""
-    ops.pop(key, None)
-    ops[key] = value
+def set_operation(operations: Operations, key: OperationKey, value: Any) -> None:
+    """Set an operation and move it to the end: operations are applied in order."""
+    operations.pop(key, None)
+    operations[key] = value
 
 
-def removed_endpoints(ops: Operations) -> dict[int, bool]:
-    """Return the endpoints that a message takes away, as the keys of a map (to keep the order).
+def removed_endpoints(operations: Operations) -> dict[int, bool]:
+    """Return the endpoints that these operations remove, as a dict used as an ordered set.
 
-    Until the message is applied, requests may still be sent to them and fail.
+    Until the message is applied, requests may still be sent to these endpoints and fail.
     """
     removed: dict[int, bool] = {}
-    for key, value in ops.items():
+    for key, value in operations.items():
         if key[0] == ENTRY:
             if not value:
                 removed[key[2]] = True
--- a/peatlead/controller/message_pump.py
+++ b/peatlead/controller/message_pump.py
@@ -1,47 +1,47 @@
-"""Sends the channel's messages to views and proxies as fast as the channel's rate allows."""
+"""Sends the channel's messages to DNS views and proxies at the channel's rate."""
 
 import asyncio
 from typing import TYPE_CHECKING
 
 from .. import interface
 from ..dns.views import View
-from .dns_publication import Seat
+from .dns_publication import ViewService
 from .message import Message
 from .published_items import EndpointWeights
 
 if TYPE_CHECKING:
     from .controller import Controller
 
-MESSAGES_EACH_CALLBACK = 300  # input that arrives meanwhile waits no longer than these take
+MAX_MESSAGES_PER_CALLBACK = 300  # bounds the time that one callback blocks the event loop
 
 
 class MessagePump:
-    """Takes due messages out of the channel, and schedules itself for the next ones."""
+    """Sends the messages that are due, and schedules a timer for the next message."""
 
     def __init__(self, controller: "Controller") -> None:
         self._controller = controller
         self._timer: asyncio.TimerHandle | None = None
 
     def send_due(self) -> None:
-        """Send what may leave now, and schedule the rest."""
+        """Send the messages that may leave now, and schedule the next call if any remain."""
         controller = self._controller
         now = controller.loop.time()
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        changed: dict[Seat, EndpointWeights] = {}
-        for number, message in controller.channel.take_due(now, MESSAGES_EACH_CALLBACK):
+        changed_tables: dict[ViewService, EndpointWeights] = {}
+        for number, message in controller.channel.take_due(now, MAX_MESSAGES_PER_CALLBACK):
             for nonce in message.nonces:
                 delay = now - message.enqueued_at
                 controller.submit_later(interface.Acknowledged(number, nonce, delay))
-            controller.propagation.left(number)
+            controller.propagation.message_dequeued(number)
             view = controller.views.by_number.get(number)
             if view is None:
                 self._send_to_proxy(now, number, message)
             else:
-                changed.update(self._send_to_view(now, view, message))
-        if changed:
-            controller.dns_publication.update_answers(changed, ())
+                changed_tables.update(self._send_to_view(now, view, message))
+        if changed_tables:
+            controller.dns_publication.update_answers(changed_tables, ())
         if controller.channel.next_due_at is not None:
             due_at = max(now, controller.channel.next_due_at)
             self._timer = controller.loop.call_at(due_at, self.send_due)
@@ -50,17 +50,19 @@
         proxies = self._controller.proxies
         session = proxies.apply(number, message) if proxies else None
         if proxies is not None and session is not None:
-            self._feed(now, session.node.name, message, proxies.line_counts(session))
+            self._publish_to_feed(now, session.node.name, message, proxies.line_counts(session))
 
     def _send_to_view(
         self, now: float, view: View, message: Message
-    ) -> dict[Seat, EndpointWeights]:
+    ) -> dict[ViewService, EndpointWeights]:
         tables = self._controller.dns_publication.apply(now, view, message)
-        self._feed(now, view.name, message, [len(table) for table in tables])
+        self._publish_to_feed(now, view.name, message, [len(table) for table in tables])
         return {(view.index, service): table for service, table in enumerate(tables)}
 
-    def _feed(self, now: float, name: str, message: Message, line_counts: list[int]) -> None:
-        """Report a sent message to the operators that follow the feed."""
+    def _publish_to_feed(
+        self, now: float, name: str, message: Message, line_counts: list[int]
+    ) -> None:
+        """Publish a sent message on the control socket's feed."""
         controller = self._controller
         controller.control_socket.publish(
             {
--- a/peatlead/controller/operator_queries.py
+++ b/peatlead/controller/operator_queries.py
@@ -1,6 +1,6 @@
-"""Operators' questions about endpoints, views, proxies and the fleet.
+"""Answers operators' questions about endpoints, views, proxies and the fleet.
 
-Questions about published tables are answered by `table_queries`.
+`table_queries` answers questions about published tables.
 """
 
 from functools import partial
@@ -18,14 +18,14 @@
 
 @runtime_checkable
 class DescribesEndpoints(Protocol):
-    """A planner that can be asked about endpoints; the simpler ones of studies can't."""
+    """A planner that can describe endpoints; simple planners of studies cannot."""
 
     def describe(self, endpoint_id: int, now: float, /) -> EndpointSummary | None:
-        """Return what is known of an endpoint, if it is; `now` in the loop's seconds."""
+        """Return an endpoint's summary, or None for an unknown endpoint; `now` is in loop time."""
 
 
 def describe_endpoint(endpoint: EndpointSummary) -> Answer:
-    """Return what the planner knows of an endpoint, as operators read it."""
+    """Return the planner's summary of an endpoint as operators see it."""
     return {
         "phase": endpoint.phase,
         "usable": endpoint.usable,
@@ -47,7 +47,7 @@
         self._controller = controller
 
     def handlers(self) -> dict[str, Handler]:
-        """Return for each question that this controller takes who answers it."""
+        """Return the handlers of this controller, by the `ask` of the question."""
         handlers: dict[str, Handler] = {
             "answer": self.answer,
             "status": self.status,
@@ -60,7 +60,7 @@
         return handlers
 
     def answer(self, question: Question) -> Answer:
-        """Return what a view would be answered now, and why."""
+        """Return the endpoints that answers to a view may name now, with their weights."""
         controller = self._controller
         view = next((view for view in controller.views.views if view.name == question.view), None)
         label = question.service or controller.settings["service"][0]["label"]
@@ -70,20 +70,20 @@
                 "error": f"expected a view and a service of the settings, got {question.view!r} "
                 f"and {question.service!r}"
             }
-        seat = controller.answers.seats[view.index][service]
+        source = controller.answers.seats[view.index][service]
         return {
             "view": view.name,
             "zone": controller.zone_names[view.zone],
-            "lifetime": controller.answers.lifetime if seat.cacheable else 0,
+            "lifetime": controller.answers.lifetime if source.cacheable else 0,
             "lines": [
-                self._describe_line(endpoint, weight, endpoint in seat.lines)
-                for endpoint, weight in sorted(seat.planned_weights.items())
+                self._describe_line(endpoint, weight, endpoint in source.lines)
+                for endpoint, weight in sorted(source.planned_weights.items())
             ],
             "fresh": controller.answer_freshness.fresh,
         }
 
     def why(self, question: Question) -> Answer:
-        """Return what is known of an endpoint or proxy, and of its withdrawals."""
+        """Return the state of an endpoint or proxy, with its withdrawals."""
         controller = self._controller
         index, planner = controller.registry.numbers.get(question.host), controller.planner
         if index is not None and isinstance(planner, DescribesEndpoints):
@@ -98,26 +98,26 @@
         return {"error": f"expected a host of the list or a joined proxy, got {question.host!r}"}
 
     def drained(self, question: Question) -> Answer:
-        """Return whether answers still name an endpoint, and until when resolvers may."""
+        """Return whether answers name an endpoint, and how long cached answers may still do so."""
         controller = self._controller
         endpoint = controller.registry.numbers.get(question.host)
         if endpoint is None:
             return {"error": f"expected a host of the list, got {question.host!r}"}
         views = controller.dns_publication.views_naming(endpoint)
-        unnamed = controller.dns_publication.seconds_unnamed(endpoint)
+        elapsed = controller.dns_publication.seconds_unnamed(endpoint)
         remaining = None
         if not views:
-            remaining = max(0.0, controller.answers.lifetime - (unnamed or 0.0))
+            remaining = max(0.0, controller.answers.lifetime - (elapsed or 0.0))
         return {
             "host": question.host,
             "phase": controller.registry.entries[endpoint].phase,
             "named by views": len(views),
-            "seconds since the last answer": unnamed,
+            "seconds since the last answer": elapsed,
             "seconds until no kept answer names it": remaining,
         }
 
     def fleet(self, gossip: GossipNode, question: Question) -> Answer:
-        """Carry out `drain` or `undrain`, and return the fleet as this controller sees it."""
+        """Execute `drain` or `undrain`, and return the fleet as this controller sees it."""
         controller = self._controller
         proxies = controller.proxies
         ownership = gossip.ownership
@@ -139,7 +139,7 @@
         }
 
     def status(self, _: Question) -> Answer:
-        """Return counts of all parts of this controller."""
+        """Return counters of all parts of this controller."""
         controller = self._controller
         status: Answer = {}
         if controller.proxies:
@@ -197,7 +197,7 @@
     def _why_proxy(self, name: str, proxies: Proxies, session: Session) -> Answer:
         controller = self._controller
         name_of = controller.publication.name_of
-        withdrawals = controller.propagation.holding.get(session.number, ())
+        pending_endpoints = controller.propagation.pending.get(session.number, ())
         return {
             "proxy": name,
             "steward": controller.own_settings["name"],
@@ -206,7 +206,7 @@
             "epoch": session.epoch,
             "says it holds": str(proxies.acknowledged_version(session.number)),
             "waits for its window": not session.call.idle,
-            "losses under way": [name_of(endpoint) for endpoint in withdrawals],
+            "losses under way": [name_of(endpoint) for endpoint in pending_endpoints],
             "lines": {
                 request_class: {
                     name_of(endpoint): weight
@@ -230,7 +230,7 @@
         }
 
     def _owned_proxies(self, gossip: GossipNode) -> Answer:
-        """Return each proxy that has joined here, with its epoch and the seconds since."""
+        """Return the epoch of each proxy that has joined here, and the seconds since it joined."""
         now = self._controller.loop.time()
         proxies = self._controller.proxies
         sessions = proxies.server.sessions if proxies else {}
--- a/peatlead/controller/pin_commands.py
+++ b/peatlead/controller/pin_commands.py
@@ -1,4 +1,4 @@
-"""Operators' orders on pins: make one, try one without making it, end one."""
+"""Operators' commands on pins: make a pin, show what a pin would change, end a pin."""
 
 from collections.abc import Mapping
 from typing import TYPE_CHECKING, Any, NamedTuple
@@ -16,16 +16,16 @@
     from .controller import Controller
 
 Arguments = Mapping[str, Any]
-"""The arguments of an operator's question."""
+"""The arguments (`args`) of an operator's question."""
 
-DEFAULT_STAGES = 10.0  # seconds from the first proxy under a pin to the last
-DEFAULT_LENGTH = 3600.0  # seconds that a pin stands
-AUTHOR_LENGTH = 200  # characters kept of who asked
-TRIAL_PROXIES_SHOWN = 500  # proxies that the answer to a trial lists
+DEFAULT_ROLLOUT = 10.0  # seconds until a pin has reached all proxies
+DEFAULT_LENGTH = 3600.0  # seconds until a pin expires
+MAX_AUTHOR_LENGTH = 200  # characters
+MAX_DRY_RUN_PROXIES = 500  # proxies in the answer to a dry run
 
 
 class PinRequest(NamedTuple):
-    """What an operator asks of a pin; the meaning of the fields is that of `tables.pins.Pin`."""
+    """An operator's request for a pin; the fields are those of `tables.pin.Pin`."""
 
     whom: str
     which: str
@@ -37,25 +37,25 @@
 
 
 def author(arguments: Arguments) -> str:
-    """Return who asked."""
-    return str(arguments.get("by", ""))[:AUTHOR_LENGTH]
+    """Return the operator's name from the arguments, cut to the maximum length."""
+    return str(arguments.get("by", ""))[:MAX_AUTHOR_LENGTH]
 
 
 def read_pin_request(arguments: Arguments) -> PinRequest:
-    """Read the arguments of a `pin` order. Raises KeyError, TypeError or ValueError."""
+    """Read the arguments of a `pin` command. Raises KeyError, TypeError or ValueError."""
     which = str(arguments.get("which", ""))
     target = arguments.get("target", "held")
     to = str(arguments.get("to", ""))
-    over = float(arguments.get("over", DEFAULT_STAGES))
+    over = float(arguments.get("over", DEFAULT_ROLLOUT))
     length = float(arguments.get("length", DEFAULT_LENGTH))
     if target == "back":
-        float(to)  # seconds
+        float(to)  # raises ValueError unless `to` is a number of seconds
     whom = arguments["whom"]
     return PinRequest(whom, which, target, to, over, length, author(arguments))
 
 
 class PinCommands:
-    """Carries out operators' orders on the pins of this controller."""
+    """Executes operators' commands on the pins of this controller."""
 
     def __init__(
         self,
@@ -74,14 +74,14 @@
         self._formatter = formatter
 
     def pin(self, arguments: Arguments) -> Answer:
-        """Make a pin, or with `dry` only say what it would change.
+        """Make a pin, or with `dry` only return what the pin would change.
 
-        Raises PinError, and what `read_pin_request` raises.
+        Raises PinError and the errors of `read_pin_request`.
         """
         now = self._controller.loop.time()
         request = read_pin_request(arguments)
         if arguments.get("dry"):
-            return self._try(now, request)
+            return self._dry_run(now, request)
         pin = self._control.pins.make(now, **request._asdict())
         self._targets.announce_known()
         self._control.commit_change(now)
@@ -102,15 +102,15 @@
         over = None if arguments.get("over") is None else float(arguments["over"])
         pin = self._control.pins.resume(now, arguments["pin"], over)
         self._control.commit_change(now)
-        self._controller.log("pin ended by hand", pin=pin.id, by=author(arguments))
+        self._controller.log("pin ended by operator", pin=pin.id, by=author(arguments))
         return {"pin": pin.id, "over": pin.over}
 
-    def _try(self, now: float, request: PinRequest) -> Answer:
-        """Say what a pin would change once it has reached all, and what the guard takes out."""
-        active = ActivePin(trial_pin(request), now)
+    def _dry_run(self, now: float, request: PinRequest) -> Answer:
+        """Return what a complete rollout of a pin would change, and what the guard removes."""
+        active = ActivePin(dry_run_pin(request), now)
         proxies = [
-            self._try_on(active, number, name)
-            for number, name, zone in self._controller.recipients.everyone()
+            self._dry_run_on(active, number, name)
+            for number, name, zone in self._controller.recipients.all_recipients()
             if active.covers(now, name, zone)
         ]
         affected = [
@@ -120,10 +120,10 @@
             "proxies": len(proxies),
             "would change": sum(bool(proxy["changes"]) for proxy in proxies),
             "not known": sum(not proxy["known"] for proxy in proxies),
-            "each": affected[:TRIAL_PROXIES_SHOWN],
+            "each": affected[:MAX_DRY_RUN_PROXIES],
         }
 
-    def _try_on(self, active: ActivePin, number: int, name: str) -> Answer:
+    def _dry_run_on(self, active: ActivePin, number: int, name: str) -> Answer:
         past = self._targets.find(active, name)
         answer: Answer = {
             "proxy": name,
@@ -137,7 +137,7 @@
         after: LineWeights = {}
         for request_class, planned in self._controller.recipients.planned_tables(number):
             table = self._tables.guarded(line_items(past.items), request_class, planned)
-            after.update(self._tables.items_of_lines(request_class, table.lines))
+            after.update(self._tables.items_of_table(request_class, table.lines))
             self._add_guard_result(answer, table)
         published = line_items(self._store.histories[name].items)
         answer["changes"] = self._formatter.difference(published, after)
@@ -151,8 +151,8 @@
         answer["filled"] += [name_of(endpoint) for endpoint in table.filled]
 
 
-def trial_pin(request: PinRequest) -> Pin:
-    """Return a pin that is checked but never in force. Raises PinError."""
+def dry_run_pin(request: PinRequest) -> Pin:
+    """Return a checked pin that never comes into force. Raises PinError."""
     pin = Pin(
         id="dry",
         sequence=0,
--- a/peatlead/controller/pin_control.py
+++ b/peatlead/controller/pin_control.py
@@ -1,7 +1,7 @@
-"""The pins in force on this controller: stored on disk, sent to other controllers, expired on time.
+"""The pins of this controller: stored on disk, sent to other controllers, and expired on time.
 
-What a pin does to a proxy's tables is decided in `pinned_tables`; which past table it names in
-`pin_targets`.
+`pinned_tables` applies a pin to a proxy's tables, and `pin_targets` finds the past table that a pin
+names.
 """
 
 from collections.abc import Mapping
@@ -15,17 +15,17 @@
 if TYPE_CHECKING:
     from .controller import Controller
 
-STORE_INTERVAL = 10.0  # seconds between writes of the pins, whose ages advance, to disk
-GOSSIP_INTERVAL = 2.0  # seconds between announcements of all pins to the other controllers
-PINS_EACH_DATAGRAM = 6  # pins in one gossip message: it has to fit into a datagram
-NOTE_KEY = "pins"  # of the table log
+STORE_INTERVAL = 10.0  # seconds between two writes of all pins, which update their stored ages
+GOSSIP_INTERVAL = 2.0  # seconds between two announcements of all pins to other controllers
+MAX_PINS_PER_DATAGRAM = 6
+NOTE_KEY = "pins"  # the table log's key for the pins
 NO_PINS = b"\x90"  # an empty list in MessagePack
 
 
 class PinControl:
-    """The pins in force here, and their way to the disk and to other controllers.
+    """Holds the pins, stores them on disk and exchanges them with other controllers.
 
-    `boot` is a byte string that no other start of this controller has had.
+    `boot` is a byte string that no other start of this controller has used.
     """
 
     def __init__(self, controller: "Controller", log: TableLog, boot: bytes) -> None:
@@ -37,31 +37,31 @@
         self._stored_at = 0.0
         self._announced_at = 0.0
 
-    def recall(self, now: float, notes: Mapping[str, bytes]) -> None:
-        """Take up the pins of an earlier start. Raises ValueError where they are not readable."""
+    def restore(self, now: float, notes: Mapping[str, bytes]) -> None:
+        """Load the pins that an earlier start has stored. Raises ValueError for malformed pins."""
         self.pins.merge(now, decode_pins(notes.get(NOTE_KEY, NO_PINS)))
 
-    def log_standing(self, now: float) -> None:
+    def log_active_pins(self, now: float) -> None:
         """Log each pin in force with its remaining seconds."""
         for active in self.pins.standing().values():
             left = round(active.until - now, 1)
             self._controller.log("tables pinned", pin=active.pin.id, left=left)
 
     def expire(self, now: float) -> None:
-        """End the pins whose time is over."""
+        """End the pins that have expired."""
         for pin_id in self.pins.tick(now):
-            self._controller.log("pin ran out", pin=pin_id)
+            self._controller.log("pin expired", pin=pin_id)
             self.store(now)
 
     def refresh(self, now: float) -> None:
-        """Store and announce the pins again when that is due."""
+        """Store and announce the pins when their intervals have passed."""
         if self.pins.held and now - self._stored_at >= STORE_INTERVAL:
             self.store(now)
         if self.pins.held and now - self._announced_at >= GOSSIP_INTERVAL:
             self.announce(now)
 
     def store(self, now: float) -> None:
-        """Append the pins, with their present ages, to the table log."""
+        """Append the pins, with their current ages, to the table log."""
         self._stored_at = now
         self._log.note(NOTE_KEY, encode_pins(self.pins.snapshot(now)))
 
@@ -71,25 +71,25 @@
         if not self._controller.gossip:
             return
         pins = self.pins.snapshot(now)
-        for start in range(0, len(pins), PINS_EACH_DATAGRAM):
-            payload = encode_pins(pins[start : start + PINS_EACH_DATAGRAM])
+        for start in range(0, len(pins), MAX_PINS_PER_DATAGRAM):
+            payload = encode_pins(pins[start : start + MAX_PINS_PER_DATAGRAM])
             self._controller.gossip.broadcast_pins(payload)
 
     def commit_change(self, now: float) -> None:
-        """Write an operator's change to disk and send it before the operator gets an answer."""
+        """Store and announce an operator's change, before the operator receives an answer."""
         self.store(now)
         self.announce(now)
         self._log.flush(now)
 
     def receive(self, now: float, payload: bytes) -> bool:
-        """Merge another controller's pins. Return whether any changed; raises ValueError."""
+        """Merge another controller's pins. Return whether any pin changed. Raises ValueError."""
         if not self.pins.merge(now, decode_pins(payload)):
             return False
         self.store(now)
         return True
 
     def pin_of(self, name: str, zone: str) -> ActivePin | None:
-        """Return the pin that holds a proxy or view now."""
+        """Return the pin that applies to a proxy or view now, or None."""
         if not self.pins.held:
             return None
         active: ActivePin | None = self.pins.pin_for(self._controller.loop.time(), name, zone)
--- a/peatlead/controller/pin_targets.py
+++ b/peatlead/controller/pin_targets.py
@@ -1,9 +1,9 @@
-"""The past tables that pins hold proxies to.
+"""Pin targets: the past tables that pins hold proxies to.
 
-A target is looked up once for each pin and proxy and then stored, on disk too, so that a restart
-does not change it. A proxy that came from another owner has its past there; so after each change of
-the pins every controller announces the targets that it knows, and of several the one with the
-highest version counts: its owner had the proxy last.
+A target is looked up once for each pin and proxy and then stored, also on disk, so that a restart
+does not change the target. The history of a proxy may be known only to its former owner. Therefore
+every controller announces the targets that it knows after each change of the pins. Of several
+targets the one with the highest version is used, because its controller owned the proxy last.
 """
 
 from collections.abc import Callable
@@ -21,21 +21,21 @@
 if TYPE_CHECKING:
     from .controller import Controller
 
-ANNOUNCEMENTS_EACH_ROUND = 20  # targets sent to other controllers in one round of the timer
-ANNOUNCEMENT_BYTES = 60_000  # of one packed announcement: a datagram
-ANNOUNCEMENT_PLAIN_BYTES = 1 << 20  # of one announcement unpacked
-OFFERED_LIMIT = 100_000  # targets kept of what other controllers announce
-NOTE_PREFIX = "wish/"  # of the table log's keys: wish/PIN/PROXY
+MAX_ANNOUNCEMENTS_PER_ROUND = 20  # targets sent in one round of the planner's timer
+MAX_PACKED_BYTES = 60_000  # of a compressed announcement, which must fit into a datagram
+MAX_UNPACKED_BYTES = 1 << 20  # of a decompressed announcement
+MAX_ANNOUNCED_TARGETS = 100_000  # stored targets that other controllers have announced
+NOTE_PREFIX = "wish/"  # the table log's keys for targets are wish/PIN/PROXY
 
 TargetKey = tuple[str, str]
 """Pin id and proxy name."""
 
 AnnouncementBody = tuple[str, str, int, int, dict[str, int]]
-"""The wire form: pin id, proxy, epoch and serial of the version, its lines."""
+"""The encoded form: pin id, proxy, epoch and serial of the version, lines."""
 
 
 class PastTable(NamedTuple):
-    """A version of the past and its items."""
+    """A past version and its items."""
 
     version: Version
     items: TableItems
@@ -49,9 +49,7 @@
 
 def read_announcement(payload: bytes) -> tuple[TargetKey, PastTable]:
     """Decode another controller's target. Raises ZstdError, MsgspecError or ValueError."""
-    plain = zstandard.ZstdDecompressor().decompress(
-        payload, max_output_size=ANNOUNCEMENT_PLAIN_BYTES
-    )
+    plain = zstandard.ZstdDecompressor().decompress(payload, max_output_size=MAX_UNPACKED_BYTES)
     pin_id, name, epoch, serial, lines = msgspec.msgpack.decode(plain, type=AnnouncementBody)
     for line in lines:
         parse_line_key(line)
@@ -59,13 +57,13 @@
 
 
 def write_announcement(key: TargetKey, past: PastTable) -> bytes:
-    """Encode a target for the other controllers."""
+    """Encode a target as a compressed msgpack message for the other controllers."""
     body = (*key, *past.version, line_items(past.items))
     return zstandard.compress(msgspec.msgpack.encode(body))
 
 
 class PinTargets:
-    """Finds, stores and exchanges the tables that pins name."""
+    """Finds, stores and exchanges the past tables that pins name."""
 
     def __init__(
         self,
@@ -73,20 +71,20 @@
         pins: Pins,
         store: Store,
         log: TableLog,
-        wall: Callable[[], float],
+        wall_clock: Callable[[], float],
     ) -> None:
         self._controller = controller
         self._pins = pins
         self._store = store
         self._log = log
-        self._wall = wall
-        self._lines: dict[TargetKey, LineWeights] = {}  # what each pinned proxy is held to
-        self.unknown: set[TargetKey] = set()  # held as they stood: no past table was found
-        self.offered: dict[TargetKey, PastTable] = {}  # announced by other controllers
-        self._announced: dict[TargetKey, bool] = {}  # ours; False while still to be sent
-
-    def recall(self) -> None:
-        """Take up the targets of an earlier start. Raises MsgspecError or ValueError."""
+        self._wall_clock = wall_clock
+        self._lines: dict[TargetKey, LineWeights] = {}  # the lines that a pin holds a proxy to
+        self.unknown: set[TargetKey] = set()  # no past table was found: held to the current table
+        self.announced_targets: dict[TargetKey, PastTable] = {}  # by other controllers
+        self._sent: dict[TargetKey, bool] = {}  # whether each own target was announced
+
+    def restore(self) -> None:
+        """Load the targets that an earlier start has stored. Raises MsgspecError or ValueError."""
         for key in [key for key in self._log.noted if key.startswith(NOTE_PREFIX)]:
             _, pin_id, name = key.split("/", 2)
             if pin_id in self._pins.held:
@@ -96,14 +94,14 @@
                 self._log.note(key, None)
 
     def lines(self, active: ActivePin, name: str) -> LineWeights:
-        """Return the lines that a pin holds a proxy to, looked up at the first call."""
+        """Return the lines that a pin holds a proxy to; the first call looks them up."""
         key = active.pin.id, name
         if key not in self._lines:
-            self._keep(key, self._first_lines(active, name))
+            self._store_target(key, self._look_up(active, name))
         return self._lines[key]
 
     def find(self, active: ActivePin, name: str) -> PastTable | None:
-        """Return the table that a pin names for a proxy, or None where it is not known here."""
+        """Return the past table that a pin names for a proxy, or None if it is not known here."""
         history = self._store.histories.get(name)
         if history is None or history.last == NONE:
             return None
@@ -115,84 +113,86 @@
                 version = parse_version(pin.to)
                 return PastTable(version, history.at_version(version))
             age = self._controller.loop.time() - active.base
-            return PastTable(*history.at_time(self._wall() - age - float(pin.to)))
+            return PastTable(*history.at_time(self._wall_clock() - age - float(pin.to)))
         except UnknownVersionError:
             return None
 
     def announce_known(self) -> None:
-        """Schedule the targets known here for sending, those of proxies not joined here first.
+        """Schedule the targets known here for sending; those of absent proxies come first.
 
-        The others are sent too: a controller that was frozen does not know yet which of its proxies
-        have moved.
+        Targets of joined proxies are sent too: after a freeze a controller does not know yet which
+        of its proxies have joined another controller.
         """
         if not self._controller.gossip:
             return
-        joined = {name for _, name, _ in self._controller.recipients.everyone()}
+        joined = {name for _, name, _ in self._controller.recipients.all_recipients()}
         for active in self._pins.standing().values():
             if active.pin.target != "back":
                 continue
             for name in sorted(self._store.histories, key=joined.__contains__):
-                self._announced.setdefault((active.pin.id, name), False)
+                self._sent.setdefault((active.pin.id, name), False)
 
     def send_announcements(self) -> None:
         """Send some of the scheduled targets to the other controllers."""
         gossip = self._controller.gossip
         if gossip is None:
             return
-        due = [key for key, sent in self._announced.items() if not sent]
-        for key in due[:ANNOUNCEMENTS_EACH_ROUND]:
-            self._announced[key] = True
+        due = [key for key, sent in self._sent.items() if not sent]
+        for key in due[:MAX_ANNOUNCEMENTS_PER_ROUND]:
+            self._sent[key] = True
             pin_id, name = key
             active = self._pins.held.get(pin_id)
             past = self.find(active, name) if active else None
             if past is None:
                 continue
             payload = write_announcement(key, past)
-            if len(payload) < ANNOUNCEMENT_BYTES:
+            if len(payload) < MAX_PACKED_BYTES:
                 gossip.broadcast_drain_request(payload)
 
     def receive(self, payload: bytes) -> None:
-        """Take another controller's target; the highest version of a proxy's counts."""
+        """Store another controller's target if its version is newer than the known one."""
         try:
             key, past = read_announcement(payload)
         except (zstandard.ZstdError, msgspec.MsgspecError, ValueError) as error:
-            self._controller.log("wish refused", why=str(error))
+            self._controller.log("pin target refused", why=str(error))
             return
         pin_id, name = key
-        if pin_id not in self._pins.held or len(self.offered) > OFFERED_LIMIT:
+        if pin_id not in self._pins.held or len(self.announced_targets) > MAX_ANNOUNCED_TARGETS:
             return
-        known = self.offered.get(key)
+        known = self.announced_targets.get(key)
         if past.version <= (known.version if known else NONE):
             return
-        self.offered[key] = past
+        self.announced_targets[key] = past
         own = self.find(self._pins.held[pin_id], name)
         if key in self._lines and (own is None or own.version < past.version):
-            self._keep(key, past.items)
+            self._store_target(key, past.items)
             self.unknown.discard(key)
 
     def forget_ended(self) -> None:
-        """Drop all that belongs to pins which are no longer remembered."""
+        """Drop the targets of pins that are no longer known."""
         held = self._pins.held
-        self._announced = {key: sent for key, sent in self._announced.items() if key[0] in held}
-        self.offered = {key: past for key, past in self.offered.items() if key[0] in held}
+        self._sent = {key: sent for key, sent in self._sent.items() if key[0] in held}
+        self.announced_targets = {
+            key: past for key, past in self.announced_targets.items() if key[0] in held
+        }
         for key in [key for key in self._lines if key[0] not in held]:
             del self._lines[key]
             self._log.note(note_key(key), None)
         self.unknown = {key for key in self.unknown if key[0] in held}
 
-    def _first_lines(self, active: ActivePin, name: str) -> LineWeights:
+    def _look_up(self, active: ActivePin, name: str) -> LineWeights:
         key = active.pin.id, name
-        candidates = [self.find(active, name), self.offered.get(key)]
+        candidates = [self.find(active, name), self.announced_targets.get(key)]
         known = [past for past in candidates if past is not None]
         if known:
             return line_items(max(known, key=lambda past: past.version).items)
         self.unknown.add(key)
         self._controller.log(
-            "pin's target is not known: held as it stands", pin=active.pin.id, proxy=name
+            "pin target not known: proxy held to its current table", pin=active.pin.id, proxy=name
         )
         history = self._store.histories.get(name)
         return line_items(history.items) if history else {}
 
-    def _keep(self, key: TargetKey, lines: LineWeights) -> None:
+    def _store_target(self, key: TargetKey, lines: LineWeights) -> None:
         self._lines[key] = lines
         self._log.note(note_key(key), msgspec.msgpack.encode(lines))
--- a/peatlead/controller/pinned_tables.py
+++ b/peatlead/controller/pinned_tables.py
@@ -1,6 +1,6 @@
-"""The tables of pinned proxies: past ones, as far as the guard lets them stand now.
+"""The tables of pinned proxies: past tables, as far as the guard allows them now.
 
-A proxy that no pin holds gets the planner's tables unchanged.
+A proxy without a pin gets the planned tables unchanged.
 """
 
 from typing import TYPE_CHECKING, NamedTuple
@@ -18,23 +18,23 @@
 if TYPE_CHECKING:
     from .controller import Controller
 
-CHANNEL_FRACTION = 0.15  # of the channel's queue: while more waits, the planner's changes go first
-LEAST_WEIGHT = 1e-9  # in place of a listed weight of zero
-UNLISTED_ENDPOINT = -1  # of an address that no list has named
+MAX_CHANNEL_FRACTION = 0.15  # of the channel's size; above, pin changes wait for the planner's
+MIN_LISTED_WEIGHT = 1e-9  # avoids a division by a listed weight of zero
+UNLISTED_ENDPOINT = -1  # the number for an address that no list has named
 
 ItemChanges = dict[str, int | None]
-"""Key to new value, None for an item that goes."""
+"""New value by key; None removes the item."""
 
 
 class PhaseChange(NamedTuple):
-    """A listed endpoint's phase, before (None: it is new) and after."""
+    """A listed endpoint's phase before (None for a new endpoint) and after a change."""
 
     before: str | None
     after: str
 
 
 class SentChange(NamedTuple):
-    """What a pin last changed of a proxy's lines, and when."""
+    """The last change that was sent for a pin, and when, in seconds on the loop's clock."""
 
     at: float
     items: ItemChanges | None
@@ -44,18 +44,19 @@
 
 
 class EndpointFacts:
-    """What the guard has to know of endpoints, kept up to date by the controller's events."""
+    """The facts about endpoints that the guard needs, updated by the controller's events."""
 
     def __init__(self, controller: "Controller") -> None:
         self._controller = controller
-        self.by_address: dict[str, int] = {}  # address -> endpoint
+        self.by_address: dict[str, int] = {}  # endpoint, by address
         self._phases: dict[int, str] = {}
         self._withdrawn: set[int] = set()
-        self._fractions: dict[int, float] = {}  # greatest fraction of its weight in any table
-        self._fractions_as_of = -1  # the publisher's change that they were computed at
+        # The greatest fraction of an endpoint's listed weight in any table.
+        self._fractions: dict[int, float] = {}
+        self._fractions_as_of = -1  # the publisher's change count when `_fractions` was computed
 
     def listed(self, endpoint: int, entry: ListedEndpoint) -> PhaseChange | None:
-        """Take a list's entry. Return its change of phase, if any."""
+        """Store a list entry. Return the endpoint's change of phase, or None."""
         for address in (entry.address, entry.address6):
             if address:
                 self.by_address[address] = endpoint
@@ -66,14 +67,14 @@
         return PhaseChange(before, entry.phase)
 
     def set_withdrawn(self, endpoint: int, withdrawn: bool) -> None:
-        """Take a withdrawal or its end."""
+        """Record whether an endpoint is withdrawn."""
         if withdrawn:
             self._withdrawn.add(endpoint)
         else:
             self._withdrawn.discard(endpoint)
 
     def context(self) -> GuardContext:
-        """Return the guard's view of all endpoints now."""
+        """Return the current facts about all endpoints."""
         publisher = self._controller.publisher
         if self._fractions_as_of != publisher.change_count:
             self._fractions_as_of = publisher.change_count
@@ -83,14 +84,14 @@
     def _compute_fractions(self) -> dict[int, float]:
         listed = self._controller.endpoint_lists.weights
         return {
-            endpoint: max(tables.values()) / max(LEAST_WEIGHT, listed.get(endpoint, 1.0))
+            endpoint: max(tables.values()) / max(MIN_LISTED_WEIGHT, listed.get(endpoint, 1.0))
             for endpoint, tables in self._controller.publisher.weights_of_endpoint.items()
             if tables
         }
 
 
 class PinnedTables:
-    """Computes what pinned proxies are to hold, and sends them the changes that time brings."""
+    """Computes the tables of pinned proxies, and sends their changes."""
 
     def __init__(
         self,
@@ -105,41 +106,41 @@
         self._targets = targets
         self._store = store
         self._endpoints = endpoints
-        self.covered: dict[str, str] = {}  # proxy -> the pin that it was last brought under
-        self._sent: dict[str, SentChange] = {}
-        # Endpoints in any table, and those of them that still ramp up, at the last round.
+        self.applied_pins: dict[str, str] = {}  # id of the pin last applied, by proxy
+        self._sent: dict[str, SentChange] = {}  # by proxy
+        # The endpoints in any table, and the ramping endpoints among them, as of the last round.
         self._endpoint_sets: tuple[frozenset[int], frozenset[int]] | None = None
 
-    def lines(
+    def effective_weights(
         self, name: str, zone: str, request_class: str, planned: EndpointWeights
     ) -> EndpointWeights:
-        """Return the lines of a request class that a proxy is to hold, given the planner's."""
+        """Return the weights that a proxy should hold, given the planned weights."""
         active = self._control.pin_of(name, zone)
         if active is None:
             return planned
         target = self._targets.lines(active, name)
-        lines: EndpointWeights = self.guarded(target, request_class, planned).lines
-        return lines
+        weights: EndpointWeights = self.guarded(target, request_class, planned).lines
+        return weights
 
     def guarded(
         self, target: LineWeights, request_class: str, planned: EndpointWeights
     ) -> GuardedTable:
-        """Return a past table of a request class as the guard lets it stand."""
+        """Return the past table of a request class as far as the guard allows it."""
         past: EndpointWeights = {}
         for key, value in target.items():
             line_class, _, address, _ = parse_line_key(key)
             if line_class == request_class:
                 endpoint = self._endpoints.by_address.get(address, UNLISTED_ENDPOINT)
                 past[endpoint] = value / SCALE
-        if not past:  # nothing is known of this request class
+        if not past:  # the target has no lines of this request class
             return GuardedTable(dict(planned), {}, ())
         table: GuardedTable = guard(past, planned, self._endpoints.context())
         return table
 
-    def items_of_lines(self, request_class: str, lines: EndpointWeights) -> LineWeights:
-        """Return the items that publish a table."""
+    def items_of_table(self, request_class: str, weights: EndpointWeights) -> LineWeights:
+        """Return the published items of a table."""
         items = {}
-        for endpoint, weight in lines.items():
+        for endpoint, weight in weights.items():
             entry = self._controller.registry.entries[endpoint]
             address = entry.address or entry.address6
             key = line_key(request_class, entry.zone, address, self._controller.port)
@@ -147,7 +148,7 @@
         return items
 
     def pending_changes(self, name: str, number: int) -> ItemChanges:
-        """Return how a proxy's lines differ from what it was last sent."""
+        """Return the changes from the lines that a proxy was last sent to those it should hold."""
         items: TableItems | None = self._controller.recipients.items_of(number)
         if items is None:
             return {}
@@ -156,17 +157,17 @@
         return pending
 
     def enforce(self, now: float) -> None:
-        """Bring proxies under pins, or back to the planner's tables, as far as that is due.
+        """Send pinned tables, or planned tables after a pin, to proxies whose lines have changed.
 
-        Runs when the channel has capacity to spare, or at once where the set of usable endpoints
-        has changed.
+        Proxies wait while the channel is busy, unless the set of endpoints in tables, or the set of
+        ramping endpoints, has changed.
         """
         urgent = self._endpoint_sets_changed()
         if not urgent and self._channel_is_busy():
             return
-        for number, name, zone in self._controller.recipients.everyone():
+        for number, name, zone in self._controller.recipients.all_recipients():
             active = self._control.pin_of(name, zone)
-            if active is not None or name in self.covered:
+            if active is not None or name in self.applied_pins:
                 self._enforce_on(now, number, name, active)
             if not urgent and self._channel_is_busy():
                 break
@@ -183,32 +184,32 @@
 
     def _channel_is_busy(self) -> bool:
         channel = self._controller.channel
-        return bool(channel.size > CHANNEL_FRACTION * channel.max_size)
+        return bool(channel.size > MAX_CHANNEL_FRACTION * channel.max_size)
 
     def _enforce_on(self, now: float, number: int, name: str, active: ActivePin | None) -> None:
         pending = self.pending_changes(name, number)
         if not pending:
             self._sent.pop(name, None)
             if active is None:
-                del self.covered[name]  # back on the planner's table
+                del self.applied_pins[name]  # holds the planned table again
             else:
-                self.covered[name] = active.pin.id
+                self.applied_pins[name] = active.pin.id
             return
         last = self._sent.get(name, NEVER_CHANGED)
         removes_endpoint = any(value is None for value in pending.values())
-        # A change that was sent is on its way: a slow proxy must not be sent it again each round.
+        # A sent change may not have arrived yet: a slow proxy must not receive it in every round.
         if pending != last.items and (removes_endpoint or now - last.at >= REPUBLISH_INTERVAL):
             self._sent[name] = SentChange(now, pending)
             operations: Operations = {
                 (PIN_CHECK, key): True for key in pending
-            }  # only says that lines changed
+            }  # only marks the lines as changed
             self._controller.channel.enqueue(
                 now, number, operations, (), (self._cause(name, active),)
             )
         if active is not None:
-            self.covered[name] = active.pin.id
+            self.applied_pins[name] = active.pin.id
 
     def _cause(self, name: str, active: ActivePin | None) -> str:
         if active is None:
-            return f"{self.covered[name]} ended"
+            return f"{self.applied_pins[name]} ended"
         return f"held by {active.pin.id} {active.pin.by}".rstrip()
--- a/peatlead/controller/planner_settings.py
+++ b/peatlead/controller/planner_settings.py
@@ -1,11 +1,11 @@
-"""Translates the program's settings into the planner's. Only names and units change."""
+"""Translates the program's settings into the planner's settings; only names and units change."""
 
 from collections.abc import Mapping, Sequence
 from typing import Any
 
 Settings = Mapping[str, Any]
 
-# Limits that the planner takes under the same name.
+# Limits that have the same name in the planner's settings.
 SHARED_LIMITS = (
     "drain_grace",
     "bare_most",
@@ -22,19 +22,19 @@
 )
 
 
-def planner_settings(settings: Settings, steward: Settings, views: int) -> dict[str, Any]:
+def planner_settings(settings: Settings, controller: Settings, views: int) -> dict[str, Any]:
     """Return the settings of one controller's planner.
 
-    `steward` is the controller's own entry in the settings, and `views` the number of DNS views.
-    Every view connects to all controllers of a fleet, a gRPC proxy to one of them.
+    `controller` is the controller's entry in the settings, and `views` is the number of DNS views.
+    Every DNS view connects to all controllers of a fleet, and every gRPC proxy to one controller.
     """
-    controllers = len(settings["steward"]) if steward["peer"] else 1
+    controller_count = len(settings["steward"]) if controller["peer"] else 1
     zones = {zone["name"]: number for number, zone in enumerate(settings["zone"])}
     limits = settings["limits"]
     return {
         **{name: limits[name] for name in SHARED_LIMITS},
-        "stewards": controllers,
-        "zone": zones[steward["zone"]],
+        "stewards": controller_count,
+        "zone": zones[controller["zone"]],
         "zones": list(zones),
         "machines": [],
         "roster_mode": "pushed",
@@ -43,8 +43,8 @@
         "probing": True,
         "report_fields": ["util"],
         "tries_told": not views,
-        "peer_notes": controllers > 1,
-        **proxy_settings(settings["grpc"], views, views * controllers),
+        "peer_notes": controller_count > 1,
+        **proxy_settings(settings["grpc"], views, views * controller_count),
         **choice_settings(settings["choices"]),
         "req_kinds": [
             request_class_settings(request_class, zones)
@@ -54,7 +54,7 @@
 
 
 def proxy_settings(grpc: Settings, views: int, view_connections: int) -> dict[str, Any]:
-    """Return what depends on the number of gRPC proxies."""
+    """Return the settings that depend on the number of gRPC proxies."""
     proxies = grpc["proxies"]
     return {
         "proxies": view_connections + proxies,
@@ -64,7 +64,7 @@
 
 
 def choice_settings(choices: Settings) -> dict[str, Any]:
-    """Return the operators' choices under the planner's names."""
+    """Return the settings under `choices`, with the planner's names."""
     return {
         "sums_every": choices["sums_every"],
         "gone_is_advice": choices["gone_is_advice"],
@@ -75,7 +75,7 @@
 
 
 def request_class_settings(request_class: Settings, zones: Mapping[str, int]) -> dict[str, Any]:
-    """Return the settings of one request class, with zones by number."""
+    """Return the settings of one request class, with zones as numbers."""
     only_zones: Sequence[str] = request_class["only_zones"]
     return {
         "name": request_class["name"],
--- a/peatlead/controller/propagation.py
+++ b/peatlead/controller/propagation.py
@@ -1,9 +1,10 @@
-"""Traces how the removal of an endpoint propagates to its holders, and keeps recent events.
+"""Traces how the removal of an endpoint propagates to its holders, and stores recent events.
 
-A `Withdrawal` begins when commands take an endpoint away from a holder (a DNS view or proxy). The
-stage of each holder is followed: the message has left the channel (`left`), a version that contains
-it was sent (`sent`), and that version is in force (`applied`). A DNS view is without the endpoint
-as soon as its message has left. Everything is bounded, and the oldest is dropped first.
+A `Withdrawal` begins when commands remove an endpoint from a holder (a DNS view or proxy). Each
+holder passes through these stages: the message with the removal has left the channel
+(`message_dequeued`), a version that contains the removal was sent (`version_sent`), and the holder
+has applied that version (`version_applied`). A DNS view has lost the endpoint as soon as the
+message has left the channel. All state is bounded, and the oldest entries are dropped first.
 """
 
 from collections import OrderedDict, deque
@@ -13,24 +14,24 @@
 
 from ..tables.version import Version
 
-EVENTS_EACH = 20  # events kept of one endpoint
-ENDPOINTS_MOST = 20_000  # endpoints of which events or finished withdrawals are kept
-WITHDRAWALS_MOST = 500  # withdrawals under way
-PAST_EACH = 3  # finished withdrawals kept of one endpoint
+MAX_EVENTS_PER_ENDPOINT = 20
+MAX_ENDPOINTS = 20_000  # endpoints with stored events, and endpoints with finished withdrawals
+MAX_ACTIVE_WITHDRAWALS = 500
+MAX_FINISHED_PER_ENDPOINT = 3  # finished withdrawals
 
 
 class Stage(Enum):
-    """How far a holder is that no version has been sent to."""
+    """The stage of a holder before a version with the removal was sent to it."""
 
-    COMMANDED = "commanded"  # its message waits in the channel
-    DEQUEUED = "dequeued"  # its message has left the channel; the next version contains it
+    COMMANDED = "commanded"  # the message is queued in the channel
+    DEQUEUED = "dequeued"  # the message has left the channel; the next version contains the removal
 
 
-Progress = Union[Stage, Version]  # a holder's stage, or the version that was sent to it
+Progress = Union[Stage, Version]  # a holder's stage, or the sent version with the removal
 
 
-class Event(NamedTuple):
-    """Something that happened to an endpoint."""
+class EndpointEvent(NamedTuple):
+    """An event of an endpoint: the time on the loop's clock in seconds, and a text."""
 
     at: float
     text: str
@@ -39,131 +40,138 @@
 class Withdrawal:
     """The removal of one endpoint from all of its holders."""
 
-    __slots__ = ("at", "waiting", "applied", "disconnected", "delays")
+    __slots__ = ("started_at", "progress", "applied_count", "disconnected_count", "delays")
 
-    def __init__(self, at: float) -> None:
-        self.at = at  # when it began, in seconds on the loop's clock
-        self.waiting: dict[int, Progress] = {}  # by holder
-        self.applied = 0  # holders that are without the endpoint
-        self.disconnected = 0  # holders that left before
-        self.delays: list[float] = []  # seconds until each holder was without it
+    def __init__(self, started_at: float) -> None:
+        self.started_at = started_at  # seconds on the loop's clock
+        self.progress: dict[int, Progress] = {}  # by holder that still has the endpoint
+        self.applied_count = 0  # holders that have lost the endpoint
+        self.disconnected_count = 0  # holders that disconnected before they lost the endpoint
+        self.delays: list[float] = []  # seconds until each holder lost the endpoint
 
     def summary(self, now: float) -> dict[str, Optional[float]]:
-        """Return the counts and delays that operators see."""
+        """Return the counts and delays (in seconds) that operators see."""
         delays = sorted(self.delays)
         return {
-            "seconds ago": round(now - self.at, 3),
-            "holders": self.applied + self.disconnected + len(self.waiting),
-            "without it": self.applied,
-            "left before": self.disconnected,
-            "still to go": len(self.waiting),
+            "seconds ago": round(now - self.started_at, 3),
+            "holders": self.applied_count + self.disconnected_count + len(self.progress),
+            "without it": self.applied_count,
+            "left before": self.disconnected_count,
+            "still to go": len(self.progress),
             "median s": round(delays[len(delays) // 2], 4) if delays else None,
             "last s": round(delays[-1], 4) if delays else None,
         }
 
 
 class PropagationTrace:
-    """Follows withdrawals; endpoints and holders are the numbers that the planner knows."""
+    """Follows withdrawals. Endpoints and holders are identified by the planner's numbers."""
 
     def __init__(self) -> None:
-        self.notes: OrderedDict[int, deque[Event]] = OrderedDict()  # by endpoint
-        self.open: OrderedDict[int, Withdrawal] = OrderedDict()  # under way, by endpoint
-        self.past: dict[int, deque[Withdrawal]] = {}  # finished, by endpoint
-        self.holding: dict[int, dict[int, bool]] = {}  # holder -> endpoints it still has to lose
-        self.forgotten = 0  # withdrawals dropped before they were finished
-
-    def note(self, now: float, endpoint: int, text: str) -> None:
-        """Record an event of an endpoint."""
-        events = self.notes.get(endpoint)
+        self.events: OrderedDict[int, deque[EndpointEvent]] = OrderedDict()  # by endpoint
+        self.active: OrderedDict[int, Withdrawal] = OrderedDict()  # by endpoint
+        self.finished: dict[int, deque[Withdrawal]] = {}  # by endpoint
+        # Endpoints that each holder still has to lose; the inner dict is an ordered set.
+        self.pending: dict[int, dict[int, bool]] = {}
+        self.dropped_count = 0  # withdrawals dropped before they were finished
+
+    def record_event(self, now: float, endpoint: int, text: str) -> None:
+        """Store an event of an endpoint."""
+        events = self.events.get(endpoint)
         if events is None:
-            if len(self.notes) >= ENDPOINTS_MOST:
-                self.notes.popitem(last=False)
-            events = self.notes[endpoint] = deque(maxlen=EVENTS_EACH)
-        events.append(Event(now, text))
+            if len(self.events) >= MAX_ENDPOINTS:
+                self.events.popitem(last=False)
+            events = self.events[endpoint] = deque(maxlen=MAX_EVENTS_PER_ENDPOINT)
+        events.append(EndpointEvent(now, text))
 
     def begin_withdrawal(self, now: float, endpoint: int, holder: int) -> None:
-        """Begin to follow a holder that an endpoint is taken away from."""
-        withdrawal = self.open.get(endpoint)
+        """Start to follow the removal of an endpoint from a holder."""
+        withdrawal = self.active.get(endpoint)
         if withdrawal is None:
-            if len(self.open) >= WITHDRAWALS_MOST:
-                self.forget(next(iter(self.open)))
-            withdrawal = self.open[endpoint] = Withdrawal(now)
-        if holder not in withdrawal.waiting:
-            withdrawal.waiting[holder] = Stage.COMMANDED
-            self.holding.setdefault(holder, {})[endpoint] = True
-
-    def left(self, holder: int) -> None:
-        """Record that a message has left the channel."""
-        for _, withdrawal in self.waiting_on(holder):
-            if withdrawal.waiting[holder] is Stage.COMMANDED:
-                withdrawal.waiting[holder] = Stage.DEQUEUED
-
-    def sent(self, holder: int, version: Version) -> None:
-        """Record that a version was sent; it contains all messages that have left the channel."""
-        for _, withdrawal in self.waiting_on(holder):
-            if withdrawal.waiting[holder] is Stage.DEQUEUED:
-                withdrawal.waiting[holder] = version
-
-    def applied(self, now: float, holder: int, version: Optional[Version] = None) -> None:
-        """Record that a version is in force, or (None: DNS views) all that has left the channel."""
-        for endpoint, withdrawal in list(self.waiting_on(holder)):
-            if is_in_force(withdrawal.waiting[holder], version):
-                withdrawal.applied += 1
-                withdrawal.delays.append(now - withdrawal.at)
-                self.end(endpoint, holder)
-
-    def ended(self, now: float, holder: int) -> None:
-        """Record that a holder has left; nothing more is expected of it."""
-        for endpoint, withdrawal in list(self.waiting_on(holder)):
-            withdrawal.disconnected += 1
-            self.end(endpoint, holder)
+            if len(self.active) >= MAX_ACTIVE_WITHDRAWALS:
+                self.drop_withdrawal(next(iter(self.active)))
+            withdrawal = self.active[endpoint] = Withdrawal(now)
+        if holder not in withdrawal.progress:
+            withdrawal.progress[holder] = Stage.COMMANDED
+            self.pending.setdefault(holder, {})[endpoint] = True
+
+    def message_dequeued(self, holder: int) -> None:
+        """Record that a holder's message has left the channel."""
+        for _, withdrawal in self.pending_withdrawals(holder):
+            if withdrawal.progress[holder] is Stage.COMMANDED:
+                withdrawal.progress[holder] = Stage.DEQUEUED
+
+    def version_sent(self, holder: int, version: Version) -> None:
+        """Record that a holder was sent a version with all messages that have left the channel."""
+        for _, withdrawal in self.pending_withdrawals(holder):
+            if withdrawal.progress[holder] is Stage.DEQUEUED:
+                withdrawal.progress[holder] = version
+
+    def version_applied(self, now: float, holder: int, version: Optional[Version] = None) -> None:
+        """Record that a holder has applied a version.
+
+        For a DNS view `version` is None: the view has applied all messages that have left the
+        channel.
+        """
+        for endpoint, withdrawal in list(self.pending_withdrawals(holder)):
+            if is_applied(withdrawal.progress[holder], version):
+                withdrawal.applied_count += 1
+                withdrawal.delays.append(now - withdrawal.started_at)
+                self.finish_holder(endpoint, holder)
+
+    def holder_left(self, now: float, holder: int) -> None:
+        """Record that a holder has disconnected, and stop to follow it in all withdrawals."""
+        for endpoint, withdrawal in list(self.pending_withdrawals(holder)):
+            withdrawal.disconnected_count += 1
+            self.finish_holder(endpoint, holder)
 
     def status(self, now: float, endpoint: int) -> dict[str, list[object]]:
         """Return the recent events and withdrawals of an endpoint as operators see them."""
-        withdrawals = list(self.past.get(endpoint, ()))
-        if endpoint in self.open:
-            withdrawals.append(self.open[endpoint])
+        withdrawals = list(self.finished.get(endpoint, ()))
+        if endpoint in self.active:
+            withdrawals.append(self.active[endpoint])
         return {
             "notes": [
-                [round(now - event.at, 3), event.text] for event in self.notes.get(endpoint, ())
+                [round(now - event.at, 3), event.text] for event in self.events.get(endpoint, ())
             ],
             "losses": [withdrawal.summary(now) for withdrawal in withdrawals],
         }
 
-    def waiting_on(self, holder: int) -> Iterator[tuple[int, Withdrawal]]:
+    def pending_withdrawals(self, holder: int) -> Iterator[tuple[int, Withdrawal]]:
         """Yield the endpoints that a holder still has to lose, with their withdrawals."""
-        for endpoint in self.holding.get(holder, ()):
-            yield endpoint, self.open[endpoint]
-
-    def end(self, endpoint: int, holder: int) -> None:
-        """Stop to follow one holder, and finish the withdrawal with the last one."""
-        withdrawal = self.open[endpoint]
-        del withdrawal.waiting[holder]
-        self.drop(endpoint, holder)
-        if not withdrawal.waiting:
-            del self.open[endpoint]
-            if len(self.past) >= ENDPOINTS_MOST and endpoint not in self.past:
-                self.past.pop(next(iter(self.past)))
-            self.past.setdefault(endpoint, deque(maxlen=PAST_EACH)).append(withdrawal)
-
-    def forget(self, endpoint: int) -> None:
-        """Drop a withdrawal that is under way."""
-        self.forgotten += 1
-        for holder in self.open.pop(endpoint).waiting:
-            self.drop(endpoint, holder)
-
-    def drop(self, endpoint: int, holder: int) -> None:
-        """Remove an endpoint from those that a holder still has to lose."""
-        endpoints = self.holding[holder]
+        for endpoint in self.pending.get(holder, ()):
+            yield endpoint, self.active[endpoint]
+
+    def finish_holder(self, endpoint: int, holder: int) -> None:
+        """Stop to follow a holder; without further holders the withdrawal is finished."""
+        withdrawal = self.active[endpoint]
+        del withdrawal.progress[holder]
+        self.remove_pending(endpoint, holder)
+        if not withdrawal.progress:
+            del self.active[endpoint]
+            if len(self.finished) >= MAX_ENDPOINTS and endpoint not in self.finished:
+                self.finished.pop(next(iter(self.finished)))
+            self.finished.setdefault(endpoint, deque(maxlen=MAX_FINISHED_PER_ENDPOINT)).append(
+                withdrawal
+            )
+
+    def drop_withdrawal(self, endpoint: int) -> None:
+        """Drop a withdrawal that is not finished."""
+        self.dropped_count += 1
+        for holder in self.active.pop(endpoint).progress:
+            self.remove_pending(endpoint, holder)
+
+    def remove_pending(self, endpoint: int, holder: int) -> None:
+        """Remove an endpoint from the endpoints that a holder still has to lose."""
+        endpoints = self.pending[holder]
         del endpoints[endpoint]
         if not endpoints:
-            del self.holding[holder]
+            del self.pending[holder]
 
 
-def is_in_force(progress: Progress, version: Optional[Version]) -> bool:
-    """Return whether a holder is without the endpoint once `version` is in force.
+def is_applied(progress: Progress, version: Optional[Version]) -> bool:
+    """Return whether a holder that has applied `version` has lost the endpoint.
 
-    With None, all that has left the channel is in force.
+    None means that the holder has applied all messages that have left the channel.
     """
     if progress is Stage.COMMANDED:
         return False
--- a/peatlead/controller/proxies.py
+++ b/peatlead/controller/proxies.py
@@ -1,7 +1,6 @@
-"""The joined gRPC proxies: what each is to hold, and what it has acknowledged.
+"""The joined gRPC proxies: the state that each proxy should hold, and what it has acknowledged.
 
-`Proxies` is what `grpc.server.GrpcFront` calls its core: the methods under "Calls of the gRPC
-server" are that interface.
+`Proxies` implements `grpc.handler.ProxyHandler`, the interface that the gRPC server calls.
 """
 
 from collections.abc import Callable, Collection, Iterable, Mapping
@@ -29,34 +28,35 @@
 if TYPE_CHECKING:
     from .controller import Controller
 
-NUMBER_PREFIX = "proxy:"  # of the text whose hash is a proxy's number
-BROUGHT_TABLE = "held"  # first part of the names of tables that proxies bring when they join
-REPORT_PHASES = 997  # proxies' reporting intervals differ by their number modulo this
-MEAN_PHASE = 0.5  # of a proxy that has not joined
+NUMBER_PREFIX = "proxy:"  # a proxy's number is the hash of this prefix and its name
+INITIAL_TABLE = "held"  # first part of the id of a table that a proxy held when it joined
+REPORT_PHASES = 997  # a proxy's number modulo this gives its phase, which scatters report intervals
+MEAN_PHASE = 0.5  # phase of a proxy that has not joined
 
 AddressAndPort = tuple[str, int]
 
 
 @dataclass(slots=True)
 class ProxyProgress:
-    """How far a session has come with what it was sent."""
+    """What a session has acknowledged, and the causes of its next version."""
 
     acknowledged: Version = NONE  # the newest version that the proxy has applied
-    causes: dict[str, None] = field(default_factory=dict)  # of what was not sent yet, in order
+    # Causes of the changes that were not sent yet; used as an ordered set.
+    causes: dict[str, None] = field(default_factory=dict)
 
 
-def changed_parts(operations: Iterable[str]) -> set[str]:
-    """Return which parts of a proxy's tables these operations change."""
+def changed_parts(kinds: Iterable[str]) -> set[str]:
+    """Return the parts of a proxy's tables that operations of these kinds change."""
     parts: set[str] = set()
-    for operation in operations:
-        parts.update(("level", "retry") if operation == "level" else ("line",))
+    for kind in kinds:
+        parts.update(("level", "retry") if kind == "level" else ("line",))
     return parts
 
 
-def concerns(session: Session, operation: tuple[Any, ...]) -> bool:
+def is_relevant(session: Session, operation: tuple[Any, ...]) -> bool:
     """Return whether an operation changes anything for a proxy.
 
-    The withdrawal of an endpoint that is in none of its tables does not.
+    Only the withdrawal of an endpoint that is in none of the proxy's tables changes nothing.
     """
     return operation[0] != "withdrawn" or any(
         operation[1] in table for table in session.state.tables.values()
@@ -64,14 +64,14 @@
 
 
 def all_items(session: Session) -> list[Mapping[str, Any] | None]:
-    """Return what a proxy is to hold now, by part."""
+    """Return the items that a proxy should hold now, by part."""
     return [session.items(part) for part in PARTS]
 
 
 class Proxies:
     """The gRPC side of a controller.
 
-    `ownership` and `member_info` are those of the fleet, None for a controller that stands alone.
+    `ownership` and `member_info` come from the fleet's gossip; they are None without a fleet.
     """
 
     def __init__(
@@ -82,7 +82,7 @@
     ) -> None:
         settings = controller.settings
         self._controller = controller
-        self._port: int = settings["dns"]["port"]  # that endpoints listen on
+        self._port: int = settings["dns"]["port"]  # the port of all endpoints
         self.gathered = LoadAggregator()
         self.admission = ProxyAdmission(controller, ownership, member_info)
         self.server = GrpcServer(
@@ -95,21 +95,21 @@
         self.by_number: dict[int, Session] = {}
         self._progress: dict[Session, ProxyProgress] = {}
         self._endpoint_by_address: dict[str, int] = {}
-        self.refusals = 0  # versions that proxies have refused
-        self.acks = 0  # versions that proxies have applied
+        self.refusals = 0  # versions that proxies have rejected (NACK)
+        self.acks = 0  # versions that proxies have applied (ACK)
 
-    # Calls of the gRPC server.
+    # Methods of ProxyHandler.
 
     def admit(self, node: ProxyNode) -> Admission:
-        """Decide on a proxy that has dialled."""
+        """Return whether a proxy that has connected may join."""
         return self.admission.admit(node)
 
     def hints(self, node: ProxyNode) -> Metadata:
-        """Return where a proxy that is taken in should dial when this controller ends."""
+        """Return metadata that tells a joined proxy where to connect if this controller ends."""
         return self.admission.hints(node)
 
     def joined(self, session: Session) -> None:
-        """Take in a proxy that was admitted."""
+        """Register an admitted proxy and report it to the planner."""
         controller = self._controller
         node = session.node
         session.number = proxy_number(NUMBER_PREFIX + node.name)
@@ -118,15 +118,15 @@
         self.server.add(session)
         self.by_number[session.number] = session
         self._progress[session] = ProxyProgress()
-        self._reset_orders(session)
-        has_all_tables = self._take_brought_tables(session)
+        self._reset_commands(session)
+        has_all_tables = self._load_initial_tables(session)
         self._copy_admission(session)
-        lines = self._brought_lines(node)
+        lines = self._initial_lines(node)
         controller.publication.record_join(node.name, session.epoch, lines)
         controller.proxy_joined(session.number, session.zone, node.rate, not has_all_tables)
 
     def left(self, session: Session) -> None:
-        """Take that a session has ended; one that a newer session replaced changes nothing."""
+        """Unregister a proxy whose session has ended, unless a newer session has replaced it."""
         self._progress.pop(session, None)
         if not self.server.drop(session):
             return
@@ -140,21 +140,24 @@
         controller.proxy_left(session.number)
 
     def takes_report(self, session: Session, now: float) -> bool:
-        """Return whether there is time to read a load report that has come."""
-        taken: bool = self._controller.overload.takes_report(
+        """Return whether to process a load report that has arrived, or to drop it."""
+        accepted: bool = self._controller.overload.accepts_report(
             now, session.report_at, session.reports
         )
         session.reports += 1
-        return taken
+        return accepted
 
     def reported(self, session: Session, started: float) -> None:
-        """Take that a load report was read, and what that cost."""
+        """Record that a load report was processed, and how long that took since `started`."""
         session.report_at = started
         duration = self._controller.loop.time() - started
         self._controller.overload.decide(started, [ReportsRead(1, duration)])
 
     def report_every(self, session: Session | None) -> float:
-        """Return the seconds between a proxy's load reports."""
+        """Return the seconds between a proxy's load reports.
+
+        `session` is None for a proxy that has not joined.
+        """
         phase = MEAN_PHASE
         if session is not None:
             phase = session.number % REPORT_PHASES / (REPORT_PHASES - 1)
@@ -162,25 +165,25 @@
         return interval
 
     def refused(self, session: Session, refusal: Refused) -> None:
-        """Take that a proxy has refused a version."""
+        """Log that a proxy has rejected a version."""
         self.refusals += 1
         self._controller.log(
             "assignment refused", proxy=session.node.name, version=refusal.version, why=refusal.text
         )
 
     def applied(self, session: Session, _type_url: str, version: Version) -> None:
-        """Take that a proxy has applied a version."""
+        """Record that a proxy has applied a version."""
         self.acks += 1
         now = self._controller.loop.time()
-        self._controller.propagation.applied(now, session.number, version)
+        self._controller.propagation.version_applied(now, session.number, version)
         progress = self._progress.get(session)
         if progress is not None:
             progress.acknowledged = max(progress.acknowledged, version)
 
     def published(self, session: Session, version: Version, parts: Collection[str]) -> None:
-        """Commit a version of some parts of a proxy's tables that was sent, with its causes."""
+        """Store a version of parts of a proxy's tables that is being sent, with its causes."""
         if "line" in parts:
-            self._controller.propagation.sent(session.number, version)
+            self._controller.propagation.version_sent(session.number, version)
         name = session.node.name
         if self.server.sessions.get(name) is not session:
             return
@@ -191,14 +194,14 @@
         self._controller.publication.record_sent(name, version, parts, items, causes)
 
     def lines_of(self, session: Session, request_class: int) -> EndpointWeights:
-        """Return the lines that a proxy is to hold now."""
+        """Return the endpoints that a proxy should hold now for a request class, with weights."""
         name = list(self.server.kinds)[request_class]
         planned = session.state.weights(request_class)
         node = session.node
-        return self._controller.publication.lines(node.name, node.zone, name, planned)
+        return self._controller.publication.effective_weights(node.name, node.zone, name, planned)
 
     def host_of(self, place: AddressAndPort) -> int | None:
-        """Return the endpoint at an address and port, None where no list has named one."""
+        """Return the endpoint at an address and port, or None if no list has named it."""
         address, port = place
         return self._endpoint_by_address.get(address) if port == self._port else None
 
@@ -207,19 +210,18 @@
         entry = self._controller.registry.entries[endpoint]
         return entry.address or entry.address6, self._port, entry.zone
 
-    # Calls of the controller.
+    # Methods that the controller calls.
 
     def endpoint_listed(self, endpoint: int, entry: ListedEndpoint) -> None:
-        """Take a list's entry."""
+        """Store the addresses of an endpoint from a list entry."""
         for address in (entry.address, entry.address6):
             if address:
                 self._endpoint_by_address[address] = endpoint
 
     def apply(self, number: int, message: Message) -> Session | None:
-        """Take a message that has left the channel.
+        """Apply a message that has left the channel, and mark the session's changed parts.
 
-        Return the session that it goes to, or None where the proxy has gone, or where a pin leaves
-        nothing of it.
+        Return the proxy's session, or None if the proxy has left or if a pin cancels all changes.
         """
         session = self.by_number.get(number)
         if session is None:
@@ -234,13 +236,13 @@
         if unchanged and not self._has_pending_changes(session):
             return None
         self._add_causes(session, message)
-        operations = [op[0] for op in message.operations if concerns(session, op)]
+        operations = [op[0] for op in message.operations if is_relevant(session, op)]
         if pinned or operations:
             session.changed(PARTS if pinned else changed_parts(operations))
         return session
 
-    def everyone(self) -> list[Recipient]:
-        """Return all joined proxies, by name."""
+    def all_recipients(self) -> list[Recipient]:
+        """Return all joined proxies, sorted by name."""
         return [
             Recipient(session.number, name, session.node.zone)
             for name, session in sorted(self.server.sessions.items())
@@ -248,55 +250,55 @@
         ]
 
     def acknowledged_version(self, number: int) -> Version | None:
-        """Return the newest version that a joined proxy has applied."""
+        """Return the newest version that a proxy has applied, or None if it has not joined."""
         session = self.by_number.get(number)
         return self._progress[session].acknowledged if session is not None else None
 
     def line_counts(self, session: Session) -> list[int]:
-        """Return how many lines a proxy is to hold, by request class."""
+        """Return the number of endpoints that a proxy should hold for each request class."""
         return [len(self.lines_of(session, index)) for index in self.server.kinds.values()]
 
-    def move_on(self, now: float) -> None:
-        """Send some proxies that another controller should own to that one."""
-        self.admission.move_on(now, self.server)
+    def redirect_proxies(self, now: float) -> None:
+        """Redirect some of the joined proxies that another controller should own."""
+        self.admission.redirect_proxies(now, self.server)
 
     def explain_ownership(self, name: str) -> OwnershipReport:
-        """Return for operators why a proxy is, or is not, this controller's."""
+        """Return the facts that decide which controller owns a proxy."""
         session = self.server.sessions.get(name)
         return self.admission.explain(name, session.since if session else None)
 
     def status(self) -> dict[str, int]:
-        """Return counts for operators."""
+        """Return the counts that operators see."""
         return {
             "joined": len(self.server.sessions),
             "acks": self.acks,
             "refusals": self.refusals,
-            "moved": self.admission.moved,
-            "sent on": self.admission.sent_on,
-            "paced": self.admission.paced,
+            "moved": self.admission.joined_redirects,
+            "sent on": self.admission.admission_redirects,
+            "paced": self.admission.delayed_joins,
             "connections": len(self.server.connections.streams),
         }
 
-    def _reset_orders(self, session: Session) -> None:
-        """Drop what was under way to an earlier session of this proxy."""
+    def _reset_commands(self, session: Session) -> None:
+        """Drop what is queued for an earlier session of this proxy."""
         publisher = self._controller.publisher
         self._controller.channel.forget(session.number)
         publisher.leave(session.number)
         publisher.join(session.number, enforces_admission=True)
         session.state.admissions.update(publisher.admissions)
 
-    def _take_brought_tables(self, session: Session) -> bool:
-        """Let the tables that a proxy brought stand until the planner assigns others.
+    def _load_initial_tables(self, session: Session) -> bool:
+        """Keep the tables that a proxy held when it joined until the planner assigns tables.
 
-        A withdrawal takes an endpoint out of them as out of any table. Lines of endpoints that no
-        list has named are left out. Return whether there is a table for every request class.
+        A withdrawal removes an endpoint from these tables as from any other table. Endpoints that
+        no list has named are omitted. Return whether every request class has a table.
         """
         for request_class, lines in session.node.held.items():
             index = self.server.kinds.get(request_class)
             table = self._known_weights(lines)
             if index is not None and table:
-                session.state.tables[BROUGHT_TABLE, request_class] = table
-                session.state.assigned_tables[index] = BROUGHT_TABLE, request_class
+                session.state.tables[INITIAL_TABLE, request_class] = table
+                session.state.assigned_tables[index] = INITIAL_TABLE, request_class
         return len(session.state.assigned_tables) == len(self.server.kinds)
 
     def _known_weights(self, lines: Iterable[WeightedEndpoint]) -> EndpointWeights:
@@ -307,7 +309,7 @@
                 weights[endpoint] = line.weight
         return weights
 
-    def _brought_lines(self, node: ProxyNode) -> LineWeights:
+    def _initial_lines(self, node: ProxyNode) -> LineWeights:
         return {
             line_key(request_class, line.zone, line.address, line.port): quantize_weight(
                 line.weight
@@ -321,11 +323,11 @@
     def _add_causes(self, session: Session, message: Message) -> None:
         progress = self._progress[session]
         if not session.stale:
-            progress.causes = {}  # all that was caused before has been sent
+            progress.causes = {}  # all earlier changes have been sent
         progress.causes.update(dict.fromkeys(message.causes))
 
     def _has_pending_changes(self, session: Session) -> bool:
-        """Return whether a proxy's last version is not what it is to hold: a pin came or went."""
+        """Return whether a pin has changed what a proxy should hold since its last version."""
         return bool(self._controller.publication.pending_changes(session.node.name, session.number))
 
     def _copy_admission(self, session: Session) -> None:
--- a/peatlead/controller/proxy_admission.py
+++ b/peatlead/controller/proxy_admission.py
@@ -1,4 +1,4 @@
-"""Which proxies join here, which wait, and which are sent on to another controller of the fleet."""
+"""Admission of proxies: a proxy joins here, waits, or is redirected to another controller."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING, NamedTuple
@@ -12,8 +12,8 @@
 if TYPE_CHECKING:
     from .controller import Controller
 
-WAIT_METADATA = "peatlead_wait"  # seconds until a proxy should dial again
-OWNER_METADATA = "peatlead_owner"  # ADDRESS:PORT of the controller that should have the proxy
+WAIT_METADATA = "peatlead_wait"  # seconds until a proxy should connect again
+OWNER_METADATA = "peatlead_owner"  # ADDRESS:PORT of the controller that should own the proxy
 CONTROLLERS_METADATA = "peatlead_controllers"  # NAME=ADDRESS:PORT,..., best first
 
 Metadata = dict[str, str]
@@ -29,21 +29,21 @@
 
 
 class Admission(NamedTuple):
-    """The epoch that a proxy is taken in with, or why it is not."""
+    """An admission decision: the epoch of an admitted proxy, or the refusal."""
 
     epoch: int
     refusal: Refusal | None
 
 
-def wait_refusal(reason: str, seconds: float) -> Admission:
-    """Return the answer to a proxy that should dial again later."""
+def delay_join(reason: str, seconds: float) -> Admission:
+    """Return the decision for a proxy that should connect again after `seconds`."""
     return Admission(0, Refusal(StatusCode.UNAVAILABLE, reason, {WAIT_METADATA: f"{seconds:.3f}"}))
 
 
 class ProxyAdmission:
-    """Decides on joins, and moves joined proxies whose owner has changed.
+    """Decides on joins, and redirects joined proxies whose owner has changed.
 
-    `ownership` and `member_info` are those of the fleet, None for a controller that stands alone.
+    `ownership` and `member_info` come from the fleet's gossip; they are None without a fleet.
     """
 
     def __init__(
@@ -55,34 +55,36 @@
         self._controller = controller
         self._ownership = ownership
         self._member_info = member_info
-        self.moved = 0  # joined proxies that were sent to another controller
-        self.sent_on = 0  # dialling proxies that were sent to another controller
-        self.paced = 0  # dialling proxies that were told to wait
+        self.joined_redirects = 0  # joined proxies that were redirected to another controller
+        self.admission_redirects = 0  # connecting proxies that were redirected
+        self.delayed_joins = 0  # connecting proxies that were told to wait
 
     def admit(self, node: ProxyNode) -> Admission:
-        """Decide on a proxy that has dialled."""
-        # Either side may have forgotten the epoch: the greater one counts.
-        seen = max(node.epoch, self._controller.publication.newest_epoch(node.name))
+        """Decide on a proxy that has connected."""
+        # The proxy or this controller may have lost the newest epoch, so the greater epoch counts.
+        newest_epoch = max(node.epoch, self._controller.publication.newest_epoch(node.name))
         now = self._controller.loop.time()
-        holds_no_table = not any(node.held.values())
-        wait = self._controller.overload.join_delay(now, holds_no_table)
-        if wait:
-            self.paced += 1
-            return wait_refusal("paced: more to do than time", wait)
+        without_table = not any(node.held.values())
+        delay = self._controller.overload.join_delay(now, without_table)
+        if delay:
+            self.delayed_joins += 1
+            return delay_join("paced: more to do than time", delay)
         if self._ownership is None:
-            return Admission(seen + 1, None)
-        decision = self._ownership.admit(now, node.name, seen, node.hops, node.avoid)
+            return Admission(newest_epoch + 1, None)
+        decision = self._ownership.admit(now, node.name, newest_epoch, node.hops, node.avoid)
         if decision.take:
             return Admission(self._ownership.epochs[node.name], None)
         if decision.wait:
-            self.paced += 1
-            return wait_refusal(decision.why, decision.wait)
-        self.sent_on += 1
-        refusal = Refusal(StatusCode.UNAVAILABLE, decision.why, self._address_of(decision.owner))
+            self.delayed_joins += 1
+            return delay_join(decision.why, decision.wait)
+        self.admission_redirects += 1
+        refusal = Refusal(
+            StatusCode.UNAVAILABLE, decision.why, self._owner_metadata(decision.owner)
+        )
         return Admission(0, refusal)
 
     def hints(self, node: ProxyNode) -> Metadata:
-        """Return where a proxy should dial, best first, when this controller ends."""
+        """Return the controllers that a proxy should connect to when this controller ends."""
         if self._ownership is None or self._member_info is None:
             return {}
         members = map(self._member_info, rank_controllers(node.name, self._ownership.live))
@@ -94,28 +96,28 @@
         return {CONTROLLERS_METADATA: ",".join(addresses)}
 
     def left(self, name: str) -> None:
-        """Take that a joined proxy has gone."""
+        """Forget a joined proxy that has left."""
         if self._ownership is not None:
             self._ownership.left(name)
 
-    def move_on(self, now: float, front: GrpcServer) -> None:
-        """Send some proxies that another controller should own to that one."""
+    def redirect_proxies(self, now: float, server: GrpcServer) -> None:
+        """Redirect some of the joined proxies that another controller should own."""
         if self._ownership is None:
             return
         for name, owner in self._ownership.moves(now):
-            session = front.sessions.get(name)
-            address = self._address_of(owner)
+            session = server.sessions.get(name)
+            address = self._owner_metadata(owner)
             if session is not None and address:
-                self.moved += 1
+                self.joined_redirects += 1
                 session.move("another's by rank", **address)
 
     def explain(self, name: str, joined_at: float | None) -> OwnershipReport:
-        """Return for operators why a proxy is, or is not, this controller's."""
+        """Return the facts that decide which controller owns a proxy. Raises RuntimeError."""
         if self._ownership is None:
-            raise RuntimeError("expected a fleet")
+            raise RuntimeError("this controller belongs to no fleet")
         return why(self._ownership, name, joined_at, self._controller.loop.time())
 
-    def _address_of(self, owner: str) -> Metadata:
+    def _owner_metadata(self, owner: str) -> Metadata:
         member = self._member_info(owner) if self._member_info else None
         if not member or not member.orders:
             return {}
--- a/peatlead/controller/publication.py
+++ b/peatlead/controller/publication.py
@@ -1,11 +1,12 @@
 """The published tables of a controller: versions in memory and on disk, and the effect of pins.
 
-`Publication` stands between what the planner wants (`view_state.ViewState`) and what is sent. A
-pinned proxy's lines go through the guard, all others pass unchanged; each version that is sent is
-committed to the store and to the log on disk with its causes.
+`Publication` turns the planned state (`view_state.ViewState`) into the state that is sent. The
+tables of a pinned proxy pass through the guard; all other tables are sent as planned. Each version
+that is sent is committed, with its causes, to the store in memory and to the table log on disk.
 
-Pins are kept apart: `pin_control` (which are in force), `pin_targets` (which past tables they
-name), `pinned_tables` (what a proxy is to hold), `pin_commands` and `table_queries` (operators).
+Pins are handled by other modules: `pin_control` (the pins in force), `pin_targets` (the past tables
+that pins name), `pinned_tables` (the tables of pinned proxies), `pin_commands` and `table_queries`
+(commands and queries of operators).
 """
 
 from collections.abc import Callable, Collection, Mapping, Sequence
@@ -34,47 +35,48 @@
 SERIAL_NOTE = "zone serial"  # the table log's key for the zone's newest serial
 
 Causes = Sequence[str]
-"""Why a version differs from the one before, in operators' words."""
+"""Why a version differs from the version before, as operators read it."""
 
 
 class Publication:
     """The published tables of one controller.
 
-    `wall()` is the time of day, for stamps that people read; `bounds` are the settings under
-    `tables`; `boot` is a byte string that no other start of this controller has had.
+    `log_folder` is the folder of the table log, or None to store nothing. `wall_clock()` returns
+    the time of day, for timestamps that people read. `table_settings` are the settings under
+    `tables`. `boot` is a byte string that no other start of this controller has used.
     """
 
     def __init__(
         self,
         controller: "Controller",
-        folder: str | None,
-        wall: Callable[[], float],
-        bounds: Mapping[str, Any],
+        log_folder: str | None,
+        wall_clock: Callable[[], float],
+        table_settings: Mapping[str, Any],
         boot: bytes,
     ) -> None:
         self._controller = controller
-        self._wall = wall
-        self._boots = 1  # this start's number: the epoch of DNS views' versions
-        self.store = create_store(bounds)
+        self._wall_clock = wall_clock
+        self._boots = 1  # number of this start, used as the epoch of DNS views' versions
+        self.store = create_store(table_settings)
         self.log = TableLog(
-            folder,
+            log_folder,
             self.store,
             controller.log,
-            bounds["sync_every"],
-            disk_most=int(bounds["disk_most"]),
+            table_settings["sync_every"],
+            disk_most=int(table_settings["disk_most"]),
         )
         self.causes = ChangeCauses(self.name_of, self._listed_weight_of)
-        self._endpoints = EndpointFacts(controller)
+        self._endpoint_facts = EndpointFacts(controller)
         self._pin_control = PinControl(controller, self.log, boot)
-        self.targets = PinTargets(controller, self.pins, self.store, self.log, wall)
+        self.targets = PinTargets(controller, self.pins, self.store, self.log, wall_clock)
         self._pinned_tables = PinnedTables(
-            controller, self._pin_control, self.targets, self.store, self._endpoints
+            controller, self._pin_control, self.targets, self.store, self._endpoint_facts
         )
         self._queries = self._create_queries()
 
     def _create_queries(self) -> TableQueries:
-        """Create the answers to operators' questions and orders."""
-        formatter = ItemFormatter(self._endpoints.by_address, self.name_of)
+        """Create the handler of operators' queries and commands."""
+        formatter = ItemFormatter(self._endpoint_facts.by_address, self.name_of)
         commands = PinCommands(
             self._controller,
             self._pin_control,
@@ -83,58 +85,58 @@
             self.store,
             formatter,
         )
-        return TableQueries(self._controller, self, commands, formatter, self._wall)
+        return TableQueries(self._controller, self, commands, formatter, self._wall_clock)
 
     @property
     def pins(self) -> Pins:
-        """All pins that are known here, ended ones for a while too."""
+        """All pins known here, including recently ended pins."""
         return self._pin_control.pins
 
     @property
-    def covered(self) -> dict[str, str]:
-        """The proxies that were brought under a pin, with the pin's id."""
-        return self._pinned_tables.covered
+    def applied_pins(self) -> dict[str, str]:
+        """The id of the pin that was applied to each pinned proxy."""
+        return self._pinned_tables.applied_pins
 
     @property
-    def offered(self) -> dict[TargetKey, PastTable]:
-        """The targets of pins that other controllers have announced."""
-        return self.targets.offered
+    def announced_targets(self) -> dict[TargetKey, PastTable]:
+        """The pin targets that other controllers have announced."""
+        return self.targets.announced_targets
 
     def name_of(self, endpoint: int) -> str:
-        """Return an endpoint's listed name."""
+        """Return the name of a listed endpoint."""
         name: str = self._controller.registry.entries[endpoint].name
         return name
 
     # Life cycle.
 
-    def recall(self, now: float) -> None:
-        """Read what was published before this start, and begin to write."""
+    def restore(self, now: float) -> None:
+        """Read the stored tables and pins of earlier starts, then start to write the table log."""
         for file, reason in self.log.recall():
             self._controller.log("tables: part of the log not taken", file=file, why=reason)
         notes = self.log.noted
         self._boots = int(notes.get(BOOTS_NOTE, b"0")) + 1
         self.log.note(BOOTS_NOTE, b"%d" % self._boots)
         try:
-            self._pin_control.recall(now, notes)
-            self.targets.recall()
+            self._pin_control.restore(now, notes)
+            self.targets.restore()
         except (ValueError, msgspec.MsgspecError) as error:
             self._controller.log("tables: pins not taken", why=str(error))
         self.log.start(now)
-        self.targets.announce_known()  # this controller may be the only one that knows
-        self._pin_control.log_standing(now)
+        self.targets.announce_known()  # no other controller may know these targets
+        self._pin_control.log_active_pins(now)
 
     def tick(self, now: float) -> None:
-        """Do what is due; called in every round of the planner's timer."""
+        """Do the periodic work on pins and the table log, in each round of the planner's timer."""
         self._pin_control.expire(now)
         self.targets.forget_ended()
         self._pin_control.refresh(now)
         self.targets.send_announcements()
-        if self.pins.held or self.covered:
+        if self.pins.held or self.applied_pins:
             self._pinned_tables.enforce(now)
         self.log.flush(now)
 
     def stop(self, now: float) -> None:
-        """Write all that is still in memory and close the log."""
+        """Write all pending records and close the table log."""
         if self.pins.held:
             self._pin_control.store(now)
         self.log.flush(now)
@@ -144,19 +146,19 @@
             self._controller.log("tables are not kept", why=error.strerror)
 
     def zone_serial(self) -> int:
-        """Return the DNS zone's newest serial on record, 0 for none."""
+        """Return the stored serial of the DNS zone, or 0 if none is stored."""
         stored: bytes = self.log.noted.get(SERIAL_NOTE, b"0")
         return int(stored) if stored.isdigit() else 0
 
     def store_zone_serial(self, serial: int) -> None:
-        """Put the DNS zone's newest serial on record."""
+        """Store the DNS zone's newest serial."""
         self.log.note(SERIAL_NOTE, b"%d" % serial)
         self.log.flush(self._controller.loop.time())
 
     # Other controllers.
 
     def receive_pins(self, payload: bytes) -> None:
-        """Take another controller's pins."""
+        """Merge the pins that another controller has sent."""
         try:
             changed = self._pin_control.receive(self._controller.loop.time(), payload)
         except ValueError as error:
@@ -164,16 +166,16 @@
             return
         if changed:
             self.targets.announce_known()
-            self._controller.log("pins heard", standing=sorted(self.pins.standing()))
+            self._controller.log("pins received", standing=sorted(self.pins.standing()))
 
     def receive_target(self, payload: bytes) -> None:
-        """Take a pin's target from another controller."""
+        """Store a pin target that another controller has announced."""
         self.targets.receive(payload)
 
     # Versions.
 
     def record_join(self, name: str, epoch: int, lines: LineWeights) -> None:
-        """Commit what a proxy held when it joined, so that this can be returned to."""
+        """Commit the lines that a proxy held when it joined; a rollback can restore them."""
         history = self.store.history(name)
         version = Version(epoch, 0)
         if version > history.last:
@@ -181,24 +183,24 @@
             self._commit(name, version, causes, changes(line_items(history.items), lines))
 
     def newest_epoch(self, name: str) -> int:
-        """Return the epoch of a proxy's newest version, 0 for none."""
+        """Return the epoch of a proxy's newest version, or 0 if it has no version."""
         history = self.store.histories.get(name)
         return history.last.epoch if history else 0
 
     def record_sent(
         self, name: str, version: Version, parts: Collection[str], items: TableItems, causes: Causes
     ) -> None:
-        """Commit a version of some parts of a proxy's tables, which are `items` now."""
+        """Commit a version of these parts of a proxy's tables; `items` are their new contents."""
         history = self.store.history(name)
         if version <= history.last:
-            return  # of a stream that a newer one has replaced
+            return  # sent on a stream that a newer stream has replaced
         before: TableItems = {
             key: value for key, value in history.items.items() if part_of(key) in parts
         }
         self._commit(name, version, causes, changes(before, items))
 
     def record_view(self, name: str, items: LineWeights, causes: Causes) -> None:
-        """Commit a DNS view's tables as answers have them from now on."""
+        """Commit the tables of a DNS view that answers use from now on."""
         history = self.store.history(name)
         changed_items = changes(history.items, items)
         if changed_items:
@@ -206,52 +208,52 @@
             self._commit(name, Version(self._boots, serial), causes, changed_items)
 
     def record_leave(self, name: str) -> None:
-        """Take that a proxy has gone; its history is kept for a while."""
+        """Record that a proxy has left; its history is kept for a limited time."""
         self.store.left(name)
         self.log.left(name)
 
     # Tables.
 
     def endpoint_listed(self, endpoint: int, entry: ListedEndpoint) -> PhaseChange | None:
-        """Take a list's entry. Return the endpoint's change of phase, if any."""
-        return self._endpoints.listed(endpoint, entry)
+        """Store a list entry. Return the endpoint's change of phase, or None."""
+        return self._endpoint_facts.listed(endpoint, entry)
 
     def endpoint_withdrawn(self, endpoint: int, withdrawn: bool) -> None:
-        """Take that an endpoint is withdrawn, or no longer is."""
-        self._endpoints.set_withdrawn(endpoint, withdrawn)
+        """Record whether an endpoint is withdrawn."""
+        self._endpoint_facts.set_withdrawn(endpoint, withdrawn)
 
     def pin_of(self, name: str, zone: str) -> ActivePin | None:
-        """Return the pin that holds a proxy or view now."""
+        """Return the pin that applies to a proxy or view now, or None."""
         return self._pin_control.pin_of(name, zone)
 
-    def lines(
+    def effective_weights(
         self, name: str, zone: str, request_class: str, planned: EndpointWeights
     ) -> EndpointWeights:
-        """Return the lines of a request class that a proxy is to hold, given the planner's."""
-        return self._pinned_tables.lines(name, zone, request_class, planned)
+        """Return the weights that a proxy should hold, given the planned weights."""
+        return self._pinned_tables.effective_weights(name, zone, request_class, planned)
 
-    def items_of_lines(self, request_class: str, lines: EndpointWeights) -> LineWeights:
-        """Return the items that publish a table."""
-        return self._pinned_tables.items_of_lines(request_class, lines)
+    def items_of_table(self, request_class: str, weights: EndpointWeights) -> LineWeights:
+        """Return the published items of a table."""
+        return self._pinned_tables.items_of_table(request_class, weights)
 
     def pending_changes(self, name: str, number: int) -> ItemChanges:
-        """Return how a proxy's lines differ from what it was last sent."""
+        """Return the changes from the lines that a proxy was last sent to those it should hold."""
         return self._pinned_tables.pending_changes(name, number)
 
     # Operators.
 
     def answer(self, question: Question) -> Answer:
-        """Answer a `tables` question."""
+        """Answer a `tables` query of the control socket."""
         return self._queries.answer(question)
 
     def proxy_versions(self) -> list[Answer]:
-        """Return for each proxy the version last sent and the one it acknowledged."""
+        """Return the last sent and the last acknowledged version of each proxy."""
         return self._queries.proxy_versions()
 
     def _commit(
         self, name: str, version: Version, causes: Causes, changed: Mapping[str, Any]
     ) -> None:
-        entry = self.store.commit(name, version, self._wall(), causes, changed)
+        entry = self.store.commit(name, version, self._wall_clock(), causes, changed)
         self.log.publish(name, entry)
 
     def _listed_weight_of(self, endpoint: int) -> float:
@@ -259,11 +261,11 @@
         return weight
 
 
-def create_store(bounds: Mapping[str, Any]) -> Store:
-    """Return an empty store with the bounds of the settings."""
+def create_store(table_settings: Mapping[str, Any]) -> Store:
+    """Return an empty store with the limits of the `tables` settings."""
     return Store(
-        bounds["versions_each"],
-        bounds["versions_most"],
-        int(bounds["memory_most"]),
-        bounds["age_most"],
+        table_settings["versions_each"],
+        table_settings["versions_most"],
+        int(table_settings["memory_most"]),
+        table_settings["age_most"],
     )
--- a/peatlead/controller/published_items.py
+++ b/peatlead/controller/published_items.py
@@ -1,7 +1,8 @@
-"""Items of published tables, and how operators read them.
+"""Items of published tables, and their presentation to operators.
 
-Keys and values are those of `tables.version`: `line/KIND/ZONE/ADDRESS:PORT`, `level/KIND` and
-`retry/KIND`, where KIND is a request class.
+Keys and values are those of `tables.version`: `line/CLASS/ZONE/ADDRESS:PORT` (a weight),
+`level/CLASS` (an admitted fraction) and `retry/CLASS` (a retry policy), where CLASS is a request
+class.
 """
 
 from collections.abc import Callable, Mapping
@@ -12,13 +13,13 @@
 LINE_PREFIX = "line/"
 
 TableItems = dict[str, Any]
-"""All items of one proxy: weights and admitted fractions are whole numbers, retry policies text."""
+"""All items of one proxy: weights and admitted fractions are integers, retry policies strings."""
 
 LineWeights = dict[str, int]
-"""The endpoint lines among a proxy's items: key to weight in thousandths."""
+"""The endpoint lines among a proxy's items: weight in thousandths, by key."""
 
 EndpointWeights = dict[int, float]
-"""One table of the planner: endpoint to weight."""
+"""One planned table: weight, by endpoint."""
 
 
 def line_items(items: Mapping[str, Any]) -> LineWeights:
@@ -27,7 +28,7 @@
 
 
 def weight_fractions(items: Mapping[str, Any]) -> dict[str, float]:
-    """Return for each endpoint line its fraction of the total weight of its request class."""
+    """Return each endpoint line's fraction of the total weight of its request class."""
     request_classes = {key: parse_line_key(key)[0] for key in items if key.startswith(LINE_PREFIX)}
     totals: dict[str, int] = {}
     for key, request_class in request_classes.items():
@@ -38,9 +39,10 @@
 
 
 class ItemFormatter:
-    """Turns items into the maps that operators are shown.
+    """Converts items to the JSON objects that operators see.
 
-    `endpoint_by_address` is the live index of listed addresses; `name_of` gives an endpoint's name.
+    `endpoint_by_address` is the current index of listed addresses; `name_of` returns an endpoint's
+    name.
     """
 
     def __init__(
@@ -50,7 +52,7 @@
         self._name_of = name_of
 
     def item(self, key: str, value: Any) -> dict[str, Any]:
-        """Return one item with the endpoint by name and the weight as listed."""
+        """Return one item, with the endpoint's name and the weight in the unit of the list."""
         if not key.startswith(LINE_PREFIX):
             return {"item": key, "value": value}
         request_class, zone, address, _ = parse_line_key(key)
@@ -65,7 +67,7 @@
     def difference(
         self, before: Mapping[str, Any], after: Mapping[str, Any]
     ) -> list[dict[str, Any]]:
-        """Return each item that differs, with a line's fraction of its class on both sides."""
+        """Return the items that differ, with a line's fraction of its class before and after."""
         fractions_before = weight_fractions(before)
         fractions_after = weight_fractions(after)
         return [
--- a/peatlead/controller/publisher.py
+++ b/peatlead/controller/publisher.py
@@ -1,4 +1,4 @@
-"""Translates the planner's commands into the operations that each subscriber has to be sent."""
+"""Translates the planner's commands into messages for the subscribers."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -18,41 +18,41 @@
 
 
 class RoutedCommands(NamedTuple):
-    """The commands of one batch, sorted by who has to act on them."""
+    """The result of routing one batch of commands."""
 
     messages: Messages
-    nonces: dict[int, list[int]]  # to be acknowledged, by subscriber
-    others: list[interface.Command]  # for the controller itself
+    nonces: dict[int, list[int]]  # nonces to acknowledge, by subscriber
+    others: list[interface.Command]  # commands for the controller itself
 
 
 class Publisher:
-    """Keeps all tables as commanded and which subscriber uses which.
+    """Holds all tables as the planner commanded them, and the tables assigned to each subscriber.
 
-    Subscribers are DNS views and proxies, by the numbers that the planner knows them by. Those that
-    enforce admission themselves are sent admitted fractions and lose endpoints by table entries;
-    for the others (DNS views) the endpoints enforce admission, and every withdrawal is sent.
+    Subscribers are DNS views and proxies, identified by the planner's numbers. Proxies enforce
+    admission themselves: they receive admitted fractions, and the removal of a table entry takes an
+    endpoint from them. For DNS views the endpoints enforce admission; views receive every
+    withdrawal.
     """
 
     def __init__(self) -> None:
         self.tables: dict[int, dict[int, float]] = {}  # weights of endpoints, by table
-        self.subscribers: dict[int, set[int]] = {}  # subscribers of each table
+        self.subscribers: dict[int, set[int]] = {}  # by table
         # Table of each request class, by subscriber.
         self.assigned_tables: dict[int, dict[int, int]] = {}
         self.joined: set[int] = set()
-        self.unassigned: set[int] = set()  # joined, and on no table of ours yet
-        self.enforcing: set[int] = set()  # joined, and enforce admission themselves
+        self.unassigned: set[int] = set()  # joined, without a table from this controller
+        self.enforcing: set[int] = set()  # joined, and enforcing admission themselves
         # Weight of each endpoint in each table that names it.
         self.weights_of_endpoint: dict[int, dict[int, float]] = {}
-        self.change_count = 0  # changes of table entries so far
-        self.notified: dict[
-            int, set[int]
-        ] = {}  # ejected endpoint -> subscribers that were notified
+        self.change_count = 0  # changes to table entries so far
+        # Subscribers that were sent the withdrawal of an ejected endpoint, by endpoint.
+        self.notified: dict[int, set[int]] = {}
         self.ejected: dict[int, set[int]] = {}  # subscriber -> endpoints ejected since it joined
         # (admitted fraction, retry policy), by request class.
         self.admissions: dict[int, tuple[float, str]] = {}
 
     def join(self, subscriber: int, enforces_admission: bool = False) -> None:
-        """Add a subscriber; `levelled` where it enforces admission itself."""
+        """Add a subscriber; `enforces_admission` tells whether it enforces admission itself."""
         self.joined.add(subscriber)
         self.unassigned.add(subscriber)
         self.ejected[subscriber] = set()
@@ -60,7 +60,7 @@
             self.enforcing.add(subscriber)
 
     def leave(self, subscriber: int) -> None:
-        """Remove a subscriber; one that has not joined is ignored."""
+        """Remove a subscriber; a subscriber that has not joined is ignored."""
         self.joined.discard(subscriber)
         self.enforcing.discard(subscriber)
         self.unassigned.discard(subscriber)
@@ -69,13 +69,13 @@
             self.subscribers[table].discard(subscriber)
 
     def forget(self, endpoint: int) -> None:
-        """Drop what is kept about an endpoint that is gone and in no table."""
+        """Drop the state of an endpoint that is gone and in no table."""
         self.weights_of_endpoint.pop(endpoint, None)
         for subscriber in self.notified.pop(endpoint, ()):
             self.ejected.get(subscriber, set()).discard(endpoint)
 
     def route(self, commands: Iterable[interface.Command]) -> RoutedCommands:
-        """Route a batch's commands, and update the tables by them."""
+        """Apply a batch's commands to the tables, and return the messages that follow."""
         routed = RoutedCommands({}, {}, [])
         messages = routed.messages
         for command in commands:
@@ -102,19 +102,18 @@
     def request_acknowledgement(
         self, routed: RoutedCommands, command: interface.RequestAcknowledgement
     ) -> None:
-        """Add a nonce to the messages of the batch so far, or to one for each subscriber."""
+        """Add a nonce to the batch's messages so far, or to a message for every subscriber."""
         for subscriber in sorted(self.joined if command.all_proxies else routed.messages):
             routed.messages.setdefault(subscriber, {})
             routed.nonces.setdefault(subscriber, []).append(command.nonce)
 
     def affected_by(self, command: interface.WithdrawEndpoint) -> set[int]:
-        """Return the subscribers that have to be sent a withdrawal or a restoration.
+        """Return the subscribers that must be sent a withdrawal or a restoration.
 
-        A withdrawal goes to subscribers that don't enforce admission, and to those on no table of
-        ours that the command names; one on our tables loses the endpoint's entry instead, and a
-        second operation would only fill the channel. A restoration goes to those that were sent the
-        withdrawal. Sent to all of 1,000 proxies, the loss of a zone was 100,000 operations, and a
-        release of 300 endpoints 200,000.
+        A withdrawal is sent to subscribers that don't enforce admission, and to subscribers without
+        a table from this controller, as far as the command names them. All other subscribers lose
+        the endpoint's table entry instead; a withdrawal as well would only fill the channel. A
+        restoration is sent to the subscribers that were sent the withdrawal.
         """
         endpoint = command.endpoint
         if not command.withdrawn:
@@ -123,8 +122,8 @@
                 self.ejected[subscriber].discard(endpoint)
             return restored
         notify = command.notify
-        named = self.unassigned if notify is None else self.unassigned.intersection(notify)
-        notified = named | (self.joined - self.enforcing)
+        unassigned = self.unassigned if notify is None else self.unassigned.intersection(notify)
+        notified = unassigned | (self.joined - self.enforcing)
         self.notified.setdefault(endpoint, set()).update(notified)
         unaware = {
             subscriber
@@ -146,7 +145,7 @@
                 )
 
     def set_entry(self, messages: Messages, table: int, endpoint: int, weight: float) -> None:
-        """Set the weight of an endpoint for all subscribers of a table; 0 removes the entry."""
+        """Set an endpoint's weight in a table, for all subscribers of the table; 0 removes it."""
         entries = self.tables.setdefault(table, {})
         tables = self.weights_of_endpoint.setdefault(endpoint, {})
         entries.pop(endpoint, None)
@@ -159,22 +158,22 @@
             set_operation(messages.setdefault(subscriber, {}), (ENTRY, table, endpoint), weight)
 
     def assign(self, messages: Messages, command: interface.AssignTable) -> None:
-        """Route request classes of a proxy by a table, and send it the whole table.
+        """Assign a table to request classes of a proxy, and send the proxy the whole table.
 
-        A table that routes none of its classes any more is dropped there, or outdated entries would
-        be in force when the proxy is assigned to it again.
+        The proxy drops a table that is no longer assigned to any of its request classes. Otherwise
+        outdated entries would be in force when the same table is assigned to the proxy again.
         """
         proxy, table = command.proxy, command.table
-        ops = messages.setdefault(proxy, {})
+        operations = messages.setdefault(proxy, {})
         self.unassigned.discard(proxy)
         assigned = self.assigned_tables.setdefault(proxy, {})
         for request_class in command.request_classes:
             previous = assigned.get(request_class)
             assigned[request_class] = table
-            set_operation(ops, (ASSIGNMENT, request_class), table)
+            set_operation(operations, (ASSIGNMENT, request_class), table)
             if previous is not None and previous not in assigned.values():
                 self.subscribers[previous].discard(proxy)
-                set_operation(ops, (UNASSIGNED_TABLE, previous), True)
+                set_operation(operations, (UNASSIGNED_TABLE, previous), True)
         self.subscribers.setdefault(table, set()).add(proxy)
         for endpoint, weight in self.tables.get(table, {}).items():
-            set_operation(ops, (ENTRY, table, endpoint), weight)
+            set_operation(operations, (ENTRY, table, endpoint), weight)
--- a/peatlead/controller/recipients.py
+++ b/peatlead/controller/recipients.py
@@ -1,4 +1,4 @@
-"""All that this controller publishes to: the DNS views of the settings and the joined proxies."""
+"""The recipients of published tables: the DNS views of the settings and the joined proxies."""
 
 from typing import TYPE_CHECKING, NamedTuple
 
@@ -8,11 +8,11 @@
     from ..grpc.session import Session
     from .controller import Controller
 
-VIEW_PREFIX = "view:"  # of a DNS view's name among the names of recipients
+VIEW_PREFIX = "view:"  # starts the recipient name of a DNS view
 
 
 class Recipient(NamedTuple):
-    """A view or proxy: the planner's number of it, its name, and the name of its zone."""
+    """A view or proxy: its number in the planner, its name, and the name of its zone."""
 
     number: int
     name: str
@@ -20,19 +20,19 @@
 
 
 class PlannedTable(NamedTuple):
-    """What the planner wants of one request class, or service of a view."""
+    """The planned table of a proxy's request class or of a view's service."""
 
     request_class: str
     weights: EndpointWeights
 
 
 class Recipients:
-    """Finds recipients and their tables, whichever way they are reached."""
+    """Looks up recipients and their tables, for views and proxies alike."""
 
     def __init__(self, controller: "Controller") -> None:
         self._controller = controller
 
-    def everyone(self) -> list[Recipient]:
+    def all_recipients(self) -> list[Recipient]:
         """Return all recipients, views first."""
         zones = self._controller.zone_names
         views = [
@@ -40,19 +40,21 @@
             for view in self._controller.views.views
         ]
         proxies = self._controller.proxies
-        return views + (proxies.everyone() if proxies else [])
+        return views + (proxies.all_recipients() if proxies else [])
 
     def zone_of(self, name: str) -> str:
-        """Return the zone of a recipient, an empty text where there is none of that name."""
-        return next((recipient.zone for recipient in self.everyone() if recipient.name == name), "")
+        """Return the zone of the recipient with this name, or an empty string without one."""
+        return next(
+            (recipient.zone for recipient in self.all_recipients() if recipient.name == name), ""
+        )
 
     def session_of(self, number: int) -> "Session | None":
-        """Return a proxy's session, None for a view or a proxy that has gone."""
+        """Return a proxy's session, or None for a view or a proxy that has left."""
         proxies = self._controller.proxies
         return proxies.by_number.get(number) if proxies else None
 
     def planned_tables(self, number: int) -> list[PlannedTable]:
-        """Return what the planner wants of a recipient now."""
+        """Return the planned tables of a recipient."""
         view = self._controller.views.by_number.get(number)
         if view is not None:
             return self._controller.dns_publication.planned_tables(view)
@@ -66,7 +68,7 @@
         ]
 
     def items_of(self, number: int) -> TableItems | None:
-        """Return the lines that a recipient is to hold now; None while that is not known."""
+        """Return the lines that a recipient should have now, or None while they are not known."""
         view = self._controller.views.by_number.get(number)
         if view is not None:
             return self._controller.dns_publication.items_of(view)
@@ -75,7 +77,7 @@
         return items
 
     def holds(self, number: int, endpoint: int) -> bool:
-        """Return whether a recipient was sent an endpoint: others lose nothing with it."""
+        """Return whether any table that was sent to a recipient names an endpoint."""
         view = self._controller.views.by_number.get(number)
         session = self.session_of(number)
         if view is not None:
--- a/peatlead/controller/table_queries.py
+++ b/peatlead/controller/table_queries.py
@@ -1,6 +1,7 @@
-"""Operators' questions about published tables: log, show, diff, ends and status; orders on pins.
+"""Answers operators' questions about published tables: log, show, diff, ends and status.
 
-Questions come over the control socket as `{"ask": "tables", "do": ..., "args": {...}}`.
+The control socket receives them as `{"ask": "tables", "do": ..., "args": {...}}`. The commands pin
+and resume have the same form and are passed to `pin_commands`.
 """
 
 from collections.abc import Callable
@@ -18,9 +19,9 @@
     from .controller import Controller
     from .publication import Publication
 
-VERSIONS_SHOWN = 500  # versions that one answer lists at most
-VERSIONS_SHOWN_UNASKED = 50  # versions that an answer lists where the question gives no number
-LATEST = 1e12  # seconds: past every wall clock
+MAX_VERSIONS_SHOWN = 500  # versions in one answer
+DEFAULT_VERSIONS_SHOWN = 50  # versions in an answer if the question gives no number
+END_OF_TIME = 1e12  # Unix time in seconds, later than all versions
 
 
 class TableQueries:
@@ -32,12 +33,12 @@
         publication: "Publication",
         commands: PinCommands,
         formatter: ItemFormatter,
-        wall: Callable[[], float],
+        wall_clock: Callable[[], float],
     ) -> None:
         self._controller = controller
         self._publication = publication
         self._formatter = formatter
-        self._wall = wall
+        self._wall_clock = wall_clock
         self._handlers: dict[str, Callable[[Arguments], Answer]] = {
             "log": self.log,
             "show": self.show,
@@ -49,7 +50,7 @@
         }
 
     def answer(self, question: Question) -> Answer:
-        """Answer a question; what cannot be answered is said under the key `error`."""
+        """Return the answer to a question; a failure is reported under the key `error`."""
         handler = self._handlers.get(question.do)
         if handler is None:
             return {"error": "expected do to be log, show, diff, pin, resume, status or ends"}
@@ -61,14 +62,14 @@
             return {"error": f"tables {question.do}: {error}"}
 
     def log(self, arguments: Arguments) -> Answer:
-        """Return the newest published versions of a span of time, of one proxy or of all."""
+        """Return the newest versions published in a time range, of one proxy or of all proxies."""
         name = arguments.get("proxy") or None
         if name:
             name, _ = self._history_of(name)
         since = float(arguments.get("since") or 0.0)
-        until = float(arguments.get("until") or LATEST)
+        until = float(arguments.get("until") or END_OF_TIME)
         published = self._publication.store.between(since, until, name)
-        limit = min(VERSIONS_SHOWN, int(arguments.get("most") or VERSIONS_SHOWN_UNASKED))
+        limit = min(MAX_VERSIONS_SHOWN, int(arguments.get("most") or DEFAULT_VERSIONS_SHOWN))
         shown = published[-limit:]
         return {
             "versions": [
@@ -86,7 +87,7 @@
         }
 
     def show(self, arguments: Arguments) -> Answer:
-        """Return a proxy's items at a version, by default the newest."""
+        """Return a proxy's items at a version, by default at the newest version."""
         name, history = self._history_of(arguments["proxy"])
         asked_version = arguments.get("version")
         version = parse_version(asked_version) if asked_version else history.last
@@ -101,7 +102,7 @@
         }
 
     def diff(self, arguments: Arguments) -> Answer:
-        """Return what differs between two versions of a proxy's tables."""
+        """Return the differences between two versions of a proxy's tables."""
         name, history = self._history_of(arguments["proxy"])
         versions = [parse_version(arguments[side]) for side in ("one", "other")]
         if NONE in versions:
@@ -110,25 +111,25 @@
         return {"proxy": name, "changes": self._formatter.difference(before, after)}
 
     def ends(self, _: Arguments) -> Answer:
-        """Return each joined proxy's last sent version, its digest and the seconds since."""
-        now = self._wall()
-        ends = {}
-        for _number, name, _zone in self._controller.recipients.everyone():
+        """Return each joined proxy's last sent version, its digest and its age in seconds."""
+        now = self._wall_clock()
+        last_versions = {}
+        for _number, name, _zone in self._controller.recipients.all_recipients():
             history = self._publication.store.histories.get(name)
             if history and history.entries and not name.startswith(VIEW_PREFIX):
                 digest = Digest(line_items(history.items))
-                ends[name] = [*history.last, str(digest), now - history.entries[-1].at]
-        return {"steward": self._controller.own_settings["name"], "ends": ends}
+                last_versions[name] = [*history.last, str(digest), now - history.entries[-1].at]
+        return {"steward": self._controller.own_settings["name"], "ends": last_versions}
 
     def status(self, arguments: Arguments) -> Answer:
-        """Return the state of the store, the log on disk and the pins."""
+        """Return the state of the store, the table log on disk and the pins."""
         now = self._controller.loop.time()
         store = self._publication.store
         log = self._publication.log
         pins = self._publication.pins
         return {
             "steward": self._controller.own_settings["name"],
-            "proxies": len(self._controller.recipients.everyone()),
+            "proxies": len(self._controller.recipients.all_recipients()),
             "versions": store.entry_count,
             "bytes": store.size,
             "dropped": store.dropped,
@@ -141,12 +142,12 @@
         }
 
     def proxy_versions(self) -> list[Answer]:
-        """Return for each proxy the version last sent and the one it acknowledged.
+        """Return the last sent and the last acknowledged version of each proxy.
 
-        A change that was cut off halfway shows as a difference between the two.
+        The two versions differ while a proxy has not acknowledged a change.
         """
         proxies = []
-        for number, name, zone in self._controller.recipients.everyone():
+        for number, name, zone in self._controller.recipients.all_recipients():
             history = self._publication.store.histories.get(name)
             active = self._publication.pin_of(name, zone)
             sent = history.last if history else NONE
@@ -161,7 +162,7 @@
         return proxies
 
     def _acknowledged(self, number: int, sent: Version) -> Version:
-        """Return a proxy's acknowledged version; a view has what was last sent at once."""
+        """Return a proxy's acknowledged version; a view applies the last sent version at once."""
         proxies = self._controller.proxies
         acknowledged = proxies.acknowledged_version(number) if proxies else None
         return sent if acknowledged is None else acknowledged
@@ -175,10 +176,10 @@
 
     def _pin_status(self, now: float, active: ActivePin) -> Answer:
         pin = active.pin
-        everyone = self._controller.recipients.everyone()
-        counting = [self._publication.pin_of(name, zone) for _, name, zone in everyone]
-        held_here = sum(found is not None and found.pin.id == pin.id for found in counting)
-        covered = sum(active.covers(now, name, zone) for _, name, zone in everyone)
+        recipients = self._controller.recipients.all_recipients()
+        pins_in_force = [self._publication.pin_of(name, zone) for _, name, zone in recipients]
+        held_here = sum(found is not None and found.pin.id == pin.id for found in pins_in_force)
+        covered = sum(active.covers(now, name, zone) for _, name, zone in recipients)
         unknown = self._publication.targets.unknown
         return {
             "pin": pin.id,
--- a/peatlead/controller/token_bucket.py
+++ b/peatlead/controller/token_bucket.py
@@ -2,7 +2,7 @@
 
 
 class TokenBucket:
-    """Holds up to one second's worth of tokens and starts full."""
+    """Holds at most the tokens of one second, and starts full. Rates are in tokens per second."""
 
     __slots__ = ("tokens", "filled_at")
 
@@ -11,7 +11,7 @@
         self.filled_at = 0.0  # seconds on the loop's clock
 
     def take(self, now: float, rate: float, cost: float = 1.0) -> bool:
-        """Refill at `rate` tokens a second, and take `cost` tokens if there are as many."""
+        """Refill at `rate`, then take `cost` tokens; return False if too few are left."""
         if now > self.filled_at:
             refilled = self.tokens + (now - self.filled_at) * rate
             self.tokens = min(max(rate, cost), refilled)
--- a/peatlead/controller/view_state.py
+++ b/peatlead/controller/view_state.py
@@ -1,23 +1,23 @@
-"""The tables that one subscriber holds, rebuilt from the messages that were sent to it."""
+"""The state of one subscriber, rebuilt from the messages that were sent to it."""
 
 from .message import ADMISSION, ASSIGNMENT, ENTRY, UNASSIGNED_TABLE, WITHDRAWN, Operations, TableId
 
 
 class ViewState:
-    """What a DNS view or proxy holds; messages must be applied in the order of sending."""
+    """The tables and admissions of a DNS view or proxy. Messages are applied in sending order."""
 
     __slots__ = ("tables", "assigned_tables", "withdrawn", "admissions")
 
     def __init__(self) -> None:
         self.tables: dict[TableId, dict[int, float]] = {}  # weights of endpoints, by table
-        self.assigned_tables: dict[int, TableId] = {}  # table of each request class
-        self.withdrawn: set[int] = set()  # ejected endpoints, whatever the tables say
+        self.assigned_tables: dict[int, TableId] = {}  # by request class
+        self.withdrawn: set[int] = set()  # ejected endpoints; they override the tables
         # (admitted fraction, retry policy), by request class.
         self.admissions: dict[int, tuple[float, str]] = {}
 
-    def apply(self, ops: Operations) -> None:
+    def apply(self, operations: Operations) -> None:
         """Apply the operations of one message."""
-        for key, value in ops.items():
+        for key, value in operations.items():
             if key[0] == ENTRY:
                 entries = self.tables.setdefault(key[1], {})
                 entries.pop(key[2], None)
@@ -33,10 +33,10 @@
                 self.withdrawn.add(key[1])
             elif key[0] == WITHDRAWN:
                 self.withdrawn.discard(key[1])
-            # PIN_CHECK changes nothing: what a pin makes of the state has changed.
+            # PIN_CHECK changes nothing here: it only marks the entry as affected by a pin.
 
     def weights(self, request_class: int) -> dict[int, float]:
-        """Return the weights that route requests of a class, without ejected endpoints."""
+        """Return the weights of endpoints for a request class, without ejected endpoints."""
         table = self.assigned_tables.get(request_class)
         entries = {} if table is None else self.tables.get(table, {})
         return {
--- a/tests/compatibility/test_mixed_fleet.py
+++ b/tests/compatibility/test_mixed_fleet.py
@@ -263,6 +263,7 @@
             for name in ADDRESSES:
                 self.assertNotIn("message refused", pair.log(name))
                 self.assertNotIn("wish refused", pair.log(name))
+                self.assertNotIn("pin target refused", pair.log(name))
                 self.assertNotIn("pins refused", pair.log(name))
             for one in agents:
                 await one.finish()
--- a/tests/controller/connections.py
+++ b/tests/controller/connections.py
@@ -1,4 +1,4 @@
-"""Connections and resolvers that tests of the DNS controller use."""
+"""TCP connections and resolvers for tests of the DNS controller."""
 
 import asyncio
 
@@ -11,7 +11,7 @@
 
 
 class ReceivedBytes(Stream):
-    """A connection that collects what it receives in `received_bytes`; `over` completes at its end."""
+    """Collects all received bytes in `received_bytes`; the future `over` completes at the end."""
 
     def __init__(self):
         super().__init__()
@@ -25,8 +25,8 @@
         self.over.set_result(reason)
 
 
-def framed(name="api.example.org"):
-    """An A query for a name as DNS over TCP frames it (RFC 1035 section 4.2.2)."""
+def framed_query(name="api.example.org"):
+    """An A query for a name with the length prefix of DNS over TCP (RFC 1035 section 4.2.2)."""
     wire = dns.message.make_query(name, "A").to_wire()
     return len(wire).to_bytes(2, "big") + wire
 
@@ -41,7 +41,7 @@
 
 
 async def start_resolver(world, kind="keeps", servers=("127.1.0.1",)):
-    """A stand-in resolver of a kind that asks these servers; it ends with the world."""
+    """A stand-in resolver of a kind that queries these servers and is closed with the world."""
     addresses = [(server, world.port) for server in servers]
     resolver = Resolver(kind, "127.20.9.1", addresses, world.chance, MemoryRecorder())
     await resolver.begin()
--- a/tests/controller/test_batch_loop.py
+++ b/tests/controller/test_batch_loop.py
@@ -1,3 +1,5 @@
+"""Batches of events, the order of a batch's commands, and failed decisions."""
+
 import unittest
 
 from peatlead import interface
@@ -7,28 +9,28 @@
 
 
 class RecordingPlanner:
-    """Records the events of each batch and returns the commands that it was given for it."""
+    """Records the events of each batch; returns the given commands, or raises the given error."""
 
-    def __init__(self, *commands):
-        self.commands, self.batches = list(commands), []
+    def __init__(self, *results):
+        self.results, self.batches = list(results), []
 
     def decide(self, now, events):
         self.batches.append(events)
-        commands = self.commands.pop(0) if self.commands else []
-        if isinstance(commands, Exception):
-            raise commands
-        return commands
+        result = self.results.pop(0) if self.results else []
+        if isinstance(result, Exception):
+            raise result
+        return result
 
 
 class RecordingLoop(BatchLoop):
-    """Records what the loop does with commands."""
+    """Records log lines, and the order in which commands and messages are handled."""
 
     def __init__(self, planner):
-        self.actions, self.lines = [], []
-        super().__init__(planner, lambda event, **fields: self.lines.append((event, fields)))
+        self.actions, self.log_lines = [], []
+        super().__init__(planner, lambda event, **fields: self.log_lines.append((event, fields)))
 
     def send_messages(self, now, commands, messages, nonces):
-        self.actions.append(("offer", messages, nonces))
+        self.actions.append(("send", messages, nonces))
 
     def log_message(self, command):
         self.actions.append(("log", command.text))
@@ -38,7 +40,7 @@
 
 
 class BatchLoopTest(unittest.TestCase):
-    def test_events_of_one_turn_form_one_batch(self):
+    def test_events_of_one_loop_iteration_form_one_batch(self):
         async def case():
             planner = RecordingPlanner()
             loop = RecordingLoop(planner)
@@ -51,7 +53,7 @@
 
         run(case())
 
-    def test_an_event_for_later_schedules_no_batch(self):
+    def test_submit_later_schedules_no_batch(self):
         async def case():
             planner = RecordingPlanner()
             loop = RecordingLoop(planner)
@@ -60,7 +62,7 @@
 
         run(case())
 
-    def test_handlers_run_before_messages_are_offered(self):
+    def test_handlers_run_before_messages_are_sent(self):
         async def case():
             commands = [
                 interface.SetEntry(0, 5, 1.0),
@@ -74,7 +76,7 @@
             loop.submit(interface.ProxyDisconnected(1))
             await until(lambda: loop.batch_count)
             message = {("bind", 0): 0, ("line", 0, 5): 1.0}
-            self.assertEqual(loop.actions, [("log", "done"), ("offer", {7: message}, {7: [9]})])
+            self.assertEqual(loop.actions, [("log", "done"), ("send", {7: message}, {7: [9]})])
 
         run(case())
 
@@ -93,7 +95,7 @@
             loop = RecordingLoop(RecordingPlanner(ValueError("planted")))
             loop.submit(interface.ProxyDisconnected(1))
             self.assertEqual(await loop.ended, "decide failed: ValueError('planted')")
-            ((event, fields),) = loop.lines
+            ((event, fields),) = loop.log_lines
             self.assertEqual((event, fields["events"]), ("decide failed", ["ProxyDisconnected"]))
             self.assertIn("test_batch_loop.py:", fields["at"])
             self.assertEqual((loop.batch_count, loop.actions), (0, []))
