--- a/tests/controller/test_channel.py
+++ b/tests/controller/test_channel.py
@@ -1,34 +1,34 @@
+"""Pacing, merging and order of the messages in the controller's channel."""
+
 import random
 import unittest
 
 from hypothesis import given
-from hypothesis import strategies as some
+from hypothesis import strategies as st
 
 from peatlead import interface
 from peatlead.controller.channel import Channel
 from peatlead.controller.publisher import Publisher
 from peatlead.controller.view_state import ViewState
 
-COMMANDS = some.lists(
-    some.one_of(
-        some.builds(
+COMMANDS = st.lists(
+    st.one_of(
+        st.builds(
             interface.SetEntry,
-            some.integers(0, 3),
-            some.integers(0, 5),
-            some.sampled_from([0.0, 1.0, 2.0]),
-        ),
-        some.builds(
-            interface.AssignTable, some.integers(0, 2), some.integers(0, 3), some.just((0,))
+            st.integers(0, 3),
+            st.integers(0, 5),
+            st.sampled_from([0.0, 1.0, 2.0]),
         ),
-        some.builds(interface.WithdrawEndpoint, some.integers(0, 5), some.booleans()),
-        some.builds(interface.ClearTable, some.integers(0, 3)),
+        st.builds(interface.AssignTable, st.integers(0, 2), st.integers(0, 3), st.just((0,))),
+        st.builds(interface.WithdrawEndpoint, st.integers(0, 5), st.booleans()),
+        st.builds(interface.ClearTable, st.integers(0, 3)),
     ),
     max_size=12,
 )
 
 
 class ChannelTest(unittest.TestCase):
-    @given(some.lists(COMMANDS, max_size=10), some.integers(0, 2**31))
+    @given(st.lists(COMMANDS, max_size=10), st.integers(0, 2**31))
     def test_views_reach_the_commanded_state_through_a_slow_channel(self, batches, seed):
         rng, channel, publisher = random.Random(seed), Channel(40.0, 3.0, 1000.0), Publisher()
         states, tables, assigned, withdrawn, now = (
@@ -41,8 +41,8 @@
         for view in range(3):
             publisher.join(view)
         for commands in batches:
-            for view, ops in publisher.route(commands)[0].items():
-                channel.enqueue(now, view, ops)
+            for view, operations in publisher.route(commands)[0].items():
+                channel.enqueue(now, view, operations)
             for command in commands:
                 if type(command) is interface.SetEntry:
                     tables.setdefault(command.table, {})[command.endpoint] = command.weight
@@ -59,9 +59,9 @@
             states[view].apply(message.operations)
         for view, state in states.items():
             expected = {
-                h: w
-                for h, w in tables.get(assigned.get(view), {}).items()
-                if w and h not in withdrawn
+                endpoint: weight
+                for endpoint, weight in tables.get(assigned.get(view), {}).items()
+                if weight and endpoint not in withdrawn
             }
             self.assertEqual(state.weights(0), expected)
         self.assertEqual(channel.size, 0.0)
@@ -86,8 +86,8 @@
         state.apply({("bind", 0): 0, **message.operations})
         self.assertEqual(state.weights(0), {})
 
-    def test_removals_leave_first_without_starving_other_messages(self):
-        # At 3,000 proxies a withdrawal waited behind every staged delta and whole table that was offered before it.
+    def test_removals_are_sent_first_without_starving_other_messages(self):
+        # Withdrawals must not wait behind all messages that were queued before them.
         channel = Channel(1e9, 6.0, 1e6)
         for view in range(40):
             channel.enqueue(0.0, view, {("line", view, 1): 1.0})
@@ -95,7 +95,7 @@
             channel.enqueue(0.0, view, {("withdrawn", 3): True})
         sent = [view for view, _ in channel.take_due(1.0)]
         self.assertEqual(sorted(sent), list(range(60)))
-        positions = [at for at, view in enumerate(sent) if view < 20]
+        positions = [position for position, view in enumerate(sent) if view < 20]
         self.assertEqual(positions[:5], [3, 7, 11, 15, 19])
         self.assertEqual([view for view in sent if view >= 20], list(range(20, 60)))
 
@@ -109,7 +109,7 @@
         self.assertEqual([view for view, _ in channel.take_due(1.0)], [1, 2])
         self.assertEqual((len(channel.urgent), len(channel.normal), channel.size), (0, 0, 0.0))
 
-    def test_due_returns_at_most_the_given_number_of_messages(self):
+    def test_take_due_returns_at_most_the_given_number_of_messages(self):
         channel = Channel(1e9, 6.0, 1e6)
         for view in range(100):
             channel.enqueue(0.0, view, {("line", view, 1): 1.0})
--- a/tests/controller/test_dns_controller.py
+++ b/tests/controller/test_dns_controller.py
@@ -1,4 +1,4 @@
-"""A DNS controller from list to answer, and what it does when something fails."""
+"""A DNS controller from the endpoint list to the answer, and its behaviour under failures."""
 
 import asyncio
 import unittest
@@ -12,7 +12,7 @@
 from .connections import dial, start_resolver
 
 
-class FromListToAnswerTest(unittest.TestCase):
+class ListToAnswerTest(unittest.TestCase):
     def test_a_request_reaches_the_endpoint_that_an_answer_named(self):
         async def case(world):
             controller = await world.steward()
@@ -56,7 +56,7 @@
                         "POST", "/look", [("host", "x"), ("req-id", "r")], b"", loop.time() + 0.1
                     )
                     stream.close()
-                except Exception:  # the hung one's clients give up: that is the point
+                except Exception:  # requests to the hung endpoint time out
                     pass
 
             async def send_requests():
@@ -73,7 +73,7 @@
 
         play(case, deep=False)
 
-    def test_a_draining_endpoint_leaves_answers_and_its_name_goes(self):
+    def test_a_draining_endpoint_leaves_answers_and_loses_its_own_name(self):
         async def case(world):
             controller = await world.steward()
             await until(lambda: len(world.named(controller)) == 4)
@@ -86,7 +86,7 @@
 
         self.assertEqual(play(case), (False, True))
 
-    def test_an_empty_torn_or_wrong_list_changes_no_answer(self):
+    def test_an_empty_truncated_or_wrong_list_changes_no_answer(self):
         async def case(world):
             controller = await world.steward()
             await until(lambda: len(world.named(controller)) == 4)
@@ -100,12 +100,12 @@
             self.assertEqual(world.named(controller), {"h0", "h1", "h2", "h3"})
             world.write(b'{"version": 99, "hosts": [{"na')
             await until(lambda: any(event == "list not readable" for event, _ in world.log))
-            kept, world.phases = world.phases, {}
+            phases, world.phases = world.phases, {}
             world.extra, world.version = [], 200
             world.write()
             await until(lambda: controller.endpoint_lists.source.version == 201)
             await asyncio.sleep(0.5)
-            world.phases = kept
+            world.phases = phases
             return world.named(controller)
 
         self.assertEqual(play(case), {"h0", "h1", "h2", "h3"})
@@ -114,20 +114,18 @@
         async def case(world):
             first = await world.steward()
             await until(lambda: len(world.named(first)) == 4)
-            tables = [[seat.lines for seat in view] for view in first.answers.seats]
+            tables = [[source.lines for source in view] for view in first.answers.seats]
             first.stop()
             (world.folder / "nodes.json").unlink()
             restarted = await world.steward("ns2")
-            self.assertEqual(
-                world.named(restarted), set()
-            )  # its own memory is empty: it says so, it makes up nothing
+            self.assertEqual(world.named(restarted), set())  # ns2 has no stored list of its own
             restarted.stop()
             await asyncio.sleep(0.02)
             (world.folder / "state" / "list-ns1").rename(world.folder / "state" / "list-ns2")
             restarted = await world.steward("ns2")
             await until(lambda: world.named(restarted))
             await until(lambda: not restarted.channel.queue)
-            return [[seat.lines for seat in view] for view in restarted.answers.seats] == tables
+            return [[source.lines for source in view] for view in restarted.answers.seats] == tables
 
         self.assertTrue(play(case))
 
@@ -140,24 +138,24 @@
             with mock.patch.object(
                 controller.planner, "end_round", side_effect=ZeroDivisionError("planted")
             ):
-                why = await asyncio.wait_for(controller.ended, 10)
+                reason = await asyncio.wait_for(controller.ended, 10)
             record = dict(world.log)["decide failed"]
             with self.assertRaises(OSError):
                 await dial(world)
-            return why, record["error"], bool(record["at"])
+            return reason, record["error"], bool(record["at"])
 
         self.assertEqual(
             play(case),
             ("decide failed: ZeroDivisionError('planted')", "ZeroDivisionError('planted')", True),
         )
 
-    def test_after_a_stall_no_answers_until_the_list_was_read(self):
+    def test_after_a_stall_no_query_is_answered_until_the_list_was_read(self):
         async def case(world):
             controller, loop = await world.steward(), asyncio.get_running_loop()
             await until(lambda: len(world.named(controller)) == 4)
             resolver = await start_resolver(world)
             self.assertTrue(await resolver.lookup("desk0.api.example.org", "", "desk0"))
-            # It freezes: the list changes, a query waits in its socket, then all of its timers are due at once.
+            # A stall: the list changes and a query waits in the socket before any timer runs.
             controller.endpoint_lists.source.stop()
             world.phases["h0"] = "draining"
             world.write()
@@ -170,20 +168,20 @@
                 or controller.dns_server.fresh_until > loop.time()
             )
             await until(lambda: controller.dns_server.fresh_until > loop.time())
-            return "h0" in world.named(controller), "stood still" in dict(world.log)
+            return "h0" in world.named(controller), "controller stalled" in dict(world.log)
 
         self.assertEqual(play(case), (False, True))
 
-    def test_resolvers_turn_from_a_frozen_controller_to_the_other(self):
+    def test_resolvers_switch_from_a_frozen_controller_to_the_other(self):
         async def case(world):
             controllers = [await world.steward("ns1"), await world.steward("ns2")]
-            await until(lambda: all(world.named(one) for one in controllers))
+            await until(lambda: all(world.named(controller) for controller in controllers))
             controllers[0].answer_freshness.renew = lambda now: None
             controllers[0].dns_server.fresh_until = 0.1
             resolver = await start_resolver(world, servers=("127.1.0.1", "127.1.0.2"))
             return [
-                bool(await resolver.lookup(f"desk{at % 2}.api.example.org", "", "x"))
-                for at in range(6)
+                bool(await resolver.lookup(f"desk{number % 2}.api.example.org", "", "x"))
+                for number in range(6)
             ]
 
         self.assertEqual(play(case), [True] * 6)
@@ -193,11 +191,13 @@
             controllers = [await world.steward("ns1"), await world.steward("ns2")]
             await until(
                 lambda: all(
-                    one.answers.seats[0][0].lines and not one.channel.queue for one in controllers
+                    controller.answers.seats[0][0].lines and not controller.channel.queue
+                    for controller in controllers
                 )
             )
             tables = [
-                [seat.lines for view in one.answers.seats for seat in view] for one in controllers
+                [source.lines for view in controller.answers.seats for source in view]
+                for controller in controllers
             ]
             return tables[0] == tables[1]
 
--- a/tests/controller/test_dns_over_tcp.py
+++ b/tests/controller/test_dns_over_tcp.py
@@ -7,28 +7,30 @@
 import dns.rcode
 
 from ..places import play, until
-from .connections import dial, framed
+from .connections import dial, framed_query
 
 
 class DnsOverTcpTest(unittest.TestCase):
-    def test_pipelined_queries_in_pieces_are_answered_in_order(self):
+    def test_pipelined_queries_in_small_segments_are_answered_in_order(self):
         async def case(world):
             controller = await world.steward()
             await until(lambda: world.named(controller))
             stream = await dial(world)
             names = ["desk0.api.example.org", "example.com", "desk1.api.example.org"]
-            data = b"".join(map(framed, names))
-            for at in range(0, len(data), 7):
-                stream.send(data[at : at + 7])
+            data = b"".join(map(framed_query, names))
+            for start in range(0, len(data), 7):
+                stream.send(data[start : start + 7])
                 await asyncio.sleep(0)
-            answers, at = [], 0
+            answers, start = [], 0
             await until(lambda: len(stream.received_bytes) > 130)
-            while at < len(stream.received_bytes):
-                size = int.from_bytes(stream.received_bytes[at : at + 2], "big")
-                answers.append(dns.message.from_wire(stream.received_bytes[at + 2 : at + 2 + size]))
-                at += 2 + size
+            while start < len(stream.received_bytes):
+                size = int.from_bytes(stream.received_bytes[start : start + 2], "big")
+                answers.append(
+                    dns.message.from_wire(stream.received_bytes[start + 2 : start + 2 + size])
+                )
+                start += 2 + size
             stream.close()
-            return [(one.question[0].name.to_text(), one.rcode()) for one in answers]
+            return [(answer.question[0].name.to_text(), answer.rcode()) for answer in answers]
 
         self.assertEqual(
             play(case),
@@ -39,7 +41,7 @@
             ],
         )
 
-    def test_idle_and_malformed_peers_are_cut_and_the_idlest_is_evicted(self):
+    def test_idle_and_malformed_connections_are_cut_and_the_longest_idle_is_evicted(self):
         async def case(world):
             world.settings["dns"]["tcp_idle"], world.settings["dns"]["tcp_most"] = 0.3, 3
             controller = await world.steward()
--- a/tests/controller/test_endpoint_registry.py
+++ b/tests/controller/test_endpoint_registry.py
@@ -1,3 +1,5 @@
+"""Numbers and start times of listed endpoints."""
+
 import unittest
 
 from peatlead.controller.endpoint_registry import EndpointRegistry
@@ -25,14 +27,14 @@
         )
         self.assertEqual((first.id, restarted.id), (0, 0))
 
-    def test_endpoints_of_unknown_zones_are_left_out(self):
+    def test_endpoints_of_unknown_zones_are_omitted(self):
         registry = EndpointRegistry(
             [zone["name"] for zone in settings()["zone"]], lambda *_, **__: None
         )
-        listing = EndpointList(
+        endpoint_list = EndpointList(
             "whole", 1, 0.0, read_document(document({**HOST, "zone": "mars"})).hosts
         )
-        self.assertEqual(registry.endpoint_update(listing, 0.0).endpoints, ())
+        self.assertEqual(registry.endpoint_update(endpoint_list, 0.0).endpoints, ())
 
     def test_a_forgotten_endpoint_is_listed_again_under_a_new_number(self):
         registry = EndpointRegistry(["north"], lambda *_, **__: None)
@@ -42,4 +44,6 @@
         again = registry.endpoint_update(
             read_document(document(HOST, version=2, written=130.0)), 1031.0
         )
-        self.assertEqual([(one.id, one.started_at) for one in again.endpoints], [(1, 951.0)])
+        self.assertEqual(
+            [(endpoint.id, endpoint.started_at) for endpoint in again.endpoints], [(1, 951.0)]
+        )
--- a/tests/controller/test_health_checks.py
+++ b/tests/controller/test_health_checks.py
@@ -7,7 +7,7 @@
 
 
 class HealthChecksTest(unittest.TestCase):
-    def test_checks_in_flight_and_waiting_are_bounded(self):
+    def test_running_and_waiting_checks_are_bounded(self):
         async def case(world):
             controller = await world.steward()
             prober = controller.health_checks.prober
@@ -19,7 +19,7 @@
 
         self.assertEqual(play(case), (2, 3, 5))
 
-    def test_admission_reaches_endpoints_with_checks_and_the_mean_of_two_controllers_counts(self):
+    def test_checks_carry_admission_and_endpoints_use_the_mean_of_two_controllers(self):
         async def case(world):
             controller = await world.steward()
             await until(lambda: world.named(controller))
@@ -28,7 +28,7 @@
             await until(lambda: all(host.level("look", now()) == 0.4 for host in world.hosts))
             world.hosts[0].levels["look", "other"] = 0.2, now()
             self.assertAlmostEqual(world.hosts[0].level("look", now()), 0.3)
-            # What a dead controller ordered must not hold for good.
+            # The admitted fraction of a dead controller must expire.
             return world.hosts[0].level("look", now() + 60.0)
 
         self.assertEqual(play(case), 1.0)
--- a/tests/controller/test_many_proxies.py
+++ b/tests/controller/test_many_proxies.py
@@ -1,6 +1,6 @@
 """The gRPC server under mass reconnection, slow readers and hostile peers.
 
-Small here; at full size in `peatlead.benchmarks.herd`.
+`peatlead.benchmarks.herd` runs the same load at full size.
 """
 
 import asyncio
@@ -34,7 +34,7 @@
 
 
 def client_connection():
-    """The client's side of an HTTP/2 connection, with its first bytes waiting."""
+    """The client's side of an HTTP/2 connection, with its preface waiting to be sent."""
     client = h2.connection.H2Connection(h2.config.H2Configuration(header_encoding="utf-8"))
     client.initiate_connection()
     return client
@@ -50,10 +50,10 @@
 
 
 class HostilePeersTest(unittest.IsolatedAsyncioTestCase):
-    """Each attack ends the peer's connection after a bounded number of bytes and leaves no state."""
+    """Each attack ends the connection after a bounded number of bytes and leaves no state."""
 
     def start(self):
-        """A server's connection and the transport that it writes to."""
+        """Return a server-side connection and the transport that it writes to."""
         self.calls = []
         transport = InMemoryTransport()
         connection = Connection(False, self.calls.append, ping_every=0.0)
@@ -61,6 +61,7 @@
         return connection, transport
 
     def feed(self, connection, data):
+        """Pass data to a connection until it closes; return the number of accepted bytes."""
         for start in range(0, len(data), 16384):
             if connection.transport.is_closing():
                 return start
@@ -68,7 +69,7 @@
         return len(data)
 
     def repetitions_until_closed(self, first, repeated, limit=3000):
-        """How many times `repeated(number)` was taken after `first`."""
+        """Return how often `repeated(number)` was accepted before the connection ended."""
         connection, transport = self.start()
         self.feed(connection, first)
         for number in range(limit):
@@ -79,21 +80,21 @@
             self.feed(connection, repeated(number))
         self.fail("the connection was never closed")
 
-    async def test_a_header_block_without_end_is_cut(self):
+    async def test_an_endless_header_block_ends_the_connection(self):
         first = HeadersFrame(1, b"\x00" * 10)
         data = client_connection().data_to_send() + first.serialize()
         self.assertLess(
             self.repetitions_until_closed(
-                data, lambda at: ContinuationFrame(1, b"\x00" * 100).serialize()
+                data, lambda number: ContinuationFrame(1, b"\x00" * 100).serialize()
             ),
             100,
         )
 
-    async def test_headers_that_expand_far_beyond_their_size_are_cut(self):
+    async def test_a_header_block_that_expands_to_megabytes_ends_the_connection(self):
         client = client_connection()
         client.send_headers(1, HEADERS)
         whole = client.data_to_send()
-        # One long value goes into the table, then a byte each names it again: 4 KB unfold to megabytes.
+        # HPACK (RFC 7541): a long value enters the dynamic table; each further byte repeats it.
         value = b"\x40\x01a" + b"\x7f\xa1\x1e" + b"x" * 4000
         block = value + b"\xbe" * 8000
         connection, transport = self.start()
@@ -103,50 +104,51 @@
         self.assertEqual((len(self.calls), transport.closed), (1, True))
         self.assertLess(MAX_HEADER_LIST, 65536)
 
-    async def test_empty_frames_are_cut(self):
+    async def test_a_flood_of_empty_frames_ends_the_connection(self):
         client = client_connection()
         client.send_headers(1, HEADERS)
         self.assertLess(
             self.repetitions_until_closed(
-                client.data_to_send(), lambda at: DataFrame(1, b"").serialize()
+                client.data_to_send(), lambda number: DataFrame(1, b"").serialize()
             ),
             300,
         )
 
-    async def test_needless_window_updates_are_cut(self):
+    async def test_a_flood_of_window_updates_ends_the_connection(self):
         client = client_connection()
         client.send_headers(1, HEADERS)
         whole = client.data_to_send()
         self.assertLess(
             self.repetitions_until_closed(
-                whole, lambda at: WindowUpdateFrame(0, window_increment=1).serialize()
+                whole, lambda number: WindowUpdateFrame(0, window_increment=1).serialize()
             ),
             300,
         )
 
-    async def test_settings_that_change_the_window_back_and_forth_are_cut(self):
+    async def test_a_flood_of_window_size_changes_ends_the_connection(self):
         self.assertLess(
             self.repetitions_until_closed(
                 client_connection().data_to_send(),
-                lambda at: SettingsFrame(
-                    0, settings={SettingsFrame.INITIAL_WINDOW_SIZE: at % 2}
+                lambda number: SettingsFrame(
+                    0, settings={SettingsFrame.INITIAL_WINDOW_SIZE: number % 2}
                 ).serialize(),
             ),
             300,
         )
 
-    async def test_streams_that_are_opened_and_reset_at_once_are_cut(self):
+    async def test_a_flood_of_reset_streams_ends_the_connection(self):
         client = client_connection()
         self.repetitions_until_closed(
-            client.data_to_send(), lambda at: self.opened_and_reset(client, 2 * at + 1)
+            client.data_to_send(), lambda number: self.opened_and_reset(client, 2 * number + 1)
         )
 
     def opened_and_reset(self, client, number):
+        """The bytes that open a stream and reset it."""
         client.send_headers(number, HEADERS)
         client.reset_stream(number)
         return client.data_to_send()
 
-    async def test_a_window_that_never_opens_bounds_the_waiting_output(self):
+    async def test_output_for_a_peer_with_a_closed_window_is_bounded(self):
         client = client_connection()
         client.update_settings({h2.settings.SettingCodes.INITIAL_WINDOW_SIZE: 1})
         client.send_headers(1, HEADERS)
@@ -175,7 +177,7 @@
         connection.connection_lost(None)
         self.assertEqual((connection.calls, call.over), ({}, True))
 
-    async def test_random_changes_of_the_bytes_raise_nothing(self):
+    async def test_randomly_corrupted_input_raises_nothing(self):
         rng = random.Random(8)
         client = client_connection()
         client.send_headers(1, HEADERS)
@@ -187,28 +189,28 @@
             connection, _ = self.start()
             data = bytearray(whole)
             for _ in range(rng.randrange(1, 8)):
-                at = rng.randrange(len(data))
-                data[at : at + rng.randrange(3)] = rng.randbytes(rng.randrange(3))
+                start = rng.randrange(len(data))
+                data[start : start + rng.randrange(3)] = rng.randbytes(rng.randrange(3))
             self.feed(connection, bytes(data))
             connection.connection_lost(None)
             self.assertEqual(connection.calls, {})
 
 
 class MassReconnectionTest(unittest.TestCase):
-    def test_all_rejoin_at_once_while_a_zone_drains_a_third_does_not_read_and_one_floods(self):
+    def test_all_proxies_rejoin_while_a_zone_drains_some_do_not_read_and_one_floods(self):
         async def case(world):
             controller = await world.steward()
             received = []
-            real = controller.planner.handlers[interface.EndpointStats]
+            handler = controller.planner.handlers[interface.EndpointStats]
             controller.planner.handlers[interface.EndpointStats] = lambda event: (
                 received.append(event),
-                real(event),
+                handler(event),
             )
             grpc_address = "127.1.0.1", world.port + 2
             first = [Agent(number, grpc_address) for number in range(36)]
             await asyncio.gather(*(agent.begin() for agent in first))
             await until(lambda: all(agent.seen for agent in first))
-            for agent in first:  # every one of them dials anew
+            for agent in first:  # all proxies reconnect
                 agent.connection.cut("herd")
             again = [Agent(number, grpc_address) for number in range(36)]
             world.phases.update(
@@ -227,19 +229,19 @@
             loads.send(request)
             for _ in range(300):
                 loads.send(request)
-            await until(lambda: controller.overload.shed["reports early"] > 250)
+            await until(lambda: controller.overload.shed_counts["reports early"] > 250)
             await until(lambda: received)
             read = sum(event.attempts for event in received)
             self.assertLess(read, 20 * 7)
-            # One that reads nothing holds its newest state and no more, however often the list changes.
-            for at in range(20):
-                world.phases["h0"] = "draining" if at % 2 else "ready"
+            # However often the list changes, only the newest state waits for a slow reader.
+            for change in range(20):
+                world.phases["h0"] = "draining" if change % 2 else "ready"
                 world.write()
                 await asyncio.sleep(0.03)
             calls = [
                 call
-                for one in controller.proxies.server.connections.streams
-                for call in one.calls.values()
+                for connection in controller.proxies.server.connections.streams
+                for call in connection.calls.values()
             ]
             self.assertTrue(calls and all(call.waiting < 10_000 for call in calls))
             self.assertEqual(len(controller.proxies.server.sessions), 36)
@@ -254,40 +256,40 @@
         play(case, script=GRPC_SCRIPT)
 
     def report(self, agent):
-        """A load report with an unlisted endpoint, overflowing counts and a negative interval too."""
+        """A load report with an unlisted endpoint, overflowing counts and a negative interval."""
         request = lrs_pb2.LoadStatsRequest()
         request.node.id = f"agent{agent.at}"
         cluster = request.cluster_stats.add(cluster_name="look")
         cluster.load_report_interval.FromMilliseconds(1000)
-        place = cluster.upstream_locality_stats.add()
-        for address, good in ((min(agent.hosts), 7), ("203.0.113.9", 7), ("127.10.9.2", 2**62)):
-            one = place.upstream_endpoint_stats.add(total_successful_requests=good)
-            one.address.socket_address.address = address
-            one.address.socket_address.port_value = agent.controller[1] - 2
-        back = request.cluster_stats.add(cluster_name="file", total_dropped_requests=2**63)
-        back.load_report_interval.FromNanoseconds(-5_000_000_000)
+        locality = cluster.upstream_locality_stats.add()
+        for address, count in ((min(agent.hosts), 7), ("203.0.113.9", 7), ("127.10.9.2", 2**62)):
+            endpoint = locality.upstream_endpoint_stats.add(total_successful_requests=count)
+            endpoint.address.socket_address.address = address
+            endpoint.address.socket_address.port_value = agent.controller[1] - 2
+        dropped = request.cluster_stats.add(cluster_name="file", total_dropped_requests=2**63)
+        dropped.load_report_interval.FromNanoseconds(-5_000_000_000)
         return request.SerializeToString()
 
-    def test_a_batch_longer_than_a_timer_round_brings_no_burst_of_rounds(self):
+    def test_a_batch_longer_than_a_timer_round_causes_no_burst_of_rounds(self):
         async def case(world):
             controller, fired = await world.steward(), []
-            loop, real = asyncio.get_running_loop(), controller.planner.decide
+            loop, decide_batch = asyncio.get_running_loop(), controller.planner.decide
 
             def decide(now, events):
                 ticks = sum(type(event) is interface.TimerFired for event in events)
                 if ticks:
                     fired.append((loop.time(), ticks))
                     if len(fired) == 3:
-                        until_then = loop.time() + 0.55
-                        while loop.time() < until_then:
+                        end = loop.time() + 0.55
+                        while loop.time() < end:
                             pass
-                return real(now, events)
+                return decide_batch(now, events)
 
             controller.planner.decide = decide
             await until(lambda: len(fired) >= 12)
             self.assertEqual({ticks for _, ticks in fired}, {1})
             gaps = [after - before for (before, _), (after, _) in zip(fired, fired[1:])]
-            self.assertGreater(min(gaps), 0.09)  # of the timer's own: never two in a row
-            self.assertGreater(controller.overload.late, 0.0)
+            self.assertGreater(min(gaps), 0.09)  # seconds: no two rounds in a row
+            self.assertGreater(controller.overload.mean_lateness, 0.0)
 
         play(case, script=GRPC_SCRIPT)
--- a/tests/controller/test_operator_queries.py
+++ b/tests/controller/test_operator_queries.py
@@ -27,7 +27,7 @@
 
         self.assertEqual(play(case), 0)
 
-    def test_why_describes_an_endpoint_from_the_planner(self):
+    def test_why_describes_an_endpoint_with_the_planners_state(self):
         async def case(world):
             controller = await world.steward()
             await until(lambda: len(world.named(controller)) == 4)
@@ -65,7 +65,7 @@
         self.assertEqual((answer["cold for s"], answer["out for s more"]), (None, None))
         self.assertEqual(answer["holders"], holders)
 
-    def test_drained_says_until_when_answers_may_name_an_endpoint(self):
+    def test_drained_reports_until_when_cached_answers_may_name_an_endpoint(self):
         async def case(world):
             controller = await world.steward()
             await until(lambda: len(world.named(controller)) == 4)
--- a/tests/controller/test_overload.py
+++ b/tests/controller/test_overload.py
@@ -1,7 +1,9 @@
+"""Shedding of load reports, joins and queries while the controller runs late."""
+
 import unittest
 
 from hypothesis import given
-from hypothesis import strategies as some
+from hypothesis import strategies as st
 
 from peatlead.controller import overload
 from peatlead.controller.overload import (
@@ -15,115 +17,144 @@
 
 
 class SimulatedProxies:
-    """Proxies that report, and a controller whose timer is late by the cost of the reports it reads."""
+    """Proxies that report to a controller whose timer is late by the cost of processed reports.
+
+    With `follow_interval` the proxies report at the interval that the controller sets.
+    """
 
-    def __init__(self, senders, cost, follow=True, every=1.0):
-        self.overload, self.senders = OverloadControl(every, lambda low, high: low), senders
-        self.cost, self.follow = cost, follow
-        self.now, self.next, self.last, self.turn = (
+    def __init__(self, proxies, cost, follow_interval=True, report_interval=1.0):
+        self.overload, self.proxies = (
+            OverloadControl(report_interval, lambda low, high: low),
+            proxies,
+        )
+        self.cost, self.follow_interval = cost, follow_interval
+        self.now, self.next_report_at, self.last_read_at, self.report_counts = (
             0.0,
-            [at / senders for at in range(senders)],
+            [proxy / proxies for proxy in range(proxies)],
             {},
             {},
         )
-        self.read, self.sent, self.late, self.orders, self.backlog = [0] * senders, 0, 0.0, [], 0.0
+        self.read, self.sent, self.late, self.commands, self.backlog = (
+            [0] * proxies,
+            0,
+            0.0,
+            [],
+            0.0,
+        )
 
     def run(self, seconds, extra=0.0):
-        """`extra` is the part of the time that other work takes."""
+        """Simulate a time; `extra` is the fraction of the time that other work takes."""
         for _ in range(round(seconds * 10)):
             self.now += 0.1
             spent = extra * 0.1
-            for at in range(self.senders):
-                while self.next[at] <= self.now:
+            for proxy in range(self.proxies):
+                while self.next_report_at[proxy] <= self.now:
                     self.sent += 1
-                    if self.overload.takes_report(
-                        self.next[at], self.last.get(at), self.turn.get(at, 0)
+                    if self.overload.accepts_report(
+                        self.next_report_at[proxy],
+                        self.last_read_at.get(proxy),
+                        self.report_counts.get(proxy, 0),
                     ):
-                        self.read[at] += 1
-                        self.last[at] = self.next[at]
+                        self.read[proxy] += 1
+                        self.last_read_at[proxy] = self.next_report_at[proxy]
                         self.overload.decide(self.now, [ReportsRead(1, self.cost)])
                         spent += self.cost
-                    self.turn[at] = self.turn.get(at, 0) + 1
-                    part = at * 619 % 997 / 996
-                    self.next[at] += (
-                        self.overload.report_interval_of(part)
-                        if self.follow
-                        else self.overload.every
+                    self.report_counts[proxy] = self.report_counts.get(proxy, 0) + 1
+                    phase = proxy * 619 % 997 / 996
+                    self.next_report_at[proxy] += (
+                        self.overload.report_interval_of(phase)
+                        if self.follow_interval
+                        else self.overload.configured_interval
                     )
             self.backlog = max(0.0, self.backlog + spent - 0.1)
             self.late = self.backlog
-            self.orders += self.overload.decide(self.now, [TimerLateness(self.late, self.senders)])
+            self.commands += self.overload.decide(
+                self.now, [TimerLateness(self.late, self.proxies)]
+            )
 
 
 class LoadReportTest(unittest.TestCase):
     def test_with_headroom_all_reports_are_read_without_commands(self):
-        control = SimulatedProxies(100, 0.0005)
-        control.run(20)
-        self.assertEqual(sum(control.read), control.sent)
-        self.assertEqual((control.orders, control.overload.headroom), ([], 1.0))
-
-    def test_many_proxies_get_a_longer_interval_and_are_all_read(self):
-        control = SimulatedProxies(3000, 0.0004)  # 1.2 s of work a second
-        control.run(40)
-        told = [order.seconds for order in control.orders if type(order) is SetReportInterval]
+        simulation = SimulatedProxies(100, 0.0005)
+        simulation.run(20)
+        self.assertEqual(sum(simulation.read), simulation.sent)
+        self.assertEqual((simulation.commands, simulation.overload.headroom), ([], 1.0))
+
+    def test_many_proxies_get_a_longer_interval_and_nearly_all_reports_are_read(self):
+        simulation = SimulatedProxies(3000, 0.0004)  # 1.2 s of work per second
+        simulation.run(40)
+        intervals = [
+            command.seconds for command in simulation.commands if type(command) is SetReportInterval
+        ]
         self.assertTrue(
-            told and told[-1] >= 1.2 / overload.REPORT_SHARE / overload.INTERVAL_STEP, told
+            intervals
+            and intervals[-1] >= 1.2 / overload.MAX_REPORT_FRACTION / overload.INTERVAL_STEP_FACTOR,
+            intervals,
         )
-        self.assertLess(len(told), 6)
-        before, sent = sum(control.read), control.sent
-        control.run(30)
-        self.assertGreater((sum(control.read) - before) / (control.sent - sent), 0.9)
-        self.assertLess(control.late, overload.LATE_SEVERE)
-
-    def test_proxies_that_ignore_the_interval_are_read_in_equal_parts(self):
-        control = SimulatedProxies(3000, 0.0004, follow=False)
-        control.run(60)
-        self.assertLess(control.late, overload.LATE_SEVERE)
-        self.assertGreater(min(control.read), 0)
-        self.assertLessEqual(max(control.read), 3 * min(control.read) + 3)
+        self.assertLess(len(intervals), 6)
+        before, sent = sum(simulation.read), simulation.sent
+        simulation.run(30)
+        self.assertGreater((sum(simulation.read) - before) / (simulation.sent - sent), 0.9)
+        self.assertLess(simulation.late, overload.SEVERE_LATENESS)
+
+    def test_reports_are_shed_evenly_over_proxies_that_ignore_the_interval(self):
+        simulation = SimulatedProxies(3000, 0.0004, follow_interval=False)
+        simulation.run(60)
+        self.assertLess(simulation.late, overload.SEVERE_LATENESS)
+        self.assertGreater(min(simulation.read), 0)
+        self.assertLessEqual(max(simulation.read), 3 * min(simulation.read) + 3)
         self.assertGreater(
-            control.overload.shed["reports"] + control.overload.shed["reports early"], 0
+            simulation.overload.shed_counts["reports"]
+            + simulation.overload.shed_counts["reports early"],
+            0,
         )
 
     def test_other_load_lowers_the_headroom_until_it_ends(self):
-        control = SimulatedProxies(500, 0.0004)
-        control.run(10)
-        control.run(10, extra=1.05)
-        self.assertLess(control.overload.headroom, 0.2)
+        simulation = SimulatedProxies(500, 0.0004)
+        simulation.run(10)
+        simulation.run(10, extra=1.05)
+        self.assertLess(simulation.overload.headroom, 0.2)
         self.assertTrue(
-            any(type(order) is SetGatherWindow and order.seconds > 0 for order in control.orders)
+            any(
+                type(command) is SetGatherWindow and command.seconds > 0
+                for command in simulation.commands
+            )
         )
-        self.assertTrue(any(type(order) is LogOverload for order in control.orders))
-        control.run(120)
+        self.assertTrue(any(type(command) is LogOverload for command in simulation.commands))
+        simulation.run(120)
         self.assertEqual(
-            (control.overload.headroom, control.overload.interval, control.overload.gather),
+            (
+                simulation.overload.headroom,
+                simulation.overload.interval,
+                simulation.overload.gather_window,
+            ),
             (1.0, 1.0, 0.0),
         )
 
     def test_a_flooding_proxy_does_not_affect_the_others(self):
         control = OverloadControl(1.0, lambda low, high: low)
-        last, read, others, now = None, 0, 0, 0.0
-        for step in range(2000):  # 100 a second for 20 s
+        last_read_at, read, others, now = None, 0, 0, 0.0
+        for step in range(2000):  # 100 reports per second for 20 s
             now += 0.01
-            if control.takes_report(now, last, step):
-                read, last = read + 1, now
+            if control.accepts_report(now, last_read_at, step):
+                read, last_read_at = read + 1, now
                 control.decide(now, [ReportsRead(1, 0.0004)])
             if step % 100 == 0:
-                others += control.takes_report(now, now - 1.0, step // 100)
+                others += control.accepts_report(now, now - 1.0, step // 100)
             if step % 10 == 0:
                 control.decide(now, [TimerLateness(0.0, 2)])
-        self.assertLessEqual(read, 20 / overload.EARLY_SHARE + 1)
-        self.assertEqual((others, control.share), (20, 1.0))
+        self.assertLessEqual(read, 20 / overload.EARLY_REPORT_FRACTION + 1)
+        self.assertEqual((others, control.read_fraction), (20, 1.0))
 
-    @given(some.integers(1, 400), some.floats(0.01, 1.0))
-    def test_the_share_is_spread_evenly_over_reports(self, turns, share):
+    @given(st.integers(1, 400), st.floats(0.01, 1.0))
+    def test_the_read_fraction_is_spread_evenly_over_reports(self, count, fraction):
         control = OverloadControl(1.0, lambda low, high: low)
-        control.share = share
-        taken = [control.takes_report(float(at), None, at) for at in range(turns)]
-        self.assertLessEqual(abs(sum(taken) - turns * share), 1.0)
-        self.assertTrue(taken[0])
+        control.read_fraction = fraction
+        accepted = [control.accepts_report(float(index), None, index) for index in range(count)]
+        self.assertLessEqual(abs(sum(accepted) - count * fraction), 1.0)
+        self.assertTrue(accepted[0])
 
-    def test_a_single_stall_is_soon_over(self):
+    def test_the_headroom_recovers_soon_from_a_single_stall(self):
         control, now = OverloadControl(1.0, lambda low, high: low), 0.0
         for late in [0.0] * 5 + [9.0] + [0.0] * 40:
             now += 0.1
@@ -131,21 +162,21 @@
         self.assertEqual((control.headroom, control.interval), (1.0, 1.0))
 
     @given(
-        some.lists(
-            some.tuples(some.floats(0, 3), some.integers(0, 5000), some.floats(0, 0.01)),
+        st.lists(
+            st.tuples(st.floats(0, 3), st.integers(0, 5000), st.floats(0, 0.01)),
             max_size=80,
         )
     )
-    def test_outputs_stay_within_their_bounds(self, beats):
+    def test_outputs_stay_within_their_bounds(self, timers):
         control, now = OverloadControl(1.0, lambda low, high: low), 0.0
-        for late, senders, cost in beats:
+        for late, proxies, cost in timers:
             now += 0.1
-            orders = control.decide(now, [ReportsRead(3, 3 * cost), TimerLateness(late, senders)])
-            for order in orders:
-                if type(order) is SetReportInterval:
-                    self.assertTrue(1.0 <= order.seconds <= overload.INTERVAL_FACTOR_MOST)
-            self.assertTrue(0.0 <= control.headroom <= 1.0 and 0.0 < control.share <= 1.0)
-            self.assertTrue(0.0 <= control.gather <= overload.GATHER_MOST)
+            commands = control.decide(now, [ReportsRead(3, 3 * cost), TimerLateness(late, proxies)])
+            for command in commands:
+                if type(command) is SetReportInterval:
+                    self.assertTrue(1.0 <= command.seconds <= overload.MAX_INTERVAL_FACTOR)
+            self.assertTrue(0.0 <= control.headroom <= 1.0 and 0.0 < control.read_fraction <= 1.0)
+            self.assertTrue(0.0 <= control.gather_window <= overload.MAX_GATHER_FRACTION)
 
 
 class JoinAndQueryTest(unittest.TestCase):
@@ -153,12 +184,12 @@
         control = OverloadControl(1.0, lambda low, high: low)
         control.headroom = 0.0
         self.assertTrue(all(control.join_delay(0.0, True) == 0.0 for _ in range(5000)))
-        waits = [control.join_delay(0.0, False) for _ in range(5000)]
-        self.assertGreater(sum(wait > 0 for wait in waits), 4000)
-        self.assertEqual(control.shed["joins"], sum(wait > 0 for wait in waits))
+        delays = [control.join_delay(0.0, False) for _ in range(5000)]
+        self.assertGreater(sum(delay > 0 for delay in delays), 4000)
+        self.assertEqual(control.shed_counts["joins"], sum(delay > 0 for delay in delays))
 
     def test_queries_are_limited_but_never_all_refused(self):
         control = OverloadControl(1.0, lambda low, high: low)
         control.headroom = 0.0
-        taken = [control.takes_question(at * 0.01) for at in range(1000)]
-        self.assertTrue(10 <= sum(taken) <= 100, sum(taken))
+        accepted = [control.accepts_query(number * 0.01) for number in range(1000)]
+        self.assertTrue(10 <= sum(accepted) <= 100, sum(accepted))
--- a/tests/controller/test_pin_targets.py
+++ b/tests/controller/test_pin_targets.py
@@ -1,4 +1,4 @@
-"""The past tables of pins, as controllers exchange them."""
+"""Pin targets: lookup, storage and exchange between controllers."""
 
 import unittest
 from types import SimpleNamespace
@@ -35,31 +35,32 @@
         pin = self.pins.make(100.0, "all", target="back", to="60")
         self.active = self.pins.held[pin.id]
 
-    def announce(self, version, weight, pin_id=None):
+    def receive_target(self, version, weight, pin_id=None):
+        """Receive an announcement of a table with one line from another controller."""
         key = pin_id or self.active.pin.id, PROXY
         self.targets.receive(write_announcement(key, PastTable(version, {LINE: weight})))
 
-    def test_an_announcement_survives_the_wire_with_its_lines_alone(self):
+    def test_an_announcement_is_decoded_to_its_lines_without_other_items(self):
         past = PastTable(Version(3, 4), {LINE: 500, "level/look": 1})
         key, received = read_announcement(write_announcement(("ns1-1", PROXY), past))
         self.assertEqual(key, ("ns1-1", PROXY))
         self.assertEqual(received, PastTable(Version(3, 4), {LINE: 500}))
 
-    def test_of_several_announcements_the_highest_version_counts(self):
+    def test_of_several_announcements_the_highest_version_is_used(self):
         for version, weight in ((Version(2, 1), 100), (Version(3, 1), 200), (Version(1, 9), 300)):
-            self.announce(version, weight)
+            self.receive_target(version, weight)
         self.assertEqual(self.targets.lines(self.active, PROXY), {LINE: 200})
 
     def test_an_announcement_replaces_an_unknown_target(self):
         self.assertEqual(self.targets.lines(self.active, PROXY), {})
         self.assertEqual(self.targets.unknown, {(self.active.pin.id, PROXY)})
-        self.announce(Version(2, 1), 100)
+        self.receive_target(Version(2, 1), 100)
         self.assertEqual(self.targets.lines(self.active, PROXY), {LINE: 100})
         self.assertFalse(self.targets.unknown)
 
-    def test_announcements_for_pins_that_are_not_known_are_dropped(self):
-        self.announce(Version(2, 1), 100, pin_id="ns9-1")
-        self.assertFalse(self.targets.offered)
+    def test_announcements_for_unknown_pins_are_dropped(self):
+        self.receive_target(Version(2, 1), 100, pin_id="ns9-1")
+        self.assertFalse(self.targets.announced_targets)
 
     def test_a_table_older_than_the_pin_is_found_by_its_time(self):
         self.store.commit(PROXY, Version(1, 1), 900.0, (), {LINE: 100})
@@ -67,12 +68,12 @@
         found = self.targets.find(self.active, PROXY)
         self.assertEqual(found, PastTable(Version(1, 1), {LINE: 100}))
 
-    def test_what_belongs_to_a_forgotten_pin_is_dropped_from_disk_too(self):
-        self.announce(Version(2, 1), 100)
+    def test_the_targets_of_a_forgotten_pin_are_also_dropped_from_disk(self):
+        self.receive_target(Version(2, 1), 100)
         self.targets.lines(self.active, PROXY)
-        note = f"wish/{self.active.pin.id}/{PROXY}"
-        self.assertEqual(msgspec.msgpack.decode(self.log.noted[note]), {LINE: 100})
+        log_key = f"wish/{self.active.pin.id}/{PROXY}"
+        self.assertEqual(msgspec.msgpack.decode(self.log.noted[log_key]), {LINE: 100})
         self.pins.held.clear()
         self.targets.forget_ended()
-        self.assertNotIn(note, self.log.noted)
-        self.assertFalse(self.targets.offered)
+        self.assertNotIn(log_key, self.log.noted)
+        self.assertFalse(self.targets.announced_targets)
--- a/tests/controller/test_pinned_tables.py
+++ b/tests/controller/test_pinned_tables.py
@@ -1,4 +1,4 @@
-"""Pinned tables in running controllers: over real sockets, and in a simulated fleet."""
+"""Pinned tables in controllers on real sockets, and in a simulated fleet."""
 
 import asyncio
 import unittest
@@ -18,7 +18,7 @@
 
 
 class RunningControllerTest(unittest.TestCase):
-    """A controller of DNS views with a list and endpoints of its own."""
+    """A controller with DNS views, an endpoint list and stand-in endpoints."""
 
     def test_a_rollback_restores_the_old_table_without_draining_endpoints(self):
         async def case(world):
@@ -30,13 +30,17 @@
             await until(lambda: world.named(controller) == {"h1", "h2", "h3"})
             log = ask(controller, "log", proxy="desk0")["versions"]
             self.assertTrue(
-                any("h0" in cause and "drains" in cause for one in log for cause in one["causes"]),
+                any(
+                    "h0" in cause and "drains" in cause
+                    for version in log
+                    for cause in version["causes"]
+                ),
                 log,
             )
             diff = ask(controller, "diff", proxy="desk0", one=before, other=log[-1]["version"])[
                 "changes"
             ]
-            self.assertIn(("h0", None), [(one["host"], one["value"]) for one in diff])
+            self.assertIn(("h0", None), [(change["host"], change["value"]) for change in diff])
             dry = ask(
                 controller,
                 "pin",
@@ -64,12 +68,12 @@
 
         play(case)
 
-    def test_a_rollback_past_the_removal_of_a_zone(self):
+    def test_a_rollback_to_before_the_removal_of_a_zone(self):
         async def case(world):
             controller = await world.steward()
             await until(lambda: len(world.named(controller)) == 4)
             before = ask(controller, "show", proxy="desk1")["version"]
-            world.phases.update(h1="draining", h3="draining")  # all of the south, desk1's own zone
+            world.phases.update(h1="draining", h3="draining")  # all endpoints of desk1's zone
             world.write()
             await until(lambda: world.named(controller, "desk1") == {"h0", "h2"})
             ask(
@@ -81,7 +85,7 @@
                 to=before,
                 over=0.0,
             )
-            await until(lambda: controller.publication.covered)
+            await until(lambda: controller.publication.applied_pins)
             dry = ask(
                 controller, "pin", dry=True, whom="zone", which="south", target="back", to="60"
             )
@@ -113,11 +117,11 @@
             controller = await world.steward()
             await until(lambda: len(world.named(controller)) == 4)
             pin = ask(controller, "pin", whom="all", over=0.0)["pin"]
-            await until(lambda: controller.publication.covered)
+            await until(lambda: controller.publication.applied_pins)
             versions = controller.publication.store.entry_count
-            controller.publication.log.close = lambda: None  # killed: nothing is closed
+            controller.publication.log.close = lambda: None  # a killed controller closes nothing
             controller.stop()
-            await asyncio.sleep(0.05)  # its sockets are closed by the loop
+            await asyncio.sleep(0.05)  # until the loop has closed its sockets
             restarted = await world.steward()
             self.assertIn(pin, restarted.publication.pins.standing())
             self.assertGreaterEqual(restarted.publication.store.entry_count, versions)
@@ -127,7 +131,7 @@
         play(case)
 
     def test_a_restarted_controller_refuses_a_list_older_than_the_stored_one(self):
-        # Seed 80149 of the lab: killed after a drain, it came back to an old list and named the drained endpoint again.
+        # After a restart an older list must not bring a drained endpoint back into answers.
         async def case(world):
             controller = await world.steward()
             old = (world.folder / "nodes.json").read_bytes()
@@ -164,6 +168,7 @@
 
 
 def play_scenario(text, seed):
+    """Play a script on a simulated fleet of three controllers."""
     base = (
         "fleet(zones = ['a', 'b'], hosts = 8, warm_after = 5)\ndesks(views = 0, shared = 0)\n"
         "agents(many = 10, rate = 40, incremental = True)\n"
@@ -172,15 +177,16 @@
 
 
 class FleetTest(unittest.TestCase):
-    """Rollbacks in a fleet of three controllers on simulated time, without a breach of an invariant."""
+    """Rollbacks in a fleet of three controllers on simulated time break no invariant."""
 
     def play_without_breach(self, text, seed=1, pins=1):
+        """Play a script, and check that no invariant is broken and how many pins were made."""
         played = play_scenario(text, seed)
         self.assertEqual(played.finds, [])
         self.assertEqual(len([row for row in played.rows if row.kind == "pin"]), pins)
         return played
 
-    def test_a_rollback_past_a_release_whose_old_endpoints_are_gone(self):
+    def test_a_rollback_to_before_a_release_whose_old_endpoints_are_gone(self):
         self.play_without_breach(
             "release(at = 2, length = 6, part = 1.0, at_once = 0.3)\n"
             "rollback(at = 11, length = 4, back = 10, over = 0)"
@@ -203,7 +209,7 @@
             for row in played.rows
             if row.kind == "stream" and row.what == "lost" and row.at < 12
         }
-        self.assertTrue(moved)  # they have another owner since then
+        self.assertTrue(moved)  # proxies that have a new owner
         self.assertEqual([event for _, _, event, _ in played.logs if "not known" in event], [])
 
     def test_malformed_target_messages_are_refused(self):
@@ -217,8 +223,8 @@
                 zstandard.compress(msgspec.msgpack.encode(["ns1-1", "a", 1, 1, {"line/x": 1}])),
             ):
                 controller.publication.receive_target(malformed)
-            self.assertEqual(sum(event == "wish refused" for event, _ in world.log), 5)
-            self.assertFalse(controller.publication.offered)
+            self.assertEqual(sum(event == "pin target refused" for event, _ in world.log), 5)
+            self.assertFalse(controller.publication.announced_targets)
 
         play(case)
 
--- a/tests/controller/test_propagation.py
+++ b/tests/controller/test_propagation.py
@@ -1,8 +1,10 @@
+"""The trace of endpoint removals, and the `why` query that reports it."""
+
 import asyncio
 import unittest
 
 from hypothesis import given
-from hypothesis import strategies as some
+from hypothesis import strategies as st
 
 from peatlead.benchmarks.herd import Agent
 from peatlead.controller import propagation
@@ -15,31 +17,30 @@
 
 
 class PropagationTraceTest(unittest.TestCase):
-    def test_a_holder_is_without_an_endpoint_once_the_version_is_in_force(self):
+    def test_a_holder_has_lost_an_endpoint_once_it_applies_the_version(self):
         trace = PropagationTrace()
         trace.begin_withdrawal(1.0, 5, 70)
-        trace.applied(
-            1.1, 70, Version(1, 3)
-        )  # of a version from before: its message has not left yet
-        trace.left(70)
-        trace.applied(1.2, 70, Version(1, 3))  # it was under way when the message left
-        trace.sent(70, Version(1, 4))
-        trace.applied(1.3, 70, Version(1, 3))
-        self.assertIn(5, trace.open)
-        trace.applied(1.5, 70, Version(1, 4))
+        # An older version, applied before the message with the removal leaves the channel.
+        trace.version_applied(1.1, 70, Version(1, 3))
+        trace.message_dequeued(70)
+        trace.version_applied(1.2, 70, Version(1, 3))  # sent before the message left the channel
+        trace.version_sent(70, Version(1, 4))
+        trace.version_applied(1.3, 70, Version(1, 3))
+        self.assertIn(5, trace.active)
+        trace.version_applied(1.5, 70, Version(1, 4))
         (withdrawal,) = trace.status(2.0, 5)["losses"]
         self.assertEqual(
             (withdrawal["holders"], withdrawal["without it"], withdrawal["last s"]), (1, 1, 0.5)
         )
-        self.assertEqual((trace.open, trace.holding), ({}, {}))
+        self.assertEqual((trace.active, trace.pending), ({}, {}))
 
     def test_disconnected_holders_are_counted_separately(self):
         trace = PropagationTrace()
         for holder in (1, 2, 3):
             trace.begin_withdrawal(0.0, 9, holder)
-            trace.left(holder)
-        trace.applied(0.2, 1)
-        trace.ended(0.3, 2)
+            trace.message_dequeued(holder)
+        trace.version_applied(0.2, 1)
+        trace.holder_left(0.3, 2)
         (withdrawal,) = trace.status(1.0, 9)["losses"]
         self.assertEqual(
             (withdrawal["without it"], withdrawal["left before"], withdrawal["still to go"]),
@@ -47,55 +48,64 @@
         )
 
     @given(
-        some.lists(
-            some.tuples(
-                some.sampled_from(("lose", "left", "sent", "applied", "ended")),
-                some.integers(0, 6),
-                some.integers(0, 6),
+        st.lists(
+            st.tuples(
+                st.sampled_from(("begin", "dequeued", "sent", "applied", "left")),
+                st.integers(0, 6),
+                st.integers(0, 6),
             ),
             max_size=120,
         )
     )
     def test_no_state_remains_after_any_order_of_events(self, steps):
         trace, serial = PropagationTrace(), 0
-        for at, (step, host, holder) in enumerate(steps):
-            if step == "lose":
-                trace.begin_withdrawal(float(at), host, holder)
-            elif step == "left":
-                trace.left(holder)
+        for now, (step, endpoint, holder) in enumerate(steps):
+            if step == "begin":
+                trace.begin_withdrawal(float(now), endpoint, holder)
+            elif step == "dequeued":
+                trace.message_dequeued(holder)
             elif step == "sent":
                 serial += 1
-                trace.sent(holder, Version(1, serial))
+                trace.version_sent(holder, Version(1, serial))
             elif step == "applied":
-                trace.applied(float(at), holder, Version(1, serial))
+                trace.version_applied(float(now), holder, Version(1, serial))
             else:
-                trace.ended(float(at), holder)
-            pairs = {(host, holder) for host, loss in trace.open.items() for holder in loss.waiting}
+                trace.holder_left(float(now), holder)
+            pairs = {
+                (endpoint, holder)
+                for endpoint, withdrawal in trace.active.items()
+                for holder in withdrawal.progress
+            }
             self.assertEqual(
-                pairs, {(host, holder) for holder, hosts in trace.holding.items() for host in hosts}
+                pairs,
+                {
+                    (endpoint, holder)
+                    for holder, endpoints in trace.pending.items()
+                    for endpoint in endpoints
+                },
             )
         for holder in range(7):
-            trace.ended(999.0, holder)
-        self.assertEqual((trace.open, trace.holding), ({}, {}))
+            trace.holder_left(999.0, holder)
+        self.assertEqual((trace.active, trace.pending), ({}, {}))
 
     def test_the_state_is_bounded(self):
         trace = PropagationTrace()
-        for host in range(propagation.WITHDRAWALS_MOST + 50):
-            trace.begin_withdrawal(0.0, host, 1)
-            for at in range(30):
-                trace.note(float(at), host, "again")
+        for endpoint in range(propagation.MAX_ACTIVE_WITHDRAWALS + 50):
+            trace.begin_withdrawal(0.0, endpoint, 1)
+            for now in range(30):
+                trace.record_event(float(now), endpoint, "again")
         self.assertEqual(
-            (len(trace.open), trace.forgotten, len(trace.holding[1])),
-            (propagation.WITHDRAWALS_MOST, 50, propagation.WITHDRAWALS_MOST),
+            (len(trace.active), trace.dropped_count, len(trace.pending[1])),
+            (propagation.MAX_ACTIVE_WITHDRAWALS, 50, propagation.MAX_ACTIVE_WITHDRAWALS),
         )
-        self.assertEqual(len(trace.status(99.0, 7)["notes"]), propagation.EVENTS_EACH)
+        self.assertEqual(len(trace.status(99.0, 7)["notes"]), propagation.MAX_EVENTS_PER_ENDPOINT)
 
 
 class WhyQueryTest(unittest.TestCase):
     def test_a_drain_is_traced_to_the_last_proxy(self):
         async def case(world):
             controller = await world.steward()
-            agents = [Agent(at, ("127.1.0.1", world.port + 2)) for at in range(6)]
+            agents = [Agent(number, ("127.1.0.1", world.port + 2)) for number in range(6)]
             await asyncio.gather(*(agent.begin() for agent in agents))
             await until(lambda: all(len(agent.hosts) > 1 for agent in agents))
             name, address = next(
@@ -108,15 +118,15 @@
             world.write()
             await until(lambda: not any(address in agent.hosts for agent in agents))
             index = controller.registry.numbers[name]
-            await until(lambda: index not in controller.propagation.open)
+            await until(lambda: index not in controller.propagation.active)
             answer = await ask_once(
                 controller.own_settings["control"], {"ask": "why", "host": name}
             )
             self.assertEqual((answer["phase"], answer["holders"]), ("draining", 0))
             self.assertTrue(any("drains" in text for _, text in answer["notes"]), answer["notes"])
-            loss = answer["losses"][-1]
-            self.assertGreaterEqual(loss["without it"], holders)
-            self.assertEqual(loss["still to go"], 0)
+            withdrawal = answer["losses"][-1]
+            self.assertGreaterEqual(withdrawal["without it"], holders)
+            self.assertEqual(withdrawal["still to go"], 0)
             proxy = await ask_once(
                 controller.own_settings["control"], {"ask": "why", "host": "agent3"}
             )
--- a/tests/controller/test_published_items.py
+++ b/tests/controller/test_published_items.py
@@ -1,16 +1,16 @@
-"""Items of published tables as operators read them."""
+"""Published items, and their presentation to operators."""
 
 import unittest
 
 from peatlead.controller.published_items import ItemFormatter, line_items, weight_fractions
 
-HALF = "line/look/north/10.0.0.1:80"
-OTHER_HALF = "line/look/south/10.0.0.2:80"
-OTHER_CLASS = "line/file/north/10.0.0.1:80"
+NORTH_LINE = "line/look/north/10.0.0.1:80"
+SOUTH_LINE = "line/look/south/10.0.0.2:80"
+FILE_LINE = "line/file/north/10.0.0.1:80"
 ITEMS = {
-    HALF: 500,
-    OTHER_HALF: 1500,
-    OTHER_CLASS: 1000,
+    NORTH_LINE: 500,
+    SOUTH_LINE: 1500,
+    FILE_LINE: 1000,
     "level/look": 1_000_000,
     "retry/look": "once",
 }
@@ -20,28 +20,30 @@
     def setUp(self):
         self.formatter = ItemFormatter({"10.0.0.1": 7}, {7: "h7"}.__getitem__)
 
-    def test_only_lines_are_line_items(self):
-        self.assertEqual(list(line_items(ITEMS)), [HALF, OTHER_HALF, OTHER_CLASS])
+    def test_line_items_omit_admissions_and_retry_policies(self):
+        self.assertEqual(list(line_items(ITEMS)), [NORTH_LINE, SOUTH_LINE, FILE_LINE])
 
-    def test_fractions_are_of_a_request_class(self):
-        self.assertEqual(weight_fractions(ITEMS), {HALF: 0.25, OTHER_HALF: 0.75, OTHER_CLASS: 1.0})
+    def test_weight_fractions_are_relative_to_the_request_class(self):
+        self.assertEqual(
+            weight_fractions(ITEMS), {NORTH_LINE: 0.25, SOUTH_LINE: 0.75, FILE_LINE: 1.0}
+        )
 
     def test_an_item_names_the_endpoint_and_the_weight_as_listed(self):
         self.assertEqual(
-            self.formatter.item(HALF, 500),
+            self.formatter.item(NORTH_LINE, 500),
             {"item": "line/look", "host": "h7", "zone": "north", "value": 0.5},
         )
 
     def test_an_unlisted_endpoint_is_named_by_its_address(self):
-        self.assertEqual(self.formatter.item(OTHER_HALF, None)["host"], "10.0.0.2")
+        self.assertEqual(self.formatter.item(SOUTH_LINE, None)["host"], "10.0.0.2")
 
-    def test_other_items_are_as_they_are(self):
+    def test_items_other_than_lines_are_not_converted(self):
         self.assertEqual(
             self.formatter.item("retry/look", "once"), {"item": "retry/look", "value": "once"}
         )
 
     def test_a_difference_has_both_values_and_fractions(self):
-        after = {HALF: 500, OTHER_CLASS: 1000}
+        after = {NORTH_LINE: 500, FILE_LINE: 1000}
         self.assertEqual(
             self.formatter.difference(line_items(ITEMS), after),
             [
--- a/tests/controller/test_publisher.py
+++ b/tests/controller/test_publisher.py
@@ -1,3 +1,5 @@
+"""The subscribers that withdrawals, restorations and nonces are sent to."""
+
 import unittest
 
 from peatlead import interface
@@ -5,27 +7,28 @@
 
 
 class PublisherTest(unittest.TestCase):
-    def test_a_restoration_goes_to_the_subscribers_that_were_sent_the_withdrawal(self):
-        # To all of 1,000 proxies, for each host of a release, it was 200,000 lines waiting where 4,000 may.
+    def test_a_restoration_is_sent_to_the_subscribers_that_were_sent_the_withdrawal(self):
+        # A restoration to all proxies would overfill the channel during a release.
         publisher = Publisher()
-        for view in range(6):
-            publisher.join(view, enforces_admission=view < 5)
-        publisher.route([interface.AssignTable(view, view, (0,)) for view in range(4)])
+        for subscriber in range(6):
+            publisher.join(subscriber, enforces_admission=subscriber < 5)
+        publisher.route(
+            [interface.AssignTable(subscriber, subscriber, (0,)) for subscriber in range(4)]
+        )
         publisher.route([interface.SetEntry(1, 9, 1.0), interface.SetEntry(2, 9, 1.0)])
         withdrawals, _, _ = publisher.route([interface.WithdrawEndpoint(9, True)])
-        self.assertEqual(
-            sorted(withdrawals), [4, 5]
-        )  # one on no table yet and a DNS view; holders lose the entry instead
+        # Proxy 4 has no table and 5 is a DNS view; the other proxies lose the table entry instead.
+        self.assertEqual(sorted(withdrawals), [4, 5])
         publisher.leave(4)
         publisher.join(4, enforces_admission=True)
         restorations, _, _ = publisher.route([interface.WithdrawEndpoint(9, False)])
         self.assertEqual(sorted(restorations), [4, 5])
         self.assertEqual(publisher.route([interface.WithdrawEndpoint(9, False)])[0], {})
 
-    def test_a_nonce_goes_to_all_subscribers_or_to_those_written_to(self):
+    def test_a_nonce_is_sent_to_all_subscribers_or_to_those_with_a_message(self):
         publisher = Publisher()
-        for view in (1, 2):
-            publisher.join(view)
+        for subscriber in (1, 2):
+            publisher.join(subscriber)
         publisher.route([interface.AssignTable(1, 0, (0,))])
         _, nonces, _ = publisher.route(
             [interface.SetEntry(0, 5, 1.0), interface.RequestAcknowledgement(7, False)]
