--- a/peatlead/controller/control_socket.py
+++ b/peatlead/controller/control_socket.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from ..net.streams import ConnectionSet, Lines, within
+from ..net.streams import ConnectionSet, LineStream, with_timeout
 
 MAX_CONNECTIONS = 64
 IDLE_TIMEOUT = 3600.0  # seconds until an idle connection is closed
@@ -51,7 +51,7 @@
     return msgspec.json.encode(message) + b"\n"
 
 
-class OperatorConnection(Lines):
+class OperatorConnection(LineStream):
     """One operator's connection."""
 
     def __init__(self, control: "ControlSocket") -> None:
@@ -64,7 +64,7 @@
 
     def ended(self, reason: str) -> None:
         """Unregister the connection."""
-        self._control.connections.drop(self)
+        self._control.connections.remove(self)
         self._control.feeds.pop(self, None)
 
     def line(self, data: bytes) -> None:
@@ -128,14 +128,14 @@
         self.connections.close()
 
 
-class ControlClient(Lines):
+class ControlClient(LineStream):
     """The client's side: sends one question and passes each received line to `on_line`.
 
     `over` is a future that completes with the reason when the connection has ended.
     """
 
     def __init__(self, question: object, on_line: Callable[[bytes], None]) -> None:
-        super().__init__(waiting_most=MAX_QUESTION_BYTES, longest=MAX_ANSWER_BYTES)
+        super().__init__(max_unsent_bytes=MAX_QUESTION_BYTES, max_line_bytes=MAX_ANSWER_BYTES)
         self._question = question
         self._on_line = on_line
         self.over: asyncio.Future[str] = asyncio.get_running_loop().create_future()
@@ -161,7 +161,7 @@
 
     `timeout` is in seconds.
     """
-    answer: Answer = await within(timeout, _ask(address, question))
+    answer: Answer = await with_timeout(timeout, _ask(address, question))
     return answer
 
 
--- a/peatlead/controller/controller.py
+++ b/peatlead/controller/controller.py
@@ -182,7 +182,9 @@
             self.proxy_joined(view.number, view.zone, view.rate, True)
         self.endpoint_lists.source.start()
         self.log(
-            "steward started", listen=str(self.own_settings["listen"]), views=len(self.view_numbers)
+            "controller started",
+            listen=str(self.own_settings["listen"]),
+            views=len(self.view_numbers),
         )
 
     def _create_secondaries(self) -> Secondaries:
@@ -214,7 +216,7 @@
         if self.secondaries:
             self.secondaries.close()
         self.publication.stop(self.loop.time())
-        self.log("steward stopped", why=reason, decided=self.batch_count)
+        self.log("controller stopped", why=reason, decided=self.batch_count)
         self.ended.set_result(reason)
 
     # Hooks of the batch loop.
--- a/peatlead/controller/endpoint_lists.py
+++ b/peatlead/controller/endpoint_lists.py
@@ -30,9 +30,9 @@
 
     def restore(self) -> None:
         """Load the list that an earlier start has stored, if any."""
-        stored_list, reason = self._cache.recall()
+        stored_list, reason = self._cache.load()
         if stored_list:
-            self.source.remember(stored_list.version)
+            self.source.set_known_version(stored_list.version)
             self.receive(stored_list)
         else:
             self._controller.log("no stored endpoint list", why=reason)
@@ -49,15 +49,17 @@
         update = controller.registry.endpoint_update(endpoint_list, now)
         for endpoint in update.endpoints:
             self._update_endpoint(now, endpoint, endpoint_list.version)
-        ready = sum(entry.phase == interface.EndpointPhase.READY for entry in endpoint_list.hosts)
+        ready = sum(
+            entry.phase == interface.EndpointPhase.READY for entry in endpoint_list.endpoints
+        )
         controller.log(
             "endpoint list received",
             scope=endpoint_list.scope,
             version=endpoint_list.version,
-            hosts=len(endpoint_list.hosts),
+            hosts=len(endpoint_list.endpoints),
             ready=ready,
         )
-        if endpoint_list.scope == interface.ListScope.WHOLE and endpoint_list.hosts:
+        if endpoint_list.scope == interface.ListScope.WHOLE and endpoint_list.endpoints:
             self._store(endpoint_list)
         controller.submit(update)
 
@@ -69,7 +71,7 @@
         change = controller.publication.endpoint_listed(index, entry)
         if change is not None:
             causes = controller.publication.causes
-            causes.phases({index: change}, list_version)
+            causes.note_phase_changes({index: change}, list_version)
             controller.propagation.record_event(now, index, causes.last_events[index])
         controller.answers.know(index, entry.name, entry.address, entry.address6)
         if controller.proxies:
@@ -81,6 +83,6 @@
 
     def _store(self, endpoint_list: EndpointList) -> None:
         try:
-            self._cache.keep(endpoint_list)
+            self._cache.save(endpoint_list)
         except OSError as error:
             self._controller.log("endpoint list not stored", why=str(error))
--- a/peatlead/controller/endpoint_registry.py
+++ b/peatlead/controller/endpoint_registry.py
@@ -47,7 +47,7 @@
     def endpoint_update(self, endpoint_list: EndpointList, now: float) -> interface.EndpointUpdate:
         """Return the planner's event for a list; entries of unknown zones are omitted."""
         endpoints = []
-        for entry in endpoint_list.hosts:
+        for entry in endpoint_list.endpoints:
             zone = self.zones.get(entry.zone)
             if zone is None:
                 self.log_unknown_zone(entry)
--- a/peatlead/controller/proxies.py
+++ b/peatlead/controller/proxies.py
@@ -17,7 +17,7 @@
 from ..grpc.server import GrpcServer
 from ..grpc.session import Session
 from ..sources.endpoint_list import ListedEndpoint
-from ..tables.version import NONE, PARTS, Version, line_key, quantize_weight
+from ..tables.version import NO_VERSION, PARTS, Version, line_key, quantize_weight
 from .message import Message
 from .overload import ReportsRead
 from .proxy_admission import Admission, Metadata, ProxyAdmission
@@ -40,7 +40,7 @@
 class ProxyProgress:
     """What a session has acknowledged, and the causes of its next version."""
 
-    acknowledged: Version = NONE  # the newest version that the proxy has applied
+    acknowledged: Version = NO_VERSION  # the newest version that the proxy has applied
     # Causes of the changes that were not sent yet; used as an ordered set.
     causes: dict[str, None] = field(default_factory=dict)
 
--- a/peatlead/controller/publication.py
+++ b/peatlead/controller/publication.py
@@ -63,7 +63,7 @@
             self.store,
             controller.log,
             table_settings["sync_every"],
-            disk_most=int(table_settings["disk_most"]),
+            disk_bytes_max=int(table_settings["disk_most"]),
         )
         self.causes = ChangeCauses(self.name_of, self._listed_weight_of)
         self._endpoint_facts = EndpointFacts(controller)
@@ -111,11 +111,11 @@
 
     def restore(self, now: float) -> None:
         """Read the stored tables and pins of earlier starts, then start to write the table log."""
-        for file, reason in self.log.recall():
+        for file, reason in self.log.restore():
             self._controller.log("tables: part of the log not taken", file=file, why=reason)
-        notes = self.log.noted
+        notes = self.log.notes
         self._boots = int(notes.get(BOOTS_NOTE, b"0")) + 1
-        self.log.note(BOOTS_NOTE, b"%d" % self._boots)
+        self.log.record_note(BOOTS_NOTE, b"%d" % self._boots)
         try:
             self._pin_control.restore(now, notes)
             self.targets.restore()
@@ -131,28 +131,28 @@
         self.targets.forget_ended()
         self._pin_control.refresh(now)
         self.targets.send_announcements()
-        if self.pins.held or self.applied_pins:
+        if self.pins.by_id or self.applied_pins:
             self._pinned_tables.enforce(now)
         self.log.flush(now)
 
     def stop(self, now: float) -> None:
         """Write all pending records and close the table log."""
-        if self.pins.held:
+        if self.pins.by_id:
             self._pin_control.store(now)
         self.log.flush(now)
         try:
             self.log.close()
         except OSError as error:
-            self._controller.log("tables are not kept", why=error.strerror)
+            self._controller.log("table log write failed", why=error.strerror)
 
     def zone_serial(self) -> int:
         """Return the stored serial of the DNS zone, or 0 if none is stored."""
-        stored: bytes = self.log.noted.get(SERIAL_NOTE, b"0")
+        stored: bytes = self.log.notes.get(SERIAL_NOTE, b"0")
         return int(stored) if stored.isdigit() else 0
 
     def store_zone_serial(self, serial: int) -> None:
         """Store the DNS zone's newest serial."""
-        self.log.note(SERIAL_NOTE, b"%d" % serial)
+        self.log.record_note(SERIAL_NOTE, b"%d" % serial)
         self.log.flush(self._controller.loop.time())
 
     # Other controllers.
@@ -166,7 +166,7 @@
             return
         if changed:
             self.targets.announce_known()
-            self._controller.log("pins received", standing=sorted(self.pins.standing()))
+            self._controller.log("pins received", standing=sorted(self.pins.unended()))
 
     def receive_target(self, payload: bytes) -> None:
         """Store a pin target that another controller has announced."""
@@ -178,21 +178,21 @@
         """Commit the lines that a proxy held when it joined; a rollback can restore them."""
         history = self.store.history(name)
         version = Version(epoch, 0)
-        if version > history.last:
+        if version > history.newest_version:
             causes = (f"joined, holding {len(lines)} lines",)
             self._commit(name, version, causes, changes(line_items(history.items), lines))
 
     def newest_epoch(self, name: str) -> int:
         """Return the epoch of a proxy's newest version, or 0 if it has no version."""
         history = self.store.histories.get(name)
-        return history.last.epoch if history else 0
+        return history.newest_version.epoch if history else 0
 
     def record_sent(
         self, name: str, version: Version, parts: Collection[str], items: TableItems, causes: Causes
     ) -> None:
         """Commit a version of these parts of a proxy's tables; `items` are their new contents."""
         history = self.store.history(name)
-        if version <= history.last:
+        if version <= history.newest_version:
             return  # sent on a stream that a newer stream has replaced
         before: TableItems = {
             key: value for key, value in history.items.items() if part_of(key) in parts
@@ -204,13 +204,17 @@
         history = self.store.history(name)
         changed_items = changes(history.items, items)
         if changed_items:
-            serial = history.last.serial + 1 if history.last.epoch == self._boots else 1
+            serial = (
+                history.newest_version.serial + 1
+                if history.newest_version.epoch == self._boots
+                else 1
+            )
             self._commit(name, Version(self._boots, serial), causes, changed_items)
 
     def record_leave(self, name: str) -> None:
         """Record that a proxy has left; its history is kept for a limited time."""
-        self.store.left(name)
-        self.log.left(name)
+        self.store.mark_disconnected(name)
+        self.log.record_disconnect(name)
 
     # Tables.
 
@@ -254,7 +258,7 @@
         self, name: str, version: Version, causes: Causes, changed: Mapping[str, Any]
     ) -> None:
         entry = self.store.commit(name, version, self._wall_clock(), causes, changed)
-        self.log.publish(name, entry)
+        self.log.record_version(name, entry)
 
     def _listed_weight_of(self, endpoint: int) -> float:
         weight: float = self._controller.endpoint_lists.weights.get(endpoint, 0.0)
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -15,7 +15,7 @@
 from peatlead.invariants.record import read_folder
 from peatlead.scenario.runner import free_port
 
-from ..places import SCRIPT, play, until
+from ..standin_fleet import SCRIPT, run_with_standins, until
 
 SMALL_DAY = """
 day(length = 6, seed = 2)
@@ -40,7 +40,11 @@
             result = call("check", path)
             self.assertEqual(
                 (result.exit_code, result.output),
-                (1, f"Error: {path}:1: zone.name: expected a value: as the node list names it\n"),
+                (
+                    1,
+                    f"Error: {path}:1: zone.name: expected a value: name of the zone, "
+                    "as in the node list\n",
+                ),
             )
             self.assertIn("lifetime", call("check", "--reference").output)
             self.assertIn("expected FILE", call("check").output)
@@ -66,10 +70,10 @@
             events = []
             for line in child.stderr:
                 events.append(json.loads(line)["event"])
-                if events[-1] == "steward started":
+                if events[-1] == "controller started":
                     child.send_signal(signal.SIGTERM)
             child.stderr.close()
-            self.assertEqual((child.wait(10), events[-1]), (0, "steward stopped"))
+            self.assertEqual((child.wait(10), events[-1]), (0, "controller stopped"))
 
 
 class TablesCommandsTest(unittest.TestCase):
@@ -77,9 +81,9 @@
 
     def test_log_diff_show_rollback_status_and_resume(self):
         async def case(world):
-            controller = await world.steward()
-            await until(lambda: len(world.named(controller)) == 4)
-            first = str(controller.publication.store.histories["view:desk0"].last)
+            controller = await world.start_controller()
+            await until(lambda: len(world.answered_endpoints(controller)) == 4)
+            first = str(controller.publication.store.histories["view:desk0"].newest_version)
             file = world.folder / "service.star"
             file.write_text(
                 SCRIPT.format(
@@ -95,9 +99,9 @@
                 return result.exit_code, result.output
 
             world.phases["h0"] = "draining"
-            world.write()
-            await until(lambda: world.named(controller) == {"h1", "h2", "h3"})
-            last = str(controller.publication.store.histories["view:desk0"].last)
+            world.write_list()
+            await until(lambda: world.answered_endpoints(controller) == {"h1", "h2", "h3"})
+            last = str(controller.publication.store.histories["view:desk0"].newest_version)
             ns1 = "--name", "ns1"
             code, output = await tables("log", "desk0", *ns1)
             self.assertTrue(code == 0 and "h0 drains" in output, output)
@@ -126,7 +130,7 @@
                 code, output = await tables(*arguments)
                 self.assertTrue(code and expected in output and "Traceback" not in output, output)
 
-        play(case)
+        run_with_standins(case)
 
 
 class DayCommandTest(unittest.TestCase):
--- a/tests/controller/test_endpoint_registry.py
+++ b/tests/controller/test_endpoint_registry.py
@@ -5,8 +5,8 @@
 from peatlead.controller.endpoint_registry import EndpointRegistry
 from peatlead.sources.endpoint_list import EndpointList, read_document
 
-from ..places import settings
 from ..sources.documents import HOST, document
+from ..standin_fleet import settings
 
 
 class EndpointRegistryTest(unittest.TestCase):
@@ -32,7 +32,7 @@
             [zone["name"] for zone in settings()["zone"]], lambda *_, **__: None
         )
         endpoint_list = EndpointList(
-            "whole", 1, 0.0, read_document(document({**HOST, "zone": "mars"})).hosts
+            "whole", 1, 0.0, read_document(document({**HOST, "zone": "mars"})).endpoints
         )
         self.assertEqual(registry.endpoint_update(endpoint_list, 0.0).endpoints, ())
 
--- a/tests/controller/test_many_proxies.py
+++ b/tests/controller/test_many_proxies.py
@@ -30,7 +30,7 @@
 from peatlead.grpc.server import DISCOVERY, LOADS
 from peatlead.net.in_memory_transport import InMemoryTransport
 
-from ..places import GRPC_SCRIPT, play, until
+from ..standin_fleet import GRPC_SCRIPT, run_with_standins, until
 
 
 def client_connection():
@@ -199,7 +199,7 @@
 class MassReconnectionTest(unittest.TestCase):
     def test_all_proxies_rejoin_while_a_zone_drains_some_do_not_read_and_one_floods(self):
         async def case(world):
-            controller = await world.steward()
+            controller = await world.start_controller()
             received = []
             handler = controller.planner.handlers[interface.EndpointStats]
             controller.planner.handlers[interface.EndpointStats] = lambda event: (
@@ -211,12 +211,12 @@
             await asyncio.gather(*(agent.begin() for agent in first))
             await until(lambda: all(agent.seen for agent in first))
             for agent in first:  # all proxies reconnect
-                agent.connection.cut("herd")
+                agent.connection.abort("herd")
             again = [Agent(number, grpc_address) for number in range(36)]
             world.phases.update(
                 {plan.name: "draining" for plan in world.plans if plan.zone == "south"}
             )
-            world.write()
+            world.write_list()
             await asyncio.gather(*(agent.begin() for agent in again))
             slow, reading = again[::3], [agent for number, agent in enumerate(again) if number % 3]
             for agent in slow:
@@ -236,7 +236,7 @@
             # However often the list changes, only the newest state waits for a slow reader.
             for change in range(20):
                 world.phases["h0"] = "draining" if change % 2 else "ready"
-                world.write()
+                world.write_list()
                 await asyncio.sleep(0.03)
             calls = [
                 call
@@ -248,12 +248,12 @@
             for agent in slow:
                 agent.connection.transport.resume_reading()
             world.phases["h0"] = "ready"
-            world.write()
+            world.write_list()
             await until(lambda: all(agent.hosts and not drained & agent.hosts for agent in again))
             for agent in again:
-                agent.connection.cut("over")
+                agent.connection.abort("over")
 
-        play(case, script=GRPC_SCRIPT)
+        run_with_standins(case, script=GRPC_SCRIPT)
 
     def report(self, agent):
         """A load report with an unlisted endpoint, overflowing counts and a negative interval."""
@@ -272,7 +272,7 @@
 
     def test_a_batch_longer_than_a_timer_round_causes_no_burst_of_rounds(self):
         async def case(world):
-            controller, fired = await world.steward(), []
+            controller, fired = await world.start_controller(), []
             loop, decide_batch = asyncio.get_running_loop(), controller.planner.decide
 
             def decide(now, events):
@@ -292,4 +292,4 @@
             self.assertGreater(min(gaps), 0.09)  # seconds: no two rounds in a row
             self.assertGreater(controller.overload.mean_lateness, 0.0)
 
-        play(case, script=GRPC_SCRIPT)
+        run_with_standins(case, script=GRPC_SCRIPT)
--- a/tests/controller/test_pin_targets.py
+++ b/tests/controller/test_pin_targets.py
@@ -33,7 +33,7 @@
         self.log = TableLog(None, self.store, controller.log)
         self.targets = PinTargets(controller, self.pins, self.store, self.log, lambda: 1000.0)
         pin = self.pins.make(100.0, "all", target="back", to="60")
-        self.active = self.pins.held[pin.id]
+        self.active = self.pins.by_id[pin.id]
 
     def receive_target(self, version, weight, pin_id=None):
         """Receive an announcement of a table with one line from another controller."""
@@ -72,8 +72,8 @@
         self.receive_target(Version(2, 1), 100)
         self.targets.lines(self.active, PROXY)
         log_key = f"wish/{self.active.pin.id}/{PROXY}"
-        self.assertEqual(msgspec.msgpack.decode(self.log.noted[log_key]), {LINE: 100})
-        self.pins.held.clear()
+        self.assertEqual(msgspec.msgpack.decode(self.log.notes[log_key]), {LINE: 100})
+        self.pins.by_id.clear()
         self.targets.forget_ended()
-        self.assertNotIn(log_key, self.log.noted)
+        self.assertNotIn(log_key, self.log.notes)
         self.assertFalse(self.targets.announced_targets)
--- a/tests/platform/test_reports.py
+++ b/tests/platform/test_reports.py
@@ -1,14 +1,14 @@
-"""Reports of proxies and collectors."""
+"""Reports from proxies and collectors."""
 
 import unittest
 
 from peatlead import interface
 
-from ..places import until
 from ..platforms import (
     OUTCOMES,
     run_with_platform,
 )
+from ..standin_fleet import until
 
 
 class Reports(unittest.TestCase):
--- a/tests/transcripts/test_dns_transcripts.py
+++ b/tests/transcripts/test_dns_transcripts.py
@@ -19,7 +19,7 @@
 from peatlead.dns import answers as fronts
 from peatlead.dns import notify, views, warmup_thinning
 
-from ..places import settings
+from ..standin_fleet import settings
 from . import recorded
 
 # Adapter: all internal names that these tests use.
@@ -138,7 +138,9 @@
 
 def told(data):
     """An answer's bytes; of a long one, its length and SHA-256."""
-    return recorded.text(data) if len(data) <= LONG else f"{len(data)} {sha256(data).hexdigest()}"
+    return (
+        recorded.to_base64(data) if len(data) <= LONG else f"{len(data)} {sha256(data).hexdigest()}"
+    )
 
 
 class Asking:
