--- a/peatlead/controller/__init__.py
+++ b/peatlead/controller/__init__.py
@@ -1,1 +1,1 @@
-"""One controller: submits events to the planner and carries out its commands."""
+"""One controller: submits events to the planner and executes its commands."""
--- a/peatlead/controller/controller.py
+++ b/peatlead/controller/controller.py
@@ -41,7 +41,7 @@
 
 
 class Controller(BatchLoop):
-    """One controller.
+    """One controller: creates the parts and connects them to the planner.
 
     `settings` are those of the whole fleet, and `name` selects this controller's entry.
     `log(event, **fields)` writes a log line. `create_planner(settings, seed)` returns the planner.
--- a/peatlead/controller/pin_targets.py
+++ b/peatlead/controller/pin_targets.py
@@ -118,7 +118,7 @@
             return None
 
     def announce_known(self) -> None:
-        """Schedule the targets known here for sending; those of absent proxies come first.
+        """Schedule the known targets for sending, first the targets of proxies not joined here.
 
         Targets of joined proxies are sent too: after a freeze a controller does not know yet which
         of its proxies have joined another controller.
@@ -150,7 +150,7 @@
                 gossip.broadcast_drain_request(payload)
 
     def receive(self, payload: bytes) -> None:
-        """Store another controller's target if its version is newer than the known one."""
+        """Store another controller's target if it has a newer version than the known target."""
         try:
             key, past = read_announcement(payload)
         except (zstandard.ZstdError, msgspec.MsgspecError, ValueError) as error:
--- a/peatlead/controller/pinned_tables.py
+++ b/peatlead/controller/pinned_tables.py
@@ -148,7 +148,7 @@
         return items
 
     def pending_changes(self, name: str, number: int) -> ItemChanges:
-        """Return the changes from the lines that a proxy was last sent to those it should hold."""
+        """Return the changes from the lines last sent to a proxy to the lines it should hold."""
         items: TableItems | None = self._controller.recipients.items_of(number)
         if items is None:
             return {}
--- a/peatlead/controller/publication.py
+++ b/peatlead/controller/publication.py
@@ -241,7 +241,7 @@
         return self._pinned_tables.items_of_table(request_class, weights)
 
     def pending_changes(self, name: str, number: int) -> ItemChanges:
-        """Return the changes from the lines that a proxy was last sent to those it should hold."""
+        """Return the changes from the lines last sent to a proxy to the lines it should hold."""
         return self._pinned_tables.pending_changes(name, number)
 
     # Operators.
--- a/peatlead/controller/publisher.py
+++ b/peatlead/controller/publisher.py
@@ -29,9 +29,8 @@
     """Holds all tables as the planner commanded them, and the tables assigned to each subscriber.
 
     Subscribers are DNS views and proxies, identified by the planner's numbers. Proxies enforce
-    admission themselves: they receive admitted fractions, and the removal of a table entry takes an
-    endpoint from them. For DNS views the endpoints enforce admission; views receive every
-    withdrawal.
+    admission themselves: they receive admitted fractions, and they lose an endpoint when its table
+    entry is removed. For DNS views the endpoints enforce admission; views receive every withdrawal.
     """
 
     def __init__(self) -> None:
@@ -125,14 +124,14 @@
         unassigned = self.unassigned if notify is None else self.unassigned.intersection(notify)
         notified = unassigned | (self.joined - self.enforcing)
         self.notified.setdefault(endpoint, set()).update(notified)
-        unaware = {
+        to_notify = {
             subscriber
             for subscriber in notified & self.joined
             if endpoint not in self.ejected[subscriber]
         }
-        for subscriber in unaware:
+        for subscriber in to_notify:
             self.ejected[subscriber].add(endpoint)
-        return unaware
+        return to_notify
 
     def set_admission(self, messages: Messages, command: interface.SetAdmission) -> None:
         """Set the admitted fraction and retry policy of request classes."""
--- a/peatlead/controller/table_queries.py
+++ b/peatlead/controller/table_queries.py
@@ -57,7 +57,7 @@
         try:
             return handler(question.args)
         except UnknownVersionError as error:
-            return {"error": f"tables {question.do}: {error.args[0]} is not kept"}
+            return {"error": f"tables {question.do}: version {error.args[0]} is not stored"}
         except (PinError, ValueError, KeyError, TypeError) as error:
             return {"error": f"tables {question.do}: {error}"}
 
--- a/tests/controller/test_dns_controller.py
+++ b/tests/controller/test_dns_controller.py
@@ -118,9 +118,8 @@
             first.stop()
             (world.folder / "nodes.json").unlink()
             restarted = await world.start_controller("ns2")
-            self.assertEqual(
-                world.answered_endpoints(restarted), set()
-            )  # ns2 has no stored list of its own
+            # The second controller has no stored list of its own.
+            self.assertEqual(world.answered_endpoints(restarted), set())
             restarted.stop()
             await asyncio.sleep(0.02)
             (world.folder / "state" / "list-ns1").rename(world.folder / "state" / "list-ns2")
