--- a/peatlead/controller/controller.py
+++ b/peatlead/controller/controller.py
@@ -160,7 +160,7 @@
             return None
         if self.gossip is None:
             return Proxies(self, None, None)
-        return Proxies(self, self.gossip.ownership, self.gossip.about)
+        return Proxies(self, self.gossip.ownership, self.gossip.member_info)
 
     # Life cycle.
 
@@ -226,7 +226,7 @@
         now = self.loop.time()
         for command in self.overload.decide(now, [TimerLateness(now - due, self.count_proxies())]):
             if type(command) is SetGatherWindow and self.proxies:
-                self.proxies.gathered.wait = command.seconds
+                self.proxies.load_aggregator.max_delay = command.seconds
             elif type(command) is LogOverload:
                 self.log("overload control", text=command.text)
         super().fire_timer(token, due)
@@ -237,7 +237,7 @@
         stats = self.health_checks.take_due_stats(now)
         self.inbox += stats
         if self.proxies:
-            self.inbox += self.proxies.gathered.due(now)
+            self.inbox += self.proxies.load_aggregator.take_due(now)
         self.dns_publication.record_rates(stats)
 
     def send_messages(
--- a/peatlead/controller/dns_publication.py
+++ b/peatlead/controller/dns_publication.py
@@ -83,14 +83,14 @@
         }
         for key, pool in self.thinning.decide(changed, listed, rates).items():
             view, service = key
-            self._answers.place(view, service, pool, self.thinning.tables[key])
+            self._answers.set_pool(view, service, pool, self.thinning.tables[key])
         for key in changed:
             table = self.thinning.tables[key]
             view, service = key
-            if table != self._answers.seats[view][service].planned_weights:
-                self._answers.place(view, service, self.thinning.named[key], table)
+            if table != self._answers.sources[view][service].planned_weights:
+                self._answers.set_pool(view, service, self.thinning.pools[key], table)
         for endpoint in previous_endpoints:
-            if not self.thinning.holders[endpoint]:
+            if not self.thinning.views_by_endpoint[endpoint]:
                 self._unnamed_at[endpoint] = self._controller.loop.time()
 
     def record_rates(self, events: Iterable[object]) -> None:
@@ -111,7 +111,7 @@
 
     def views_naming(self, endpoint: int) -> set[int]:
         """Return the indices of the views whose tables name an endpoint."""
-        return {view for view, _ in self.thinning.holders.get(endpoint, ())}
+        return {view for view, _ in self.thinning.views_by_endpoint.get(endpoint, ())}
 
     def seconds_unnamed(self, endpoint: int) -> float | None:
         """Return the seconds since an answer could last name an endpoint.
--- a/peatlead/controller/pin_targets.py
+++ b/peatlead/controller/pin_targets.py
@@ -147,7 +147,7 @@
                 continue
             payload = write_announcement(key, past)
             if len(payload) < MAX_PACKED_BYTES:
-                gossip.broadcast_drain_request(payload)
+                gossip.broadcast_pin_target(payload)
 
     def receive(self, payload: bytes) -> None:
         """Store another controller's target if it has a newer version than the known target."""
--- a/peatlead/controller/proxies.py
+++ b/peatlead/controller/proxies.py
@@ -10,7 +10,7 @@
 from ..dns.views import proxy_number
 from ..fleet.membership import MemberInfo
 from ..fleet.ownership import Ownership, OwnershipReport
-from ..grpc.discovery import Refused
+from ..grpc.discovery import Nack
 from ..grpc.load_aggregation import LoadAggregator
 from ..grpc.proxy_node import ProxyNode
 from ..grpc.resources import WeightedEndpoint
@@ -83,7 +83,7 @@
         settings = controller.settings
         self._controller = controller
         self._port: int = settings["dns"]["port"]  # the port of all endpoints
-        self.gathered = LoadAggregator()
+        self.load_aggregator = LoadAggregator()
         self.admission = ProxyAdmission(controller, ownership, member_info)
         self.server = GrpcServer(
             self,
@@ -104,11 +104,11 @@
         """Return whether a proxy that has connected may join."""
         return self.admission.admit(node)
 
-    def hints(self, node: ProxyNode) -> Metadata:
+    def failover_metadata(self, node: ProxyNode) -> Metadata:
         """Return metadata that tells a joined proxy where to connect if this controller ends."""
         return self.admission.hints(node)
 
-    def joined(self, session: Session) -> None:
+    def on_join(self, session: Session) -> None:
         """Register an admitted proxy and report it to the planner."""
         controller = self._controller
         node = session.node
@@ -125,35 +125,35 @@
         controller.publication.record_join(node.name, session.epoch, lines)
         controller.proxy_joined(session.number, session.zone, node.rate, not has_all_tables)
 
-    def left(self, session: Session) -> None:
+    def on_leave(self, session: Session) -> None:
         """Unregister a proxy whose session has ended, unless a newer session has replaced it."""
         self._progress.pop(session, None)
-        if not self.server.drop(session):
+        if not self.server.remove(session):
             return
         controller = self._controller
         self.by_number.pop(session.number, None)
         controller.channel.forget(session.number)
         controller.publisher.leave(session.number)
-        self.gathered.forget(session.number)
+        self.load_aggregator.forget_proxy(session.number)
         controller.publication.record_leave(session.node.name)
         self.admission.left(session.node.name)
         controller.proxy_left(session.number)
 
-    def takes_report(self, session: Session, now: float) -> bool:
+    def accepts_report(self, session: Session, now: float) -> bool:
         """Return whether to process a load report that has arrived, or to drop it."""
         accepted: bool = self._controller.overload.accepts_report(
-            now, session.report_at, session.reports
+            now, session.last_report_at, session.report_count
         )
-        session.reports += 1
+        session.report_count += 1
         return accepted
 
-    def reported(self, session: Session, started: float) -> None:
+    def on_report_processed(self, session: Session, started: float) -> None:
         """Record that a load report was processed, and how long that took since `started`."""
-        session.report_at = started
+        session.last_report_at = started
         duration = self._controller.loop.time() - started
         self._controller.overload.decide(started, [ReportsRead(1, duration)])
 
-    def report_every(self, session: Session | None) -> float:
+    def report_interval(self, session: Session | None) -> float:
         """Return the seconds between a proxy's load reports.
 
         `session` is None for a proxy that has not joined.
@@ -164,14 +164,14 @@
         interval: float = self._controller.overload.report_interval_of(phase)
         return interval
 
-    def refused(self, session: Session, refusal: Refused) -> None:
+    def on_nack(self, session: Session, refusal: Nack) -> None:
         """Log that a proxy has rejected a version."""
         self.refusals += 1
         self._controller.log(
             "assignment refused", proxy=session.node.name, version=refusal.version, why=refusal.text
         )
 
-    def applied(self, session: Session, _type_url: str, version: Version) -> None:
+    def on_ack(self, session: Session, _type_url: str, version: Version) -> None:
         """Record that a proxy has applied a version."""
         self.acks += 1
         now = self._controller.loop.time()
@@ -180,7 +180,7 @@
         if progress is not None:
             progress.acknowledged = max(progress.acknowledged, version)
 
-    def published(self, session: Session, version: Version, parts: Collection[str]) -> None:
+    def on_response_sent(self, session: Session, version: Version, parts: Collection[str]) -> None:
         """Store a version of parts of a proxy's tables that is being sent, with its causes."""
         if "line" in parts:
             self._controller.propagation.version_sent(session.number, version)
@@ -193,19 +193,19 @@
         causes = tuple(self._progress[session].causes)
         self._controller.publication.record_sent(name, version, parts, items, causes)
 
-    def lines_of(self, session: Session, request_class: int) -> EndpointWeights:
+    def endpoint_weights(self, session: Session, request_class: int) -> EndpointWeights:
         """Return the endpoints that a proxy should hold now for a request class, with weights."""
-        name = list(self.server.kinds)[request_class]
+        name = list(self.server.class_indices)[request_class]
         planned = session.state.weights(request_class)
         node = session.node
         return self._controller.publication.effective_weights(node.name, node.zone, name, planned)
 
-    def host_of(self, place: AddressAndPort) -> int | None:
+    def endpoint_at(self, place: AddressAndPort) -> int | None:
         """Return the endpoint at an address and port, or None if no list has named it."""
         address, port = place
         return self._endpoint_by_address.get(address) if port == self._port else None
 
-    def place_of(self, endpoint: int) -> tuple[str, int, str]:
+    def address_of(self, endpoint: int) -> tuple[str, int, str]:
         """Return an endpoint's address, port and zone."""
         entry = self._controller.registry.entries[endpoint]
         return entry.address or entry.address6, self._port, entry.zone
@@ -238,7 +238,7 @@
         self._add_causes(session, message)
         operations = [op[0] for op in message.operations if is_relevant(session, op)]
         if pinned or operations:
-            session.changed(PARTS if pinned else changed_parts(operations))
+            session.on_tables_changed(PARTS if pinned else changed_parts(operations))
         return session
 
     def all_recipients(self) -> list[Recipient]:
@@ -256,7 +256,10 @@
 
     def line_counts(self, session: Session) -> list[int]:
         """Return the number of endpoints that a proxy should hold for each request class."""
-        return [len(self.lines_of(session, index)) for index in self.server.kinds.values()]
+        return [
+            len(self.endpoint_weights(session, index))
+            for index in self.server.class_indices.values()
+        ]
 
     def redirect_proxies(self, now: float) -> None:
         """Redirect some of the joined proxies that another controller should own."""
@@ -265,7 +268,7 @@
     def explain_ownership(self, name: str) -> OwnershipReport:
         """Return the facts that decide which controller owns a proxy."""
         session = self.server.sessions.get(name)
-        return self.admission.explain(name, session.since if session else None)
+        return self.admission.explain(name, session.admitted_at if session else None)
 
     def status(self) -> dict[str, int]:
         """Return the counts that operators see."""
@@ -294,17 +297,17 @@
         no list has named are omitted. Return whether every request class has a table.
         """
         for request_class, lines in session.node.held.items():
-            index = self.server.kinds.get(request_class)
+            index = self.server.class_indices.get(request_class)
             table = self._known_weights(lines)
             if index is not None and table:
                 session.state.tables[INITIAL_TABLE, request_class] = table
                 session.state.assigned_tables[index] = INITIAL_TABLE, request_class
-        return len(session.state.assigned_tables) == len(self.server.kinds)
+        return len(session.state.assigned_tables) == len(self.server.class_indices)
 
     def _known_weights(self, lines: Iterable[WeightedEndpoint]) -> EndpointWeights:
         weights: EndpointWeights = {}
         for line in lines:
-            endpoint = self.host_of((line.address, line.port))
+            endpoint = self.endpoint_at((line.address, line.port))
             if line.weight > 0 and endpoint is not None:
                 weights[endpoint] = line.weight
         return weights
@@ -315,14 +318,14 @@
                 line.weight
             )
             for request_class, lines in node.held.items()
-            if request_class in self.server.kinds
+            if request_class in self.server.class_indices
             for line in lines
             if line.weight > 0
         }
 
     def _add_causes(self, session: Session, message: Message) -> None:
         progress = self._progress[session]
-        if not session.stale:
+        if not session.stale_types:
             progress.causes = {}  # all earlier changes have been sent
         progress.causes.update(dict.fromkeys(message.causes))
 
@@ -331,7 +334,7 @@
         return bool(self._controller.publication.pending_changes(session.node.name, session.number))
 
     def _copy_admission(self, session: Session) -> None:
-        names = list(self.server.kinds)
+        names = list(self.server.class_indices)
         admission = session.state.admissions.items()
-        session.levels = {names[index]: fraction for index, (fraction, _) in admission}
-        session.retries = {names[index]: retry for index, (_, retry) in admission}
+        session.admitted_fractions = {names[index]: fraction for index, (fraction, _) in admission}
+        session.retry_policies = {names[index]: retry for index, (_, retry) in admission}
--- a/peatlead/controller/proxy_admission.py
+++ b/peatlead/controller/proxy_admission.py
@@ -4,7 +4,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from ..fleet.membership import MemberInfo
-from ..fleet.ownership import Ownership, OwnershipReport, rank_controllers, why
+from ..fleet.ownership import Ownership, OwnershipReport, explain_ownership, rank_controllers
 from ..grpc.framing import StatusCode
 from ..grpc.proxy_node import ProxyNode
 from ..grpc.server import GrpcServer
@@ -71,15 +71,17 @@
             return delay_join("paced: more to do than time", delay)
         if self._ownership is None:
             return Admission(newest_epoch + 1, None)
-        decision = self._ownership.admit(now, node.name, newest_epoch, node.hops, node.avoid)
-        if decision.take:
+        decision = self._ownership.admit(
+            now, node.name, newest_epoch, node.hops, node.unreachable_controllers
+        )
+        if decision.admitted:
             return Admission(self._ownership.epochs[node.name], None)
-        if decision.wait:
+        if decision.retry_delay:
             self.delayed_joins += 1
-            return delay_join(decision.why, decision.wait)
+            return delay_join(decision.reason, decision.retry_delay)
         self.admission_redirects += 1
         refusal = Refusal(
-            StatusCode.UNAVAILABLE, decision.why, self._owner_metadata(decision.owner)
+            StatusCode.UNAVAILABLE, decision.reason, self._owner_metadata(decision.owner)
         )
         return Admission(0, refusal)
 
@@ -87,38 +89,38 @@
         """Return the controllers that a proxy should connect to when this controller ends."""
         if self._ownership is None or self._member_info is None:
             return {}
-        members = map(self._member_info, rank_controllers(node.name, self._ownership.live))
+        members = map(self._member_info, rank_controllers(node.name, self._ownership.controllers))
         addresses = [
-            f"{member.name}={member.orders[0]}:{member.orders[1]}"
+            f"{member.name}={member.proxy_address[0]}:{member.proxy_address[1]}"
             for member in members
-            if member and member.orders
+            if member and member.proxy_address
         ]
         return {CONTROLLERS_METADATA: ",".join(addresses)}
 
     def left(self, name: str) -> None:
         """Forget a joined proxy that has left."""
         if self._ownership is not None:
-            self._ownership.left(name)
+            self._ownership.forget(name)
 
     def redirect_proxies(self, now: float, server: GrpcServer) -> None:
         """Redirect some of the joined proxies that another controller should own."""
         if self._ownership is None:
             return
-        for name, owner in self._ownership.moves(now):
+        for name, owner in self._ownership.due_redirects(now):
             session = server.sessions.get(name)
             address = self._owner_metadata(owner)
             if session is not None and address:
                 self.joined_redirects += 1
-                session.move("another's by rank", **address)
+                session.redirect("another's by rank", **address)
 
     def explain(self, name: str, joined_at: float | None) -> OwnershipReport:
         """Return the facts that decide which controller owns a proxy. Raises RuntimeError."""
         if self._ownership is None:
             raise RuntimeError("this controller belongs to no fleet")
-        return why(self._ownership, name, joined_at, self._controller.loop.time())
+        return explain_ownership(self._ownership, name, joined_at, self._controller.loop.time())
 
     def _owner_metadata(self, owner: str) -> Metadata:
         member = self._member_info(owner) if self._member_info else None
-        if not member or not member.orders:
+        if not member or not member.proxy_address:
             return {}
-        return {OWNER_METADATA: f"{member.orders[0]}:{member.orders[1]}"}
+        return {OWNER_METADATA: f"{member.proxy_address[0]}:{member.proxy_address[1]}"}
--- a/peatlead/controller/recipients.py
+++ b/peatlead/controller/recipients.py
@@ -64,7 +64,7 @@
             return []
         return [
             PlannedTable(request_class, session.state.weights(index))
-            for request_class, index in proxies.server.kinds.items()
+            for request_class, index in proxies.server.class_indices.items()
         ]
 
     def items_of(self, number: int) -> TableItems | None:
--- a/peatlead/dns/answers.py
+++ b/peatlead/dns/answers.py
@@ -1,9 +1,10 @@
-"""From the bytes of a query to the bytes of its answer. No I/O, no clock.
+"""Answers DNS queries, from the bytes of a query to the bytes of its answer. No I/O, no clock.
 
-A query that was met before, to the byte but for its id, is answered from prepared parts: only the
-id and the order of endpoints change. All others are parsed by dnspython. Sources: RFC 1034, 1035
-(messages), 2308 (negative answers), 2782 (SRV), 3596 (AAAA), 6891 (EDNS), 7871 (client subnet),
-8482 (ANY).
+A query that repeats an earlier query in all bytes but the id is answered from a prepared answer, in
+which only the id and the order of the endpoints change. All other queries are parsed by dnspython.
+
+Sources: RFC 1034 and 1035 (messages), 2308 (negative answers), 2782 (SRV), 3596 (AAAA), 6891
+(EDNS), 7871 (client subnet), 8482 (ANY).
 """
 
 from collections.abc import Callable, Mapping
@@ -29,7 +30,7 @@
 from .views import View, Views
 from .warmup_thinning import AnswerPool
 from .zone_contents import (
-    NEGATIVE_LIFETIME,
+    NEGATIVE_TTL,
     add_apex_records,
     add_fixed_records,
     add_srv_records,
@@ -38,30 +39,34 @@
     zone_records,
 )
 
-ORDERS_AHEAD = 64  # orders of answers that are drawn at a time
+CYCLE_LENGTH = 64  # orders in a cycle
 MAX_SERIAL = 0xFFFFFFFF
-ANY_LIFETIME = 3789  # seconds, of the record that answers ANY (RFC 8482 section 4.2)
+ANY_TTL = 3789  # seconds; of the HINFO record that answers ANY (RFC 8482 section 4.2)
 TRANSFER_TYPES = (dns.rdatatype.AXFR, dns.rdatatype.IXFR)
 COUNTERS = ("asked", "malformed", "refused", "unknown", "empty", "truncated", "flushed")
 
-# transfer(query, peer, tcp) returns the messages of a zone transfer.
+# Takes (query, peer, tcp) and returns the messages of a zone transfer.
 Transfer = Callable[[dns.message.Message, str, bool], list[bytes]]
 
 
 class Answers:
     """Answers DNS queries, without sockets.
 
-    The controller sets endpoints with `know`, what a view is answered with `place`, and which
-    endpoints have records of their own in `open_hosts`. `draw(low, high)` returns a random number.
+    The controller sets endpoints with `set_endpoint`, the pool of each view's answers with
+    `set_pool`, and in `resolvable_endpoints` which endpoints have address records under their own
+    name. `random_uniform(low, high)` returns a uniformly distributed random number.
     """
 
     def __init__(
-        self, settings: Mapping[str, Any], views: Views, draw: Callable[[float, float], float]
+        self,
+        settings: Mapping[str, Any],
+        views: Views,
+        random_uniform: Callable[[float, float], float],
     ) -> None:
         self.settings: Mapping[str, Any] = settings["dns"]
         self.views = views
-        self.draw = draw
-        self.lifetime: int = self.settings["lifetime"]  # seconds that answers may be cached
+        self.random_uniform = random_uniform
+        self.ttl: int = self.settings["lifetime"]  # seconds
         self.zone = dns.name.from_text(self.settings["zone"])
         self.name_servers = name_servers(settings)
         self.services: dict[str, int] = {
@@ -71,43 +76,44 @@
             self.settings["service_label"], self.services, views.by_name
         )
         self.endpoints: dict[int, EndpointAddresses] = {}
-        self.by_label: dict[str, int] = {}  # endpoints by name
-        self.open_hosts: set[int] = set()  # endpoints whose own names exist
-        self.seats = [[AnswerSource() for _ in self.services] for _ in views.views]
+        self.endpoint_by_label: dict[str, int] = {}
+        self.resolvable_endpoints: set[int] = set()  # endpoints whose names exist in the zone
+        # By view, then by service.
+        self.sources = [[AnswerSource() for _ in self.services] for _ in views.views]
         self.cache = AnswerCache()
-        self.records: dict[tuple[int, int, int], bytes] = {}  # by endpoint, family and lifetime
-        self.change_count = 0  # counts all changes of what answers say
+        self.records: dict[tuple[int, int, int], bytes] = {}  # by endpoint, address family and TTL
+        self.change_count = 0  # changes of any answer's content
         self.serial = 1
-        self.transfer: Transfer | None = None  # set where there are secondaries
+        self.transfer: Transfer | None = None  # set if secondaries are configured
         self.counts = dict.fromkeys(COUNTERS, 0)
 
     @property
-    def prepared(self) -> int:
+    def prepared_count(self) -> int:
         """The number of prepared answers."""
         return self.cache.size
 
-    def know(self, endpoint: int, name: str, v4: str, v6: str) -> None:
-        """Set an endpoint's name and addresses, empty where it has none of a family."""
+    def set_endpoint(self, endpoint: int, name: str, ipv4: str, ipv6: str) -> None:
+        """Set an endpoint's name and addresses; an address is empty if the endpoint has none."""
         old = self.endpoints.get(endpoint)
-        new = EndpointAddresses(name, v4, v6)
+        new = EndpointAddresses(name, ipv4, ipv6)
         if old is not None:
             if old.name == name and old.by_family == new.by_family:
                 return
-            self.by_label.pop(old.name, None)
+            self.endpoint_by_label.pop(old.name, None)
         self.endpoints[endpoint] = new
         self.change_count += 1
-        self.by_label[name] = endpoint
+        self.endpoint_by_label[name] = endpoint
         self.records = {key: value for key, value in self.records.items() if key[0] != endpoint}
         self.flush()
 
-    def place(
-        self, view: int, service: int, named: AnswerPool, planned_weights: Mapping[int, float]
+    def set_pool(
+        self, view: int, service: int, pool: AnswerPool, planned_weights: Mapping[int, float]
     ) -> None:
-        """Set the pool of a view's answers, and the weights that its SRV records show."""
-        source = self.seats[view][service]
-        source.lines = named.weights
-        source.cacheable = named.cacheable
-        source.min_addresses = named.min_addresses
+        """Set the pool and the SRV weights of a view's answers for a service."""
+        source = self.sources[view][service]
+        source.weights = pool.weights
+        source.cacheable = pool.cacheable
+        source.min_addresses = pool.min_addresses
         source.planned_weights = planned_weights
         source.version += 1
         source.cycles = {}
@@ -116,8 +122,8 @@
             self.serial = self.serial % MAX_SERIAL + 1
 
     def has_table(self) -> bool:
-        """Return whether any view has a table."""
-        return any(source.lines for sources in self.seats for source in sources)
+        """Return whether any view has endpoints to answer with."""
+        return any(source.weights for sources in self.sources for source in sources)
 
     def flush(self) -> None:
         """Drop all prepared answers."""
@@ -125,45 +131,45 @@
         self.counts["flushed"] += 1
 
     def respond(self, data: bytes, peer: str, tcp: bool = False) -> bytes | list[bytes] | None:
-        """Return the answer to a query, or None if there must be none.
+        """Return the answer to a query, or None if the query must not be answered.
 
-        A zone transfer over TCP returns a list of messages.
+        The answer to a zone transfer over TCP is a list of messages.
         """
         self.counts["asked"] += 1
-        prepared_answers = self.cache.by_peer[tcp].get(peer)
+        prepared_answers = self.cache.by_transport[tcp].get(peer)
         if prepared_answers is not None:
             prepared = prepared_answers.get(data[2:])
-            if prepared is not None and prepared.source.lines:
+            if prepared is not None and prepared.source.weights:
                 return data[:2] + prepared.next()
-        return self.parse(data, peer, tcp)
+        return self.answer_unprepared(data, peer, tcp)
 
     def cycle(self, source: AnswerSource, family: int) -> AnswerCycle:
-        """Return the source's cycle of a family, drawn when first needed."""
+        """Return the source's cycle of orders for an address family; draw it on first use."""
         cycle = source.cycles.get(family)
         if cycle is None:
             weights = {
                 endpoint: weight
-                for endpoint, weight in source.lines.items()
+                for endpoint, weight in source.weights.items()
                 if self.endpoints[endpoint].by_family[family]
             }
             max_endpoints = max(source.min_addresses, self.settings["addresses"])
-            start = self.draw(0.0, 1.0)
-            cycle = AnswerCycle(draw_orders(weights, max_endpoints, ORDERS_AHEAD, start))
+            start = self.random_uniform(0.0, 1.0)
+            cycle = AnswerCycle(draw_orders(weights, max_endpoints, CYCLE_LENGTH, start))
             source.cycles[family] = cycle
         return cycle
 
-    def record(self, endpoint: int, family: int, lifetime: int) -> bytes:
-        """Return an address record in wire form."""
-        key = endpoint, family, lifetime
+    def record(self, endpoint: int, family: int, ttl: int) -> bytes:
+        """Return an endpoint's address record in wire form."""
+        key = endpoint, family, ttl
         record = self.records.get(key)
         if record is None:
-            record = self.records[key] = self.endpoints[endpoint].record(family, lifetime)
+            record = self.records[key] = self.endpoints[endpoint].record(family, ttl)
         return record
 
-    def parse(self, data: bytes, peer: str, tcp: bool) -> bytes | list[bytes] | None:
-        """Answer a query that is not prepared.
+    def answer_unprepared(self, data: bytes, peer: str, tcp: bool) -> bytes | list[bytes] | None:
+        """Answer a query that has no prepared answer.
 
-        A response is never answered: two servers would go on forever.
+        Responses are not answered, since two servers could answer each other forever.
         """
         if len(data) < HEADER_BYTES or data[2] & RESPONSE_FLAG:
             self.counts["malformed"] += 1
@@ -176,12 +182,12 @@
                 raise ValueError("expected one question")
         except dns.message.Truncated:
             return header_only(data, dns.rcode.FORMERR)
-        except Exception:  # whatever dnspython raises on hostile bytes
+        except Exception:  # dnspython raises various errors on malformed messages
             self.counts["malformed"] += 1
             return header_only(data, dns.rcode.FORMERR)
-        return self.answer(message, data, peer, tcp)
+        return self.answer_message(message, data, peer, tcp)
 
-    def answer(
+    def answer_message(
         self, message: dns.message.Message, data: bytes, peer: str, tcp: bool
     ) -> bytes | list[bytes]:
         """Answer a well-formed query."""
@@ -193,7 +199,7 @@
         if message.edns > 0:
             response.use_edns(0, payload=self.settings["udp_most"])
             response.set_rcode(dns.rcode.BADVERS)
-            return self.finish(query)
+            return self.encode_response(query)
         match, subnet_option = find_view(self.views, message, peer)
         if message.edns == 0:
             options: list[dns.edns.Option] = [subnet_option] if subnet_option else []
@@ -215,28 +221,30 @@
         """Answer a query about a name of the zone."""
         labels = query.labels_below(self.zone)
         target = self.service_names.find(labels, view)
-        if target is None and not self.exists(labels):
+        if target is None and not self.name_exists(labels):
             self.counts["unknown"] += 1
             query.response.set_rcode(dns.rcode.NXDOMAIN)
-            return self.negative(query)
-        if query.question.rdtype == dns.rdatatype.ANY:  # one small record in place of all
+            return self.answer_negatively(query)
+        if query.question.rdtype == dns.rdatatype.ANY:  # one small record (RFC 8482)
             name = query.question.name
-            add_record(query.response.answer, name, ANY_LIFETIME, "HINFO", '"RFC8482" ""')
-            return self.finish(query)
+            add_record(query.response.answer, name, ANY_TTL, "HINFO", '"RFC8482" ""')
+            return self.encode_response(query)
         if target is not None:
             return self.answer_service(query, target)
         self.answer_fixed(query, labels)
-        return self.finish(query) if query.response.answer else self.negative(query)
+        return (
+            self.encode_response(query) if query.response.answer else self.answer_negatively(query)
+        )
 
-    def exists(self, labels: list[str]) -> bool:
-        """Return whether a name below the apex exists, other than a service's."""
+    def name_exists(self, labels: list[str]) -> bool:
+        """Return whether the apex or a name below it exists, apart from the names of services."""
         hosts_label = self.settings["hosts_label"]
         if not labels or labels == [hosts_label]:
             return True
         if len(labels) == 1:
             return any(labels[0] == server.name for server in self.name_servers)
         if len(labels) == 2 and labels[1] == hosts_label:
-            return self.by_label.get(labels[0]) in self.open_hosts
+            return self.endpoint_by_label.get(labels[0]) in self.resolvable_endpoints
         return self.service_names.is_empty_non_terminal(labels)
 
     def answer_service(self, query: Query, target: Target) -> bytes:
@@ -244,56 +252,57 @@
         rdtype = query.question.rdtype
         has_type = rdtype == dns.rdatatype.SRV if target.is_srv else rdtype in FAMILIES
         if not has_type:
-            return self.negative(query)
+            return self.answer_negatively(query)
         if target.view is None:
             return self.refuse(query)
-        source = self.seats[target.view.index][target.service]
-        if not source.lines:
+        source = self.sources[target.view.index][target.service]
+        if not source.weights:
             return self.fail_without_table(query)
         if target.is_srv:
             return self.answer_srv(query, source)
         family = FAMILIES[rdtype]
-        if not any(self.endpoints[endpoint].by_family[family] for endpoint in source.lines):
-            return self.negative(query)
+        if not any(self.endpoints[endpoint].by_family[family] for endpoint in source.weights):
+            return self.answer_negatively(query)
         return query.data[:ID_BYTES] + self.prepare(query, source, family).next()
 
     def fail_without_table(self, query: Query) -> bytes:
-        """Fail a query for which there is no table yet, or none left.
+        """Answer SERVFAIL to a query whose view has no endpoints.
 
-        Another controller may know more; an empty answer would be cached.
+        An empty answer would be cached, while after SERVFAIL a resolver asks another controller,
+        which may have a table.
         """
         self.counts["empty"] += 1
         query.fail(dns.rcode.SERVFAIL)
-        return self.finish(query)
+        return self.encode_response(query)
 
     def prepare(self, query: Query, source: AnswerSource, family: int) -> PreparedAnswer:
-        """Prepare the answers to a query and store them.
+        """Prepare the answers to a query and store them in the cache.
 
-        The question keeps the asker's own bytes: the case of its name.
+        The question is copied from the query, so that the case of its name is preserved.
         """
         empty = query.response.to_wire()  # header, question and OPT record
         question = question_bytes(query.data)
         head = empty[ID_BYTES:HEADER_BYTES] + question
         tail = empty[HEADER_BYTES + len(question) :]
         prepared = PreparedAnswer(self, source, family, head, tail, query.max_size)
-        if self.prepared >= self.settings["prepared_most"]:
+        if self.prepared_count >= self.settings["prepared_most"]:
             self.flush()
         self.cache.add(query.data, query.peer, query.tcp, prepared)
         return prepared
 
     def answer_srv(self, query: Query, source: AnswerSource) -> bytes:
-        """Answer with all endpoints and their weights, and with their addresses if they fit.
+        """Answer with SRV records for all endpoints, and with their addresses if they fit.
 
-        The addresses are optional (RFC 2782): leaving them out is no truncation.
+        The addresses are optional (RFC 2782), so the TC flag is not set if they are left out.
         """
         response = query.response
         add_srv_records(self, source, response.answer, response.additional, query.question.name)
         if len(query.response_bytes()) > query.max_size:
             response.additional = []
-        return self.finish(query)
+        return self.encode_response(query)
 
     def answer_fixed(self, query: Query, labels: list[str]) -> None:
-        """Add the records of the apex, a name server or an endpoint's own name."""
+        """Add the records of the apex, of a name server or of an endpoint's name."""
         response = query.response
         name = query.question.name
         rdtype = query.question.rdtype
@@ -307,21 +316,21 @@
         return soa_text(self, self.serial if serial is None else serial)
 
     def zone_records(self) -> set[ZoneRecord]:
-        """Return all records that a secondary can hold, but for the SOA and ZONEMD records."""
+        """Return all records for secondaries except the SOA and ZONEMD records."""
         return zone_records(self)
 
     def refuse(self, query: Query) -> bytes:
         """Refuse a query."""
         self.counts["refused"] += 1
         query.fail(dns.rcode.REFUSED)
-        return self.finish(query)
+        return self.encode_response(query)
 
-    def negative(self, query: Query) -> bytes:
-        """Answer that there is no such name or data, with the SOA (RFC 2308 section 3)."""
-        add_record(query.response.authority, self.zone, NEGATIVE_LIFETIME, "SOA", self.soa())
-        return self.finish(query)
+    def answer_negatively(self, query: Query) -> bytes:
+        """Give a negative answer, which has the SOA record (RFC 2308 section 3)."""
+        add_record(query.response.authority, self.zone, NEGATIVE_TTL, "SOA", self.soa())
+        return self.encode_response(query)
 
-    def finish(self, query: Query) -> bytes:
+    def encode_response(self, query: Query) -> bytes:
         """Return the response's bytes, truncated if they do not fit."""
         wire = query.response_bytes()
         if len(wire) <= query.max_size:
--- a/peatlead/grpc/handler.py
+++ b/peatlead/grpc/handler.py
@@ -1,4 +1,4 @@
-"""What the gRPC server expects of the controller behind it."""
+"""The interface between the gRPC server and the controller behind it."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, Optional, Protocol
 
 from ..tables.version import Version
-from .discovery import Refused
+from .discovery import Nack
 from .load_aggregation import LoadAggregator
 from .proxy_node import ProxyNode
 
@@ -14,50 +14,55 @@
     from .session import Session
 
 
-# How the stream of a proxy is ended that is not admitted: status, text and trailing metadata.
+# Status, text and trailing metadata that end the stream of a proxy that is not admitted.
 Rejection = tuple[int, str, Mapping[str, str]]
 
 
 class ProxyHandler(Protocol):
-    """The controller's part: admission, tables, and load reports of proxies."""
+    """The controller's decisions on admission, tables and load reports of proxies."""
 
-    gathered: LoadAggregator
+    load_aggregator: LoadAggregator
 
     def admit(self, node: ProxyNode, /) -> tuple[int, Optional[Rejection]]:
-        """The epoch of an admitted proxy, or a Rejection."""
+        """Decides on a proxy; returns its epoch, and a rejection if it is not admitted."""
 
-    def hints(self, node: ProxyNode, /) -> Mapping[str, str]:
-        """Metadata for an admitted proxy: where to connect when this controller ends."""
+    def failover_metadata(self, node: ProxyNode, /) -> Mapping[str, str]:
+        """Returns the metadata that tells an admitted proxy to which controllers to fail over."""
 
-    def joined(self, session: Session, /) -> None:
-        """A proxy has been admitted."""
+    def on_join(self, session: Session, /) -> None:
+        """Handles the admission of a proxy."""
 
-    def left(self, session: Session, /) -> None:
-        """An admitted proxy's stream has ended."""
+    def on_leave(self, session: Session, /) -> None:
+        """Handles the end of an admitted proxy's stream."""
 
-    def refused(self, session: Session, refusal: Refused, /) -> None:
-        """A proxy has sent a NACK."""
+    def on_nack(self, session: Session, nack: Nack, /) -> None:
+        """Handles a NACK of a proxy."""
 
-    def applied(self, session: Session, type_url: str, version: Version, /) -> None:
-        """A proxy has sent an ACK."""
+    def on_ack(self, session: Session, type_url: str, version: Version, /) -> None:
+        """Handles an ACK of a proxy."""
 
-    def published(self, session: Session, version: Version, parts: Collection[str], /) -> None:
-        """A version of these parts of a proxy's tables is sent to it."""
+    def on_response_sent(
+        self, session: Session, version: Version, parts: Collection[str], /
+    ) -> None:
+        """Records that a version of these parts of a proxy's tables is sent to the proxy."""
 
-    def lines_of(self, session: Session, request_class: int, /) -> Mapping[int, float]:
-        """The endpoints that a proxy is to hold now, and their weights."""
+    def endpoint_weights(self, session: Session, request_class: int, /) -> Mapping[int, float]:
+        """Returns the weights of the endpoints in a proxy's current table, by endpoint index."""
 
-    def place_of(self, endpoint: int, /) -> tuple[str, int, str]:
-        """An endpoint's address, port and zone."""
+    def address_of(self, endpoint: int, /) -> tuple[str, int, str]:
+        """Returns an endpoint's address, port and zone."""
 
-    def host_of(self, place: tuple[str, int], /) -> Optional[int]:
-        """The endpoint at an address and port."""
+    def endpoint_at(self, address: tuple[str, int], /) -> Optional[int]:
+        """Returns the endpoint at an address and port, or None if there is none."""
 
-    def takes_report(self, session: Session, now: float, /) -> bool:
-        """Whether a load report is processed, or shed."""
+    def accepts_report(self, session: Session, now: float, /) -> bool:
+        """Returns whether to process a load report, which is dropped otherwise."""
 
-    def reported(self, session: Session, started: float, /) -> None:
-        """A load report has been processed since `started`."""
+    def on_report_processed(self, session: Session, started_at: float, /) -> None:
+        """Records that a load report was processed, beginning at `started_at`."""
 
-    def report_every(self, session: Optional[Session], /) -> float:
-        """Seconds between load reports of a proxy; None: of one that is not connected."""
+    def report_interval(self, session: Optional[Session], /) -> float:
+        """Returns the seconds between load reports of a proxy.
+
+        `session` is None for a proxy that has not joined.
+        """
--- a/peatlead/grpc/session.py
+++ b/peatlead/grpc/session.py
@@ -1,4 +1,4 @@
-"""One connected proxy: its discovery stream, what it is to hold, and what it has acknowledged."""
+"""The session of one connected proxy: its discovery stream and the state that the handler keeps."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from .call import Call
 from .discovery import Discovery, Resources
 from .framing import StatusCode
-from .incremental import Incremental, Items
+from .incremental import IncrementalDiscovery, Items
 from .proxy_node import ProxyNode, read_node
 from .resources import (
-    ENDPOINTS,
-    LINES,
-    ROUTES,
-    ROUTES_NAME,
+    ASSIGNMENT_TYPE_URL,
+    LB_ENDPOINT_TYPE_URL,
+    ROUTE_CONFIGURATION_NAME,
+    ROUTE_TYPE_URL,
     WeightedEndpoint,
     encode_assignment,
     encode_routes,
@@ -29,67 +29,71 @@
 if TYPE_CHECKING:
     from .server import GrpcServer
 
-FULL_ADMISSION = 1.0  # admitted fraction of a request class that the planner has not limited
+FULL_ADMISSION = 1.0  # admitted fraction of a request class without a limit of the planner
 
 
 class Session:
-    """The stream of one proxy, state-of-the-world variant.
+    """The session of one proxy on a state-of-the-world discovery stream.
 
-    The proxy joins with its first request, and leaves when the stream ends.
+    The proxy joins with its first request and leaves when the stream ends.
     """
 
-    REQUEST: ClassVar[Any] = discovery_pb2.DiscoveryRequest
-    # Parts of the proxy's tables in each resource type.
-    TYPES: ClassVar[Mapping[str, set[str]]] = {ENDPOINTS: {"line", "level"}, ROUTES: {"retry"}}
+    REQUEST_TYPE: ClassVar[Any] = discovery_pb2.DiscoveryRequest
+    # Parts of the proxy's tables that each resource type contains.
+    PARTS_BY_TYPE_URL: ClassVar[Mapping[str, set[str]]] = {
+        ASSIGNMENT_TYPE_URL: {"line", "level"},
+        ROUTE_TYPE_URL: {"retry"},
+    }
 
     epoch: int  # set once the proxy is admitted
 
-    def __init__(self, front: GrpcServer, call: Call) -> None:
-        self.front = front
-        self.handler = front.handler
+    def __init__(self, server: GrpcServer, call: Call) -> None:
+        self.server = server
+        self.handler = server.handler
         self.call = call
-        self._node: Optional[ProxyNode] = None  # until the first request
-        self.discovery: Optional[Union[Discovery, Incremental]] = None  # while it is admitted
-        self.since = 0.0  # when it was admitted
-        self.ready = False  # whether there is anything to send
-        self.stale: set[str] = set()  # resource types that have changed since they were sent
-        # Kept by the handler.
-        self.number: Any = None
-        self.state: Any = None
-        self.zone = 0
-        self.levels: dict[str, float] = {}  # admitted fraction by request class
-        self.retries: dict[str, str] = {}  # retry policy by request class
-        self.causes: dict[Any, None] = {}  # of what is sent next
-        self.held: Version = NO_VERSION  # acknowledged
-        self.report_at: Optional[float] = None  # when its last load report was processed
-        self.reports = 0  # load reports that have come
-        call.message = self._on_message
-        call.ended = self._on_end
-        call.writable = self.push
+        self._node: Optional[ProxyNode] = None  # None until the first request
+        # The discovery stream, None unless the proxy is admitted.
+        self.discovery: Optional[Union[Discovery, IncrementalDiscovery]] = None
+        self.admitted_at = 0.0  # event loop time
+        self.ready = False  # whether the handler has tables for the proxy
+        self.stale_types: set[str] = set()  # types that have changed since they were sent
+        # The handler sets the following attributes.
+        self.number: Any = None  # the planner's number of the proxy
+        self.state: Any = None  # the tables that the planner has assigned
+        self.zone = 0  # index
+        self.admitted_fractions: dict[str, float] = {}  # by request class
+        self.retry_policies: dict[str, str] = {}  # by request class
+        self.causes: dict[Any, None] = {}  # causes of the next response
+        self.held: Version = NO_VERSION  # newest acknowledged version
+        self.last_report_at: Optional[float] = None  # when a load report was last processed
+        self.report_count = 0  # received load reports
+        call.on_message = self._on_message
+        call.on_end = self._on_end
+        call.on_writable = self.push
 
     @property
     def node(self) -> ProxyNode:
-        """The proxy, as it reported itself. Raises RuntimeError before its first request."""
+        """What the proxy reported about itself. Raises RuntimeError before its first request."""
         if self._node is None:
-            raise RuntimeError("expected a first request before this")
+            raise RuntimeError("the proxy has not sent its first request")
         return self._node
 
     # Requests.
 
     def _on_message(self, data: bytes) -> None:
         try:
-            request = self.REQUEST.FromString(data)
+            request = self.REQUEST_TYPE.FromString(data)
             if self._node is None:
                 self._join(read_node(request))
         except DecodeError:
-            expected = f"expected a {self.REQUEST.DESCRIPTOR.name}"
+            expected = f"expected a {self.REQUEST_TYPE.DESCRIPTOR.name}"
             self.call.finish(StatusCode.INVALID_ARGUMENT, expected)
             return
         except ValueError as error:
             self.call.finish(StatusCode.INVALID_ARGUMENT, str(error))
             return
         if self.discovery is not None:
-            self._send(self.discovery.take(request))
+            self._send(self.discovery.handle_request(request))
             self._report_acknowledgements(self.discovery)
 
     def _join(self, node: ProxyNode) -> None:
@@ -101,119 +105,145 @@
             return
         self.epoch = epoch
         self.discovery = self._make_discovery(epoch)
-        self.since = asyncio.get_running_loop().time()
-        self.call.connection.accept(self.call, **self.handler.hints(node))
+        self.admitted_at = asyncio.get_running_loop().time()
+        self.call.connection.send_initial_metadata(
+            self.call, **self.handler.failover_metadata(node)
+        )
         self.call.connection.flush()
-        self.handler.joined(self)
+        self.handler.on_join(self)
 
-    def _make_discovery(self, epoch: int) -> Union[Discovery, Incremental]:
-        return Discovery(epoch, self._resources, self.front.identity, self._on_published)
+    def _make_discovery(self, epoch: int) -> Union[Discovery, IncrementalDiscovery]:
+        return Discovery(epoch, self._resources, self.server.identity, self._on_response_sent)
 
-    def _on_published(self, version: Version, type_url: str) -> None:
-        self.handler.published(self, version, sorted(self.TYPES[type_url]))
+    def _on_response_sent(self, version: Version, type_url: str) -> None:
+        self.handler.on_response_sent(self, version, sorted(self.PARTS_BY_TYPE_URL[type_url]))
 
-    def _report_acknowledgements(self, discovery: Union[Discovery, Incremental]) -> None:
-        """Hands ACKs and NACKs to the handler."""
-        for refusal in discovery.refusals:
-            self.handler.refused(self, refusal)
-        for type_url, version in discovery.applied:
-            self.handler.applied(self, type_url, version)
-        discovery.refusals = []
-        discovery.applied = []
+    def _report_acknowledgements(self, discovery: Union[Discovery, IncrementalDiscovery]) -> None:
+        """Passes ACKs and NACKs to the handler."""
+        for nack in discovery.nacks:
+            self.handler.on_nack(self, nack)
+        for type_url, version in discovery.acks:
+            self.handler.on_ack(self, type_url, version)
+        discovery.nacks = []
+        discovery.acks = []
 
     def _on_end(self, status: int, text: str) -> None:
         if self.discovery is not None:
             self.discovery = None
-            self.handler.left(self)
+            self.handler.on_leave(self)
 
-    # What the proxy is to hold.
+    # The current tables.
 
     def _resources(self, type_url: str, names: tuple[str, ...]) -> Optional[Resources]:
-        """The resources as they stand.
+        """Returns the current resources of a type.
 
-        None while there is nothing to send: what the proxy brought is valid until then.
+        Returns None until the handler has tables; until then the proxy keeps the tables that it
+        holds from an earlier stream.
         """
         if not self.ready:
             return None
-        if type_url == ENDPOINTS:
+        if type_url == ASSIGNMENT_TYPE_URL:
             return {
                 name: encode_assignment(
-                    name, self._lines(name), self.levels.get(name, FULL_ADMISSION)
+                    name, self._endpoints(name), self.admitted_fractions.get(name, FULL_ADMISSION)
                 )
-                for name in self.front.kinds
+                for name in self.server.class_indices
                 if name in names or not names
             }
-        if type_url == ROUTES:
+        if type_url == ROUTE_TYPE_URL:
             return {
-                ROUTES_NAME: encode_routes({name: self._retry(name) for name in self.front.kinds})
+                ROUTE_CONFIGURATION_NAME: encode_routes(
+                    {name: self._retry_policy(name) for name in self.server.class_indices}
+                )
             }
         return {}
 
-    def _retry(self, request_class: str) -> str:
-        return self.retries.get(request_class, RetryPolicy.UNSTARTED.value)
+    def _retry_policy(self, request_class: str) -> str:
+        return self.retry_policies.get(request_class, RetryPolicy.UNSTARTED.value)
 
-    def _lines(self, request_class: str) -> list[WeightedEndpoint]:
-        weights = self.handler.lines_of(self, self.front.kinds[request_class])
+    def _endpoints(self, request_class: str) -> list[WeightedEndpoint]:
+        weights = self.handler.endpoint_weights(self, self.server.class_indices[request_class])
         return [
-            WeightedEndpoint(*self.handler.place_of(endpoint), weight)
+            WeightedEndpoint(*self.handler.address_of(endpoint), weight)
             for endpoint, weight in weights.items()
         ]
 
     def items(self, part: str) -> Optional[Items]:
-        """The items of a part of the tables as they stand; None while there is nothing to send."""
+        """Returns the current items of a part of the tables, None until the handler has tables."""
         if not self.ready:
             return None
-        kinds = self.front.kinds
+        request_classes = self.server.class_indices
         if part == "line":
             return {
-                line_key(kind, line.zone, line.address, line.port): quantize_weight(line.weight)
-                for kind in kinds
-                for line in self._lines(kind)
+                line_key(
+                    request_class, endpoint.zone, endpoint.address, endpoint.port
+                ): quantize_weight(endpoint.weight)
+                for request_class in request_classes
+                for endpoint in self._endpoints(request_class)
             }
         if part == "level":
             return {
-                f"level/{kind}": round(self.levels.get(kind, FULL_ADMISSION) * MILLION)
-                for kind in kinds
+                f"level/{request_class}": round(
+                    self.admitted_fractions.get(request_class, FULL_ADMISSION) * MILLION
+                )
+                for request_class in request_classes
             }
-        return {f"retry/{kind}": self._retry(kind) for kind in kinds}
+        return {
+            f"retry/{request_class}": self._retry_policy(request_class)
+            for request_class in request_classes
+        }
 
     # Sending.
 
-    def changed(self, parts: Iterable[str] = PARTS) -> None:
-        """Sends these parts of the tables, which have changed; to a slow reader only the newest."""
+    def on_tables_changed(self, parts: Iterable[str] = PARTS) -> None:
+        """Sends changed parts of the tables, or sends them later if the proxy reads slowly.
+
+        A slow reader gets only the newest state.
+        """
         if not self.ready:
             self.ready = True
             parts = PARTS
         changed = set(parts)
-        self.stale.update(type_url for type_url, covers in self.TYPES.items() if covers & changed)
+        self.stale_types.update(
+            type_url
+            for type_url, type_parts in self.PARTS_BY_TYPE_URL.items()
+            if type_parts & changed
+        )
         self.push()
 
     def push(self) -> None:
-        """Sends what has changed, as long as nothing waits for the proxy."""
-        for type_url in self.TYPES:
-            if type_url in self.stale and self.call.idle and self.discovery is not None:
-                self.stale.discard(type_url)
-                self._send(self.discovery.changed(type_url))
+        """Sends the changed resource types while the call has no backlog."""
+        for type_url in self.PARTS_BY_TYPE_URL:
+            if type_url in self.stale_types and self.call.idle and self.discovery is not None:
+                self.stale_types.discard(type_url)
+                self._send(self.discovery.resources_changed(type_url))
 
     def _send(self, responses: Iterable[Any]) -> None:
         for response in responses:
             self.call.send(response.SerializeToString(deterministic=True))
 
-    def move(self, text: str, **metadata: str) -> None:
-        """Redirects the proxy to another controller; it keeps what it holds."""
+    def redirect(self, text: str, **metadata: str) -> None:
+        """Redirects the proxy to another controller; the proxy keeps its tables."""
         self.call.finish(StatusCode.UNAVAILABLE, text, **metadata)
 
 
 class DeltaSession(Session):
-    """The stream of one proxy, incremental variant: endpoints as resources of their own."""
+    """The session of one proxy on an incremental discovery stream.
+
+    Each endpoint is a resource of its own.
+    """
 
-    REQUEST = discovery_pb2.DeltaDiscoveryRequest
-    TYPES = {LINES: {"line"}, ENDPOINTS: {"level"}, ROUTES: {"retry"}}
+    REQUEST_TYPE = discovery_pb2.DeltaDiscoveryRequest
+    PARTS_BY_TYPE_URL = {
+        LB_ENDPOINT_TYPE_URL: {"line"},
+        ASSIGNMENT_TYPE_URL: {"level"},
+        ROUTE_TYPE_URL: {"retry"},
+    }
 
-    def _make_discovery(self, epoch: int) -> Union[Discovery, Incremental]:
-        return Incremental(
-            epoch, self.items, self.front.identity, self._on_parts_published, self.front.zones
+    def _make_discovery(self, epoch: int) -> Union[Discovery, IncrementalDiscovery]:
+        return IncrementalDiscovery(
+            epoch, self.items, self.server.identity, self._on_delta_response_sent, self.server.zones
         )
 
-    def _on_parts_published(self, version: Version, parts: tuple[str, ...]) -> None:
-        self.handler.published(self, version, parts)
+    def _on_delta_response_sent(self, version: Version, parts: tuple[str, ...]) -> None:
+        self.handler.on_response_sent(self, version, parts)
