--- a/peatlead/lab/day.py
+++ b/peatlead/lab/day.py
@@ -158,7 +158,7 @@
                 PLANNERS.get(self.planner, self.create_oracle),
                 str(self.folder / "state"),
                 boot=boot,
-                wall=lambda: self.simulation.now,
+                wall_clock=lambda: self.simulation.now,
             )
             await controller.start()
             self.record_decisions(name, controller)
--- a/peatlead/platform/endpoint_tracker.py
+++ b/peatlead/platform/endpoint_tracker.py
@@ -37,7 +37,7 @@
         """Apply a list and return the event for the planner; `now` is on the loop's clock."""
         endpoint_list = self.keep_endpoints_with_unusable_entries(endpoint_list)
         previous = {entry.name: self.phase_of(entry.name) for entry in endpoint_list.endpoints}
-        is_first = not self.registry.listed
+        is_first = not self.registry.list_received
         update: EndpointUpdate = self.registry.endpoint_update(endpoint_list, now)
         if endpoint_list.scope != ListScope.CHANGES:
             listed = {endpoint.id for endpoint in update.endpoints}
@@ -45,7 +45,7 @@
                 endpoint for endpoint in self.registry.entries if endpoint not in listed
             )
         for entry in endpoint_list.endpoints:
-            endpoint = self.registry.index.get(entry.name)
+            endpoint = self.registry.numbers.get(entry.name)
             was_known = is_first or self.was_listed_before(entry.name, previous[entry.name])
             is_change = endpoint_list.scope == ListScope.CHANGES
             has_changed = may_have_changed(entry, previous[entry.name], is_change)
@@ -92,9 +92,9 @@
         if endpoint_list.scope != ListScope.WHOLE or not unusable_names:
             return endpoint_list
         previous_entries = [
-            self.registry.entries[self.registry.index[name]]
+            self.registry.entries[self.registry.numbers[name]]
             for name in unusable_names
-            if name is not None and name in self.registry.index
+            if name is not None and name in self.registry.numbers
         ]
         previous_names = {entry.name for entry in previous_entries}
         other_entries = [
@@ -107,7 +107,7 @@
 
     def phase_of(self, name: str) -> Optional[str]:
         """Return the phase of an endpoint's last entry, or None if the endpoint is unknown."""
-        endpoint = self.registry.index.get(name)
+        endpoint = self.registry.numbers.get(name)
         if endpoint is None:
             return None
         phase: str = self.registry.entries[endpoint].phase
--- a/peatlead/platform/push.py
+++ b/peatlead/platform/push.py
@@ -73,7 +73,7 @@
 
         A table is sent whole if a request class was assigned to it in this batch.
         """
-        table_by_class: dict[int, int] = publisher.bound.get(proxy, {})
+        table_by_class: dict[int, int] = publisher.assigned_tables.get(proxy, {})
         whole_tables = {table for key, table in operations.items() if key[0] == ASSIGNMENT}
         admissions = classes_by_admission(publisher, table_by_class, whole_tables, operations)
         entries = self.entries_by_table(whole_tables, operations)
@@ -129,8 +129,8 @@
     """
     admission_by_class = {key[1]: value for key, value in operations.items() if key[0] == ADMISSION}
     for request_class, table in table_by_class.items():
-        if table in whole_tables and request_class in publisher.levels:
-            admission_by_class[request_class] = publisher.levels[request_class]
+        if table in whole_tables and request_class in publisher.admissions:
+            admission_by_class[request_class] = publisher.admissions[request_class]
     classes_of_admission: dict[Admission, list[int]] = {}
     for request_class, admission in sorted(admission_by_class.items()):
         classes_of_admission.setdefault(Admission(*admission), []).append(request_class)
--- a/peatlead/platform/reports.py
+++ b/peatlead/platform/reports.py
@@ -37,7 +37,7 @@
 
     def to_endpoint_stats(self, report: EndpointOutcomes) -> Optional[interface.EndpointStats]:
         """Convert a zone's report on an endpoint; None if either is unknown."""
-        endpoint = self.registry.index.get(report.endpoint)
+        endpoint = self.registry.numbers.get(report.endpoint)
         zone = self.registry.zones.get(report.zone)
         if endpoint is None or zone is None:
             return None
--- a/peatlead/scenario/controller_feeds.py
+++ b/peatlead/scenario/controller_feeds.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ..controller.control_socket import Asking
+from ..controller.control_socket import ControlClient
 from .endpoint_list_file import RowRecorder
 from .processes import ChildProcess
 
@@ -20,7 +20,7 @@
 
     def __init__(self, record: RowRecorder) -> None:
         self._record = record
-        self._streams: dict[int, Asking] = {}  # by controller number
+        self._streams: dict[int, ControlClient] = {}  # by controller number
         self._closed = False
 
     async def follow(self, number: int, child: ChildProcess, address: tuple[str, int]) -> None:
@@ -56,5 +56,5 @@
             )
 
 
-def _feed_client(take: Callable[[bytes], None]) -> Callable[[], Asking]:
-    return lambda: Asking({"ask": "feed"}, take)
+def _feed_client(take: Callable[[bytes], None]) -> Callable[[], ControlClient]:
+    return lambda: ControlClient({"ask": "feed"}, take)
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -83,7 +83,7 @@
         async def case(world):
             controller = await world.start_controller()
             await until(lambda: len(world.answered_endpoints(controller)) == 4)
-            first_version = str(controller.published.store.histories["view:desk0"].newest_version)
+            first_version = str(controller.publication.store.histories["view:desk0"].newest_version)
             file = world.folder / "service.star"
             file.write_text(
                 SCRIPT.format(
@@ -101,7 +101,7 @@
             world.phases["h0"] = "draining"
             world.write_list()
             await until(lambda: world.answered_endpoints(controller) == {"h1", "h2", "h3"})
-            last_version = str(controller.published.store.histories["view:desk0"].newest_version)
+            last_version = str(controller.publication.store.histories["view:desk0"].newest_version)
             ns1 = "--name", "ns1"
             code, output = await run_tables_command("log", "desk0", *ns1)
             self.assertTrue(code == 0 and "h0 drains" in output, output)
--- a/tests/controller/test_dns_controller.py
+++ b/tests/controller/test_dns_controller.py
@@ -1,4 +1,4 @@
-"""A DNS controller from list to answer, and what it does when something fails."""
+"""A DNS controller from the endpoint list to the answer, and its behaviour under failures."""
 
 import asyncio
 import unittest
@@ -12,7 +12,7 @@
 from .connections import dial, start_resolver
 
 
-class FromListToAnswerTest(unittest.TestCase):
+class ListToAnswerTest(unittest.TestCase):
     def test_a_request_reaches_the_endpoint_that_an_answer_named(self):
         async def case(world):
             controller = await world.start_controller()
@@ -59,7 +59,7 @@
                         "POST", "/look", [("host", "x"), ("req-id", "r")], b"", loop.time() + 0.1
                     )
                     stream.close()
-                except Exception:  # the hung one's clients give up: that is the point
+                except Exception:  # requests to the hung endpoint time out
                     pass
 
             async def send_requests():
@@ -78,7 +78,7 @@
 
         run_with_standins(case, deep=False)
 
-    def test_a_draining_endpoint_leaves_answers_and_its_name_goes(self):
+    def test_a_draining_endpoint_leaves_answers_and_loses_its_own_name(self):
         async def case(world):
             controller = await world.start_controller()
             await until(lambda: len(world.answered_endpoints(controller)) == 4)
@@ -91,7 +91,7 @@
 
         self.assertEqual(run_with_standins(case), (False, True))
 
-    def test_an_empty_torn_or_wrong_list_changes_no_answer(self):
+    def test_an_empty_truncated_or_wrong_list_changes_no_answer(self):
         async def case(world):
             controller = await world.start_controller()
             await until(lambda: len(world.answered_endpoints(controller)) == 4)
@@ -105,12 +105,12 @@
             self.assertEqual(world.answered_endpoints(controller), {"h0", "h1", "h2", "h3"})
             world.write_list(b'{"version": 99, "hosts": [{"na')
             await until(lambda: any(event == "list not readable" for event, _ in world.log))
-            kept, world.phases = world.phases, {}
+            phases, world.phases = world.phases, {}
             world.extra_entries, world.list_version = [], 200
             world.write_list()
             await until(lambda: controller.endpoint_lists.source.version == 201)
             await asyncio.sleep(0.5)
-            world.phases = kept
+            world.phases = phases
             return world.answered_endpoints(controller)
 
         self.assertEqual(run_with_standins(case), {"h0", "h1", "h2", "h3"})
@@ -119,20 +119,19 @@
         async def case(world):
             first = await world.start_controller()
             await until(lambda: len(world.answered_endpoints(first)) == 4)
-            tables = [[seat.weights for seat in view] for view in first.answers.sources]
+            tables = [[source.weights for source in view] for view in first.answers.sources]
             first.stop()
             (world.folder / "nodes.json").unlink()
             restarted = await world.start_controller("ns2")
-            self.assertEqual(
-                world.answered_endpoints(restarted), set()
-            )  # its own memory is empty: it says so, it makes up nothing
+            # The second controller has no stored list of its own.
+            self.assertEqual(world.answered_endpoints(restarted), set())
             restarted.stop()
             await asyncio.sleep(0.02)
             (world.folder / "state" / "list-ns1").rename(world.folder / "state" / "list-ns2")
             restarted = await world.start_controller("ns2")
             await until(lambda: world.answered_endpoints(restarted))
             await until(lambda: not restarted.channel.queue)
-            return [[seat.weights for seat in view] for view in restarted.answers.sources] == tables
+            return [[source.weights for source in view] for view in restarted.answers.sources] == tables
 
         self.assertTrue(run_with_standins(case))
 
@@ -145,50 +144,54 @@
             with mock.patch.object(
                 controller.planner, "end_round", side_effect=ZeroDivisionError("planted")
             ):
-                why = await asyncio.wait_for(controller.ended, 10)
+                reason = await asyncio.wait_for(controller.ended, 10)
             record = dict(world.log)["decide failed"]
             with self.assertRaises(OSError):
                 await dial(world)
-            return why, record["error"], bool(record["at"])
+            return reason, record["error"], bool(record["at"])
 
         self.assertEqual(
             run_with_standins(case),
             ("decide failed: ZeroDivisionError('planted')", "ZeroDivisionError('planted')", True),
         )
 
-    def test_after_a_stall_no_answers_until_the_list_was_read(self):
+    def test_after_a_stall_no_query_is_answered_until_the_list_was_read(self):
         async def case(world):
             controller, loop = await world.start_controller(), asyncio.get_running_loop()
             await until(lambda: len(world.answered_endpoints(controller)) == 4)
             resolver = await start_resolver(world)
             self.assertTrue(await resolver.lookup("desk0.api.example.org", "", "desk0"))
-            # It freezes: the list changes, a query waits in its socket, then all of its timers are due at once.
+            # A stall: the list changes and a query waits in the socket before any timer runs.
             controller.endpoint_lists.source.stop()
             world.phases["h0"] = "draining"
             world.write_list()
-            controller.front.fresh_until = loop.time() - 5.0
+            controller.dns_server.fresh_until = loop.time() - 5.0
             wire = dns.message.make_query("api.example.org", "A").to_wire()
-            before = controller.front.unanswered
+            before = controller.dns_server.unanswered
             resolver.transport.sendto(wire, ("127.1.0.1", world.port))
             await until(
-                lambda: controller.front.unanswered > before
-                or controller.front.fresh_until > loop.time()
+                lambda: controller.dns_server.unanswered > before
+                or controller.dns_server.fresh_until > loop.time()
+            )
+            await until(lambda: controller.dns_server.fresh_until > loop.time())
+            return "h0" in world.answered_endpoints(controller), "controller stalled" in dict(
+                world.log
             )
-            await until(lambda: controller.front.fresh_until > loop.time())
-            return "h0" in world.answered_endpoints(controller), "stood still" in dict(world.log)
 
         self.assertEqual(run_with_standins(case), (False, True))
 
-    def test_resolvers_turn_from_a_frozen_controller_to_the_other(self):
+    def test_resolvers_switch_from_a_frozen_controller_to_the_other(self):
         async def case(world):
             controllers = [await world.start_controller("ns1"), await world.start_controller("ns2")]
-            await until(lambda: all(world.answered_endpoints(one) for one in controllers))
-            controllers[0].freshness.renew = lambda now: None
-            controllers[0].front.fresh_until = 0.1
+            await until(
+                lambda: all(world.answered_endpoints(controller) for controller in controllers)
+            )
+            controllers[0].answer_freshness.renew = lambda now: None
+            controllers[0].dns_server.fresh_until = 0.1
             resolver = await start_resolver(world, servers=("127.1.0.1", "127.1.0.2"))
             return [
-                bool(await resolver.lookup(f"desk{at % 2}.api.example.org", "", "x"))
-                for at in range(6)
+                bool(await resolver.lookup(f"desk{number % 2}.api.example.org", "", "x"))
+                for number in range(6)
             ]
 
         self.assertEqual(run_with_standins(case), [True] * 6)
@@ -198,13 +201,13 @@
             controllers = [await world.start_controller("ns1"), await world.start_controller("ns2")]
             await until(
                 lambda: all(
-                    one.answers.sources[0][0].weights and not one.channel.queue
-                    for one in controllers
+                    controller.answers.sources[0][0].weights and not controller.channel.queue
+                    for controller in controllers
                 )
             )
             tables = [
-                [seat.weights for view in one.answers.sources for seat in view]
-                for one in controllers
+                [source.weights for view in controller.answers.sources for source in view]
+                for controller in controllers
             ]
             return tables[0] == tables[1]
 
--- a/tests/controller/test_dns_over_tcp.py
+++ b/tests/controller/test_dns_over_tcp.py
@@ -7,28 +7,30 @@
 import dns.rcode
 
 from ..standin_fleet import run_with_standins, until
-from .connections import dial, framed
+from .connections import dial, framed_query
 
 
 class DnsOverTcpTest(unittest.TestCase):
-    def test_pipelined_queries_in_pieces_are_answered_in_order(self):
+    def test_pipelined_queries_in_small_segments_are_answered_in_order(self):
         async def case(world):
             controller = await world.start_controller()
             await until(lambda: world.answered_endpoints(controller))
             stream = await dial(world)
             names = ["desk0.api.example.org", "example.com", "desk1.api.example.org"]
-            data = b"".join(map(framed, names))
-            for at in range(0, len(data), 7):
-                stream.send(data[at : at + 7])
+            data = b"".join(map(framed_query, names))
+            for start in range(0, len(data), 7):
+                stream.send(data[start : start + 7])
                 await asyncio.sleep(0)
-            answers, at = [], 0
+            answers, start = [], 0
             await until(lambda: len(stream.received_bytes) > 130)
-            while at < len(stream.received_bytes):
-                size = int.from_bytes(stream.received_bytes[at : at + 2], "big")
-                answers.append(dns.message.from_wire(stream.received_bytes[at + 2 : at + 2 + size]))
-                at += 2 + size
+            while start < len(stream.received_bytes):
+                size = int.from_bytes(stream.received_bytes[start : start + 2], "big")
+                answers.append(
+                    dns.message.from_wire(stream.received_bytes[start + 2 : start + 2 + size])
+                )
+                start += 2 + size
             stream.close()
-            return [(one.question[0].name.to_text(), one.rcode()) for one in answers]
+            return [(answer.question[0].name.to_text(), answer.rcode()) for answer in answers]
 
         self.assertEqual(
             run_with_standins(case),
@@ -39,17 +41,17 @@
             ],
         )
 
-    def test_idle_and_malformed_peers_are_cut_and_the_idlest_is_evicted(self):
+    def test_idle_and_malformed_connections_are_cut_and_the_longest_idle_is_evicted(self):
         async def case(world):
             world.settings["dns"]["tcp_idle"], world.settings["dns"]["tcp_most"] = 0.3, 3
             controller = await world.start_controller()
             await until(lambda: world.answered_endpoints(controller))
             streams = [await dial(world) for _ in range(4)]
-            await until(lambda: controller.front.connections.evicted == 1)
+            await until(lambda: controller.dns_server.connections.evicted == 1)
             await until(lambda: streams[0].over.done())
             streams[1].send(b"\x00\x05abcde")
             await until(lambda: streams[1].over.done())
             await until(lambda: streams[2].over.done() and streams[3].over.done())
-            return len(controller.front.connections.streams)
+            return len(controller.dns_server.connections.streams)
 
         self.assertEqual(run_with_standins(case), 0)
--- a/tests/controller/test_health_checks.py
+++ b/tests/controller/test_health_checks.py
@@ -7,7 +7,7 @@
 
 
 class HealthChecksTest(unittest.TestCase):
-    def test_checks_in_flight_and_waiting_are_bounded(self):
+    def test_running_and_waiting_checks_are_bounded(self):
         async def case(world):
             controller = await world.start_controller()
             prober = controller.health_checks.prober
@@ -19,7 +19,7 @@
 
         self.assertEqual(run_with_standins(case), (2, 3, 5))
 
-    def test_admission_reaches_endpoints_with_checks_and_the_mean_of_two_controllers_counts(self):
+    def test_checks_carry_admission_and_endpoints_use_the_mean_of_two_controllers(self):
         async def case(world):
             controller = await world.start_controller()
             await until(lambda: world.answered_endpoints(controller))
@@ -32,7 +32,7 @@
             )
             world.endpoints[0].admitted_fractions["look", "other"] = 0.2, now()
             self.assertAlmostEqual(world.endpoints[0].admitted_fraction("look", now()), 0.3)
-            # What a dead controller ordered must not hold for good.
+            # The admitted fraction of a dead controller must expire.
             return world.endpoints[0].admitted_fraction("look", now() + 60.0)
 
         self.assertEqual(run_with_standins(case), 1.0)
--- a/tests/platform/test_push.py
+++ b/tests/platform/test_push.py
@@ -124,7 +124,7 @@
         async def case(platform):
             await until(lambda: platform.controller.watch.version == 1)
             platform.discovery.publish(instance(7, started=1.9e12))
-            await until(lambda: "s-7" in platform.controller.endpoint_tracker.registry.index)
+            await until(lambda: "s-7" in platform.controller.endpoint_tracker.registry.numbers)
             self.assertEqual(platform.controller.endpoint_tracker.possibly_ejected, set())
             platform.discovery.publish(
                 instance(1, "z1")
@@ -144,19 +144,19 @@
     def test_a_withdrawal_is_sent_once_per_stream(self):
         publisher = Publisher()
         publisher.join(5, enforces_admission=True)
-        sent = [publisher.take([interface.WithdrawEndpoint(1, True)])[0] for _ in range(2)]
+        sent = [publisher.route([interface.WithdrawEndpoint(1, True)])[0] for _ in range(2)]
         publisher.leave(5)
         publisher.join(5, enforces_admission=True)
         self.assertEqual(
-            [*sent, publisher.take([interface.WithdrawEndpoint(1, True)])[0]],
+            [*sent, publisher.route([interface.WithdrawEndpoint(1, True)])[0]],
             [{5: {("withdrawn", 1): True}}, {}, {5: {("withdrawn", 1): True}}],
         )
         self.assertEqual(
-            publisher.take([interface.WithdrawEndpoint(1, False)])[0],
+            publisher.route([interface.WithdrawEndpoint(1, False)])[0],
             {5: {("withdrawn", 1): False}},
         )
         self.assertEqual(
-            publisher.take([interface.WithdrawEndpoint(1, True)])[0], {5: {("withdrawn", 1): True}}
+            publisher.route([interface.WithdrawEndpoint(1, True)])[0], {5: {("withdrawn", 1): True}}
         )
 
 
@@ -174,8 +174,8 @@
             await until(lambda: proxy.end_reason and "s-1" in removed_endpoints(other))
             platform.controller.push_composer.table_updates = tables
             new_stream = await platform.proxy_with_table(0)
-            decided_before = platform.controller.decided
-            await until(lambda: platform.controller.decided > decided_before + 3)
+            decided_before = platform.controller.batch_count
+            await until(lambda: platform.controller.batch_count > decided_before + 3)
             self.assertIsNone(new_stream.end_reason)
 
         run_with_platform(case)
--- a/tests/seeded_faults.py
+++ b/tests/seeded_faults.py
@@ -45,12 +45,12 @@
 
 def withdrawals_forgotten():
     """Withdrawals of endpoints are not published."""
-    original = Publisher.take
+    original = Publisher.route
 
-    def take(self, commands):
+    def route(self, commands):
         return original(self, [command for command in commands if not withdraws_endpoint(command)])
 
-    return mock.patch.object(Publisher, "take", take)
+    return mock.patch.object(Publisher, "route", route)
 
 
 def warmup_limit_ignored():
@@ -80,12 +80,12 @@
 
 def retried_after_any_failure():
     """Proxies retry requests that must not be sent twice."""
-    original = Publisher.admit
+    original = Publisher.set_admission
 
-    def admit(self, out, command):
+    def set_admission(self, out, command):
         original(self, out, command._replace(retry_policy="once"))
 
-    return mock.patch.object(Publisher, "admit", admit)
+    return mock.patch.object(Publisher, "set_admission", set_admission)
 
 
 def error_on_withdrawal():
@@ -102,9 +102,9 @@
 
 def tables_emptied_by_withdrawal():
     """One withdrawal removes all endpoints from a table."""
-    original = ViewState.lines
+    original = ViewState.weights
     return mock.patch.object(
-        ViewState, "lines", lambda self, kind: {} if self.withdrawn else original(self, kind)
+        ViewState, "weights", lambda self, kind: {} if self.withdrawn else original(self, kind)
     )
 
 
