--- a/peatlead/lab/study.py
+++ b/peatlead/lab/study.py
@@ -23,6 +23,7 @@
 from .day import POLICIES, play_day
 from .planner_constants import modules_with, replaced
 
+# Columns of the results. `rule1` to `rule5` are how near a day came to the limit of each rule.
 METRICS = (
     "service",
     "worst_kind",
@@ -109,7 +110,7 @@
                     apply_changes(scenario, changes)
                 except (KeyError, ValueError) as problem:
                     raise SettingsError(
-                        f"{name}:1: vary {variant}: expected names of a day or the module: "
+                        f"{name}:1: vary {variant}: expected day script fields or planner constants: "
                         f"{problem}"
                     ) from None
 
--- a/tests/lab/test_study.py
+++ b/tests/lab/test_study.py
@@ -62,7 +62,7 @@
         for old, new, expected in (
             ("COVERAGE", "COVER", "the planner has no constant COVER"),
             ("study(", "case(", "case"),
-            ("steering.addresses", "steering.x", "expected names of a day"),
+            ("steering.addresses", "steering.x", "expected day script fields or planner constants"),
         ):
             with self.subTest(new), self.assertRaisesRegex(SettingsError, expected):
                 Study("s.star", STUDY.replace(old, new, 1))
