--- a/peatlead/controller/proxies.py
+++ b/peatlead/controller/proxies.py
@@ -95,8 +95,8 @@
         self.by_number: dict[int, Session] = {}
         self._progress: dict[Session, ProxyProgress] = {}
         self._endpoint_by_address: dict[str, int] = {}
-        self.refusals = 0  # versions that proxies have rejected (NACK)
-        self.acks = 0  # versions that proxies have applied (ACK)
+        self.nack_count = 0  # versions that proxies have rejected (NACK)
+        self.ack_count = 0  # versions that proxies have applied (ACK)
 
     # Methods of ProxyHandler.
 
@@ -106,7 +106,7 @@
 
     def failover_metadata(self, node: ProxyNode) -> Metadata:
         """Return metadata that tells a joined proxy where to connect if this controller ends."""
-        return self.admission.hints(node)
+        return self.admission.failover_metadata(node)
 
     def on_join(self, session: Session) -> None:
         """Register an admitted proxy and report it to the planner."""
@@ -118,7 +118,7 @@
         self.server.add(session)
         self.by_number[session.number] = session
         self._progress[session] = ProxyProgress()
-        self._reset_commands(session)
+        self._reset_subscription(session)
         has_all_tables = self._load_initial_tables(session)
         self._copy_admission(session)
         lines = self._initial_lines(node)
@@ -136,7 +136,7 @@
         controller.publisher.leave(session.number)
         self.load_aggregator.forget_proxy(session.number)
         controller.publication.record_leave(session.node.name)
-        self.admission.left(session.node.name)
+        self.admission.forget(session.node.name)
         controller.proxy_left(session.number)
 
     def accepts_report(self, session: Session, now: float) -> bool:
@@ -147,11 +147,11 @@
         session.report_count += 1
         return accepted
 
-    def on_report_processed(self, session: Session, started: float) -> None:
-        """Record that a load report was processed, and how long that took since `started`."""
-        session.last_report_at = started
-        duration = self._controller.loop.time() - started
-        self._controller.overload.decide(started, [ReportsRead(1, duration)])
+    def on_report_processed(self, session: Session, started_at: float) -> None:
+        """Record that a load report was processed, and how long that took since `started_at`."""
+        session.last_report_at = started_at
+        duration = self._controller.loop.time() - started_at
+        self._controller.overload.decide(started_at, [ReportsRead(1, duration)])
 
     def report_interval(self, session: Session | None) -> float:
         """Return the seconds between a proxy's load reports.
@@ -164,16 +164,16 @@
         interval: float = self._controller.overload.report_interval_of(phase)
         return interval
 
-    def on_nack(self, session: Session, refusal: Nack) -> None:
+    def on_nack(self, session: Session, nack: Nack) -> None:
         """Log that a proxy has rejected a version."""
-        self.refusals += 1
+        self.nack_count += 1
         self._controller.log(
-            "assignment refused", proxy=session.node.name, version=refusal.version, why=refusal.text
+            "assignment refused", proxy=session.node.name, version=nack.version, why=nack.text
         )
 
     def on_ack(self, session: Session, _type_url: str, version: Version) -> None:
         """Record that a proxy has applied a version."""
-        self.acks += 1
+        self.ack_count += 1
         now = self._controller.loop.time()
         self._controller.propagation.version_applied(now, session.number, version)
         progress = self._progress.get(session)
@@ -200,9 +200,9 @@
         node = session.node
         return self._controller.publication.effective_weights(node.name, node.zone, name, planned)
 
-    def endpoint_at(self, place: AddressAndPort) -> int | None:
+    def endpoint_at(self, address_and_port: AddressAndPort) -> int | None:
         """Return the endpoint at an address and port, or None if no list has named it."""
-        address, port = place
+        address, port = address_and_port
         return self._endpoint_by_address.get(address) if port == self._port else None
 
     def address_of(self, endpoint: int) -> tuple[str, int, str]:
@@ -274,15 +274,15 @@
         """Return the counts that operators see."""
         return {
             "joined": len(self.server.sessions),
-            "acks": self.acks,
-            "refusals": self.refusals,
+            "acks": self.ack_count,
+            "refusals": self.nack_count,
             "moved": self.admission.joined_redirects,
             "sent on": self.admission.admission_redirects,
             "paced": self.admission.delayed_joins,
             "connections": len(self.server.connections.streams),
         }
 
-    def _reset_commands(self, session: Session) -> None:
+    def _reset_subscription(self, session: Session) -> None:
         """Drop what is queued for an earlier session of this proxy."""
         publisher = self._controller.publisher
         self._controller.channel.forget(session.number)
--- a/peatlead/controller/proxy_admission.py
+++ b/peatlead/controller/proxy_admission.py
@@ -85,8 +85,8 @@
         )
         return Admission(0, refusal)
 
-    def hints(self, node: ProxyNode) -> Metadata:
-        """Return the controllers that a proxy should connect to when this controller ends."""
+    def failover_metadata(self, node: ProxyNode) -> Metadata:
+        """Return metadata that tells a joined proxy where to connect if this controller ends."""
         if self._ownership is None or self._member_info is None:
             return {}
         members = map(self._member_info, rank_controllers(node.name, self._ownership.controllers))
@@ -97,7 +97,7 @@
         ]
         return {CONTROLLERS_METADATA: ",".join(addresses)}
 
-    def left(self, name: str) -> None:
+    def forget(self, name: str) -> None:
         """Forget a joined proxy that has left."""
         if self._ownership is not None:
             self._ownership.forget(name)
--- a/tests/controller/test_dns_controller.py
+++ b/tests/controller/test_dns_controller.py
@@ -126,7 +126,9 @@
             restarted = await world.start_controller("ns2")
             await until(lambda: world.answered_endpoints(restarted))
             await until(lambda: not restarted.channel.queue)
-            return [[source.weights for source in view] for view in restarted.answers.sources] == tables
+            return [
+                [source.weights for source in view] for view in restarted.answers.sources
+            ] == tables
 
         self.assertTrue(run_with_standins(case))
 
--- a/tests/grpc/test_server.py
+++ b/tests/grpc/test_server.py
@@ -157,7 +157,7 @@
 
             task = loop.run_in_executor(None, run_client)
             await until(lambda: "first" in results)
-            await until(lambda: controller.proxies.acks >= 2)
+            await until(lambda: controller.proxies.ack_count >= 2)
             world.phases["h1"] = "draining"
             world.write_list()
             await task
@@ -177,7 +177,7 @@
             proxy._apply = lambda response: (_ for _ in ()).throw(ValueError("simulated error"))
             world.phases["h1"] = "draining"
             world.write_list()
-            await until(lambda: controller.proxies.refusals)
+            await until(lambda: controller.proxies.nack_count)
             self.assertEqual(proxy.lines, endpoints_before)
             self.assertEqual(dict(world.log)["assignment refused"]["why"], "simulated error")
             proxy._apply = original
