--- a/peatlead/controller/dns_publication.py
+++ b/peatlead/controller/dns_publication.py
@@ -40,7 +40,7 @@
             {(view.index, service): view.rate for view in views for service in self._services()}
         )
         # When each endpoint was removed from the last view, in seconds on the loop's clock.
-        self._unnamed_at: dict[int, float] = {}
+        self._last_named_at: dict[int, float] = {}
 
     def _services(self) -> range:
         return range(len(self._service_labels))
@@ -91,7 +91,7 @@
                 self._answers.set_pool(view, service, self.thinning.pools[key], table)
         for endpoint in previous_endpoints:
             if not self.thinning.views_by_endpoint[endpoint]:
-                self._unnamed_at[endpoint] = self._controller.loop.time()
+                self._last_named_at[endpoint] = self._controller.loop.time()
 
     def record_rates(self, events: Iterable[object]) -> None:
         """Update the DNS answers for the request rates in `RequestStats` events."""
@@ -109,18 +109,18 @@
         if rates:
             self.update_answers({}, sorted(rates.items()))
 
-    def views_naming(self, endpoint: int) -> set[int]:
+    def views_with_endpoint(self, endpoint: int) -> set[int]:
         """Return the indices of the views whose tables name an endpoint."""
         return {view for view, _ in self.thinning.views_by_endpoint.get(endpoint, ())}
 
-    def seconds_unnamed(self, endpoint: int) -> float | None:
+    def seconds_since_last_named(self, endpoint: int) -> float | None:
         """Return the seconds since an answer could last name an endpoint.
 
         None means that answers can name the endpoint now, or never could.
         """
-        if self.views_naming(endpoint) or endpoint not in self._unnamed_at:
+        if self.views_with_endpoint(endpoint) or endpoint not in self._last_named_at:
             return None
-        return self._controller.loop.time() - self._unnamed_at[endpoint]
+        return self._controller.loop.time() - self._last_named_at[endpoint]
 
     def _tables_of(self, view: View) -> list[EndpointWeights]:
         """Return a view's tables by service: the planned tables, or guarded tables under a pin."""
--- a/peatlead/controller/health_checks.py
+++ b/peatlead/controller/health_checks.py
@@ -32,7 +32,7 @@
 """An ORCA load report, by the field names of `net.orca`."""
 
 
-class CheckedAnswer(NamedTuple):
+class HealthCheckAnswer(NamedTuple):
     """The contents of an endpoint's answer to a health check."""
 
     outcome: str  # the value of a HealthCheckOutcome
@@ -40,12 +40,12 @@
     request_counts: EndpointReport | None  # by client network
 
 
-def read_answer(answer: Response) -> CheckedAnswer:
+def read_answer(answer: Response) -> HealthCheckAnswer:
     """Parse an endpoint's answer to a health check."""
     outcome = OUTCOME_OF_STATUS.get(answer.status, OUTCOME_OF_OTHER_STATUS)
     load_report = parse_load_report(answer.headers.get(LOAD_REPORT_HEADER, "")) or None
     request_counts = parse_endpoint_report(answer.body) if outcome == PASSED else None
-    return CheckedAnswer(outcome, load_report, request_counts)
+    return HealthCheckAnswer(outcome, load_report, request_counts)
 
 
 class HealthChecks:
--- a/peatlead/controller/operator_queries.py
+++ b/peatlead/controller/operator_queries.py
@@ -103,8 +103,8 @@
         endpoint = controller.registry.numbers.get(question.host)
         if endpoint is None:
             return {"error": f"expected a host of the list, got {question.host!r}"}
-        views = controller.dns_publication.views_naming(endpoint)
-        elapsed = controller.dns_publication.seconds_unnamed(endpoint)
+        views = controller.dns_publication.views_with_endpoint(endpoint)
+        elapsed = controller.dns_publication.seconds_since_last_named(endpoint)
         remaining = None
         if not views:
             remaining = max(0.0, controller.answers.ttl - (elapsed or 0.0))
--- a/peatlead/controller/pinned_tables.py
+++ b/peatlead/controller/pinned_tables.py
@@ -55,7 +55,7 @@
         self._fractions: dict[int, float] = {}
         self._fractions_as_of = -1  # the publisher's change count when `_fractions` was computed
 
-    def listed(self, endpoint: int, entry: ListedEndpoint) -> PhaseChange | None:
+    def store_entry(self, endpoint: int, entry: ListedEndpoint) -> PhaseChange | None:
         """Store a list entry. Return the endpoint's change of phase, or None."""
         for address in (entry.address, entry.address6):
             if address:
--- a/peatlead/controller/publication.py
+++ b/peatlead/controller/publication.py
@@ -31,8 +31,8 @@
 if TYPE_CHECKING:
     from .controller import Controller
 
-BOOTS_NOTE = "boots"  # the table log's key for the number of starts
-SERIAL_NOTE = "zone serial"  # the table log's key for the zone's newest serial
+START_COUNT_NOTE = "boots"  # the table log's key for the number of starts
+ZONE_SERIAL_NOTE = "zone serial"  # the table log's key for the zone's newest serial
 
 Causes = Sequence[str]
 """Why a version differs from the version before, as operators read it."""
@@ -56,7 +56,7 @@
     ) -> None:
         self._controller = controller
         self._wall_clock = wall_clock
-        self._boots = 1  # number of this start, used as the epoch of DNS views' versions
+        self._start_count = 1  # number of this start, used as the epoch of DNS views' versions
         self.store = create_store(table_settings)
         self.log = TableLog(
             log_folder,
@@ -114,8 +114,8 @@
         for file, reason in self.log.restore():
             self._controller.log("tables: part of the log not taken", file=file, why=reason)
         notes = self.log.notes
-        self._boots = int(notes.get(BOOTS_NOTE, b"0")) + 1
-        self.log.record_note(BOOTS_NOTE, b"%d" % self._boots)
+        self._start_count = int(notes.get(START_COUNT_NOTE, b"0")) + 1
+        self.log.record_note(START_COUNT_NOTE, b"%d" % self._start_count)
         try:
             self._pin_control.restore(now, notes)
             self.targets.restore()
@@ -147,12 +147,12 @@
 
     def zone_serial(self) -> int:
         """Return the stored serial of the DNS zone, or 0 if none is stored."""
-        stored: bytes = self.log.notes.get(SERIAL_NOTE, b"0")
+        stored: bytes = self.log.notes.get(ZONE_SERIAL_NOTE, b"0")
         return int(stored) if stored.isdigit() else 0
 
     def store_zone_serial(self, serial: int) -> None:
         """Store the DNS zone's newest serial."""
-        self.log.record_note(SERIAL_NOTE, b"%d" % serial)
+        self.log.record_note(ZONE_SERIAL_NOTE, b"%d" % serial)
         self.log.flush(self._controller.loop.time())
 
     # Other controllers.
@@ -206,10 +206,10 @@
         if changed_items:
             serial = (
                 history.newest_version.serial + 1
-                if history.newest_version.epoch == self._boots
+                if history.newest_version.epoch == self._start_count
                 else 1
             )
-            self._commit(name, Version(self._boots, serial), causes, changed_items)
+            self._commit(name, Version(self._start_count, serial), causes, changed_items)
 
     def record_leave(self, name: str) -> None:
         """Record that a proxy has left; its history is kept for a limited time."""
@@ -220,7 +220,7 @@
 
     def endpoint_listed(self, endpoint: int, entry: ListedEndpoint) -> PhaseChange | None:
         """Store a list entry. Return the endpoint's change of phase, or None."""
-        return self._endpoint_facts.listed(endpoint, entry)
+        return self._endpoint_facts.store_entry(endpoint, entry)
 
     def endpoint_withdrawn(self, endpoint: int, withdrawn: bool) -> None:
         """Record whether an endpoint is withdrawn."""
