--- a/peatlead/benchmarks/encoding.py
+++ b/peatlead/benchmarks/encoding.py
@@ -20,7 +20,7 @@
 ROUNDS = 6
 
 
-def write_whole(
+def encode_with_protobuf(
     request_class: str, entries: Sequence[WeightedEndpoint], admitted_fraction: float
 ) -> bytes:
     """Serialize an assignment by protobuf alone; the reference for `encode_assignment`."""
@@ -55,7 +55,7 @@
     tables = [rng.sample(endpoints, TABLE_ENTRIES) for _ in range(TABLES)]
     spent: dict[str, list[float]] = {"plain": [], "parts": []}
     for _ in range(ROUNDS):  # in turn, so that the machine's other load affects both
-        for name, write in (("plain", write_whole), ("parts", encode_assignment)):
+        for name, write in (("plain", encode_with_protobuf), ("parts", encode_assignment)):
             start = time.process_time()
             for table in tables:
                 write("look", table, ADMITTED_FRACTION)
--- a/peatlead/benchmarks/herd.py
+++ b/peatlead/benchmarks/herd.py
@@ -28,10 +28,10 @@
 from ..controller.control_socket import ask_once
 from ..net.http import ServerConnection
 from ..scenario.runner import free_port
-from .herd_agents import ZONES, Agent, AgentCommand, run_agents
+from .herd_agents import ZONES, AgentCommand, SimulatedProxy, run_agents
 from .herd_baseline import measure_baseline, spread
 
-__all__ = ["Agent", "main"]
+__all__ = ["SimulatedProxy", "main"]
 
 CLIENTS = 4  # processes of simulated proxies
 LISTEN = "127.1.0.1"
--- a/peatlead/benchmarks/herd_agents.py
+++ b/peatlead/benchmarks/herd_agents.py
@@ -42,29 +42,29 @@
     addresses: frozenset[str]
 
 
-class Agent:
+class SimulatedProxy:
     """A proxy with one discovery stream: it takes and acknowledges everything."""
 
-    def __init__(self, at: int, controller: Address) -> None:
-        self.at = at  # number of the agent
+    def __init__(self, number: int, controller: Address) -> None:
+        self.number = number
         self.controller = controller
-        self.seen: list[Observation] = []  # after each assignment
-        self.size = 0  # bytes of all responses
-        self.hosts: set[str] = set()  # addresses in the tables that it holds
-        self.named: dict[str, set[str]] = {}  # the same by request class
+        self.observations: list[Observation] = []  # after each assignment
+        self.received_bytes = 0  # bytes of all responses
+        self.addresses: set[str] = set()  # addresses in the tables that it holds
+        self.addresses_by_class: dict[str, set[str]] = {}  # the same by request class
         self.connection: Connection
         self.call: Call
 
-    async def begin(self) -> None:
+    async def connect(self) -> None:
         """Connect and subscribe to assignments and routes."""
-        local = f"127.{60 + self.at // 250}.{self.at % 250}.1"
+        local = f"127.{60 + self.number // 250}.{self.number % 250}.1"
         self.connection = await dial(self.controller, local, DIAL_TIMEOUT, ping_interval=0.0)
         self.call = self.connection.call(DISCOVERY_PATH, AUTHORITY)
         self.call.on_message = self.take
         for type_url in (ASSIGNMENT_TYPE_URL, ROUTE_TYPE_URL):
             request = discovery_pb2.DiscoveryRequest(type_url=type_url)
-            request.node.id = f"agent{self.at}"
-            request.node.locality.zone = ZONES[self.at % len(ZONES)]
+            request.node.id = f"agent{self.number}"
+            request.node.locality.zone = ZONES[self.number % len(ZONES)]
             self.call.send(request.SerializeToString())
 
     def take(self, data: bytes) -> None:
@@ -77,13 +77,13 @@
             response_nonce=response.nonce,
         )
         self.call.send(acknowledgement.SerializeToString())
-        self.size += len(data)
+        self.received_bytes += len(data)
         if response.type_url == ASSIGNMENT_TYPE_URL:
             for assignment in response.resources:
                 request_class, entries, _ = decode_assignment(assignment.value)
-                self.named[request_class] = {entry.address for entry in entries}
-            self.hosts = set().union(*self.named.values())
-            self.seen.append(Observation(now, frozenset(self.hosts)))
+                self.addresses_by_class[request_class] = {entry.address for entry in entries}
+            self.addresses = set().union(*self.addresses_by_class.values())
+            self.observations.append(Observation(now, frozenset(self.addresses)))
 
     async def report(self, interval: float, obey: bool) -> None:
         """Send load reports until the stream ends.
@@ -102,7 +102,7 @@
                 asked = max(interval, seconds)
 
         call.on_message = take
-        await asyncio.sleep(interval * (self.at % REPORT_PHASES) / REPORT_PHASES)
+        await asyncio.sleep(interval * (self.number % REPORT_PHASES) / REPORT_PHASES)
         while not call.is_closed:
             call.send(self.load_report(interval))
             await asyncio.sleep(asked)
@@ -110,13 +110,13 @@
     def load_report(self, interval: float) -> bytes:
         """Return a report of one request to each endpoint that it holds, for each class."""
         request = lrs_pb2.LoadStatsRequest()
-        request.node.id = f"agent{self.at}"
+        request.node.id = f"agent{self.number}"
         for request_class in REQUEST_CLASSES:
             cluster = request.cluster_stats.add(cluster_name=request_class)
             milliseconds = max(MIN_REPORT_INTERVAL, int(interval * 1000))
             cluster.load_report_interval.FromMilliseconds(milliseconds)
             locality = cluster.upstream_locality_stats.add()
-            for address in sorted(self.hosts):
+            for address in sorted(self.addresses):
                 endpoint = locality.upstream_endpoint_stats.add(total_successful_requests=1)
                 endpoint.address.socket_address.address = address
                 endpoint.address.socket_address.port_value = self.controller[1] - 2
@@ -128,27 +128,31 @@
 
         0.0 where they never named it, None where they still do.
         """
-        naming = [index for index, seen in enumerate(self.seen) if address in seen.addresses]
+        naming = [
+            index
+            for index, observation in enumerate(self.observations)
+            if address in observation.addresses
+        ]
         if not naming:
             return 0.0
-        later = self.seen[naming[-1] + 1 :]
+        later = self.observations[naming[-1] + 1 :]
         return later[0].at if later else None
 
 
-async def connect_agents(agents: list[Agent]) -> float:
+async def connect_agents(agents: list[SimulatedProxy]) -> float:
     """Connect all agents; returns when the last was served first."""
     for start in range(0, len(agents), DIALS_AT_ONCE):
-        await asyncio.gather(*(agent.begin() for agent in agents[start : start + DIALS_AT_ONCE]))
-    while not all(agent.seen for agent in agents):
+        await asyncio.gather(*(agent.connect() for agent in agents[start : start + DIALS_AT_ONCE]))
+    while not all(agent.observations for agent in agents):
         await asyncio.sleep(0.05)
-    return max(agent.seen[0].at for agent in agents)
+    return max(agent.observations[0].at for agent in agents)
 
 
 async def serve_agents(
     numbers: Iterable[int], controller: Address, rate: float, pipe: "Pipe[Any, Any]"
 ) -> None:
     """Connect agents, let them report, and answer commands until the end."""
-    agents = [Agent(number, controller) for number in numbers]
+    agents = [SimulatedProxy(number, controller) for number in numbers]
     pipe.send(("joined", await connect_agents(agents)))
     reports = []
     if rate:
@@ -159,7 +163,7 @@
         if command == AgentCommand.END:
             break
         if command == AgentCommand.SIZES:
-            pipe.send([agent.size for agent in agents])
+            pipe.send([agent.received_bytes for agent in agents])
         elif command == AgentCommand.WITHDRAWN:
             pipe.send([agent.withdrawn_at(value) for agent in agents])
     for report in reports:
--- a/peatlead/benchmarks/paced_runs.py
+++ b/peatlead/benchmarks/paced_runs.py
@@ -77,7 +77,7 @@
             times.popleft()
         self.most_messages = max(self.most_messages, len(times))
 
-    def join(self) -> list[float]:
+    def connect_proxies(self) -> list[float]:
         """Connect all proxies and wait until each holds its tables."""
         for proxy in range(self.proxies):
             self.publisher.join(proxy, enforces_admission=True)
@@ -89,7 +89,7 @@
             ]
         )
         while any(not state.bound for state in self.states.values()):
-            self.ticks(1)
+            self.run_ticks(1)
         return spent
 
     def check(self) -> None:
@@ -110,7 +110,7 @@
                 part /= able * SETTINGS["tip_multiple"]
                 self.worst_cold_load = max(self.worst_cold_load, part)
 
-    def replace(self, seconds: float = 30.0) -> Figures:
+    def replace_endpoints(self, seconds: float = 30.0) -> Figures:
         """Replace nearly all endpoints one by one: each drains, and returns cold after a second."""
         count = int(self.endpoints * REPLACED_FRACTION)
         start = self.now
@@ -137,17 +137,17 @@
     def settle(self) -> None:
         """Let the last endpoints warm up, with a check at each tick."""
         for _ in range(SETTLING_TICKS):
-            self.ticks(1)
+            self.run_ticks(1)
             self.check()
 
     def figures(self) -> Figures:
         """Return what the run has measured so far."""
         return {
-            "lines a proxy": round(self.operations / self.proxies, 1),
-            "messages a proxy in 10 s, most": self.most_messages,
-            "queue, deepest part": round(self.channel.deepest / self.channel.most, 2),
-            "proxies without a line": self.without_entries,
-            "cold host, most of what tips it": round(self.worst_cold_load, 3),
+            "operations per proxy": round(self.operations / self.proxies, 1),
+            "max messages per proxy within 10 s": self.most_messages,
+            "max queue length / limit": round(self.channel.deepest / self.channel.most, 2),
+            "proxies without entries": self.without_entries,
+            "max load of a cold endpoint / overload threshold": round(self.worst_cold_load, 3),
             "CPU s": round(self.spent, 2),
             "longest batch ms": round(self.longest * 1000, 1),
         }
--- a/peatlead/benchmarks/planner_runs.py
+++ b/peatlead/benchmarks/planner_runs.py
@@ -117,7 +117,7 @@
             spent.append(self.decide([interface.TimerFired(1)]))
         return spent
 
-    def join(self) -> list[float]:
+    def connect_proxies(self) -> list[float]:
         """Connect all proxies at once."""
         return self.decide_all(
             [
@@ -128,7 +128,7 @@
             ]
         )
 
-    def ticks(self, count: int) -> list[float]:
+    def run_ticks(self, count: int) -> list[float]:
         """Play timer rounds of 0.1 s, in which all health checks succeed."""
         spent = []
         for _ in range(count):
@@ -169,15 +169,15 @@
             returned = list_update(3 + step, numbers, "ready", self.now)
             for update in (drained, returned):
                 self.now += 0.1
-                spent += [self.decide([update]), *self.ticks(4)]
+                spent += [self.decide([update]), *self.run_ticks(4)]
         return spent
 
 
 def measure(planner_module: ModuleType, endpoints: int, proxies: int) -> dict[str, float]:
     """Measure all steps of a fleet's size, in CPU seconds by the name of the step."""
     run = PlannerRun(planner_module, endpoints, proxies)
-    joins = run.join()
-    ticks = run.ticks(40)
+    joins = run.connect_proxies()
+    ticks = run.run_ticks(40)
     round_spent = run.statistics_round()
     withdrawal = run.withdraw([0])
     zone_lost = run.withdraw(range(0, endpoints, ZONES))
@@ -198,6 +198,6 @@
 def measure_release(planner_module: ModuleType, endpoints: int, proxies: int) -> list[float]:
     """Measure a release in a fleet of its own, which has run for half a second."""
     run = PlannerRun(planner_module, endpoints, proxies)
-    run.join()
-    run.ticks(5)
+    run.connect_proxies()
+    run.run_ticks(5)
     return run.release()
--- a/peatlead/benchmarks/scale.py
+++ b/peatlead/benchmarks/scale.py
@@ -87,12 +87,12 @@
     for endpoints, proxies in SIZES[:4]:
         for rate in sorted({USUAL_CHANNEL_RATE, CHANNEL_RATE_PER_PROXY * proxies}):
             run = PacedRun(planner_module, endpoints, proxies, channel_rate=rate)
-            run.join()
-            run.ticks(100)
+            run.connect_proxies()
+            run.run_ticks(100)
             run.operations = 0
             run.channel.deepest = 0.0
             row = {"hosts": endpoints, "proxies": proxies, "lines a second": rate}
-            print(json.dumps({**row, **run.replace()}), flush=True)
+            print(json.dumps({**row, **run.replace_endpoints()}), flush=True)
 
 
 def measure_sizes(older: Optional[Path]) -> list[SizeResult]:
--- a/tests/controller/test_many_proxies.py
+++ b/tests/controller/test_many_proxies.py
@@ -22,7 +22,7 @@
 )
 
 from peatlead import interface
-from peatlead.benchmarks.herd import Agent
+from peatlead.benchmarks.herd import SimulatedProxy
 from peatlead.grpc.call import MAX_BACKLOG
 from peatlead.grpc.framing import frame
 from peatlead.grpc.http2 import MAX_HEADER_LIST, Connection
@@ -206,23 +206,27 @@
                 real(event),
             )
             grpc_address = "127.1.0.1", world.port + 2
-            first = [Agent(number, grpc_address) for number in range(36)]
-            await asyncio.gather(*(agent.begin() for agent in first))
-            await until(lambda: all(agent.seen for agent in first))
+            first = [SimulatedProxy(number, grpc_address) for number in range(36)]
+            await asyncio.gather(*(agent.connect() for agent in first))
+            await until(lambda: all(agent.observations for agent in first))
             for agent in first:  # every one of them dials anew
                 agent.connection.abort("herd")
-            again = [Agent(number, grpc_address) for number in range(36)]
+            again = [SimulatedProxy(number, grpc_address) for number in range(36)]
             world.phases.update(
                 {plan.name: "draining" for plan in world.plans if plan.zone == "south"}
             )
             world.write_list()
-            await asyncio.gather(*(agent.begin() for agent in again))
+            await asyncio.gather(*(agent.connect() for agent in again))
             slow, reading = again[::3], [agent for number, agent in enumerate(again) if number % 3]
             for agent in slow:
                 agent.connection.transport.pause_reading()
             drained = {plan.address for plan in world.plans if plan.zone == "south"}
-            await until(lambda: all(agent.seen and not drained & agent.hosts for agent in reading))
-            self.assertTrue(all(agent.hosts for agent in reading))
+            await until(
+                lambda: all(
+                    agent.observations and not drained & agent.addresses for agent in reading
+                )
+            )
+            self.assertTrue(all(agent.addresses for agent in reading))
             loads = reading[0].connection.call(LOAD_REPORTING_PATH, "peatlead")
             request = self.report(reading[0])
             loads.send(request)
@@ -248,7 +252,9 @@
                 agent.connection.transport.resume_reading()
             world.phases["h0"] = "ready"
             world.write_list()
-            await until(lambda: all(agent.hosts and not drained & agent.hosts for agent in again))
+            await until(
+                lambda: all(agent.addresses and not drained & agent.addresses for agent in again)
+            )
             for agent in again:
                 agent.connection.abort("over")
 
@@ -257,11 +263,11 @@
     def report(self, agent):
         """A load report with an unlisted endpoint, overflowing counts and a negative interval too."""
         request = lrs_pb2.LoadStatsRequest()
-        request.node.id = f"agent{agent.at}"
+        request.node.id = f"agent{agent.number}"
         cluster = request.cluster_stats.add(cluster_name="look")
         cluster.load_report_interval.FromMilliseconds(1000)
         place = cluster.upstream_locality_stats.add()
-        for address, good in ((min(agent.hosts), 7), ("203.0.113.9", 7), ("127.10.9.2", 2**62)):
+        for address, good in ((min(agent.addresses), 7), ("203.0.113.9", 7), ("127.10.9.2", 2**62)):
             one = place.upstream_endpoint_stats.add(total_successful_requests=good)
             one.address.socket_address.address = address
             one.address.socket_address.port_value = agent.controller[1] - 2
--- a/tests/controller/test_propagation.py
+++ b/tests/controller/test_propagation.py
@@ -4,14 +4,14 @@
 from hypothesis import given
 from hypothesis import strategies as some
 
-from peatlead.benchmarks.herd import Agent
+from peatlead.benchmarks.herd import SimulatedProxy
 from peatlead.controller import propagation
 from peatlead.controller.control_socket import ask_once
 from peatlead.controller.propagation import PropagationTrace
 from peatlead.tables.version import Version
 
 from ..standin_fleet import run_with_standins, until
-from ..test_scale import GRPC
+from ..test_scale import GRPC_SCRIPT
 
 
 class PropagationTraceTest(unittest.TestCase):
@@ -95,18 +95,18 @@
     def test_a_drain_is_traced_to_the_last_proxy(self):
         async def case(world):
             controller = await world.start_controller()
-            agents = [Agent(at, ("127.1.0.1", world.port + 2)) for at in range(6)]
-            await asyncio.gather(*(agent.begin() for agent in agents))
-            await until(lambda: all(len(agent.hosts) > 1 for agent in agents))
+            agents = [SimulatedProxy(at, ("127.1.0.1", world.port + 2)) for at in range(6)]
+            await asyncio.gather(*(agent.connect() for agent in agents))
+            await until(lambda: all(len(agent.addresses) > 1 for agent in agents))
             name, address = next(
                 (plan.name, plan.address)
                 for plan in world.plans
-                if any(plan.address in agent.hosts for agent in agents)
+                if any(plan.address in agent.addresses for agent in agents)
             )
-            holders = sum(address in agent.hosts for agent in agents)
+            holders = sum(address in agent.addresses for agent in agents)
             world.phases[name] = "draining"
             world.write_list()
-            await until(lambda: not any(address in agent.hosts for agent in agents))
+            await until(lambda: not any(address in agent.addresses for agent in agents))
             index = controller.registry.index[name]
             await until(lambda: index not in controller.propagation.open)
             answer = await ask_once(controller.me["control"], {"ask": "why", "host": name})
@@ -127,4 +127,4 @@
             for agent in agents:
                 agent.connection.abort("over")
 
-        run_with_standins(case, script=GRPC)
+        run_with_standins(case, script=GRPC_SCRIPT)
--- a/tests/grpc/test_resources.py
+++ b/tests/grpc/test_resources.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from peatlead.benchmarks.encoding import write_whole
+from peatlead.benchmarks.encoding import encode_with_protobuf
 from peatlead.grpc.resources import (
     WeightedEndpoint,
     decode_assignment,
@@ -34,7 +34,7 @@
     def test_assembled_assignments_equal_protobuf_serialization(self, endpoints, admitted_fraction):
         self.assertEqual(
             encode_assignment("look", endpoints, admitted_fraction),
-            write_whole("look", endpoints, admitted_fraction),
+            encode_with_protobuf("look", endpoints, admitted_fraction),
         )
 
     def test_assignments_and_routes_round_trip(self):
--- a/tests/planner/test_planner_at_scale.py
+++ b/tests/planner/test_planner_at_scale.py
@@ -247,15 +247,15 @@
 
     def test_replacing_nearly_all_endpoints_within_half_a_minute_stays_within_the_limits(self):
         run = PacedRun(planner_module, 60, 200, channel_rate=2800.0)
-        run.join()
-        run.ticks(100)
+        run.connect_proxies()
+        run.run_ticks(100)
         run.channel.deepest = 0.0
-        figures = run.replace()
-        self.assertEqual(figures["proxies without a line"], 0)
-        self.assertLess(figures["cold host, most of what tips it"], 0.5)
-        self.assertLess(figures["queue, deepest part"], 1.0)
-        self.assertLessEqual(figures["messages a proxy in 10 s, most"], 30)
-        run.ticks(100)
+        figures = run.replace_endpoints()
+        self.assertEqual(figures["proxies without entries"], 0)
+        self.assertLess(figures["max load of a cold endpoint / overload threshold"], 0.5)
+        self.assertLess(figures["max queue length / limit"], 1.0)
+        self.assertLessEqual(figures["max messages per proxy within 10 s"], 30)
+        run.run_ticks(100)
         self.assertEqual(
             {endpoint.weight_fraction for endpoint in run.planner.endpoints.values()}, {1.0}
         )
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,5 +1,5 @@
-"""Kept for importers of GRPC: its tests are in tests/controller/test_many_proxies.py."""
+"""Kept for importers of GRPC_SCRIPT: its tests are in tests/controller/test_many_proxies.py."""
 
-from .standin_fleet import GRPC_SCRIPT as GRPC
+from .standin_fleet import GRPC_SCRIPT
 
-__all__ = ["GRPC"]
+__all__ = ["GRPC_SCRIPT"]
