--- a/tests/benchmarks/test_scale.py
+++ b/tests/benchmarks/test_scale.py
@@ -1,4 +1,4 @@
-"""The comparison of the planner's costs with an earlier tree's."""
+"""Comparison of the planner's CPU time with that of an earlier checkout."""
 
 import unittest
 from pathlib import Path
@@ -8,8 +8,8 @@
 ROOT = Path(__file__).resolve().parents[2]
 
 
-class OlderTreeTest(unittest.TestCase):
-    def test_an_older_tree_is_measured_step_by_step_in_a_child_process(self):
+class EarlierCheckoutTest(unittest.TestCase):
+    def test_an_earlier_checkout_is_measured_step_by_step_in_a_child_process(self):
         now = measure(planner_module, 12, 24)
         before = measure_older(ROOT, 12, 24)
         self.assertEqual(list(before), list(now))
--- a/tests/compatibility/test_mixed_fleet.py
+++ b/tests/compatibility/test_mixed_fleet.py
@@ -1,10 +1,12 @@
-"""A steward of an earlier text and one of this text in one fleet, and this text on the state that the other left.
+"""A controller of an earlier version and one of this version in one fleet, and a start on stored state.
 
-The earlier text is taken from the repository's own history (EARLIER) and run as a process; so these tests want a
-clone that reaches back to it. What is sent between stewards has names in it (a message's kind, a pin's fields):
-a rename that changes them is found here. Where they change on purpose, no rolling update is possible: say so.
+The earlier version is taken from the repository's history (EARLIER_COMMIT) and run as a process, so
+these tests need a clone that contains that commit. Messages between controllers contain names (the
+kind of a message, the fields of a pin): a rename that changes such a name fails here. A change of
+them that is meant rules out rolling updates from the earlier version and must be announced.
 
-Nothing is to be written anew here; EARLIER goes forward when deployments have.
+Don't adapt these tests to a changed format. Move EARLIER_COMMIT forward only when all deployments run
+a later version.
 """
 
 import asyncio
@@ -23,88 +25,92 @@
 from peatlead.standin.xds_proxies import Agent, Plan
 from tests.standin_fleet import SCRIPT, MemoryRecorder, run_with_standins, until
 
-# The adapter, with the imports above: all that is known here of names inside the program.
+# Only the imports above and the functions of this section use names from inside the program.
 
-KINDS = [
+REQUEST_CLASSES = [
     Kind("look", 0.5, 0.5, 1.5, 1.0, "replayable"),
     Kind("file", 0.5, 0.5, 1.5, 1.0, "non-replayable"),
 ]
 
 
-def agent(world, name):
-    """A proxy that follows one of the two stewards and sends reqs."""
-    controllers = [[address, world.port + 2] for address in ADDRESSES.values()]
-    made = Agent(
-        Plan(name, "north", "127.60.9.1", controllers, world.port, 5.0, KINDS),
+def start_proxy(world, name):
+    """Starts a stand-in proxy that follows one of the two controllers and sends requests."""
+    controllers = [[address, world.port + 2] for address in CONTROLLER_ADDRESSES.values()]
+    proxy = Agent(
+        Plan(name, "north", "127.60.9.1", controllers, world.port, 5.0, REQUEST_CLASSES),
         world.random,
         MemoryRecorder(),
     )
-    made.begin(asyncio.get_running_loop().time())
-    world.cleanups.append(lambda: setattr(made, "stopped", True))
-    return made
+    proxy.begin(asyncio.get_running_loop().time())
+    world.cleanups.append(lambda: setattr(proxy, "stopped", True))
+    return proxy
 
 
-def lines(one):
-    """Addresses by request kind that a proxy holds."""
-    return {kind: {line.address for line in held} for kind, held in one.lines.items()}
+def addresses_by_class(proxy):
+    """The endpoint addresses that a proxy holds, by request class."""
+    return {
+        request_class: {entry.address for entry in entries}
+        for request_class, entries in proxy.lines.items()
+    }
 
 
-def fail(world, host):
+def fail_requests(world, host):
+    """Lets all requests to a stand-in endpoint fail."""
     world.endpoints[host].tell("errors", 1.0)
 
 
-# The end of the adapter.
+# End of the section that uses names from inside the program.
 
-EARLIER = "e12256b"
+EARLIER_COMMIT = "e12256b"
 ROOT = Path(__file__).parents[2]
-ADDRESSES = {"ns1": "127.1.0.1", "ns2": "127.1.0.2"}
-SHARED = SCRIPT
-for at in (1, 2):
-    SHARED = SHARED.replace(
-        f'control = "127.1.0.{at}:{{control}}")',
-        f'control = "127.1.0.{at}:{{control}}", '
-        f'grpc = "127.1.0.{at}:{{grpc}}", peer = "127.1.0.{at}:{{control}}")',
+CONTROLLER_ADDRESSES = {"ns1": "127.1.0.1", "ns2": "127.1.0.2"}
+SETTINGS_SCRIPT = SCRIPT
+for number in (1, 2):
+    SETTINGS_SCRIPT = SETTINGS_SCRIPT.replace(
+        f'control = "127.1.0.{number}:{{control}}")',
+        f'control = "127.1.0.{number}:{{control}}", '
+        f'grpc = "127.1.0.{number}:{{grpc}}", peer = "127.1.0.{number}:{{control}}")',
     )
-SHARED += """
+SETTINGS_SCRIPT += """
 grpc(proxies = 4)
 fleet(keys = ["%s"], probe_every = 0.1, probe_wait = 0.06, suspect = 0.5)
 """ % ("ab" * 32)
-LONG = 15.0  # seconds, thrice that in the end, for what takes a second or two
+TIMEOUT = 15.0  # seconds; one third of the timeout of `wait_for_answer`
 
 
-class Pair:
-    """Stewards as processes, over one list and hosts in this loop."""
+class ControllerPair:
+    """Controllers in processes of their own, with stand-in endpoints in this event loop."""
 
-    def __init__(self, world, earlier):
-        self.world, self.earlier, self.running = world, earlier, {}
-        self.file = world.folder / "service.star"
-        self.file.write_text(
-            SHARED.format(
+    def __init__(self, world, earlier_root):
+        self.world, self.earlier_root, self.processes = world, earlier_root, {}
+        self.settings_path = world.folder / "service.star"
+        self.settings_path.write_text(
+            SETTINGS_SCRIPT.format(
                 port=world.port,
                 control=world.port + 1,
                 grpc=world.port + 2,
                 path=world.folder / "nodes.json",
             )
         )
-        world.cleanups.append(self.end)
+        world.cleanups.append(self.kill_all)
 
-    def start(self, name, text):
-        """`text`: the folder of the program that runs."""
+    def start(self, name, source_root):
+        """Starts a controller; `source_root` is the folder that contains its `peatlead` package."""
         with open(self.world.folder / f"{name}.log", "ab") as log:
-            self.running[name] = subprocess.Popen(
+            self.processes[name] = subprocess.Popen(
                 [
                     sys.executable,
                     "-m",
                     "peatlead",
                     "run",
-                    str(self.file),
+                    str(self.settings_path),
                     "--name",
                     name,
                     "--state",
                     str(self.world.folder / "state"),
                 ],
-                cwd=text,
-                env={**os.environ, "PYTHONPATH": str(text)},
+                cwd=source_root,
+                env={**os.environ, "PYTHONPATH": str(source_root)},
                 stdout=log,
                 stderr=log,
             )
@@ -112,105 +118,115 @@
     def log(self, name):
         return (self.world.folder / f"{name}.log").read_text()
 
-    async def stop(self, name, how):
-        process = self.running.pop(name)
-        process.send_signal(how)
+    async def stop(self, name, signal_number):
+        process = self.processes.pop(name)
+        process.send_signal(signal_number)
         await asyncio.get_running_loop().run_in_executor(None, process.wait)
         return process.returncode
 
-    def end(self):
-        for process in self.running.values():
+    def kill_all(self):
+        for process in self.processes.values():
             process.kill()
             process.wait()
 
     async def ask(self, name, **question):
-        return await ask_once((ADDRESSES[name], self.world.port + 1), question, 10.0)
+        return await ask_once((CONTROLLER_ADDRESSES[name], self.world.port + 1), question, 10.0)
 
-    async def wait(self, name, true, **question):
-        """Until an answer of a steward's control is as wanted; the answer."""
-        loop, told = asyncio.get_running_loop(), None
-        end = loop.time() + 3 * LONG
-        while loop.time() < end:
+    async def wait_for_answer(self, name, condition, **question):
+        """Repeats a question to a controller until the answer meets a condition; returns the answer."""
+        loop, answer = asyncio.get_running_loop(), None
+        deadline = loop.time() + 3 * TIMEOUT
+        while loop.time() < deadline:
             try:
-                told = await self.ask(name, **question)
-                if true(told):
-                    return told
+                answer = await self.ask(name, **question)
+                if condition(answer):
+                    return answer
             except (OSError, asyncio.TimeoutError):
                 pass
             await asyncio.sleep(0.05)
         raise AssertionError(
-            f"{name} never said so of {question}: {told}\n{self.log(name)[-3000:]}"
+            f"{name}: no answer to {question} met the condition, the last was {answer}\n"
+            f"{self.log(name)[-3000:]}"
         )
 
-    async def up(self, *names):
-        """Each has the list, and sees all of them alive."""
+    async def wait_until_running(self, *names):
+        """Waits until each controller has the list of endpoints and sees all of them alive."""
         for name in names:
-            await self.wait(name, lambda told: told.get("hosts") == 4, ask="status")
-            await self.wait(
+            await self.wait_for_answer(name, lambda answer: answer.get("hosts") == 4, ask="status")
+            await self.wait_for_answer(
                 name,
-                lambda told: all(
-                    told["members"].get(one, {}).get("state") == "alive" for one in names
+                lambda answer: all(
+                    answer["members"].get(member, {}).get("state") == "alive" for member in names
                 ),
                 ask="fleet",
                 do="status",
             )
 
-    async def owned(self, name):
+    async def owned_proxies(self, name):
         return set((await self.ask(name, ask="fleet", do="status"))["owned"])
 
 
-def standing(told):
-    return {one["pin"] for one in told["pins"] if one["ended"] is None}
+def active_pins(status):
+    return {pin["pin"] for pin in status["pins"] if pin["ended"] is None}
 
 
-class Mixed(unittest.TestCase):
+class MixedFleetTest(unittest.TestCase):
     @classmethod
     def setUpClass(cls):
-        place = tempfile.TemporaryDirectory()
-        cls.addClassCleanup(place.cleanup)
-        cls.earlier = Path(place.name)
-        packed = subprocess.run(
-            ["git", "archive", EARLIER, "peatlead"], cwd=ROOT, capture_output=True
+        temporary = tempfile.TemporaryDirectory()
+        cls.addClassCleanup(temporary.cleanup)
+        cls.earlier_root = Path(temporary.name)
+        archived = subprocess.run(
+            ["git", "archive", EARLIER_COMMIT, "peatlead"], cwd=ROOT, capture_output=True
         )
-        if packed.returncode:
+        if archived.returncode:
             raise AssertionError(
-                f"no history back to {EARLIER}, clone it whole: {packed.stderr.decode()}"
+                f"commit {EARLIER_COMMIT} is not in this clone, which must have the whole history: "
+                f"{archived.stderr.decode()}"
             )
-        with tarfile.open(fileobj=io.BytesIO(packed.stdout)) as archive:
-            archive.extractall(cls.earlier)
+        with tarfile.open(fileobj=io.BytesIO(archived.stdout)) as archive:
+            archive.extractall(cls.earlier_root)
 
-    def play(self, case):
+    def run_case(self, case):
         run_with_standins(
-            lambda world: case(world, Pair(world, self.earlier)), script=SHARED, deep=False
+            lambda world: case(world, ControllerPair(world, self.earlier_root)),
+            script=SETTINGS_SCRIPT,
+            deep=False,
         )
 
-    def test_the_earlier_process_runs_the_earlier_text(self):
-        said = subprocess.run(
+    def test_the_earlier_process_runs_the_earlier_version(self):
+        completed = subprocess.run(
             [sys.executable, "-c", "import peatlead; print(peatlead.__file__)"],
-            cwd=self.earlier,
-            env={**os.environ, "PYTHONPATH": str(self.earlier)},
+            cwd=self.earlier_root,
+            env={**os.environ, "PYTHONPATH": str(self.earlier_root)},
             capture_output=True,
             text=True,
         )
-        self.assertEqual(Path(said.stdout.strip()), self.earlier / "peatlead" / "__init__.py")
+        self.assertEqual(
+            Path(completed.stdout.strip()), self.earlier_root / "peatlead" / "__init__.py"
+        )
 
-    def test_old_and_new_share_a_fleet_its_pins_and_its_proxies(self):
+    def test_old_and_new_controllers_share_proxies_and_pins(self):
         async def case(world, pair):
-            pair.start("ns1", self.earlier)
+            pair.start("ns1", self.earlier_root)
             pair.start("ns2", ROOT)
-            await pair.up("ns1", "ns2")
-            agents = [agent(world, f"p{at}") for at in range(4)]
-            names = {one.plan.name for one in agents}
+            await pair.wait_until_running("ns1", "ns2")
+            proxies = [start_proxy(world, f"p{number}") for number in range(4)]
+            all_proxies = {proxy.plan.name for proxy in proxies}
             await until(
-                lambda: all(lines(one).get("look") and lines(one).get("file") for one in agents),
-                LONG,
+                lambda: all(
+                    addresses_by_class(proxy).get("look") and addresses_by_class(proxy).get("file")
+                    for proxy in proxies
+                ),
+                TIMEOUT,
             )
-            for name in ADDRESSES:  # each owns some: as rank has it
-                await pair.wait(
-                    name, lambda told: 0 < len(told["owned"]) < 4, ask="fleet", do="status"
+            # Rendezvous hashing gives each controller some of the proxies.
+            for name in CONTROLLER_ADDRESSES:
+                await pair.wait_for_answer(
+                    name, lambda answer: 0 < len(answer["owned"]) < 4, ask="fleet", do="status"
                 )
-            ask = {"ask": "tables", "do": "status"}
-            back = (
+            tables_status = {"ask": "tables", "do": "status"}
+            rollback_pin = (
                 await pair.ask(
                     "ns1",
                     ask="tables",
@@ -218,8 +234,10 @@
                     args={"whom": "all", "target": "back", "to": "0", "over": 0.0, "by": "old"},
                 )
             )["pin"]
-            await pair.wait("ns2", lambda told: standing(told) == {back}, **ask)
-            held = (
+            await pair.wait_for_answer(
+                "ns2", lambda answer: active_pins(answer) == {rollback_pin}, **tables_status
+            )
+            hold_pin = (
                 await pair.ask(
                     "ns2",
                     ask="tables",
@@ -227,100 +245,120 @@
                     args={"whom": "zone", "which": "south", "over": 0.0, "by": "new"},
                 )
             )["pin"]
-            for name in ADDRESSES:
-                told = await pair.wait(name, lambda told: standing(told) == {back, held}, **ask)
-                self.assertEqual({one["by"] for one in told["pins"]}, {"old", "new"})
+            for name in CONTROLLER_ADDRESSES:
+                answer = await pair.wait_for_answer(
+                    name,
+                    lambda answer: active_pins(answer) == {rollback_pin, hold_pin},
+                    **tables_status,
+                )
+                self.assertEqual({pin["by"] for pin in answer["pins"]}, {"old", "new"})
             self.assertEqual(
-                (await pair.ask("ns1", ask="tables", do="resume", args={"pin": held}))["pin"], held
+                (await pair.ask("ns1", ask="tables", do="resume", args={"pin": hold_pin}))["pin"],
+                hold_pin,
+            )
+            await pair.wait_for_answer(
+                "ns2", lambda answer: active_pins(answer) == {rollback_pin}, **tables_status
             )
-            await pair.wait("ns2", lambda told: standing(told) == {back}, **ask)
-            for name in ADDRESSES:
-                told = await pair.ask(name, ask="fleet", do="status")
-                self.assertEqual(told["messages"]["refused"], 0)
-            fail(world, 3)
-            for name in ADDRESSES:  # their planners advise each other of it
-                await pair.wait(
-                    name, lambda told: told["messages"]["notes"] > 0, ask="fleet", do="status"
+            for name in CONTROLLER_ADDRESSES:
+                answer = await pair.ask(name, ask="fleet", do="status")
+                self.assertEqual(answer["messages"]["refused"], 0)
+            fail_requests(world, 3)
+            # The planners inform each other of the failed requests.
+            for name in CONTROLLER_ADDRESSES:
+                await pair.wait_for_answer(
+                    name, lambda answer: answer["messages"]["notes"] > 0, ask="fleet", do="status"
                 )
-            gone = await pair.owned("ns1")
-            self.assertTrue(gone)
+            owned_by_ns1 = await pair.owned_proxies("ns1")
+            self.assertTrue(owned_by_ns1)
             self.assertEqual(await pair.stop("ns1", signal.SIGTERM), 0)
-            await pair.wait(
-                "ns2", lambda told: set(told["owned"]) == names, ask="fleet", do="status"
+            await pair.wait_for_answer(
+                "ns2", lambda answer: set(answer["owned"]) == all_proxies, ask="fleet", do="status"
             )
-            await pair.wait(
+            await pair.wait_for_answer(
                 "ns2",
-                lambda told: told["members"]["ns1"]["state"] == "left",
+                lambda answer: answer["members"]["ns1"]["state"] == "left",
                 ask="fleet",
                 do="status",
             )
-            self.assertTrue(all(lines(one)["look"] for one in agents))
-            pair.start("ns1", self.earlier)  # and the other way round: new to old
-            await pair.up("ns1", "ns2")
-            await pair.wait("ns1", lambda told: standing(told) == {back}, **ask)
+            self.assertTrue(all(addresses_by_class(proxy)["look"] for proxy in proxies))
+            # Now the earlier controller takes over from the newer one.
+            pair.start("ns1", self.earlier_root)
+            await pair.wait_until_running("ns1", "ns2")
+            await pair.wait_for_answer(
+                "ns1", lambda answer: active_pins(answer) == {rollback_pin}, **tables_status
+            )
             self.assertEqual(await pair.stop("ns2", signal.SIGTERM), 0)
-            await pair.wait(
-                "ns1", lambda told: set(told["owned"]) == names, ask="fleet", do="status"
+            await pair.wait_for_answer(
+                "ns1", lambda answer: set(answer["owned"]) == all_proxies, ask="fleet", do="status"
             )
-            for name in ADDRESSES:
+            for name in CONTROLLER_ADDRESSES:
                 self.assertNotIn("message refused", pair.log(name))
                 self.assertNotIn("wish refused", pair.log(name))
                 self.assertNotIn("pins refused", pair.log(name))
-            for one in agents:
-                await one.finish()
+            for proxy in proxies:
+                await proxy.finish()
 
-        self.play(case)
+        self.run_case(case)
 
-    def test_the_new_text_goes_on_from_the_state_of_a_killed_old_one(self):
+    def test_the_new_version_continues_from_the_state_of_a_killed_old_controller(self):
         async def case(world, pair):
-            pair.start("ns1", self.earlier)
-            await pair.up("ns1")
-            one = agent(world, "p0")
-            await until(lambda: lines(one).get("look"), LONG)
-            view = {"ask": "tables", "do": "show", "args": {"proxy": "desk0"}}
-            await pair.wait("ns1", lambda told: len(told.get("items", ())) > 2, **view)
+            pair.start("ns1", self.earlier_root)
+            await pair.wait_until_running("ns1")
+            proxy = start_proxy(world, "p0")
+            await until(lambda: addresses_by_class(proxy).get("look"), TIMEOUT)
+            show_view = {"ask": "tables", "do": "show", "args": {"proxy": "desk0"}}
+            await pair.wait_for_answer(
+                "ns1", lambda answer: len(answer.get("items", ())) > 2, **show_view
+            )
             pin = (
                 await pair.ask("ns1", ask="tables", do="pin", args={"whom": "all", "over": 0.0})
             )["pin"]
-            before = await pair.wait("ns1", lambda told: told.get("pinned by") == pin, **view)
-            log = {"ask": "tables", "do": "log", "args": {"proxy": "desk0"}}
-            versions = (await pair.ask("ns1", **log))["versions"]
+            before = await pair.wait_for_answer(
+                "ns1", lambda answer: answer.get("pinned by") == pin, **show_view
+            )
+            version_log = {"ask": "tables", "do": "log", "args": {"proxy": "desk0"}}
+            versions = (await pair.ask("ns1", **version_log))["versions"]
             epoch = (await pair.ask("ns1", ask="fleet", do="status"))["owned"]["p0"][0]
             await pair.stop("ns1", signal.SIGKILL)
-            (world.folder / "nodes.json").rename(
-                world.folder / "away.json"
-            )  # it knows the list by memory alone
+            # Without the list's file the controller has to use its cached list.
+            (world.folder / "nodes.json").rename(world.folder / "away.json")
             pair.start("ns1", ROOT)
-            await pair.up("ns1")
-            told = await pair.wait("ns1", lambda told: told.get("pinned by") == pin, **view)
+            await pair.wait_until_running("ns1")
+            restored = await pair.wait_for_answer(
+                "ns1", lambda answer: answer.get("pinned by") == pin, **show_view
+            )
             self.assertEqual(
-                {one["host"] for one in told["items"]}, {one["host"] for one in before["items"]}
+                {item["host"] for item in restored["items"]},
+                {item["host"] for item in before["items"]},
             )
-            shown = await pair.ask(
-                "ns1", **{**view, "args": {"proxy": "desk0", "version": before["version"]}}
+            stored = await pair.ask(
+                "ns1", **{**show_view, "args": {"proxy": "desk0", "version": before["version"]}}
             )
-            self.assertEqual(shown["digest"], before["digest"])
-            self.assertEqual(shown["items"], before["items"])
-            again = (await pair.ask("ns1", **log))["versions"]
-            self.assertEqual(again[: len(versions)], versions)
+            self.assertEqual(stored["digest"], before["digest"])
+            self.assertEqual(stored["items"], before["items"])
+            versions_after = (await pair.ask("ns1", **version_log))["versions"]
+            self.assertEqual(versions_after[: len(versions)], versions)
             self.assertTrue(
-                all(int(one["version"].split(".")[0]) > 1 for one in again[len(versions) :])
+                all(
+                    int(entry["version"].split(".")[0]) > 1
+                    for entry in versions_after[len(versions) :]
+                )
             )
-            status = await pair.wait(
-                "ns1", lambda told: standing(told) == {pin}, ask="tables", do="status"
+            status = await pair.wait_for_answer(
+                "ns1", lambda answer: active_pins(answer) == {pin}, ask="tables", do="status"
             )
             self.assertEqual(status["pins"][0]["target not known"], [])
-            answer = await pair.wait(
-                "ns1", lambda told: told.get("lines"), ask="answer", view="desk0"
+            answer = await pair.wait_for_answer(
+                "ns1", lambda answer: answer.get("lines"), ask="answer", view="desk0"
             )
             self.assertLessEqual(
                 {line["host"] for line in answer["lines"]}, {"h0", "h1", "h2", "h3"}
             )
-            fleet = await pair.wait(
-                "ns1", lambda told: "p0" in told["owned"], ask="fleet", do="status"
+            fleet = await pair.wait_for_answer(
+                "ns1", lambda answer: "p0" in answer["owned"], ask="fleet", do="status"
             )
             self.assertGreater(fleet["owned"]["p0"][0], epoch)
             self.assertNotIn("not taken", pair.log("ns1"))
-            await one.finish()
+            await proxy.finish()
 
-        self.play(case)
+        self.run_case(case)
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -1,11 +1,12 @@
-"""Data stored by an earlier text stays readable, and the program goes on from it.
+"""Data that an earlier version stored stays readable, and a controller continues from it.
 
-tests/data/stored/ holds what a short day of three stewards left: their state folders (lists, tables' logs with
-versions, a restart, pins, notes), the settings, the record of the stand-ins (one file torn) and a results file of
-the lab. tests/data/stored/expected.json is what that must read as: values only, no names of types or fields.
+tests/data/stored/ holds what three controllers left in a short simulated day: their state folders
+(endpoint lists, table logs with versions, a restart, pins and notes), the settings, the recording of
+the stand-ins (one file ends within a row) and a results file of the lab. expected.json in that folder
+holds the values that reading the data must give; it contains no names of types or fields.
 
-The data is not to be written anew when the program changes: it stands for what deployments have on disk. Where a
-format changes on purpose, add a second folder beside it. A first writing, or one for a new folder:
+Don't regenerate the data when the program changes: it stands for the data of existing deployments.
+Where a format changes on purpose, add a second folder beside it. To write a new folder:
 
     python -m tests.compatibility.test_stored_data write FOLDER
 """
@@ -36,50 +37,53 @@
 from peatlead.tables.table_log import TableLog
 from peatlead.tables.version import Version
 
-# The adapter, with the imports above: all that is known here of names inside the program.
+# Only the imports above and this section use names from inside the program.
 
 
-class Tables:
-    """A steward's log of tables, read and written on by the program."""
+class StoredTables:
+    """A controller's table log, read from its folder; versions and notes can be appended."""
 
     def __init__(self, folder):
-        self.said = []
+        self.events = []
         self.log = TableLog(
-            folder, Store(age_max=1e12), lambda event, **more: self.said.append((event, more))
+            folder, Store(age_max=1e12), lambda event, **more: self.events.append((event, more))
         )
-        self.wrong = self.log.restore()
+        self.problems = self.log.restore()
 
-    def newest(self):
-        """{proxy: (epoch, serial)}"""
-        return {name: tuple(one.newest_version) for name, one in self.log.store.histories.items()}
+    def newest_versions(self):
+        """Returns the newest version of each proxy as (epoch, serial)."""
+        return {
+            name: tuple(history.newest_version)
+            for name, history in self.log.store.histories.items()
+        }
 
     def proxies(self):
         return {
             name: {
-                "newest": list(one.newest_version),
-                "items": one.items,
-                "digest": str(one.digest),
+                "newest": list(history.newest_version),
+                "items": history.items,
+                "digest": str(history.digest),
                 "versions": [
                     [
                         *entry.version,
                         entry.published_at,
                         list(entry.causes),
-                        [list(moved) for moved in entry.item_changes],
+                        [list(change) for change in entry.item_changes],
                         entry.digest,
                     ]
-                    for entry in one.entries
+                    for entry in history.entries
                 ],
             }
-            for name, one in sorted(self.log.store.histories.items())
+            for name, history in sorted(self.log.store.histories.items())
         }
 
-    def gone(self):
+    def disconnected_proxies(self):
         return list(self.log.store.disconnected)
 
     def notes(self):
         return self.log.notes
 
-    def segments(self):
+    def segment_numbers(self):
         return sorted(self.log.segment_sizes)
 
     def publish(self, name, epoch, serial, changed):
@@ -87,43 +91,46 @@
             name, self.log.store.commit(name, Version(epoch, serial), 99.0, ("test",), changed)
         )
 
-    def begin(self):
+    def start(self):
         self.log.start(0.0)
 
-    def end(self):
+    def close(self):
         self.log.flush(0.0)
         self.log.close()
 
-    def note(self, key, value):
+    def record_note(self, key, value):
         self.log.record_note(key, value)
 
 
-def pins_of(data):
+def read_pins(data):
     return [list(msgspec.structs.astuple(pin)) for pin in decode_pins(data)]
 
 
-def list_of(path):
-    listing, why = EndpointCache(str(path)).load()
+def read_list(path):
+    endpoint_list, error = EndpointCache(str(path)).load()
     return {
-        "why": why,
-        "scope": listing.scope,
-        "version": listing.version,
-        "written": listing.written,
-        "hosts": [list(msgspec.structs.astuple(one)) for one in listing.endpoints],
+        "why": error,
+        "scope": endpoint_list.scope,
+        "version": endpoint_list.version,
+        "written": endpoint_list.written,
+        "hosts": [list(msgspec.structs.astuple(endpoint)) for endpoint in endpoint_list.endpoints],
     }
 
 
-def record_of(folder):
-    """(rows as [kind, at, values], the checker's report as values without its words)."""
-    read = read_folder(folder)
+def read_recording(folder):
+    """Returns the rows as [kind, at, values], and the values of the checker's report without texts."""
+    recording = read_folder(folder)
     settings = load_settings("settings.star", (folder / "settings.star").read_text())
     report = check(
-        read, settings["limits"], {one["name"]: one["gain"] for one in settings["request_kind"]}
+        recording,
+        settings["limits"],
+        {kind["name"]: kind["gain"] for kind in settings["request_kind"]},
     )
-    rows = [[row.kind, row.at, list(row.fields.values())] for row in read.rows]
+    rows = [[row.kind, row.at, list(row.fields.values())] for row in recording.rows]
     return rows, {
         "rules": [
-            [int(one.rule.split(" ")[0]), one.nearest, one.breaches] for one in report.findings
+            [int(finding.rule.split(" ")[0]), finding.nearest, finding.breaches]
+            for finding in report.findings
         ],
         "service": report.service,
         "late": report.late_sends,
@@ -135,101 +142,105 @@
     }
 
 
-def results_of(path):
+def read_results(path):
     results, study = Results(str(path)), Study("study", STUDY)
     try:
         name, cells = study.parameters["name"], study.cells()
-        ways = sorted({cell[:3] for cell in cells})
+        combinations = sorted({cell[:3] for cell in cells})
         return {
             "done": sorted(results.finished_cells(name)),
-            "broken": [list(one) for one in results.cells_with_problems(name)],
+            "broken": [list(broken_cell) for broken_cell in results.cells_with_problems(name)],
             "figures": [
-                [*way, figure, results.values_by_seed(name, figure, *way)]
-                for way in ways
-                for figure in METRICS
+                [*combination, metric, results.values_by_seed(name, metric, *combination)]
+                for combination in combinations
+                for metric in METRICS
             ],
         }
     finally:
         results.database.close()
 
 
-def cells_left(path):
-    """How many cells of the study would be played with this results file: none may be."""
+def play_missing_cells(path):
+    """Plays the cells of the study that the results file lacks; returns their number."""
     results = Results(str(path))
     try:
-        return run_study(Study("study", STUDY), results, workers=1, say=lambda said: None)
+        return run_study(Study("study", STUDY), results, workers=1, say=lambda text: None)
     finally:
         results.database.close()
 
 
-def started(folder, name, case, secondaries=()):
-    """Runs `case(ask, sleep)` beside a steward that was started on a folder, in the lab; `ask` is its control."""
-    world, said = Simulation(7), []
+def run_controller(folder, name, case, secondaries=()):
+    """Starts a simulated controller on a stored state folder and runs `case(ask)`.
+
+    `ask` sends a question to the control socket. Returns the result of `case` and the log events.
+    """
+    world, log_events = Simulation(7), []
     text = (folder / "settings.star").read_text()
     settings = load_settings("settings.star", text)
     settings["node_list"]["path"] = str(folder / "away.json")
     settings["tables"]["sync_every"] = 1e9
     settings["dns"]["secondaries"] = list(secondaries)
-    me = next(one for one in settings["steward"] if one["name"] == name)
-    steward_loop, asker = world.process(name), world.process("asker")
+    controller_settings = next(entry for entry in settings["steward"] if entry["name"] == name)
+    controller_process, client_process = world.process(name), world.process("asker")
 
-    made = []
+    controllers = []
 
     async def serve():
-        made.append(
+        controllers.append(
             Controller(
                 settings,
                 name,
-                lambda event, **more: said.append((event, more)),
+                lambda event, **more: log_events.append((event, more)),
                 Planner,
                 str(folder / "state"),
                 boot=b"12345678",
                 wall=lambda: 1000.0 + world.now,
             )
         )
-        await made[0].start()
-        await made[0].ended
+        await controllers[0].start()
+        await controllers[0].ended
 
-    world.at(0.0, steward_loop, lambda: steward_loop.create_task(serve()))
+    world.at(0.0, controller_process, lambda: controller_process.create_task(serve()))
 
-    async def asked():
+    async def ask_questions():
         await asyncio.sleep(6.0)
-        found = await case(lambda **question: ask_once(tuple(me["control"]), question))
-        made[0].stop()
+        result = await case(
+            lambda **question: ask_once(tuple(controller_settings["control"]), question)
+        )
+        controllers[0].stop()
         await asyncio.sleep(1.0)
-        return found
+        return result
 
-    return play(world, asker, asked(), 60.0), said
+    return play(world, client_process, ask_questions(), 60.0), log_events
 
 
-def write(folder):
-    """The data, by the text that runs this."""
-    with tempfile.TemporaryDirectory() as made:
-        made, folder = Path(made), Path(folder)
+def write_data(folder):
+    """Writes the data of a new folder with the running version of the program."""
+    with tempfile.TemporaryDirectory() as temporary:
+        temporary, folder = Path(temporary), Path(folder)
         script = load_day("stored", DAY)
         world = Simulation(script["day"]["seed"])
-        day = SimulatedDay(world, script, made)
+        day = SimulatedDay(world, script, temporary)
         day.place_addresses()
         play(world, world.process("day"), day.play(), 200.0)
         shutil.rmtree(folder, ignore_errors=True)
         (folder / "record").mkdir(parents=True)
-        shutil.copytree(made / "state", folder / "state")
-        for name in STEWARDS:  # a zone's serial, as a steward with secondaries keeps it
-            tables = Tables(folder / "state" / f"tables-{name}")
-            tables.begin()
-            tables.note("zone serial", b"2026120207")
-            tables.end()
-        for where in (folder, folder / "record"):
-            (where / "settings.star").write_text(day.script().replace(str(made), "/nowhere"))
+        shutil.copytree(temporary / "state", folder / "state")
+        for name in CONTROLLERS:  # a zone serial, as a controller with secondaries stores it
+            tables = StoredTables(folder / "state" / f"tables-{name}")
+            tables.start()
+            tables.record_note("zone serial", b"2026120207")
+            tables.close()
+        for parent in (folder, folder / "record"):
+            (parent / "settings.star").write_text(day.script().replace(str(temporary), "/nowhere"))
         rows = sorted(day.rows.rows, key=lambda row: row.at)
-        for at in range(2):
-            record = Recorder(folder / "record" / f"part{at}.rec")
-            for row in rows[at::2]:
+        for number in range(2):
+            record = Recorder(folder / "record" / f"part{number}.rec")
+            for row in rows[number::2]:
                 record.row(row.kind, row.at, *row.fields.values())
-            if at == 1:
-                record.zip.write(
-                    b"\0\0\0\x40half a row"
-                )  # its writer was killed in the middle of a row
+            if number == 1:
+                # An incomplete row, as a killed writer leaves it.
+                record.zip.write(b"\0\0\0\x40half a row")
                 record.flush()
                 record.file.close()
             else:
@@ -237,7 +248,7 @@
         study = Study("study", STUDY)
         results = Results(str(folder / "results.sqlite"))
         for case, variant, policy, seed in study.cells():
-            key, digest, finds, found = play_cell(
+            key, digest, problems, metrics = play_cell(
                 (
                     (case, variant, policy, seed),
                     study.cases[case],
@@ -250,20 +261,20 @@
                 study.parameters["name"],
                 key,
                 digest,
-                ["rule 1: planted"] if seed == 1 else finds,
-                found,
+                ["rule 1: planted"] if seed == 1 else problems,
+                metrics,
             )
         results.database.close()
         (folder / "expected.json").write_text(
-            json.dumps(everything(folder), separators=(",", ":")) + "\n"
+            json.dumps(read_all(folder), separators=(",", ":")) + "\n"
         )
 
 
-# The end of the adapter.
+# End of the section that uses names from inside the program.
 
 DATA = Path(__file__).parents[1] / "data" / "stored"
-PORT = 20_000  # of the lab's hosts
-STEWARDS = ("ns1", "ns2", "ns3")
+PORT = 20_000  # of the simulated endpoints
+CONTROLLERS = ("ns1", "ns2", "ns3")
 DAY = """
 day(length = 9, seed = 5, stewards = 3)
 fleet(hosts = 5, zones = ["a", "b"], pod = 2)
@@ -283,20 +294,20 @@
 """
 
 
-def values(one):
-    """As JSON has it."""
-    return json.loads(json.dumps(one))
+def as_json(value):
+    """Returns a value as it is after encoding to JSON and decoding."""
+    return json.loads(json.dumps(value))
 
 
-def state_of(folder, name):
-    tables = Tables(folder / "state" / f"tables-{name}")
+def read_state(folder, name):
+    tables = StoredTables(folder / "state" / f"tables-{name}")
     notes = dict(tables.notes())
     return {
         "proxies": tables.proxies(),
-        "gone": tables.gone(),
-        "segments": tables.segments(),
-        "wrong": tables.wrong,
-        "pins": pins_of(notes.pop("pins")),
+        "gone": tables.disconnected_proxies(),
+        "segments": tables.segment_numbers(),
+        "wrong": tables.problems,
+        "pins": read_pins(notes.pop("pins")),
         "held": {
             key: msgspec.msgpack.decode(notes.pop(key))
             for key in sorted(notes)
@@ -306,46 +317,48 @@
     }
 
 
-def everything(folder):
-    rows, report = record_of(folder / "record")
-    return values(
+def read_all(folder):
+    rows, report = read_recording(folder / "record")
+    return as_json(
         {
-            "tables": {name: state_of(folder, name) for name in STEWARDS},
-            "lists": {name: list_of(folder / "state" / f"list-{name}") for name in STEWARDS},
+            "tables": {name: read_state(folder, name) for name in CONTROLLERS},
+            "lists": {name: read_list(folder / "state" / f"list-{name}") for name in CONTROLLERS},
             "record": {"rows": rows, "report": report},
-            "results": results_of(folder / "results.sqlite"),
+            "results": read_results(folder / "results.sqlite"),
         }
     )
 
 
-class Stored(unittest.TestCase):
-    """Each test has its own copy of the data."""
+class StoredDataTestCase(unittest.TestCase):
+    """The base class, which gives each test its own copy of the data."""
 
     maxDiff = 4000
 
     def setUp(self):
-        place = tempfile.TemporaryDirectory()
-        self.addCleanup(place.cleanup)
-        self.folder = Path(place.name) / "stored"
+        temporary = tempfile.TemporaryDirectory()
+        self.addCleanup(temporary.cleanup)
+        self.folder = Path(temporary.name) / "stored"
         shutil.copytree(DATA, self.folder)
         self.expected = json.loads((DATA / "expected.json").read_text())
 
-    def same(self, found, wanted):
-        """Equal, and of the same types (1 is not 1.0)."""
-        found = values(found)
-        self.assertEqual(found, wanted)
-        self.assertEqual(json.dumps(found, sort_keys=True), json.dumps(wanted, sort_keys=True))
+    def assert_same_json(self, found, expected):
+        """Checks that values are equal and of the same types (1 is not 1.0)."""
+        found = as_json(found)
+        self.assertEqual(found, expected)
+        self.assertEqual(json.dumps(found, sort_keys=True), json.dumps(expected, sort_keys=True))
 
 
-class Reading(Stored):
-    def test_the_data_holds_what_these_tests_are_about(self):
+class ReadStoredDataTest(StoredDataTestCase):
+    def test_the_data_contains_what_these_tests_need(self):
         tables = self.expected["tables"]["ns1"]
-        self.assertGreater(len(tables["segments"]), 2)  # begun anew at each start
+        self.assertGreater(len(tables["segments"]), 2)  # each start begins a new segment
         self.assertTrue(tables["pins"] and tables["held"])
         self.assertEqual(set(tables["notes"]), {"boots", "zone serial"})
-        several = [name for name, one in tables["proxies"].items() if len(one["versions"]) > 2]
-        self.assertTrue(any(name.startswith("view:") for name in several))
-        self.assertTrue(any(name.startswith("agent") for name in several))
+        with_several_versions = [
+            name for name, history in tables["proxies"].items() if len(history["versions"]) > 2
+        ]
+        self.assertTrue(any(name.startswith("view:") for name in with_several_versions))
+        self.assertTrue(any(name.startswith("agent") for name in with_several_versions))
         self.assertTrue(self.expected["tables"]["ns3"]["gone"])
         self.assertTrue(self.expected["record"]["report"]["torn"] > 0)
         self.assertTrue(self.expected["results"]["broken"])
@@ -354,51 +367,56 @@
             {"try", "req", "effect", "message", "answer", "order", "stream", "held", "pin"}, kinds
         )
 
-    def test_each_stewards_tables_pins_and_notes_read_as_they_were(self):
-        for name in STEWARDS:
+    def test_tables_pins_and_notes_of_each_controller_are_read_unchanged(self):
+        for name in CONTROLLERS:
             with self.subTest(name=name):
-                self.same(state_of(self.folder, name), self.expected["tables"][name])
+                self.assert_same_json(read_state(self.folder, name), self.expected["tables"][name])
 
-    def test_remembered_lists_read_as_they_were(self):
-        for name in STEWARDS:
-            self.same(list_of(self.folder / "state" / f"list-{name}"), self.expected["lists"][name])
+    def test_cached_endpoint_lists_are_read_unchanged(self):
+        for name in CONTROLLERS:
+            self.assert_same_json(
+                read_list(self.folder / "state" / f"list-{name}"), self.expected["lists"][name]
+            )
 
-    def test_a_record_reads_row_by_row_and_is_judged_as_it_was(self):
-        rows, report = record_of(self.folder / "record")
-        self.same(rows, self.expected["record"]["rows"])
-        self.same(report, self.expected["record"]["report"])
+    def test_a_recording_is_read_unchanged_and_checked_with_the_same_result(self):
+        rows, report = read_recording(self.folder / "record")
+        self.assert_same_json(rows, self.expected["record"]["rows"])
+        self.assert_same_json(report, self.expected["record"]["report"])
 
-    def test_results_of_the_lab_read_as_they_were_and_no_cell_is_played_again(self):
-        self.same(results_of(self.folder / "results.sqlite"), self.expected["results"])
-        self.assertEqual(cells_left(self.folder / "results.sqlite"), 0)
+    def test_lab_results_are_read_unchanged_and_no_cell_is_played_again(self):
+        self.assert_same_json(
+            read_results(self.folder / "results.sqlite"), self.expected["results"]
+        )
+        self.assertEqual(play_missing_cells(self.folder / "results.sqlite"), 0)
 
 
-class GoingOn(Stored):
-    def test_a_log_goes_on_in_a_new_segment_past_all_versions_before(self):
-        place = self.folder / "state" / "tables-ns1"
-        tables = Tables(place)
-        before = tables.newest()
-        segments = tables.segments()
-        tables.begin()
+class ContinueFromStoredDataTest(StoredDataTestCase):
+    def test_a_log_continues_in_a_new_segment_with_greater_versions(self):
+        folder = self.folder / "state" / "tables-ns1"
+        tables = StoredTables(folder)
+        before = tables.newest_versions()
+        segments = tables.segment_numbers()
+        tables.start()
         for name, (epoch, serial) in before.items():
             with self.assertRaises(ValueError):
                 tables.publish(name, epoch, serial, {"level/k": 1})
             tables.publish(name, epoch, serial + 1, {"level/k": 7})
-        tables.note("zone serial", b"2026120208")
-        tables.end()
-        again = Tables(place)
-        self.assertEqual(again.wrong, [])
+        tables.record_note("zone serial", b"2026120208")
+        tables.close()
+        reread = StoredTables(folder)
+        self.assertEqual(reread.problems, [])
         self.assertEqual(
-            again.newest(), {name: (epoch, serial + 1) for name, (epoch, serial) in before.items()}
+            reread.newest_versions(),
+            {name: (epoch, serial + 1) for name, (epoch, serial) in before.items()},
         )
-        self.assertEqual(again.notes()["zone serial"], b"2026120208")
-        self.assertEqual(max(again.segments()), max(segments) + 1)
-        for name, one in self.expected["tables"]["ns1"]["proxies"].items():
-            found = values(again.proxies()[name])
-            self.assertEqual(found["versions"][:-1], one["versions"], name)
-            self.assertEqual(found["items"], {**one["items"], "level/k": 7})
-
-    def test_a_steward_started_on_the_folder_serves_its_list_and_pins_with_higher_serials(self):
+        self.assertEqual(reread.notes()["zone serial"], b"2026120208")
+        self.assertEqual(max(reread.segment_numbers()), max(segments) + 1)
+        for name, history in self.expected["tables"]["ns1"]["proxies"].items():
+            found = as_json(reread.proxies()[name])
+            self.assertEqual(found["versions"][:-1], history["versions"], name)
+            self.assertEqual(found["items"], {**history["items"], "level/k": 7})
+
+    def test_a_controller_serves_the_stored_list_and_pins_with_greater_versions(self):
         async def case(ask):
             return {
                 "answer": await ask(ask="answer", view="desk0"),
@@ -407,96 +425,106 @@
                 "shown": await ask(ask="tables", do="show", args={"proxy": "desk0"}),
             }
 
-        for name in STEWARDS:
+        for name in CONTROLLERS:
             with self.subTest(name=name):
-                told, said = started(self.folder, name, case)
-                wanted = self.expected["tables"][name]
-                wrong = [one for one in said if "not taken" in one[0] or "failed" in one[0]]
-                self.assertEqual(wrong, [])
+                answers, log_events = run_controller(self.folder, name, case)
+                expected = self.expected["tables"][name]
+                errors = [
+                    event for event in log_events if "not taken" in event[0] or "failed" in event[0]
+                ]
+                self.assertEqual(errors, [])
                 self.assertEqual(
-                    told["status"]["hosts"], len(self.expected["lists"][name]["hosts"])
+                    answers["status"]["hosts"], len(self.expected["lists"][name]["hosts"])
                 )
-                names = {host[0] for host in self.expected["lists"][name]["hosts"]}
-                lines = {line["host"] for line in told["answer"]["lines"]}
-                self.assertTrue(lines and lines <= names, told["answer"])
-                standing = {pin[0] for pin in wanted["pins"] if pin[10] is None}
+                listed = {host[0] for host in self.expected["lists"][name]["hosts"]}
+                answered = {line["host"] for line in answers["answer"]["lines"]}
+                self.assertTrue(answered and answered <= listed, answers["answer"])
+                active_pins = {fields[0] for fields in expected["pins"] if fields[10] is None}
                 self.assertEqual(
-                    {one["pin"] for one in told["tables"]["pins"] if one["ended"] is None}, standing
+                    {pin["pin"] for pin in answers["tables"]["pins"] if pin["ended"] is None},
+                    active_pins,
                 )
-                self.assertEqual(told["shown"]["pinned by"], max(standing))
+                self.assertEqual(answers["shown"]["pinned by"], max(active_pins))
                 self.assertEqual(
-                    [one["target not known"] for one in told["tables"]["pins"]],
-                    [[]] * len(standing),
+                    [pin["target not known"] for pin in answers["tables"]["pins"]],
+                    [[]] * len(active_pins),
                 )
-                self.after(name, wanted)
+                self.check_folder_after_run(name, expected)
 
-    def after(self, name, wanted):
-        """What that start left on disk."""
-        tables = Tables(self.folder / "state" / f"tables-{name}")
-        boots = int(wanted["notes"]["boots"]) + 1
-        self.assertEqual(tables.wrong, [])
+    def check_folder_after_run(self, name, expected):
+        """Checks the state folder after the run of a controller."""
+        tables = StoredTables(self.folder / "state" / f"tables-{name}")
+        boots = int(expected["notes"]["boots"]) + 1
+        self.assertEqual(tables.problems, [])
         self.assertEqual(tables.notes()["boots"], b"%d" % boots)
-        self.assertEqual(tables.notes()["zone serial"], wanted["notes"]["zone serial"].encode())
-        self.assertGreater(max(tables.segments()), max(wanted["segments"]))
-        newest = tables.newest()
-        for proxy, one in wanted["proxies"].items():
-            self.assertGreaterEqual(newest[proxy], tuple(one["newest"]))
-        moved = {
+        self.assertEqual(tables.notes()["zone serial"], expected["notes"]["zone serial"].encode())
+        self.assertGreater(max(tables.segment_numbers()), max(expected["segments"]))
+        newest = tables.newest_versions()
+        for proxy, history in expected["proxies"].items():
+            self.assertGreaterEqual(newest[proxy], tuple(history["newest"]))
+        with_new_versions = {
             proxy
-            for proxy, one in wanted["proxies"].items()
-            if newest[proxy] > tuple(one["newest"])
+            for proxy, history in expected["proxies"].items()
+            if newest[proxy] > tuple(history["newest"])
         }
-        self.assertTrue(moved)
-        self.assertEqual({newest[proxy][0] for proxy in moved}, {boots})
-        held = {
+        self.assertTrue(with_new_versions)
+        self.assertEqual({newest[proxy][0] for proxy in with_new_versions}, {boots})
+        pinned_items = {
             key: msgspec.msgpack.decode(value)
             for key, value in tables.notes().items()
             if key.startswith("wish/")
         }
-        self.assertEqual({key: held[key] for key in wanted["held"]}, wanted["held"])
-        self.assertEqual(set(tables.notes()) - held.keys(), {"boots", "pins", "zone serial"})
-        lines = {
+        self.assertEqual({key: pinned_items[key] for key in expected["held"]}, expected["held"])
+        self.assertEqual(
+            set(tables.notes()) - pinned_items.keys(), {"boots", "pins", "zone serial"}
+        )
+        listed_keys = {
             f"line/api/{host[1]}/{host[3]}:{PORT}" for host in self.expected["lists"][name]["hosts"]
         }
-        for proxy, one in tables.proxies().items():
+        for proxy, history in tables.proxies().items():
             if proxy.startswith("view:"):
-                self.assertLessEqual(one["items"].keys(), lines, proxy)
+                self.assertLessEqual(history["items"].keys(), listed_keys, proxy)
 
-    def test_a_zones_serial_goes_on_past_the_stored_one(self):
+    def test_a_zone_serial_continues_from_the_stored_serial(self):
         async def case(ask):
             return (await ask(ask="status"))["secondaries"]["serial"]
 
         stored = int(self.expected["tables"]["ns1"]["notes"]["zone serial"])
-        serial, _ = started(self.folder, "ns1", case, [("127.1.9.9", 20_000)])
+        serial, _ = run_controller(self.folder, "ns1", case, [("127.1.9.9", 20_000)])
         self.assertTrue(stored < serial < stored + 1000, serial)
         self.assertEqual(
-            Tables(self.folder / "state" / "tables-ns1").notes()["zone serial"], b"%d" % serial
+            StoredTables(self.folder / "state" / "tables-ns1").notes()["zone serial"],
+            b"%d" % serial,
         )
 
-    def test_what_a_stored_pin_holds_a_view_to_is_what_the_steward_serves(self):
-        held = self.expected["tables"]["ns2"]["held"]
-        key = next(key for key in held if key.endswith("/view:desk0"))
-        line = min(held[key])
-        tables = Tables(self.folder / "state" / "tables-ns2")
-        tables.begin()
-        tables.note(
-            key, msgspec.msgpack.encode({**held[key], line: 7 * held[key][line]})
-        )  # no version has that
-        tables.end()
+    def test_a_controller_serves_the_items_that_a_stored_pin_gives_a_view(self):
+        pinned_items = self.expected["tables"]["ns2"]["held"]
+        key = next(key for key in pinned_items if key.endswith("/view:desk0"))
+        item_key = min(pinned_items[key])
+        tables = StoredTables(self.folder / "state" / "tables-ns2")
+        tables.start()
+        # A weight that no stored version contains.
+        tables.record_note(
+            key,
+            msgspec.msgpack.encode(
+                {**pinned_items[key], item_key: 7 * pinned_items[key][item_key]}
+            ),
+        )
+        tables.close()
 
         async def case(ask):
             return await ask(ask="tables", do="show", args={"proxy": "desk0"})
 
-        shown, _ = started(self.folder, "ns2", case)
-        hosts = {
+        shown, _ = run_controller(self.folder, "ns2", case)
+        endpoint_names = {
             f"line/api/{host[1]}/{host[3]}:{PORT}": host[0]
             for host in self.expected["lists"]["ns2"]["hosts"]
         }
-        found = {one["host"]: one["value"] for one in shown["items"]}
-        self.assertEqual(found[hosts[line]], 7 * held[key][line] / 1000)
+        weights = {item["host"]: item["value"] for item in shown["items"]}
+        self.assertEqual(weights[endpoint_names[item_key]], 7 * pinned_items[key][item_key] / 1000)
 
 
 if __name__ == "__main__":
     if sys.argv[1:2] != ["write"] or len(sys.argv) != 3:
-        sys.exit("expected: write FOLDER")
-    write(sys.argv[2])
+        sys.exit("usage: python -m tests.compatibility.test_stored_data write FOLDER")
+    write_data(sys.argv[2])
--- a/tests/deploy/test_balancer_file.py
+++ b/tests/deploy/test_balancer_file.py
@@ -1,4 +1,4 @@
-"""deploy/balancer.toml names the files of which the program on the platform consists."""
+"""deploy/balancer.toml lists the files that the program on the platform loads."""
 
 import subprocess
 import sys
--- a/tests/deploy/test_build.py
+++ b/tests/deploy/test_build.py
@@ -1,4 +1,4 @@
-"""deploy/build, with a stand-in for the interpreter that records how it was called."""
+"""deploy/build, run with a fake interpreter that records its calls."""
 
 import os
 import subprocess
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 
-class Build(unittest.TestCase):
+class BuildTest(unittest.TestCase):
     def test_an_incomplete_or_outdated_environment_is_rebuilt(self):
         with tempfile.TemporaryDirectory() as folder:
             root = Path(folder)
@@ -15,25 +15,30 @@
             (root / "requirements.txt").write_text("one==1\n")
             build = Path(__file__).parent.parent.parent / "deploy" / "build"
             (root / "deploy" / "build").write_text(build.read_text())
-            stand_in = """#!/bin/sh
+            fake_python = """#!/bin/sh
 echo "$@" >> "$ROOT/calls"
 if [ "$2" = venv ]; then mkdir -p .venv-run/bin; cp "$0" .venv-run/bin/python; fi
 case "$*" in *"$FAILS"*) exit 1;; esac
 """
-            (root / "python3").write_text(stand_in)
+            (root / "python3").write_text(fake_python)
             (root / "python3").chmod(0o755)
 
-            def run(fails="nothing"):
+            def run(failing_command="nothing"):
+                """Returns the exit code and how many environments were created."""
                 (root / "calls").write_text("")
-                done = subprocess.run(
+                completed = subprocess.run(
                     ["sh", "deploy/build"],
                     cwd=root,
-                    env={"PATH": f"{root}:{os.environ['PATH']}", "ROOT": folder, "FAILS": fails},
+                    env={
+                        "PATH": f"{root}:{os.environ['PATH']}",
+                        "ROOT": folder,
+                        "FAILS": failing_command,
+                    },
                 )
-                return done.returncode, (root / "calls").read_text().count("venv --clear")
+                return completed.returncode, (root / "calls").read_text().count("venv --clear")
 
             self.assertEqual(run("pip install"), (1, 1))
-            self.assertEqual(run("compileall"), (1, 1))  # what was half made does not pass
+            self.assertEqual(run("compileall"), (1, 1))  # an incomplete environment is not used
             self.assertEqual(run(), (0, 1))
             self.assertEqual(run(), (0, 0))
             (root / "requirements.txt").write_text("one==2\n")
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""Kept for importers of GRPC_SCRIPT: its tests are in tests/controller/test_many_proxies.py."""
+"""Re-exports GRPC_SCRIPT; the tests at scale are in tests/controller/test_many_proxies.py."""
 
 from .standin_fleet import GRPC_SCRIPT
 
