--- a/peatlead/__init__.py
+++ b/peatlead/__init__.py
@@ -1,1 +1,1 @@
-"""peatlead: a central planner that writes the tables plain proxies follow."""
+"""A control service that publishes weighted endpoint tables to proxies and DNS clients."""
--- a/peatlead/__main__.py
+++ b/peatlead/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m peatlead`: the command line."""
+"""The entry point of `python -m peatlead`, which runs the command line."""
 
 from .cli import main
 
--- a/peatlead/benchmarks/__init__.py
+++ b/peatlead/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements as commands: what they print is kept in docs/results/."""
+"""Benchmark programs. Their results are recorded in docs/results/."""
--- a/peatlead/benchmarks/dns_fuzz.py
+++ b/peatlead/benchmarks/dns_fuzz.py
@@ -1,4 +1,4 @@
-"""Mutated DNS queries: no exception, and no answer longer than its transport allows.
+"""Feeds mutated queries to the DNS answering code, and checks the size and ID of each answer.
 
 `python -m peatlead.benchmarks.dns_fuzz [QUERIES] [SEED]`
 """
@@ -14,16 +14,16 @@
 import dns.edns
 import dns.message
 
-from .dns_speed import build
+from .dns_speed import build_fixture
 
 VIEWS = 60
 ENDPOINTS = 40
-TCP_FRACTION = 0.3  # of the queries
-MAX_TCP = 65535  # bytes
-MAX_EDNS = 1232  # bytes over UDP
-MAX_PLAIN_UDP = 512  # bytes, RFC 1035 section 4.2.1
+TCP_FRACTION = 0.3  # fraction of the queries that use TCP
+MAX_TCP_ANSWER = 65535  # bytes, RFC 1035 section 4.2.2
+MAX_EDNS_ANSWER = 1232  # bytes over UDP, to queries with EDNS
+MAX_PLAIN_UDP_ANSWER = 512  # bytes, RFC 1035 section 4.2.1
 OPT_RECORD = b"\x00\x00\x29"  # root name and type of the EDNS record (RFC 6891)
-COUNTS_OFFSET = 4  # of the header's section counts
+COUNTS_OFFSET = 4  # bytes before the section counts in the header
 COUNTS_SIZE = 8  # bytes
 PEERS = ("127.100.0.9", "10.0.0.1", "2001:db8::1", "::ffff:127.100.1.1")
 NAMES = (
@@ -41,7 +41,7 @@
 
 
 class Edns(NamedTuple):
-    """The EDNS version of a query (False: none) and its options."""
+    """The EDNS version of a query (False for a query without EDNS) and its options."""
 
     version: Any
     options: Any
@@ -77,7 +77,11 @@
 
 
 def mutate_once(data: bytearray, rng: random.Random, others: Sequence[bytes]) -> None:
-    """Flip a bit, set a byte, cut, double, splice with another query, set a count or append."""
+    """Apply one random mutation to a query.
+
+    It flips a bit, sets a byte, truncates, duplicates bytes, splices the query with another, sets
+    a section count or appends random bytes.
+    """
     mutation = rng.randrange(7)
     offset = rng.randrange(len(data)) if data else 0
     if mutation == 0 and data:
@@ -96,30 +100,30 @@
         data += bytes(rng.randrange(256) for _ in range(rng.randrange(40)))
 
 
-def max_answer(query: bytes, tcp: bool) -> int:
-    """Return how many bytes an answer to a query may have."""
+def max_answer_size(query: bytes, tcp: bool) -> int:
+    """Return the maximum size of an answer to a query, in bytes."""
     if tcp:
-        return MAX_TCP
-    return MAX_EDNS if OPT_RECORD in query[12:] else MAX_PLAIN_UDP
+        return MAX_TCP_ANSWER
+    return MAX_EDNS_ANSWER if OPT_RECORD in query[12:] else MAX_PLAIN_UDP_ANSWER
 
 
-def find_fault(query: bytes, answer: bytes | list[bytes], tcp: bool) -> str:
-    """Return what is wrong with an answer, "" where nothing is."""
+def find_error(query: bytes, answer: bytes | list[bytes], tcp: bool) -> str:
+    """Return what is wrong with an answer, "" if it is valid."""
     if isinstance(answer, list):
-        return "a transfer"
-    if len(answer) > max_answer(query, tcp) or answer[:2] != query[:2]:
-        return f"{len(answer)} bytes"
+        return "unexpected zone transfer"
+    if len(answer) > max_answer_size(query, tcp) or answer[:2] != query[:2]:
+        return f"answer of {len(answer)} bytes is too long or has another message ID"
     return ""
 
 
 def fuzz(queries: int, seed: int) -> dict[str, Any]:
     """Answer mutated queries and count the outcomes.
 
-    Any exception of the code under test passes through, after its query has been printed. Raises
+    Exceptions of the tested code are raised again after their query has been printed. Raises
     AssertionError for an answer that is too long, has another message ID or is a zone transfer,
     which no view of this fixture allows.
     """
-    answers = build(VIEWS, ENDPOINTS, seed).answers
+    answers = build_fixture(VIEWS, ENDPOINTS, seed).answers
     rng = random.Random(seed)
     valid = valid_queries()
     outcomes: Counter[str] = Counter()
@@ -130,14 +134,14 @@
         try:
             answer = answers.respond(query, rng.choice(PEERS), tcp)
         except Exception:
-            print(f"query {index} of seed {seed}: {query.hex()}", file=sys.stderr)
+            print(f"exception at query {index} of seed {seed}: {query.hex()}", file=sys.stderr)
             raise
         if answer is None:
             outcomes["no answer"] += 1
             continue
-        fault = find_fault(query, answer, tcp)
-        if fault:
-            raise AssertionError(f"query {index} of seed {seed}: {fault} for {query.hex()}")
+        error = find_error(query, answer, tcp)
+        if error:
+            raise AssertionError(f"query {index} of seed {seed}: {error} for {query.hex()}")
         assert isinstance(answer, bytes)
         longest = max(longest, len(answer))
         outcomes[f"code {answer[3] & 15}"] += 1
@@ -146,7 +150,7 @@
 
 
 def main() -> None:
-    """Fuzz as the command line says and print the counts."""
+    """Fuzz with the arguments of the command line and print the counts as JSON."""
     queries = int(sys.argv[1]) if len(sys.argv) > 1 else 100_000
     seed = int(sys.argv[2]) if len(sys.argv) > 2 else 1
     start = time.perf_counter()
--- a/peatlead/benchmarks/dns_speed.py
+++ b/peatlead/benchmarks/dns_speed.py
@@ -1,9 +1,10 @@
-"""How fast prepared answers go out over UDP, beside a bare echo on the same loop, in one run.
+"""Measures the DNS server's rate of prepared answers over UDP, compared with an echo server.
 
-`python -m peatlead.benchmarks.dns_speed`. Clients are raw sockets in processes of their own, with a
-window of queries in flight each. Rounds of echo and server alternate, so that the machine's other
-load affects both; tables change all the while. Also measured: bytes held a view, and a plain server
-that uses the general codec.
+`python -m peatlead.benchmarks.dns_speed`. The clients run in processes of their own and keep a
+window of queries in flight on each socket. All servers run on one event loop, and their rounds
+alternate so that other load of the machine affects them alike. Tables change during the rounds.
+Also measured: a server that parses and serializes each message with dnspython, and the memory of
+each view.
 """
 
 import asyncio
@@ -34,8 +35,8 @@
 CLIENTS = 3  # processes
 SOCKETS_PER_CLIENT = 8
 TABLE_ENTRIES = 12
-CODEC_ROUNDS = 2  # the codec is far slower: two rounds show it
-ANSWERS_PER_VIEW = 20  # before memory is measured
+CODEC_ROUNDS = 2  # fewer than of the other servers, since the codec is far slower
+ANSWERS_PER_VIEW = 20  # sent before memory is measured
 CHANGE_INTERVAL = 0.1  # seconds between changes of tables
 
 SCRIPT = """
@@ -50,26 +51,26 @@
 steward(name = "ns1", zone = "a", listen = "127.1.0.1:53", control = "127.1.0.1:54")
 [view(name = "d%d" % i, zone = zones[i % 3], networks = ["127.{}.{}.0/24".format(100 + i // 250, i % 250)])
  for i in range(VIEWS)]
-"""  # noqa: E501 - settings as an operator writes them
+"""  # noqa: E501 - a settings script
 
 Peer = tuple[str, int]
-Rates = dict[str, list[float]]  # answers a second of each round, by server
+Rates = dict[str, list[float]]  # answers per second of each round, by server
 
 
 class Echo(asyncio.DatagramProtocol):
-    """A server that returns each datagram: what the loop and the sockets alone cost."""
+    """A server that returns each datagram, to measure the event loop and the sockets alone."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, peer: Peer) -> None:
-        """Return a datagram."""
+        """Send a datagram back."""
         self.transport.sendto(data, peer)
 
 
 class CodecServer(Echo):
-    """The plain way: every query is parsed and every answer serialized by the general codec."""
+    """A server that parses every query and serializes every answer with dnspython."""
 
     def datagram_received(self, data: bytes, peer: Peer) -> None:
         """Answer a query with two addresses."""
@@ -80,16 +81,16 @@
         self.transport.sendto(answer.to_wire(), peer)
 
 
-class Load(NamedTuple):
-    """How clients query: queries in flight on each socket, from addresses of this many views."""
+class ClientLoad(NamedTuple):
+    """The load of one round."""
 
     seconds: float
-    window: int
-    views: int
+    window: int  # queries in flight on each socket
+    views: int  # whose addresses the clients use
 
 
 class Fixture(NamedTuple):
-    """Answers with a table for each view, and the source of randomness that drew them."""
+    """Answers with a table for each view, and the random generator that drew the tables."""
 
     settings: Any
     answers: Answers
@@ -98,12 +99,12 @@
 
 
 def view_network(view: int) -> str:
-    """Return the first three bytes of a view's network."""
+    """Return the first three bytes of a view's network, dotted."""
     return f"127.{100 + view // 250}.{view % 250}"
 
 
 def connect(port: int, views: int, rng: random.Random) -> socket.socket:
-    """Return a socket to the server, from an address of a random view."""
+    """Return a UDP socket connected to the server from an address of a random view."""
     view = rng.randrange(views)
     connected = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     connected.bind((f"{view_network(view)}.{rng.randrange(1, 250)}", 0))
@@ -112,8 +113,8 @@
     return connected
 
 
-def run_client(port: int, seed: int, load: Load, results: "Queue[float]") -> None:
-    """Keep the window of queries in flight; puts the answers a second into `results`."""
+def run_client(port: int, seed: int, load: ClientLoad, results: "Queue[float]") -> None:
+    """Send queries for `load.seconds`, and put the rate of answers per second into `results`."""
     rng = random.Random(seed)
     query = dns.message.make_query(QUERIED_NAME, "A").to_wire()
     sockets = [connect(port, load.views, rng) for _ in range(SOCKETS_PER_CLIENT)]
@@ -127,14 +128,14 @@
     while time.monotonic() < end:
         ready = [cast(socket.socket, key.fileobj) for key, _ in selector.select(0.1)]
         for connected in ready or sockets:
-            answered += answer_all(connected, query)
+            answered += receive_answers(connected, query)
             if not ready:
                 connected.send(query)  # a datagram was lost: refill the window
     results.put(answered / load.seconds)
 
 
-def answer_all(connected: socket.socket, query: bytes) -> int:
-    """Read all answers that a socket has, each followed by another query; returns their number."""
+def receive_answers(connected: socket.socket, query: bytes) -> int:
+    """Read the answers that have arrived and send a query for each; returns their number."""
     answered = 0
     try:
         while True:
@@ -145,8 +146,8 @@
         return answered
 
 
-async def run_clients(port: int, seed: int, load: Load) -> float:
-    """Return the answers a second that all clients together had."""
+async def run_clients(port: int, seed: int, load: ClientLoad) -> float:
+    """Run all clients; returns the sum of their answers per second."""
     results: Queue[float] = multiprocessing.Queue()
     clients = [
         multiprocessing.Process(target=run_client, args=(port, seed + index, load, results))
@@ -159,8 +160,8 @@
     return sum(results.get() for _ in clients)
 
 
-def build(views: int, endpoints: int, seed: int = 1) -> Fixture:
-    """Return answers whose views have random tables."""
+def build_fixture(views: int, endpoints: int, seed: int = 1) -> Fixture:
+    """Return answers with a random table for each view."""
     settings = load_settings("speed.star", SCRIPT.replace("VIEWS", str(views)))
     rng = random.Random(seed)
     answers = Answers(settings, Views(settings), rng.uniform)
@@ -176,7 +177,7 @@
 
 
 async def change_tables(fixture: Fixture, endpoints: int, rate: int, changed: list[int]) -> None:
-    """Replace an entry in `rate` tables a second; their views are added to `changed`."""
+    """Replace an entry in `rate` tables per second; their views are added to `changed`."""
     _, answers, tables, rng = fixture
     while True:
         for _ in range(max(1, int(rate * CHANGE_INTERVAL))):
@@ -190,41 +191,41 @@
 
 
 async def open_servers(fixture: Fixture) -> dict[str, int]:
-    """Open the DNS server and the two that it is compared with; returns their ports."""
+    """Open the DNS server and the two servers that it is compared with; returns their ports."""
     loop = asyncio.get_running_loop()
     server = DnsServer(fixture.settings["dns"], fixture.answers)
     server.fresh_until = float("inf")
     await server.open((SERVER, 0))
     udp: Any = server.listeners[0]
-    ports = {"front": udp.get_extra_info("sockname")[1]}
+    ports = {"server": udp.get_extra_info("sockname")[1]}
     for name, protocol in (("echo", Echo), ("codec", CodecServer)):
         transport, _ = await loop.create_datagram_endpoint(protocol, local_addr=(SERVER, 0))
         ports[name] = transport.get_extra_info("sockname")[1]
     return ports
 
 
-async def measure_rates(ports: Mapping[str, int], rounds: int, load: Load) -> Rates:
-    """Return the answers a second of each server, in alternating rounds."""
+async def measure_rates(ports: Mapping[str, int], rounds: int, load: ClientLoad) -> Rates:
+    """Return the answers per second of each server, measured in alternating rounds."""
     rates: Rates = {name: [] for name in ports}
     for number in range(rounds):
-        for name in ("echo", "front", "codec"):
+        for name in ("echo", "server", "codec"):
             if name != "codec" or number < CODEC_ROUNDS:
                 rates[name].append(await run_clients(ports[name], number * 10, load))
     return rates
 
 
 def compare(rates: Rates) -> dict[str, Any]:
-    """Return the rates and their ratios to the echo's."""
-    ratios = sorted(server / echo for server, echo in zip(rates["front"], rates["echo"]))
+    """Return the rates and their ratios to the rate of the echo server."""
+    ratios = sorted(server / echo for server, echo in zip(rates["server"], rates["echo"]))
     mean = {name: sum(values) / len(values) for name, values in rates.items()}
     return {
-        "echo a second": [round(rate) for rate in rates["echo"]],
-        "front a second": [round(rate) for rate in rates["front"]],
-        "codec a second": [round(rate) for rate in rates["codec"]],
-        "front / echo": {
-            "least": round(ratios[0], 3),
+        "echo answers per second": [round(rate) for rate in rates["echo"]],
+        "server answers per second": [round(rate) for rate in rates["server"]],
+        "codec answers per second": [round(rate) for rate in rates["codec"]],
+        "server / echo": {
+            "min": round(ratios[0], 3),
             "median": round(ratios[len(ratios) // 2], 3),
-            "most": round(ratios[-1], 3),
+            "max": round(ratios[-1], 3),
         },
         "codec / echo": round(mean["codec"] / mean["echo"], 3),
     }
@@ -238,12 +239,12 @@
     window: int = 16,
     rate: int = 300,
 ) -> dict[str, Any]:
-    """Measure speed while `rate` tables a second change, and memory afterwards."""
-    fixture = build(views, endpoints)
+    """Measure rates while `rate` tables per second change, and memory afterwards."""
+    fixture = build_fixture(views, endpoints)
     ports = await open_servers(fixture)
     changed: list[int] = []
     changing = asyncio.create_task(change_tables(fixture, endpoints, rate, changed))
-    rates = await measure_rates(ports, rounds, Load(seconds, window, views))
+    rates = await measure_rates(ports, rounds, ClientLoad(seconds, window, views))
     changing.cancel()
     return {
         "views": views,
@@ -251,16 +252,19 @@
         "rounds": rounds,
         "tables changed": len(changed),
         **compare(rates),
-        "bytes held a view": measure_memory(views, endpoints),
+        "bytes per view": measure_memory(views, endpoints),
         "peak resident MB": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // 1024,
     }
 
 
 def measure_memory(views: int, endpoints: int) -> dict[str, int]:
-    """Return the bytes of a view's tables, orders and one prepared query, all answered once."""
+    """Return the memory of one view in bytes, before and after its first answers.
+
+    Answers add the drawn orders of endpoints and the prepared answers of one query.
+    """
     gc.collect()
     tracemalloc.start()
-    answers = build(views, endpoints).answers
+    answers = build_fixture(views, endpoints).answers
     query = dns.message.make_query(QUERIED_NAME, "A").to_wire()
     built = tracemalloc.get_traced_memory()[0]
     for view in range(views):
@@ -275,7 +279,7 @@
 
 
 def main() -> None:
-    """Measure and print."""
+    """Measure and print the result as JSON."""
     print(json.dumps(asyncio.run(measure()), indent=1))
 
 
--- a/peatlead/benchmarks/encoding.py
+++ b/peatlead/benchmarks/encoding.py
@@ -1,6 +1,6 @@
-"""Assignments from cached parts against protobuf's own serialization.
+"""Compares assignments assembled from cached parts with protobuf's own serialization.
 
-`python -m peatlead.benchmarks.encoding` prints microseconds of CPU time a table.
+`python -m peatlead.benchmarks.encoding` prints microseconds of CPU time per table.
 """
 
 import json
@@ -23,7 +23,7 @@
 def encode_with_protobuf(
     request_class: str, entries: Sequence[WeightedEndpoint], admitted_fraction: float
 ) -> bytes:
-    """Serialize an assignment by protobuf alone; the reference for `encode_assignment`."""
+    """Serialize an assignment with protobuf alone; the reference for `encode_assignment`."""
     assignment = endpoint_pb2.ClusterLoadAssignment(cluster_name=request_class)
     for zone in sorted({entry.zone for entry in entries}):
         locality = assignment.endpoints.add()
@@ -46,23 +46,23 @@
 
 
 def main() -> None:
-    """Print the best round of each way, and their ratio."""
+    """Print the shortest time of each encoder, and the ratio of the two."""
     rng = Random(1)
     endpoints = [
         WeightedEndpoint(f"10.0.{number // 250}.{number % 250}", 80, "abc"[number % 3], 1.0)
         for number in range(ENDPOINTS)
     ]
     tables = [rng.sample(endpoints, TABLE_ENTRIES) for _ in range(TABLES)]
-    spent: dict[str, list[float]] = {"plain": [], "parts": []}
-    for _ in range(ROUNDS):  # in turn, so that the machine's other load affects both
-        for name, write in (("plain", encode_with_protobuf), ("parts", encode_assignment)):
+    microseconds: dict[str, list[float]] = {"plain": [], "parts": []}
+    for _ in range(ROUNDS):  # alternating, so that other load of the machine affects both
+        for name, encode in (("plain", encode_with_protobuf), ("parts", encode_assignment)):
             start = time.process_time()
             for table in tables:
-                write("look", table, ADMITTED_FRACTION)
-            spent[name].append((time.process_time() - start) / TABLES * 1e6)
-    best = {name: round(min(rounds), 1) for name, rounds in spent.items()}
+                encode("look", table, ADMITTED_FRACTION)
+            microseconds[name].append((time.process_time() - start) / TABLES * 1e6)
+    best = {name: round(min(values), 1) for name, values in microseconds.items()}
     ratio = round(best["plain"] / best["parts"], 2)
-    print(json.dumps({"us a table of 9 lines": best, "ratio": ratio}))
+    print(json.dumps({"us per table of 9 entries": best, "ratio": ratio}))
 
 
 if __name__ == "__main__":
--- a/peatlead/benchmarks/grpc_fuzz.py
+++ b/peatlead/benchmarks/grpc_fuzz.py
@@ -1,8 +1,8 @@
-"""Random and mutated input against the gRPC server.
+"""Feeds mutated input to the gRPC server.
 
-`python -m peatlead.benchmarks.grpc_fuzz SECONDS [SEED]` feeds HTTP/2 bytes into a server's side
-without sockets, and protobuf bytes into the decoders of what proxies send. Any exception but those
-by which a decoder refuses its input ends the run. Peak memory is printed, and how much it grew.
+`python -m peatlead.benchmarks.grpc_fuzz SECONDS [SEED]` feeds HTTP/2 bytes to the server side of a
+connection without sockets, and protobuf bytes to the decoders of messages from proxies. Exceptions
+other than a decoder's documented errors end the run. Prints the peak memory and its growth.
 """
 
 import asyncio
@@ -36,14 +36,14 @@
 from ..grpc.server import DELTA_DISCOVERY_PATH, DISCOVERY_PATH, LOAD_REPORTING_PATH
 from ..net.in_memory_transport import InMemoryTransport
 
-WARM_UP = 2000  # inputs after which memory is expected to stay level
-CHUNK_SIZES = (1, 9, 100, 65536)  # bytes received at once
+WARM_UP = 2000  # inputs after which memory should no longer grow
+CHUNK_SIZES = (1, 9, 100, 65536)  # bytes passed to the connection at once
 HELD_ENTRY = "10.0.0.1|80|a|1.0"
 HELD_RESOURCE = "xdstp://peatlead/envoy.config.endpoint.v3.LbEndpoint/look/a/10.0.0.1:80"
 
 
 class Requests(NamedTuple):
-    """Well-formed first messages of a proxy's three streams, serialized."""
+    """Serialized valid first messages of the three streams of a proxy."""
 
     report: bytes
     join: bytes
@@ -51,7 +51,7 @@
 
 
 def load_report() -> bytes:
-    """Return a load report with all that the server reads."""
+    """Return a load report with all fields that the server reads."""
     request = lrs_pb2.LoadStatsRequest()
     request.node.id = "agent1"
     cluster = request.cluster_stats.add(cluster_name="look", total_dropped_requests=3)
@@ -68,7 +68,7 @@
 
 
 def join_request() -> bytes:
-    """Return a proxy's first discovery request, with the table that it holds already."""
+    """Return a proxy's first discovery request, with the table that it already holds."""
     request = discovery_pb2.DiscoveryRequest(type_url=ASSIGNMENT_TYPE_URL, resource_names=["look"])
     request.node.id = "agent1"
     request.node.locality.zone = "a"
@@ -81,7 +81,7 @@
 
 
 def incremental_join_request() -> bytes:
-    """Return a proxy's first incremental request, with the version that it holds already."""
+    """Return a proxy's first incremental request, with the version that it already holds."""
     request = discovery_pb2.DeltaDiscoveryRequest(
         type_url=LB_ENDPOINT_TYPE_URL, initial_resource_versions={HELD_RESOURCE: "1000"}
     )
@@ -102,7 +102,7 @@
 def decode_report(data: bytes) -> None:
     """Decode a load report."""
     request = lrs_pb2.LoadStatsRequest.FromString(data)
-    read_report(request, {"look": 0}, lambda place: 1, 7, 0, LoadAggregator())
+    read_report(request, {"look": 0}, lambda address: 1, 7, 0, LoadAggregator())
 
 
 def decode_join(data: bytes) -> None:
@@ -127,11 +127,11 @@
 
 
 def decode_all(data: bytes) -> None:
-    """Give data to each decoder, with the exceptions by which that one refuses its input."""
-    for decode, refusals in DECODERS:
+    """Pass data to each decoder, and ignore the exceptions by which it rejects invalid input."""
+    for decode, expected_errors in DECODERS:
         try:
             decode(data)
-        except refusals:
+        except expected_errors:
             continue
 
 
@@ -153,12 +153,12 @@
 
 
 def decode_messages(call: Call) -> None:
-    """Accept a call: its messages go to all decoders."""
+    """Accept a call and pass its messages to all decoders."""
     call.on_message = decode_all
 
 
-def receive(stream: bytes, chunk_size: int) -> None:
-    """Feed a stream into a connection; raises RuntimeError where it leaves calls behind."""
+def feed_stream(stream: bytes, chunk_size: int) -> None:
+    """Feed bytes to a connection and close it; raises RuntimeError if calls remain open."""
     connection = Connection(False, decode_messages, ping_interval=0.0)
     transport = InMemoryTransport()
     connection.connection_made(transport)
@@ -168,16 +168,16 @@
         connection.received(stream[start : start + chunk_size])
     connection.connection_lost(None)
     if connection.calls:
-        raise RuntimeError(f"calls left behind by {stream!r}")
+        raise RuntimeError(f"{len(connection.calls)} calls remain after {stream!r}")
 
 
 def peak_memory() -> int:
-    """Return the largest resident size of this process so far, in KiB."""
+    """Return the peak resident size of this process, in KiB."""
     return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
 
 
 async def fuzz(seconds: float, seed: int) -> dict[str, Any]:
-    """Feed mutated input for a time; returns the counts."""
+    """Feed mutated input for some seconds; returns the counts."""
     rng = Random(seed)
     end = time.monotonic() + seconds
     requests = Requests(load_report(), join_request(), incremental_join_request())
@@ -192,7 +192,7 @@
     while time.monotonic() < end:
         decode_all(mutate(rng, rng.choice(requests)))
         stream = mutate(rng, rng.choice(streams))
-        receive(stream, rng.choice(CHUNK_SIZES))
+        feed_stream(stream, rng.choice(CHUNK_SIZES))
         inputs += 1
         if inputs == WARM_UP:
             warm_peak = peak_memory()
@@ -200,13 +200,13 @@
         "seconds": seconds,
         "seed": seed,
         "inputs": 2 * inputs,
-        "peak KiB at 2,000": warm_peak,
-        "grown KiB": peak_memory() - (warm_peak or 0),
+        "peak KiB after 2,000 inputs": warm_peak,
+        "growth in KiB afterwards": peak_memory() - (warm_peak or 0),
     }
 
 
 def main() -> None:
-    """Fuzz as the command line says and print the counts."""
+    """Fuzz with the arguments of the command line and print the counts as JSON."""
     seed = int(sys.argv[2]) if len(sys.argv) > 2 else 1
     print(json.dumps(asyncio.run(fuzz(float(sys.argv[1]), seed))))
 
--- a/peatlead/benchmarks/herd.py
+++ b/peatlead/benchmarks/herd.py
@@ -1,13 +1,15 @@
-"""A whole controller and thousands of streams on loopback.
-
-`python -m peatlead.benchmarks.herd PROXIES HOSTS [REPORTS]`: simulated proxies in processes of
-their own connect to one real controller, take what is published and acknowledge it. Measured: the
-time until all are served, and memory a proxy; then one endpoint that all hold drains: milliseconds
-from the list's file to each proxy (median, 99th percentile, last) and bytes a proxy, beside a bare
-loop that writes the same bytes to as many streams.
-
-REPORTS: load reports a second of each proxy meanwhile, to see whether withdrawals wait behind them;
-what the controller sheds is printed. Below 0: of proxies that do not slow down when asked to.
+"""Measures a controller that serves thousands of proxies over loopback.
+
+`python -m peatlead.benchmarks.herd PROXIES ENDPOINTS [REPORTS]`: simulated proxies in processes of
+their own connect to one controller and acknowledge what it publishes. Measured are the time until
+all proxies are served and the memory per proxy. Then an endpoint that all proxies hold drains, and
+the time from the change of the endpoint list to each proxy's update is measured (median, 99th
+percentile and last), with the bytes per proxy. As a baseline, a bare event loop writes the same
+bytes to as many streams.
+
+REPORTS is the rate of load reports per second that each proxy sends meanwhile, which shows whether
+withdrawals wait behind reports. Below 0, proxies ignore a longer interval that the controller asks
+for. The controller's status, which includes what it sheds, is printed too.
 """
 
 import asyncio
@@ -28,22 +30,22 @@
 from ..controller.control_socket import ask_once
 from ..net.http import ServerConnection
 from ..scenario.runner import free_port
-from .herd_agents import ZONES, AgentCommand, SimulatedProxy, run_agents
-from .herd_baseline import measure_baseline, spread
+from .herd_agents import ZONES, ProxyCommand, SimulatedProxy, run_proxies
+from .herd_baseline import delay_percentiles, measure_baseline
 
 __all__ = ["SimulatedProxy", "main"]
 
-CLIENTS = 4  # processes of simulated proxies
+CLIENT_PROCESSES = 4
 LISTEN = "127.1.0.1"
-START_TIME = 2.5  # seconds for the controller to start
-PERIOD = 5.0  # seconds: before the withdrawal; three of them after it
+START_DELAY = 2.5  # seconds until the controller is expected to serve
+IDLE_PERIOD = 5.0  # seconds measured before the withdrawal; three times as long after it
 STOP_TIMEOUT = 10.0  # seconds for the controller to end
 DRAINED_ADDRESS = "127.10.0.1"  # of endpoint 0
 STATUS_FIELDS = ("slowest_decide", "channel", "burden")
 
 
 def settings_text(port: int, folder: str, proxies: int) -> str:
-    """Return the controller's settings; it uses four ports from `port` on."""
+    """Return the controller's settings, which use four ports from `port` on."""
     return f"""
 zone(name = "a")
 zone(name = "b")
@@ -59,19 +61,19 @@
 service(label = "api", kinds = ["look", "file"])
 steward(name = "ns1", zone = "a", listen = "{LISTEN}:{port}", control = "{LISTEN}:{port + 1}",
         grpc = "{LISTEN}:{port + 2}")
-"""  # noqa: E501 - settings as an operator writes them
+"""  # noqa: E501 - a settings script
 
 
 class HealthyEndpoint(ServerConnection):
-    """Answers every health check."""
+    """A server that answers every health check as a ready endpoint."""
 
     def serve(self, method: str, path: str, headers: dict[str, str], body: bytes) -> None:
-        """Answer as a ready endpoint."""
+        """Respond to a request."""
         self.respond(200, [], b'{"boot":"b","kinds":["look"],"networks":{}}')
 
 
 def answer_health_checks(port: int) -> None:
-    """Answer the health checks of all endpoints, in a process of its own."""
+    """Answer the health checks of all endpoints; runs in a process of its own."""
 
     async def serve() -> None:
         loop = asyncio.get_running_loop()
@@ -82,7 +84,7 @@
 
 
 def write_list(folder: str, version: int, endpoints: int, draining: Collection[int] = ()) -> float:
-    """Replace the list of endpoints; returns when (monotonic seconds)."""
+    """Replace the endpoint list; returns the time of the change (monotonic seconds)."""
     listed = {
         "version": version,
         "written": 0.0,
@@ -101,7 +103,7 @@
     return time.monotonic()
 
 
-def memory(pid: int) -> float:
+def resident_size(pid: int) -> float:
     """Return the resident size of a process, in MiB."""
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS"):
@@ -110,104 +112,108 @@
 
 
 def cpu_seconds(pid: int) -> float:
-    """Return the CPU time of a process so far."""
+    """Return the CPU time that a process has used, in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-class Herd:
-    """A controller, its simulated proxies and the responder to its health checks."""
+class LoopbackFleet:
+    """A controller, simulated proxies, and a process that answers health checks."""
 
     def __init__(self, proxies: int, endpoints: int, rate: float) -> None:
         self.proxies = proxies
         self.endpoints = endpoints
-        self.rate = rate  # load reports a second and proxy
+        self.report_rate = rate  # load reports per second and proxy
         self.port = free_port()
         self.folder = tempfile.mkdtemp(prefix="peatlead-herd-")
         self.pipes: list[Pipe[Any, Any]] = []
         self.processes: list[multiprocessing.Process] = []
-        self.sizes: list[int] = []  # bytes received by each proxy before the withdrawal
+        self.bytes_before: list[int] = []  # received by each proxy before the withdrawal
         Path(self.folder, "settings.star").write_text(
             settings_text(self.port, self.folder, proxies)
         )
         write_list(self.folder, 1, endpoints)
         self.start_process(answer_health_checks, (self.port + 3,))
         self.controller = self.start_controller()
-        time.sleep(START_TIME)
+        time.sleep(START_DELAY)
 
     def start_process(self, target: Any, arguments: tuple[Any, ...]) -> None:
-        """Start a process that `stop` ends."""
+        """Start a child process, which `stop` terminates."""
         process = multiprocessing.Process(target=target, args=arguments, daemon=True)
         process.start()
         self.processes.append(process)
 
     def start_controller(self) -> "subprocess.Popen[bytes]":
-        """Start the controller; its log goes to a file of the folder."""
+        """Start the controller; its log is written to the file `log` in the folder."""
         command = [sys.executable, "-m", "peatlead", "run", f"{self.folder}/settings.star"]
         with open(f"{self.folder}/log", "w") as log:
             return subprocess.Popen(command, stdout=log, stderr=subprocess.STDOUT)
 
-    def start_agents(self) -> None:
+    def start_proxies(self) -> None:
         """Start the processes of simulated proxies."""
         controller = (LISTEN, self.port + 2)
-        for first in range(CLIENTS):
-            here, there = multiprocessing.Pipe()
-            numbers = range(first, self.proxies, CLIENTS)
-            self.start_process(run_agents, (numbers, controller, self.rate, there))
-            self.pipes.append(here)
-
-    def ask(self, command: AgentCommand, value: Optional[str] = None) -> list[Any]:
-        """Ask all processes of proxies; returns one answer a proxy."""
+        for first in range(CLIENT_PROCESSES):
+            parent_end, child_end = multiprocessing.Pipe()
+            numbers = range(first, self.proxies, CLIENT_PROCESSES)
+            self.start_process(run_proxies, (numbers, controller, self.report_rate, child_end))
+            self.pipes.append(parent_end)
+
+    def ask(self, command: ProxyCommand, value: Optional[str] = None) -> list[Any]:
+        """Send a command to all processes of proxies; returns one answer per proxy."""
         for pipe in self.pipes:
             pipe.send((command, value))
         return [answer for pipe in self.pipes for answer in pipe.recv()]
 
-    def cpu(self) -> float:
-        """Return the controller's CPU seconds so far."""
+    def controller_cpu(self) -> float:
+        """Return the CPU time that the controller has used, in seconds."""
         return cpu_seconds(self.controller.pid)
 
     def measure_join(self) -> dict[str, Any]:
-        """Connect all proxies; returns what it cost."""
-        memory_before = memory(self.controller.pid)
-        cpu_before = self.cpu()
+        """Connect all proxies; returns the time, the CPU time and the memory that this took."""
+        memory_before = resident_size(self.controller.pid)
+        cpu_before = self.controller_cpu()
         start = time.monotonic()
-        self.start_agents()
-        served = max(pipe.recv()[1] for pipe in self.pipes) - start
-        grown = memory(self.controller.pid) - memory_before
+        self.start_proxies()
+        served_after = max(pipe.recv()[1] for pipe in self.pipes) - start
+        growth = resident_size(self.controller.pid) - memory_before
         return {
             "proxies": self.proxies,
             "hosts": self.endpoints,
-            "reports a second": abs(self.rate) * self.proxies,
-            "all served after s": round(served, 2),
-            "CPU s": round(self.cpu() - cpu_before, 2),
-            "KiB a proxy": round(grown * 1024 / self.proxies, 1),
+            "reports per second": abs(self.report_rate) * self.proxies,
+            "s until all are served": round(served_after, 2),
+            "CPU s": round(self.controller_cpu() - cpu_before, 2),
+            "KiB per proxy": round(growth * 1024 / self.proxies, 1),
         }
 
     def measure_idle(self) -> dict[str, Any]:
-        """Return the controller's load while nothing changes."""
-        time.sleep(PERIOD)
-        cpu_before = self.cpu()
-        self.sizes = self.ask(AgentCommand.SIZES)
-        time.sleep(PERIOD)
-        return {"CPU before": round((self.cpu() - cpu_before) / PERIOD, 3)}
+        """Return the controller's CPU utilization while nothing changes."""
+        time.sleep(IDLE_PERIOD)
+        cpu_before = self.controller_cpu()
+        self.bytes_before = self.ask(ProxyCommand.SIZES)
+        time.sleep(IDLE_PERIOD)
+        return {
+            "CPU utilization when idle": round(
+                (self.controller_cpu() - cpu_before) / IDLE_PERIOD, 3
+            )
+        }
 
     def measure_withdrawal(self) -> dict[str, Any]:
-        """Drain endpoint 0; returns when the proxies were without it."""
-        cpu_before = self.cpu()
+        """Drain endpoint 0; returns how many proxies it was withdrawn from, and after what time."""
+        cpu_before = self.controller_cpu()
         drained = write_list(self.folder, 2, self.endpoints, (0,))
-        time.sleep(3 * PERIOD)
-        withdrawn = self.ask(AgentCommand.WITHDRAWN, DRAINED_ADDRESS)
-        received = sum(self.ask(AgentCommand.SIZES)) - sum(self.sizes)
+        time.sleep(3 * IDLE_PERIOD)
+        withdrawn = self.ask(ProxyCommand.WITHDRAWN, DRAINED_ADDRESS)
+        received = sum(self.ask(ProxyCommand.SIZES)) - sum(self.bytes_before)
         return {
-            "held it": len([at for at in withdrawn if at != 0.0]),
-            "told ms": spread([at - drained for at in withdrawn if at]),
-            "never told": sum(at is None for at in withdrawn),
-            "bytes a proxy": received // self.proxies,
-            "CPU of it": round(self.cpu() - cpu_before, 2),
+            "proxies that held the endpoint": len([at for at in withdrawn if at != 0.0]),
+            "withdrawal delay ms": delay_percentiles([at - drained for at in withdrawn if at]),
+            "proxies that still hold it": sum(at is None for at in withdrawn),
+            "bytes per proxy": received // self.proxies,
+            "CPU s of the withdrawal": round(self.controller_cpu() - cpu_before, 2),
         }
 
     def status(self) -> dict[str, Any]:
-        """Return what the controller itself says of its load."""
+        """Return the load that the controller reports in its status."""
         answer: Any = asyncio.run(ask_once((LISTEN, self.port + 1), {"ask": "status"}))
         return {name: answer[name] for name in STATUS_FIELDS if name in answer}
 
@@ -215,7 +221,7 @@
         """End all processes."""
         for pipe in self.pipes:
             with contextlib.suppress(OSError):
-                pipe.send((AgentCommand.END, None))
+                pipe.send((ProxyCommand.END, None))
         self.controller.send_signal(signal.SIGTERM)
         try:
             self.controller.wait(STOP_TIMEOUT)
@@ -226,22 +232,22 @@
 
 
 def run(proxies: int, endpoints: int, rate: float) -> None:
-    """Measure one herd and print the figures."""
-    herd = Herd(proxies, endpoints, rate)
+    """Measure a fleet and print the figures as JSON."""
+    fleet = LoopbackFleet(proxies, endpoints, rate)
     try:
-        figures = herd.measure_join()
-        figures.update(herd.measure_idle())
-        figures.update(herd.measure_withdrawal())
-        figures["status"] = herd.status()
-        size = max(1, figures["bytes a proxy"])
-        figures["bare loop ms"] = measure_baseline(proxies, size)
+        figures = fleet.measure_join()
+        figures.update(fleet.measure_idle())
+        figures.update(fleet.measure_withdrawal())
+        figures["status"] = fleet.status()
+        size = max(1, figures["bytes per proxy"])
+        figures["baseline ms"] = measure_baseline(proxies, size)
         print(json.dumps(figures), flush=True)
     finally:
-        herd.stop()
+        fleet.stop()
 
 
 def main() -> None:
-    """Measure as the command line says."""
+    """Measure with the arguments of the command line."""
     rate = float(sys.argv[3]) if len(sys.argv) > 3 else 0.0
     run(int(sys.argv[1]), int(sys.argv[2]), rate)
 
--- a/peatlead/benchmarks/herd_agents.py
+++ b/peatlead/benchmarks/herd_agents.py
@@ -1,4 +1,4 @@
-"""Simulated proxies that connect to a real controller, in processes of their own."""
+"""Simulated proxies that connect to a controller, in processes of their own."""
 
 import asyncio
 import time
@@ -17,41 +17,41 @@
 
 AUTHORITY = "peatlead"
 DIAL_TIMEOUT = 30.0  # seconds
-DIALS_AT_ONCE = 50
+CONCURRENT_DIALS = 50
 REQUEST_CLASSES = ("look", "file")
 ZONES = ("a", "b", "c")
-REPORT_PHASES = 97  # over which the agents' first reports are spread
+REPORT_PHASES = 97  # start offsets of the reports within their interval
 MIN_REPORT_INTERVAL = 60  # milliseconds
-IDLE_TIMEOUT = 30.0  # seconds without a command after which a process of agents ends
+IDLE_TIMEOUT = 30.0  # seconds without a command after which a process of proxies ends
 
 Address = tuple[str, int]
 
 
-class AgentCommand(StrEnum):
-    """What the measuring process asks of a process of agents."""
+class ProxyCommand(StrEnum):
+    """A command of the measuring process to a process of proxies."""
 
-    END = "over"
-    SIZES = "sizes"  # bytes that each agent has received
-    WITHDRAWN = "without"  # when each agent first held tables without an address
+    END = "over"  # end the process
+    SIZES = "sizes"  # return the bytes that each proxy has received
+    WITHDRAWN = "without"  # return when the tables of each proxy first lacked an address
 
 
 class Observation(NamedTuple):
-    """The addresses that an agent's tables named from some time on (monotonic seconds)."""
+    """The addresses in the tables of a proxy, and since when (monotonic seconds)."""
 
     at: float
     addresses: frozenset[str]
 
 
 class SimulatedProxy:
-    """A proxy with one discovery stream: it takes and acknowledges everything."""
+    """A proxy with one discovery stream, which acknowledges every response."""
 
     def __init__(self, number: int, controller: Address) -> None:
         self.number = number
         self.controller = controller
         self.observations: list[Observation] = []  # after each assignment
-        self.received_bytes = 0  # bytes of all responses
-        self.addresses: set[str] = set()  # addresses in the tables that it holds
-        self.addresses_by_class: dict[str, set[str]] = {}  # the same by request class
+        self.received_bytes = 0  # of all responses
+        self.addresses: set[str] = set()  # in the current tables
+        self.addresses_by_class: dict[str, set[str]] = {}  # in the current tables, by request class
         self.connection: Connection
         self.call: Call
 
@@ -60,15 +60,15 @@
         local = f"127.{60 + self.number // 250}.{self.number % 250}.1"
         self.connection = await dial(self.controller, local, DIAL_TIMEOUT, ping_interval=0.0)
         self.call = self.connection.call(DISCOVERY_PATH, AUTHORITY)
-        self.call.on_message = self.take
+        self.call.on_message = self.handle_response
         for type_url in (ASSIGNMENT_TYPE_URL, ROUTE_TYPE_URL):
             request = discovery_pb2.DiscoveryRequest(type_url=type_url)
             request.node.id = f"agent{self.number}"
             request.node.locality.zone = ZONES[self.number % len(ZONES)]
             self.call.send(request.SerializeToString())
 
-    def take(self, data: bytes) -> None:
-        """Acknowledge a response and record what it names."""
+    def handle_response(self, data: bytes) -> None:
+        """Acknowledge a response and record the addresses in its assignments."""
         now = time.monotonic()
         response = discovery_pb2.DiscoveryResponse.FromString(data)
         acknowledgement = discovery_pb2.DiscoveryRequest(
@@ -85,30 +85,30 @@
             self.addresses = set().union(*self.addresses_by_class.values())
             self.observations.append(Observation(now, frozenset(self.addresses)))
 
-    async def report(self, interval: float, obey: bool) -> None:
+    async def send_load_reports(self, interval: float, obey: bool) -> None:
         """Send load reports until the stream ends.
 
-        `interval` is in seconds; where `obey` is set, a longer one that the controller asks for is
-        kept to.
+        `interval` is in seconds. If `obey` is set, a longer interval that the controller asks for
+        is used instead.
         """
         call = self.connection.call(LOAD_REPORTING_PATH, AUTHORITY)
-        asked = interval
+        current_interval = interval
 
-        def take(data: bytes) -> None:
-            nonlocal asked
+        def handle_load_response(data: bytes) -> None:
+            nonlocal current_interval
             if obey:
                 response = lrs_pb2.LoadStatsResponse.FromString(data)
                 seconds = response.load_reporting_interval.ToMilliseconds() / 1000
-                asked = max(interval, seconds)
+                current_interval = max(interval, seconds)
 
-        call.on_message = take
+        call.on_message = handle_load_response
         await asyncio.sleep(interval * (self.number % REPORT_PHASES) / REPORT_PHASES)
         while not call.is_closed:
             call.send(self.load_report(interval))
-            await asyncio.sleep(asked)
+            await asyncio.sleep(current_interval)
 
     def load_report(self, interval: float) -> bytes:
-        """Return a report of one request to each endpoint that it holds, for each class."""
+        """Return a report of one request per request class to each endpoint in the tables."""
         request = lrs_pb2.LoadStatsRequest()
         request.node.id = f"agent{self.number}"
         for request_class in REQUEST_CLASSES:
@@ -124,54 +124,63 @@
         return serialized
 
     def withdrawn_at(self, address: str) -> Optional[float]:
-        """Return when the tables first lacked an address that they had named before.
+        """Return when the tables first lacked an address that they had contained before.
 
-        0.0 where they never named it, None where they still do.
+        Returns 0.0 if they never contained the address, None if they still do.
         """
-        naming = [
+        containing = [
             index
             for index, observation in enumerate(self.observations)
             if address in observation.addresses
         ]
-        if not naming:
+        if not containing:
             return 0.0
-        later = self.observations[naming[-1] + 1 :]
+        later = self.observations[containing[-1] + 1 :]
         return later[0].at if later else None
 
 
-async def connect_agents(agents: list[SimulatedProxy]) -> float:
-    """Connect all agents; returns when the last was served first."""
-    for start in range(0, len(agents), DIALS_AT_ONCE):
-        await asyncio.gather(*(agent.connect() for agent in agents[start : start + DIALS_AT_ONCE]))
-    while not all(agent.observations for agent in agents):
+async def connect_proxies(proxies: list[SimulatedProxy]) -> float:
+    """Connect all proxies; returns when the last of them got its first assignment."""
+    for start in range(0, len(proxies), CONCURRENT_DIALS):
+        await asyncio.gather(
+            *(proxy.connect() for proxy in proxies[start : start + CONCURRENT_DIALS])
+        )
+    while not all(proxy.observations for proxy in proxies):
         await asyncio.sleep(0.05)
-    return max(agent.observations[0].at for agent in agents)
+    return max(proxy.observations[0].at for proxy in proxies)
 
 
-async def serve_agents(
+async def serve_proxies(
     numbers: Iterable[int], controller: Address, rate: float, pipe: "Pipe[Any, Any]"
 ) -> None:
-    """Connect agents, let them report, and answer commands until the end."""
-    agents = [SimulatedProxy(number, controller) for number in numbers]
-    pipe.send(("joined", await connect_agents(agents)))
+    """Connect proxies, let them report, and answer commands until `ProxyCommand.END`."""
+    proxies = [SimulatedProxy(number, controller) for number in numbers]
+    pipe.send(("joined", await connect_proxies(proxies)))
     reports = []
     if rate:
-        reports = [asyncio.create_task(agent.report(1 / abs(rate), rate > 0)) for agent in agents]
+        reports = [
+            asyncio.create_task(proxy.send_load_reports(1 / abs(rate), rate > 0))
+            for proxy in proxies
+        ]
     loop = asyncio.get_running_loop()
     while await loop.run_in_executor(None, pipe.poll, IDLE_TIMEOUT):
         command, value = pipe.recv()
-        if command == AgentCommand.END:
+        if command == ProxyCommand.END:
             break
-        if command == AgentCommand.SIZES:
-            pipe.send([agent.received_bytes for agent in agents])
-        elif command == AgentCommand.WITHDRAWN:
-            pipe.send([agent.withdrawn_at(value) for agent in agents])
+        if command == ProxyCommand.SIZES:
+            pipe.send([proxy.received_bytes for proxy in proxies])
+        elif command == ProxyCommand.WITHDRAWN:
+            pipe.send([proxy.withdrawn_at(value) for proxy in proxies])
     for report in reports:
         report.cancel()
 
 
-def run_agents(
+def run_proxies(
     numbers: Iterable[int], controller: Address, rate: float, pipe: "Pipe[Any, Any]"
 ) -> None:
-    """Run a process of agents; `rate` is in load reports a second, below 0 unthrottled."""
-    asyncio.run(serve_agents(numbers, controller, rate, pipe))
+    """Run a process of proxies.
+
+    `rate` is in load reports per second. Below 0, proxies ignore a longer interval that the
+    controller asks for.
+    """
+    asyncio.run(serve_proxies(numbers, controller, rate, pipe))
--- a/peatlead/benchmarks/herd_baseline.py
+++ b/peatlead/benchmarks/herd_baseline.py
@@ -1,4 +1,4 @@
-"""The same bytes from one bare loop to as many streams: what the sockets alone cost."""
+"""Measures a bare event loop that writes bytes to many streams, as a baseline."""
 
 import asyncio
 import time
@@ -9,17 +9,20 @@
 
 
 class Receiver(Stream):
-    """The receiving end of a stream; `at` is when data came last (monotonic seconds)."""
+    """The receiving end of a stream."""
 
-    at: float
+    received_at: float  # when data last arrived (monotonic seconds)
 
     def received(self, data: bytes) -> None:
-        """Record the time."""
-        self.at = time.monotonic()
+        """Record the time of arrival."""
+        self.received_at = time.monotonic()
 
 
-def spread(values: list[float]) -> dict[str, float]:
-    """Return the median, the 99th percentile and the last of some seconds, in milliseconds."""
+def delay_percentiles(values: list[float]) -> dict[str, float]:
+    """Return the median, the 99th percentile and the maximum of delays, in milliseconds.
+
+    `values` is in seconds. Returns {} for no values.
+    """
     ordered = sorted(values)
     if not ordered:
         return {}
@@ -31,7 +34,7 @@
 
 
 async def send_to_all(streams: int, size: int) -> dict[str, float]:
-    """Send `size` bytes to each stream; returns when they came, and how long the writes took."""
+    """Send `size` bytes to each stream; returns the delays and the time of all writes, in ms."""
     loop = asyncio.get_running_loop()
     senders: list[Stream] = []
     receivers: list[Receiver] = []
@@ -51,15 +54,15 @@
     data = b"x" * size
     for sender in senders:
         sender.send(data)
-    written = time.monotonic() - start
+    write_time = time.monotonic() - start
     await asyncio.sleep(1.0)
-    arrivals = spread([receiver.at - start for receiver in receivers])
+    arrivals = delay_percentiles([receiver.received_at - start for receiver in receivers])
     server.close()
     for stream in [*receivers, *senders]:
         stream.abort("over")
-    return {**arrivals, "to write": round(written * 1000, 1)}
+    return {**arrivals, "to write": round(write_time * 1000, 1)}
 
 
 def measure_baseline(streams: int, size: int) -> dict[str, float]:
-    """Run `send_to_all` on a loop of its own."""
+    """Run `send_to_all` on an event loop of its own."""
     return asyncio.run(send_to_all(streams, size))
--- a/peatlead/benchmarks/lab_speed.py
+++ b/peatlead/benchmarks/lab_speed.py
@@ -1,6 +1,6 @@
-"""How fast the lab runs, and what bounds it: `python -m peatlead.benchmarks.lab_speed [PROFILE]`.
+"""Measures the speed of the lab: `python -m peatlead.benchmarks.lab_speed [PROFILE]`.
 
-With any argument the smallest size is profiled instead.
+With any argument, the smallest size is profiled instead.
 """
 
 import cProfile
@@ -15,15 +15,15 @@
 from ..scenario.script import load_day
 
 PROFILED_SECONDS = 10  # simulated
-PROFILE_LINES = 25
+PROFILE_LINES = 25  # functions in the printed profile
 
 
 class Size(NamedTuple):
-    """A fleet of the lab, its load and how long it is simulated."""
+    """The size of a simulated fleet, its load and the simulated time."""
 
     hosts: int
     agents: int
-    rate: int  # requests a second
+    rate: int  # requests per second
     length: int  # simulated seconds
 
 
@@ -35,7 +35,7 @@
 
 
 def load_size(size: Size) -> Any:
-    """Return the day of a size, as the lab plays it."""
+    """Return the day script of a size, checked."""
     return load_day(
         "speed",
         f"""
@@ -48,26 +48,26 @@
 
 
 def measure(name: str, size: Size) -> dict[str, Any]:
-    """Play one size and return what it cost."""
+    """Play a day of one size; returns its speed and memory."""
     start = time.process_time()
     played = play_day(load_size(size), 1)
-    spent = time.process_time() - start
+    cpu_time = time.process_time() - start
     requests = sum(row.kind == "req" for row in played.rows)
     return {
         "hosts / agents": name,
-        "reqs a second": size.rate,
+        "requests per second": size.rate,
         "simulated seconds": round(played.seconds, 1),
-        "cpu seconds": round(spent, 1),
-        "simulated a cpu second": round(played.seconds / spent, 2),
-        "us a req": round(spent / requests * 1e6),
+        "CPU seconds": round(cpu_time, 1),
+        "simulated seconds per CPU second": round(played.seconds / cpu_time, 2),
+        "us per request": round(cpu_time / requests * 1e6),
         "deliveries": played.events,
-        "finds": played.problems,
+        "problems": played.problems,
         "peak MB": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // 1024,
     }
 
 
 def profile() -> None:
-    """Print where the time of the smallest size goes."""
+    """Print a CPU profile of the smallest size."""
     profiler = cProfile.Profile()
     size = SIZES["24 / 80"]._replace(length=PROFILED_SECONDS)
     profiler.runcall(play_day, load_size(size), 1)
@@ -75,7 +75,7 @@
 
 
 def main() -> None:
-    """Measure all sizes, or profile one."""
+    """Measure all sizes, or profile the smallest if the command line has an argument."""
     if len(sys.argv) > 1:
         profile()
         return
