--- a/peatlead/benchmarks/paced_runs.py
+++ b/peatlead/benchmarks/paced_runs.py
@@ -1,4 +1,4 @@
-"""A release as proxies see it: the planner's commands through the controller's channel."""
+"""Runs a release whose commands reach simulated proxies through the controller's channel."""
 
 from collections import deque
 from collections.abc import Sequence
@@ -11,9 +11,9 @@
 from ..controller.view_state import ViewState
 from .planner_runs import REPLACED_FRACTION, SETTINGS, ZONES, PlannerRun, list_update
 
-TURNAROUND = 1.0  # seconds between an endpoint's drain and its return
-UTILIZATION = 0.5  # of a warm endpoint, where load is spread evenly
-SETTLING_TICKS = 100  # after a release
+RESTART_TIME = 1.0  # seconds between an endpoint's drain and its return
+UTILIZATION = 0.5  # of a warm endpoint, when load is evenly distributed
+SETTLING_TICKS = 100  # run after a release
 
 Figures = dict[str, Union[int, float]]
 
@@ -21,8 +21,8 @@
 class PacedRun(PlannerRun):
     """A run whose commands reach simulated proxies through the publisher and the paced channel.
 
-    Each proxy brings `request_rate` requests a second and spreads them by its weights.
-    `channel_rate` is in operations a second.
+    Each proxy sends `request_rate` requests per second, distributed by the weights of its table.
+    `channel_rate` is in operations per second.
     """
 
     def __init__(
@@ -35,25 +35,28 @@
     ) -> None:
         self.publisher = Publisher()
         self.channel = Channel(channel_rate, SETTINGS["message_head"], channel_rate)
-        self.states: dict[int, ViewState] = {}  # what each proxy holds
+        self.views: dict[int, ViewState] = {}  # the state that each proxy holds
         self.request_rate = request_rate
-        self.sent_at: dict[int, deque[float]] = {}  # of each proxy's recent messages
+        self.recent_messages: dict[int, deque[float]] = {}  # send times, by proxy
         self.operations = 0  # sent to all proxies
-        self.most_messages = 0  # to one proxy within the span of the settings
-        self.without_entries = 0  # proxies at a check, summed over the checks
-        self.longest = 0.0  # CPU seconds of one batch
-        self.spent = 0.0  # CPU seconds of all batches
-        self.worst_cold_load = 0.0  # of a cold endpoint, as a part of what overloads it
-        self.acknowledged: list[interface.Acknowledged] = []  # of the next batch
+        self.max_messages = 0  # to one proxy within `messages_span` seconds
+        self.empty_proxies = 0  # proxies without entries, summed over the checks
+        self.max_batch_time = 0.0  # CPU seconds of one batch
+        self.cpu_time = 0.0  # CPU seconds of all batches
+        self.max_cold_load = 0.0  # of a cold endpoint, as a fraction of the overload threshold
+        self.acknowledged: list[interface.Acknowledged] = []  # to be delivered with the next batch
         super().__init__(planner_module, endpoints, proxies)
         self.planner.settings.update(channel_rate=channel_rate, queue_most=channel_rate)
 
     def decide(self, events: Sequence[interface.Event]) -> float:
-        """Give the planner a batch and its proxies' acknowledgements, and deliver what is due."""
-        spent, commands = self.decide_batch([*events, *self.acknowledged])
+        """Pass events and acknowledgements to the planner, and deliver the messages that are due.
+
+        Returns the CPU time.
+        """
+        cpu_time, commands = self.decide_batch([*events, *self.acknowledged])
         self.acknowledged = []
-        self.spent += spent
-        self.longest = max(self.longest, spent)
+        self.cpu_time += cpu_time
+        self.max_batch_time = max(self.max_batch_time, cpu_time)
         routed = self.publisher.take(commands)
         for proxy in sorted(routed.messages):
             self.channel.offer(
@@ -66,62 +69,65 @@
             ]
             self.count_message(proxy)
             self.operations += len(message.ops)
-            self.states[proxy].apply(message.ops)
-        return spent
+            self.views[proxy].apply(message.ops)
+        return cpu_time
 
     def count_message(self, proxy: int) -> None:
-        """Count a message of now among the recent ones of its proxy."""
-        times = self.sent_at.setdefault(proxy, deque())
+        """Record a message sent now, and update the maximum within `messages_span`."""
+        times = self.recent_messages.setdefault(proxy, deque())
         times.append(self.now)
         while self.now - times[0] > SETTINGS["messages_span"]:
             times.popleft()
-        self.most_messages = max(self.most_messages, len(times))
+        self.max_messages = max(self.max_messages, len(times))
 
     def connect_proxies(self) -> list[float]:
-        """Connect all proxies and wait until each holds its tables."""
+        """Connect all proxies and run until each holds a table; returns the CPU times."""
         for proxy in range(self.proxies):
             self.publisher.join(proxy, enforces_admission=True)
-            self.states[proxy] = ViewState()
-        spent = self.decide_all(
+            self.views[proxy] = ViewState()
+        cpu_times = self.decide_all(
             [
                 interface.ProxyConnected(proxy, proxy % ZONES, self.request_rate, True)
                 for proxy in range(self.proxies)
             ]
         )
-        while any(not state.bound for state in self.states.values()):
+        while any(not view.bound for view in self.views.values()):
             self.run_ticks(1)
-        return spent
+        return cpu_times
 
-    def check(self) -> None:
-        """Count proxies without an entry, and find the most that a cold endpoint gets."""
+    def check_loads(self) -> None:
+        """Count proxies without entries, and update the maximum load of a cold endpoint."""
         load: dict[int, float] = {}  # requests a second, by endpoint
-        for state in self.states.values():
-            entries = state.lines(0)
+        for view in self.views.values():
+            entries = view.lines(0)
             total = sum(entries.values())
-            self.without_entries += not entries
+            self.empty_proxies += not entries
             for number, weight in entries.items():
                 load[number] = load.get(number, 0.0) + self.request_rate * weight / total
-        usual = self.request_rate * self.proxies / self.endpoints
+        mean_load = self.request_rate * self.proxies / self.endpoints
         for endpoint in self.planner.endpoints.values():
             if endpoint.cold_since is not None and endpoint.phase == "ready":
-                warm = min(1.0, (self.now - endpoint.cold_since) / SETTINGS["warm_after"])
-                able = SETTINGS["cold_share"] + (1 - SETTINGS["cold_share"]) * warm
-                part = load.get(endpoint.id, 0.0) / usual * UTILIZATION
-                part /= able * SETTINGS["tip_multiple"]
-                self.worst_cold_load = max(self.worst_cold_load, part)
+                warm_fraction = min(1.0, (self.now - endpoint.cold_since) / SETTINGS["warm_after"])
+                capacity = SETTINGS["cold_share"] + (1 - SETTINGS["cold_share"]) * warm_fraction
+                load_fraction = load.get(endpoint.id, 0.0) / mean_load * UTILIZATION
+                load_fraction /= capacity * SETTINGS["tip_multiple"]
+                self.max_cold_load = max(self.max_cold_load, load_fraction)
 
     def replace_endpoints(self, seconds: float = 30.0) -> Figures:
-        """Replace nearly all endpoints one by one: each drains, and returns cold after a second."""
+        """Replace nearly all endpoints, one after the other, within some seconds.
+
+        Each endpoint drains, and returns cold after RESTART_TIME.
+        """
         count = int(self.endpoints * REPLACED_FRACTION)
         start = self.now
-        returning: list[tuple[float, int]] = []  # (when, endpoint)
+        returning: list[tuple[float, int]] = []  # (time, endpoint)
         drained = 0
         while drained < count or returning:
             events: list[interface.Event] = [interface.TimerFired(0)]
             due = min(count, int((self.now - start) / seconds * count) + 1)
             if due > drained:
                 events.append(list_update(2, range(drained, due), "draining"))
-                returning += [(self.now + TURNAROUND, number) for number in range(drained, due)]
+                returning += [(self.now + RESTART_TIME, number) for number in range(drained, due)]
                 drained = due
             ready = [number for at, number in returning if at <= self.now]
             if ready:
@@ -130,24 +136,24 @@
             self.now += 0.1
             self.decide(events)
             if round(self.now * 10) % 5 == 0:
-                self.check()
+                self.check_loads()
         self.settle()
         return self.figures()
 
     def settle(self) -> None:
-        """Let the last endpoints warm up, with a check at each tick."""
+        """Run until the last endpoints have warmed up, with a check at each tick."""
         for _ in range(SETTLING_TICKS):
             self.run_ticks(1)
-            self.check()
+            self.check_loads()
 
     def figures(self) -> Figures:
-        """Return what the run has measured so far."""
+        """Return the measurements so far."""
         return {
             "operations per proxy": round(self.operations / self.proxies, 1),
-            "max messages per proxy within 10 s": self.most_messages,
+            "max messages per proxy within 10 s": self.max_messages,
             "max queue length / limit": round(self.channel.deepest / self.channel.most, 2),
-            "proxies without entries": self.without_entries,
-            "max load of a cold endpoint / overload threshold": round(self.worst_cold_load, 3),
-            "CPU s": round(self.spent, 2),
-            "longest batch ms": round(self.longest * 1000, 1),
+            "proxies without entries": self.empty_proxies,
+            "max load of a cold endpoint / overload threshold": round(self.max_cold_load, 3),
+            "CPU s": round(self.cpu_time, 2),
+            "longest batch ms": round(self.max_batch_time * 1000, 1),
         }
--- a/peatlead/benchmarks/planner_runs.py
+++ b/peatlead/benchmarks/planner_runs.py
@@ -1,4 +1,4 @@
-"""A planner on a simulated clock: joins, ticks, withdrawals and releases, in CPU seconds."""
+"""Runs a planner on a simulated clock, and measures the CPU time of its batches in seconds."""
 
 import time
 from collections.abc import Iterable, Sequence
@@ -8,10 +8,10 @@
 from .. import interface
 
 ZONES = 3
-FIRST_PROXY = 2**32 - 1  # proxy numbers are spread: the planner must not rely on small ones
+FIRST_PROXY = 2**32 - 1  # large and widely spaced, since the planner must allow any numbers
 PROXY_SPACING = 7919
-CHANNEL_RATE = 100.0  # operations a second and proxy
-REPLACED_FRACTION = 0.96  # of the endpoints, in a release
+CHANNEL_RATE = 100.0  # operations per second and proxy
+REPLACED_FRACTION = 0.96  # of the endpoints, by a release
 
 REQUEST_CLASS: dict[str, Any] = {
     "response_target": 0.5,
@@ -55,7 +55,7 @@
 
 
 def endpoint(number: int, phase: str = "ready", started_at: float = 0.0) -> interface.Endpoint:
-    """Return the list's entry of an endpoint: four to a machine, zones in turn."""
+    """Return an endpoint; each machine has four, and the zones take turns."""
     address = b"10.%d.%d.%d" % (number % ZONES, number // 250, number % 250)
     return interface.Endpoint(
         number, address, number % ZONES, 0, number // 4, phase, 1.0, started_at
@@ -65,21 +65,21 @@
 def list_update(
     version: int, numbers: Iterable[int], phase: str, started_at: float = 0.0
 ) -> interface.EndpointUpdate:
-    """Return an update of the list by which some endpoints enter a phase."""
+    """Return an update of the endpoint list that changes the phase of some endpoints."""
     changed = tuple(endpoint(number, phase, started_at) for number in numbers)
     return interface.EndpointUpdate("changes", version, changed)
 
 
 class PlannerRun:
-    """One planner on a clock of its own; its methods return CPU seconds."""
+    """One planner on a clock of its own. Times of batches are in CPU seconds."""
 
     def __init__(self, planner_module: ModuleType, endpoints: int, proxies: int) -> None:
         self.endpoints = endpoints
         self.proxies = proxies
         self.now = 100.0  # seconds
-        self.more = False  # whether the last batch left work for another
-        self.checked: list[int] = []  # endpoints that the last batch checks
-        # The channel's rate grows with the fleet, or it would be all that is measured.
+        self.has_more_work = False  # whether the last batch left work for another batch
+        self.pending_checks: list[int] = []  # endpoints whose health check the last batch started
+        # The channel rate grows with the fleet, so that it does not limit the result.
         settings = {
             **SETTINGS,
             "proxies": proxies,
@@ -91,34 +91,34 @@
         self.decide([interface.EndpointUpdate("remembered", 1, listed)])
 
     def decide(self, events: Sequence[interface.Event]) -> float:
-        """Give the planner a batch of events; returns what it took."""
+        """Pass a batch of events to the planner; returns the CPU time."""
         return self.decide_batch(events)[0]
 
     def decide_batch(
         self, events: Sequence[interface.Event]
     ) -> tuple[float, list[interface.Command]]:
-        """Give the planner a batch of events; returns what it took, and its commands."""
+        """Pass a batch of events to the planner; returns the CPU time and the commands."""
         start = time.process_time()
         commands: list[interface.Command] = self.planner.decide(self.now, events)
-        spent = time.process_time() - start
-        self.more = any(
+        cpu_time = time.process_time() - start
+        self.has_more_work = any(
             type(command) is interface.SetTimer and command.token for command in commands
         )
-        self.checked = [
+        self.pending_checks = [
             command.endpoint for command in commands if type(command) is interface.CheckHealth
         ]
-        return spent, commands
+        return cpu_time, commands
 
     def decide_all(self, events: Sequence[interface.Event]) -> list[float]:
-        """Play all batches that events lead to at once; returns what each took."""
-        spent = [self.decide(events)]
-        while self.more:
+        """Run the batch of some events and all its continuations; returns the CPU time of each."""
+        cpu_times = [self.decide(events)]
+        while self.has_more_work:
             self.now += 0.01
-            spent.append(self.decide([interface.TimerFired(1)]))
-        return spent
+            cpu_times.append(self.decide([interface.TimerFired(1)]))
+        return cpu_times
 
     def connect_proxies(self) -> list[float]:
-        """Connect all proxies at once."""
+        """Connect all proxies at once; returns the CPU time of each batch."""
         return self.decide_all(
             [
                 interface.ProxyConnected(
@@ -129,19 +129,19 @@
         )
 
     def run_ticks(self, count: int) -> list[float]:
-        """Play timer rounds of 0.1 s, in which all health checks succeed."""
-        spent = []
+        """Run timer rounds of 0.1 s in which all health checks succeed; returns their CPU times."""
+        cpu_times = []
         for _ in range(count):
             self.now += 0.1
             results = [
                 interface.HealthCheckResult(number, "ok", 0.001, {"util": 0.5})
-                for number in self.checked
+                for number in self.pending_checks
             ]
-            spent.append(self.decide([interface.TimerFired(0), *results]))
-        return spent
+            cpu_times.append(self.decide([interface.TimerFired(0), *results]))
+        return cpu_times
 
     def statistics_round(self) -> float:
-        """Deliver statistics of all endpoints; returns what the timer round after them took."""
+        """Deliver statistics of all endpoints; returns the CPU time of the next timer round."""
         self.now += 0.1
         self.decide(
             [
@@ -154,31 +154,31 @@
         return self.decide([interface.TimerFired(0)])
 
     def withdraw(self, numbers: Iterable[int]) -> list[float]:
-        """Drain endpoints at once."""
+        """Drain endpoints at once; returns the CPU time of each batch."""
         self.now += 0.1
         return self.decide_all([list_update(2, numbers, "draining")])
 
     def release(self, steps: int = 30) -> list[float]:
-        """Replace nearly all endpoints, one part a second; returns what each batch took."""
+        """Replace nearly all endpoints, one step per second; returns the CPU time of each batch."""
         size = max(1, int(self.endpoints * REPLACED_FRACTION) // steps)
-        spent = []
+        cpu_times = []
         for step in range(steps):
             numbers = range(step * size, (step + 1) * size)
             drained = list_update(3 + step, numbers, "draining")
-            # The new processes start when the old ones drain, not when they are listed.
+            # A new process starts when the old one drains, before it is listed as ready.
             returned = list_update(3 + step, numbers, "ready", self.now)
             for update in (drained, returned):
                 self.now += 0.1
-                spent += [self.decide([update]), *self.run_ticks(4)]
-        return spent
+                cpu_times += [self.decide([update]), *self.run_ticks(4)]
+        return cpu_times
 
 
 def measure(planner_module: ModuleType, endpoints: int, proxies: int) -> dict[str, float]:
-    """Measure all steps of a fleet's size, in CPU seconds by the name of the step."""
+    """Measure all steps at one fleet size; returns CPU seconds by step."""
     run = PlannerRun(planner_module, endpoints, proxies)
     joins = run.connect_proxies()
     ticks = run.run_ticks(40)
-    round_spent = run.statistics_round()
+    round_cpu_time = run.statistics_round()
     withdrawal = run.withdraw([0])
     zone_lost = run.withdraw(range(0, endpoints, ZONES))
     release = measure_release(planner_module, endpoints, proxies)
@@ -187,7 +187,7 @@
         "longest join batch": max(joins),
         "tick": sorted(ticks)[len(ticks) // 2],
         "longest tick": max(ticks),
-        "round": round_spent,
+        "round": round_cpu_time,
         "withdrawal": max(withdrawal),
         "zone lost": sum(zone_lost),
         "release in 30 s": sum(release),
@@ -196,7 +196,7 @@
 
 
 def measure_release(planner_module: ModuleType, endpoints: int, proxies: int) -> list[float]:
-    """Measure a release in a fleet of its own, which has run for half a second."""
+    """Measure a release in a new fleet, after half a second; returns CPU seconds of batches."""
     run = PlannerRun(planner_module, endpoints, proxies)
     run.connect_proxies()
     run.run_ticks(5)
--- a/peatlead/benchmarks/reality.py
+++ b/peatlead/benchmarks/reality.py
@@ -1,7 +1,7 @@
-"""The lab against loopback sockets: the same day scripts on both, side by side.
+"""Compares the lab's results with those of the same day scripts on loopback sockets.
 
-`python -m peatlead.benchmarks.reality FOLDER [WORKERS]`, where FOLDER is what
-`peatlead kinds --out FOLDER` left.
+`python -m peatlead.benchmarks.reality FOLDER [WORKERS]`, where FOLDER was written by
+`peatlead kinds --out FOLDER`. Prints a Markdown table.
 """
 
 import json
@@ -15,18 +15,18 @@
 from ..scenario.script import load_day
 
 HEADER = (
-    "| trouble | sockets | lab | less | rules 1 to 5, sockets | lab |\n"
+    "| case | sockets | lab | difference | rules 1 to 5, sockets | lab |\n"
     "| --- | --- | --- | --- | --- | --- |"
 )
 
 
 class LabResult(NamedTuple):
-    """What one case gave in the lab."""
+    """The result of one case in the lab."""
 
     name: str
-    service: float  # part of the possible value that was served
-    nearest: list[float]  # how near each rule came to its limit
-    broken_rules: Any  # empty where none was broken
+    service: float  # fraction of the possible value that was served
+    nearest: list[float]  # closest approach to the limit of each rule, 1 at the limit
+    broken_rules: Any  # empty if no rule was broken
 
 
 def play_case(name: str) -> LabResult:
@@ -42,24 +42,27 @@
 
 
 def report_path(folder: Path, name: str) -> Path:
-    """Return where `peatlead kinds` wrote the report of a case."""
+    """Return the path to which `peatlead kinds` wrote the report of a case."""
     return folder / name.replace(" ", "-").replace(",", "") / "shards" / "report.json"
 
 
 def format_row(report: dict[str, Any], lab: LabResult) -> str:
-    """Return a case's line of the table, from the report on sockets and the lab's result."""
+    """Return a case's row of the table, from its report on sockets and its result in the lab.
+
+    The row ends with "!" if a rule was broken in the lab.
+    """
     service = report["service"]["whole"]["part"]
     on_sockets = ", ".join(f"{rule['nearest']:.2f}" for rule in report["rules"].values())
     in_lab = ", ".join(f"{nearest:.2f}" for nearest in lab.nearest)
-    mark = " !" if lab.broken_rules else ""
+    broken_mark = " !" if lab.broken_rules else ""
     return (
         f"| {lab.name} | {service:.3f} | {lab.service:.3f} | {lab.service - service:+.3f} | "
-        f"{on_sockets} | {in_lab}{mark} |"
+        f"{on_sockets} | {in_lab}{broken_mark} |"
     )
 
 
 def main() -> None:
-    """Print one line for each case that has a report."""
+    """Print one row for each case that has a report."""
     folder = Path(sys.argv[1])
     workers = int(sys.argv[2]) if len(sys.argv) > 2 else None
     print(HEADER)
--- a/peatlead/benchmarks/scale.py
+++ b/peatlead/benchmarks/scale.py
@@ -1,12 +1,12 @@
-"""What one planner costs as the fleet grows.
+"""Measures the planner's CPU time as the fleet grows.
 
 `python -m peatlead.benchmarks.scale [OLDER_TREE] [--chart FILE]` measures joins, ticks, rounds of
 statistics, one withdrawal, the loss of a zone and a release, in milliseconds of CPU time.
-OLDER_TREE is the root of an earlier checkout: its own benchmark measures its planner in a child
-process, size by size beside today's, and ratios are printed.
+OLDER_TREE is the root of an earlier checkout. For each size, the benchmark of that checkout
+measures its own planner in a child process, and the ratios of both are printed.
 
 `python -m peatlead.benchmarks.scale release` replaces 96% of the endpoints within 30 s of simulated
-time, through the controller's paced channel, and prints what proxies get meanwhile.
+time, through the controller's paced channel, and prints the load of the proxies and endpoints.
 """
 
 import argparse
@@ -24,12 +24,12 @@
 __all__ = ["PacedRun", "main", "measure", "planner_module"]
 
 SIZES = ((82, 291), (300, 1000), (1000, 1000), (1000, 3000), (3000, 3000))  # endpoints, proxies
-LARGEST_OLDER = 1000 * 3000  # endpoints x proxies; earlier planners take minutes beyond it
-USUAL_CHANNEL_RATE = 4000  # operations a second
-CHANNEL_RATE_PER_PROXY = 14  # the usual rate at 291 proxies
-CHARTED = ("join", "tick", "zone lost")
+MAX_OLDER_SIZE = 1000 * 3000  # endpoints x proxies; older planners take minutes beyond it
+DEFAULT_CHANNEL_RATE = 4000  # operations per second
+CHANNEL_RATE_PER_PROXY = 14  # the default rate divided by 291 proxies, rounded
+CHARTED_STEPS = ("join", "tick", "zone lost")
 
-# `measure` and `planner_module` of this module are what a later tree calls here, too.
+# Later versions run this code in this checkout: `measure` and `planner_module` keep their names.
 MEASURE_OLDER = """
 import json, sys
 from peatlead.benchmarks import scale
@@ -42,15 +42,15 @@
 
 @dataclass
 class SizeResult:
-    """What was measured at one size, in CPU seconds by step; `before` is of the older tree."""
+    """The CPU seconds of each step at one size."""
 
     endpoints: int
     proxies: int
     now: Figures
-    before: Optional[Figures] = None
+    before: Optional[Figures] = None  # of the older tree
 
-    def printed(self) -> dict[str, Any]:
-        """Return the result as it is printed: milliseconds, and ratios of before to now."""
+    def to_json(self) -> dict[str, Any]:
+        """Return the result as printed: milliseconds, and the ratios of `before` to `now`."""
         row: dict[str, Any] = {"hosts": self.endpoints, "proxies": self.proxies}
         row["now"] = milliseconds(self.now)
         if self.before is not None:
@@ -63,18 +63,18 @@
 
 
 def milliseconds(figures: Figures) -> Figures:
-    """Return seconds as rounded milliseconds."""
+    """Convert seconds to rounded milliseconds."""
     return {name: round(value * 1000, 2) for name, value in figures.items()}
 
 
 def measure_older(root: Path, endpoints: int, proxies: int) -> Figures:
-    """Measure the planner of an earlier checkout, by its own benchmark in a child process.
+    """Measure the planner of an older tree with that tree's benchmark, in a child process.
 
-    Raises CalledProcessError where that checkout has no `peatlead.benchmarks.scale` that runs.
+    Raises CalledProcessError if that tree has no working `peatlead.benchmarks.scale`.
     """
     child = subprocess.run(
         [sys.executable, "-c", MEASURE_OLDER, str(endpoints), str(proxies)],
-        cwd=root,  # first on the child's import path
+        cwd=root,  # the child process imports from its working directory first
         stdout=subprocess.PIPE,
         check=True,
     )
@@ -83,39 +83,39 @@
 
 
 def measure_releases() -> None:
-    """Print what a release does at the usual channel rate, and at one that grows with the fleet."""
+    """Measure releases at the default channel rate, and at one proportional to the proxies."""
     for endpoints, proxies in SIZES[:4]:
-        for rate in sorted({USUAL_CHANNEL_RATE, CHANNEL_RATE_PER_PROXY * proxies}):
+        for rate in sorted({DEFAULT_CHANNEL_RATE, CHANNEL_RATE_PER_PROXY * proxies}):
             run = PacedRun(planner_module, endpoints, proxies, channel_rate=rate)
             run.connect_proxies()
             run.run_ticks(100)
             run.operations = 0
             run.channel.deepest = 0.0
-            row = {"hosts": endpoints, "proxies": proxies, "lines a second": rate}
+            row = {"hosts": endpoints, "proxies": proxies, "operations per second": rate}
             print(json.dumps({**row, **run.replace_endpoints()}), flush=True)
 
 
 def measure_sizes(older: Optional[Path]) -> list[SizeResult]:
-    """Measure and print all sizes, beside an older tree's planner where one is given."""
+    """Measure and print all sizes, and the planner of an older tree if one is given."""
     results = []
     for endpoints, proxies in SIZES:
         result = SizeResult(endpoints, proxies, measure(planner_module, endpoints, proxies))
-        if older is not None and endpoints * proxies <= LARGEST_OLDER:
+        if older is not None and endpoints * proxies <= MAX_OLDER_SIZE:
             result.before = measure_older(older, endpoints, proxies)
         results.append(result)
-        print(json.dumps(result.printed()), flush=True)
+        print(json.dumps(result.to_json()), flush=True)
     return results
 
 
 def draw(results: list[SizeResult], path: str) -> None:
-    """Draw CPU seconds by the fleet's size, one panel a step."""
+    """Draw CPU seconds by fleet size into the file `path`, with one panel per step."""
     import matplotlib
 
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
-    figure, axes = pyplot.subplots(1, len(CHARTED), figsize=(13, 4))
-    for axis, name in zip(axes, CHARTED):
+    figure, axes = pyplot.subplots(1, len(CHARTED_STEPS), figsize=(13, 4))
+    for axis, name in zip(axes, CHARTED_STEPS):
         for label in ("before", "now"):
             measured = [result for result in results if getattr(result, label) is not None]
             sizes = [result.endpoints * result.proxies for result in measured]
@@ -128,7 +128,7 @@
 
 
 def main() -> None:
-    """Measure as the command line says."""
+    """Measure with the arguments of the command line."""
     parser = argparse.ArgumentParser(prog="python -m peatlead.benchmarks.scale")
     parser.add_argument("older_tree", nargs="?", help="root of an earlier checkout, or `release`")
     parser.add_argument("--chart", metavar="FILE", help="draw the figures into FILE")
--- a/peatlead/benchmarks/tables.py
+++ b/peatlead/benchmarks/tables.py
@@ -1,15 +1,15 @@
-"""Versioned tables, measured.
+"""Measures versioned tables.
 
 `python -m peatlead.benchmarks.tables store|wire|kills|stewards|start|back|zone [NUMBER]`
 
-- store: histories against plain copies, bytes and seconds, in one run
-- wire: deltas against whole tables: entries, bytes and waits in the channel, with the planner's own
-  commands on a simulated clock
-- kills: a writer killed while it writes, and what is read afterwards (NUMBER kills)
-- stewards: whole controllers killed, and how long a start takes (NUMBER kills)
-- start: reading a log of many versions
-- back: from a pin to the last proxy that is rolled back, simulated (NUMBER seeds)
-- zone: versions of the zone for secondaries
+- store: memory and time of table histories, compared with full copies
+- wire: entries, bytes and channel waits of deltas, compared with whole tables, for the commands of
+  a planner on a simulated clock
+- kills: kills a process that writes a table log, and checks what is read afterwards (NUMBER kills)
+- stewards: kills whole controllers, and measures how long a start takes (NUMBER kills)
+- start: the time to read a log of many versions
+- back: the time from a pin to the rollback of each proxy, simulated (NUMBER seeds)
+- zone: the time of versions of a DNS zone and of their transfers to secondaries
 """
 
 import sys
@@ -27,7 +27,7 @@
     "start": measure_read,
     "zone": measure_zone,
 }
-NUMBERED = {  # these take a number
+MEASUREMENTS_WITH_NUMBER = {  # measurements with a number as argument
     "kills": measure_kills,
     "stewards": measure_controllers,
     "back": measure_rollback,
@@ -35,14 +35,14 @@
 
 
 def main() -> None:
-    """Measure what the command line names; `writer` is the child process of `kills`."""
+    """Run the measurement that the command line names; `writer` is the child process of `kills`."""
     name = sys.argv[1]
     if name == "writer":
         write_until_killed(sys.argv[2], int(sys.argv[3]))
     elif name in MEASUREMENTS:
         MEASUREMENTS[name]()
     else:
-        NUMBERED[name](*map(int, sys.argv[2:3]))
+        MEASUREMENTS_WITH_NUMBER[name](*map(int, sys.argv[2:3]))
 
 
 if __name__ == "__main__":
--- a/peatlead/benchmarks/tables_controllers.py
+++ b/peatlead/benchmarks/tables_controllers.py
@@ -1,4 +1,4 @@
-"""Whole controllers killed while they publish tables, and how long a start with a log takes."""
+"""Kills controllers while they publish tables, and measures starts with a long table log."""
 
 import json
 import multiprocessing
@@ -16,10 +16,10 @@
 from ..tables.table_log import TableLog
 from ..tables.version import Version, line_key
 
-LANES = 8  # controllers at a time
-START_LANE = 90  # addresses of the controller whose start is measured
+SERIES = 8  # of kills, which run in parallel with one controller each
+START_NETWORK = 90  # third byte of the address, above those of the series
 STARTS = 5
-STARTED = "controller started"  # event of the controller's log
+STARTED_EVENT = "controller started"  # in the controller's log
 SETTINGS = """
 zone(name = "north")
 dns(zone = "example.org", port = {port}, lifetime = 1, open_views = 16)
@@ -28,26 +28,26 @@
 probes(port = {port}, deadline = 0.1)
 request_kind(name = "look", response_target = 0.5, client_timeout = 1.5, gain = 2, repeat = "replayable")
 service(label = "api", kinds = ["look"])
-steward(name = "ns1", zone = "north", listen = "127.3.{lane}.1:{port}", control = "127.3.{lane}.1:{control}")
-"""  # noqa: E501 - settings as an operator writes them
+steward(name = "ns1", zone = "north", listen = "127.3.{network}.1:{port}", control = "127.3.{network}.1:{control}")
+"""  # noqa: E501 - a settings script
 
 
-class LaneResult(NamedTuple):
-    """What one lane of kills left: versions stored in the end, and what was wrong."""
+class SeriesResult(NamedTuple):
+    """The result of a series of kills: the versions stored in the end, and errors found."""
 
     versions: int
-    faults: list[str]
+    errors: list[str]
 
 
-def write_settings(folder: str, lane: int) -> None:
-    """Write the settings of a controller."""
+def write_settings(folder: str, network: int) -> None:
+    """Write the settings of a controller with the address 127.3.`network`.1."""
     port = free_port()
     with open(f"{folder}/service.star", "w") as file:
-        file.write(SETTINGS.format(port=port, control=port + 1, folder=folder, lane=lane))
+        file.write(SETTINGS.format(port=port, control=port + 1, folder=folder, network=network))
 
 
 def write_log(folder: str, versions: int) -> None:
-    """Write a log of versions into the controller's state."""
+    """Write a table log with some versions into the controller's state folder."""
     log = TableLog(f"{folder}/state/tables-ns1", Store(), None, sync_interval=1e9)
     log.start(0.0)
     for index in range(versions):
@@ -61,7 +61,7 @@
 
 
 def write_list(folder: str, version: int) -> None:
-    """Replace the list of endpoints by one in which all weights and some phases differ."""
+    """Replace the endpoint list by one in which all weights and some phases differ."""
     hosts = [
         {
             "name": f"h{number}",
@@ -78,7 +78,7 @@
 
 
 def start_controller(folder: str) -> "subprocess.Popen[bytes]":
-    """Start a controller; its log comes from standard error."""
+    """Start a controller, which writes its log to standard error."""
     run = ["run", f"{folder}/service.star", "--state", f"{folder}/state"]
     return subprocess.Popen(
         [sys.executable, "-m", "peatlead", *run],
@@ -88,70 +88,72 @@
 
 
 def read_until_started(child: "subprocess.Popen[bytes]") -> list[dict[str, Any]]:
-    """Return the events of a controller's log up to its start."""
+    """Read the log events of a controller until it has started; returns them."""
     assert child.stderr is not None
     events: list[dict[str, Any]] = []
     for line in child.stderr:
         events.append(json.loads(line))
-        if events[-1]["event"] == STARTED:
+        if events[-1]["event"] == STARTED_EVENT:
             break
     return events
 
 
-def start_faults(events: list[dict[str, Any]]) -> list[str]:
-    """Return what went wrong in a start, incomplete last records aside."""
-    faults = []
-    if not events or events[-1]["event"] != STARTED:
-        faults.append(f"did not start: {events[-1:]}")
-    faults += [
+def start_errors(events: list[dict[str, Any]]) -> list[str]:
+    """Return the errors of a start, except incomplete last records, which a kill leaves."""
+    errors = []
+    if not events or events[-1]["event"] != STARTED_EVENT:
+        errors.append(f"the controller did not start, its last event is {events[-1:]}")
+    errors += [
         event["why"]
         for event in events
         if event["event"].startswith("tables: part") and "torn" not in event["why"]
     ]
-    return faults
+    return errors
 
 
-def end(child: "subprocess.Popen[bytes]", number: signal.Signals) -> None:
-    """End a controller by a signal."""
-    child.send_signal(number)
+def stop_controller(child: "subprocess.Popen[bytes]", signal_number: signal.Signals) -> None:
+    """Send a signal to a controller and wait until it has ended."""
+    child.send_signal(signal_number)
     child.wait()
     if child.stderr is not None:
         child.stderr.close()
 
 
-def run_lane(lane: int, kills: int) -> LaneResult:
-    """Start and kill a controller whose list changes all the time."""
-    rng = Random(lane)
-    faults: list[str] = []
-    newest = 0
+def run_series(series: int, kills: int) -> SeriesResult:
+    """Repeatedly start and kill a controller while its endpoint list changes."""
+    rng = Random(series)
+    errors: list[str] = []
+    stored_versions = 0
     version = 0
     with tempfile.TemporaryDirectory() as folder:
-        write_settings(folder, lane + 1)
+        write_settings(folder, series + 1)
         for _ in range(kills):
             version += 1
             write_list(folder, version)
             child = start_controller(folder)
-            faults += start_faults(read_until_started(child))
+            errors += start_errors(read_until_started(child))
             killed_at = time.monotonic() + rng.uniform(0.05, 0.6)
             while time.monotonic() < killed_at:
                 version += 1
                 write_list(folder, version)
                 time.sleep(0.03)
-            end(child, signal.SIGKILL)
+            stop_controller(child, signal.SIGKILL)
             store = Store()
             problems = TableLog(f"{folder}/state/tables-ns1", store, None).restore()
-            faults += [f"{file}: {reason}" for file, reason in problems if "torn" not in reason]
-            if store.entry_count < newest:
-                faults.append(f"{newest} versions, then {store.entry_count}")
-            newest = store.entry_count
-    return LaneResult(newest, faults)
+            errors += [f"{file}: {reason}" for file, reason in problems if "torn" not in reason]
+            if store.entry_count < stored_versions:
+                errors.append(
+                    f"{stored_versions} versions before the kill, {store.entry_count} after"
+                )
+            stored_versions = store.entry_count
+    return SeriesResult(stored_versions, errors)
 
 
 def measure_start(versions: int) -> float:
-    """Return the median seconds of a start with a log of that many versions."""
+    """Return the median time of a start with a log of that many versions, in seconds."""
     seconds = []
     with tempfile.TemporaryDirectory() as folder:
-        write_settings(folder, START_LANE)
+        write_settings(folder, START_NETWORK)
         if versions:
             write_log(folder, versions)
         write_list(folder, 1)
@@ -160,23 +162,23 @@
             start = time.perf_counter()
             read_until_started(child)
             seconds.append(time.perf_counter() - start)
-            end(child, signal.SIGTERM)
+            stop_controller(child, signal.SIGTERM)
     return sorted(seconds)[STARTS // 2]
 
 
 def measure_controllers(kills: int = 504) -> None:
-    """Kill whole controllers in several lanes, then measure starts."""
+    """Kill controllers in parallel series, then measure starts; prints both results."""
     start = time.perf_counter()
-    with multiprocessing.get_context("spawn").Pool(LANES) as pool:
-        results = pool.starmap(run_lane, [(lane, kills // LANES) for lane in range(LANES)])
-    faults = [fault for result in results for fault in result.faults]
+    with multiprocessing.get_context("spawn").Pool(SERIES) as pool:
+        results = pool.starmap(run_series, [(series, kills // SERIES) for series in range(SERIES)])
+    errors = [error for result in results for error in result.errors]
     print(
-        f"{kills // LANES * LANES} kills of whole stewards in {time.perf_counter() - start:.0f} s: "
-        f"{sum(result.versions for result in results)} versions kept in the end, "
-        f"{len(faults)} faults {faults[:3]}"
+        f"{kills // SERIES * SERIES} kills of controllers in {time.perf_counter() - start:.0f} s: "
+        f"{sum(result.versions for result in results)} versions stored in the end, "
+        f"{len(errors)} errors {errors[:3]}"
     )
     for versions in (0, 10_000):
         print(
             f"start with a log of {versions} versions: {measure_start(versions):.2f} s "
-            "(median of 5, with the interpreter)"
+            "(median of 5, including the start of the interpreter)"
         )
--- a/peatlead/benchmarks/tables_log.py
+++ b/peatlead/benchmarks/tables_log.py
@@ -1,4 +1,4 @@
-"""The log of tables: a writer killed while it writes, and how long reading takes."""
+"""Kills a process that writes a table log, and measures how long reading a log takes."""
 
 import os
 import signal
@@ -18,20 +18,20 @@
 PROXIES_READ = 200
 VERSIONS_READ = 50  # of each proxy
 VERSIONS_PER_FLUSH = 5
-LONGEST_LIFE = 0.05  # seconds of a writer after its first version
-TORN = "torn"  # in the reason of an incomplete last record, as a kill leaves it
+MAX_WRITER_LIFETIME = 0.05  # seconds after its first version
+TORN = "torn"  # text in the reported reason for an incomplete last record
 
 
 class ReadResult(NamedTuple):
-    """What was read after a kill."""
+    """The contents of a log after a kill."""
 
-    newest: int  # serial
+    newest_serial: int
     torn: int  # incomplete last records
-    faults: list[str]
+    errors: list[str]
 
 
 def write_until_killed(folder: str, seed: int) -> None:
-    """Publish versions without end, and print the serial of each that is written."""
+    """Write versions to a log until killed, and print the serial of each written version."""
     rng = Random(seed)
     log = TableLog(folder, Store(), None, sync_interval=0.05)
     log.restore()
@@ -54,58 +54,58 @@
     return max((history.newest_version.serial for history in store.histories.values()), default=0)
 
 
-def kill_writer(folder: str, seed: int, life: float) -> int:
-    """Run a writer for a time and kill it; returns the last serial that it printed."""
+def kill_writer(folder: str, seed: int, lifetime: float) -> int:
+    """Run a writer for `lifetime` seconds and kill it; returns the last serial that it printed."""
     command = [sys.executable, "-m", "peatlead.benchmarks.tables", "writer", folder, str(seed)]
     child = subprocess.Popen(command, stdout=subprocess.PIPE)
     assert child.stdout is not None
     child.stdout.readline()
-    time.sleep(life)
+    time.sleep(lifetime)
     child.send_signal(signal.SIGKILL)
-    printed = [line for line in child.stdout.read().split(b"\n") if line.isdigit()]
+    serials = [line for line in child.stdout.read().split(b"\n") if line.isdigit()]
     child.wait()
     child.stdout.close()
-    return int(printed[-1]) if printed else 0
+    return int(serials[-1]) if serials else 0
 
 
 def read_log(folder: str) -> ReadResult:
-    """Read a log and check it."""
+    """Read a log and check the order of its versions."""
     store = Store()
     problems = TableLog(folder, store, None).restore()
     torn = sum(TORN in problem.reason for problem in problems)
-    faults = [problem.reason for problem in problems if TORN not in problem.reason]
+    errors = [problem.reason for problem in problems if TORN not in problem.reason]
     for history in store.histories.values():
         versions = [entry.version for entry in history.entries]
         if versions != sorted(set(versions)):
-            faults.append("versions out of order")
-    return ReadResult(newest_serial(store), torn, faults)
+            errors.append("versions out of order")
+    return ReadResult(newest_serial(store), torn, errors)
 
 
 def measure_kills(kills: int = 500) -> None:
-    """Kill a writer at random moments; each start reads what the ones before left."""
+    """Kill writers of one log at random times; prints how many written versions were lost."""
     rng = Random(3)
     lost = 0
     torn = 0
     newest = 0
-    faults: list[str] = []
+    errors: list[str] = []
     start = time.perf_counter()
     with tempfile.TemporaryDirectory() as folder:
         for seed in range(kills):
-            printed = kill_writer(folder, seed, rng.uniform(0.0, LONGEST_LIFE))
+            last_printed = kill_writer(folder, seed, rng.uniform(0.0, MAX_WRITER_LIFETIME))
             result = read_log(folder)
-            newest = result.newest
+            newest = result.newest_serial
             torn += result.torn
-            faults += result.faults
-            lost += max(0, printed - newest)
+            errors += result.errors
+            lost += max(0, last_printed - newest)
     print(
         f"{kills} kills in {time.perf_counter() - start:.0f} s: {newest} versions written, "
-        f"{lost} that were told as written lost, {torn} torn ends met, "
-        f"{len(faults)} other faults {faults[:3]}"
+        f"{lost} lost that were reported as written, {torn} incomplete last records, "
+        f"{len(errors)} other errors {errors[:3]}"
     )
 
 
 def write_versions(log: TableLog) -> None:
-    """Write the versions of all proxies, a few a flush."""
+    """Write the versions of all proxies, VERSIONS_PER_FLUSH in each flush."""
     rng = Random(1)
     for proxy in range(PROXIES_READ):
         name = f"p{proxy}"
@@ -122,20 +122,20 @@
 
 
 def measure_read() -> None:
-    """Print how long 10,000 versions take to write and to read."""
+    """Print the time to write and to read 10,000 versions."""
     with tempfile.TemporaryDirectory() as folder:
         log = TableLog(folder, Store(), None, sync_interval=1e9)
         log.start(0.0)
         start = time.perf_counter()
         write_versions(log)
-        written = time.perf_counter() - start
+        write_time = time.perf_counter() - start
         size = sum(os.path.getsize(os.path.join(folder, name)) for name in os.listdir(folder))
         log.close()
         start = time.perf_counter()
         store = Store()
         problems = TableLog(folder, store, None).restore()
         print(
-            f"10,000 versions: written in {written:.2f} s, {size / 10_000:.0f} bytes each on disk; "
-            f"read in {time.perf_counter() - start:.2f} s, {store.entry_count} versions, "
-            f"{len(problems)} faults"
+            f"10,000 versions: written in {write_time:.2f} s, {size / 10_000:.0f} bytes each on "
+            f"disk; read in {time.perf_counter() - start:.2f} s, {store.entry_count} versions, "
+            f"{len(problems)} errors"
         )
--- a/peatlead/benchmarks/tables_store.py
+++ b/peatlead/benchmarks/tables_store.py
@@ -1,4 +1,4 @@
-"""Memory and time of table histories, beside plain copies of each state."""
+"""Measures memory and time of table histories, compared with full copies of each state."""
 
 import time
 import tracemalloc
@@ -11,21 +11,21 @@
 
 REQUEST_CLASSES = ("look", "file", "pay")
 VERSIONS = 256
-SIZES = ((8, 200), (100, 40))  # entries of a class's table, proxies
+SIZES = ((8, 200), (100, 40))  # entries per request class, proxies
 
 State = dict[str, int]
 Result = TypeVar("Result")
 
 
 class Cost(NamedTuple):
-    """Memory and time of building something."""
+    """The memory and time that a function used."""
 
     size: int  # bytes
     seconds: float
 
 
 def draw_states(rng: Random, count: int, entries: int = 8) -> list[State]:
-    """Return a proxy's successive states: one or two entries change each time."""
+    """Return successive states of a proxy, each with one or two entries changed."""
     keys = [
         line_key(request_class, f"z{number % 3}", f"10.0.{number // 250}.{number % 250}", 80)
         for request_class in REQUEST_CLASSES
@@ -46,7 +46,7 @@
 
 
 def build_histories(proxies: list[list[dict[str, int | None]]]) -> list[History]:
-    """Return one history for each proxy's successive changes."""
+    """Return a history for each proxy, built from its successive changes."""
     histories = []
     for proxy in proxies:
         history = History()
@@ -56,37 +56,39 @@
     return histories
 
 
-def traced(build: Callable[[], Result]) -> tuple[Result, Cost]:
-    """Return what a function builds, and what that costs."""
+def measure_cost(build: Callable[[], Result]) -> tuple[Result, Cost]:
+    """Call a function; returns its result and its cost."""
     tracemalloc.start()
     start = time.perf_counter()
-    built = build()
+    result = build()
     seconds = time.perf_counter() - start
     size, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    return built, Cost(size, seconds)
+    return result, Cost(size, seconds)
 
 
 def measure_store() -> None:
-    """Print bytes and microseconds a version."""
+    """Print the bytes and microseconds per version."""
     rng = Random(1)
     for entries, proxies in SIZES:
         states = [draw_states(rng, VERSIONS, entries) for _ in range(proxies)]
         changed = [[changes(old, new) for old, new in zip([{}, *each], each)] for each in states]
-        copies, plain = traced(lambda: [[dict(state) for state in each] for each in states])  # noqa: B023
-        histories, stored = traced(lambda: build_histories(changed))  # noqa: B023
+        copies, copies_cost = measure_cost(
+            lambda: [[dict(state) for state in each] for each in states]  # noqa: B023
+        )
+        histories, histories_cost = measure_cost(lambda: build_histories(changed))  # noqa: B023
         start = time.perf_counter()
-        right = all(
+        correct = all(
             history.at_version(Version(1, 2)) == each[1] for history, each in zip(histories, copies)
         )
-        restore = (time.perf_counter() - start) / len(histories)
+        restore_time = (time.perf_counter() - start) / len(histories)
         count = sum(map(len, states))
         print(
-            f"{3 * entries} lines a proxy, {count} versions: "
-            f"plain copies {plain.size / count:.0f} bytes and "
-            f"{1e6 * plain.seconds / count:.1f} us a version, "
-            f"histories {stored.size / count:.0f} bytes (digest and causes too) "
-            f"and {1e6 * stored.seconds / count:.1f} us; "
-            f"the oldest but one of 256 comes back in {1e6 * restore:.0f} us, "
-            f"{'as it was' if right else 'WRONG'}"
+            f"{3 * entries} entries per proxy, {count} versions: "
+            f"full copies {copies_cost.size / count:.0f} bytes and "
+            f"{1e6 * copies_cost.seconds / count:.1f} us per version, "
+            f"histories {histories_cost.size / count:.0f} bytes (including digest and causes) "
+            f"and {1e6 * histories_cost.seconds / count:.1f} us; "
+            f"the second oldest of 256 versions is restored in {1e6 * restore_time:.0f} us, "
+            f"{'correctly' if correct else 'INCORRECTLY'}"
         )
--- a/peatlead/benchmarks/tables_wire.py
+++ b/peatlead/benchmarks/tables_wire.py
@@ -1,4 +1,4 @@
-"""Deltas against whole tables on the wire, with the planner's own commands on a simulated clock."""
+"""Compares deltas with whole tables on the wire, for a planner on a simulated clock."""
 
 from typing import Any
 
@@ -22,14 +22,14 @@
 
 SIZES = ((24, 80), (82, 291), (300, 1000))  # endpoints, proxies
 TICK = 0.1  # seconds
-CHANNEL_RATE = 4000.0  # operations a second
-MESSAGE_OVERHEAD = 6.0  # operations
-RELEASE_PARTS = 4
-RELEASED_ONE_IN = 12  # endpoints, of each part
-ANY_OVERHEAD = 8  # bytes around an assignment in its response, beside its type URL
+CHANNEL_RATE = 4000.0  # operations per second
+MESSAGE_OVERHEAD = 6.0  # operations that a message counts for beside its own
+RELEASE_STEPS = 4
+ENDPOINT_STRIDE = 12  # each step of a release replaces every 12th endpoint
+ANY_OVERHEAD = 8  # bytes of protobuf framing of an assignment in a response, without its type URL
 HEADER = (
-    "| hosts/proxies | what | messages | lines, deltas | lines, whole | bytes, deltas | "
-    "bytes, whole | ratio | wait, deltas (median / worst) | wait, whole | wait, as ordered |\n|"
+    "| endpoints/proxies | change | messages | entries, deltas | entries, whole | bytes, deltas | "
+    "bytes, whole | ratio | wait, deltas (median / max) | wait, whole | wait, commands |\n|"
     + " --- |"
     * 11
 )
@@ -75,33 +75,35 @@
 
 
 def endpoint(number: int, phase: str = "ready", started_at: float = -1e6) -> interface.Endpoint:
-    """Return the list's entry of an endpoint."""
+    """Return an endpoint; each machine has four, and the zones take turns."""
     return interface.Endpoint(
         number, b"h%d" % number, number % 3, 0, number // 4, phase, 1.0, started_at
     )
 
 
-def update(version: int, endpoints: tuple[interface.Endpoint, ...]) -> interface.EndpointUpdate:
-    """Return an update of the list."""
+def list_update(
+    version: int, endpoints: tuple[interface.Endpoint, ...]
+) -> interface.EndpointUpdate:
+    """Return an update of the endpoint list."""
     return interface.EndpointUpdate("changes", version, endpoints)
 
 
 def format_waits(waits: list[float]) -> str:
-    """Return the median and the worst of waits in seconds, as milliseconds."""
+    """Format the median and the maximum of waits in seconds; the text is in milliseconds."""
     ordered = sorted(waits) or [0.0]
     return f"{1000 * ordered[len(ordered) // 2]:.0f} / {1000 * ordered[-1]:.0f} ms"
 
 
 class WireCounts:
-    """What was sent in both forms since the last row, and how long it waited in the channels."""
+    """The messages since the last row in both forms, and their waits in the channels in seconds."""
 
     def __init__(self) -> None:
         self.messages = 0
-        self.delta_lines = 0
+        self.delta_entries = 0
         self.delta_bytes = 0
-        self.whole_lines = 0
+        self.whole_entries = 0
         self.whole_bytes = 0
-        self.delta_waits: list[float] = []  # seconds
+        self.delta_waits: list[float] = []
         self.whole_waits: list[float] = []
         self.command_waits: list[float] = []
 
@@ -116,15 +118,15 @@
         settings = {**SETTINGS, "proxies": proxies}
         self.planner = Planner(settings, 1)
         self.publisher = Publisher()
-        # What the planner commands; what leaves as deltas; the same with whole tables.
+        # Channels for the planner's commands, and for the resulting deltas or whole tables.
         self.commands = Channel(CHANNEL_RATE, MESSAGE_OVERHEAD, 1e9)
         self.deltas = Channel(CHANNEL_RATE, MESSAGE_OVERHEAD, 1e9)
         self.whole = Channel(CHANNEL_RATE, MESSAGE_OVERHEAD, 1e9)
         self.views: dict[int, ViewState] = {}
         self.streams: dict[int, IncrementalDiscovery] = {}
-        self.last_sent: dict[int, Items] = {}
-        self.pinned: dict[int, Items] = {}  # past items, while all proxies are held to them
-        self.acknowledged: list[interface.Event] = []  # of the next batch
+        self.last_sent: dict[int, Items] = {}  # by proxy
+        self.pinned: dict[int, Items] = {}  # by proxy, while all are held; else empty
+        self.acknowledged: list[interface.Event] = []  # to be delivered with the next batch
         self.counts = WireCounts()
         listed = tuple(map(endpoint, range(endpoints)))
         events: list[interface.Event] = [interface.EndpointUpdate("whole", 1, listed)]
@@ -148,7 +150,7 @@
         return interface.ProxyConnected(proxy, proxy % 3, 3.0, True)
 
     def items(self, proxy: int) -> Items:
-        """Return what a proxy is to hold."""
+        """Return the items that a proxy should hold."""
         if self.pinned:
             return self.pinned[proxy]
         return {
@@ -160,7 +162,7 @@
         }
 
     def play(self, events: list[interface.Event], seconds: float) -> None:
-        """Run for a time, from a batch with events on."""
+        """Run for some seconds, starting with a batch of events."""
         end = self.now + seconds
         while self.now < end:
             batch = [*events, *self.acknowledged, interface.TimerFired(0)]
@@ -171,32 +173,32 @@
                 nonces = routed.nonces.get(proxy, ())
                 self.commands.offer(self.now, proxy, routed.messages[proxy], nonces)
             self.deliver_commands()
-            self.drain(self.deltas, self.counts.delta_waits)
-            self.drain(self.whole, self.counts.whole_waits)
+            self.empty_channel(self.deltas, self.counts.delta_waits)
+            self.empty_channel(self.whole, self.counts.whole_waits)
             self.now = round(self.now + TICK, 6)
 
     def deliver_commands(self) -> None:
-        """Apply the commands that leave within this tick, and send what they change."""
+        """Apply the commands that leave within this tick, and send the changed items."""
         channel = self.commands
         while channel.next_at is not None and channel.next_at < self.now + TICK:
             for proxy, message in channel.due(max(self.now, channel.next_at)):
-                left = max(self.now, channel.free_at)
+                left_at = max(self.now, channel.free_at)
                 self.acknowledged += [
-                    interface.Acknowledged(proxy, nonce, left - message.offered)
+                    interface.Acknowledged(proxy, nonce, left_at - message.offered)
                     for nonce in message.marks
                 ]
-                self.counts.command_waits.append(left - message.offered)
+                self.counts.command_waits.append(left_at - message.offered)
                 self.views[proxy].apply(message.ops)
                 self.send(proxy)
 
-    def drain(self, channel: Channel, waits: list[float]) -> None:
-        """Let messages leave that may within this tick, and record their waits."""
+    def empty_channel(self, channel: Channel, waits: list[float]) -> None:
+        """Take the messages due within this tick from a channel, and record their waits."""
         while channel.next_at is not None and channel.next_at < self.now + TICK:
             for _, message in channel.due(max(self.now, channel.next_at)):
                 waits.append(max(self.now, channel.free_at) - message.offered)
 
     def send(self, proxy: int) -> None:
-        """Send a proxy's items in both forms, where they have changed."""
+        """Send the items of a proxy in both forms if they have changed."""
         items = self.items(proxy)
         if items == self.last_sent.get(proxy):
             return
@@ -206,12 +208,12 @@
         self.send_whole(proxy, items)
 
     def send_delta(self, proxy: int) -> None:
-        """Send what differs, and acknowledge it at once."""
+        """Send the changes of a proxy as a delta, and acknowledge it at once."""
         stream = self.streams[proxy]
         for response in stream.resources_changed(LB_ENDPOINT_TYPE_URL):
-            lines = len(response.resources) + len(response.removed_resources)
-            self.offer(self.deltas, proxy, lines)
-            self.counts.delta_lines += lines
+            entries = len(response.resources) + len(response.removed_resources)
+            self.offer(self.deltas, proxy, entries)
+            self.counts.delta_entries += entries
             self.counts.delta_bytes += response.ByteSize()
             subscription = stream.subscriptions[LB_ENDPOINT_TYPE_URL]
             assert subscription.in_flight is not None
@@ -231,26 +233,28 @@
                 len(encode_assignment(name, table, 1.0)) + len(ASSIGNMENT_TYPE_URL) + ANY_OVERHEAD
             )
             self.counts.whole_bytes += size
-        self.counts.whole_lines += len(items)
+        self.counts.whole_entries += len(items)
         self.offer(self.whole, proxy, len(items))
 
-    def offer(self, channel: Channel, proxy: int, lines: int) -> None:
-        """Queue a message of that many operations; their content doesn't matter."""
-        channel.offer(self.now, proxy, {(ADMISSION, number): (1.0, "") for number in range(lines)})
+    def offer(self, channel: Channel, proxy: int, entries: int) -> None:
+        """Queue a message with the given number of placeholder operations."""
+        channel.offer(
+            self.now, proxy, {(ADMISSION, number): (1.0, "") for number in range(entries)}
+        )
 
     def pin(self, items: dict[int, Items]) -> None:
-        """Hold all proxies to past items; none: release them."""
+        """Hold all proxies at the given items; {} ends this."""
         self.pinned = items
         for proxy in sorted(self.views):
             self.send(proxy)
 
     def print_row(self, name: str) -> None:
-        """Print what was sent since the last row."""
+        """Print the row of a change, with all that was sent since the last row."""
         counts = self.counts
         ratio = counts.delta_bytes / max(1, counts.whole_bytes)
         print(
             f"| {self.endpoints}/{self.proxies} | {name} | {counts.messages} | "
-            f"{counts.delta_lines} | {counts.whole_lines} | {counts.delta_bytes} | "
+            f"{counts.delta_entries} | {counts.whole_entries} | {counts.delta_bytes} | "
             f"{counts.whole_bytes} | {ratio:.2f} | {format_waits(counts.delta_waits)} | "
             f"{format_waits(counts.whole_waits)} | {format_waits(counts.command_waits)} |"
         )
@@ -258,31 +262,31 @@
 
 
 def play_release(fleet: WireFleet) -> None:
-    """Replace a third of the endpoints in parts."""
-    for part in range(RELEASE_PARTS):
-        numbers = range(1 + part, fleet.endpoints, RELEASED_ONE_IN)
+    """Replace a third of the endpoints in steps."""
+    for step in range(RELEASE_STEPS):
+        numbers = range(1 + step, fleet.endpoints, ENDPOINT_STRIDE)
         drained = tuple(endpoint(number, "draining") for number in numbers)
-        fleet.play([update(3 + part, drained)], 3.0)
+        fleet.play([list_update(3 + step, drained)], 3.0)
         started = tuple(endpoint(number, started_at=fleet.now) for number in numbers)
-        fleet.play([update(3 + part, started)], 17.0)
+        fleet.play([list_update(3 + step, started)], 17.0)
 
 
 def measure_wire() -> None:
-    """Print a table with one row for each size and change."""
+    """Print a Markdown table with one row for each size and change."""
     print(HEADER)
     for endpoints, proxies in SIZES:
         fleet = WireFleet(endpoints, proxies)
         before = {proxy: dict(items) for proxy, items in fleet.last_sent.items()}
-        fleet.play([update(2, (endpoint(0, "draining"),))], 10.0)
-        fleet.print_row("a host lost")
+        fleet.play([list_update(2, (endpoint(0, "draining"),))], 10.0)
+        fleet.print_row("an endpoint lost")
         play_release(fleet)
         fleet.print_row("a release of a third")
         fleet.pin(before)
         fleet.play([], 20.0)
-        fleet.print_row("a rollback past both")
+        fleet.print_row("a rollback of both")
         fleet.pin({})
         fleet.play([], 20.0)
         fleet.counts = WireCounts()
         zone = tuple(endpoint(number, "draining") for number in range(endpoints) if number % 3 == 1)
-        fleet.play([update(9, zone)], 15.0)
+        fleet.play([list_update(9, zone)], 15.0)
         fleet.print_row("a zone lost")
--- a/peatlead/benchmarks/tables_zone.py
+++ b/peatlead/benchmarks/tables_zone.py
@@ -1,4 +1,4 @@
-"""Versions of a zone with its digest, and transfers of them: seconds and bytes by size."""
+"""Measures versions of a DNS zone with their digest, and zone transfers, by the zone's size."""
 
 import time
 
@@ -19,7 +19,7 @@
 
 
 def soa(serial: int) -> str:
-    """Return the SOA record's text."""
+    """Return the text of the SOA record."""
     return f"ns1.example.org. h.example.org. {serial} 60 10 600 5"
 
 
@@ -37,15 +37,15 @@
 
 
 def ixfr_query(serial: int) -> dns.message.Message:
-    """Return the query of a secondary that holds a serial."""
+    """Return the IXFR query (RFC 1995) of a secondary that holds a serial."""
     query = dns.message.make_query(ORIGIN, "IXFR")
-    held = dns.rrset.from_text(ORIGIN, 60, "IN", "SOA", f"a. b. {serial} 1 1 1 1")
-    query.authority.append(held)
+    held_soa = dns.rrset.from_text(ORIGIN, 60, "IN", "SOA", f"a. b. {serial} 1 1 1 1")
+    query.authority.append(held_soa)
     return query
 
 
 def measure_zone() -> None:
-    """Print how long a version and both transfers take, and their bytes."""
+    """Print the time of a version and of both kinds of transfer, and the bytes of the transfers."""
     for views in SIZES:
         records = zone_records(views)
         history = ZoneHistory(ORIGIN, soa, Serials(0, 2))
@@ -60,10 +60,10 @@
         start = time.perf_counter()
         incremental = transfer.respond_to_transfer(query, history, True)
         whole = transfer.respond_to_transfer(dns.message.make_query(ORIGIN, "AXFR"), history, True)
-        sent = time.perf_counter() - start
+        transfer_time = time.perf_counter() - start
         print(
             f"{views} views, {len(history.records)} records: "
-            f"a version {1000 * min(seconds):.0f} ms; both transfers {1000 * sent:.0f} ms; "
-            f"IXFR past three {sum(map(len, incremental))} bytes, "
+            f"a version {1000 * min(seconds):.0f} ms; both transfers {1000 * transfer_time:.0f} ms"
+            f"; IXFR over three versions {sum(map(len, incremental))} bytes, "
             f"AXFR {sum(map(len, whole))} bytes in {len(whole)} messages"
         )
--- a/peatlead/benchmarks/versions.py
+++ b/peatlead/benchmarks/versions.py
@@ -1,8 +1,8 @@
-"""Whether the lab gives one digest a seed in every Python.
+"""Checks that the lab gives the same digest for a seed in different versions of Python.
 
-`python -m peatlead.benchmarks.versions SEEDS PYTHON...`: each PYTHON is an interpreter that has
-peatlead installed, this one where none is given. Each seed is played there twice, under two hash
-seeds. Exits with 1 where two digests differ.
+`python -m peatlead.benchmarks.versions SEEDS [PYTHON...]`: each PYTHON is an interpreter that has
+peatlead installed; the default is the running one. Each interpreter plays each seed twice, with two
+hash seeds. Exits with 1 if the digests of a seed differ.
 """
 
 import json
@@ -26,7 +26,7 @@
 
 
 class Job(NamedTuple):
-    """All seeds of one kind of scenario in one interpreter."""
+    """All seeds of one kind of scenario, in one interpreter with one hash seed."""
 
     python: str
     kind: str
@@ -35,7 +35,7 @@
 
 
 def digests(job: Job) -> list[str]:
-    """Play a job's seeds in a child process; returns their digests in the order of the seeds."""
+    """Play the seeds of a job in a child process; returns their digests in the order of seeds."""
     child = subprocess.run(
         [job.python, "-c", PLAY, job.kind, "0", str(job.seeds)],
         capture_output=True,
@@ -47,17 +47,19 @@
 
 
 def python_version(python: str) -> str:
-    """Return what an interpreter prints as its version."""
+    """Return the version that an interpreter prints."""
     child = subprocess.run([python, "--version"], capture_output=True, text=True, check=False)
     return child.stdout.strip()
 
 
-def count_differing(played: dict[Job, list[str]]) -> int:
+def count_differing(digests_by_job: dict[Job, list[str]]) -> int:
     """Count the seeds whose digests differ between jobs."""
     differing = 0
     for kind in SCENARIO_KINDS:
-        lists = [found for job, found in played.items() if job.kind == kind]
-        differing += sum(len(set(same_seed)) > 1 for same_seed in zip(*lists))
+        digest_lists = [
+            job_digests for job, job_digests in digests_by_job.items() if job.kind == kind
+        ]
+        differing += sum(len(set(seed_digests)) > 1 for seed_digests in zip(*digest_lists))
     return differing
 
 
@@ -72,12 +74,12 @@
         for hash_seed in HASH_SEEDS
     ]
     with ThreadPoolExecutor(WORKERS) as pool:
-        played = dict(zip(jobs, pool.map(digests, jobs)))
-    differing = count_differing(played)
+        digests_by_job = dict(zip(jobs, pool.map(digests, jobs)))
+    differing = count_differing(digests_by_job)
     row = {
         "pythons": [python_version(python) for python in pythons],
         "seeds": len(SCENARIO_KINDS) * seeds,
-        "plays of each": len(HASH_SEEDS) * len(pythons),
+        "plays per seed": len(HASH_SEEDS) * len(pythons),
         "differ": differing,
     }
     print(json.dumps(row))
--- a/tests/benchmarks/test_scale.py
+++ b/tests/benchmarks/test_scale.py
@@ -13,6 +13,6 @@
         now = measure(planner_module, 12, 24)
         before = measure_older(ROOT, 12, 24)
         self.assertEqual(list(before), list(now))
-        row = SizeResult(12, 24, now, before).printed()
+        row = SizeResult(12, 24, now, before).to_json()
         self.assertEqual(list(row), ["hosts", "proxies", "now", "before", "ratio"])
         self.assertEqual(list(row["ratio"]), list(now))
