--- a/peatlead/benchmarks/dns_speed.py
+++ b/peatlead/benchmarks/dns_speed.py
@@ -57,7 +57,7 @@
 Rates = dict[str, list[float]]  # answers per second of each round, by server
 
 
-class Echo(asyncio.DatagramProtocol):
+class EchoServer(asyncio.DatagramProtocol):
     """A server that returns each datagram, to measure the event loop and the sockets alone."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -69,7 +69,7 @@
         self.transport.sendto(data, peer)
 
 
-class CodecServer(Echo):
+class CodecServer(EchoServer):
     """A server that parses every query and serializes every answer with dnspython."""
 
     def datagram_received(self, data: bytes, peer: Peer) -> None:
@@ -198,7 +198,7 @@
     await server.open((SERVER, 0))
     udp: Any = server.listeners[0]
     ports = {"server": udp.get_extra_info("sockname")[1]}
-    for name, protocol in (("echo", Echo), ("codec", CodecServer)):
+    for name, protocol in (("echo", EchoServer), ("codec", CodecServer)):
         transport, _ = await loop.create_datagram_endpoint(protocol, local_addr=(SERVER, 0))
         ports[name] = transport.get_extra_info("sockname")[1]
     return ports
--- a/peatlead/benchmarks/herd.py
+++ b/peatlead/benchmarks/herd.py
@@ -200,14 +200,20 @@
     def measure_withdrawal(self) -> dict[str, Any]:
         """Drain endpoint 0; returns how many proxies it was withdrawn from, and after what time."""
         cpu_before = self.controller_cpu()
-        drained = write_list(self.folder, 2, self.endpoints, (0,))
+        drained_at = write_list(self.folder, 2, self.endpoints, (0,))
         time.sleep(3 * IDLE_PERIOD)
-        withdrawn = self.ask(ProxyCommand.WITHDRAWN, DRAINED_ADDRESS)
+        withdrawal_times = self.ask(ProxyCommand.WITHDRAWN, DRAINED_ADDRESS)
         received = sum(self.ask(ProxyCommand.SIZES)) - sum(self.bytes_before)
         return {
-            "proxies that held the endpoint": len([at for at in withdrawn if at != 0.0]),
-            "withdrawal delay ms": delay_percentiles([at - drained for at in withdrawn if at]),
-            "proxies that still hold it": sum(at is None for at in withdrawn),
+            "proxies that held the endpoint": len(
+                [withdrawn_at for withdrawn_at in withdrawal_times if withdrawn_at != 0.0]
+            ),
+            "withdrawal delay ms": delay_percentiles(
+                [withdrawn_at - drained_at for withdrawn_at in withdrawal_times if withdrawn_at]
+            ),
+            "proxies that still hold it": sum(
+                withdrawn_at is None for withdrawn_at in withdrawal_times
+            ),
             "bytes per proxy": received // self.proxies,
             "CPU s of the withdrawal": round(self.controller_cpu() - cpu_before, 2),
         }
--- a/peatlead/benchmarks/lab_speed.py
+++ b/peatlead/benchmarks/lab_speed.py
@@ -21,8 +21,8 @@
 class Size(NamedTuple):
     """The size of a simulated fleet, its load and the simulated time."""
 
-    hosts: int
-    agents: int
+    endpoints: int
+    proxies: int
     rate: int  # requests per second
     length: int  # simulated seconds
 
@@ -40,9 +40,9 @@
         "speed",
         f"""
 day(length = {size.length}, seed = 1, stewards = 3)
-fleet(hosts = {size.hosts}, zones = ["a", "b", "c"])
+fleet(hosts = {size.endpoints}, zones = ["a", "b", "c"])
 desks(views = 0, shared = 0)
-agents(many = {size.agents}, rate = {size.rate})
+agents(many = {size.proxies}, rate = {size.rate})
 """,
     )
 
--- a/peatlead/benchmarks/scale.py
+++ b/peatlead/benchmarks/scale.py
@@ -121,7 +121,7 @@
             sizes = [result.endpoints * result.proxies for result in measured]
             seconds = [getattr(result, label)[name] for result in measured]
             axis.loglog(sizes, seconds, marker="o", label=label)
-        axis.set(title=name, xlabel="hosts x proxies", ylabel="CPU seconds")
+        axis.set(title=name, xlabel="endpoints x proxies", ylabel="CPU seconds")
         axis.legend()
     figure.tight_layout()
     figure.savefig(path, dpi=70)
--- a/peatlead/benchmarks/tables_wire.py
+++ b/peatlead/benchmarks/tables_wire.py
@@ -121,7 +121,7 @@
         # Channels for the planner's commands, and for the resulting deltas or whole tables.
         self.commands = Channel(CHANNEL_RATE, MESSAGE_OVERHEAD, 1e9)
         self.deltas = Channel(CHANNEL_RATE, MESSAGE_OVERHEAD, 1e9)
-        self.whole = Channel(CHANNEL_RATE, MESSAGE_OVERHEAD, 1e9)
+        self.whole_tables = Channel(CHANNEL_RATE, MESSAGE_OVERHEAD, 1e9)
         self.views: dict[int, ViewState] = {}
         self.streams: dict[int, IncrementalDiscovery] = {}
         self.last_sent: dict[int, Items] = {}  # by proxy
@@ -174,7 +174,7 @@
                 self.commands.offer(self.now, proxy, routed.messages[proxy], nonces)
             self.deliver_commands()
             self.empty_channel(self.deltas, self.counts.delta_waits)
-            self.empty_channel(self.whole, self.counts.whole_waits)
+            self.empty_channel(self.whole_tables, self.counts.whole_waits)
             self.now = round(self.now + TICK, 6)
 
     def deliver_commands(self) -> None:
@@ -234,7 +234,7 @@
             )
             self.counts.whole_bytes += size
         self.counts.whole_entries += len(items)
-        self.offer(self.whole, proxy, len(items))
+        self.offer(self.whole_tables, proxy, len(items))
 
     def offer(self, channel: Channel, proxy: int, entries: int) -> None:
         """Queue a message with the given number of placeholder operations."""
--- a/peatlead/benchmarks/tables_zone.py
+++ b/peatlead/benchmarks/tables_zone.py
@@ -58,12 +58,12 @@
             seconds.append(time.perf_counter() - start)
         query = ixfr_query(first)
         start = time.perf_counter()
-        incremental = transfer.respond_to_transfer(query, history, True)
-        whole = transfer.respond_to_transfer(dns.message.make_query(ORIGIN, "AXFR"), history, True)
+        ixfr = transfer.respond_to_transfer(query, history, True)
+        axfr = transfer.respond_to_transfer(dns.message.make_query(ORIGIN, "AXFR"), history, True)
         transfer_time = time.perf_counter() - start
         print(
             f"{views} views, {len(history.records)} records: "
             f"a version {1000 * min(seconds):.0f} ms; both transfers {1000 * transfer_time:.0f} ms"
-            f"; IXFR over three versions {sum(map(len, incremental))} bytes, "
-            f"AXFR {sum(map(len, whole))} bytes in {len(whole)} messages"
+            f"; IXFR over three versions {sum(map(len, ixfr))} bytes, "
+            f"AXFR {sum(map(len, axfr))} bytes in {len(axfr)} messages"
         )
--- a/tests/compatibility/test_mixed_fleet.py
+++ b/tests/compatibility/test_mixed_fleet.py
@@ -54,9 +54,9 @@
     }
 
 
-def fail_requests(world, host):
+def fail_requests(world, endpoint):
     """Lets all requests to a stand-in endpoint fail."""
-    world.endpoints[host].tell("errors", 1.0)
+    world.endpoints[endpoint].tell("errors", 1.0)
 
 
 # End of the section that uses names from inside the program.
