--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -164,7 +164,7 @@
     """Plays the cells of the study that the results file lacks; returns their number."""
     results = Results(str(path))
     try:
-        return run_study(Study("study", STUDY), results, workers=1, say=lambda text: None)
+        return run_study(Study("study", STUDY), results, workers=1, say=lambda line: None)
     finally:
         results.database.close()
 
