--- a/peatlead/invariants/__init__.py
+++ b/peatlead/invariants/__init__.py
@@ -1,1 +1,1 @@
-"""Recordings of what crossed the sockets, and the check of the five rules on them."""
+"""Recordings of the traffic on the sockets, and the rules that are checked on them."""
--- a/peatlead/invariants/availability.py
+++ b/peatlead/invariants/availability.py
@@ -1,100 +1,106 @@
-"""Rule 1: no client network or proxy without an endpoint for longer than the limit."""
+"""Rule 1: no view or proxy is without an endpoint for longer than the limit."""
 
 from typing import Optional
 
-from .findings import Finding, Limits, RowsByKind, finding, in_order
+from .findings import Finding, Limits, RowsByKind, make_finding, rows_by_time
 from .record import Row
 
-Subscriber = tuple[str, str]  # controller (or PROXIES), view or proxy
-PROXIES = "agents"  # stands for the controller where proxies say themselves what they hold
+Subscriber = tuple[str, str]  # (controller or PROXY_REPORTS, view or proxy)
+PROXY_REPORTS = "agents"  # replaces the controller's name in the Subscriber of a proxy
 
 
 class AvailabilityCheck:
-    """Follows since when each subscriber has had no entry, and keeps the longest span.
+    """Measures the longest time that a subscriber had no entry.
 
-    A view is judged by what the controller's messages left it with, and by runs of answers that
-    named none. A killed controller's duty ends; a frozen one gives no answers.
+    A view has no entry after a message that leaves one of its services empty, and during a run of
+    answers without addresses. A proxy has no entry while one of its tables is empty. Views of a
+    killed controller no longer count.
     """
 
     def __init__(self, rows: RowsByKind) -> None:
-        self.longest = 0.0  # seconds
-        self.subscriber: Optional[Subscriber] = None  # the one that was without for longest
-        self.without_entries: dict[Subscriber, float] = {}  # since when
-        self.empty_answers: dict[Subscriber, float] = {}  # since when
+        self.longest_gap = 0.0  # seconds
+        self.longest_gap_subscriber: Optional[Subscriber] = None
+        self.empty_since: dict[Subscriber, float] = {}
+        self.empty_answers_since: dict[Subscriber, float] = {}
         self.supplied_proxies: set[str] = set()
         self.proxies = {row.agent for row in rows["stream"]}
-        for row in in_order(rows, ("answer", "message", "steward", "stream", "order")):
-            self.take(row)
+        for row in rows_by_time(rows, ("answer", "message", "steward", "stream", "order")):
+            self.process_row(row)
         last = max((row.at for row in rows["message"] + rows["answer"]), default=0.0)
-        for subscriber, since in self.without_entries.items():
-            self.note(last - since, subscriber)
+        for subscriber, since in self.empty_since.items():
+            self.record_gap(last - since, subscriber)
 
-    def note(self, span: float, subscriber: Subscriber) -> None:
-        """A span without an entry has ended, or goes on."""
-        if span > self.longest:
-            self.longest = span
-            self.subscriber = subscriber
+    def record_gap(self, gap: float, subscriber: Subscriber) -> None:
+        """Store a gap without entries, in seconds, if it is the longest."""
+        if gap > self.longest_gap:
+            self.longest_gap = gap
+            self.longest_gap_subscriber = subscriber
 
-    def take(self, row: Row) -> None:
-        """Follow one row."""
+    def process_row(self, row: Row) -> None:
+        """Dispatch a row by its kind."""
         if row.kind == "steward":
-            self.take_controller(row)
+            self.process_controller_event(row)
         elif row.kind == "stream":
             if row.what == "joined" and row.agent not in self.supplied_proxies:
-                self.without_entries.setdefault((PROXIES, row.agent), row.at)
+                self.empty_since.setdefault((PROXY_REPORTS, row.agent), row.at)
         elif row.kind == "order":
-            self.take_assignment(row)
+            self.process_assignment(row)
         elif row.kind == "message":
-            self.take_message(row)
+            self.process_message(row)
         elif row.rcode != "none":
-            self.take_answer(row)
+            self.process_answer(row)
 
-    def take_controller(self, row: Row) -> None:
-        """A killed controller owes nothing any more."""
+    def process_controller_event(self, row: Row) -> None:
+        """Stop measuring the views of a killed controller, and all runs of empty answers."""
         if row.what == "killed":
-            self.without_entries = {
+            self.empty_since = {
                 subscriber: since
-                for subscriber, since in self.without_entries.items()
+                for subscriber, since in self.empty_since.items()
                 if subscriber[0] != row.steward
             }
-            self.empty_answers = {}
+            self.empty_answers_since = {}
 
-    def take_assignment(self, row: Row) -> None:
-        """A proxy has applied an assignment; `least` counts the entries of its shortest table."""
+    def process_assignment(self, row: Row) -> None:
+        """Start or end a proxy's gap; `least` is the number of entries in its shortest table."""
         if row.done != "applied":
             return
-        subscriber = PROXIES, row.agent
+        subscriber = PROXY_REPORTS, row.agent
         if row.least:
             self.supplied_proxies.add(row.agent)
-            self.note(row.at - self.without_entries.pop(subscriber, row.at), subscriber)
+            self.record_gap(row.at - self.empty_since.pop(subscriber, row.at), subscriber)
         else:
             self.supplied_proxies.discard(row.agent)
-            self.without_entries.setdefault(subscriber, row.at)
+            self.empty_since.setdefault(subscriber, row.at)
 
-    def take_message(self, row: Row) -> None:
-        """A message for a view has left a channel; proxies say themselves what they hold."""
+    def process_message(self, row: Row) -> None:
+        """Start or end a view's gap at a message that left the channel.
+
+        Messages to proxies are ignored: proxies record what they hold themselves.
+        """
         if row.view in self.proxies:
             return
         subscriber = row.steward, row.view
         if min(row.held, default=0) > 0:
-            self.note(row.at - self.without_entries.pop(subscriber, row.at), subscriber)
+            self.record_gap(row.at - self.empty_since.pop(subscriber, row.at), subscriber)
         else:
-            self.without_entries.setdefault(subscriber, row.at)
+            self.empty_since.setdefault(subscriber, row.at)
 
-    def take_answer(self, row: Row) -> None:
-        """A controller has answered a view, with or without addresses."""
+    def process_answer(self, row: Row) -> None:
+        """Start, extend or end a view's run of answers without addresses."""
         subscriber = row.steward, row.view
         if row.addresses:
-            self.empty_answers.pop(subscriber, None)
+            self.empty_answers_since.pop(subscriber, None)
         else:
-            self.note(row.at - self.empty_answers.setdefault(subscriber, row.at), subscriber)
+            self.record_gap(
+                row.at - self.empty_answers_since.setdefault(subscriber, row.at), subscriber
+            )
 
 
 def check_availability(rows: RowsByKind, limits: Limits) -> Finding:
-    """The longest span in which a view or proxy had no endpoint."""
+    """Return the longest time that a view or proxy had no endpoint."""
     check = AvailabilityCheck(rows)
     limit = limits["bare_most"]
-    said = f"longest {check.longest:.2f} s of {limit} s"
-    if check.subscriber:
-        said += f" ({check.subscriber[1]} at {check.subscriber[0]})"
-    return finding("1 a line to pick", check.longest / limit, said)
+    summary = f"longest {check.longest_gap:.2f} s of {limit} s"
+    if check.longest_gap_subscriber:
+        summary += f" ({check.longest_gap_subscriber[1]} at {check.longest_gap_subscriber[0]})"
+    return make_finding("1 a line to pick", check.longest_gap / limit, summary)
--- a/peatlead/invariants/checker.py
+++ b/peatlead/invariants/checker.py
@@ -1,7 +1,8 @@
-"""The rules, and service, checked on recordings of the sockets. Pure: rows in, findings out.
+"""Checks the rules and measures the service on recordings of the sockets, without any I/O.
 
-Nothing of a controller's insides is read, but for what its feed sent over a socket (messages, lines
-that wait). Rules 6 and 7 are checked where several controllers or versioned tables were recorded.
+The checks use no internal state of a controller except what the controller's feed sent over a
+socket: messages and the length of the queue. Rules 6 and 7 are checked where the recording holds
+assignments and versioned tables.
 """
 
 from collections import Counter, defaultdict
@@ -22,7 +23,7 @@
 
 
 def check(read: Recording, limits: Limits, gains: dict[str, float]) -> Report:
-    """The report of a day's recordings; `gains` is the gain of one request by class."""
+    """Return the report of a day's recording; `gains` is the gain of one request by class."""
     rows: defaultdict[str, list[Row]] = defaultdict(list)
     for row in read.rows:
         rows[row.kind].append(row)
--- a/peatlead/invariants/controller_knowledge.py
+++ b/peatlead/invariants/controller_knowledge.py
@@ -1,20 +1,20 @@
-"""Whether a controller can have known of a change: it ran while a true list showed it."""
+"""Whether a controller could know of a change: it ran while a correct endpoint list showed it."""
 
 from collections import defaultdict
 
-from .findings import READ_WITHIN, RowsByKind
+from .findings import MAX_LIST_READ_DELAY, RowsByKind
 from .record import Row
 
-Span = tuple[float, float]  # start and end, seconds
-AWAY = ("killed", "frozen")
-BACK = ("started", "woken")
+Interval = tuple[float, float]  # start and end, seconds
+ABSENCE_EVENTS = ("killed", "frozen")
+RETURN_EVENTS = ("started", "woken")
 
 
 class ControllerKnowledge:
-    """When lists were true, and when each controller ran.
+    """The times at which the endpoint list was correct and at which each controller was absent.
 
-    A controller that was frozen all the while, and woke to a list that was old by then, has nothing
-    to know a change by.
+    A controller that was frozen while a correct list showed a change, and that found an outdated
+    list when it resumed, could not know of the change.
     """
 
     def __init__(self, rows: RowsByKind) -> None:
@@ -24,40 +24,50 @@
             default=0.0,
         )
         ends = [row.at for row in lists[1:]] + [last]
-        self.true_lists: list[Span] = [(row.at, end) for row, end in zip(lists, ends) if row.told]
-        self.answering = sorted({row.steward for row in rows["answer"] if row.rcode != "none"})
-        self.absences = absences(rows["steward"], last)
-
-    def any_knew(self, since: float, now: float) -> bool:
-        """Whether one that answers, and runs now, can have known; True where none ever answered."""
-        return not self.answering or any(
-            self.knew(controller, since, now)
-            for controller in self.answering
+        self.accurate_periods: list[Interval] = [
+            (row.at, end) for row, end in zip(lists, ends) if row.told
+        ]
+        self.answering_controllers = sorted(
+            {row.steward for row in rows["answer"] if row.rcode != "none"}
+        )
+        self.absences = find_absences(rows["steward"], last)
+
+    def any_could_know(self, since: float, now: float) -> bool:
+        """Whether a controller that runs `now` and answers could know of a change at `since`.
+
+        True if no controller ever answered.
+        """
+        return not self.answering_controllers or any(
+            self.could_know(controller, since, now)
+            for controller in self.answering_controllers
             if not any(start <= now < end for start, end in self.absences[controller])
         )
 
-    def knew(self, controller: str, since: float, now: float) -> bool:
-        """Whether it ran for long enough beside a true list between two moments."""
-        for list_start, list_end in self.true_lists:
+    def could_know(self, controller: str, since: float, now: float) -> bool:
+        """Whether the controller ran long enough to read a correct list between two times."""
+        for list_start, list_end in self.accurate_periods:
             start = max(list_start, since)
             end = min(list_end, now)
-            for away, back in self.absences[controller]:
-                if away <= start < back:
-                    start = back
-                elif start < away < end:
-                    end = away
-            if end - start >= READ_WITHIN:
+            for absence_start, absence_end in self.absences[controller]:
+                if absence_start <= start < absence_end:
+                    start = absence_end
+                elif start < absence_start < end:
+                    end = absence_start
+            if end - start >= MAX_LIST_READ_DELAY:
                 return True
         return False
 
 
-def absences(events: list[Row], last: float) -> defaultdict[str, list[Span]]:
-    """By controller: the spans in which it was killed or frozen."""
-    found: defaultdict[str, list[Span]] = defaultdict(list)
+def find_absences(events: list[Row], last: float) -> defaultdict[str, list[Interval]]:
+    """Return the intervals in which each controller was killed or frozen.
+
+    An absence without an end lasts until `last`.
+    """
+    found: defaultdict[str, list[Interval]] = defaultdict(list)
     for row in events:
-        spans = found[row.steward]
-        if row.what in AWAY:
-            spans.append((row.at, last))
-        elif row.what in BACK and spans:
-            spans[-1] = spans[-1][0], row.at
+        intervals = found[row.steward]
+        if row.what in ABSENCE_EVENTS:
+            intervals.append((row.at, last))
+        elif row.what in RETURN_EVENTS and intervals:
+            intervals[-1] = intervals[-1][0], row.at
     return found
--- a/peatlead/invariants/drains.py
+++ b/peatlead/invariants/drains.py
@@ -1,123 +1,129 @@
-"""Rule 3: nothing is sent to an endpoint past the grace after it was listed as draining or gone."""
+"""Rule 3: no request is sent to an endpoint that left the list longer ago than the drain grace."""
 
 from collections import defaultdict
 
-from .controller_knowledge import AWAY, BACK, ControllerKnowledge
+from .controller_knowledge import ABSENCE_EVENTS, RETURN_EVENTS, ControllerKnowledge
 from .findings import (
-    NAMED_BREACHES,
-    STALE_RESOLVERS,
+    DRAIN_BOUND_RESOLVERS,
+    MAX_LISTED_BREACHES,
     Finding,
     Limits,
     RowsByKind,
-    finding,
-    in_order,
+    make_finding,
     readable_lists,
+    rows_by_time,
 )
 from .record import Row
 
-PROXY = "agent"  # the kind of receiver that stands for a proxy's table
+PROXY_RESOLVER = "agent"  # resolver kind in the rows of proxies
 
 
 class ProxyConnections:
-    """Since when each proxy has been connected to a controller that runs."""
+    """The time since which each proxy has been connected to a running controller."""
 
     def __init__(self) -> None:
         self.controllers: dict[str, str] = {}  # by proxy
         self.connected_at: dict[str, float] = {}  # by proxy
-        self.away: set[str] = set()  # controllers
+        self.absent_controllers: set[str] = set()  # killed or frozen
 
-    def take(self, row: Row) -> None:
-        """Follow a row on a stream or a controller."""
+    def process_row(self, row: Row) -> None:
+        """Apply a row about a stream or a controller."""
         if row.kind == "stream":
-            self.take_stream(row)
-        elif row.what in AWAY:
-            self.away.add(row.steward)
-        elif row.what in BACK:
-            self.away.discard(row.steward)
+            self.process_stream(row)
+        elif row.what in ABSENCE_EVENTS:
+            self.absent_controllers.add(row.steward)
+        elif row.what in RETURN_EVENTS:
+            self.absent_controllers.discard(row.steward)
             for proxy, controller in self.controllers.items():
                 if controller == row.steward:
                     self.connected_at[proxy] = row.at
 
-    def take_stream(self, row: Row) -> None:
-        """A proxy's stream began or ended."""
+    def process_stream(self, row: Row) -> None:
+        """Apply the start or the end of a proxy's stream."""
         if row.what == "joined":
             self.controllers[row.agent] = row.steward
             self.connected_at[row.agent] = row.at
         elif self.controllers.get(row.agent) == row.steward:
             del self.controllers[row.agent]
 
-    def since(self, proxy: str, now: float) -> float:
-        """Since when it has been connected; `now` where no running controller has it."""
+    def connected_since(self, proxy: str, now: float) -> float:
+        """Return the start of a proxy's connection, or `now` without a running controller."""
         controller = self.controllers.get(proxy)
-        if controller is None or controller in self.away:
+        if controller is None or controller in self.absent_controllers:
             return now
         return self.connected_at[proxy]
 
 
 class DrainCheck:
-    """Measures every attempt against the moment at which the list took its endpoint out."""
+    """Compares the time of each attempt with the time at which its endpoint left the list."""
 
     def __init__(self, rows: RowsByKind, grace: float, knowledge: ControllerKnowledge) -> None:
         self.grace = grace  # seconds
         self.knowledge = knowledge
         self.connections = ProxyConnections()
         self.removed_at: dict[str, float] = {}  # by address
-        self.newest_list = 0
-        self.worst = 0.0  # part of the grace
+        self.newest_version = 0
+        self.max_grace_fraction = 0.0  # longest time from a removal to an attempt / grace
         self.breaches: list[str] = []
         self.late_sends: defaultdict[str, dict[str, float]] = defaultdict(
             lambda: {"sends": 0, "after grace": 0, "worst": 0.0}
         )
-        self.readable = {id(row) for row in readable_lists(rows["list"])}
-        for row in in_order(rows, ("list", "try", "stream", "steward")):
-            self.take(row)
+        self.readable_list_ids = {id(row) for row in readable_lists(rows["list"])}
+        for row in rows_by_time(rows, ("list", "try", "stream", "steward")):
+            self.process_row(row)
 
-    def take(self, row: Row) -> None:
-        """Follow one row."""
+    def process_row(self, row: Row) -> None:
+        """Dispatch a row by its kind."""
         if row.kind in ("stream", "steward"):
-            self.connections.take(row)
+            self.connections.process_row(row)
         elif row.kind == "list":
-            self.take_list(row)
+            self.process_list(row)
         elif row.outcome == "sent":
-            self.take_attempt(row)
+            self.process_attempt(row)
 
-    def take_list(self, row: Row) -> None:
-        """An older list than the newest is not taken; a wrong one still restores endpoints."""
-        if row.version < self.newest_list:
+    def process_list(self, row: Row) -> None:
+        """Update the removal times; lists older than the newest are ignored.
+
+        An incorrect list does not start a drain, but an endpoint that it shows as ready is no
+        longer removed.
+        """
+        if row.version < self.newest_version:
             return
-        self.newest_list = row.version
+        self.newest_version = row.version
         for address, phase, _ in row.hosts.values():
             if phase == "ready":
                 self.removed_at.pop(address, None)
-            elif id(row) in self.readable:
+            elif id(row) in self.readable_list_ids:
                 self.removed_at.setdefault(address, row.at)
 
-    def take_attempt(self, row: Row) -> None:
-        """A request was sent to an endpoint."""
+    def process_attempt(self, row: Row) -> None:
+        """Compare an attempt that was sent with the removal of its endpoint."""
         removed_at = self.removed_at.get(row.address, row.at)
-        past = row.at - removed_at
+        elapsed = row.at - removed_at
         counts = self.late_sends[row.resolver]
         counts["sends"] += 1
-        counts["worst"] = max(counts["worst"], past - self.grace if past else 0.0)
-        counts["after grace"] += past > self.grace
-        if row.resolver == PROXY:  # the rule binds proxies while they are connected
-            past = min(past, row.at - self.connections.since(row.view, row.at))
-        elif past > self.grace and not self.knowledge.any_knew(removed_at, row.at):
-            return  # lab seeds 41001, 50050: frozen through the drain, then shown a wrong list
-        if row.resolver in STALE_RESOLVERS:
-            self.worst = max(self.worst, past / self.grace)
-            if past > self.grace:
-                self.breaches.append(f"{row.address} {past:.2f} s ({row.view}, {row.habit})")
+        counts["worst"] = max(counts["worst"], elapsed - self.grace if elapsed else 0.0)
+        counts["after grace"] += elapsed > self.grace
+        if row.resolver == PROXY_RESOLVER:  # the rule binds a proxy only while it is connected
+            elapsed = min(elapsed, row.at - self.connections.connected_since(row.view, row.at))
+        elif elapsed > self.grace and not self.knowledge.any_could_know(removed_at, row.at):
+            return  # no running controller could know of the drain
+        if row.resolver in DRAIN_BOUND_RESOLVERS:
+            self.max_grace_fraction = max(self.max_grace_fraction, elapsed / self.grace)
+            if elapsed > self.grace:
+                self.breaches.append(f"{row.address} {elapsed:.2f} s ({row.view}, {row.habit})")
 
 
 def check_drains(
     rows: RowsByKind, limits: Limits, knowledge: ControllerKnowledge
 ) -> tuple[Finding, dict[str, dict[str, float]]]:
-    """The latest send after a drain, and by kind of resolver the sends past the grace."""
+    """Return the latest send after a drain, and the sends after the grace by resolver kind."""
     grace = limits["drain_grace"]
     check = DrainCheck(rows, grace, knowledge)
-    said = f"last send {check.worst * grace:.2f} s of {grace} s"
+    summary = f"last send {check.max_grace_fraction * grace:.2f} s of {grace} s"
     if check.breaches:
-        said += ": " + ", ".join(check.breaches[:NAMED_BREACHES])
-    found = finding("3 drains kept", check.worst, said, len(check.breaches))
-    return found, dict(check.late_sends)
+        summary += ": " + ", ".join(check.breaches[:MAX_LISTED_BREACHES])
+    drain_finding = make_finding(
+        "3 drains kept", check.max_grace_fraction, summary, len(check.breaches)
+    )
+    return drain_finding, dict(check.late_sends)
--- a/peatlead/invariants/findings.py
+++ b/peatlead/invariants/findings.py
@@ -1,4 +1,4 @@
-"""What a check of recordings finds: one finding for each rule, and a report of a whole day."""
+"""Results of checking a recording: one finding per rule, and the report of a day."""
 
 from collections.abc import Iterable, Sequence
 from typing import Any, NamedTuple, Optional
@@ -8,17 +8,18 @@
 RowsByKind = dict[str, list[Row]]
 Limits = dict[str, Any]  # the settings' limits, by name
 
-NAMED_BREACHES = 5  # breaches that a finding names one by one
-READ_WITHIN = 0.25  # seconds in which a controller reads a new list: it looks every 0.2 s
-STALE_RESOLVERS = ("keeps", "agent")
-"""Kinds of receivers that drains bind: others serve expired answers, as RFC 8767 allows."""
+MAX_LISTED_BREACHES = 5  # breaches that a finding names one by one
+MAX_LIST_READ_DELAY = 0.25  # seconds until a controller, polling every 0.2 s, has read a new list
+DRAIN_BOUND_RESOLVERS = ("keeps", "agent")
+"""Resolver kinds that the drain rule binds; others use answers after their TTL (RFC 8767)."""
 
 
 class Finding(NamedTuple):
-    """One rule's result.
+    """The result of checking one rule.
 
-    `nearest` is the nearest approach as a part of the rule's limit, 1 or more is a breach;
-    `breaches` counts them; `said` names the nearest approach, or the breaches.
+    `fraction_of_limit` is the highest value seen, divided by the rule's limit; from 1 on the rule
+    is broken. Rules without a limit have the number of breaches instead. `breaches` is the number
+    of breaches, and `summary` describes the highest value or the breaches.
     """
 
     rule: str
@@ -28,7 +29,7 @@
 
 
 class FailedEndpoint(NamedTuple):
-    """How long an endpoint that fell silent or hung was still used, in seconds."""
+    """How long a silent or hung endpoint was still used, in seconds since the fault."""
 
     fault: str
     address: str
@@ -37,23 +38,23 @@
 
 
 class Takeover(NamedTuple):
-    """How many seconds a proxy was without a controller, and what had happened to it."""
+    """How many seconds a proxy was without a controller, and the cause."""
 
     cause: str
     duration: float
 
 
 class Report(NamedTuple):
-    """The findings of one day's recordings."""
+    """The findings and measurements of a day's recording."""
 
     findings: list[Finding]
-    service: dict[str, dict[str, Any]]  # by request class: requests, part of the gain, outcomes
-    late_sends: dict[str, dict[str, float]]  # by resolver kind: sends after a drain's grace
+    service: dict[str, dict[str, Any]]  # `measure_service`
+    late_sends: dict[str, dict[str, float]]  # `check_drains`, by resolver kind
     answers: dict[str, int]  # by resolver kind
     failed_endpoints: list[FailedEndpoint]
     takeovers: list[Takeover]
     rows: int
-    torn_bytes: int  # bytes at the end of files that held no whole row
+    torn_bytes: int  # incomplete rows at the end of files
 
     @property
     def all_rules_kept(self) -> bool:
@@ -61,10 +62,10 @@
         return all(not finding.breaches for finding in self.findings)
 
 
-def finding(
+def make_finding(
     rule: str, fraction_of_limit: float, summary: str, breaches: Optional[int] = None
 ) -> Finding:
-    """A finding; where breaches aren't counted, a nearest approach of 1 or more is one."""
+    """Return a finding; if breaches are not counted, a fraction of 1 or more is one breach."""
     return Finding(
         rule,
         fraction_of_limit,
@@ -73,19 +74,16 @@
     )
 
 
-def in_order(rows: RowsByKind, kinds: Iterable[str]) -> list[Row]:
-    """Rows of these kinds by time; those of one time in the order of the kinds."""
+def rows_by_time(rows: RowsByKind, kinds: Iterable[str]) -> list[Row]:
+    """Return the rows of these kinds by time; rows of the same time in the order of `kinds`."""
     return sorted((row for kind in kinds for row in rows[kind]), key=lambda row: row.at)
 
 
 def readable_lists(lists: Sequence[Row]) -> list[Row]:
-    """The lists that were true for long enough to be read.
-
-    One that was torn, or replaced before a controller looked again, reached nobody.
-    """
+    """Return the correct endpoint lists that stayed long enough for a controller to read them."""
     following: list[Optional[Row]] = [*lists[1:], None]
     return [
         row
         for row, after in zip(lists, following)
-        if row.told and (after is None or after.at - row.at >= READ_WITHIN)
+        if row.told and (after is None or after.at - row.at >= MAX_LIST_READ_DELAY)
     ]
--- a/peatlead/invariants/published_tables.py
+++ b/peatlead/invariants/published_tables.py
@@ -1,35 +1,45 @@
-"""Rule 7: proxies that check deltas hold what was published, and no endpoint is revived."""
+"""Rule 7: proxies hold the tables that were published, and removed endpoints do not come back."""
 
 from typing import Optional
 
 from .controller_knowledge import ControllerKnowledge
-from .findings import NAMED_BREACHES, Finding, Limits, RowsByKind, finding, in_order, readable_lists
+from .findings import (
+    MAX_LISTED_BREACHES,
+    Finding,
+    Limits,
+    RowsByKind,
+    make_finding,
+    readable_lists,
+    rows_by_time,
+)
 from .record import Row
 
-IN_FLIGHT = 1.5  # seconds in which a published version may not have arrived yet
-DOUBT = (
-    5.0  # seconds that an endpoint which the list calls gone may be kept while it seems to answer
-)
+MAX_DELIVERY_TIME = 1.5  # seconds from a version's publication to its arrival at the proxy
+GONE_CONFIRMATION_TIME = 5.0  # seconds that a gone endpoint may be kept while it answers
 
 
 class ListedRemovals:
-    """When lists took endpoints out, and how late a proxy is then given one."""
+    """The times at which endpoint lists removed endpoints."""
 
     def __init__(self, rows: RowsByKind, grace: float, knowledge: ControllerKnowledge) -> None:
         self.grace = grace  # seconds
         self.knowledge = knowledge
         self.draining_at: dict[str, float] = {}  # by address
         self.gone_at: dict[str, float] = {}  # by address
-        self.newest_list = 0
-        self.readable = {id(row) for row in readable_lists(rows["list"])}
+        self.newest_version = 0
+        self.readable_list_ids = {id(row) for row in readable_lists(rows["list"])}
+
+    def process_list(self, row: Row) -> None:
+        """Update the removal times.
 
-    def take(self, row: Row) -> None:
-        """A list; a torn one was read by nobody and sets no version (lab seed 81155)."""
-        if row.version < self.newest_list:
+        A list that no controller could read does not start a drain and does not make older
+        versions outdated.
+        """
+        if row.version < self.newest_version:
             return
-        readable = id(row) in self.readable
+        readable = id(row) in self.readable_list_ids
         if readable:
-            self.newest_list = row.version
+            self.newest_version = row.version
         for address, phase, _ in row.hosts.values():
             if phase == "ready":
                 self.draining_at.pop(address, None)
@@ -38,90 +48,91 @@
                 removals = self.draining_at if phase == "draining" else self.gone_at
                 removals.setdefault(address, row.at)
 
-    def late(self, controller: str, address: str, now: float) -> float:
-        """Seconds past the grace, by what the controller can have known.
+    def seconds_past_grace(self, controller: str, address: str, now: float) -> float:
+        """Return for how many seconds past the grace an endpoint has been removed, 0 for none.
 
-        That one is gone may be advice alone: it is in doubt for DOUBT seconds where no list said
-        that it drains.
+        Only removals that the controller could know of count. An endpoint that was listed as gone
+        but not as draining has GONE_CONFIRMATION_TIME seconds more.
         """
         draining_at = self.draining_at.get(address)
         gone_at = self.gone_at.get(address, now)
         if (
             draining_at is not None
             and now - draining_at > self.grace
-            and self.knowledge.knew(controller, draining_at, gone_at)
+            and self.knowledge.could_know(controller, draining_at, gone_at)
         ):
             return now - draining_at - self.grace
         if (
             address in self.gone_at
-            and now - gone_at > self.grace + DOUBT
-            and self.knowledge.knew(controller, gone_at, now - DOUBT)
+            and now - gone_at > self.grace + GONE_CONFIRMATION_TIME
+            and self.knowledge.could_know(controller, gone_at, now - GONE_CONFIRMATION_TIME)
         ):
             return now - gone_at - self.grace
         return 0.0
 
 
 class PublishedTablesCheck:
-    """Follows what each proxy holds, and compares its end with what was last published to it."""
+    """Checks the tables that proxies hold, and compares the last one with the last published."""
 
     def __init__(self, rows: RowsByKind, grace: float, knowledge: ControllerKnowledge) -> None:
         self.removals = ListedRemovals(rows, grace, knowledge)
-        self.held: dict[str, Row] = {}  # by proxy: the last row on what it holds
+        self.held: dict[str, Row] = {}  # last "held" row, by proxy
         self.controllers: dict[str, Optional[str]] = {}  # by proxy
-        self.wrong: list[str] = []
-        self.revived = 0
-        self.matching_ends = 0
-        for row in in_order(rows, ("list", "held", "stream")):
-            self.take(row)
+        self.violations: list[str] = []
+        self.revived_endpoints = 0
+        self.matching_final_tables = 0
+        for row in rows_by_time(rows, ("list", "held", "stream")):
+            self.process_row(row)
         self.controllers = {}
-        for row in in_order(rows, ("stream", "published")):
+        for row in rows_by_time(rows, ("stream", "published")):
             if row.kind == "stream":
-                self.take_stream(row)
+                self.process_stream(row)
             else:
-                self.compare_end(row)
+                self.compare_final_table(row)
 
-    def take(self, row: Row) -> None:
-        """Follow one row."""
+    def process_row(self, row: Row) -> None:
+        """Dispatch a row by its kind."""
         if row.kind == "stream":
-            self.take_stream(row)
+            self.process_stream(row)
         elif row.kind == "held":
-            self.take_held(row)
+            self.process_held_table(row)
         else:
-            self.removals.take(row)
+            self.removals.process_list(row)
 
-    def take_stream(self, row: Row) -> None:
-        """A proxy's stream began or ended."""
+    def process_stream(self, row: Row) -> None:
+        """Apply the start or the end of a proxy's stream."""
         self.controllers[row.agent] = row.steward if row.what == "joined" else None
 
-    def take_held(self, row: Row) -> None:
-        """A proxy has applied a delta."""
+    def process_held_table(self, row: Row) -> None:
+        """Check the table that a proxy holds after it has applied a delta."""
         self.held[row.agent] = row
         if not row.sound:
-            self.wrong.append(f"{row.agent}'s memory does not fit {row.epoch}.{row.serial}")
-        # On a stream that it gave up, what a cut link held up comes all at once, the removal last.
+            self.violations.append(f"{row.agent}'s memory does not fit {row.epoch}.{row.serial}")
+        # Delayed messages on an abandoned stream arrive together, with the removal last.
         if self.controllers.get(row.agent, row.steward) != row.steward:
             return
-        late = {
-            address: self.removals.late(row.steward, address, row.at) for address in row.addresses
+        seconds_past_grace = {
+            address: self.removals.seconds_past_grace(row.steward, address, row.at)
+            for address in row.addresses
         }
-        self.revived += sum(past > 0 for past in late.values())
-        self.wrong += [
-            f"{row.agent} was given {address} {past:.2f} s past the grace"
-            for address, past in late.items()
-            if past
+        self.revived_endpoints += sum(seconds > 0 for seconds in seconds_past_grace.values())
+        self.violations += [
+            f"{row.agent} was given {address} {seconds:.2f} s past the grace"
+            for address, seconds in seconds_past_grace.items()
+            if seconds
         ]
 
-    def compare_end(self, row: Row) -> None:
-        """Judge what a controller published last to a proxy that is still its own."""
+    def compare_final_table(self, row: Row) -> None:
+        """Compare a controller's last publication with the last table of a proxy it still has."""
         held = self.held.get(row.agent)
         if held is None or self.controllers.get(row.agent) != row.steward:
             return
         if held.digest == row.digest:
-            self.matching_ends += 1
+            self.matching_final_tables += 1
             return
         newer = (held.epoch, held.serial) > (row.epoch, row.serial)
-        if not newer and row.age >= IN_FLIGHT:
-            self.wrong.append(
+        if not newer and row.age >= MAX_DELIVERY_TIME:
+            self.violations.append(
                 f"{row.agent} holds {held.epoch}.{held.serial}, "
                 f"not what {row.steward} published as "
                 f"{row.epoch}.{row.serial} {row.age:.1f} s before"
@@ -131,11 +142,13 @@
 def check_published_tables(
     rows: RowsByKind, limits: Limits, knowledge: ControllerKnowledge
 ) -> Finding:
-    """Whether proxies end on what was published and hold no drained endpoint."""
+    """Check that proxies end with the published tables and hold no drained endpoint."""
     check = PublishedTablesCheck(rows, limits["drain_grace"], knowledge)
-    said = (
-        f"{len(rows['held'])} deltas applied, {check.matching_ends} agents end on what was last "
-        f"published, {check.revived} hosts revived, {len(rows['pin'])} pins"
+    summary = (
+        f"{len(rows['held'])} deltas applied, {check.matching_final_tables} agents end on what was "
+        f"last published, {check.revived_endpoints} hosts revived, {len(rows['pin'])} pins"
+    )
+    summary += "".join(f"; {violation}" for violation in check.violations[:MAX_LISTED_BREACHES])
+    return make_finding(
+        "7 tables as published", float(len(check.violations)), summary, len(check.violations)
     )
-    said += "".join(f"; {breach}" for breach in check.wrong[:NAMED_BREACHES])
-    return finding("7 tables as published", float(len(check.wrong)), said, len(check.wrong))
--- a/peatlead/invariants/record.py
+++ b/peatlead/invariants/record.py
@@ -1,10 +1,10 @@
-"""Recordings of what stand-ins sent and got: one row an event, msgpack in a zstandard stream.
+"""Recordings of the traffic of stand-ins: one row per event, msgpack in a zstandard stream.
 
-A file is a stream of rows `[kind, at, *fields]`; `ROWS` names the fields. Times are the machine's
-one monotonic clock, so rows of several processes can be laid side by side. A killed writer leaves a
-torn tail: the reader takes what is whole and counts the rest. Kinds and fields are the stored form
-and keep their names: `steward` is a controller, `agent` a proxy, `host` an endpoint, `req` a
-request.
+A file is a sequence of rows `[kind, at, *fields]`, each preceded by its length; `ROWS` names the
+fields. Times are in seconds on the machine's monotonic clock, so that rows of several processes can
+be compared. The file of a killed writer can end with an incomplete row; the reader returns the
+complete rows and counts the remaining bytes. The names of kinds and fields are part of the file
+format: `steward` is a controller, `agent` a proxy, `host` an endpoint, `req` a request.
 """
 
 import struct
@@ -15,46 +15,49 @@
 import zstandard
 
 ROWS = {
-    # An answer to a resolver: `rcode` as a text; "none" where no controller answered in time.
+    # A resolver's query: `rcode` as text, "none" if no controller answered in time; `took` seconds.
     "answer": ("view", "resolver", "steward", "rcode", "addresses", "lifetime", "took"),
-    # An attempt as the client made it: `sent` False where no byte of the request left.
+    # A client's attempt at a request: `sent` is False if no byte of the request was sent.
     "try": ("req", "kind", "view", "resolver", "habit", "address", "number", "outcome", "sent"),
-    # A request at its end: `at` is the end, `due` when it should have begun.
+    # A request that ended at `at`; `due` is the time at which it was due to start.
     "req": ("req", "kind", "view", "resolver", "habit", "outcome", "due", "tries", "gain"),
-    # At an endpoint: a request that took effect; `repeat` is its class's repeat semantics.
+    # At an endpoint: a request took effect; `repeat` is the repeat semantics of its class.
     "effect": ("host", "req", "kind", "repeat"),
-    # At an endpoint: work offered to it while cold, as a part of what overloads it.
+    # At a cold endpoint started at `since`: the offered load as a fraction of the overload limit.
     "cold": ("host", "part", "since"),
+    # At a cold endpoint: it is overloaded.
     "tipped": ("host", "since"),
-    # The endpoint list from then on: {name: [address, phase, started]}.
+    # A new endpoint list: {name: [address, phase, started]}; `told` is False for an incorrect one.
     "list": ("version", "hosts", "told"),
-    # From a controller's feed: one message that left its channel; `held`: entries that the view
-    # then holds, by service.
+    # From a controller's feed: a message left the channel; `waiting` is the queue and `most` its
+    # limit, both in entries; `held` is the number of entries that the view then has, by service.
     "message": ("steward", "view", "lines", "waiting", "most", "held"),
-    # A fault that the scenario made, and to whom.
+    # A fault that the scenario injected, and its targets.
     "trouble": ("name", "whom", "until"),
+    # A controller was started, killed, frozen, woken or told to drain.
     "steward": ("steward", "what"),
-    # At a proxy: its stream to a controller began ("joined") or ended ("lost").
+    # At a proxy: its stream to a controller started ("joined") or ended ("lost").
     "stream": ("agent", "steward", "what"),
-    # At a proxy: an assignment that came; `done`: "applied", "old" (not acted on) or "refused";
-    # `least`: the fewest entries of any request class that it then held.
+    # At a proxy: an assignment arrived; `done` is "applied", "old" (ignored) or "refused"; `least`
+    # is the number of entries in the proxy's shortest table after it.
     "order": ("agent", "steward", "epoch", "serial", "done", "least"),
-    # At a proxy that checks deltas: the digest of what it then held, whether its memory still fits
-    # that, the addresses.
+    # At a proxy that applied a delta: the digest of its table, whether the table matches the
+    # digest, and the addresses in its tables.
     "held": ("agent", "steward", "epoch", "serial", "digest", "sound", "addresses"),
-    # At a controller, at the end: the digest of what a proxy was last published.
+    # At a controller, at the end of the day: the last version published to a proxy, its digest, and
+    # its age in seconds.
     "published": ("steward", "agent", "epoch", "serial", "digest", "age"),
-    # An operator's pin: "pinned" or "resumed".
+    # An operator pinned or resumed a table; `what` is "pinned" or "resumed".
     "pin": ("steward", "pin", "what"),
 }
 
 
-LENGTH = struct.Struct(">I")  # before each row
-COMPRESSION = 3  # zstandard's level
+LENGTH = struct.Struct(">I")  # of a row in bytes, before each row
+COMPRESSION = 3  # zstandard level
 
 
 class Row(NamedTuple):
-    """One event; its fields are attributes too, but for those that the tuple's own names hide."""
+    """One event. Its fields can be read as attributes, except those hidden by the tuple's own."""
 
     kind: str
     at: float  # seconds on the machine's monotonic clock
@@ -68,7 +71,7 @@
 
 
 class Recorder:
-    """Writes rows; `flush` makes all so far readable."""
+    """Writes rows to a file."""
 
     def __init__(self, path: Union[str, Path]) -> None:
         self.file = open(path, "wb")  # noqa: SIM115 (closed by `close`)
@@ -77,7 +80,7 @@
         self.rows = 0
 
     def row(self, kind: str, at: float, *fields: Any) -> None:
-        """Write a row. Raises ValueError where the number of fields is wrong."""
+        """Write a row. Raises ValueError if the number of fields is not that of the kind."""
         if len(fields) != len(ROWS[kind]):
             raise ValueError(f"a row {kind} has {len(ROWS[kind])} fields, got {len(fields)}")
         data = self.encode((kind, at, *fields))
@@ -85,12 +88,12 @@
         self.rows += 1
 
     def flush(self) -> None:
-        """Make all rows so far readable."""
+        """Write buffered rows to the file, so that a reader finds all rows up to now."""
         self.compressor.flush(zstandard.FLUSH_BLOCK)
         self.file.flush()
 
     def close(self) -> None:
-        """End the file."""
+        """Finish the compressed stream and close the file."""
         self.compressor.close()
         if not self.file.closed:
             self.file.close()
@@ -100,11 +103,11 @@
     """Rows of one or more files."""
 
     rows: list[Row]
-    torn_bytes: int  # bytes at the end of files that held no whole row
+    torn_bytes: int  # incomplete rows at the end of files
 
 
 def read_file(path: Union[str, Path]) -> tuple[list[Row], int]:
-    """The whole rows of a file, and the bytes left over."""
+    """Return the complete rows of a file and the number of bytes after them."""
     data = decompress(path)
     rows = []
     position = 0
@@ -120,7 +123,7 @@
 
 
 def decompress(path: Union[str, Path]) -> bytearray:
-    """A file's content, as far as it is whole: its writer may have been killed."""
+    """Return a file's content up to the first damage, such as the end left by a killed writer."""
     data = bytearray()
     with open(path, "rb") as file:
         try:
@@ -132,12 +135,12 @@
 
 
 def read_folder(folder: Union[str, Path]) -> Recording:
-    """All rows of a folder's *.rec files, by time."""
+    """Return the rows of all `*.rec` files in a folder, by time."""
     rows: list[Row] = []
     torn_bytes = 0
     for path in sorted(Path(folder).glob("*.rec")):
-        found, left = read_file(path)
-        rows += found
-        torn_bytes += left
+        file_rows, leftover = read_file(path)
+        rows += file_rows
+        torn_bytes += leftover
     rows.sort(key=lambda row: row.at)
     return Recording(rows, torn_bytes)
--- a/peatlead/invariants/report.py
+++ b/peatlead/invariants/report.py
@@ -1,4 +1,4 @@
-"""A report as tables for people (rich) and as plain data."""
+"""Formats a report as tables for a terminal (rich) and as plain data for JSON."""
 
 from collections.abc import Iterable, Sequence
 from typing import Any, Optional
@@ -9,12 +9,21 @@
 from .findings import FailedEndpoint, Report, Takeover
 
 WIDTH = 118  # columns
-LOST = ("late", "errored", "denied", "shed", "timed out", "unreachable", "broken", "unresolved")
+LOSS_OUTCOMES = (
+    "late",
+    "errored",
+    "denied",
+    "shed",
+    "timed out",
+    "unreachable",
+    "broken",
+    "unresolved",
+)
 QUANTILES = (0.5, 0.99, 1.0)
 
 
 def print_report(report: Report, title: str, console: Optional[Console] = None) -> None:
-    """Print a report's tables; those of takeovers and failed endpoints only where there are any."""
+    """Print a report's tables, without those of takeovers and failed endpoints if empty."""
     console = console or Console(width=WIDTH)
     console.print(rules_table(report, title))
     console.print(service_table(report))
@@ -26,7 +35,7 @@
 
 
 def make_table(title: str, columns: Iterable[str], justify_right: bool) -> Table:
-    """An empty table."""
+    """Return a table without rows."""
     table = Table(title=title, title_justify="left")
     for column in columns:
         table.add_column(column, justify="right" if justify_right else "left")
@@ -34,81 +43,84 @@
 
 
 def rules_table(report: Report, title: str) -> Table:
-    """Each rule with its nearest approach."""
+    """Return the table of rules with their findings."""
     table = make_table(
-        f"{title}: the five rules, from {report.rows} rows of the sockets",
+        f"{title}: rules checked on {report.rows} recorded rows",
         ("rule", "nearest", "kept", "what was seen"),
         justify_right=False,
     )
-    for rule, nearest, breaches, said in report.findings:
+    for rule, fraction_of_limit, breaches, summary in report.findings:
         kept = f"NO ({breaches})" if breaches else "yes"
-        table.add_row(rule, f"{nearest:.2f}", kept, said)
+        table.add_row(rule, f"{fraction_of_limit:.2f}", kept, summary)
     return table
 
 
 def service_table(report: Report) -> Table:
-    """Gain by request class, and what became of requests that were lost."""
+    """Return the table of gains and of the outcomes of late and failed requests, by class."""
     table = make_table(
-        "service: gain earned within the response target over gain asked for",
-        ("request kind", "reqs", "service", *LOST),
+        "service: earned gain as a fraction of the gain of all requests",
+        ("request kind", "reqs", "service", *LOSS_OUTCOMES),
         justify_right=True,
     )
-    for request_class, found in report.service.items():
-        lost = [str(found["outcomes"].get(outcome, 0)) for outcome in LOST]
-        table.add_row(request_class, str(found["reqs"]), f"{found['part']:.4f}", *lost)
+    for request_class, figures in report.service.items():
+        loss_counts = [str(figures["outcomes"].get(outcome, 0)) for outcome in LOSS_OUTCOMES]
+        table.add_row(request_class, str(figures["reqs"]), f"{figures['part']:.4f}", *loss_counts)
     return table
 
 
 def late_sends_table(report: Report) -> Table:
-    """Sends past a drain's grace by kind of resolver."""
+    """Return the table of sends after a drain's grace, by resolver kind."""
     table = make_table(
-        "sends to hosts past their drain's grace, by kind of resolver",
-        ("resolver", "answers", "sends", "after the grace", "worst past it"),
+        "attempts at endpoints after their drain grace, by resolver kind",
+        ("resolver", "answers", "sends", "after the grace", "latest after the grace"),
         justify_right=True,
     )
-    for resolver, found in sorted(report.late_sends.items()):
+    for resolver, figures in sorted(report.late_sends.items()):
         table.add_row(
             resolver,
             str(report.answers.get(resolver, 0)),
-            str(found["sends"]),
-            str(found["after grace"]),
-            f"{max(0.0, found['worst']):.2f} s",
+            str(figures["sends"]),
+            str(figures["after grace"]),
+            f"{max(0.0, figures['worst']):.2f} s",
         )
     return table
 
 
 def takeovers_table(takeovers: Sequence[Takeover]) -> Table:
-    """How long proxies were without a controller, by cause."""
+    """Return the table of times that proxies were without a controller, by cause."""
     table = make_table(
-        "agents of a struck controller: seconds until joined again",
+        "proxies of a killed, frozen or draining controller: seconds until reconnected",
         ("what", "agents", "median", "99th", "worst"),
         justify_right=True,
     )
     for cause in sorted({takeover.cause for takeover in takeovers}):
         spans = sorted(takeover.duration for takeover in takeovers if takeover.cause == cause)
-        quantiles = [spans[int((len(spans) - 1) * part)] for part in QUANTILES]
+        quantiles = [spans[int((len(spans) - 1) * quantile)] for quantile in QUANTILES]
         table.add_row(cause, str(len(spans)), *(f"{span:.2f}" for span in quantiles))
     return table
 
 
 def failed_endpoints_table(failed: Sequence[FailedEndpoint]) -> Table:
-    """How long failed endpoints were still named and used, by fault."""
+    """Return the table of times that failed endpoints were still answered and used, by fault."""
     table = make_table(
-        "hosts that failed without a word: seconds until",
-        ("trouble", "hosts", "the last answer: middle, worst", "the last send: middle, worst"),
+        "silent and hung endpoints: seconds from the fault to",
+        ("trouble", "hosts", "last answer: median, longest", "last attempt: median, longest"),
         justify_right=True,
     )
     for fault in sorted({endpoint.fault for endpoint in failed}):
-        mine = [endpoint for endpoint in failed if endpoint.fault == fault]
-        answers = sorted(endpoint.until_last_answer for endpoint in mine)
-        attempts = sorted(endpoint.until_last_attempt for endpoint in mine)
-        spans = [f"{ends[len(ends) // 2]:.1f}, {ends[-1]:.1f}" for ends in (answers, attempts)]
-        table.add_row(fault, str(len(mine)), *spans)
+        endpoints = [endpoint for endpoint in failed if endpoint.fault == fault]
+        answers = sorted(endpoint.until_last_answer for endpoint in endpoints)
+        attempts = sorted(endpoint.until_last_attempt for endpoint in endpoints)
+        spans = [
+            f"{sorted_seconds[len(sorted_seconds) // 2]:.1f}, {sorted_seconds[-1]:.1f}"
+            for sorted_seconds in (answers, attempts)
+        ]
+        table.add_row(fault, str(len(endpoints)), *spans)
     return table
 
 
 def as_data(report: Report) -> dict[str, Any]:
-    """A report as plain values, the form of `report.json`."""
+    """Return a report as plain values, the content of `report.json`."""
     return {
         "kept": report.all_rules_kept,
         "rows": report.rows,
--- a/peatlead/invariants/service.py
+++ b/peatlead/invariants/service.py
@@ -1,39 +1,43 @@
-"""What clients got: gain by request class, and how long failed endpoints were still used."""
+"""Service to clients: gain by request class, and how long failed endpoints were still used."""
 
 from collections import Counter
 from typing import Any
 
-from .findings import STALE_RESOLVERS, FailedEndpoint, RowsByKind
+from .findings import DRAIN_BOUND_RESOLVERS, FailedEndpoint, RowsByKind
 from .record import Row
 
-SILENT_FAULTS = ("silent", "hung")  # faults in which an endpoint reports nothing
+SILENT_FAULTS = ("silent", "hung")  # faults of endpoints that stop responding
 
 
 def measure_service(requests: list[Row], gains: dict[str, float]) -> dict[str, dict[str, Any]]:
-    """By request class and for the whole: requests, part of the gain that was earned, outcomes.
+    """Return the summary of each request class and, with the key "whole", of all requests.
 
     `gains` is the gain of one request by class.
     """
-    found = {}
+    results = {}
     for request_class, gain in gains.items():
-        mine = [row for row in requests if row.req and row.fields["kind"] == request_class]
-        found[request_class] = summarize(mine, gain * len(mine))
-    asked = sum(gain * found[request_class]["reqs"] for request_class, gain in gains.items())
-    found["whole"] = summarize(requests, asked)
-    return found
+        class_requests = [
+            row for row in requests if row.req and row.fields["kind"] == request_class
+        ]
+        results[request_class] = summarize(class_requests, gain * len(class_requests))
+    requested_gain = sum(
+        gain * results[request_class]["reqs"] for request_class, gain in gains.items()
+    )
+    results["whole"] = summarize(requests, requested_gain)
+    return results
 
 
-def summarize(requests: list[Row], asked: float) -> dict[str, Any]:
-    """Requests, part of the asked gain that was earned, outcomes."""
+def summarize(requests: list[Row], requested_gain: float) -> dict[str, Any]:
+    """Return the number of requests, the earned fraction of the gain, and counts of outcomes."""
     return {
         "reqs": len(requests),
-        "part": sum(row.gain for row in requests) / max(1e-9, asked),
+        "part": sum(row.gain for row in requests) / max(1e-9, requested_gain),
         "outcomes": dict(Counter(row.outcome for row in requests)),
     }
 
 
 def failed_endpoints(rows: RowsByKind) -> list[FailedEndpoint]:
-    """For each endpoint that fell silent or hung: until when it was named and used."""
+    """Return how long each endpoint that became silent or hung was still answered and used."""
     return [
         FailedEndpoint(
             fault.name,
@@ -48,14 +52,14 @@
 
 
 def last_use(uses: list[Row], fault: Row, address: str) -> float:
-    """When an answer named the address, or an attempt went there, last in the fault."""
+    """Return the time of the last answer or attempt with an address during a fault."""
     return max(
         (
             row.at
             for row in uses
             if fault.at < row.at < fault.until
             and address in (row.addresses if row.kind == "answer" else [row.address])
-            and row.resolver in STALE_RESOLVERS
+            and row.resolver in DRAIN_BOUND_RESOLVERS
         ),
         default=fault.at,
     )
--- a/peatlead/invariants/slow_start.py
+++ b/peatlead/invariants/slow_start.py
@@ -4,14 +4,14 @@
 from typing import NamedTuple, Optional
 
 from .controller_knowledge import ControllerKnowledge
-from .findings import NAMED_BREACHES, Finding, Limits, RowsByKind, finding, readable_lists
+from .findings import MAX_LISTED_BREACHES, Finding, Limits, RowsByKind, make_finding, readable_lists
 from .record import Row
 
-SAME_START = 0.2  # seconds between a start as the endpoint and as the list has it
+START_TOLERANCE = 0.2  # seconds between the listed start and the endpoint's own
 
 
 class ListedStart(NamedTuple):
-    """A start that a list showed, when it was listed, and from when the rule binds."""
+    """A listed start of an endpoint, and the time from which the rule applies to it."""
 
     started_at: float
     listed_at: float
@@ -19,55 +19,51 @@
 
 
 def listed_starts(lists: list[Row], grace: float) -> defaultdict[str, list[ListedStart]]:
-    """By endpoint, each start that readable lists showed.
+    """Return the starts that readable lists showed, by endpoint.
 
-    The rule binds from the drain grace after the list: an endpoint that dies and is back at once,
-    still in every table, may be overloaded before anybody can know that it is cold. One that is new
-    on the list is in no table but by controllers that knew of it.
+    For an endpoint's first listed start the rule applies at once: only controllers that know the
+    endpoint have it in a table. For a restart it applies after the drain grace: the endpoint is
+    still in all tables and can be overloaded before a controller can know that it is cold.
     """
-    found: defaultdict[str, list[ListedStart]] = defaultdict(list)
+    starts_by_endpoint: defaultdict[str, list[ListedStart]] = defaultdict(list)
     for row in readable_lists(lists):
         for name, (_, phase, started) in row.hosts.items():
-            starts = found[name]
+            starts = starts_by_endpoint[name]
             if phase == "ready" and (not starts or starts[-1].started_at != started):
                 starts.append(ListedStart(started, row.at, row.at + (grace if starts else 0.0)))
-    return found
+    return starts_by_endpoint
 
 
 def check_slow_start(rows: RowsByKind, limits: Limits, knowledge: ControllerKnowledge) -> Finding:
-    """The largest load offered to a cold endpoint, as a part of what overloads it."""
+    """Return the largest load offered to a cold endpoint, as a fraction of the overload limit."""
     starts = listed_starts(rows["list"], limits["drain_grace"])
-    nearest = 0.0
-    nearest_endpoint: Optional[str] = None
+    max_fraction = 0.0
+    max_endpoint: Optional[str] = None
     overloaded: set[str] = set()
-    too_early: set[str] = set()  # before their start could be known
+    unknown_starts: set[str] = set()  # endpoints overloaded before their start could be known
     for row in rows["cold"] + rows["tipped"]:
         known = start_was_known(row, starts[row.host], knowledge)
         if row.kind == "tipped":
-            (overloaded if known else too_early).add(row.host)
-        elif known and row.part > nearest:
-            nearest = row.part
-            nearest_endpoint = row.host
-    said = "no host was known to be cold"
+            (overloaded if known else unknown_starts).add(row.host)
+        elif known and row.part > max_fraction:
+            max_fraction = row.part
+            max_endpoint = row.host
+    summary = "no host was known to be cold"
     if overloaded:
-        said = f"tipped: {', '.join(sorted(overloaded)[:NAMED_BREACHES])}"
-        nearest = max(1.0, nearest)
-    elif nearest_endpoint:
-        said = f"nearest {nearest_endpoint}"
-    if too_early:
-        said += f"; {len(too_early)} tipped before their start could be known"
-    return finding("4 no cold host pushed over", nearest, said, len(overloaded))
+        summary = f"tipped: {', '.join(sorted(overloaded)[:MAX_LISTED_BREACHES])}"
+        max_fraction = max(1.0, max_fraction)
+    elif max_endpoint:
+        summary = f"nearest {max_endpoint}"
+    if unknown_starts:
+        summary += f"; {len(unknown_starts)} tipped before their start could be known"
+    return make_finding("4 no cold host pushed over", max_fraction, summary, len(overloaded))
 
 
 def start_was_known(row: Row, starts: list[ListedStart], knowledge: ControllerKnowledge) -> bool:
-    """Whether the rule bound at a row.
-
-    Lab seed 40374 (dns): the only controller was frozen through the start, and woke to a shrunk
-    list.
-    """
-    shown = [start for start in starts if start.started_at >= row.since - SAME_START]
+    """Whether the rule applied at a row: the start was listed and a controller could know of it."""
+    shown = [start for start in starts if start.started_at >= row.since - START_TOLERANCE]
     return (
         bool(shown)
         and row.at > shown[0].binds_at
-        and knowledge.any_knew(shown[0].listed_at, row.at)
+        and knowledge.any_could_know(shown[0].listed_at, row.at)
     )
--- a/peatlead/invariants/takeovers.py
+++ b/peatlead/invariants/takeovers.py
@@ -1,17 +1,17 @@
-"""How long proxies of a struck controller were without one."""
+"""How long the proxies of a failed or draining controller were without a controller."""
 
 from typing import NamedTuple
 
-from .findings import RowsByKind, Takeover, in_order
+from .findings import RowsByKind, Takeover, rows_by_time
 from .record import Row
 
-STRUCK = ("killed", "frozen", "draining")
-BACK = ("started", "woken")
-NEVER_AFTER = 5.0  # seconds from which a proxy that waits at the end counts as never taken over
+FAILURE_EVENTS = ("killed", "frozen", "draining")
+RETURN_EVENTS = ("started", "woken")
+MIN_UNRESOLVED_WAIT = 5.0  # seconds; a proxy waiting longer at the end was never taken over
 
 
-class Waiting(NamedTuple):
-    """A proxy without a controller: what happened to which controller, and when."""
+class PendingTakeover(NamedTuple):
+    """A proxy without a controller: the cause, its time in seconds, and the controller."""
 
     cause: str
     since: float
@@ -19,53 +19,53 @@
 
 
 class TakeoverCheck:
-    """Follows which controller each proxy is connected to."""
+    """Follows the connections of proxies and measures takeovers by other controllers."""
 
     def __init__(self, rows: RowsByKind) -> None:
         self.controllers: dict[str, str] = {}  # by proxy
-        self.waiting: dict[str, Waiting] = {}  # by proxy
+        self.pending: dict[str, PendingTakeover] = {}  # by proxy
         self.takeovers: list[Takeover] = []
-        for row in in_order(rows, ("stream", "steward")):
+        for row in rows_by_time(rows, ("stream", "steward")):
             if row.kind == "steward":
-                self.take_controller(row)
+                self.process_controller_event(row)
             else:
-                self.take_stream(row)
+                self.process_stream(row)
 
-    def take_controller(self, row: Row) -> None:
-        """A controller was struck, or is back."""
-        if row.what in STRUCK:
+    def process_controller_event(self, row: Row) -> None:
+        """Apply the failure, the drain or the return of a controller."""
+        if row.what in FAILURE_EVENTS:
             for proxy, controller in self.controllers.items():
                 if controller == row.steward:
-                    self.waiting.setdefault(proxy, Waiting(row.what, row.at, row.steward))
-        elif row.what in BACK:
-            # Frozen for so short a time that its proxies never left: no takeover took place.
-            stayed = [
+                    self.pending.setdefault(proxy, PendingTakeover(row.what, row.at, row.steward))
+        elif row.what in RETURN_EVENTS:
+            # The controller was frozen so briefly that these proxies stayed connected.
+            still_connected = [
                 proxy
-                for proxy, waiting in self.waiting.items()
-                if waiting.controller == row.steward == self.controllers.get(proxy)
+                for proxy, pending in self.pending.items()
+                if pending.controller == row.steward == self.controllers.get(proxy)
             ]
-            for proxy in stayed:
-                waiting = self.waiting.pop(proxy)
-                self.takeovers.append(Takeover(f"{waiting.cause}, stayed", row.at - waiting.since))
+            for proxy in still_connected:
+                pending = self.pending.pop(proxy)
+                self.takeovers.append(Takeover(f"{pending.cause}, stayed", row.at - pending.since))
 
-    def take_stream(self, row: Row) -> None:
-        """A proxy's stream began or ended."""
+    def process_stream(self, row: Row) -> None:
+        """Apply the start or the end of a proxy's stream."""
         if row.what == "joined":
             self.controllers[row.agent] = row.steward
-            if row.agent in self.waiting:
-                waiting = self.waiting.pop(row.agent)
-                self.takeovers.append(Takeover(waiting.cause, row.at - waiting.since))
-        elif self.controllers.get(row.agent) == row.steward and row.agent not in self.waiting:
-            self.waiting[row.agent] = Waiting("lost", row.at, row.steward)
+            if row.agent in self.pending:
+                pending = self.pending.pop(row.agent)
+                self.takeovers.append(Takeover(pending.cause, row.at - pending.since))
+        elif self.controllers.get(row.agent) == row.steward and row.agent not in self.pending:
+            self.pending[row.agent] = PendingTakeover("lost", row.at, row.steward)
 
 
 def find_takeovers(rows: RowsByKind) -> list[Takeover]:
-    """One for each proxy of a struck controller; those that still wait at the end come last."""
+    """Return the takeovers of all proxies; proxies that still wait at the end come last."""
     check = TakeoverCheck(rows)
     last = max((row.at for row in rows["stream"]), default=0.0)
     never = [
-        Takeover(f"{waiting.cause}, never", last - waiting.since)
-        for waiting in check.waiting.values()
-        if last - waiting.since > NEVER_AFTER
+        Takeover(f"{pending.cause}, never", last - pending.since)
+        for pending in check.pending.values()
+        if last - pending.since > MIN_UNRESOLVED_WAIT
     ]
     return check.takeovers + never
