--- a/peatlead/benchmarks/tables_store.py
+++ b/peatlead/benchmarks/tables_store.py
@@ -77,7 +77,8 @@
         histories, stored = traced(lambda: build_histories(changed))  # noqa: B023
         start = time.perf_counter()
         right = all(
-            history.at_version(Version(1, 2)) == each[1] for history, each in zip(histories, copies)
+            history.items_at_version(Version(1, 2)) == each[1]
+            for history, each in zip(histories, copies)
         )
         restore = (time.perf_counter() - start) / len(histories)
         count = sum(map(len, states))
--- a/peatlead/controller/pin_commands.py
+++ b/peatlead/controller/pin_commands.py
@@ -27,13 +27,13 @@
 class PinRequest(NamedTuple):
     """An operator's request for a pin; the fields are those of `tables.pin.Pin`."""
 
-    whom: str
-    which: str
+    scope: str
+    scope_argument: str
     target: str
-    to: str
-    over: float
+    target_argument: str
+    rollout_duration: float
     length: float
-    by: str
+    operator: str
 
 
 def author(arguments: Arguments) -> str:
@@ -88,11 +88,11 @@
         self._controller.log(
             "tables pinned",
             pin=pin.id,
-            whom=pin.whom,
-            which=pin.which,
+            whom=pin.scope,
+            which=pin.scope_argument,
             target=pin.target,
-            to=pin.to,
-            by=pin.by,
+            to=pin.target_argument,
+            by=pin.operator,
         )
         return {"pin": pin.id}
 
@@ -103,7 +103,7 @@
         pin = self._control.pins.resume(now, arguments["pin"], over)
         self._control.commit_change(now)
         self._controller.log("pin ended by operator", pin=pin.id, by=author(arguments))
-        return {"pin": pin.id, "over": pin.over}
+        return {"pin": pin.id, "over": pin.rollout_duration}
 
     def _dry_run(self, now: float, request: PinRequest) -> Answer:
         """Return what a complete rollout of a pin would change, and what the guard removes."""
@@ -157,11 +157,11 @@
         id="dry",
         sequence=0,
         revision=1,
-        whom=request.whom,
-        which=request.which,
+        scope=request.scope,
+        scope_argument=request.scope_argument,
         target=request.target,
-        to=request.to,
-        over=0.0,
+        target_argument=request.target_argument,
+        rollout_duration=0.0,
         age=0.0,
         remaining=request.length,
     )
--- a/peatlead/controller/pin_targets.py
+++ b/peatlead/controller/pin_targets.py
@@ -110,10 +110,12 @@
             if pin.target == "held":
                 return PastTable(history.newest_version, dict(history.items))
             if pin.target == "version":
-                version = parse_version(pin.to)
-                return PastTable(version, history.at_version(version))
+                version = parse_version(pin.target_argument)
+                return PastTable(version, history.items_at_version(version))
             age = self._controller.loop.time() - active.created_at
-            return PastTable(*history.at_time(self._wall_clock() - age - float(pin.to)))
+            return PastTable(
+                *history.state_at_time(self._wall_clock() - age - float(pin.target_argument))
+            )
         except UnknownVersionError:
             return None
 
--- a/peatlead/controller/pinned_tables.py
+++ b/peatlead/controller/pinned_tables.py
@@ -212,4 +212,4 @@
     def _cause(self, name: str, active: ActivePin | None) -> str:
         if active is None:
             return f"{self.applied_pins[name]} ended"
-        return f"held by {active.pin.id} {active.pin.by}".rstrip()
+        return f"held by {active.pin.id} {active.pin.operator}".rstrip()
--- a/peatlead/controller/table_queries.py
+++ b/peatlead/controller/table_queries.py
@@ -91,12 +91,12 @@
         name, history = self._history_of(arguments["proxy"])
         asked_version = arguments.get("version")
         version = parse_version(asked_version) if asked_version else history.newest_version
-        items = history.at_version(version)
+        items = history.items_at_version(version)
         active = self._publication.pin_of(name, self._controller.recipients.zone_of(name))
         return {
             "proxy": name,
             "version": str(version),
-            "digest": history.digest_at(version) or str(history.digest),
+            "digest": history.digest_of_version(version) or str(history.digest),
             "items": [self._formatter.item(key, items[key]) for key in sorted(items)],
             "pinned by": active.pin.id if active else None,
         }
@@ -107,7 +107,7 @@
         versions = [parse_version(arguments[side]) for side in ("one", "other")]
         if NO_VERSION in versions:
             raise PinError("expected two versions, EPOCH.SERIAL each")
-        before, after = (history.at_version(version) for version in versions)
+        before, after = (history.items_at_version(version) for version in versions)
         return {"proxy": name, "changes": self._formatter.difference(before, after)}
 
     def ends(self, _: Arguments) -> Answer:
@@ -136,7 +136,7 @@
             "proxies": len(self._controller.recipients.all_recipients()),
             "versions": store.entry_count,
             "bytes": store.memory_bytes,
-            "dropped": store.dropped,
+            "dropped": store.dropped_entries,
             "kept on disk": log.failure is None,
             "why not": log.failure,
             "not kept": log.lost_versions,
@@ -187,14 +187,14 @@
         unknown = self._publication.targets.unknown
         return {
             "pin": pin.id,
-            "whom": pin.whom,
-            "which": pin.which,
+            "whom": pin.scope,
+            "which": pin.scope_argument,
             "target": pin.target,
-            "to": pin.to,
-            "by": pin.by,
+            "to": pin.target_argument,
+            "by": pin.operator,
             "age": now - active.created_at,
             "left": max(0.0, active.expires_at - now),
-            "over": pin.over,
+            "over": pin.rollout_duration,
             "ended": None if active.ended_at is None else now - active.ended_at,
             "holds here": held_here,
             "covered by a later pin": covered - held_here,
--- a/peatlead/grpc/incremental.py
+++ b/peatlead/grpc/incremental.py
@@ -22,7 +22,7 @@
 from envoy.service.discovery.v3 import discovery_pb2
 from google.protobuf.any_pb2 import Any
 
-from ..tables.replica import BASE, DIGEST
+from ..tables.replica import BASE_DIFFERS, DIGEST_DIFFERS
 from ..tables.version import WHOLE_STATE, Digest, Stamp, Version, changes, parse_stamp
 from .discovery import MAX_ERROR_TEXT, MAX_SUBSCRIPTIONS, Nack
 from .resources import (
@@ -41,7 +41,10 @@
     ROUTE_TYPE_URL: "retry",
 }  # part of the tables by type URL
 MAX_FULL_RESYNCS = 3  # consecutive responses with the full state after rejections
-MISMATCHES = (BASE, DIGEST)  # error messages of a proxy whose state differs from the assumed one
+MISMATCHES = (
+    BASE_DIFFERS,
+    DIGEST_DIFFERS,
+)  # error messages of a proxy whose state differs from the assumed one
 WILDCARD = "*"
 COLLECTION_SUFFIX = "/*"
 
--- a/peatlead/planner/health_checks.py
+++ b/peatlead/planner/health_checks.py
@@ -33,12 +33,12 @@
         context: PlannerContext,
         changes: TableChanges,
         schedule: EndpointSchedule,
-        reports: ReportRound,
+        report_round: ReportRound,
     ) -> None:
         self.context = context
         self.changes = changes
         self.schedule = schedule
-        self.reports = reports
+        self.report_round = report_round
         self.interval = CHECK_INTERVAL  # seconds between two checks of an endpoint
 
     def update_interval(self) -> None:
@@ -88,7 +88,7 @@
             endpoint.passed_checks += 1
             endpoint.failed_checks = 0
         if not self.context.settings.get("tries_told", True):
-            self.reports.note_report()  # without reported attempts, checks start the rounds
+            self.report_round.note_report()  # without reported attempts, checks start the rounds
 
     def _confirm(self, endpoint: EndpointState, outcome: str) -> None:
         """Mark the endpoint as existing, since the list may name endpoints that do not exist."""
--- a/peatlead/planner/load_relief.py
+++ b/peatlead/planner/load_relief.py
@@ -62,7 +62,7 @@
         if self.context.now - endpoint.relieved_at > MIN_RELIEF_INTERVAL:
             endpoint.next_restore_at = self.context.now
 
-    def restore_if_due(self, endpoint: EndpointState) -> None:
+    def restore_traffic_if_due(self, endpoint: EndpointState) -> None:
         """Restore one step of traffic when it is due."""
         if endpoint.traffic_fraction < 1 and self.context.now >= endpoint.next_restore_at:
             self.set_traffic_fraction(endpoint, min(1.0, endpoint.traffic_fraction + TRAFFIC_STEP))
--- a/peatlead/planner/load_statistics.py
+++ b/peatlead/planner/load_statistics.py
@@ -36,10 +36,10 @@
     """Sums of attempts, errors and latency by endpoint."""
 
     def __init__(
-        self, context: PlannerContext, reports: ReportRound, health_checks: HealthChecks
+        self, context: PlannerContext, report_round: ReportRound, health_checks: HealthChecks
     ) -> None:
         self.context = context
-        self.reports = reports
+        self.report_round = report_round
         self.health_checks = health_checks
         self.cycle: float = context.settings.get("sums_every", 1.0)  # seconds between reports
         self.last_success_at = 0.0  # at any endpoint
@@ -47,7 +47,7 @@
     def on_endpoint_stats(self, event: EndpointStats) -> None:
         """Add a report of one endpoint by the proxies of one zone."""
         endpoint = self.context.endpoints.get(event.endpoint)
-        self.reports.note_report()
+        self.report_round.note_report()
         if endpoint is None or self._from_before_start(event, endpoint):
             return
         # If the number of reports is limited, each report covers several cycles.
--- a/peatlead/planner/outlier_detection.py
+++ b/peatlead/planner/outlier_detection.py
@@ -156,7 +156,7 @@
             f"{'failed health checks' if by_checks else 'high error rate'}"
         )
 
-    def restore_if_due(self, endpoint: EndpointState) -> None:
+    def end_ejection_if_due(self, endpoint: EndpointState) -> None:
         """End an ejection that is due, and ramp the endpoint.
 
         An ejection by health checks ends after passed checks, any other ejection after its
--- a/peatlead/planner/planner.py
+++ b/peatlead/planner/planner.py
@@ -86,9 +86,9 @@
     def _build_reports(self) -> None:
         """Create the mechanisms that process reports, health checks and demand."""
         context, changes = self.context, self.changes
-        self.reports = ReportRound(context)
-        self.health_checks = HealthChecks(context, changes, self.schedule, self.reports)
-        self.statistics = LoadStatistics(context, self.reports, self.health_checks)
+        self.report_round = ReportRound(context)
+        self.health_checks = HealthChecks(context, changes, self.schedule, self.report_round)
+        self.statistics = LoadStatistics(context, self.report_round, self.health_checks)
         self.demand = RequestDemand(context)
         self.zone_paths = ZonePaths(context, changes, self.demand, self.statistics)
         self.gossip = Gossip(context, self.statistics)
@@ -100,7 +100,9 @@
         self.zone_capacity = ZoneCapacity(context, changes, self.pools, self.demand)
         self.sharding = ShuffleSharding(context, self.pools, self.zone_capacity)
         self.writer = TableWriter(context, changes, self.sharding, budget)
-        self.assignment = TableAssignment(context, self.pools, self.reports, self.writer, budget)
+        self.assignment = TableAssignment(
+            context, self.pools, self.report_round, self.writer, budget
+        )
         self.staged_updates = StagedUpdates(context, changes, self.writer, budget)
         self.withdrawals = Withdrawals(context, self.pools, self.sharding, self.assignment, budget)
         self.removals = Removals(
@@ -180,7 +182,7 @@
             return
         self.commands.append(interface.SetTimer(TICK_TIMER, TICK_INTERVAL))
         self.endpoint_updates.watch_if_due()
-        if self.reports.is_complete():
+        if self.report_round.is_complete():
             self.end_round()
         for endpoint in self.schedule.take_due():
             self.advance_endpoint(endpoint)
@@ -191,7 +193,7 @@
 
     def end_round(self) -> None:
         """Evaluate paths, endpoints and the fleet by the reports of one round."""
-        self.reports.end()
+        self.report_round.end()
         self.demand.end_round()
         self.zone_paths.end_round()
         failing = self.statistics.end_round(self.zone_paths.bad_paths)
@@ -217,9 +219,9 @@
         check.
         """
         if endpoint.ejected_until is not None:
-            self.outlier_detection.restore_if_due(endpoint)
+            self.outlier_detection.end_ejection_if_due(endpoint)
         if endpoint.traffic_fraction < 1:
-            self.load_relief.restore_if_due(endpoint)
+            self.load_relief.restore_traffic_if_due(endpoint)
         self.slow_start.advance(endpoint)
         self.health_checks.check_if_due(endpoint)
         if (
--- a/peatlead/planner/report_round.py
+++ b/peatlead/planner/report_round.py
@@ -12,7 +12,7 @@
     def __init__(self, context: PlannerContext) -> None:
         self.context = context
         self.started_at = NO_REPORT
-        self.count = 0
+        self.completed_rounds = 0
 
     def note_report(self) -> None:
         """Start a round with its first report."""
@@ -24,5 +24,5 @@
 
     def end(self) -> None:
         """End the round."""
-        self.count += 1
+        self.completed_rounds += 1
         self.started_at = NO_REPORT
--- a/peatlead/planner/table_assignment.py
+++ b/peatlead/planner/table_assignment.py
@@ -28,13 +28,13 @@
         self,
         context: PlannerContext,
         pools: EndpointPools,
-        reports: ReportRound,
+        report_round: ReportRound,
         writer: TableWriter,
         budget: ChannelBudget,
     ) -> None:
         self.context = context
         self.pools = pools
-        self.reports = reports
+        self.report_round = report_round
         self.writer = writer
         self.budget = budget
         self.blocked_by_queue = False  # whether proxies wait because the channel has no room
@@ -93,7 +93,7 @@
 
     def keeps_previous_table(self, proxy: ProxyState) -> bool:
         """Return whether the proxy keeps its previous table for now."""
-        early = self.reports.count < MIN_REPORT_ROUNDS
+        early = self.report_round.completed_rounds < MIN_REPORT_ROUNDS
         return self.context.now < proxy.previous_table_until and early
 
     def tables_fit_in_time(self) -> bool:
--- a/peatlead/standin/xds_proxies.py
+++ b/peatlead/standin/xds_proxies.py
@@ -31,7 +31,7 @@
 )
 from ..grpc.server import DELTA_DISCOVERY_PATH, DISCOVERY_PATH, LOAD_REPORTING_PATH
 from ..invariants.record import Recorder
-from ..tables.replica import APPLIED, OLD, Replica
+from ..tables.replica import APPLIED, OLD_VERSION, Replica
 from ..tables.version import MILLION, WEIGHT_SCALE, Version, parse_line_key, parse_version
 from .proxy_plan import ProxyPlan
 from .proxy_requests import ProxyTables, RequestSender
@@ -372,7 +372,7 @@
             outcome = str(self.replica.apply_delta(part, stamp, changes))
         except ValueError as problem:
             outcome = str(problem)
-        if outcome == OLD:
+        if outcome == OLD_VERSION:
             self._record_assignment(controller, version, AssignmentOutcome.OLD)
             return
         answer = discovery_pb2.DeltaDiscoveryRequest(
--- a/peatlead/tables/active_pin.py
+++ b/peatlead/tables/active_pin.py
@@ -38,13 +38,16 @@
             ended_ago=None if self.ended_at is None else now - self.ended_at,
         )
 
-    def end(self, now: float, over: Optional[float] = None) -> None:
-        """End the pin in stages over `over` seconds, by default over the rollout's duration."""
+    def end(self, now: float, end_duration: Optional[float] = None) -> None:
+        """End the pin in stages over `end_duration` seconds.
+
+        None means the duration of the rollout.
+        """
         self.ended_at = now
         self.pin = msgspec.structs.replace(
             self.pin,
             revision=self.pin.revision + 1,
-            over=self.pin.over if over is None else over,
+            rollout_duration=self.pin.rollout_duration if end_duration is None else end_duration,
         )
 
     def covers(self, now: float, name: str, zone: str) -> bool:
@@ -52,7 +55,7 @@
         if not self._selects(name, zone):
             return False
         position = rollout_position(self.pin, name)
-        if self.pin.whom == PinScope.SHARE:
+        if self.pin.scope == PinScope.SHARE:
             share = share_fraction(self.pin)
             if position >= share:
                 return False
@@ -63,19 +66,23 @@
 
     def _selects(self, name: str, zone: str) -> bool:
         """Return whether the proxy is in the pin's scope; the caller checks PinScope.SHARE."""
-        if self.pin.whom == PinScope.PROXY:
-            return name == self.pin.which
-        if self.pin.whom == PinScope.ZONE:
-            return zone == self.pin.which
+        if self.pin.scope == PinScope.PROXY:
+            return name == self.pin.scope_argument
+        if self.pin.scope == PinScope.ZONE:
+            return zone == self.pin.scope_argument
         return True
 
     def _rollout_progress(self, age: float) -> float:
         """Return the position that a rollout of this age has reached, or ROLLOUT_COMPLETE."""
         return (
-            ROLLOUT_COMPLETE if self.pin.over <= 0 or age >= self.pin.over else age / self.pin.over
+            ROLLOUT_COMPLETE
+            if self.pin.rollout_duration <= 0 or age >= self.pin.rollout_duration
+            else age / self.pin.rollout_duration
         )
 
     @property
     def settles_at(self) -> float:
         """When the rollout, or the staged end, is complete."""
-        return (self.created_at if self.ended_at is None else self.ended_at) + self.pin.over
+        return (
+            self.created_at if self.ended_at is None else self.ended_at
+        ) + self.pin.rollout_duration
--- a/peatlead/tables/history.py
+++ b/peatlead/tables/history.py
@@ -54,7 +54,7 @@
         self.publication_order: deque[tuple[str, Version]] = deque()
         self.entry_count = 0
         self.memory_bytes = 0  # approximate
-        self.dropped = 0  # entries dropped since the start
+        self.dropped_entries = 0  # entries dropped since the start
 
     def history(self, name: str) -> History:
         """Return the history of a connected proxy; creates the history of a new proxy."""
@@ -142,7 +142,7 @@
         entry = history.drop_oldest()
         self.entry_count -= 1
         self.memory_bytes -= entry.memory_bytes
-        self.dropped += 1
+        self.dropped_entries += 1
 
     def _drop_excess_entries(self, now: float) -> None:
         """Drop the oldest entries while a limit is exceeded.
--- a/peatlead/tables/pin.py
+++ b/peatlead/tables/pin.py
@@ -1,9 +1,10 @@
 """Pins: operators' orders to serve past tables to some proxies. No I/O and no clock.
 
-A pin selects proxies, the past state that they get, and a duration. It takes effect in a staged
+A pin selects proxies, the past state that they get, and a duration. A pin takes effect in a staged
 rollout: the hash of the pin's id and a proxy's name gives the proxy a position from 0 to 1, and the
-pin applies to the positions below its age divided by `over`. Its end is staged in the same way. The
-rollout needs no stored state: after a restart or a takeover the same proxies are pinned.
+pin applies to the positions below its age divided by `rollout_duration`. The end of a pin is staged
+in the same way. The rollout needs no stored state: after a restart or a takeover the same proxies
+are pinned.
 
 Pins are stored and gossiped as msgpack maps. `rename` maps fields to the names of that format.
 """
@@ -23,7 +24,7 @@
 
 
 class PinScope(StrEnum):
-    """Which proxies a pin selects. The comments explain `Pin.which`."""
+    """Which proxies a pin selects. The comments explain `Pin.scope_argument`."""
 
     ALL = "all"
     ZONE = "zone"  # the zone's name
@@ -32,7 +33,7 @@
 
 
 class PinTarget(StrEnum):
-    """Which state a pin gives the proxies. The comments explain `Pin.to`."""
+    """Which state a pin gives the proxies. The comments explain `Pin.target_argument`."""
 
     HELD = "held"  # no argument; the state of the proxy when the pin reaches it
     BACK = "back"  # seconds; the state at that time before the pin was made
@@ -42,26 +43,36 @@
 class Pin(
     msgspec.Struct,
     frozen=True,
-    rename={"sequence": "stamp", "revision": "rev", "remaining": "left", "ended_ago": "ended"},
+    rename={
+        "sequence": "stamp",
+        "revision": "rev",
+        "scope": "whom",
+        "scope_argument": "which",
+        "target_argument": "to",
+        "rollout_duration": "over",
+        "remaining": "left",
+        "ended_ago": "ended",
+        "operator": "by",
+    },
 ):
     """A pin as it is stored and gossiped. Durations are in seconds, at the time of encoding.
 
-    `whom` and `target` are plain strings, so that a list with an unknown value can be decoded; the
+    `scope` and `target` are plain strings, so that a list with an unknown value can be decoded; the
     pin with the unknown value is then ignored.
     """
 
     id: str  # the creating controller's name and a number
     sequence: int  # greater than those of all pins that the creating controller knew
     revision: int  # increased by each change of this pin
-    whom: str  # a PinScope
-    which: str  # the argument of the scope
+    scope: str  # a PinScope
+    scope_argument: str  # see PinScope
     target: str  # a PinTarget
-    to: str  # the argument of the target
-    over: float  # rollout duration, from the first proxy to the last
+    target_argument: str  # see PinTarget
+    rollout_duration: float  # from the first proxy to the last
     age: float  # since the pin was made
     remaining: float  # until the pin ends
     ended_ago: Optional[float] = None  # since the pin ended; None while it has not ended
-    by: str = ""  # the operator, for display
+    operator: str = ""  # name, for display
 
 
 def rollout_position(pin: Pin, name: str) -> float:
@@ -71,26 +82,29 @@
 
 
 def share_fraction(pin: Pin) -> float:
-    """Return the fraction of proxies of a PinScope.SHARE pin; 0 where `which` is not a number."""
+    """Return the fraction of proxies that a PinScope.SHARE pin selects.
+
+    The fraction is 0 where `scope_argument` is not a number.
+    """
     try:
-        return float(pin.which)
+        return float(pin.scope_argument)
     except ValueError:
         return 0.0
 
 
 def validate_pin(pin: Pin) -> None:
     """Raise PinError where a field is invalid or two fields contradict each other."""
-    if pin.whom not in tuple(PinScope):
-        raise PinError(f"expected all, a zone, a share or a proxy, got {pin.whom!r}")
-    if pin.whom == PinScope.SHARE and not 0 < share_fraction(pin) <= 1:
-        raise PinError(f"expected a share above 0 and up to 1, got {pin.which!r}")
+    if pin.scope not in tuple(PinScope):
+        raise PinError(f"expected all, a zone, a share or a proxy, got {pin.scope!r}")
+    if pin.scope == PinScope.SHARE and not 0 < share_fraction(pin) <= 1:
+        raise PinError(f"expected a share above 0 and up to 1, got {pin.scope_argument!r}")
     if pin.target not in tuple(PinTarget):
         raise PinError(f"expected held, back or version, got {pin.target!r}")
-    if pin.target == PinTarget.VERSION and pin.whom != PinScope.PROXY:
+    if pin.target == PinTarget.VERSION and pin.scope != PinScope.PROXY:
         raise PinError("expected a pin of one proxy: a version belongs to one proxy")
-    if not 0 <= pin.over <= ROLLOUT_MAX or not 0 < pin.remaining <= DURATION_MAX:
+    if not 0 <= pin.rollout_duration <= ROLLOUT_MAX or not 0 < pin.remaining <= DURATION_MAX:
         expected = "expected a rollout of up to an hour and a duration of up to a week"
-        raise PinError(f"{expected}, got {pin.over} s and {pin.remaining} s")
+        raise PinError(f"{expected}, got {pin.rollout_duration} s and {pin.remaining} s")
 
 
 def decode_pins(data: bytes) -> list[Pin]:
--- a/peatlead/tables/pins.py
+++ b/peatlead/tables/pins.py
@@ -58,13 +58,13 @@
     def make(
         self,
         now: float,
-        whom: str,
-        which: str = "",
+        scope: str,
+        scope_argument: str = "",
         target: str = PinTarget.HELD.value,
-        to: str = "",
-        over: float = 10.0,
+        target_argument: str = "",
+        rollout_duration: float = 10.0,
         length: float = 3600.0,
-        by: str = "",
+        operator: str = "",
     ) -> Pin:
         """Make a pin that ends after `length` seconds. Raises PinError."""
         if len(self.unended()) >= PINS_MAX:
@@ -76,14 +76,14 @@
             id=f"{self.controller_name}-{sequence}{self.start_suffix}",
             sequence=sequence,
             revision=1,
-            whom=whom,
-            which=which,
+            scope=scope,
+            scope_argument=scope_argument,
             target=target,
-            to=to,
-            over=over,
+            target_argument=target_argument,
+            rollout_duration=rollout_duration,
             age=0.0,
             remaining=length,
-            by=by,
+            operator=operator,
         )
         validate_pin(pin)
         self.by_id[pin.id] = ActivePin(pin, now)
@@ -94,8 +94,8 @@
         self._newest_sequence = 1 + max([self._newest_sequence, *known])
         return self._newest_sequence
 
-    def resume(self, now: float, pin_id: str, over: Optional[float] = None) -> Pin:
-        """End a pin in stages over `over` seconds, by default over the rollout's duration.
+    def resume(self, now: float, pin_id: str, end_duration: Optional[float] = None) -> Pin:
+        """End a pin in stages over `end_duration` seconds; None means the duration of the rollout.
 
         Raises PinError where the pin is not known.
         """
@@ -104,7 +104,7 @@
             known = ", ".join(sorted(self.unended())) or "(no pins)"
             raise PinError(f"expected the id of a pin, one of {known}, got {pin_id!r}")
         if active.ended_at is None:
-            active.end(now, over)
+            active.end(now, end_duration)
         return active.as_pin(now)
 
     def merge(self, now: float, pins: Iterable[Pin]) -> bool:
@@ -125,7 +125,8 @@
         self.by_id = {
             pin_id: active
             for pin_id, active in self.by_id.items()
-            if active.ended_at is None or now - active.ended_at < FORGET_AFTER + active.pin.over
+            if active.ended_at is None
+            or now - active.ended_at < FORGET_AFTER + active.pin.rollout_duration
         }
         return [active.pin.id for active in expired]
 
@@ -161,4 +162,4 @@
 
 def _merge_order(pin: Pin) -> tuple[int, bool, float]:
     """Return the sort key of a pin's state: of two states, the greater one is kept."""
-    return pin.revision, pin.ended_ago is not None, pin.over
+    return pin.revision, pin.ended_ago is not None, pin.rollout_duration
--- a/peatlead/tables/proxy_history.py
+++ b/peatlead/tables/proxy_history.py
@@ -91,7 +91,7 @@
         self.oldest_restorable = entry.version
         return entry
 
-    def at_version(self, version: Version) -> Items:
+    def items_at_version(self, version: Version) -> Items:
         """Return the items at a version. Raises UnknownVersionError."""
         if version == self.newest_version:
             return dict(self.items)
@@ -106,7 +106,7 @@
             _undo(items, entry)
         return items
 
-    def at_time(self, wall_time: float) -> tuple[Version, Items]:
+    def state_at_time(self, wall_time: float) -> tuple[Version, Items]:
         """Return the newest version published at or before `wall_time`, and its items.
 
         Raises UnknownVersionError where no such version is stored.
@@ -125,11 +125,11 @@
 
         Raises UnknownVersionError.
         """
-        before = self.at_version(first)
-        after = self.at_version(second)
+        before = self.items_at_version(first)
+        after = self.items_at_version(second)
         return {key: (before.get(key), after.get(key)) for key in sorted(changes(before, after))}
 
-    def digest_at(self, version: Version) -> Optional[str]:
+    def digest_of_version(self, version: Version) -> Optional[str]:
         """Return the digest of a version, or None where its entry is not stored."""
         return next((entry.digest for entry in self.entries if entry.version == version), None)
 
--- a/peatlead/tables/replica.py
+++ b/peatlead/tables/replica.py
@@ -18,15 +18,15 @@
     """The result of applying a delta. Refusals send the value to the controller as the reason."""
 
     APPLIED = "applied"
-    OLD = "old"  # not newer than the replica's version: ignored without an answer
-    BASE = "base differs"  # the delta applies to a state other than the replica's
-    DIGEST = "digest differs"  # the resulting state would differ from the sender's
+    OLD_VERSION = "old"  # not newer than the replica's version: ignored without an answer
+    BASE_DIFFERS = "base differs"  # the delta applies to a state other than the replica's
+    DIGEST_DIFFERS = "digest differs"  # the resulting state would differ from the sender's
 
 
 APPLIED = DeltaOutcome.APPLIED
-OLD = DeltaOutcome.OLD
-BASE = DeltaOutcome.BASE
-DIGEST = DeltaOutcome.DIGEST
+OLD_VERSION = DeltaOutcome.OLD_VERSION
+BASE_DIFFERS = DeltaOutcome.BASE_DIFFERS
+DIGEST_DIFFERS = DeltaOutcome.DIGEST_DIFFERS
 
 
 class Replica:
@@ -46,7 +46,7 @@
     ) -> DeltaOutcome:
         """Apply a delta that sets the items in `item_changes`; None removes an item."""
         if stamp.version <= self.newest_version:
-            return DeltaOutcome.OLD
+            return DeltaOutcome.OLD_VERSION
         if stamp.base == WHOLE_STATE:
             items: Items = {}
             digest = Digest()
@@ -54,10 +54,10 @@
             items = dict(self.parts[part])
             digest = self.digests[part].copy()
         else:
-            return DeltaOutcome.BASE
+            return DeltaOutcome.BASE_DIFFERS
         _apply_changes(items, digest, item_changes)
         if str(digest) != stamp.digest:
-            return DeltaOutcome.DIGEST
+            return DeltaOutcome.DIGEST_DIFFERS
         self.parts[part] = items
         self.digests[part] = digest
         self.newest_version = stamp.version
--- a/tests/compatibility/test_recorded_messages.py
+++ b/tests/compatibility/test_recorded_messages.py
@@ -52,7 +52,7 @@
         )
         self.planner.now += 100.0
         self.assert_logs(
-            "endpoint 5 traffic fraction set to 1.0", relief.restore_if_due, self.ready[5]
+            "endpoint 5 traffic fraction set to 1.0", relief.restore_traffic_if_due, self.ready[5]
         )
 
     def test_ejections(self):
--- a/tests/controller/test_dns_controller.py
+++ b/tests/controller/test_dns_controller.py
@@ -95,7 +95,7 @@
         async def case(world):
             controller = await world.start_controller()
             await until(lambda: len(world.answered_endpoints(controller)) == 4)
-            await until(lambda: controller.planner.reports.count > 2)
+            await until(lambda: controller.planner.report_round.completed_rounds > 2)
             world.extra_entries = [
                 {"name": "ghost", "zone": "north", "address": "127.66.9.9", "phase": "ready"}
             ]
--- a/tests/controller/test_pin_targets.py
+++ b/tests/controller/test_pin_targets.py
@@ -32,7 +32,7 @@
         self.store = Store()
         self.log = TableLog(None, self.store, controller.log)
         self.targets = PinTargets(controller, self.pins, self.store, self.log, lambda: 1000.0)
-        pin = self.pins.make(100.0, "all", target="back", to="60")
+        pin = self.pins.make(100.0, "all", target="back", target_argument="60")
         self.active = self.pins.by_id[pin.id]
 
     def receive_target(self, version, weight, pin_id=None):
--- a/tests/planner/test_outlier_detection.py
+++ b/tests/planner/test_outlier_detection.py
@@ -91,5 +91,5 @@
             planner.outlier_detection.eject(endpoint, ready, by_checks=False)
             durations.append(endpoint.ejected_until - planner.now)
             planner.now = endpoint.ejected_until
-            planner.outlier_detection.restore_if_due(endpoint)
+            planner.outlier_detection.end_ejection_if_due(endpoint)
         self.assertEqual(durations, [10.0, 20.0, 40.0, 60.0, 60.0])
--- a/tests/tables/test_change_causes.py
+++ b/tests/tables/test_change_causes.py
@@ -101,7 +101,7 @@
         text = self.logged_by(relief.relieve, self.ready[5], self.ready)
         self.assert_cause(text, 5, "traffic fraction set to 0.75")
         self.planner.now += 100.0
-        text = self.logged_by(relief.restore_if_due, self.ready[5])
+        text = self.logged_by(relief.restore_traffic_if_due, self.ready[5])
         self.assert_cause(text, 5, "traffic fraction set to 1.0")
 
     def test_messages_about_admissions_and_paths_are_no_causes_of_endpoints(self):
--- a/tests/tables/test_history.py
+++ b/tests/tables/test_history.py
@@ -34,9 +34,9 @@
         history = store_of(states).histories["p"]
         for index, state in enumerate(states):
             version = Version(1, index + 1)
-            self.assertEqual(history.at_version(version), state)
-            self.assertEqual(history.digest_at(version), str(Digest(state)))
-            self.assertEqual(history.at_time(index + 0.5), (version, state))
+            self.assertEqual(history.items_at_version(version), state)
+            self.assertEqual(history.digest_of_version(version), str(Digest(state)))
+            self.assertEqual(history.state_at_time(index + 0.5), (version, state))
 
     @given(STATES, st.randoms())
     def test_digest_depends_on_the_state_only(self, states, rng):
@@ -63,7 +63,7 @@
         self.assertEqual(
             [entry.version.serial for _, entry in store.entries_between()], [1, 2, 3, 4, 5]
         )
-        self.assertEqual(store.histories["p"].at_time(215.0)[0], Version(1, 4))
+        self.assertEqual(store.histories["p"].state_at_time(215.0)[0], Version(1, 4))
 
 
 class StoreLimitsTest(unittest.TestCase):
@@ -81,13 +81,13 @@
             )
             self.assertEqual(history.items, {"level/k": 10})
             self.assertEqual(
-                history.at_version(Version(1, 7)), {"level/k": 7}
+                history.items_at_version(Version(1, 7)), {"level/k": 7}
             )  # the oldest restorable version
             with self.assertRaises(UnknownVersionError):
-                history.at_version(Version(1, 6))
+                history.items_at_version(Version(1, 6))
             with self.assertRaises(UnknownVersionError):
-                history.at_time(5.0)
-            self.assertEqual((store.entry_count, store.dropped), (3, 7))
+                history.state_at_time(5.0)
+            self.assertEqual((store.entry_count, store.dropped_entries), (3, 7))
 
     def test_history_of_the_earliest_disconnected_proxy_is_dropped_first(self):
         store = Store(proxies_max=3)
--- a/tests/tables/test_replica.py
+++ b/tests/tables/test_replica.py
@@ -15,7 +15,7 @@
     decode_delta,
 )
 from peatlead.grpc.resources import LB_ENDPOINT_TYPE_URL, resource_name
-from peatlead.tables.replica import APPLIED, BASE, DIGEST, OLD, Replica
+from peatlead.tables.replica import APPLIED, BASE_DIFFERS, DIGEST_DIFFERS, OLD_VERSION, Replica
 from peatlead.tables.version import WHOLE_STATE, Digest, Stamp, Version, changes
 
 from .. import standin_fleet  # noqa: F401  (loads the hypothesis profile)
@@ -61,7 +61,7 @@
             discovery_pb2.DeltaDiscoveryResponse.FromString(response.SerializeToString())
         )
         outcome = self.replica.apply_delta(PART_BY_TYPE[type_url], stamp, item_changes)
-        if answer and outcome != OLD:
+        if answer and outcome != OLD_VERSION:
             request = discovery_pb2.DeltaDiscoveryRequest(
                 type_url=type_url, response_nonce=response.nonce
             )
@@ -117,7 +117,7 @@
         self.replica.parts["line"][line(2)] = 9  # the stored digest stays the same
         self.assertFalse(self.replica.is_consistent("line"))
         self.change({**self.wanted, line(2): 2000})
-        self.assertEqual(self.deliver(self.responses.popleft()), DIGEST)
+        self.assertEqual(self.deliver(self.responses.popleft()), DIGEST_DIFFERS)
         self.settle()
         self.assertEqual((self.held_items(), self.sender.full_resyncs), (self.wanted, 1))
         self.assertTrue(self.replica.is_consistent("line"))
@@ -131,7 +131,7 @@
             request = discovery_pb2.DeltaDiscoveryRequest(
                 type_url=LB_ENDPOINT_TYPE_URL, response_nonce=response.nonce
             )
-            request.error_detail.message = DIGEST
+            request.error_detail.message = DIGEST_DIFFERS
             self.responses.extend(self.sender.handle_request(request))
         self.assertEqual(len(self.sender.nacks), MAX_FULL_RESYNCS + 1)
         self.change({line(1): 2000})  # a new state is sent again
@@ -142,14 +142,14 @@
         self.settle()
         before = dict(self.held_items())
         unknown_base = Stamp(Version(1, 50), "0" * 32, str(Digest(line(9, 1))))
-        self.assertEqual(self.replica.apply_delta("line", unknown_base, line(9, 1)), BASE)
+        self.assertEqual(self.replica.apply_delta("line", unknown_base, line(9, 1)), BASE_DIFFERS)
         repeated = Stamp(Version(1, 1), WHOLE_STATE, str(Digest(line(9, 1))))
-        self.assertEqual(self.replica.apply_delta("line", repeated, line(9, 1)), OLD)
+        self.assertEqual(self.replica.apply_delta("line", repeated, line(9, 1)), OLD_VERSION)
         self.assertEqual(
             self.replica.apply_delta(
                 "line", Stamp(Version(2, 1), WHOLE_STATE, "f" * 32), line(9, 1)
             ),
-            DIGEST,
+            DIGEST_DIFFERS,
         )
         self.assertEqual(self.held_items(), before)
 
@@ -192,7 +192,7 @@
                     # the second time. Neither changes the state.
                     before = self.held_items().copy(), str(self.replica.digests["line"])
                     second_outcome = self.deliver(response, answer=False)
-                    self.assertEqual(second_outcome, OLD if outcome == APPLIED else outcome)
+                    self.assertEqual(second_outcome, OLD_VERSION if outcome == APPLIED else outcome)
                     self.assertEqual((self.held_items(), str(self.replica.digests["line"])), before)
             elif step == "answer" and self.requests:
                 self.responses.extend(self.sender.handle_request(self.requests.popleft()))
@@ -201,7 +201,8 @@
                 self.connect(epoch)  # over TCP a lost message ends the stream
             elif step == "swap" and delivered:
                 self.assertIn(
-                    self.deliver(rng.choice(delivered), answer=False), (OLD, BASE, DIGEST)
+                    self.deliver(rng.choice(delivered), answer=False),
+                    (OLD_VERSION, BASE_DIFFERS, DIGEST_DIFFERS),
                 )
             elif step == "flip" and self.held_items():
                 key = rng.choice(sorted(self.held_items()))
--- a/tests/tables/test_table_log.py
+++ b/tests/tables/test_table_log.py
@@ -162,7 +162,7 @@
         known = {entry.version for entry in restored.entries}
         self.assertLess(len(known), len(original.entries))
         for version in known:
-            self.assertEqual(restored.at_version(version), original.at_version(version))
+            self.assertEqual(restored.items_at_version(version), original.items_at_version(version))
 
     def test_pruning_keeps_all_segments_that_stored_versions_need(self):
         self.limit_segments(900)
@@ -221,7 +221,9 @@
         self.assertEqual(
             (original.items, original.newest_version), (restored.items, restored.newest_version)
         )
-        self.assertEqual(restored.at_version(Version(1, 3)), original.at_version(Version(1, 3)))
+        self.assertEqual(
+            restored.items_at_version(Version(1, 3)), original.items_at_version(Version(1, 3))
+        )
 
     def test_publishing_continues_where_the_folder_cannot_be_created(self):
         Path(self.temporary.name, "file").write_text("x")
