--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -232,7 +232,9 @@
             tables.record_note("zone serial", b"2026120207")
             tables.close()
         for parent in (folder, folder / "record"):
-            (parent / "settings.star").write_text(day.settings_text().replace(str(temporary), "/nowhere"))
+            (parent / "settings.star").write_text(
+                day.settings_text().replace(str(temporary), "/nowhere")
+            )
         rows = sorted(day.recorder.rows, key=lambda row: row.at)
         for number in range(2):
             record = Recorder(folder / "record" / f"part{number}.rec")
--- a/tests/controller/test_many_proxies.py
+++ b/tests/controller/test_many_proxies.py
@@ -269,7 +269,11 @@
         cluster = request.cluster_stats.add(cluster_name="look")
         cluster.load_report_interval.FromMilliseconds(1000)
         locality = cluster.upstream_locality_stats.add()
-        for address, count in ((min(agent.addresses), 7), ("203.0.113.9", 7), ("127.10.9.2", 2**62)):
+        for address, count in (
+            (min(agent.addresses), 7),
+            ("203.0.113.9", 7),
+            ("127.10.9.2", 2**62),
+        ):
             endpoint = locality.upstream_endpoint_stats.add(total_successful_requests=count)
             endpoint.address.socket_address.address = address
             endpoint.address.socket_address.port_value = agent.controller[1] - 2
