--- a/peatlead/standin/dns_clients.py
+++ b/peatlead/standin/dns_clients.py
@@ -1,11 +1,12 @@
-"""Stand-in clients that resolve a name and connect, each with a habit of choosing addresses.
+"""Stand-in DNS clients, which resolve a name, choose an address and send requests to it.
 
-Arrivals never wait for responses: requests are due at random times, and one that begins late is
-late by the clock of its due time. A client retries on its own as far as the request's class
-permits: replayable requests at the next address after any failure, uniqued ones at the same
-address, whose pod drops the repeat, and others only where the first certainly never ran.
+Requests arrive at random times, independent of earlier responses (an open-loop load), and the
+latency of a request counts from the time at which it was due. A client retries failed requests as
+the repeat semantics of their class permit: replayable requests at the next address, uniqued
+requests at the same address, whose pod drops repeats, and other requests only if the attempt
+certainly did not run.
 
-The fields of the msgspec types are those of the commands in which they are sent.
+The names of the fields of the msgspec types are the JSON keys of the commands.
 """
 
 import asyncio
@@ -23,16 +24,16 @@
 from .resolvers import Resolver
 
 LOOKUP_TIMEOUT = 1.5  # seconds
-MIN_LOOKUP_TIMEOUT = 0.01  # seconds, where the request's deadline is near
+MIN_LOOKUP_TIMEOUT = 0.01  # seconds, if the request's deadline is near
 CONNECT_TIMEOUT = 0.7  # seconds
-FINISH_TIMEOUT = 10.0  # seconds for the requests under way at the end
+FINISH_TIMEOUT = 10.0  # seconds for active requests to end
 MAX_IDLE_CONNECTIONS = 4  # of one client
-FIRST_BACKOFF = (0.02, 0.06)  # seconds, drawn from this range; doubled by each retry
-ATTEMPT_SHARE = (0.5, 1.0)  # of the time left, drawn for an attempt that may be retried
+FIRST_BACKOFF = (0.02, 0.06)  # seconds, random in this range; doubled by each retry
+ATTEMPT_TIME_FRACTION = (0.5, 1.0)  # of the remaining time, random, if a retry is possible
 
 
 class Outcome(StrEnum):
-    """How a request or an attempt at it ended, beside net.http's RequestOutcome; as recorded."""
+    """Recorded outcomes of requests and attempts, in addition to net.http's RequestOutcome."""
 
     DONE = "done"
     LATE = "late"
@@ -41,16 +42,16 @@
     ERRORED = "errored"
     UNRESOLVED = "unresolved"
     UNREACHABLE = "unreachable"
-    SENT = "sent"  # of an attempt that has begun
+    SENT = "sent"  # the attempt has started
 
 
 class Habit(StrEnum):
-    """How a client orders the addresses of an answer; any other text: as they come."""
+    """How a client orders the addresses of an answer; with any other text, as in the answer."""
 
     ANY = "any"  # in random order
-    SORTED = "sorted"  # by address, as RFC 6724 rule 9 and the like have it
-    SAME = "same"  # the last that served it first
-    HOLDS = "holds"  # as SAME, and without a lookup while its connection lives
+    SORTED = "sorted"  # by address, like RFC 6724 rule 9
+    SAME = "same"  # the address that last responded comes first
+    HOLDS = "holds"  # like SAME, but without a lookup while a connection is open
 
 
 OUTCOME_BY_STATUS = {
@@ -61,10 +62,10 @@
 
 
 class RequestClass(msgspec.Struct):
-    """A request class; times in seconds, `repeat` its repeat semantics."""
+    """A request class; times are in seconds, and `repeat` is its repeat semantics."""
 
     name: str
-    share: float  # of all requests, relative to the other classes'
+    share: float  # of requests, relative to the shares of the other classes
     response_target: float
     client_timeout: float
     gain: float  # value of a request that is done in time
@@ -74,7 +75,8 @@
 class ClientSitePlan(msgspec.Struct):
     """The clients of one view.
 
-    `name` is what they resolve; `network` is the client subnet that is sent with `tells_subnet`.
+    `name` is the DNS name that they resolve. `network` is the address of their /24 network, which
+    queries contain as the client subnet (RFC 7871) if `tells_subnet` is true.
     """
 
     view: str
@@ -87,51 +89,53 @@
     habits: list[str]
     kinds: list[RequestClass]
     retries: int = 2
-    late_gain: float = 0.1  # part of the gain of a request that is late
+    late_gain: float = 0.1  # fraction of the gain for a late request
     tells_subnet: bool = False
 
 
 class Client:
-    """One client program: its habit, and the idle connections that it keeps by address."""
+    """One client, with its habit and its idle connections by address."""
 
-    __slots__ = ("habit", "local", "idle", "last")
+    __slots__ = ("habit", "local_address", "idle", "last_address")
 
-    def __init__(self, habit: str, local: str) -> None:
+    def __init__(self, habit: str, local_address: str) -> None:
         self.habit = habit
-        self.local = local  # its own address
+        self.local_address = local_address
         self.idle: dict[str, ClientConnection] = {}
-        self.last: Optional[str] = None  # the address that last responded
+        self.last_address: Optional[str] = None  # of the endpoint that last responded
 
     def choose(self, addresses: list[str], rng: Random) -> list[str]:
-        """Return the order in which it would try the addresses."""
+        """Return the addresses in the order in which the client tries them."""
         if self.habit == Habit.ANY:
             return rng.sample(addresses, len(addresses))
         if self.habit == Habit.SORTED:
             return sorted(addresses)
-        if self.habit in (Habit.SAME, Habit.HOLDS) and self.last in addresses:
-            return [self.last] + [address for address in addresses if address != self.last]
+        if self.habit in (Habit.SAME, Habit.HOLDS) and self.last_address in addresses:
+            return [self.last_address] + [
+                address for address in addresses if address != self.last_address
+            ]
         return addresses
 
     def take_idle(self, address: str) -> Optional[ClientConnection]:
-        """Take the idle connection to an address, None where there is no usable one."""
-        stream = self.idle.pop(address, None)
-        return stream if stream is not None and stream.usable else None
+        """Remove and return the idle connection to an address, None without a usable one."""
+        connection = self.idle.pop(address, None)
+        return connection if connection is not None and connection.usable else None
 
-    def keep_idle(self, address: str, stream: ClientConnection) -> None:
-        """Keep a usable connection for later requests, closing others past the limit."""
-        if not stream.usable:
+    def keep_idle(self, address: str, connection: ClientConnection) -> None:
+        """Keep a usable connection for later requests; close the oldest ones above the limit."""
+        if not connection.usable:
             return
         while len(self.idle) >= MAX_IDLE_CONNECTIONS:
             self.idle.pop(next(iter(self.idle))).close()
-        former = self.idle.pop(address, None)
-        if former is not None and former is not stream:
-            former.close()
-        self.idle[address] = stream
+        previous = self.idle.pop(address, None)
+        if previous is not None and previous is not connection:
+            previous.close()
+        self.idle[address] = connection
 
 
 @dataclass(slots=True)
 class Request:
-    """A request under way; times are of the event loop's clock."""
+    """An active request; times are on the event loop's clock."""
 
     id: str
     request_class: RequestClass
@@ -141,7 +145,7 @@
 
 
 class AttemptResult(NamedTuple):
-    """How an attempt ended, where, and whether the request may be tried again."""
+    """The outcome and address of an attempt, and whether the request may be retried."""
 
     outcome: str
     address: Optional[str]
@@ -149,24 +153,29 @@
 
 
 def may_retry(request_class: RequestClass, outcome: str, sent: bool) -> bool:
-    """Whether a client tries again after an attempt; `sent`: some of it may have arrived."""
+    """Whether a client retries after an attempt; `sent` is true if the endpoint may have got it."""
     if outcome in (Outcome.DONE, Outcome.SHED):
-        return False  # a client that is shed would come again in vain
+        return False  # a retry of a shed request would only add load
     never_ran = not sent or outcome in (Outcome.DENIED, Outcome.UNREACHABLE)
     return never_ran or request_class.repeat in ("replayable", "uniqued")
 
 
 class ClientSite:
-    """The clients of one view; `rate` may change while it runs."""
+    """The clients of one view; `rate` (requests per second) may change at any time."""
 
     def __init__(
-        self, plan: ClientSitePlan, resolver: Resolver, rng: Random, recorder: Recorder, number: str
+        self,
+        plan: ClientSitePlan,
+        resolver: Resolver,
+        rng: Random,
+        recorder: Recorder,
+        id_prefix: str,
     ) -> None:
         self.plan = plan
         self.resolver = resolver
         self.rng = rng
         self.recorder = recorder
-        self.number = number  # begins the ids of its requests
+        self.id_prefix = id_prefix  # of request ids
         self.loop = asyncio.get_running_loop()
         self.rate = plan.rate
         self.sent = 0
@@ -179,7 +188,7 @@
         ]
 
     def begin(self, start: float) -> None:
-        """Let requests arrive from a time on."""
+        """Start the arrival of requests at a time of the event loop."""
         first = start + self.rng.expovariate(self.rate)
         self.loop.call_at(first, self._arrive, first)
 
@@ -187,7 +196,7 @@
         if self.stopped:
             return
         now = self.loop.time()
-        # After a pause of the process all that came due meanwhile starts, each with its due time.
+        # After a pause of the process, all requests that became due start with their due times.
         while due <= now and not self.stopped:
             self._start_request(due)
             due += self.rng.expovariate(self.rate)
@@ -196,16 +205,16 @@
     def _start_request(self, due: float) -> None:
         self.sent += 1
         classes = self.plan.kinds
-        request_class = self.rng.choices(classes, [one.share for one in classes])[0]
+        request_class = self.rng.choices(classes, [candidate.share for candidate in classes])[0]
         client = self.clients[self.rng.randrange(len(self.clients))]
         deadline = due + request_class.client_timeout
-        request = Request(f"{self.number}-{self.sent}", request_class, client, due, deadline)
+        request = Request(f"{self.id_prefix}-{self.sent}", request_class, client, due, deadline)
         task = self.loop.create_task(self._run(request))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     async def _run(self, request: Request) -> None:
-        """Try a request until it ends, and record it."""
+        """Run a request with its retries, and record it."""
         attempts = 0
         outcome: str = Outcome.UNRESOLVED.value
         address = None
@@ -214,7 +223,7 @@
             result = await self._attempt(request, attempts, address)
             address = result.address
             if result.outcome != Outcome.UNRESOLVED or not attempts:
-                outcome = result.outcome  # a retry that had no time left says nothing of the first
+                outcome = result.outcome  # a retry without an answer keeps the earlier outcome
             attempts += 1
             if not result.retry:
                 break
@@ -246,57 +255,59 @@
         )
 
     async def _attempt(
-        self, request: Request, number: int, former_address: Optional[str]
+        self, request: Request, number: int, previous_address: Optional[str]
     ) -> AttemptResult:
         """Choose an address, connect and send the request once."""
         client = request.client
-        repeats_at = former_address if request.request_class.repeat == "uniqued" else None
-        address, stream = await self._choose(request, number, repeats_at)
+        required_address = previous_address if request.request_class.repeat == "uniqued" else None
+        address, connection = await self._choose(request, number, required_address)
         if address is None:
-            return AttemptResult(Outcome.UNRESOLVED.value, former_address, True)
+            return AttemptResult(Outcome.UNRESOLVED.value, previous_address, True)
         sent = False
         try:
-            if stream is None:
-                stream = await self._connect(request, address)
+            if connection is None:
+                connection = await self._connect(request, address)
             sent = True
             self._record_attempt(request, address, number, Outcome.SENT.value, True)
-            outcome = await self._send(request, stream, number)
-            client.last = address
-            client.keep_idle(address, stream)
-        except RequestFailedError as problem:
-            outcome = problem.outcome
+            outcome = await self._send(request, connection, number)
+            client.last_address = address
+            client.keep_idle(address, connection)
+        except RequestFailedError as error:
+            outcome = error.outcome
         self._record_attempt(request, address, number, outcome, sent)
         return AttemptResult(outcome, address, may_retry(request.request_class, outcome, sent))
 
     async def _connect(self, request: Request, address: str) -> ClientConnection:
         deadline = min(request.deadline, self.loop.time() + CONNECT_TIMEOUT)
-        place = (address, self.plan.port)
-        return await connect(self.loop, place, deadline, request.client.local)
+        remote_address = (address, self.plan.port)
+        return await connect(self.loop, remote_address, deadline, request.client.local_address)
 
-    async def _send(self, request: Request, stream: ClientConnection, number: int) -> str:
+    async def _send(self, request: Request, connection: ClientConnection, number: int) -> str:
         """Send the request and return the outcome; raises RequestFailedError."""
-        share = self.rng.uniform(*ATTEMPT_SHARE) if number < self.plan.retries else 1.0
+        time_fraction = (
+            self.rng.uniform(*ATTEMPT_TIME_FRACTION) if number < self.plan.retries else 1.0
+        )
         now = self.loop.time()
-        response = await stream.send_request(
+        response = await connection.send_request(
             "POST",
             "/" + request.request_class.name,
             [("host", self.plan.name), ("req-id", request.id)],
             b"",
-            now + (request.deadline - now) * share,
+            now + (request.deadline - now) * time_fraction,
         )
         return OUTCOME_BY_STATUS.get(response.status, Outcome.ERRORED.value)
 
     async def _choose(
-        self, request: Request, number: int, repeats_at: Optional[str]
+        self, request: Request, number: int, required_address: Optional[str]
     ) -> tuple[Optional[str], Optional[ClientConnection]]:
-        """Return the address to try, None where none is known, and an idle connection to it."""
+        """Return the address to try, None if none is known, and an idle connection to it."""
         client = request.client
-        if repeats_at is not None:
-            return repeats_at, client.take_idle(repeats_at)
-        if client.habit == Habit.HOLDS and number == 0 and client.last in client.idle:
-            stream = client.take_idle(client.last)
-            if stream is not None:
-                return client.last, stream
+        if required_address is not None:
+            return required_address, client.take_idle(required_address)
+        if client.habit == Habit.HOLDS and number == 0 and client.last_address in client.idle:
+            connection = client.take_idle(client.last_address)
+            if connection is not None:
+                return client.last_address, connection
         addresses = await self._look_up(request.deadline)
         if not addresses:
             return None, None
@@ -330,14 +341,14 @@
         )
 
     async def finish(self) -> None:
-        """Stop arrivals and wait for requests under way, which their own deadlines bound."""
+        """Stop arrivals and wait until active requests end, for at most FINISH_TIMEOUT."""
         self.stopped = True
         if self.tasks:
             await asyncio.wait(self.tasks, timeout=FINISH_TIMEOUT)
 
 
 class DnsClientGroup:
-    """The clients and resolvers of one process, controlled by commands (standin/process.py)."""
+    """The clients and resolvers of one process, controlled by commands (`standin.process`)."""
 
     def __init__(self, rng: Random, recorder: Recorder) -> None:
         self.rng = rng
@@ -345,8 +356,8 @@
         self.resolvers: dict[str, Resolver] = {}
         self.sites: list[ClientSite] = []
 
-    async def command(self, command: dict[str, Any], /) -> None:
-        """Carry out a command."""
+    async def execute(self, command: dict[str, Any], /) -> None:
+        """Execute a command."""
         match command["do"]:
             case "resolver":
                 await self._add_resolver(command)
@@ -379,7 +390,7 @@
         self.sites.append(ClientSite(plan, resolver, self.rng, self.recorder, str(command["desk"])))
 
     def _change_rate(self, views: list[str], factor: float) -> None:
-        """Multiply the planned rate of some views, or of all where none is named."""
+        """Set the rate of these views (all if empty) to a multiple of the planned rate."""
         for site in self.sites:
             if not views or site.plan.view in views:
                 site.rate = site.plan.rate * factor
--- a/peatlead/standin/endpoint_work.py
+++ b/peatlead/standin/endpoint_work.py
@@ -1,7 +1,7 @@
-"""What a stand-in endpoint is, the requests it works on, and what it counts.
+"""Data types of stand-in endpoints: their plan, the jobs in their queue, and their counts.
 
-The fields of `Plan` are those of the command in which it is sent; `RequestCounts` is the form in
-which counts are reported to health checks.
+The names of the fields of `EndpointPlan` are JSON keys of the command that adds an endpoint.
+`RequestCounts` and `CountReport` are the body of a response to a health check.
 """
 
 from typing import TYPE_CHECKING, NamedTuple
@@ -13,9 +13,10 @@
 
 
 class EndpointPlan(msgspec.Struct):
-    """What an endpoint is.
+    """The properties of an endpoint.
 
-    `work` is the mean seconds of one core and `repeat` the repeat semantics, both by request class.
+    `work` is the mean work of a request in seconds of one core, and `repeat` the repeat semantics,
+    both by request class.
     """
 
     name: str
@@ -26,27 +27,27 @@
     cores: int
     work: dict[str, float]
     repeat: dict[str, str]
-    cold_share: float  # of its speed that a process has when it starts
+    cold_share: float  # fraction of full speed at the start of the process
     warm_after: float  # seconds from start to full speed
-    tip_multiple: float  # of its present speed that overloads a cold process
-    tip_span: float  # seconds over which the work offered is compared with that
-    room: int = 60  # requests in the queue
-    connections: int = 400
-    window: float = 2.0  # seconds in which a repeat is recognized
+    tip_multiple: float  # load that overloads a cold process, as a multiple of its capacity
+    tip_span: float  # seconds over which the offered load is measured
+    room: int = 60  # maximum number of jobs in the queue
+    connections: int = 400  # maximum number
+    window: float = 2.0  # seconds in which a repeated request is recognized
     deep: bool = True  # health checks pass through the queue
-    cold: bool = False  # at its first start
+    cold: bool = False  # whether the first process starts cold
 
 
 class Pods:
-    """What the endpoints of one pod share: the uniqued requests that took effect lately."""
+    """The ids of recent uniqued requests, which the endpoints of a pod share."""
 
-    MAX_REQUESTS = 100_000  # of a pod
+    MAX_REQUESTS = 100_000  # per pod
 
     def __init__(self) -> None:
         self.seen: dict[int, dict[str, float]] = {}  # pod -> request id -> time
 
     def is_repeat(self, pod: int, request_id: str, now: float, window: float) -> bool:
-        """Whether a request came to the pod within the window before; if not, remember it."""
+        """Whether the pod got a request in the last `window` seconds; if not, store its id."""
         seen = self.seen.setdefault(pod, {})
         for oldest in list(seen)[:2]:
             if now - seen[oldest] > window or len(seen) > self.MAX_REQUESTS:
@@ -58,7 +59,7 @@
 
 
 class Job:
-    """A request or health check in the queue or in work."""
+    """A request or health check that waits in the queue or is being processed."""
 
     __slots__ = (
         "request_id",
@@ -88,21 +89,21 @@
         self.connection = connection
         self.network = connection.network
         self.arrived = arrived
-        self.abandoned = False  # the client has gone
+        self.abandoned = False  # the client closed the connection
         self.is_check = is_check
-        self.repeat = repeat  # worked on like the first, without effect
+        self.repeat = repeat  # a repeat costs the same work but has no effect
 
 
 class RequestCounts(msgspec.Struct, array_like=True):
-    """Requests of one class from one network since the process started."""
+    """Counts of requests of one class from one network since the process started."""
 
     arrived: int = 0
     done: int = 0
     errors: int = 0
-    rejected: int = 0  # the queue was full
+    rejected: int = 0  # because the queue was full
     abandoned: int = 0
     shed: int = 0
-    seconds: float = 0.0  # from arrival to response, of all that are done
+    seconds: float = 0.0  # sum of the latencies of done requests
 
 
 class CountReport(msgspec.Struct):
@@ -114,8 +115,8 @@
 
 
 class HeavyRequests(NamedTuple):
-    """A fault: requests of a class that take more work than they should."""
+    """A fault in which some requests of a class take more work than planned."""
 
     request_class: str
-    share: float  # of the class's requests
-    factor: float  # of their work
+    fraction: float  # of the class's requests
+    factor: float  # by which their work is multiplied
--- a/peatlead/standin/hosts.py
+++ b/peatlead/standin/hosts.py
@@ -1,7 +1,8 @@
-"""Stand-in endpoints: cores, a queue, a cold start, overload, draining, repeats dropped by pod.
+"""Stand-in endpoints, which serve HTTP/1.1 requests with a queue and a number of cores.
 
-Each endpoint serves HTTP/1.1 on an address of its own. Its work is time, not computation, so that
-many fit into one process and the same code runs on simulated time.
+They start cold, can be overloaded while cold, drain, suffer injected faults, and drop repeated
+requests of a pod. Each has its own address. Work is simulated by timers instead of computation, so
+that one process can run many endpoints and the same code runs on simulated time.
 """
 
 import asyncio
@@ -20,19 +21,19 @@
 __all__ = ["Connection", "EndpointGroup", "EndpointPlan", "Pods", "StandInEndpoint"]
 
 IDLE_TIMEOUT = 30.0  # seconds without a byte until a connection is closed
-ADMISSION_LIFETIME = 5.0  # seconds: a controller that died must not shed for good
-CHECK_WORK = 0.004  # seconds of one core
+ADMISSION_LIFETIME = 5.0  # seconds after which the admission of a silent controller is ignored
+CHECK_WORK = 0.004  # seconds of one core for a health check
 WORK_SPREAD = (0.6, 1.4)  # a request's work, as a factor of its class's mean
-MIN_CORES = 0.3  # left where others use the machine
-MEASURE_INTERVAL = 1.0  # seconds over which utilization is measured, at least
+MIN_CORES = 0.3  # available however much of the machine others use
+MEASURE_INTERVAL = 1.0  # minimum seconds between measurements of utilization
 RATE_WINDOW = 2  # seconds over which the rate of done requests is measured
-RECENT_MAX = 400  # done requests whose times are stored
+MAX_RECENT_DONE = 400  # stored times of done requests
 LISTEN_BACKLOG = 512  # connections
-NO_REQUESTS = RequestCounts(seconds=0)
+NO_COUNTS = RequestCounts(seconds=0)
 
 
 class StandInEndpoint:
-    """One endpoint process. `begin()` opens its socket; faults are attributes that `tell` sets."""
+    """One endpoint. `begin()` opens its socket, and `inject_fault()` causes faults."""
 
     def __init__(self, plan: EndpointPlan, rng: Random, recorder: Recorder, pods: Pods) -> None:
         self.plan = plan
@@ -41,102 +42,102 @@
         self.pods = pods
         self.loop = asyncio.get_running_loop()
         self.server: Optional[asyncio.Server] = None
-        # In order of arrival; a set of objects would be in that of their memory addresses.
+        # A dict keeps the order of arrival; the order of a set would change between runs.
         self.connections: dict[Connection, bool] = {}
         # (request class, controller's address) -> (admitted fraction, when it was set)
         self.admitted_fractions: dict[tuple[str, str], tuple[float, float]] = {}
-        self.boots = 0
+        self.boot_count = 0
         self.reset(cold=plan.cold)
 
     def reset(self, cold: bool) -> None:
-        """Be a process that starts: nothing in work, nothing counted, no faults."""
+        """Return to the state of a new process: no jobs, no counts and no faults."""
         now = self.loop.time()
-        self.boots += 1
-        self.boot = f"{self.plan.name}-{self.boots}-{now:.3f}"
+        self.boot_count += 1
+        self.boot = f"{self.plan.name}-{self.boot_count}-{now:.3f}"
         self._reset_work(now, cold)
         self._reset_faults()
 
     def _reset_work(self, now: float, cold: bool) -> None:
-        self.cold_from = now if cold else None
+        self.cold_since = now if cold else None
         self.queue: deque[Job] = deque()
-        self.running = 0  # jobs in work
-        self.held: list[Connection] = []  # whose requests are never answered
-        self.offered: deque[tuple[float, float]] = deque()  # (time, work) while cold
-        self.offered_work = 0.0
-        self.busy_seconds = 0.0  # of cores, since the last measurement
+        self.running = 0  # jobs being processed
+        self.held_connections: list[Connection] = []  # with a request that is not answered
+        self.recent_work: deque[tuple[float, float]] = deque()  # (time, work) while cold
+        self.recent_work_sum = 0.0
+        self.busy_seconds = 0.0  # of all cores since the last measurement
         self.counts: dict[str, dict[str, RequestCounts]] = {}  # by network and request class
-        self.done_lately: deque[float] = deque(maxlen=RECENT_MAX)
-        self.util = 0.0  # part of the cores in use at the last measurement
-        self.util_at = now
+        self.recent_done: deque[float] = deque(maxlen=MAX_RECENT_DONE)
+        self.utilization = 0.0  # fraction of the cores in use at the last measurement
+        self.measured_at = now
 
     def _reset_faults(self) -> None:
-        self.silent = False  # accepts connections and answers nothing
-        self.hung = False  # takes requests and never ends them
+        self.silent = False  # accepts connections but does not respond
+        self.hung = False  # accepts requests but never finishes them
         self.draining = False
-        self.tipped = False  # overloaded while cold
-        self.errors = 0.0  # share of requests answered with an error
-        self.lost = 0.0  # share of responses lost
-        self.stolen = 0.0  # part of the cores that others use
+        self.overloaded = False  # while cold; it then stops responding
+        self.errors = 0.0  # fraction of requests answered with an error
+        self.lost = 0.0  # fraction of responses lost
+        self.stolen = 0.0  # fraction of the cores that others use
         self.paused_until = 0.0
         self.heavy: Optional[HeavyRequests] = None
 
     # Speed and load.
 
-    def warmth(self, now: float) -> float:
-        """Return its speed as a part of that of a warm process."""
-        if self.cold_from is None:
+    def speed_fraction(self, now: float) -> float:
+        """Return the speed as a fraction of the speed of a warm process."""
+        if self.cold_since is None:
             return 1.0
-        age = (now - self.cold_from) / self.plan.warm_after
-        if age >= 1:
-            self.cold_from = None
+        warmup_fraction = (now - self.cold_since) / self.plan.warm_after
+        if warmup_fraction >= 1:
+            self.cold_since = None
             return 1.0
-        return self.plan.cold_share + (1 - self.plan.cold_share) * age
+        return self.plan.cold_share + (1 - self.plan.cold_share) * warmup_fraction
 
     def available_cores(self, now: float) -> float:
-        """Return the cores that it has for requests at this moment."""
-        if self.silent or self.hung or self.tipped or self.draining or now < self.paused_until:
+        """Return the number of cores that can serve requests now, 0 if it cannot respond."""
+        if self.silent or self.hung or self.overloaded or self.draining or now < self.paused_until:
             return 0.0
         return (
-            self.warmth(now)
+            self.speed_fraction(now)
             * self.plan.cores
             * (1 - self.stolen)
             * (1 - self.errors)
             * (1 - self.lost)
         )
 
-    def _offer(self, now: float, work: float) -> None:
-        """Count work that arrives at a cold process, which fails past what it can bear."""
-        since = self.cold_from
+    def _count_offered_work(self, now: float, work: float) -> None:
+        """Count work (in core seconds) offered to a cold process; too much work overloads it."""
+        since = self.cold_since
         if since is None:
             return
-        span = self.plan.tip_span
-        cores = self.warmth(now) * self.plan.cores
-        self.offered.append((now, work))
-        self.offered_work += work
-        while self.offered and now - self.offered[0][0] > span:
-            self.offered_work -= self.offered.popleft()[1]
-        part = self.offered_work / (self.plan.tip_multiple * cores * span)
-        self.recorder.row("cold", now, self.plan.name, part, since)
-        if part > 1 and not self.tipped:
-            self.tipped = True
+        window = self.plan.tip_span
+        cores = self.speed_fraction(now) * self.plan.cores
+        self.recent_work.append((now, work))
+        self.recent_work_sum += work
+        while self.recent_work and now - self.recent_work[0][0] > window:
+            self.recent_work_sum -= self.recent_work.popleft()[1]
+        load_fraction = self.recent_work_sum / (self.plan.tip_multiple * cores * window)
+        self.recorder.row("cold", now, self.plan.name, load_fraction, since)
+        if load_fraction > 1 and not self.overloaded:
+            self.overloaded = True
             self.recorder.row("tipped", now, self.plan.name, since)
 
     def _measure(self, now: float) -> float:
-        """Return the part of the cores in use, measured anew once the interval has passed."""
-        if now - self.util_at >= MEASURE_INTERVAL:
-            util = min(1.0, self.busy_seconds / (now - self.util_at) / self.plan.cores)
-            self.util = max(util, min(1.0, self.stolen))
-            self.util_at = now
+        """Return the fraction of the cores in use, updated once per MEASURE_INTERVAL."""
+        if now - self.measured_at >= MEASURE_INTERVAL:
+            utilization = min(1.0, self.busy_seconds / (now - self.measured_at) / self.plan.cores)
+            self.utilization = max(utilization, min(1.0, self.stolen))
+            self.measured_at = now
             self.busy_seconds = 0.0
-        return self.util
+        return self.utilization
 
     # Requests.
 
     def receive(self, connection: "Connection", path: str, headers: dict[str, str]) -> None:
         """Handle a request or a health check."""
         now = self.loop.time()
-        if self.silent or self.tipped:
-            self.held.append(connection)
+        if self.silent or self.overloaded:
+            self.held_connections.append(connection)
         elif path.startswith("/load"):
             self._receive_check(connection, headers, now)
         else:
@@ -150,16 +151,16 @@
             connection.respond(404, [], b"")
             return
         work = self._draw_work(request_class, mean)
-        self._offer(now, work)
+        self._count_offered_work(now, work)
         if self._refuse(connection, request_class, now):
             return
         job = Job(request_id, request_class, work, connection, now)
-        if self.hung:  # it accepts all and answers none; the number of connections bounds it
+        if self.hung:  # only the maximum number of connections limits the held requests
             connection.job = job
-            self.held.append(connection)
+            self.held_connections.append(connection)
             return
         if len(self.queue) >= self.plan.room:
-            self.count(connection.network, request_class).rejected += 1
+            self.counts_for(connection.network, request_class).rejected += 1
             connection.respond(503, [], b"full", self.draining)
             return
         job.repeat = self._is_repeat(job, now)
@@ -170,13 +171,13 @@
     def _draw_work(self, request_class: str, mean: float) -> float:
         work = mean * self.rng.uniform(*WORK_SPREAD)
         heavy = self.heavy
-        if heavy and heavy.request_class == request_class and self.rng.random() < heavy.share:
+        if heavy and heavy.request_class == request_class and self.rng.random() < heavy.fraction:
             work *= heavy.factor
         return work
 
     def _refuse(self, connection: "Connection", request_class: str, now: float) -> bool:
-        """Count a request and answer it at once if it is to be shed or to fail."""
-        counts = self.count(connection.network, request_class)
+        """Count a request, and shed it or answer it with an error if it is to fail."""
+        counts = self.counts_for(connection.network, request_class)
         counts.arrived += 1
         if self.rng.random() >= self.admitted_fraction(request_class, now):
             counts.shed += 1
@@ -198,16 +199,16 @@
         if not self.plan.deep:
             self._answer_check(connection)
         elif self.hung:
-            self.held.append(connection)
+            self.held_connections.append(connection)
         elif len(self.queue) >= self.plan.room:
             connection.respond(503, [], b"full")
         else:
             self.queue.append(Job("", "", CHECK_WORK, connection, now, is_check=True))
             self.advance()
 
-    def _set_admissions(self, controller: str, text: str, now: float) -> None:
-        """Store the admitted fractions that a controller sent, as "class=fraction,..."."""
-        for pair in text.split(","):
+    def _set_admissions(self, controller: str, header: str, now: float) -> None:
+        """Store a controller's admitted fractions from a header "class=fraction,..."."""
+        for pair in header.split(","):
             request_class, _, fraction = pair.partition("=")
             try:
                 self.admitted_fractions[request_class, controller] = float(fraction), now
@@ -215,9 +216,10 @@
                 continue
 
     def admitted_fraction(self, request_class: str, now: float) -> float:
-        """Return the admitted fraction: the mean of what controllers sent lately.
+        """Return the admitted fraction: the mean of the recent fractions of all controllers.
 
-        Each of them steers all requests, so the lowest of two that waver would shed for both.
+        Each controller regulates the whole load, so the minimum would shed too much when their
+        fractions oscillate.
         """
         fractions = [
             fraction
@@ -226,7 +228,7 @@
         ]
         return fsum(fractions) / len(fractions) if fractions else 1.0
 
-    def count(self, network: str, request_class: str) -> RequestCounts:
+    def counts_for(self, network: str, request_class: str) -> RequestCounts:
         """Return the counts of a class's requests from a network."""
         by_class = self.counts.setdefault(network, {})
         return by_class.setdefault(request_class, RequestCounts())
@@ -236,65 +238,65 @@
     def advance(self) -> None:
         """Start jobs from the queue while there are free cores."""
         now = self.loop.time()
-        if self.hung or self.silent or self.tipped or now < self.paused_until:
+        if self.hung or self.silent or self.overloaded or now < self.paused_until:
             return
         cores = max(MIN_CORES, self.plan.cores * (1 - self.stolen))
         while self.queue and self.running < max(1, round(cores)):
             job = self.queue.popleft()
             self.running += 1
-            speed = self.warmth(now) * min(1.0, cores / max(1, round(cores)))
+            speed = self.speed_fraction(now) * min(1.0, cores / max(1, round(cores)))
             duration = job.work / speed
-            self.loop.call_later(duration, self._finish, job, duration, self.boots)
+            self.loop.call_later(duration, self._finish, job, duration, self.boot_count)
 
     def _finish(self, job: Job, duration: float, boot: int) -> None:
-        if boot != self.boots:
-            return  # that process is gone
+        if boot != self.boot_count:
+            return  # the process that started the job has ended
         now = self.loop.time()
         if now < self.paused_until:
             self.loop.call_at(self.paused_until, self._finish, job, duration, boot)
             return
         self.running -= 1
         self.busy_seconds += duration
-        if self.silent or self.hung or self.tipped:
+        if self.silent or self.hung or self.overloaded:
             return
         if job.is_check:
             self._answer_check(job.connection)
         else:
-            self._end(job, now)
+            self._complete(job, now)
         self.advance()
 
-    def _end(self, job: Job, now: float) -> None:
-        """Record the effect of a request and answer it."""
-        repeat_class = self.plan.repeat[job.request_class]
+    def _complete(self, job: Job, now: float) -> None:
+        """Record the effect of a request and respond to it."""
+        repeat_semantics = self.plan.repeat[job.request_class]
         if not job.repeat:
             self.recorder.row(
-                "effect", now, self.plan.name, job.request_id, job.request_class, repeat_class
+                "effect", now, self.plan.name, job.request_id, job.request_class, repeat_semantics
             )
-        counts = self.count(job.network, job.request_class)
+        counts = self.counts_for(job.network, job.request_class)
         if job.abandoned:
             return
         job.connection.job = None
         counts.done += 1
         counts.seconds += now - job.arrived
-        self.done_lately.append(now)
+        self.recent_done.append(now)
         if self.rng.random() >= self.lost:
-            util = f"{self._measure(now):.3f}"
-            headers = [("host-name", self.plan.name), ("load-util", util)]
+            utilization = f"{self._measure(now):.3f}"
+            headers = [("host-name", self.plan.name), ("load-util", utilization)]
             job.connection.respond(200, headers, b"done", self.draining)
 
     def abandon(self, job: Job) -> None:
-        """Note that the client of a job has gone; the work stays."""
+        """Mark a job as abandoned by its client; it is still processed."""
         if not job.abandoned:
             job.abandoned = True
-            self.count(job.network, job.request_class).abandoned += 1
+            self.counts_for(job.network, job.request_class).abandoned += 1
 
     def _answer_check(self, connection: "Connection") -> None:
         now = self.loop.time()
-        rate = sum(now - done_at < RATE_WINDOW for done_at in self.done_lately) / RATE_WINDOW
+        rate = sum(now - done_at < RATE_WINDOW for done_at in self.recent_done) / RATE_WINDOW
         report = {"util": self._measure(now), "done_rate": rate, "waiting": len(self.queue)}
         classes = list(self.plan.work)
         networks = {
-            network: [by_class.get(name, NO_REQUESTS) for name in classes]
+            network: [by_class.get(name, NO_COUNTS) for name in classes]
             for network, by_class in self.counts.items()
         }
         body = msgspec.json.encode(CountReport(self.boot, classes, networks))
@@ -303,7 +305,7 @@
     # Life and faults.
 
     async def begin(self) -> None:
-        """Open the socket, unless another fault has started the process already."""
+        """Open the socket if it is not open yet."""
         if self.server is not None:
             return
         self.server = await self.loop.create_server(
@@ -311,7 +313,7 @@
         )
 
     def inject_fault(self, fault: str, value: Any) -> None:
-        """Cause a fault: an attribute's new value, or "drain", "stop", "start" or "pause"."""
+        """Cause "drain", "stop", "start", "pause" or "heavy", or set the attribute `fault`."""
         now = self.loop.time()
         if fault == "drain":
             self._drain()
@@ -336,24 +338,24 @@
         self.draining = True
         for connection in list(self.connections):
             if connection.job is None:
-                connection.close()  # idle ones would bring a request after the grace
+                connection.close()  # a client could use an idle connection after the drain grace
 
     def _release(self) -> None:
-        """Cut connections whose requests were held: their clients have long gone."""
-        for connection in self.held:
+        """Abort the connections whose requests were held while the endpoint was silent or hung."""
+        for connection in self.held_connections:
             connection.abort("was silent")
-        self.held = []
+        self.held_connections = []
         self.loop.call_soon(self.advance)
 
     def stop(self) -> None:
-        """End the process: its connections are cut and its work is lost."""
+        """End the process: its connections are aborted and its jobs are lost."""
         if self.server is not None:
             self.server.close()
             self.server = None
         for connection in list(self.connections):
             connection.abort("stopped")
         self.reset(cold=True)
-        self.boots += 1
+        self.boot_count += 1
 
 
 class Connection(ServerConnection):
@@ -362,11 +364,11 @@
     def __init__(self, host: StandInEndpoint) -> None:
         super().__init__(IDLE_TIMEOUT)
         self.host = host
-        self.job: Optional[Job] = None  # the request that is not answered yet
-        self.network = ""  # the client's /24
+        self.job: Optional[Job] = None  # the pending request
+        self.network = ""  # the client's /24 network
 
     def opened(self) -> None:
-        """Register the connection, or cut it past the endpoint's limit."""
+        """Register the connection, or abort it if the endpoint has too many."""
         self.network = self.peer[0].rpartition(".")[0] + ".0"
         if len(self.host.connections) >= self.host.plan.connections:
             self.abort("too many connections")
@@ -374,18 +376,18 @@
         self.host.connections[self] = True
 
     def ended(self, reason: str) -> None:
-        """Abandon the request that is not answered yet."""
+        """Abandon the pending request."""
         self.host.connections.pop(self, None)
         if self.job is not None:
             self.host.abandon(self.job)
 
     def serve(self, method: str, path: str, headers: dict[str, str], body: bytes) -> None:
-        """Hand a request to the endpoint."""
+        """Pass a request to the endpoint."""
         self.host.receive(self, path, headers)
 
 
 class EndpointGroup:
-    """The endpoints of one process, controlled by commands (standin/process.py)."""
+    """The endpoints of one process, controlled by commands (`standin.process`)."""
 
     def __init__(self, rng: Random, recorder: Recorder) -> None:
         self.rng = rng
@@ -393,8 +395,8 @@
         self.pods = Pods()
         self.hosts: dict[str, StandInEndpoint] = {}
 
-    async def command(self, command: dict[str, Any], /) -> None:
-        """Carry out a command."""
+    async def execute(self, command: dict[str, Any], /) -> None:
+        """Execute a command."""
         match command["do"]:
             case "host":
                 plan = msgspec.convert(command["plan"], EndpointPlan)
--- a/peatlead/standin/platform_discovery.py
+++ b/peatlead/standin/platform_discovery.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's discovery agent: the list of endpoints and the watches on it."""
+"""A stand-in for the platform's discovery agent, which serves an endpoint list by long polling."""
 
 import asyncio
 import json
@@ -7,22 +7,22 @@
 
 from ..net.http import ServerConnection
 
-Endpoint = dict[str, Any]  # one entry of the list, with the names of the platform's protocol
-ACTIVE = "active"  # the lifecycle of an endpoint that serves
+Endpoint = dict[str, Any]  # one entry of the list, with the keys of the platform's protocol
+ACTIVE = "active"  # the lifecycle of an endpoint that serves requests
 
 
 class EndpointList:
-    """The endpoints by name; each update is sent at once to all who watch."""
+    """The endpoints by name; each update is sent at once to all watches."""
 
     def __init__(self) -> None:
         self.version = 1
         self.endpoints: dict[str, Endpoint] = {}
         self.changed_at: dict[str, int] = {}  # version of each endpoint's last change
-        self.drained_at: dict[str, float] = {}  # when each endpoint began to drain, or left
-        self.watches: list[DiscoveryAgent] = []  # requests not answered yet
+        self.drained_at: dict[str, float] = {}  # start of the drain or removal of each endpoint
+        self.watches: list[DiscoveryAgent] = []  # connections with a pending request
 
     def update(self, endpoints: Iterable[Endpoint]) -> None:
-        """Set entries of the list and answer the watches."""
+        """Add or replace entries of the list, and answer the watches."""
         self.version += 1
         for endpoint in endpoints:
             name = endpoint["instanceId"]
@@ -35,7 +35,7 @@
         self.answer_watches()
 
     def answer_watches(self) -> None:
-        """Answer all watches but those that wait for a change to come."""
+        """Answer all watches except those that wait for the next change."""
         waiting = self.watches
         self.watches = []
         for watch in waiting:
@@ -62,10 +62,10 @@
     def __init__(self, endpoint_list: EndpointList) -> None:
         super().__init__(0.0)
         self.endpoint_list = endpoint_list
-        self.path = ""  # of the request being served
+        self.path = ""  # of the pending request
 
     def serve(self, method: str, path: str, headers: dict[str, str], body: bytes) -> None:
-        """Add a watch, answered at once if it need not wait."""
+        """Add a watch, and answer it at once unless it has to wait for a change."""
         self.path = path
         self.endpoint_list.watches.append(self)
         self.endpoint_list.answer_watches()
--- a/peatlead/standin/platform_fleet.py
+++ b/peatlead/standin/platform_fleet.py
@@ -1,13 +1,13 @@
-"""A fleet on the platform's protocol, on loopback: real controller processes, all else stand-ins.
+"""A fleet on the platform's protocol: real controller processes and stand-ins, on loopback.
 
     fleet = Fleet(settings, FleetPlan(...), folder)
     await fleet.start()
     fleet.list_hosts([...]); fleet.kill("n0"); fleet.restart("n0")
     fleet.drain_report()
 
-The rule on drains is checked by what the proxies hold: an endpoint that drains or has left must be
-reachable for no proxy longer than the grace after its controller was notified, or after the proxy
-joined it, whichever came later.
+The fleet checks the drain rule on the tables of the proxies: a proxy must not be able to reach an
+endpoint that drains or has left for longer than the drain grace, counted from the list update or
+from the proxy's connection to its controller, whichever came later.
 """
 
 import asyncio
@@ -22,18 +22,18 @@
 
 from ..net.streams import LineStream
 from .platform_discovery import ACTIVE, DiscoveryAgent, Endpoint, EndpointList
-from .platform_proxies import MessagePart, PacedChannel, ProxyState, QueuedMessage
+from .platform_proxies import MessagePart, ProxyState, QueuedMessage, RateLimitedChannel
 
-CHECK_INTERVAL = 0.05  # seconds between checks of channels and of what proxies hold
-ANSWER_AFTER = 0.05  # seconds that a proxy takes to apply a message and acknowledge it
-READY_TIMEOUT = 30.0  # seconds until a controller must answer its first probe
-DIAL_INTERVAL = 0.01  # seconds until a proxy dials the next controller
-SOCKETS_MAX = 1024  # of a controller
+CHECK_INTERVAL = 0.05  # seconds between checks of the channels and the tables
+ACKNOWLEDGE_DELAY = 0.05  # seconds from a message's arrival to its acknowledgement
+READY_TIMEOUT = 30.0  # seconds for a controller to answer its first probe
+REDIAL_INTERVAL = 0.01  # seconds until a proxy dials the next controller
+MAX_SOCKETS = 1024  # per controller
 DISCOVERY_ADDRESS = "127.4.2.1"
 
 
 class FleetPlan(NamedTuple):
-    """The size of a fleet and the habits of its proxies."""
+    """The size of a fleet and the timing of its proxies."""
 
     controllers: int
     proxies: int
@@ -41,12 +41,12 @@
     port: int  # of all controllers and the discovery agent
     channel_rate_fraction: float = 1.0  # of the configured rate
     redial_delay: tuple[float, float] = (0.3, 0.4)  # seconds after a stream ended
-    return_delay: float = 0.0  # seconds until a proxy returns to its own controller, 0 for never
+    return_delay: float = 0.0  # seconds until a proxy returns to its own controller; 0: never
     seed: int = 1
 
 
 class LateWithdrawal(NamedTuple):
-    """A proxy that could reach an endpoint for longer than the grace."""
+    """A proxy that could reach an endpoint for longer than the drain grace."""
 
     proxy: int
     endpoint: str
@@ -56,9 +56,9 @@
 class DrainReport(NamedTuple):
     """How long proxies could reach endpoints that drain or have left."""
 
-    longest: float  # seconds after the controller was notified, or the proxy joined it
-    late_withdrawals: list[LateWithdrawal]  # past the grace, one for each pair
-    max_waiting: float  # the longest queue of any channel, in entries
+    longest: float  # seconds from the list update or the proxy's connection
+    late_withdrawals: list[LateWithdrawal]  # one per proxy and endpoint, longer than the grace
+    max_waiting: float  # longest queue of any channel, in entries
 
 
 class ProxyStream(LineStream):
@@ -69,10 +69,10 @@
         self.fleet = fleet
         self.proxy = proxy
         self.controller = controller
-        self.parts: list[MessagePart] = []  # of a message whose end has not arrived
+        self.parts: list[MessagePart] = []  # of an incomplete message
 
     def opened(self) -> None:
-        """Introduce the proxy."""
+        """Send the proxy's hello message."""
         proxy = self.proxy
         proxy.joined_at = self.loop.time()
         self._send_message(
@@ -84,7 +84,7 @@
         )
 
     def line(self, data: bytes) -> None:
-        """Put a complete message into the controller's channel."""
+        """Collect the parts of a message and queue a complete one in the controller's channel."""
         part = json.loads(data)
         if part["msg"] != "push":
             return
@@ -108,7 +108,8 @@
 class Fleet:
     """Controllers, proxies and the discovery agent.
 
-    `settings` are the platform's, shared by all controllers but for each one's zone and rank.
+    `settings` are the platform's settings; they are the same for all controllers except for the
+    rank and the zone.
     """
 
     server: asyncio.Server
@@ -116,7 +117,7 @@
     def __init__(self, settings: dict[str, Any], plan: FleetPlan, folder: str) -> None:
         self.settings = settings
         self.plan = plan
-        self.folder = folder  # of the controllers' configurations and logs
+        self.folder = folder  # for configurations and logs of the controllers
         self.rng = Random(plan.seed)
         self.controller_names = [f"n{rank}" for rank in range(plan.controllers)]  # of controllers
         self.zones: list[str] = settings["zones"]
@@ -137,10 +138,12 @@
             for number in range(self.plan.proxies)
         ]
 
-    def _build_channels(self) -> dict[str, PacedChannel[ProxyStream]]:
+    def _build_channels(self) -> dict[str, RateLimitedChannel[ProxyStream]]:
         family = self.settings["familyInfo"]
-        pace = family["channelRate"] * self.plan.channel_rate_fraction
-        return {name: PacedChannel(pace, family["perMessage"]) for name in self.controller_names}
+        rate = family["channelRate"] * self.plan.channel_rate_fraction
+        return {
+            name: RateLimitedChannel(rate, family["perMessage"]) for name in self.controller_names
+        }
 
     # The endpoint list.
 
@@ -158,7 +161,7 @@
         }
 
     def update_endpoints(self, endpoints: Iterable[Endpoint]) -> None:
-        """Update the list, sent at once to all controllers that watch it."""
+        """Update the endpoint list, which is sent at once to all controllers that watch it."""
         self.endpoint_list.update(endpoints)
 
     # Controllers.
@@ -168,7 +171,7 @@
         return f"127.4.0.{self.controller_names.index(name) + 1}"
 
     async def start(self) -> None:
-        """Start the controllers, wait until each answers and let the proxies join them."""
+        """Start the controllers, wait until each answers, and connect the proxies."""
         loop = asyncio.get_running_loop()
         self.server = await loop.create_server(
             lambda: DiscoveryAgent(self.endpoint_list), DISCOVERY_ADDRESS, self.plan.port
@@ -179,7 +182,7 @@
             await self.wait_until_ready(name)
         self._spawn(self._run_checks())
         for proxy in self.proxies:
-            self._spawn(self._dial(proxy, self._home(proxy)))
+            self._spawn(self._dial(proxy, self._own_controller(proxy)))
 
     def restart(self, name: str) -> None:
         """Start a controller's process."""
@@ -194,9 +197,9 @@
             )
 
     def _configuration(self, name: str) -> dict[str, Any]:
-        """Return a controller's configuration, with the list of the fleet's first moment."""
+        """Return a controller's configuration, with the endpoint list at the fleet's start."""
         rank = self.controller_names.index(name)
-        known = {
+        initial_list = {
             "generation": 0,
             "reset": True,
             "instances": [self.endpoint_entry(number) for number in range(self.plan.endpoints)],
@@ -206,8 +209,8 @@
             "listen": f"{self.address(name)}:{self.plan.port}",
             "discovery": f"{DISCOVERY_ADDRESS}:{self.plan.port}",
             "seed": f"{self.plan.seed + rank:x}",
-            "limits": {"sockets": SOCKETS_MAX},
-            "known": known,
+            "limits": {"sockets": MAX_SOCKETS},
+            "known": initial_list,
             "settings": {**self.settings, "rank": rank, "locality": rank % len(self.zones)},
         }
 
@@ -230,30 +233,30 @@
             await asyncio.sleep(CHECK_INTERVAL)
 
     def kill(self, name: str) -> None:
-        """End a controller by SIGKILL: its streams are reset and its channel's queue is lost."""
+        """Kill a controller (SIGKILL); its streams are reset and its channel's queue is lost."""
         self.processes[name].kill()
         self.processes[name].wait()
         self.channels[name].clear()
 
     def read_log(self, name: str) -> list[dict[str, Any]]:
-        """Return a controller's log lines."""
+        """Return a controller's log records."""
         with open(f"{self.folder}/{name}.log") as file:
             return [json.loads(line) for line in file]
 
     # Proxies.
 
-    def _home(self, proxy: ProxyState) -> str:
-        """Return the name of a proxy's own controller."""
+    def _own_controller(self, proxy: ProxyState) -> str:
+        """Return the name of the controller that a proxy prefers."""
         return self.controller_names[proxy.number % len(self.controller_names)]
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.get_running_loop().create_task(work)
+    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _dial(self, proxy: ProxyState, first: str) -> None:
-        """Connect a proxy to a controller, or to the next that accepts."""
-        rank = self.controller_names.index(first)
+    async def _dial(self, proxy: ProxyState, first_controller: str) -> None:
+        """Connect a proxy to a controller, or to the next one that accepts the connection."""
+        rank = self.controller_names.index(first_controller)
         while not self.stopped:
             name = self.controller_names[rank % len(self.controller_names)]
             try:
@@ -264,27 +267,29 @@
                 )
             except OSError:
                 rank += 1
-                await asyncio.sleep(DIAL_INTERVAL)
+                await asyncio.sleep(REDIAL_INTERVAL)
                 continue
-            self._follow(proxy, stream)
+            self._set_stream(proxy, stream)
             return
 
-    def _follow(self, proxy: ProxyState, stream: ProxyStream) -> None:
-        """Make a stream the proxy's present one."""
+    def _set_stream(self, proxy: ProxyState, stream: ProxyStream) -> None:
+        """Replace the proxy's stream, and schedule its return to its own controller."""
         former = self.streams.get(proxy)
         self.streams[proxy] = stream
         if former is not None:
             former.abort("moved")
-        if self.plan.return_delay and stream.controller != self._home(proxy):
+        if self.plan.return_delay and stream.controller != self._own_controller(proxy):
             delay = self.rng.uniform(0.5, 1.0) * self.plan.return_delay
-            asyncio.get_running_loop().call_later(delay, self._go_home, proxy, stream)
+            asyncio.get_running_loop().call_later(
+                delay, self._return_to_own_controller, proxy, stream
+            )
 
-    def _go_home(self, proxy: ProxyState, stream: ProxyStream) -> None:
+    def _return_to_own_controller(self, proxy: ProxyState, stream: ProxyStream) -> None:
         if self.streams.get(proxy) is stream and not self.stopped:
-            self._spawn(self._dial(proxy, self._home(proxy)))
+            self._spawn(self._dial(proxy, self._own_controller(proxy)))
 
     def stream_ended(self, stream: ProxyStream) -> None:
-        """Let the proxy dial again if it followed this stream."""
+        """Schedule a new connection of the proxy if the stream was its current one."""
         proxy = stream.proxy
         if self.streams.get(proxy) is stream and not self.stopped:
             del self.streams[proxy]
@@ -315,18 +320,18 @@
         for part in message.parts:
             if "nonce_out" in part:
                 latency = 1000 * (loop.time() - message.entered_at)
-                loop.call_later(ANSWER_AFTER, stream.acknowledge, part["nonce_out"], latency)
+                loop.call_later(ACKNOWLEDGE_DELAY, stream.acknowledge, part["nonce_out"], latency)
 
     def _check_drains(self, now: float) -> None:
         drained_at = self.endpoint_list.drained_at
         for proxy in self.streams:
             for endpoint in proxy.reachable() & drained_at.keys():
                 seconds = now - max(drained_at[endpoint], proxy.joined_at or now)
-                pair = (proxy.number, endpoint)
-                self.reachable_seconds[pair] = max(seconds, self.reachable_seconds.get(pair, 0.0))
+                key = (proxy.number, endpoint)
+                self.reachable_seconds[key] = max(seconds, self.reachable_seconds.get(key, 0.0))
 
     def drain_report(self, grace: float) -> DrainReport:
-        """Return what the checks have found, for a grace in seconds."""
+        """Return the results of the drain checks for a grace in seconds."""
         late_withdrawals = [
             LateWithdrawal(proxy, endpoint, round(seconds, 3))
             for (proxy, endpoint), seconds in self.reachable_seconds.items()
@@ -344,7 +349,7 @@
         return sum(bool(proxy.reachable() & drained) for proxy in self.streams)
 
     def stop(self) -> None:
-        """End the fleet: its connections are cut and its processes killed."""
+        """Stop the fleet: abort its connections and kill its processes."""
         self.stopped = True
         self.server.close()
         for stream in [*self.streams.values(), *self.endpoint_list.watches]:
--- a/peatlead/standin/platform_proxies.py
+++ b/peatlead/standin/platform_proxies.py
@@ -1,9 +1,8 @@
-"""Stand-ins for the platform's proxies and for the paced channel from a controller to them.
+"""Stand-ins for the platform's proxies and for the rate-limited channel from a controller.
 
-Written from the platform's protocol page. `ProxyState` is what one proxy stores across its streams;
-`PacedChannel` is the channel of one controller: messages enter it when their last byte has arrived
-and leave it one after the other. Neither does any I/O; times are seconds on whatever clock the
-caller gives.
+`ProxyState` is the state that a proxy keeps across its streams. `RateLimitedChannel` is the channel
+of one controller: a message enters the queue when its last byte has arrived, and messages leave in
+order. Neither does any I/O; times are in seconds on the caller's clock.
 """
 
 from collections import deque
@@ -23,11 +22,11 @@
         self.request_classes = tuple(request_classes)
         self.tables: dict[str, dict[str, float]] = {name: {} for name in self.request_classes}
         self.ejected: set[str] = set()
-        self.received_full_table = False  # whether a controller ever sent it a full table
-        self.joined_at: Optional[float] = None  # start of its present stream
+        self.received_full_table = False
+        self.joined_at: Optional[float] = None  # start of the current stream
 
     def apply(self, parts: Iterable[MessagePart]) -> None:
-        """Apply one message, given as its decoded parts."""
+        """Apply the decoded parts of one message."""
         for part in parts:
             for request_class in part.get("routes", self.request_classes):
                 self._update_table(self.tables[request_class], part)
@@ -45,13 +44,13 @@
                 table.pop(endpoint, None)
 
     def reachable(self) -> set[str]:
-        """Return the names of the endpoints that the proxy may send requests to."""
+        """Return the names of the endpoints to which the proxy can send requests."""
         in_tables: set[str] = set().union(*self.tables.values())
         return in_tables - self.ejected
 
 
 def count_entries(parts: Iterable[MessagePart]) -> int:
-    """Count what a message costs in the channel, without its fixed cost."""
+    """Return the number of entries of a message, without the fixed cost per message."""
     return sum(
         bool(part.get("full"))
         + len(part.get("endpoints", ()))
@@ -64,25 +63,25 @@
 
 
 class QueuedMessage(NamedTuple, Generic[StreamT]):
-    """A message that waits in the channel."""
+    """A message in the channel's queue."""
 
     stream: StreamT
     parts: Sequence[MessagePart]
-    size: float  # in entries, the message's fixed cost included
+    size: float  # in entries, including the fixed cost per message
     entered_at: float
 
 
-class PacedChannel(Generic[StreamT]):
+class RateLimitedChannel(Generic[StreamT]):
     """A channel whose messages leave in order, each after size / `entries_per_s` seconds.
 
-    `message_cost` is what each message costs beside its entries.
+    `message_cost` is the fixed cost per message, in entries.
     """
 
     def __init__(self, entries_per_s: float, message_cost: float) -> None:
         self.entries_per_s = entries_per_s
         self.message_cost = message_cost
         self.queue: deque[QueuedMessage[StreamT]] = deque()
-        self.free_at = 0.0  # when the last message left
+        self.last_departure_at = 0.0  # when the last message left
         self.waiting = 0.0  # entries in the queue
         self.max_waiting = 0.0  # the largest value of `waiting` so far
 
@@ -95,18 +94,20 @@
 
     def take(self, now: float) -> list[QueuedMessage[StreamT]]:
         """Remove and return the messages that have left by now."""
-        left = []
+        departed = []
         while self.queue:
             message = self.queue[0]
-            leaves_at = max(self.free_at, message.entered_at) + message.size / self.entries_per_s
-            if leaves_at > now:
+            departs_at = (
+                max(self.last_departure_at, message.entered_at) + message.size / self.entries_per_s
+            )
+            if departs_at > now:
                 break
-            self.free_at = leaves_at
+            self.last_departure_at = departs_at
             self.waiting -= message.size
-            left.append(self.queue.popleft())
-        return left
+            departed.append(self.queue.popleft())
+        return departed
 
     def clear(self) -> None:
-        """Drop all that waits, as the controller's end does."""
+        """Drop all queued messages, as at the end of the controller."""
         self.queue.clear()
         self.waiting = 0.0
--- a/peatlead/standin/process.py
+++ b/peatlead/standin/process.py
@@ -1,10 +1,10 @@
-"""A process of stand-ins, controlled by datagrams of JSON that are each answered once carried out.
+"""A process of stand-ins, controlled by commands in JSON datagrams.
 
 `python -m peatlead.standin.process hosts|desks|agents ADDRESS PORT SEED FOLDER/NAME.rec`
 
-A command is `{"number": n, "do": ..., ...}` and its reply `{"number": n, "error": ""}`, with the
-problem's text as the error where the command failed. Lost datagrams are repeated by the client and
-recognized by their number in the server.
+A command is `{"number": n, "do": ..., ...}`. The reply, sent when the command is done, is
+`{"number": n, "error": ""}`; if the command failed, `error` describes the exception. The client
+repeats a command until it gets the reply, and the server recognizes repeats by their number.
 """
 
 import asyncio
@@ -21,7 +21,7 @@
 from . import dns_clients, hosts, xds_proxies
 
 FLUSH_INTERVAL = 0.5  # seconds between writes of the recording
-REPEAT_INTERVAL = 0.3  # seconds until an unanswered command is sent again
+REPEAT_INTERVAL = 0.3  # seconds until an unanswered command is repeated
 COMMAND_TIMEOUT = 20.0  # seconds until an unanswered command fails
 
 Command = dict[str, Any]
@@ -29,14 +29,14 @@
 
 
 class CommandFailedError(RuntimeError):
-    """A stand-in process could not carry out a command."""
+    """A stand-in process failed to execute a command."""
 
 
 class Group(Protocol):
     """The stand-ins of one process."""
 
-    async def command(self, command: Command, /) -> None:
-        """Carry out a command."""
+    async def execute(self, command: Command, /) -> None:
+        """Execute a command."""
 
 
 STANDIN_GROUPS: dict[str, Callable[[Random, Recorder], Group]] = {
@@ -47,20 +47,20 @@
 
 
 class Reply(msgspec.Struct):
-    """The answer to a command, as sent; `error` is empty where the command was carried out."""
+    """The reply to a command; `error` is empty if the command succeeded."""
 
     number: int
     error: str
 
 
 class CommandServer(asyncio.DatagramProtocol):
-    """Carries out each command once; a repeat of one that is done only has its reply sent again."""
+    """Executes each command once; for a repeat of a finished command it sends the reply again."""
 
     transport: asyncio.DatagramTransport
 
     def __init__(self, group: Group) -> None:
         self.group = group
-        self.replies: dict[int, bytes] = {}  # by command number; empty while it is carried out
+        self.replies: dict[int, bytes] = {}  # by command number; empty while it is executed
         self.tasks: set[asyncio.Task[None]] = set()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -68,7 +68,7 @@
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, peer: Any) -> None:
-        """Start a command, or answer a repeated one that is done."""
+        """Start a command, or send the reply of a finished command again."""
         command = msgspec.json.decode(data)
         number = command["number"]
         if number in self.replies:
@@ -83,22 +83,22 @@
     async def _run(self, command: Command, peer: Any) -> None:
         error = ""
         try:
-            await self.group.command(command)
-        except Exception as problem:  # ends the scenario: a faulty stand-in proves nothing
+            await self.group.execute(command)
+        except Exception as exception:  # the client raises CommandFailedError
             traceback.print_exc()
-            error = repr(problem)
+            error = repr(exception)
         number = command["number"]
         self.replies[number] = msgspec.json.encode(Reply(number, error))
         self.transport.sendto(self.replies[number], peer)
 
 
 class CommandClient(asyncio.DatagramProtocol):
-    """Sends commands to stand-in processes and repeats each until it is answered."""
+    """Sends commands to stand-in processes and repeats each until its reply arrives."""
 
     transport: asyncio.DatagramTransport
 
     def __init__(self) -> None:
-        self.waiting: dict[int, asyncio.Future[str]] = {}  # errors to come, by command number
+        self.pending_replies: dict[int, asyncio.Future[str]] = {}  # error by command number
         self.last_number = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -106,18 +106,18 @@
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, peer: Any) -> None:
-        """Hand a reply to the call that waits for it."""
+        """Pass a reply to the `execute` call that waits for it."""
         reply = msgspec.json.decode(data, type=Reply)
-        waiter = self.waiting.get(reply.number)
-        if waiter is not None and not waiter.done():
-            waiter.set_result(reply.error)
+        pending = self.pending_replies.get(reply.number)
+        if pending is not None and not pending.done():
+            pending.set_result(reply.error)
 
     async def execute(
         self, peer: Address, command: Command, timeout: float = COMMAND_TIMEOUT
     ) -> None:
-        """Have a command carried out.
+        """Send a command to a process and wait until it is executed.
 
-        Raises CommandFailedError with the stand-in's own text, or TimeoutError after `timeout`
+        Raises CommandFailedError with the error of the reply, or TimeoutError after `timeout`
         seconds without a reply.
         """
         loop = asyncio.get_running_loop()
@@ -125,7 +125,7 @@
         number = self.last_number
         deadline = loop.time() + timeout
         data = msgspec.json.encode({**command, "number": number})
-        reply = self.waiting[number] = loop.create_future()
+        reply = self.pending_replies[number] = loop.create_future()
         try:
             while loop.time() < deadline:
                 self.transport.sendto(data, peer)
@@ -133,16 +133,16 @@
                 if reply.done():
                     break
             else:
-                raise TimeoutError(f"{command['do']}: no answer")
+                raise TimeoutError(f"command {command['do']!r}: no reply within {timeout} s")
         finally:
-            del self.waiting[number]
+            del self.pending_replies[number]
         error = reply.result()
         if error:
             raise CommandFailedError(f"{command['do']}: {error}")
 
 
 async def serve(kind: str, address: str, port: int, seed: int, path: str) -> None:
-    """Run stand-ins of a kind (a key of `STANDIN_GROUPS`) until SIGTERM, recording to a file."""
+    """Run stand-ins of a kind (a key of `STANDIN_GROUPS`) until SIGTERM and record to `path`."""
     loop = asyncio.get_running_loop()
     recorder = Recorder(path)
     stopped = asyncio.Event()
--- a/peatlead/standin/proxy_requests.py
+++ b/peatlead/standin/proxy_requests.py
@@ -15,14 +15,14 @@
 from .proxy_stats import EndpointTally, LoadStats
 
 CONNECT_TIMEOUT = 0.7  # seconds
-ATTEMPT_SHARE = 0.6  # of the time left that an attempt gets where another may follow
-EJECTION_SPREAD = (0.6, 1.4)  # an ejection's duration, as a factor of the planned one
+ATTEMPT_TIME_FRACTION = 0.6  # of the remaining time, for an attempt that is not the last
+EJECTION_SPREAD = (0.6, 1.4)  # an ejection's duration as a multiple of the planned one
 MAX_ATTEMPTS = {"never": 1, "unstarted": 2, "once": 2, "twice": 3}  # by retry policy
-RESOLVER = "agent"  # stands for the resolver in the rows of proxies
+PROXY_RESOLVER = "agent"  # resolver kind in the rows of proxies
 
 
 class ProxyTables:
-    """What a controller assigned to the proxy, by request class."""
+    """The tables and policies that a controller assigned to the proxy, by request class."""
 
     def __init__(self) -> None:
         self.entries: dict[str, list[WeightedEndpoint]] = {}
@@ -36,25 +36,25 @@
 
 @dataclass(slots=True)
 class ProxyRequest:
-    """A request under way; times are of the event loop's clock."""
+    """An active request; times are on the event loop's clock."""
 
     id: str
     request_class: RequestClass
     due: float
     deadline: float
-    retry: str  # the retry policy
+    retry: str  # retry policy
     max_attempts: int
 
 
 class AttemptResult(NamedTuple):
-    """How an attempt ended, and whether the request may have run."""
+    """The outcome of an attempt, and whether the endpoint may have run the request."""
 
     outcome: str
     may_have_run: bool
 
 
 class RequestSender:
-    """Sends a proxy's requests by its tables and counts them."""
+    """Sends a proxy's requests to the endpoints of its tables, and counts them."""
 
     def __init__(
         self, plan: ProxyPlan, tables: ProxyTables, rng: Random, recorder: Recorder
@@ -67,11 +67,11 @@
         self.stats = LoadStats(plan, self.loop.time())
         self.idle: dict[str, list[ClientConnection]] = {}  # connections by address
         self.in_flight: defaultdict[str, int] = defaultdict(int)  # requests by address
-        self.failures: defaultdict[str, int] = defaultdict(int)  # in a row, by address
+        self.failures: defaultdict[str, int] = defaultdict(int)  # consecutive, by address
         self.ejected_until: dict[str, float] = {}
 
     async def run(self, request_id: str, request_class: RequestClass, due: float) -> None:
-        """Admit or shed a request, try it until it ends, and record it."""
+        """Admit or shed a request, run it with its retries, and record it."""
         tried: list[str] = []
         if self.rng.random() >= self.tables.admissions.get(request_class.name, 1.0):
             self.stats.dropped[request_class.name] += 1
@@ -91,7 +91,7 @@
         return ProxyRequest(request_id, request_class, due, deadline, retry, MAX_ATTEMPTS[retry])
 
     async def _try(self, request: ProxyRequest, tried: list[str]) -> str:
-        """Try one endpoint after the other, adding each to `tried`; return the outcome."""
+        """Try endpoints until the request ends, add each to `tried`, and return the outcome."""
         outcome: str = Outcome.UNRESOLVED.value
         while len(tried) < request.max_attempts and self.loop.time() < request.deadline:
             entry = self._choose(request.request_class.name, tried)
@@ -118,7 +118,7 @@
             request.id,
             request_class.name,
             self.plan.name,
-            RESOLVER,
+            PROXY_RESOLVER,
             self.plan.pick,
             outcome,
             request.due,
@@ -127,12 +127,14 @@
         )
 
     def _choose(self, request_class: str, tried: list[str]) -> Optional[WeightedEndpoint]:
-        """Draw an endpoint by weight; ejected ones only where there are no others."""
+        """Choose an untried endpoint at random by weight; an ejected one only without others."""
         entries = self.tables.entries.get(request_class, ())
         untried = [entry for entry in entries if entry.address not in tried]
         now = self.loop.time()
-        fit = [entry for entry in untried if self.ejected_until.get(entry.address, 0.0) <= now]
-        candidates = fit or untried
+        not_ejected = [
+            entry for entry in untried if self.ejected_until.get(entry.address, 0.0) <= now
+        ]
+        candidates = not_ejected or untried
         if not candidates:
             return None
         weights = [entry.weight for entry in candidates]
@@ -143,24 +145,24 @@
     async def _attempt(
         self, request: ProxyRequest, entry: WeightedEndpoint, number: int
     ) -> AttemptResult:
-        """Send a request to an endpoint once, and count how it ended."""
+        """Send a request to an endpoint once, and count the outcome."""
         start = self.loop.time()
         address = entry.address
         tally = self.stats.endpoints[request.request_class.name, address]
         self.in_flight[address] += 1
         may_have_run = False
         try:
-            stream = self._take_idle(address) or await self._connect(request, entry, start)
+            connection = self._take_idle(address) or await self._connect(request, entry, start)
             may_have_run = True
             self._record_sent(request, address, number)
-            response = await self._send(request, stream, number, start)
+            response = await self._send(request, connection, number, start)
             outcome = OUTCOME_BY_STATUS.get(response.status, Outcome.ERRORED.value)
             may_have_run = outcome not in (Outcome.DENIED, Outcome.SHED)
             _add_utilization(tally, response)
-            if stream.usable:
-                self.idle.setdefault(address, []).append(stream)
-        except RequestFailedError as problem:
-            outcome = problem.outcome
+            if connection.usable:
+                self.idle.setdefault(address, []).append(connection)
+        except RequestFailedError as error:
+            outcome = error.outcome
         finally:
             self.in_flight[address] -= 1
         self._count(tally, address, outcome, self.loop.time() - start)
@@ -173,15 +175,15 @@
         return await connect(self.loop, (entry.address, entry.port), deadline, self.plan.local)
 
     async def _send(
-        self, request: ProxyRequest, stream: ClientConnection, number: int, start: float
+        self, request: ProxyRequest, connection: ClientConnection, number: int, start: float
     ) -> Response:
-        share = ATTEMPT_SHARE if number < request.max_attempts else 1.0
-        return await stream.send_request(
+        time_fraction = ATTEMPT_TIME_FRACTION if number < request.max_attempts else 1.0
+        return await connection.send_request(
             "POST",
             "/" + request.request_class.name,
             [("host", "x"), ("req-id", request.id)],
             b"",
-            start + (request.deadline - start) * share,
+            start + (request.deadline - start) * time_fraction,
         )
 
     def _record_sent(self, request: ProxyRequest, address: str, number: int) -> None:
@@ -191,7 +193,7 @@
             request.id,
             request.request_class.name,
             self.plan.name,
-            RESOLVER,
+            PROXY_RESOLVER,
             self.plan.pick,
             address,
             number,
@@ -214,23 +216,23 @@
             self.failures[address] = 0
 
     def _take_idle(self, address: str) -> Optional[ClientConnection]:
-        streams = self.idle.get(address, [])
-        while streams:
-            stream = streams.pop()
-            if stream.usable:
-                return stream
+        connections = self.idle.get(address, [])
+        while connections:
+            connection = connections.pop()
+            if connection.usable:
+                return connection
         return None
 
     def close_unassigned(self) -> None:
-        """Close idle connections to endpoints that have left the tables."""
+        """Close idle connections to endpoints that are no longer in the tables."""
         assigned = self.tables.addresses()
         for address in [address for address in self.idle if address not in assigned]:
-            for stream in self.idle.pop(address):
-                stream.close()
+            for connection in self.idle.pop(address):
+                connection.close()
 
 
 def _add_utilization(tally: EndpointTally, response: Response) -> None:
-    """Count the utilization that a response carries, if any."""
+    """Add the utilization from a response's `load-util` header, if it has one."""
     utilization = response.headers.get("load-util")
     if utilization:
         tally.util += float(utilization)
--- a/peatlead/standin/proxy_stats.py
+++ b/peatlead/standin/proxy_stats.py
@@ -1,4 +1,4 @@
-"""What a stand-in proxy counts of its requests, and its load reports (LRS)."""
+"""Request counts of a stand-in proxy, and the load reports (LRS) made of them."""
 
 from collections import defaultdict
 from typing import Any
@@ -11,29 +11,29 @@
 
 
 class EndpointTally:
-    """Requests of one class to one endpoint since the last report."""
+    """Counts of requests of one class to one endpoint since the last report."""
 
     __slots__ = ("done", "errors", "seconds", "util", "reports")
 
     def __init__(self) -> None:
         self.done = 0
         self.errors = 0
-        self.seconds = 0.0  # of all requests that were done
-        self.util = 0.0  # the sum of the utilizations that the endpoint reported
-        self.reports = 0  # of utilization
+        self.seconds = 0.0  # sum of the latencies of done requests
+        self.util = 0.0  # sum of the utilizations that the endpoint reported
+        self.reports = 0  # number of utilizations in the sum
 
 
 class LoadStats:
-    """The counts since the last report, and the report made of them."""
+    """A proxy's counts since its last load report."""
 
     def __init__(self, plan: ProxyPlan, now: float) -> None:
         self.plan = plan
         self.reported_at = now
         self.endpoints: defaultdict[tuple[str, str], EndpointTally] = defaultdict(EndpointTally)
-        self.dropped: defaultdict[str, int] = defaultdict(int)  # requests shed, by class
+        self.dropped: defaultdict[str, int] = defaultdict(int)  # shed requests by class
 
     def take_report(self, now: float) -> Any:
-        """Return a LoadStatsRequest of the counts, and begin to count anew."""
+        """Return a LoadStatsRequest with the counts, and reset them."""
         request = lrs_pb2.LoadStatsRequest()
         interval = int((now - self.reported_at) * NANOSECONDS)
         for request_class in self.plan.kinds:
--- a/peatlead/standin/resolvers.py
+++ b/peatlead/standin/resolvers.py
@@ -1,7 +1,7 @@
-"""Stand-in resolvers that cache answers as the RFCs have it, or as real ones are known to.
+"""Stand-in resolvers, which cache answers for the TTL or, like some real resolvers, for longer.
 
-A resolver's kind is one of `CACHE_POLICIES`. It asks its servers over UDP, and over TCP where an
-answer is truncated, the quickest first.
+A resolver's kind is a key of `CACHE_POLICIES`. A resolver queries its servers over UDP, fastest
+first, and repeats a query over TCP if the answer is truncated.
 """
 
 import asyncio
@@ -24,50 +24,50 @@
 Server = tuple[str, int]  # host, port
 CacheKey = tuple[str, str]  # name, client subnet or ""
 
-STALE_FOR = 30.0  # seconds that an expired answer may be served for
-ATTEMPT_TIMEOUT = 0.35  # seconds until the next server is asked
+MAX_STALE_TIME = 30.0  # seconds after expiry in which an answer may be served
+ATTEMPT_TIMEOUT = 0.35  # seconds until the next server is queried
 MAX_ATTEMPTS = 4
-MAX_CACHED = 10_000  # answers
-SLOWNESS_DECAY = 0.7  # a server that did not answer is asked again once others seem as slow
-UDP_PAYLOAD = 1232  # bytes, announced in EDNS (DNS flag day 2020)
+MAX_CACHED_ANSWERS = 10_000  # answers
+SLOWNESS_DECAY = 0.7  # per unanswered query, so that the server is queried again later
+UDP_PAYLOAD = 1232  # bytes, in the EDNS option (DNS flag day 2020)
 CACHED_RCODES = ("NOERROR", "NXDOMAIN")
 
 
 class CachePolicy(NamedTuple):
-    """How long a kind of resolver keeps an answer."""
+    """How long a kind of resolver caches an answer."""
 
-    lifetime_factor: float = 1.0  # of the answer's TTL
-    min_lifetime: float = 0.0  # seconds
-    serves_stale: bool = False  # expired answers while no server answers (RFC 8767)
+    ttl_factor: float = 1.0  # of the answer's TTL
+    min_ttl: float = 0.0  # seconds
+    serves_stale: bool = False  # serves expired answers while no server answers (RFC 8767)
 
 
 CACHE_POLICIES = {
     "keeps": CachePolicy(),  # RFC 1035
-    "twice": CachePolicy(lifetime_factor=2.0),
-    "tenfold": CachePolicy(lifetime_factor=10.0),
-    "least": CachePolicy(min_lifetime=5.0),
+    "twice": CachePolicy(ttl_factor=2.0),
+    "tenfold": CachePolicy(ttl_factor=10.0),
+    "least": CachePolicy(min_ttl=5.0),
     "stale": CachePolicy(serves_stale=True),
 }
 
 
 class CachedAnswer:
-    """Addresses, when they expire, and how far their order is rotated."""
+    """The addresses of an answer, their expiry time, and the rotation of their order."""
 
-    __slots__ = ("addresses", "until", "rotation")
+    __slots__ = ("addresses", "expires_at", "rotation")
 
-    def __init__(self, addresses: list[str], until: float) -> None:
+    def __init__(self, addresses: list[str], expires_at: float) -> None:
         self.addresses = addresses
-        self.until = until
+        self.expires_at = expires_at
         self.rotation = 0
 
     def rotate(self) -> list[str]:
-        """Return the addresses, beginning one later than the time before."""
+        """Return the addresses, starting one position later than in the previous call."""
         self.rotation = (self.rotation + 1) % len(self.addresses)
         return self.addresses[self.rotation :] + self.addresses[: self.rotation]
 
 
 class Resolver(asyncio.DatagramProtocol):
-    """A caching resolver that asks authoritative servers."""
+    """A caching resolver that queries authoritative servers."""
 
     loop: asyncio.AbstractEventLoop
     transport: asyncio.DatagramTransport
@@ -89,12 +89,12 @@
         self.recorder = recorder
         self.rotates = rotates  # whether the order of addresses changes between lookups
         self.cache: dict[CacheKey, CachedAnswer] = {}
-        self.queries: dict[CacheKey, asyncio.Task[Optional[CachedAnswer]]] = {}  # under way
+        self.queries: dict[CacheKey, asyncio.Task[Optional[CachedAnswer]]] = {}  # active
         self.waiting: dict[tuple[Server, bytes], asyncio.Future[bytes]] = {}  # by message ID
         self.slowness = dict.fromkeys(servers, 0.0)  # smoothed seconds until an answer
 
     async def begin(self) -> None:
-        """Open the socket that queries are sent from."""
+        """Open the UDP socket for queries."""
         self.loop = asyncio.get_running_loop()
         await self.loop.create_datagram_endpoint(lambda: self, local_addr=(self.address, 0))
 
@@ -103,7 +103,7 @@
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, peer: Any) -> None:
-        """Hand an answer to the query that waits for it."""
+        """Pass an answer to the query that waits for it."""
         waiter = self.waiting.get((peer, data[:2]))
         if waiter is not None and not waiter.done():
             waiter.set_result(data)
@@ -113,14 +113,14 @@
         self.transport.close()
 
     async def lookup(self, name: str, network: str, view: str) -> Optional[list[str]]:
-        """Return the addresses of a name ([] where it has none), or None without an answer.
+        """Return the addresses of a name, possibly none, or None if no server answered.
 
-        `network` is the client subnet to send ("" for none); `view` names the client in the rows.
+        `network` is the client subnet to send ("" for none). `view` is recorded with the answer.
         """
         now = self.loop.time()
         key = (name, network)
         cached = self.cache.get(key)
-        if cached is not None and now < cached.until:
+        if cached is not None and now < cached.expires_at:
             return self._order_addresses(cached)
         if key not in self.queries:
             task = self.queries[key] = self.loop.create_task(self._resolve(name, network, view))
@@ -128,7 +128,11 @@
         answer = await asyncio.shield(self.queries[key])
         if answer is not None:
             return self._order_addresses(answer)
-        if cached is not None and self.policy.serves_stale and now <= cached.until + STALE_FOR:
+        if (
+            cached is not None
+            and self.policy.serves_stale
+            and now <= cached.expires_at + MAX_STALE_TIME
+        ):
             return self._order_addresses(cached)
         return None
 
@@ -138,7 +142,7 @@
         return list(answer.addresses)
 
     async def _resolve(self, name: str, network: str, view: str) -> Optional[CachedAnswer]:
-        """Ask one server after the other until one has an answer that can be cached."""
+        """Query the servers in turn until one sends an answer that can be cached."""
         query = build_query(name, network)
         query.id = self.rng.randrange(65536)
         wire = query.to_wire()
@@ -148,10 +152,10 @@
             if answer is None:
                 continue
             rcode = dns.rcode.to_text(answer.rcode())
-            addresses, lifetime = read_addresses(answer)
-            self._record_answer(view, server[0], rcode, addresses, lifetime, start)
+            addresses, ttl = read_addresses(answer)
+            self._record_answer(view, server[0], rcode, addresses, ttl, start)
             if rcode in CACHED_RCODES:
-                return self.store(name, network, addresses, lifetime)
+                return self.cache_answer(name, network, addresses, ttl)
         self._record_answer(view, "", "none", [], 0, start)
         return None
 
@@ -161,17 +165,15 @@
         server: str,
         rcode: str,
         addresses: list[str],
-        lifetime: int,
+        ttl: int,
         start: float,
     ) -> None:
         now = self.loop.time()
         duration = now - start
-        self.recorder.row(
-            "answer", now, view, self.kind, server, rcode, addresses, lifetime, duration
-        )
+        self.recorder.row("answer", now, view, self.kind, server, rcode, addresses, ttl, duration)
 
     def _order_servers(self) -> list[Server]:
-        """Quick ones first, in random order where alike, so that no server is left unused."""
+        """Return the servers to query, fastest first, in random order if equally fast."""
         servers = sorted(
             self.servers,
             key=lambda server: (round(self.slowness[server], 2), self.rng.random()),
@@ -181,10 +183,10 @@
     async def _ask_timed(
         self, server: Server, wire: bytes, query: dns.message.Message
     ) -> Optional[dns.message.Message]:
-        """Ask a server and update its slowness."""
-        began = self.loop.time()
+        """Query a server and update its smoothed response time."""
+        start = self.loop.time()
         answer = await self._ask(server, wire, query)
-        duration = self.loop.time() - began
+        duration = self.loop.time() - start
         slowness = self.slowness[server]
         if answer is None:
             self.slowness[server] = ATTEMPT_TIMEOUT + slowness * SLOWNESS_DECAY
@@ -209,18 +211,18 @@
         finally:
             self.waiting.pop(key, None)
 
-    def store(self, name: str, network: str, addresses: list[str], lifetime: int) -> CachedAnswer:
-        """Cache an answer with a lifetime in seconds, as the resolver's policy has it."""
-        lifetime_here = max(lifetime * self.policy.lifetime_factor, self.policy.min_lifetime)
-        if len(self.cache) >= MAX_CACHED:
-            self.cache.pop(next(iter(self.cache)))  # the oldest; it is only asked for again
-        cached = CachedAnswer(addresses, self.loop.time() + lifetime_here)
+    def cache_answer(self, name: str, network: str, addresses: list[str], ttl: int) -> CachedAnswer:
+        """Cache an answer with a TTL in seconds, adjusted by the resolver's policy."""
+        cached_ttl = max(ttl * self.policy.ttl_factor, self.policy.min_ttl)
+        if len(self.cache) >= MAX_CACHED_ANSWERS:
+            self.cache.pop(next(iter(self.cache)))  # the oldest answer
+        cached = CachedAnswer(addresses, self.loop.time() + cached_ttl)
         self.cache[name, network] = cached
         return cached
 
 
 def build_query(name: str, network: str) -> dns.message.Message:
-    """Build an A query, with a client subnet option (RFC 7871) where a network is given."""
+    """Build an A query, with a client subnet option (RFC 7871) if `network` is not empty."""
     options: list[dns.edns.Option] = []
     if network:
         subnet = ip_network(network)
@@ -233,16 +235,16 @@
 def read_addresses(answer: dns.message.Message) -> tuple[list[str], int]:
     """Return the addresses of an answer and their TTL in seconds."""
     addresses: list[str] = []
-    lifetime = 0
+    ttl = 0
     for rrset in answer.answer:
         if rrset.rdtype in (dns.rdatatype.A, dns.rdatatype.AAAA):
             addresses += [str(ip_address(rdata.address)) for rdata in rrset]
-            lifetime = rrset.ttl
-    return addresses, lifetime
+            ttl = rrset.ttl
+    return addresses, ttl
 
 
 class TcpQuery(Stream):
-    """One query over TCP; `answer` is the message's bytes, None where the connection ended."""
+    """One query over TCP; `answer` is the message in bytes, or None if the connection ended."""
 
     def __init__(self, wire: bytes) -> None:
         super().__init__(ATTEMPT_TIMEOUT * 2)
@@ -255,7 +257,7 @@
         self.send(len(self.wire).to_bytes(2, "big") + self.wire)
 
     def received(self, data: bytes) -> None:
-        """Wait until the answer is complete."""
+        """Collect the answer, and close the connection when it is complete."""
         self.data += data
         if len(self.data) >= 2 and len(self.data) >= 2 + int.from_bytes(self.data[:2], "big"):
             if not self.answer.done():
@@ -263,7 +265,7 @@
             self.close()
 
     def ended(self, reason: str) -> None:
-        """Report a connection that ended without an answer."""
+        """Set `answer` to None if the connection ended without a complete answer."""
         if not self.answer.done():
             self.answer.set_result(None)
 
@@ -271,7 +273,7 @@
 async def ask_over_tcp(
     loop: asyncio.AbstractEventLoop, server: Server, local: str, wire: bytes
 ) -> Optional[dns.message.Message]:
-    """Ask over TCP from a local address; None where the server cannot be reached."""
+    """Query a server over TCP from a local address; return None without an answer."""
     try:
         _, query = await loop.create_connection(
             lambda: TcpQuery(wire), *server, local_addr=(local, 0)
--- a/peatlead/standin/secondary.py
+++ b/peatlead/standin/secondary.py
@@ -1,6 +1,7 @@
-"""A stand-in secondary name server: fetches by IXFR or AXFR on NOTIFY and verifies ZONEMD.
+"""A stand-in secondary name server: zone transfers on NOTIFY, and ZONEMD verification.
 
-A transfer is applied completely or not at all (RFC 1995, RFC 1996, RFC 5936, RFC 8976).
+Transfers use IXFR (RFC 1995) or AXFR (RFC 5936) and are applied completely or not at all. NOTIFY is
+RFC 1996, ZONEMD is RFC 8976.
 """
 
 import asyncio
@@ -18,21 +19,21 @@
 from ..net.streams import Stream
 
 DONE = "done"  # outcome of a transfer that was applied
-TRANSFER_IDLE = 5.0  # seconds without a byte until a transfer is given up
+TRANSFER_IDLE_TIMEOUT = 5.0  # seconds without data until a transfer is aborted
 LENGTH = struct.Struct(">H")  # before each message over TCP (RFC 1035 section 4.2.2)
 
 
 class Transfer(Stream):
-    """One transfer over TCP; `outcome` is `DONE`, or "refused: ..." or "ended: ..." with why."""
+    """One transfer over TCP; `outcome` is `DONE`, or "refused: " or "ended: " and the reason."""
 
     def __init__(
         self, query: dns.message.Message, inbound: dns.xfr.Inbound, origin: Optional[dns.name.Name]
     ) -> None:
-        super().__init__(TRANSFER_IDLE)
+        super().__init__(TRANSFER_IDLE_TIMEOUT)
         self.query = query
         self.inbound = inbound
         self.origin = origin
-        self.buffer = b""  # the start of a message whose end has not arrived
+        self.buffer = b""  # an incomplete message
         self.outcome: asyncio.Future[str] = asyncio.get_running_loop().create_future()
 
     def opened(self) -> None:
@@ -41,7 +42,7 @@
         self.send(LENGTH.pack(len(message)) + message)
 
     def received(self, data: bytes) -> None:
-        """Apply the messages that are complete."""
+        """Apply the complete messages."""
         self.buffer += data
         while (message := self._next_message()) is not None:
             if self.outcome.done():
@@ -49,7 +50,7 @@
             self._apply(message)
 
     def _next_message(self) -> Optional[bytes]:
-        """Take a complete message from the buffer."""
+        """Remove and return a complete message from the buffer, None without one."""
         if len(self.buffer) < LENGTH.size:
             return None
         end = LENGTH.size + LENGTH.unpack_from(self.buffer)[0]
@@ -67,18 +68,18 @@
             if self.inbound.process_message(message):
                 self.outcome.set_result(DONE)
                 self.close()
-        except (dns.exception.DNSException, KeyError, ValueError) as problem:
-            self.outcome.set_result(f"refused: {type(problem).__name__} {problem}")
+        except (dns.exception.DNSException, KeyError, ValueError) as error:
+            self.outcome.set_result(f"refused: {type(error).__name__} {error}")
             self.abort("refused")
 
     def ended(self, reason: str) -> None:
-        """Report a connection that ended before the transfer did."""
+        """Set the outcome if the connection ended before the transfer."""
         if not self.outcome.done():
             self.outcome.set_result(f"ended: {reason}")
 
 
 class Secondary(asyncio.DatagramProtocol):
-    """A secondary of one zone, listening for NOTIFY on a UDP address (host, port)."""
+    """A secondary server of one zone, which listens for NOTIFY on a UDP address (host, port)."""
 
     loop: asyncio.AbstractEventLoop
     transport: asyncio.DatagramTransport
@@ -87,10 +88,10 @@
         self.origin = origin
         self.address = address
         self.primary = primary
-        self.zone = dns.zone.Zone(origin)  # the version that it holds
-        self.fetch_counts: dict[str, int] = {}  # fetches by outcome
+        self.zone = dns.zone.Zone(origin)  # the current version
+        self.fetch_counts: dict[str, int] = {}  # by outcome
         self.task: Optional[asyncio.Task[None]] = None
-        self.notified = False  # during the present fetch
+        self.notified = False  # since the start of the current fetch
 
     async def open(self) -> None:
         """Listen for NOTIFY."""
@@ -101,17 +102,17 @@
 
     @property
     def serial(self) -> Optional[int]:
-        """The serial of the version that it holds, None before the first."""
+        """The serial of the current version, None before the first transfer."""
         soa = self.zone.get_rdataset("@", "SOA")
         return soa[0].serial if soa else None
 
     def verify_digest(self) -> bool:
-        """Return True; raises dns.zone.DigestVerificationFailure where ZONEMD does not match."""
+        """Return True; raises dns.zone.DigestVerificationFailure if ZONEMD does not match."""
         self.zone.verify_digest()
         return True
 
     def datagram_received(self, data: bytes, peer: Any) -> None:
-        """Acknowledge a NOTIFY and fetch."""
+        """Acknowledge a NOTIFY and start a fetch."""
         query = dns.message.from_wire(data)
         if query.opcode() == dns.opcode.NOTIFY:
             answer = dns.message.make_response(query)
@@ -120,7 +121,7 @@
             self.fetch()
 
     def fetch(self) -> None:
-        """Fetch the current version, after the fetch under way if there is one."""
+        """Start a fetch of the current version, or repeat the active fetch when it ends."""
         if self.task is not None and not self.task.done():
             self.notified = True
             return
@@ -132,11 +133,11 @@
             self.notified = False
             outcome = await self._transfer(self.serial)
             if outcome != DONE:
-                outcome = await self._transfer(None)  # differences failed: the whole zone
+                outcome = await self._transfer(None)  # fetch the whole zone instead
             self.fetch_counts[outcome] = self.fetch_counts.get(outcome, 0) + 1
 
     async def _transfer(self, serial: Optional[int]) -> str:
-        """Fetch the differences since a serial, or the whole zone, and return the outcome."""
+        """Fetch the changes since a serial, or the whole zone for None; return the outcome."""
         query: dns.message.Message
         query, _ = dns.xfr.make_query(self.zone, serial)
         if serial is None:
@@ -150,8 +151,8 @@
                     *self.primary,
                     local_addr=(self.address[0], 0),
                 )
-            except OSError as problem:
-                return f"ended: {problem.strerror}"
+            except OSError as error:
+                return f"ended: {error.strerror}"
             return await transfer.outcome
 
     def close(self) -> None:
--- a/peatlead/standin/xds_proxies.py
+++ b/peatlead/standin/xds_proxies.py
@@ -1,8 +1,8 @@
-"""Stand-in proxies: they follow published assignments, report loads and send requests by them.
+"""Stand-in proxies, which apply assignments from a controller, send requests and report loads.
 
-A proxy follows one stream. It applies only assignments newer than the newest (epoch, serial) that
-it has seen; older ones are recorded and ignored. It goes on reading streams that it has given up,
-so that what a frozen controller sends when it wakes is seen to arrive, and seen to have no effect.
+A proxy follows one discovery stream. It applies only assignments that are newer than the newest
+(epoch, serial) it has applied; older ones are recorded and ignored. It continues to read abandoned
+streams, so that late messages of a frozen controller are recorded and shown to have no effect.
 """
 
 import asyncio
@@ -39,14 +39,14 @@
 __all__ = ["ProxyGroup", "ProxyPlan", "StandInProxy"]
 
 JOIN_TIMEOUT = 1.0  # seconds for a controller to respond
-AVOID_FOR = 5.0  # seconds that a controller that did not respond is avoided
-DIALLED = 1 << 62  # past every serial of an epoch
-ABANDONED_FOR = 90.0  # seconds that a stream that was given up is still read
-REJOIN_DELAY = (0.03, 0.15)  # seconds, drawn from this range
+AVOID_DURATION = 5.0  # seconds for which a controller is avoided after it failed to respond
+PAST_ALL_SERIALS = 1 << 62  # greater than every serial
+ABANDONED_READ_TIME = 90.0  # seconds for which an abandoned stream is still read
+REJOIN_DELAY = (0.03, 0.15)  # seconds, random in this range
 PING_INTERVAL = 1.0  # seconds
 PING_DATA = b"anyone??"  # HTTP/2 pings carry eight bytes
 DEFAULT_REPORT_INTERVAL = 1.0  # seconds, until the controller asks for another
-FINISH_TIMEOUT = 6.0  # seconds for the tasks under way at the end
+FINISH_TIMEOUT = 6.0  # seconds for active tasks to end
 AUTHORITY = "peatlead"
 INVALID_ARGUMENT = 3  # gRPC status code of a rejected response
 UNAVAILABLE = "14"  # gRPC status code of a controller that refuses a proxy
@@ -59,7 +59,7 @@
     """How a stream to a controller ended."""
 
     ENDED = "ended"
-    REDIRECTED = "redirected"  # to another controller, or to come again later
+    REDIRECTED = "redirected"  # to another controller, or to a later time
     FAILED = "failed"
 
 
@@ -71,7 +71,7 @@
 
 
 class AssignmentOutcome(StrEnum):
-    """What became of an assignment; as recorded."""
+    """The recorded result of an assignment."""
 
     APPLIED = "applied"
     OLD = "old"
@@ -88,13 +88,13 @@
 
 
 def set_once(future: asyncio.Future[Result], result: Result) -> None:
-    """Set a future's result unless it is done."""
+    """Set a future's result if it is not done."""
     if not future.done():
         future.set_result(result)
 
 
 class StandInProxy:
-    """One proxy."""
+    """One proxy, with its discovery stream, its tables and its requests."""
 
     def __init__(self, plan: ProxyPlan, rng: Random, recorder: Recorder) -> None:
         self.plan = plan
@@ -103,52 +103,52 @@
         self.loop = asyncio.get_running_loop()
         self.tables = ProxyTables()
         self.requests = RequestSender(plan, self.tables, rng, recorder)
-        self.replica = Replica()  # of the incremental variant: its state, verified on arrival
+        self.replica = Replica()  # verified state of the incremental variant
         self.fence = Fence()
-        self.current: Optional[Call] = None  # the discovery stream that it follows
-        self.hints: list[Address] = []  # controllers, best first, as the last one named them
-        self.names: dict[Address, str] = {}  # of controllers
-        self.avoid: dict[Address, float] = {}  # controller -> until when
-        self.given_up: list[Connection] = []
+        self.current: Optional[Call] = None  # the discovery stream
+        self.preferred_controllers: list[Address] = []  # best first, from the last controller
+        self.controller_names: dict[Address, str] = {}
+        self.avoided_until: dict[Address, float] = {}
+        self.abandoned_connections: list[Connection] = []
         self.tasks: set[asyncio.Task[None]] = set()
-        self.sent = 0  # requests
+        self.request_count = 0
         self.stopped = False
 
     @property
     def entries(self) -> dict[str, list[WeightedEndpoint]]:
-        """The endpoints that it holds, by request class."""
+        """The entries of the proxy's tables, by request class."""
         return self.tables.entries
 
     def begin(self, start: float) -> None:
-        """Join a controller, and let requests arrive from a time on."""
-        self._spawn(self._follow())
+        """Connect to a controller, and start the arrival of requests at a time."""
+        self._start_task(self._follow())
         first = start + self.rng.expovariate(self.plan.rate)
         self.loop.call_at(first, self._arrive, first)
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        task = self.loop.create_task(work)
+    def _start_task(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = self.loop.create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     def _arrive(self, due: float) -> None:
-        """Start the requests that are due."""
+        """Start all requests that are due, and schedule the next one."""
         if self.stopped:
             return
         now = self.loop.time()
         classes = self.plan.kinds
         while due <= now:
-            self.sent += 1
-            request_class = self.rng.choices(classes, [one.share for one in classes])[0]
-            request_id = f"{self.plan.name}-{self.sent}"
-            self._spawn(self.requests.run(request_id, request_class, due))
+            self.request_count += 1
+            request_class = self.rng.choices(classes, [candidate.share for candidate in classes])[0]
+            request_id = f"{self.plan.name}-{self.request_count}"
+            self._start_task(self.requests.run(request_id, request_class, due))
             due += self.rng.expovariate(self.plan.rate)
         self.loop.call_at(due, self._arrive, due)
 
     # Streams.
 
     async def _follow(self) -> None:
-        """Join one controller after the other until stopped."""
-        hops = 0  # redirections in a row
+        """Follow one controller after another until the proxy is stopped."""
+        hops = 0  # consecutive redirections
         wait = 0.0
         target: Optional[Address] = None
         while not self.stopped:
@@ -166,21 +166,23 @@
             else:
                 hops = 0
             if outcome is JoinOutcome.FAILED:
-                self.avoid[address] = self.loop.time() + AVOID_FOR
+                self.avoided_until[address] = self.loop.time() + AVOID_DURATION
 
     def _choose_controller(self) -> Address:
-        """Return the best of the hints that is not avoided, else a controller drawn at random."""
+        """Return the first preferred controller that is not avoided, else a random controller."""
         now = self.loop.time()
-        self.avoid = {address: until for address, until in self.avoid.items() if now < until}
-        for address in self.hints:
-            if address not in self.avoid:
+        self.avoided_until = {
+            address: until for address, until in self.avoided_until.items() if now < until
+        }
+        for address in self.preferred_controllers:
+            if address not in self.avoided_until:
                 return address
         controllers: list[Address] = [(host, port) for host, port in self.plan.controllers]
-        fit = [address for address in controllers if address not in self.avoid]
-        return self.rng.choice(fit or controllers)
+        available = [address for address in controllers if address not in self.avoided_until]
+        return self.rng.choice(available or controllers)
 
     async def _join(self, address: Address, hops: int) -> JoinResult:
-        """Follow a controller's stream to its end."""
+        """Connect to a controller, and follow its stream until the end."""
         controller = address[0]
         try:
             connection = await dial(address, self.plan.local, JOIN_TIMEOUT, ping_interval=0.0)
@@ -194,13 +196,13 @@
             [responded, ended], timeout=JOIN_TIMEOUT, return_when=asyncio.FIRST_COMPLETED
         )
         if not responded.done() and not ended.done():
-            self._give_up(connection)
+            self._abandon(connection)
             return FAILED_JOIN
         joined = "peatlead-controllers" in call.peer_metadata or not ended.done()
         if joined:
             await self._stay_joined(connection, call, controller, ended)
         if not ended.done():
-            self._give_up(connection)
+            self._abandon(connection)
             return FAILED_JOIN
         connection.close()
         return self._join_result(ended.result(), joined)
@@ -219,7 +221,7 @@
         responded: asyncio.Future[dict[str, str]],
         ended: asyncio.Future[dict[str, str]],
     ) -> Call:
-        """Start a discovery stream; the futures are done at its first response and its end."""
+        """Start a discovery stream; sets the futures at its first response and at its end."""
         call = connection.call(
             DELTA_DISCOVERY_PATH if self.plan.incremental else DISCOVERY_PATH, AUTHORITY
         )
@@ -237,15 +239,17 @@
         controller: str,
         ended: asyncio.Future[dict[str, str]],
     ) -> None:
-        """Report loads, and wait until the stream ends or the controller does not answer."""
+        """Report loads until the stream ends or the controller stops responding."""
         self._read_hints(call.peer_metadata)
         self.recorder.row("stream", self.loop.time(), self.plan.name, controller, "joined")
-        self._spawn(self._report(connection))
-        await self._watch(connection, ended)
+        self._start_task(self._report_loads(connection))
+        await self._wait_for_end(connection, ended)
         self.recorder.row("stream", self.loop.time(), self.plan.name, controller, "lost")
 
-    async def _watch(self, connection: Connection, ended: asyncio.Future[dict[str, str]]) -> None:
-        """Wait until the stream ends or the controller does not answer pings."""
+    async def _wait_for_end(
+        self, connection: Connection, ended: asyncio.Future[dict[str, str]]
+    ) -> None:
+        """Wait until the stream ends or the controller does not answer a ping in time."""
         while not ended.done() and not self.stopped:
             pinged_at = self.loop.time()
             connection.h2_connection.ping(PING_DATA)
@@ -254,26 +258,26 @@
             if not ended.done() and connection.last_received_at < pinged_at:
                 return
 
-    def _give_up(self, connection: Connection) -> None:
-        """Leave a controller that may only be frozen, and go on reading what it sends."""
-        self.given_up.append(connection)
-        self.loop.call_later(ABANDONED_FOR, connection.abort, "given up")
+    def _abandon(self, connection: Connection) -> None:
+        """Stop following a connection, but read it for ABANDONED_READ_TIME more."""
+        self.abandoned_connections.append(connection)
+        self.loop.call_later(ABANDONED_READ_TIME, connection.abort, "given up")
 
     def _read_hints(self, metadata: dict[str, str]) -> None:
-        """Store the controllers that were named, as "NAME=HOST:PORT,..."."""
-        self.hints = []
-        for hint in filter(None, metadata.get("peatlead-controllers", "").split(",")):
-            name, _, text = hint.partition("=")
+        """Store the controllers from the metadata `peatlead-controllers`: "NAME=HOST:PORT,..."."""
+        self.preferred_controllers = []
+        for item in filter(None, metadata.get("peatlead-controllers", "").split(",")):
+            name, _, text = item.partition("=")
             address = parse_address(text)
-            self.hints.append(address)
-            self.names[address] = name
+            self.preferred_controllers.append(address)
+            self.controller_names[address] = name
 
     # Requests on the discovery stream.
 
     def _send_first_requests(self, call: Call, hops: int) -> None:
-        # Each dial is a join of its own: a controller dialled before may only be slow, and must
-        # not have the same epoch to give. So what was dialled is fenced off, answered or not.
-        self.fence = Fence((self.fence.newest[0] + 1, DIALLED))
+        # Each connection needs an epoch of its own: an earlier controller may only be slow and
+        # could still use the previous epoch. Every connection attempt therefore advances the fence.
+        self.fence = Fence((self.fence.newest[0] + 1, PAST_ALL_SERIALS))
         if self.plan.incremental:
             self._send_first_deltas(call, hops)
             return
@@ -282,7 +286,10 @@
         )
         self._describe_node(request, hops)
         held = {
-            name: [f"{one.address}|{one.port}|{one.zone}|{one.weight}" for one in entries]
+            name: [
+                f"{endpoint.address}|{endpoint.port}|{endpoint.zone}|{endpoint.weight}"
+                for endpoint in entries
+            ]
             for name, entries in self.entries.items()
         }
         request.node.metadata.update({"held": held})
@@ -293,7 +300,7 @@
         call.send(routes.SerializeToString())
 
     def _send_first_deltas(self, call: Call, hops: int) -> None:
-        """Subscribe to all parts of the tables, naming the versions of what it holds."""
+        """Subscribe to all parts of the tables, and send the versions of the held items."""
         self.replica.reject_up_to(Version(*self.fence.newest))
         for type_url, part in PART_BY_TYPE.items():
             request = discovery_pb2.DeltaDiscoveryRequest(
@@ -312,7 +319,11 @@
                 "epoch": self.fence.newest[0],
                 "rate": self.plan.rate,
                 "hops": hops,
-                "avoid": [self.names[address] for address in self.avoid if address in self.names],
+                "avoid": [
+                    self.controller_names[address]
+                    for address in self.avoided_until
+                    if address in self.controller_names
+                ],
             }
         )
 
@@ -339,15 +350,15 @@
             self._apply(response)
             self.fence = self.fence.advanced_to(*version)
             outcome = AssignmentOutcome.APPLIED
-        except ValueError as problem:
+        except ValueError as error:
             answer.error_detail.code = INVALID_ARGUMENT
-            answer.error_detail.message = str(problem)
+            answer.error_detail.message = str(error)
             outcome = AssignmentOutcome.REFUSED
         self._record_assignment(controller, version, outcome)
         call.send(answer.SerializeToString())
 
     def _apply(self, response: Any) -> None:
-        """Apply all of a response, or nothing of it; raises ValueError."""
+        """Apply a response completely. Raises ValueError, and changes nothing, if it is invalid."""
         if response.type_url == ROUTE_TYPE_URL:
             for resource in response.resources:
                 self.tables.retries = decode_routes(resource.value)
@@ -370,8 +381,8 @@
             version = stamp.version
             part = PART_BY_TYPE[type_url]
             outcome = str(self.replica.apply_delta(part, stamp, changes))
-        except ValueError as problem:
-            outcome = str(problem)
+        except ValueError as error:
+            outcome = str(error)
         if outcome == OLD:
             self._record_assignment(controller, version, AssignmentOutcome.OLD)
             return
@@ -379,24 +390,24 @@
             type_url=response.type_url, response_nonce=response.nonce
         )
         if outcome == APPLIED:
-            self._show_applied(controller, version, part)
+            self._use_applied_delta(controller, version, part)
         else:
             answer.error_detail.code = INVALID_ARGUMENT
             answer.error_detail.message = outcome
             self._record_assignment(controller, version, AssignmentOutcome.REFUSED)
         call.send(answer.SerializeToString())
 
-    def _show_applied(self, controller: str, version: Version, part: str) -> None:
-        """Send by the new state from now on, and record it."""
+    def _use_applied_delta(self, controller: str, version: Version, part: str) -> None:
+        """Use the new state of the replica for requests, and record it."""
         self.fence = self.fence.advanced_to(*version)
         self._rebuild_tables()
         self._record_assignment(controller, version, AssignmentOutcome.APPLIED)
-        # An admission that comes first says nothing of the entries brought along.
+        # Only deltas with entries change the recorded digest; admissions and policies do not.
         if part == "line":
             self._record_held(controller, version)
 
     def _rebuild_tables(self) -> None:
-        """Build the tables of the replica's items."""
+        """Build the tables from the items of the replica."""
         entries: dict[str, list[WeightedEndpoint]] = {name: [] for name in self._class_names()}
         for key, weight in self.replica.parts["line"].items():
             request_class, zone, address, port = parse_line_key(key)
@@ -417,7 +428,7 @@
         self.recorder.row("order", now, self.plan.name, controller, *version, outcome.value, fewest)
 
     def _record_held(self, controller: str, version: Version) -> None:
-        """Record the digest of what it holds, and the addresses that are in it."""
+        """Record the digest of the held entries, its consistency, and the addresses."""
         self.recorder.row(
             "held",
             self.loop.time(),
@@ -431,28 +442,28 @@
 
     # Load reports.
 
-    async def _report(self, connection: Connection) -> None:
-        """Report loads at the interval that the controller asks for."""
+    async def _report_loads(self, connection: Connection) -> None:
+        """Report loads at the interval that the controller requests."""
         try:
             call = connection.call(LOAD_REPORTING_PATH, AUTHORITY)
-        except ProtocolError:  # the connection is going away already
+        except ProtocolError:  # the connection is closing
             return
-        asked: asyncio.Future[None] = self.loop.create_future()
+        first_response: asyncio.Future[None] = self.loop.create_future()
         interval = DEFAULT_REPORT_INTERVAL
 
         def receive(data: bytes) -> None:
             nonlocal interval
             response = lrs_pb2.LoadStatsResponse.FromString(data)
             interval = response.load_reporting_interval.ToMilliseconds() / 1000
-            set_once(asked, None)
+            set_once(first_response, None)
 
         call.on_message = receive
         first = lrs_pb2.LoadStatsRequest()
         first.node.id = self.plan.name
         call.send(first.SerializeToString())
-        await asyncio.wait([asked], timeout=JOIN_TIMEOUT)
+        await asyncio.wait([first_response], timeout=JOIN_TIMEOUT)
         while (
-            asked.done()
+            first_response.done()
             and not call.is_closed
             and not self.stopped
             and connection.transport is not None
@@ -462,25 +473,25 @@
             call.send(report.SerializeToString(deterministic=True))
 
     async def finish(self) -> None:
-        """Stop arrivals, wait for requests under way and cut what was given up."""
+        """Stop arrivals, wait until active tasks end, and abort abandoned connections."""
         self.stopped = True
         tasks = {task for task in self.tasks if task is not asyncio.current_task()}
         if tasks:
             await asyncio.wait(tasks, timeout=FINISH_TIMEOUT)
-        for connection in self.given_up:
+        for connection in self.abandoned_connections:
             connection.abort("the day is over")
 
 
 class ProxyGroup:
-    """The proxies of one process, controlled by commands (standin/process.py)."""
+    """The proxies of one process, controlled by commands (`standin.process`)."""
 
     def __init__(self, rng: Random, recorder: Recorder) -> None:
         self.rng = rng
         self.recorder = recorder
         self.proxies: dict[str, StandInProxy] = {}
 
-    async def command(self, command: dict[str, Any], /) -> None:
-        """Carry out a command."""
+    async def execute(self, command: dict[str, Any], /) -> None:
+        """Execute a command."""
         match command["do"]:
             case "agent":
                 plan = msgspec.convert(command["plan"], ProxyPlan)
--- a/tests/lab/test_reproducibility.py
+++ b/tests/lab/test_reproducibility.py
@@ -44,7 +44,7 @@
             deque(),
             0,
         )
-        host.draining = host.hung = host.silent = host.tipped = False
+        host.draining = host.hung = host.silent = host.overloaded = False
         host.paused_until, host.stolen, host.plan = 0.0, 0.0, mock.Mock(cores=1)
         for at in range(50):
             one = mock.Mock(job=None, close=lambda at=at: closed.append(at))
--- a/tests/standin/test_process.py
+++ b/tests/standin/test_process.py
@@ -15,19 +15,19 @@
 
 
 class RecordingGroup:
-    """Notes the commands that it carries out; those that say so fail."""
+    """Stores the commands that it executes; the command "fail" raises ValueError."""
 
     def __init__(self):
         self.commands = []
 
-    async def command(self, command):
+    async def execute(self, command):
         self.commands.append(command)
         if command["do"] == "fail":
             raise ValueError("no such stand-in")
 
 
 class CommandsTest(unittest.TestCase):
-    def test_a_command_is_carried_out_once_however_often_it_arrives(self):
+    def test_a_repeated_command_is_executed_once(self):
         async def case():
             loop = asyncio.get_running_loop()
             group = RecordingGroup()
@@ -51,7 +51,7 @@
             [{"do": "begin", "at": 1.0, "number": 1}, {"do": "fail", "number": 2}],
         )
 
-    def test_a_process_answers_and_ends_on_sigterm(self):
+    def test_a_process_answers_commands_and_ends_on_sigterm(self):
         async def case(address):
             loop = asyncio.get_running_loop()
             transport, client = await loop.create_datagram_endpoint(
