--- a/peatlead/controller/endpoint_lists.py
+++ b/peatlead/controller/endpoint_lists.py
@@ -1,4 +1,4 @@
-"""Endpoint lists: read from their source, remembered on disk, handed on to all that need them."""
+"""Endpoint lists: received from a source, stored on disk, and passed to the controller's parts."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
@@ -11,13 +11,13 @@
     from .controller import Controller
 
 SourceFactory = Callable[..., Any]
-"""Creates a source of the settings under `node_list`, a callback for lists and a log function."""
+"""Creates a source from the `node_list` settings, a callback for lists and a log function."""
 
 
 class EndpointLists:
-    """The source of endpoint lists and what follows from each list.
+    """Receives endpoint lists and updates the controller's parts.
 
-    `cache_path` is the file that the last whole list is remembered in, None for nowhere.
+    `cache_path` is the file that stores the last whole list, or None to store nothing.
     """
 
     def __init__(
@@ -28,22 +28,22 @@
         self.source = create_source(controller.settings["node_list"], self.receive, controller.log)
         self.weights: dict[int, float] = {}  # endpoint -> its listed weight
 
-    def recall(self) -> None:
-        """Take the list that was remembered before this start, if any."""
-        remembered, reason = self._cache.load()
-        if remembered:
-            self.source.set_known_version(remembered.version)
-            self.receive(remembered)
+    def restore(self) -> None:
+        """Load the list that an earlier start has stored, if any."""
+        stored_list, reason = self._cache.load()
+        if stored_list:
+            self.source.set_known_version(stored_list.version)
+            self.receive(stored_list)
         else:
-            self._controller.log("no list remembered", why=reason)
+            self._controller.log("no stored endpoint list", why=reason)
 
     def fetch_soon(self) -> None:
-        """Read the whole list again, in the next turn of the event loop."""
+        """Read the whole list again, in the next iteration of the event loop."""
         loop = self._controller.loop
         loop.call_soon(lambda: self.source.fetch(loop.time()))
 
     def receive(self, endpoint_list: EndpointList) -> None:
-        """Take a list from the source."""
+        """Handle a list from the source."""
         controller = self._controller
         now = controller.loop.time()
         update = controller.registry.endpoint_update(endpoint_list, now)
@@ -53,14 +53,14 @@
             entry.phase == interface.EndpointPhase.READY for entry in endpoint_list.endpoints
         )
         controller.log(
-            "list",
+            "endpoint list received",
             scope=endpoint_list.scope,
             version=endpoint_list.version,
             hosts=len(endpoint_list.endpoints),
             ready=ready,
         )
         if endpoint_list.scope == interface.ListScope.WHOLE and endpoint_list.endpoints:
-            self._remember(endpoint_list)
+            self._store(endpoint_list)
         controller.submit(update)
 
     def _update_endpoint(self, now: float, endpoint: interface.Endpoint, list_version: int) -> None:
@@ -68,11 +68,11 @@
         index = endpoint.id
         entry = controller.registry.entries[index]
         self.weights[index] = entry.weight
-        change = controller.published.endpoint_listed(index, entry)
+        change = controller.publication.endpoint_listed(index, entry)
         if change is not None:
-            causes = controller.published.causes
+            causes = controller.publication.causes
             causes.note_phase_changes({index: change}, list_version)
-            controller.propagation.note(now, index, causes.last_events[index])
+            controller.propagation.record_event(now, index, causes.last_events[index])
         controller.answers.set_endpoint(index, entry.name, entry.address, entry.address6)
         if controller.proxies:
             controller.proxies.endpoint_listed(index, entry)
@@ -81,8 +81,8 @@
         else:
             controller.answers.resolvable_endpoints.discard(index)
 
-    def _remember(self, endpoint_list: EndpointList) -> None:
+    def _store(self, endpoint_list: EndpointList) -> None:
         try:
             self._cache.save(endpoint_list)
         except OSError as error:
-            self._controller.log("list not remembered", why=str(error))
+            self._controller.log("endpoint list not stored", why=str(error))
--- a/peatlead/controller/operator_queries.py
+++ b/peatlead/controller/operator_queries.py
@@ -1,6 +1,6 @@
-"""Operators' questions about endpoints, views, proxies and the fleet.
+"""Answers operators' questions about endpoints, views, proxies and the fleet.
 
-Questions about published tables are answered by `table_queries`.
+`table_queries` answers questions about published tables.
 """
 
 from functools import partial
@@ -18,14 +18,14 @@
 
 @runtime_checkable
 class DescribesEndpoints(Protocol):
-    """A planner that can be asked about endpoints; the simpler ones of studies can't."""
+    """A planner that can describe endpoints; simple planners of studies cannot."""
 
     def describe(self, endpoint_id: int, now: float, /) -> EndpointSummary | None:
-        """Return what is known of an endpoint, if it is; `now` in the loop's seconds."""
+        """Return an endpoint's summary, or None for an unknown endpoint; `now` is in loop time."""
 
 
 def describe_endpoint(endpoint: EndpointSummary) -> Answer:
-    """Return what the planner knows of an endpoint, as operators read it."""
+    """Return the planner's summary of an endpoint as operators see it."""
     return {
         "phase": endpoint.phase,
         "usable": endpoint.usable,
@@ -47,20 +47,20 @@
         self._controller = controller
 
     def handlers(self) -> dict[str, Handler]:
-        """Return for each question that this controller takes who answers it."""
+        """Return the handlers of this controller, by the `ask` of the question."""
         handlers: dict[str, Handler] = {
             "answer": self.answer,
             "status": self.status,
             "drained": self.drained,
-            "tables": self._controller.published.answer,
+            "tables": self._controller.publication.answer,
             "why": self.why,
         }
-        if self._controller.fleet:
-            handlers["fleet"] = partial(self.fleet, self._controller.fleet)
+        if self._controller.gossip:
+            handlers["fleet"] = partial(self.fleet, self._controller.gossip)
         return handlers
 
     def answer(self, question: Question) -> Answer:
-        """Return what a view would be answered now, and why."""
+        """Return the endpoints that answers to a view may name now, with their weights."""
         controller = self._controller
         view = next((view for view in controller.views.views if view.name == question.view), None)
         label = question.service or controller.settings["service"][0]["label"]
@@ -70,54 +70,54 @@
                 "error": f"expected a view and a service of the settings, got {question.view!r} "
                 f"and {question.service!r}"
             }
-        seat = controller.answers.sources[view.index][service]
+        source = controller.answers.sources[view.index][service]
         return {
             "view": view.name,
             "zone": controller.zone_names[view.zone],
-            "lifetime": controller.answers.ttl if seat.cacheable else 0,
+            "lifetime": controller.answers.ttl if source.cacheable else 0,
             "lines": [
-                self._describe_line(endpoint, weight, endpoint in seat.weights)
-                for endpoint, weight in sorted(seat.planned_weights.items())
+                self._describe_line(endpoint, weight, endpoint in source.weights)
+                for endpoint, weight in sorted(source.planned_weights.items())
             ],
-            "fresh": controller.freshness.fresh,
+            "fresh": controller.answer_freshness.fresh,
         }
 
     def why(self, question: Question) -> Answer:
-        """Return what is known of an endpoint or proxy, and of its withdrawals."""
+        """Return the state of an endpoint or proxy, with its withdrawals."""
         controller = self._controller
-        index, planner = controller.registry.index.get(question.host), controller.planner
+        index, planner = controller.registry.numbers.get(question.host), controller.planner
         if index is not None and isinstance(planner, DescribesEndpoints):
             now = controller.loop.time()
             endpoint = planner.describe(index, now)
             if endpoint is not None:
                 return self._why_endpoint(question.host, index, endpoint, now)
         proxies = controller.proxies
-        session = proxies.front.sessions.get(question.host) if proxies else None
+        session = proxies.server.sessions.get(question.host) if proxies else None
         if proxies is not None and session is not None:
             return self._why_proxy(question.host, proxies, session)
         return {"error": f"expected a host of the list or a joined proxy, got {question.host!r}"}
 
     def drained(self, question: Question) -> Answer:
-        """Return whether answers still name an endpoint, and until when resolvers may."""
+        """Return whether answers name an endpoint, and how long cached answers may still do so."""
         controller = self._controller
-        endpoint = controller.registry.index.get(question.host)
+        endpoint = controller.registry.numbers.get(question.host)
         if endpoint is None:
             return {"error": f"expected a host of the list, got {question.host!r}"}
-        views = controller.dns.views_naming(endpoint)
-        unnamed = controller.dns.seconds_unnamed(endpoint)
+        views = controller.dns_publication.views_naming(endpoint)
+        elapsed = controller.dns_publication.seconds_unnamed(endpoint)
         remaining = None
         if not views:
-            remaining = max(0.0, controller.answers.ttl - (unnamed or 0.0))
+            remaining = max(0.0, controller.answers.ttl - (elapsed or 0.0))
         return {
             "host": question.host,
             "phase": controller.registry.entries[endpoint].phase,
             "named by views": len(views),
-            "seconds since the last answer": unnamed,
+            "seconds since the last answer": elapsed,
             "seconds until no kept answer names it": remaining,
         }
 
     def fleet(self, gossip: GossipNode, question: Question) -> Answer:
-        """Carry out `drain` or `undrain`, and return the fleet as this controller sees it."""
+        """Execute `drain` or `undrain`, and return the fleet as this controller sees it."""
         controller = self._controller
         proxies = controller.proxies
         ownership = gossip.ownership
@@ -129,17 +129,17 @@
         elif question.do == "why" and proxies:
             return dict(proxies.explain_ownership(question.host))
         return {
-            "steward": controller.me["name"],
+            "steward": controller.own_settings["name"],
             "draining": ownership.draining,
             "members": self._describe_members(gossip),
             "messages": dict(gossip.counts),
             **(proxies.status() if proxies else {}),
-            "pins": sorted(controller.published.pins.unended()),
+            "pins": sorted(controller.publication.pins.unended()),
             "owned": self._owned_proxies(gossip),
         }
 
     def status(self, _: Question) -> Answer:
-        """Return counts of all parts of this controller."""
+        """Return counters of all parts of this controller."""
         controller = self._controller
         status: Answer = {}
         if controller.proxies:
@@ -149,28 +149,28 @@
             status["secondaries"] = {**controller.secondaries.counts, "serial": serial}
         return {
             **status,
-            "steward": controller.me["name"],
-            "views": len(controller.numbers),
+            "steward": controller.own_settings["name"],
+            "views": len(controller.view_numbers),
             "hosts": len(controller.registry.entries),
-            "decided": controller.decided,
-            "slowest_decide": controller.slowest,
+            "decided": controller.batch_count,
+            "slowest_decide": controller.longest_decision,
             "answers": dict(controller.answers.counts),
-            "unanswered": controller.front.unanswered,
+            "unanswered": controller.dns_server.unanswered,
             "prepared": controller.answers.prepared_count,
             "channel": self._describe_channel(),
             "burden": controller.overload.status(),
             "probes_dropped": controller.health_checks.prober.dropped,
             "levels": controller.health_checks.admission_text(),
-            "fresh": controller.freshness.fresh,
+            "fresh": controller.answer_freshness.fresh,
         }
 
     def _describe_channel(self) -> Answer:
         channel = self._controller.channel
         return {
-            "waiting": channel.waiting,
-            "deepest": channel.deepest,
-            "most": channel.most,
-            "past": channel.past,
+            "waiting": channel.size,
+            "deepest": channel.peak_size,
+            "most": channel.max_size,
+            "past": channel.overflow_count,
         }
 
     def _describe_line(self, endpoint: int, weight: float, named: bool) -> Answer:
@@ -188,7 +188,7 @@
         controller = self._controller
         return {
             "host": name,
-            "steward": controller.me["name"],
+            "steward": controller.own_settings["name"],
             **describe_endpoint(endpoint),
             "holders": endpoint.subscribers,
             **controller.propagation.status(now, index),
@@ -196,23 +196,23 @@
 
     def _why_proxy(self, name: str, proxies: Proxies, session: Session) -> Answer:
         controller = self._controller
-        name_of = controller.published.name_of
-        withdrawals = controller.propagation.holding.get(session.number, ())
+        name_of = controller.publication.name_of
+        pending_endpoints = controller.propagation.pending.get(session.number, ())
         return {
             "proxy": name,
-            "steward": controller.me["name"],
+            "steward": controller.own_settings["name"],
             "zone": session.node.zone,
             "joined seconds ago": round(controller.loop.time() - session.admitted_at, 1),
             "epoch": session.epoch,
             "says it holds": str(proxies.acknowledged_version(session.number)),
             "waits for its window": not session.call.idle,
-            "losses under way": [name_of(endpoint) for endpoint in withdrawals],
+            "losses under way": [name_of(endpoint) for endpoint in pending_endpoints],
             "lines": {
                 request_class: {
                     name_of(endpoint): weight
                     for endpoint, weight in sorted(proxies.endpoint_weights(session, index).items())
                 }
-                for request_class, index in proxies.front.class_indices.items()
+                for request_class, index in proxies.server.class_indices.items()
             },
         }
 
@@ -230,10 +230,10 @@
         }
 
     def _owned_proxies(self, gossip: GossipNode) -> Answer:
-        """Return each proxy that has joined here, with its epoch and the seconds since."""
+        """Return the epoch of each proxy that has joined here, and the seconds since it joined."""
         now = self._controller.loop.time()
         proxies = self._controller.proxies
-        sessions = proxies.front.sessions if proxies else {}
+        sessions = proxies.server.sessions if proxies else {}
         return {
             name: [epoch, now - sessions[name].admitted_at]
             for name, epoch in sorted(gossip.ownership.epochs.items())
--- a/peatlead/platform/controller.py
+++ b/peatlead/platform/controller.py
@@ -137,7 +137,7 @@
             self.ready = True
             self.listener.answer_pending_checks()
 
-    def stop(self, why: str = STOPPED) -> None:
+    def stop(self, reason: str = STOPPED) -> None:
         """Stop the controller.
 
         For a requested stop, events in the inbox are still decided on and their messages written.
@@ -145,10 +145,10 @@
         """
         if self.stopping:
             return
-        if why == STOPPED and self.inbox:
-            self.step()
+        if reason == STOPPED and self.inbox:
+            self.run_batch()
         self.stopping = True
-        self.stop_reason = why
+        self.stop_reason = reason
         self.reloader.stop()
         self.watch.stop()
         self.prober.stop()
@@ -168,8 +168,8 @@
         self.log(
             "controller stopped",
             why=self.stop_reason,
-            decided=self.decided,
-            slowest=round(self.slowest, 3),
+            decided=self.batch_count,
+            slowest=round(self.longest_decision, 3),
             ends=self.listener.counts,
         )
 
@@ -180,12 +180,12 @@
         if not self.stopping:
             super().submit(event)
 
-    def step(self) -> None:
+    def run_batch(self) -> None:
         """Run one batch, unless the controller is stopping."""
         if not self.stopping:
-            super().step()
+            super().run_batch()
 
-    def failed(self, error: Exception) -> None:
+    def on_decision_failed(self, error: Exception) -> None:
         """Replace a planner that raised an exception, or stop if that happened too often."""
         now = self.loop.time()
         self.restart_budget.record_failure(now)
@@ -207,7 +207,7 @@
             self.publisher.join(proxy, enforces_admission=True)
             self.submit(interface.ProxyConnected(proxy, session.zone, session.request_rate, False))
 
-    def offer(
+    def send_messages(
         self,
         now: float,
         commands: Sequence[interface.Command],
@@ -239,7 +239,7 @@
             session.send(data)
             self.telemetry.message_written(proxy, operations)
 
-    def after(self, now: float, events: Sequence[interface.Event]) -> None:
+    def on_batch_end(self, now: float, events: Sequence[interface.Event]) -> None:
         """Log the events of the batch."""
         self.telemetry.end_batch(now, self.planner)
 
--- a/tests/controller/test_batch_loop.py
+++ b/tests/controller/test_batch_loop.py
@@ -1,3 +1,5 @@
+"""Batches of events, the order of a batch's commands, and failed decisions."""
+
 import unittest
 
 from peatlead import interface
@@ -7,38 +9,38 @@
 
 
 class RecordingPlanner:
-    """Records the events of each batch and returns the commands that it was given for it."""
+    """Records the events of each batch; returns the given commands, or raises the given error."""
 
-    def __init__(self, *commands):
-        self.commands, self.batches = list(commands), []
+    def __init__(self, *results):
+        self.results, self.batches = list(results), []
 
     def decide(self, now, events):
         self.batches.append(events)
-        commands = self.commands.pop(0) if self.commands else []
-        if isinstance(commands, Exception):
-            raise commands
-        return commands
+        result = self.results.pop(0) if self.results else []
+        if isinstance(result, Exception):
+            raise result
+        return result
 
 
 class RecordingLoop(BatchLoop):
-    """Records what the loop does with commands."""
+    """Records log lines, and the order in which commands and messages are handled."""
 
     def __init__(self, planner):
-        self.actions, self.lines = [], []
-        super().__init__(planner, lambda event, **fields: self.lines.append((event, fields)))
+        self.actions, self.log_lines = [], []
+        super().__init__(planner, lambda event, **fields: self.log_lines.append((event, fields)))
 
-    def offer(self, now, commands, messages, nonces):
-        self.actions.append(("offer", messages, nonces))
+    def send_messages(self, now, commands, messages, nonces):
+        self.actions.append(("send", messages, nonces))
 
     def log_message(self, command):
         self.actions.append(("log", command.text))
 
-    def stop(self, why="stopped"):
-        self.ended.set_result(why)
+    def stop(self, reason="stopped"):
+        self.ended.set_result(reason)
 
 
 class BatchLoopTest(unittest.TestCase):
-    def test_events_of_one_turn_form_one_batch(self):
+    def test_events_of_one_loop_iteration_form_one_batch(self):
         async def case():
             planner = RecordingPlanner()
             loop = RecordingLoop(planner)
@@ -47,20 +49,20 @@
             for event in events[1:]:
                 loop.submit(event)
             await until(lambda: planner.batches)
-            self.assertEqual((planner.batches, loop.decided), ([events], 1))
+            self.assertEqual((planner.batches, loop.batch_count), ([events], 1))
 
         run(case())
 
-    def test_an_event_for_later_schedules_no_batch(self):
+    def test_submit_later_schedules_no_batch(self):
         async def case():
             planner = RecordingPlanner()
             loop = RecordingLoop(planner)
             loop.submit_later(interface.ProxyDisconnected(1))
-            self.assertEqual((loop.step_scheduled, len(loop.inbox)), (False, 1))
+            self.assertEqual((loop.batch_scheduled, len(loop.inbox)), (False, 1))
 
         run(case())
 
-    def test_handlers_run_before_messages_are_offered(self):
+    def test_handlers_run_before_messages_are_sent(self):
         async def case():
             commands = [
                 interface.SetEntry(0, 5, 1.0),
@@ -72,9 +74,9 @@
             loop = RecordingLoop(RecordingPlanner(commands))
             loop.publisher.join(7)
             loop.submit(interface.ProxyDisconnected(1))
-            await until(lambda: loop.decided)
+            await until(lambda: loop.batch_count)
             message = {("bind", 0): 0, ("line", 0, 5): 1.0}
-            self.assertEqual(loop.actions, [("log", "done"), ("offer", {7: message}, {7: [9]})])
+            self.assertEqual(loop.actions, [("log", "done"), ("send", {7: message}, {7: [9]})])
 
         run(case())
 
@@ -93,9 +95,9 @@
             loop = RecordingLoop(RecordingPlanner(ValueError("planted")))
             loop.submit(interface.ProxyDisconnected(1))
             self.assertEqual(await loop.ended, "decide failed: ValueError('planted')")
-            ((event, fields),) = loop.lines
+            ((event, fields),) = loop.log_lines
             self.assertEqual((event, fields["events"]), ("decide failed", ["ProxyDisconnected"]))
             self.assertIn("test_batch_loop.py:", fields["at"])
-            self.assertEqual((loop.decided, loop.actions), (0, []))
+            self.assertEqual((loop.batch_count, loop.actions), (0, []))
 
         run(case())
--- a/tests/controller/test_operator_queries.py
+++ b/tests/controller/test_operator_queries.py
@@ -27,16 +27,16 @@
 
         self.assertEqual(run_with_standins(case), 0)
 
-    def test_why_describes_an_endpoint_from_the_planner(self):
+    def test_why_describes_an_endpoint_with_the_planners_state(self):
         async def case(world):
             controller = await world.start_controller()
             await until(lambda: len(world.answered_endpoints(controller)) == 4)
             question = Question("why", host="h2")
-            await until(lambda: controller.queries.why(question)["holders"], 5.0)
-            unknown = controller.queries.why(Question("why", host="none"))
-            endpoint = controller.registry.index["h2"]
+            await until(lambda: controller.operator_queries.why(question)["holders"], 5.0)
+            unknown = controller.operator_queries.why(Question("why", host="none"))
+            endpoint = controller.registry.numbers["h2"]
             holders = len(controller.planner.context.subscriber_index.subscribers(endpoint))
-            return controller.queries.why(question), unknown, holders
+            return controller.operator_queries.why(question), unknown, holders
 
         answer, unknown, holders = run_with_standins(case)
         self.assertIn("expected a host of the list", unknown["error"])
@@ -65,21 +65,23 @@
         self.assertEqual((answer["cold for s"], answer["out for s more"]), (None, None))
         self.assertEqual(answer["holders"], holders)
 
-    def test_drained_says_until_when_answers_may_name_an_endpoint(self):
+    def test_drained_reports_until_when_cached_answers_may_name_an_endpoint(self):
         async def case(world):
             controller = await world.start_controller()
             await until(lambda: len(world.answered_endpoints(controller)) == 4)
             question = Question("drained", host="h2")
-            before = controller.queries.drained(question)
+            before = controller.operator_queries.drained(question)
             world.phases["h2"] = "draining"
             world.write_list()
             await until(
-                lambda: controller.queries.drained(question)[
+                lambda: controller.operator_queries.drained(question)[
                     "seconds until no kept answer names it"
                 ]
                 == 0,
                 5.0,
             )
-            return before["named by views"] > 0, controller.queries.drained(question)["phase"]
+            return before["named by views"] > 0, controller.operator_queries.drained(question)[
+                "phase"
+            ]
 
         self.assertEqual(run_with_standins(case), (True, "draining"))
--- a/tests/grpc/test_failover.py
+++ b/tests/grpc/test_failover.py
@@ -12,7 +12,7 @@
         controllers = {name: await world.start_controller(name) for name in ("ns1", "ns2", "ns3")}
         await until(
             lambda: all(
-                len(controller.fleet.membership.live_members()) == 3
+                len(controller.gossip.membership.live_members()) == 3
                 for controller in controllers.values()
             )
         )
@@ -22,7 +22,7 @@
         ownership = [
             key
             for key, controller in controllers.items()
-            if name in controller.proxies.front.sessions
+            if name in controller.proxies.server.sessions
         ]
         return ownership[0] if len(ownership) == 1 else None
 
@@ -32,7 +32,7 @@
             proxy = connect_proxy(world)
             await until(lambda: self.owner_of(controllers))
             first_owner = self.owner_of(controllers)
-            self.assertEqual(first_owner, controllers["ns1"].fleet.ownership.owner_of("p0"))
+            self.assertEqual(first_owner, controllers["ns1"].gossip.ownership.owner_of("p0"))
             await until(lambda: proxy.entries)
             held_endpoints, epoch = dict(proxy.entries), proxy.fence.newest[0]
             controllers.pop(first_owner).stop()
@@ -57,12 +57,12 @@
             await until(
                 lambda: all(self.owner_of(controllers, proxy.plan.name) for proxy in proxies)
             )
-            original = {name: controller.fleet.send for name, controller in controllers.items()}
+            original = {name: controller.gossip.send for name, controller in controllers.items()}
             for controller in controllers.values():  # no gossip message is delivered
-                controller.fleet.send = lambda address, body: None
+                controller.gossip.send = lambda address, body: None
             await until(
                 lambda: all(
-                    len(controller.fleet.membership.live_members()) == 1
+                    len(controller.gossip.membership.live_members()) == 1
                     for controller in controllers.values()
                 )
             )
@@ -76,17 +76,17 @@
                 )
             )
             for name, controller in controllers.items():
-                controller.fleet.send = original[name]
+                controller.gossip.send = original[name]
             await until(
                 lambda: all(
-                    len(controller.fleet.membership.live_members()) == 3
+                    len(controller.gossip.membership.live_members()) == 3
                     for controller in controllers.values()
                 )
             )
             await until(
                 lambda: all(
                     self.owner_of(controllers, proxy.plan.name)
-                    == controllers["ns1"].fleet.ownership.preferred_owner(proxy.plan.name)
+                    == controllers["ns1"].gossip.ownership.preferred_owner(proxy.plan.name)
                     for proxy in proxies
                 ),
                 15,
@@ -110,10 +110,10 @@
                 )
             )
             busiest = max(
-                controllers, key=lambda name: len(controllers[name].proxies.front.sessions)
+                controllers, key=lambda name: len(controllers[name].proxies.server.sessions)
             )
             controllers[busiest].answer_fleet_question(type("Q", (), {"do": "drain", "host": ""}))
-            await until(lambda: not controllers[busiest].proxies.front.sessions, 15)
+            await until(lambda: not controllers[busiest].proxies.server.sessions, 15)
             await until(
                 lambda: all(self.owner_of(controllers, proxy.plan.name) for proxy in proxies)
             )
@@ -133,7 +133,7 @@
             proxy = connect_proxy(world)
             await until(lambda: self.owner_of(controllers) and proxy.entries)
             first_owner = self.owner_of(controllers)
-            session = controllers[first_owner].proxies.front.sessions["p0"]
+            session = controllers[first_owner].proxies.server.sessions["p0"]
             # The owner stops answering pings, as if frozen, and later resumes without knowing of the new owner.
             connection = session.call.connection
             connection.ping_timer.cancel()
@@ -173,8 +173,8 @@
             )
             for data in (b"junk", b"\x01" * 90, bytes(60), b"\x01\x03" + bytes(80)):
                 transport.sendto(data, ("127.1.0.1", world.port + 1))
-            await until(lambda: controllers["ns1"].fleet.counts["refused"] >= 4)
+            await until(lambda: controllers["ns1"].gossip.counts["refused"] >= 4)
             transport.close()
-            return len(controllers["ns1"].fleet.membership.live_members())
+            return len(controllers["ns1"].gossip.membership.live_members())
 
         self.assertEqual(run_fleet(case), 3)
--- a/tests/grpc/test_incremental.py
+++ b/tests/grpc/test_incremental.py
@@ -64,7 +64,7 @@
             await world.change_list_repeatedly(40, 0.08)
 
             def has_converged():
-                items = controller.published.store.histories["p0"].items
+                items = controller.publication.store.histories["p0"].items
                 line_items = {key: value for key, value in items.items() if key.startswith("line/")}
                 return (
                     proxy.replica.parts["line"] == line_items
--- a/tests/grpc/test_server.py
+++ b/tests/grpc/test_server.py
@@ -35,7 +35,7 @@
             await until(
                 lambda: [
                     row["held"] == row["sent"] != "0.0"
-                    for row in controller.published.proxy_versions()
+                    for row in controller.publication.proxy_versions()
                     if row["proxy"] == proxy.plan.name
                 ]
                 == [True]
