--- a/peatlead/benchmarks/tables_controllers.py
+++ b/peatlead/benchmarks/tables_controllers.py
@@ -12,7 +12,7 @@
 from typing import Any, NamedTuple
 
 from ..scenario.runner import free_port
-from ..tables.history import Store
+from ..tables.history import HistoryStore
 from ..tables.table_log import TableLog
 from ..tables.version import Version, line_key
 
@@ -48,7 +48,7 @@
 
 def write_log(folder: str, versions: int) -> None:
     """Write a log of versions into the controller's state."""
-    log = TableLog(f"{folder}/state/tables-ns1", Store(), None, sync_interval=1e9)
+    log = TableLog(f"{folder}/state/tables-ns1", HistoryStore(), None, sync_interval=1e9)
     log.start(0.0)
     for index in range(versions):
         name = f"agent{index % 200}"
@@ -138,7 +138,7 @@
                 write_list(folder, version)
                 time.sleep(0.03)
             end(child, signal.SIGKILL)
-            store = Store()
+            store = HistoryStore()
             problems = TableLog(f"{folder}/state/tables-ns1", store, None).restore()
             faults += [f"{file}: {reason}" for file, reason in problems if "torn" not in reason]
             if store.entry_count < newest:
--- a/peatlead/benchmarks/tables_log.py
+++ b/peatlead/benchmarks/tables_log.py
@@ -9,7 +9,7 @@
 from random import Random
 from typing import NamedTuple
 
-from ..tables.history import Store
+from ..tables.history import HistoryStore
 from ..tables.table_log import TableLog
 from ..tables.version import Version, changes
 from .tables_store import draw_states
@@ -33,7 +33,7 @@
 def write_until_killed(folder: str, seed: int) -> None:
     """Publish versions without end, and print the serial of each that is written."""
     rng = Random(seed)
-    log = TableLog(folder, Store(), None, sync_interval=0.05)
+    log = TableLog(folder, HistoryStore(), None, sync_interval=0.05)
     log.restore()
     log.start(0.0)
     serial = newest_serial(log.store)
@@ -49,7 +49,7 @@
         sys.stdout.flush()
 
 
-def newest_serial(store: Store) -> int:
+def newest_serial(store: HistoryStore) -> int:
     """Return the largest serial of all histories."""
     return max((history.newest_version.serial for history in store.histories.values()), default=0)
 
@@ -70,7 +70,7 @@
 
 def read_log(folder: str) -> ReadResult:
     """Read a log and check it."""
-    store = Store()
+    store = HistoryStore()
     problems = TableLog(folder, store, None).restore()
     torn = sum(TORN in problem.reason for problem in problems)
     faults = [problem.reason for problem in problems if TORN not in problem.reason]
@@ -124,7 +124,7 @@
 def measure_read() -> None:
     """Print how long 10,000 versions take to write and to read."""
     with tempfile.TemporaryDirectory() as folder:
-        log = TableLog(folder, Store(), None, sync_interval=1e9)
+        log = TableLog(folder, HistoryStore(), None, sync_interval=1e9)
         log.start(0.0)
         start = time.perf_counter()
         write_versions(log)
@@ -132,7 +132,7 @@
         size = sum(os.path.getsize(os.path.join(folder, name)) for name in os.listdir(folder))
         log.close()
         start = time.perf_counter()
-        store = Store()
+        store = HistoryStore()
         problems = TableLog(folder, store, None).restore()
         print(
             f"10,000 versions: written in {written:.2f} s, {size / 10_000:.0f} bytes each on disk; "
--- a/peatlead/controller/pin_commands.py
+++ b/peatlead/controller/pin_commands.py
@@ -4,7 +4,7 @@
 from typing import TYPE_CHECKING, Any, NamedTuple
 
 from ..tables.guard import GuardedTable
-from ..tables.history import Store
+from ..tables.history import HistoryStore
 from ..tables.pins import ActivePin, Pin, validate_pin
 from .control_socket import Answer
 from .pin_control import PinControl
@@ -63,7 +63,7 @@
         control: PinControl,
         targets: PinTargets,
         tables: PinnedTables,
-        store: Store,
+        store: HistoryStore,
         formatter: ItemFormatter,
     ) -> None:
         self._controller = controller
--- a/peatlead/controller/pin_targets.py
+++ b/peatlead/controller/pin_targets.py
@@ -12,7 +12,7 @@
 import msgspec
 import zstandard
 
-from ..tables.history import Store, UnknownVersionError
+from ..tables.history import HistoryStore, UnknownVersionError
 from ..tables.pins import ActivePin, Pins
 from ..tables.table_log import TableLog
 from ..tables.version import NO_VERSION, Version, parse_line_key, parse_version
@@ -69,7 +69,7 @@
         self,
         controller: "Controller",
         pins: Pins,
-        store: Store,
+        store: HistoryStore,
         log: TableLog,
         wall_clock: Callable[[], float],
     ) -> None:
--- a/peatlead/controller/pinned_tables.py
+++ b/peatlead/controller/pinned_tables.py
@@ -7,7 +7,7 @@
 
 from ..sources.endpoint_list import ListedEndpoint
 from ..tables.guard import RAMPED_FRACTION, GuardContext, GuardedTable, guard
-from ..tables.history import Store
+from ..tables.history import HistoryStore
 from ..tables.pins import REPUBLISH_INTERVAL, ActivePin
 from ..tables.version import WEIGHT_SCALE, changes, line_key, parse_line_key, quantize_weight
 from .message import PIN_CHECK, Operations
@@ -98,7 +98,7 @@
         controller: "Controller",
         control: PinControl,
         targets: PinTargets,
-        store: Store,
+        store: HistoryStore,
         endpoints: EndpointFacts,
     ) -> None:
         self._controller = controller
@@ -174,7 +174,7 @@
         self._controller.message_pump.send_due()
 
     def _endpoint_sets_changed(self) -> bool:
-        fractions = self._endpoints.context().fractions
+        fractions = self._endpoints.context().weight_fractions
         ramping = frozenset(
             endpoint for endpoint, fraction in fractions.items() if fraction < RAMPED_FRACTION
         )
--- a/peatlead/controller/publication.py
+++ b/peatlead/controller/publication.py
@@ -16,7 +16,7 @@
 
 from ..sources.endpoint_list import ListedEndpoint
 from ..tables.change_causes import ChangeCauses
-from ..tables.history import Store
+from ..tables.history import HistoryStore
 from ..tables.pins import ActivePin, Pins
 from ..tables.table_log import TableLog
 from ..tables.version import Version, changes, part_of
@@ -265,9 +265,9 @@
         return weight
 
 
-def create_store(table_settings: Mapping[str, Any]) -> Store:
+def create_store(table_settings: Mapping[str, Any]) -> HistoryStore:
     """Return an empty store with the limits of the `tables` settings."""
-    return Store(
+    return HistoryStore(
         table_settings["versions_each"],
         table_settings["versions_most"],
         int(table_settings["memory_most"]),
--- a/peatlead/tables/guard.py
+++ b/peatlead/tables/guard.py
@@ -40,14 +40,13 @@
 class GuardContext(NamedTuple):
     """The current state of all endpoints.
 
-    `phases` has the phase of each listed endpoint, `withdrawn` the withdrawn endpoints. `fractions`
-    has, for each endpoint in a table of the planner, its greatest weight in any table as a fraction
-    of its listed weight.
+    `weight_fractions` has the endpoints that are in any table of the planner. An endpoint's
+    fraction is its greatest weight in these tables, divided by its listed weight.
     """
 
-    phases: Mapping[int, str]
-    withdrawn: AbstractSet[int]
-    fractions: Mapping[int, float]
+    phases: Mapping[int, str]  # endpoint -> `EndpointPhase`, of listed endpoints
+    withdrawn: AbstractSet[int]  # withdrawn endpoints
+    weight_fractions: Mapping[int, float]  # endpoint -> fraction
 
 
 class GuardedTable(NamedTuple):
@@ -80,7 +79,9 @@
         )
         weights.update((endpoint, planned[endpoint]) for endpoint in supplement)
     ramped = {
-        endpoint for endpoint in weights if context.fractions.get(endpoint, 1.0) >= RAMPED_FRACTION
+        endpoint
+        for endpoint in weights
+        if context.weight_fractions.get(endpoint, 1.0) >= RAMPED_FRACTION
     }
     if not ramped:
         unpinned = tuple(endpoint for endpoint in planned if endpoint not in pinned)
@@ -118,9 +119,9 @@
         reason = RestrictionReason.UNLISTED
     elif endpoint in context.withdrawn:
         reason = RestrictionReason.WITHDRAWN
-    elif endpoint not in context.fractions:
+    elif endpoint not in context.weight_fractions:
         reason = RestrictionReason.DROPPED
-    elif context.fractions[endpoint] < RAMPED_FRACTION:
+    elif context.weight_fractions[endpoint] < RAMPED_FRACTION:
         is_planned = endpoint in planned
         reason = RestrictionReason.RAMPING if is_planned else RestrictionReason.RAMPING_ELSEWHERE
     return reason
--- a/peatlead/tables/history.py
+++ b/peatlead/tables/history.py
@@ -16,7 +16,7 @@
 from .proxy_history import History, HistoryEntry
 from .version import Version
 
-__all__ = ["History", "HistoryEntry", "Store", "StoredEntry", "UnknownVersionError"]
+__all__ = ["History", "HistoryEntry", "HistoryStore", "StoredEntry", "UnknownVersionError"]
 
 COMPACTION_SLACK = 1000  # references to dropped entries that never trigger a compaction
 
@@ -28,7 +28,7 @@
     entry: HistoryEntry
 
 
-class Store:
+class HistoryStore:
     """The histories of all proxies by name.
 
     Limits: `versions_per_proxy` entries per proxy and `versions_max` in total, `bytes_max` of
--- a/peatlead/tables/log_reader.py
+++ b/peatlead/tables/log_reader.py
@@ -3,7 +3,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from .history import Store
+from .history import HistoryStore
 from .log_records import Segment, read_segment
 from .log_recovery import LogRecovery
 from .version import Version
@@ -19,7 +19,7 @@
 class LogReader:
     """Reads all segments into a store and a map of notes, oldest first."""
 
-    def __init__(self, folder: Path, store: Store, notes: dict[str, bytes]) -> None:
+    def __init__(self, folder: Path, store: HistoryStore, notes: dict[str, bytes]) -> None:
         self.newest_number = 0  # of the newest segment; 0 where there is none
         self.sizes: dict[int, int] = {}  # segment number -> intact bytes
         # Segment number -> newest version of each proxy in the segment.
--- a/peatlead/tables/log_recovery.py
+++ b/peatlead/tables/log_recovery.py
@@ -2,7 +2,7 @@
 
 from typing import Optional
 
-from .history import Store
+from .history import HistoryStore
 from .items import changes
 from .log_records import NoteRecord, PublishedRecord, Record, RemovedRecord, SnapshotRecord
 from .proxy_history import History
@@ -14,7 +14,7 @@
 class LogRecovery:
     """Applies records, oldest first, to a store and a map of notes."""
 
-    def __init__(self, store: Store, notes: dict[str, bytes]) -> None:
+    def __init__(self, store: HistoryStore, notes: dict[str, bytes]) -> None:
         self._store = store
         self._notes = notes
 
--- a/peatlead/tables/table_log.py
+++ b/peatlead/tables/table_log.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Optional, Protocol, Union
 
-from .history import Store
+from .history import HistoryStore
 from .items import ItemChanges
 from .log_reader import LogReader, ReadProblem
 from .log_records import (
@@ -51,7 +51,7 @@
     def __init__(
         self,
         folder: Union[str, Path, None],
-        store: Store,
+        store: HistoryStore,
         log: Optional[EventLogger],
         sync_interval: float = 1.0,
         retry_interval: float = 5.0,
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -31,7 +31,7 @@
 from peatlead.scenario.script import load_day
 from peatlead.settings import load_settings
 from peatlead.sources.endpoint_cache import EndpointCache
-from peatlead.tables.history import Store
+from peatlead.tables.history import HistoryStore
 from peatlead.tables.pins import decode_pins
 from peatlead.tables.table_log import TableLog
 from peatlead.tables.version import Version
@@ -45,7 +45,9 @@
     def __init__(self, folder):
         self.said = []
         self.log = TableLog(
-            folder, Store(age_max=1e12), lambda event, **more: self.said.append((event, more))
+            folder,
+            HistoryStore(age_max=1e12),
+            lambda event, **more: self.said.append((event, more)),
         )
         self.wrong = self.log.restore()
 
--- a/tests/controller/test_pin_targets.py
+++ b/tests/controller/test_pin_targets.py
@@ -11,7 +11,7 @@
     read_announcement,
     write_announcement,
 )
-from peatlead.tables.history import Store
+from peatlead.tables.history import HistoryStore
 from peatlead.tables.pins import Pins
 from peatlead.tables.table_log import TableLog
 from peatlead.tables.version import Version
@@ -29,7 +29,7 @@
             gossip=None,
         )
         self.pins = Pins("ns1")
-        self.store = Store()
+        self.store = HistoryStore()
         self.log = TableLog(None, self.store, controller.log)
         self.targets = PinTargets(controller, self.pins, self.store, self.log, lambda: 1000.0)
         pin = self.pins.make(100.0, "all", target="back", target_argument="60")
--- a/tests/tables/test_history.py
+++ b/tests/tables/test_history.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from peatlead.tables.history import History, Store, UnknownVersionError
+from peatlead.tables.history import History, HistoryStore, UnknownVersionError
 from peatlead.tables.version import Digest, Version, changes
 
 KEYS = st.sampled_from(
@@ -16,7 +16,7 @@
 
 def store_of(states, store=None, name="p", epoch=1):
     """Return a store with one version per state, published a second apart."""
-    store = store or Store()
+    store = store or HistoryStore()
     for index, state in enumerate(states):
         store.commit(
             name,
@@ -56,7 +56,7 @@
         self.assertEqual(history.items, {"level/k": 2})
 
     def test_clock_set_back_changes_neither_order_nor_limits(self):
-        store = Store(age_max=50.0)
+        store = HistoryStore(age_max=50.0)
         for index, wall_time in enumerate((1000.0, 1010.0, 200.0, 210.0, 220.0)):
             store.commit("p", Version(1, index + 1), wall_time, (), {"level/k": index})
         self.assertEqual(store.entry_count, 5)
@@ -74,7 +74,7 @@
             {"age_max": 2.5},
             {"bytes_max": 1100},
         ):
-            store = store_of([{"level/k": level} for level in range(1, 11)], Store(**limits))
+            store = store_of([{"level/k": level} for level in range(1, 11)], HistoryStore(**limits))
             history = store.histories["p"]
             self.assertEqual(
                 [entry.version.serial for entry in history.entries], [8, 9, 10], limits
@@ -90,7 +90,7 @@
             self.assertEqual((store.entry_count, store.dropped_entries), (3, 7))
 
     def test_history_of_the_earliest_disconnected_proxy_is_dropped_first(self):
-        store = Store(proxies_max=3)
+        store = HistoryStore(proxies_max=3)
         for name in "abc":
             store.commit(name, Version(1, 1), 0.0, (), {"level/k": 1})
         for name in "ba":
@@ -104,7 +104,7 @@
         )  # histories of connected proxies stay
 
     def test_references_to_dropped_entries_do_not_accumulate_behind_an_old_entry(self):
-        store = Store(versions_per_proxy=10)
+        store = HistoryStore(versions_per_proxy=10)
         store.commit("idle", Version(1, 1), 0.0, (), {"level/k": 1})
         for serial in range(1, 5001):
             store.commit("busy", Version(1, serial), 0.0, (), {"level/k": serial})
--- a/tests/tables/test_table_log.py
+++ b/tests/tables/test_table_log.py
@@ -9,7 +9,7 @@
 from unittest import mock
 
 from peatlead.tables import table_log
-from peatlead.tables.history import Store
+from peatlead.tables.history import HistoryStore
 from peatlead.tables.log_records import PublishedRecord, RecordFramer, read_segment
 from peatlead.tables.table_log import TableLog
 from peatlead.tables.version import Version
@@ -24,7 +24,7 @@
     def open(self, **limits):
         log = TableLog(
             self.folder,
-            Store(**limits),
+            HistoryStore(**limits),
             lambda event, **fields: self.events.append((event, fields)),
         )
         self.addCleanup(log.close)
@@ -82,7 +82,7 @@
         full = list(log.store.histories["p"].entries)
         for size in range(0, len(whole), 7):
             path.write_bytes(whole[:size])
-            reader = TableLog(self.folder, Store(), None)
+            reader = TableLog(self.folder, HistoryStore(), None)
             reader.restore()
             found = list(reader.store.histories["p"].entries) if reader.store.histories else []
             self.assertEqual(found, full[: len(found)])
@@ -102,7 +102,7 @@
                 + bytes([whole[offset] ^ 1 << rng.randrange(8)])
                 + whole[offset + 1 :]
             )
-            reader = TableLog(self.folder, Store(), None)
+            reader = TableLog(self.folder, HistoryStore(), None)
             problems = reader.restore()
             self.assertTrue(problems, f"flipped bit at byte {offset} was not detected")
             found = list(reader.store.histories["p"].entries) if reader.store.histories else []
--- a/tests/transcripts/test_tables_transcripts.py
+++ b/tests/transcripts/test_tables_transcripts.py
@@ -64,7 +64,7 @@
 
 def open_log(folder):
     """Restore and start a log in a folder. Return (problems, log)."""
-    log = table_log.TableLog(folder, history.Store(), lambda *_, **__: None)
+    log = table_log.TableLog(folder, history.HistoryStore(), lambda *_, **__: None)
     problems = log.restore()
     log.start(0.0)
     return problems, log
