--- a/peatlead/adapter.py
+++ b/peatlead/adapter.py
@@ -1,7 +1,8 @@
 """`python -m peatlead.adapter`: runs planners for the simulator, one per controller instance.
 
 Reads batches of event records from standard input and writes one reply per batch to standard
-output. Exits with 0 at the end of the input, and with 2 where the input violates the protocol.
+output. Exits with status 0 at the end of the input, and with status 2 if the input violates the
+protocol.
 """
 
 import gc
@@ -25,7 +26,7 @@
 
 
 class Instance:
-    """One controller instance. It shares no state with other instances."""
+    """One controller instance: a planner with its translators, sharing no state with others."""
 
     def __init__(self, record: Attach) -> None:
         settings = settings_from_environment(record.environment)
@@ -33,22 +34,22 @@
         self.event_translator = EventTranslator(endpoint_ids, settings["report_fields"])
         self.command_translator = CommandTranslator(record.instance, endpoint_ids)
         self.planner = Planner(settings, record.seed)
-        self.pending: list[Event] = []  # events of the current batch
+        self.pending_events: list[Event] = []  # events of the current batch
 
     def submit(self, record: EventRecord) -> None:
         """Queue the event of a record for the next `decide`."""
-        self.pending.append(self.event_translator.translate(record))
+        self.pending_events.append(self.event_translator.translate(record))
 
     def decide(self, now: float) -> list[ReplyRecord]:
         """Return the planner's commands for the queued events; `now` is in seconds.
 
         An exception of the planner becomes a `Broken` record.
         """
-        events, self.pending = self.pending, []
+        events, self.pending_events = self.pending_events, []
         try:
             commands = self.planner.decide(now, events)
             return [self.command_translator.translate(command) for command in commands]
-        except Exception as error:  # any kind: the other instances continue
+        except Exception as error:  # of any type, so that the other instances continue
             return [self.command_translator.error_record(error)]
 
 
@@ -57,7 +58,7 @@
 ) -> list[ReplyRecord]:
     """Return the reply to one batch. Adds started instances to `instances` and removes ended ones.
 
-    Raises WireFormatError where a record names an instance that is not running.
+    Raises WireFormatError if a record names an instance that is not running.
     """
     for record_number, record in enumerate(records):
         _submit(instances, record_number, record)
--- a/peatlead/interface.py
+++ b/peatlead/interface.py
@@ -1,4 +1,4 @@
-"""Events that the planner receives and commands that it returns.
+"""Events that the planner receives, and commands that it returns.
 
 This module holds types only, without logic. Times are float seconds on the controller's own
 monotonic clock. `endpoint`, `proxy`, `zone`, `machine_type`, `cell`, `table` and `request_class`
@@ -23,11 +23,11 @@
 
 
 class ListScope(StrEnum):
-    """What an endpoint update covers."""
+    """Which part of the endpoint list an update covers."""
 
     CHANGES = "changes"  # endpoints that are not in the update are unchanged
     WHOLE = "whole"  # endpoints that are not in the update are gone
-    REMEMBERED = "remembered"  # the complete list as it was stored before a restart
+    REMEMBERED = "remembered"  # the complete list, as stored before a restart
     UNAVAILABLE = "unavailable"  # the source failed; the update holds no information
 
 
@@ -57,8 +57,8 @@
 class Endpoint(NamedTuple):
     """An entry of the endpoint list.
 
-    `weight` is relative to the weights of the other endpoints. `started_at` is the start time of
-    the endpoint's process. `phase` is an `EndpointPhase`.
+    `phase` is an `EndpointPhase`. `weight` is relative to the weights of the other endpoints.
+    `started_at` is the start time of the endpoint's process in seconds.
     """
 
     id: int
@@ -72,7 +72,7 @@
 
 
 class EndpointUpdate(NamedTuple):
-    """A complete endpoint list or changes to it; `scope` is a `ListScope`."""
+    """A complete endpoint list, or changes to the list. `scope` is a `ListScope`."""
 
     scope: str
     version: int
@@ -102,7 +102,7 @@
     """Statistics of the attempts at one endpoint by the connected proxies of one zone.
 
     The attempts were made within `window` seconds and are reported with a delay, as in Envoy's load
-    reporting service (LRS).
+    reporting service (LRS). `zone` is the zone of the proxies.
     """
 
     endpoint: int
@@ -142,7 +142,7 @@
 class Acknowledged(NamedTuple):
     """A proxy has applied the message with the nonce.
 
-    `duration` is the time in seconds since the command that the message carried.
+    `duration` is the time in seconds from the planner's command to the acknowledgement.
     """
 
     proxy: int
@@ -214,7 +214,7 @@
 
 
 class SetEntry(NamedTuple):
-    """Set the weight of one endpoint in a table; weight 0 removes the entry."""
+    """Set the weight of one endpoint in a table. Weight 0 removes the entry."""
 
     table: int
     endpoint: int
@@ -228,7 +228,7 @@
 
 
 class AssignTable(NamedTuple):
-    """Route requests of these classes at a proxy by a table."""
+    """Make a proxy use a table for its requests of these classes."""
 
     proxy: int
     table: int
@@ -238,10 +238,10 @@
 class WithdrawEndpoint(NamedTuple):
     """Withdraw an endpoint from the tables that connected proxies hold, or restore it.
 
-    The command also covers tables of other controllers. `notify` lists the proxies that must be
-    notified among those without a table of this controller; None means all of them. A channel that
-    knows itself which proxies hold the endpoint needs no such list. Proxies on this controller's
-    tables lose the endpoint's entry by a separate `SetEntry`.
+    The command also covers tables of other controllers. `notify` names those proxies without a
+    table of this controller that must be notified. None means all of them. A channel that knows
+    which proxies hold the endpoint ignores `notify`. Proxies with a table of this controller lose
+    the endpoint's entry by a separate `SetEntry`.
     """
 
     endpoint: int
@@ -252,7 +252,7 @@
 class SetAdmission(NamedTuple):
     """Admit a fraction (0 to 1) of the requests of these classes.
 
-    `retry_policy` is a `RetryPolicy`. `table` None means every proxy.
+    `retry_policy` is a `RetryPolicy`. If `table` is None, the command applies to every proxy.
     """
 
     table: Optional[int]
@@ -262,9 +262,10 @@
 
 
 class RequestAcknowledgement(NamedTuple):
-    """Ask the proxies that this batch writes to, or all proxies, for an acknowledgement.
+    """Ask the proxies that this batch writes to for an acknowledgement of the nonce.
 
-    A proxy acknowledges the nonce when it has applied its messages.
+    A proxy acknowledges the nonce when it has applied its message. If `all_proxies` is true, all
+    proxies are asked.
     """
 
     nonce: int
@@ -290,7 +291,7 @@
 class SendGossip(NamedTuple):
     """Send a gossip message to the planner of another controller.
 
-    `peer` None means all controllers.
+    If `peer` is None, the message is sent to all other controllers.
     """
 
     peer: Optional[int]
--- a/peatlead/planner/channel_budget.py
+++ b/peatlead/planner/channel_budget.py
@@ -1,8 +1,8 @@
 """Limits on what may be written now: the channel's queue and the messages to each proxy.
 
 The channel has a rate, a maximum queue length, and a maximum number of messages to each proxy
-within a time span. Removals and withdrawals cannot be postponed and must always fit, so all other
-writes stop at a lower queue length.
+within a time span. Removals and withdrawals cannot be postponed and must always fit. Therefore all
+other writes stop at a lower queue length.
 """
 
 from .channel_backlog import ChannelBacklog
@@ -10,12 +10,12 @@
 from .proxy_state import ProxyState
 
 MAX_CHANNEL_SLOWDOWN = 16  # factor by which the channel may be slower than its configured rate
-UPDATE_QUEUE_FRACTION = 0.25  # of the queue, for updates that can be postponed
-TABLE_QUEUE_FRACTION = 0.4  # of the queue, for whole tables
-UPDATE_MESSAGES_FRACTION = 0.5  # of a proxy's messages, for updates that can be postponed
-# Of the queue: withdrawals up to this size are always sent to unassigned proxies.
+UPDATE_QUEUE_FRACTION = 0.25  # of the maximum queue, for updates that can be postponed
+TABLE_QUEUE_FRACTION = 0.4  # of the maximum queue, for whole tables
+UPDATE_MESSAGES_FRACTION = 0.5  # of a proxy's message limit, for updates that can be postponed
+# Of the maximum queue: withdrawals up to this size are always sent to unassigned proxies.
 MIN_WITHDRAWAL_QUEUE_FRACTION = 0.02
-# Of the queue: above this length no further withdrawals are sent to unassigned proxies.
+# Of the maximum queue: above this length no more withdrawals are sent to unassigned proxies.
 MAX_WITHDRAWAL_QUEUE_FRACTION = 0.5
 
 
@@ -42,28 +42,28 @@
 
     def has_room(self, fraction: float = TABLE_QUEUE_FRACTION) -> bool:
         """Return whether less than a fraction of the maximum queue is in use."""
-        return bool(self.backlog.entries < fraction * self.context.settings["queue_most"])
+        return bool(self.backlog.queued_entries < fraction * self.context.settings["queue_most"])
 
     def has_room_for_withdrawals(self, total: float, entries: float) -> bool:
-        """Return whether `entries` more may be sent to proxies that wait for their tables.
+        """Return whether withdrawals of `entries` more may be sent to waiting proxies.
 
         A few withdrawals may always be sent. Filling the queue with withdrawals would delay the
-        tables that those proxies wait for. `total` is the number of such entries in this batch,
-        including the next `entries`.
+        tables that those proxies wait for. `total` is the size of all withdrawals in this batch, in
+        entries, including the `entries` in question.
         """
         limit = self.context.settings["queue_most"]
         return bool(
             total < MIN_WITHDRAWAL_QUEUE_FRACTION * limit
-            or self.backlog.entries + entries < MAX_WITHDRAWAL_QUEUE_FRACTION * limit
+            or self.backlog.queued_entries + entries < MAX_WITHDRAWAL_QUEUE_FRACTION * limit
         )
 
     def spend(self, proxy: ProxyState, entries: float) -> None:
-        """Count entries for a proxy.
+        """Count entries that are written for a proxy.
 
-        A batch sends one message to each proxy, so the message overhead is counted once.
+        A batch sends one message to each proxy, so the overhead of the message is counted once.
         """
         sent, now = proxy.message_times, self.context.now
         new_message = not sent or sent[-1] < now
         if new_message:
             sent.append(now)
-        self.backlog.add(proxy.number, entries, new_message)
+        self.backlog.add_entries(proxy.number, entries, new_message)
--- a/peatlead/planner/class_admission.py
+++ b/peatlead/planner/class_admission.py
@@ -1,4 +1,4 @@
-"""Decides which request classes are cut when less is admitted, and publishes it to proxies.
+"""Decides which request classes are cut when less is admitted, and publishes the admissions.
 
 The class with the lowest value per unit of work is cut first if that is better than cutting all
 classes equally. The admitted fraction of all work is computed in load_shedding.py.
@@ -45,7 +45,7 @@
         self.admissions: Optional[list[Admission]] = None
 
     def on_request_stats(self, event: RequestStats) -> None:
-        """Count requests that arrived at a proxy."""
+        """Count the requests of one class that arrived at a proxy."""
         proxy = self.context.proxies.get(event.proxy)
         if proxy and event.window and event.request_class < len(self.demand.requests):
             assert self.admissions is not None, "admissions are published before the first event"
@@ -53,8 +53,8 @@
 
     def publish(self) -> None:
         """Emit the admissions that have changed."""
-        before, admissions = self.admissions, self._admissions()
-        if admissions == before:
+        previous, admissions = self.admissions, self._compute_admissions()
+        if admissions == previous:
             return
         self.context.log(
             "admitted fractions by request class: "
@@ -63,24 +63,24 @@
         self.context.commands += [
             SetAdmission(None, (request_class,), *admission)
             for request_class, admission in enumerate(admissions)
-            if not before or admission != before[request_class]
+            if not previous or admission != previous[request_class]
         ]
         self.admissions = admissions
         for proxy in self.context.connected_proxies:
             self.budget.spend(proxy, len(admissions))
 
-    def _admissions(self) -> list[Admission]:
+    def _compute_admissions(self) -> list[Admission]:
         """Return the admissions by class.
 
-        A retry succeeds where endpoints have spare capacity; in an overload it adds load.
+        Retries are allowed only while the fleet is not saturated: in an overload they add load.
         """
         policy = RetryPolicy.NEVER if self.fleet_load.saturated else RetryPolicy.UNSTARTED
         return [
             Admission(round(max(MIN_CLASS_FRACTION, fraction), 2), policy.value)
-            for fraction in self._fractions()
+            for fraction in self._compute_fractions()
         ]
 
-    def _fractions(self) -> list[float]:
+    def _compute_fractions(self) -> list[float]:
         """Return the admitted fractions by class, cutting the least valuable class first."""
         work = self.demand.work()
         total_work = fsum(work)
--- a/peatlead/planner/context.py
+++ b/peatlead/planner/context.py
@@ -14,7 +14,7 @@
 # Value of the setting `roster_mode`: the endpoint list is sent on request.
 LIST_ON_REQUEST = "on_request"
 
-COVERAGE = 25.0  # number of this controller's proxies whose shards should hold each endpoint
+COVERAGE = 25.0  # proxies of this controller whose shards hold an endpoint, on average
 
 
 class PlannerContext:
@@ -25,10 +25,10 @@
         self.rng = Random(seed)
         self.now = 0.0  # time of the current batch in seconds
         self.commands: list[Command] = []  # commands of the current batch, in the order of emission
-        self.endpoints: dict[int, EndpointState] = {}
-        self.proxies: dict[int, ProxyState] = {}  # all proxies that have ever connected
-        self.connected: dict[int, ProxyState] = {}
-        self.unassigned: dict[int, ProxyState] = {}  # connected proxies without tables
+        self.endpoints: dict[int, EndpointState] = {}  # by id
+        self.proxies: dict[int, ProxyState] = {}  # by number, all that have ever connected
+        self.connected: dict[int, ProxyState] = {}  # by number, in the order of connecting
+        self.unassigned: dict[int, ProxyState] = {}  # by number, connected, without tables
         self.subscriber_index = SubscriberIndex()  # which proxies' tables name an endpoint
         self.expected_proxies = max(
             1.0, settings.get("proxies", 1) / max(1, settings.get("stewards", 1))
@@ -39,8 +39,8 @@
         """The connected proxies, in the order in which they connected."""
         return self.connected.values()
 
-    def begin(self, now: float) -> None:
-        """Start a batch."""
+    def begin_batch(self, now: float) -> None:
+        """Start a batch at `now`, in seconds, without commands."""
         self.now = now
         self.commands = []
 
--- a/peatlead/planner/deadline_queue.py
+++ b/peatlead/planner/deadline_queue.py
@@ -1,4 +1,4 @@
-"""A priority queue of items by deadline."""
+"""A priority queue of items that are due at deadlines."""
 
 import heapq
 
@@ -6,7 +6,7 @@
 class DeadlineQueue:
     """Items by deadline, in seconds of the planner's clock.
 
-    An item may be pushed several times; each of its deadlines counts.
+    An item may have several deadlines, and is due at each of them.
     """
 
     __slots__ = ("heap",)
--- a/peatlead/planner/endpoint_lifecycle.py
+++ b/peatlead/planner/endpoint_lifecycle.py
@@ -1,4 +1,4 @@
-"""Starts of endpoint processes, and removal of records of endpoints that are long gone."""
+"""Initializes the state of started endpoints and removes the state of endpoints long gone."""
 
 from .context import PlannerContext
 from .endpoint_schedule import EndpointSchedule
@@ -6,7 +6,8 @@
 from .slow_start import SlowStart
 from .table_writer import TableWriter
 
-# Seconds; until then a reconnecting proxy may still hold entries of an endpoint that is gone.
+# Seconds for which the state of a gone endpoint is kept: a proxy that reconnects may still hold
+# entries of the endpoint.
 GONE_RETENTION = 60.0
 
 
@@ -28,8 +29,8 @@
     def start(self, endpoint: EndpointState, started_at: float, ramp_warm: bool) -> None:
         """Reset an endpoint's state for a new process.
 
-        The evidence about the old process is cleared. A cold process is always ramped; a process
-        that is already warm is ramped only with `ramp_warm`.
+        The reports about the old process are discarded. A cold process is always ramped; a process
+        that is already warm is ramped only if `ramp_warm` is true.
         """
         now = self.context.now
         self.schedule.activate(endpoint)
@@ -43,12 +44,12 @@
             self.slow_start.begin_cold_start(endpoint)
 
     def forget_gone(self) -> None:
-        """Remove endpoints that are long gone, so that the number of records is bounded."""
-        forget_before = self.context.now - GONE_RETENTION
+        """Remove endpoints that are long gone, so that the number of known endpoints is bounded."""
+        withdrawn_before = self.context.now - GONE_RETENTION
         forgotten = [
             endpoint
             for endpoint in self.context.endpoints.values()
-            if endpoint.phase == GONE and endpoint.withdrawn_at < forget_before
+            if endpoint.phase == GONE and endpoint.withdrawn_at < withdrawn_before
         ]
         for endpoint in forgotten:
             self._remove_entries(endpoint)
--- a/peatlead/planner/endpoint_pools.py
+++ b/peatlead/planner/endpoint_pools.py
@@ -22,10 +22,10 @@
     zones: tuple[int, ...]  # zones that the requests may go to; empty for all
     machine_types: tuple[int, ...]  # machine types that the requests may go to; empty for all
     own_zone: bool  # whether requests stay in the zone of their proxy
-    request_classes: list[int]
+    request_classes: list[int]  # numbers of the classes
 
     def admits(self, endpoint: EndpointState) -> bool:
-        """Return whether the group's requests may go to the endpoint."""
+        """Return whether the group's requests may go to the endpoint, apart from `own_zone`."""
         in_zone = not self.zones or endpoint.zone in self.zones
         return in_zone and (not self.machine_types or endpoint.machine_type in self.machine_types)
 
@@ -44,15 +44,15 @@
 
 
 class EndpointPools:
-    """Pools by group, which are built on first use after a change of the endpoint list."""
+    """The pools of each group, which are built on first use after a change of the endpoint list."""
 
     def __init__(self, context: PlannerContext, zone_paths: ZonePaths) -> None:
         self.context = context
         self.zone_paths = zone_paths
         self.groups = group_request_classes(context.settings)
         self.ready_pools: dict[int, Pools] = {}  # by group
-        self.previous_ready_pools: dict[int, Pools] = {}  # by group, of the previous list
-        self.earlier_pools: dict[int, Pools] = {}  # by group, see `earlier_endpoints`
+        self.previous_ready_pools: dict[int, Pools] = {}  # by group, of the list before
+        self.earlier_pools: dict[int, Pools] = {}  # by group: see `previously_allowed_pools`
 
     def reset(self) -> None:
         """Discard the pools after a change of the endpoint list."""
@@ -60,60 +60,68 @@
         self.ready_pools = {}
         self.earlier_pools = {}
 
-    def open_endpoints(self, group: int, zone: Optional[int]) -> Pools:
-        """Return by zone the ready endpoints that a group's requests from `zone` may go to.
+    def allowed_pools(self, group: int, zone: Optional[int]) -> Pools:
+        """Return the pools of ready endpoints that a group's requests from `zone` may go to.
 
-        Zones behind bad paths are left out unless no other zone remains. With `zone` None all zones
-        are included, except for groups that stay in the zone of their proxy.
+        Zones behind bad paths are left out unless no other zone remains. If `zone` is None, the
+        result has all zones, or none for a group that stays in the zone of its proxies.
         """
         if group not in self.ready_pools:
-            self.ready_pools[group] = self._build_ready(group)
-        pools = self._reachable(group, zone, self.ready_pools[group])
+            self.ready_pools[group] = self._build_ready_pools(group)
+        pools = self._in_allowed_zones(group, zone, self.ready_pools[group])
         bad_paths = self.zone_paths.bad_paths
         if not bad_paths:
             return pools
         return {
-            other: pool for other, pool in pools.items() if (zone, other) not in bad_paths
+            endpoint_zone: pool
+            for endpoint_zone, pool in pools.items()
+            if (zone, endpoint_zone) not in bad_paths
         } or pools
 
-    def earlier_endpoints(self, group: int, zone: int) -> Pools:
-        """Return by zone the endpoints that tables drawn from earlier lists may name.
+    def previously_allowed_pools(self, group: int, zone: int) -> Pools:
+        """Return the pools of endpoints that tables computed from earlier lists may name.
 
         These are the warm ready endpoints and the withdrawn endpoints.
         """
         if group not in self.earlier_pools:
-            self.earlier_pools[group] = self._build_earlier(group)
-        return self._reachable(group, zone, self.earlier_pools[group])
+            self.earlier_pools[group] = self._build_earlier_pools(group)
+        return self._in_allowed_zones(group, zone, self.earlier_pools[group])
 
-    def _reachable(self, group: int, zone: Optional[int], pools: Pools) -> Pools:
+    def _in_allowed_zones(self, group: int, zone: Optional[int], pools: Pools) -> Pools:
+        """Return the pools of the zones that a group's requests from `zone` may go to."""
         own_zone = self.groups[group].own_zone
-        return {other: pool for other, pool in pools.items() if not own_zone or other == zone}
+        return {
+            endpoint_zone: pool
+            for endpoint_zone, pool in pools.items()
+            if not own_zone or endpoint_zone == zone
+        }
 
-    def _build_ready(self, group: int) -> Pools:
+    def _build_ready_pools(self, group: int) -> Pools:
         """Build the pools, reusing unchanged ones because proxies cache their ranking of a pool."""
         admits = self.groups[group].admits
         by_zone: dict[int, list[EndpointState]] = {}
         for endpoint in self.context.endpoints.values():
             if endpoint.phase == READY and admits(endpoint):
                 by_zone.setdefault(endpoint.zone, []).append(endpoint)
-        before = self.previous_ready_pools.get(group, {})
+        previous_pools = self.previous_ready_pools.get(group, {})
         pools: Pools = {}
         for zone in sorted(by_zone):
             endpoints = sort_by_name(by_zone[zone])
-            old = before.get(zone)
-            if old is not None and old.endpoints == endpoints:
-                pools[zone] = old
+            previous_pool = previous_pools.get(zone)
+            if previous_pool is not None and previous_pool.endpoints == endpoints:
+                pools[zone] = previous_pool
             else:
                 pools[zone] = RendezvousPool(endpoints)
         return pools
 
-    def _build_earlier(self, group: int) -> Pools:
+    def _build_earlier_pools(self, group: int) -> Pools:
+        """Build the pools of `previously_allowed_pools`, for all zones."""
         admits = self.groups[group].admits
         by_zone: dict[int, list[EndpointState]] = {}
         for endpoint in self.context.endpoints.values():
-            settled = endpoint.withdrawn or (
+            may_be_named = endpoint.withdrawn or (
                 endpoint.phase == READY and endpoint.cold_since is None
             )
-            if settled and admits(endpoint):
+            if may_be_named and admits(endpoint):
                 by_zone.setdefault(endpoint.zone, []).append(endpoint)
         return {zone: RendezvousPool(endpoints) for zone, endpoints in sorted(by_zone.items())}
--- a/peatlead/planner/endpoint_schedule.py
+++ b/peatlead/planner/endpoint_schedule.py
@@ -1,8 +1,8 @@
-"""Which endpoints must be processed at the next tick or at a later time.
+"""The schedule by which endpoints are processed: in every tick, or at a later time.
 
 Processing every endpoint in every tick would take most of the planner's time in a large fleet.
-Endpoints that ramp, are ejected or are relieved are processed in every tick. For the others only
-the next health check is scheduled.
+Endpoints that ramp, are ejected or are relieved are processed in every tick. Any other endpoint is
+processed only when its next health check is due.
 """
 
 from .context import PlannerContext
@@ -11,7 +11,7 @@
 
 
 class EndpointSchedule:
-    """The endpoints to process, and when."""
+    """The endpoints to process in every tick, and the times at which to process the others."""
 
     def __init__(self, context: PlannerContext) -> None:
         self.context = context
--- a/peatlead/planner/endpoint_state.py
+++ b/peatlead/planner/endpoint_state.py
@@ -1,4 +1,4 @@
-"""What the planner knows about one endpoint, and what it has decided about it."""
+"""The state of one endpoint: its list entry, its reported load and the planner's decisions."""
 
 from typing import NamedTuple, Optional
 
@@ -7,14 +7,14 @@
 
 READY = EndpointPhase.READY.value
 GONE = EndpointPhase.GONE.value
-DISTANT_PAST = -1e9  # seconds; earlier than any other time
+DISTANT_PAST = -1e9  # seconds, before any time of the planner's clock
 # Seconds until a step of a relieved endpoint's traffic is restored; doubled with repeated relief.
 INITIAL_RELIEF_DURATION = 10.0
 MIN_COUNT = 0.5  # minimum divisor of means and rates: decayed counts may be below one
 
 
 class Counts(NamedTuple):
-    """Attempts at an endpoint; the counts decay with time and are not whole numbers."""
+    """Counts of the attempts at an endpoint, which decay with time and are not whole numbers."""
 
     attempts: float
     errors: float
@@ -47,59 +47,61 @@
         self.started_at: Optional[float] = None  # seconds, start of the endpoint's process
         # False if the endpoint was added to the list later and no health check has found it yet.
         self.confirmed = confirmed
-        # Value of `TableChanges.count` at the last change that affects tables.
-        self.last_change = 0
+        # `TableChanges.change_count` at the endpoint's last change that affects tables.
+        self.last_change_count = 0
 
         # Withdrawals.
         self.withdrawn = False
         self.withdrawn_at = now  # when `withdrawn` last changed
-        # Proxies may still avoid the endpoint after an earlier withdrawal.
+        # True after the first withdrawal: proxies may still avoid the endpoint.
         self.ever_withdrawn = False
-        self.notified_proxies: dict[int, object] = {}  # proxies to notify when the endpoint returns
+        self.notified_proxies: dict[
+            int, object
+        ] = {}  # by number: proxies to notify of the endpoint's return
         self.unusable_since = now  # when the endpoint last became unusable
 
         # Slow start.
         self.cold_since: Optional[float] = None  # start of the cold start; None if warm
-        self.ramp = 1.0  # fraction of the weight that the ramp permits
-        self.next_step_at = 0.0
-        self.step_interval = 0.0  # seconds between two steps of the ramp
+        self.ramp_fraction = 1.0  # fraction of the weight that the ramp permits
+        self.next_ramp_step_at = 0.0  # seconds
+        self.ramp_step_interval = 0.0  # seconds between two steps of the ramp
         self.weight_fraction = 1.0  # published fraction of the weight
 
         # Relief.
-        self.traffic_fraction = 1.0  # fraction of its subscribers' requests that it should receive
-        self.excluded_proxies: set[int] = set()  # proxies whose tables leave the endpoint out
-        self.next_restore_at = 0.0  # when the next step of traffic is restored
-        self.relief_duration = INITIAL_RELIEF_DURATION
-        self.relieved_at = DISTANT_PAST
+        self.traffic_fraction = 1.0  # fraction of the subscribers' requests to send here
+        self.excluded_proxies: set[int] = set()  # numbers of proxies whose tables omit the endpoint
+        self.next_traffic_step_at = 0.0  # when the next step of traffic is restored
+        self.relief_duration = INITIAL_RELIEF_DURATION  # seconds until a step is restored
+        self.relieved_at = DISTANT_PAST  # when traffic was last reduced
 
         # Outlier detection.
-        self.ejected_until: Optional[float] = None
-        self.ejected_by_checks = False
-        self.consecutive_ejections = 0
-        self.restored_at = DISTANT_PAST
+        self.ejected_until: Optional[float] = None  # seconds; None if not ejected
+        self.ejected_by_checks = False  # whether failed health checks caused the ejection
+        self.consecutive_ejections = 0  # each soon after the end of the previous one
+        self.ejection_ended_at = DISTANT_PAST  # when the last ejection ended
 
         # Health checks.
         self.next_check_at = 0.0
         self.failed_checks = 0  # consecutive
         self.passed_checks = 0  # consecutive
-        self.check_failure_rate = 0.0  # moving average
+        self.check_failure_rate = 0.0  # moving average, 0 to 1
 
         self.clear_evidence(now)
 
     def clear_evidence(self, now: float) -> None:
-        """Discard all reports: another process is running, or the reports are outdated."""
-        self.stats: dict[int, DatedCounts] = {}  # by the zone of the proxies
-        self.peer_stats: dict[int, DatedCounts] = {}  # by the controller that sent the counts
-        # Of the last round, including counts from other controllers and excluding bad paths:
+        """Discard the reported counts and loads, which no longer describe the running process."""
+        self.counts_by_zone: dict[int, DatedCounts] = {}  # by the zone of the proxies
+        self.counts_by_peer: dict[int, DatedCounts] = {}  # by the controller that sent the counts
+        # Sums of the last round, including counts from other controllers, excluding bad paths.
         self.attempts = 0.0
         self.errors = 0.0
         self.latency_sum = 0.0  # seconds
-        self.own_attempts = 0.0  # without counts from other controllers
+        self.own_attempts = 0.0  # attempts without counts from other controllers
         self.utilization = 0.0  # moving average, 0 to 1
         self.last_success_at = now
 
     def add_load_report(self, report: Optional[LoadReport]) -> None:
-        """Update the utilization by a load report.
+        """Update the utilization from a load report.
 
         If the report has no utilization, any waiting request counts as full utilization.
         """
--- a/peatlead/planner/endpoint_summary.py
+++ b/peatlead/planner/endpoint_summary.py
@@ -10,8 +10,8 @@
 
     phase: str
     usable: bool  # whether tables may name the endpoint
-    weight_fraction: float  # published fraction of the weight
-    traffic_fraction: float  # fraction of its subscribers' requests that it should receive
+    weight_fraction: float  # published fraction of the listed weight, 0 to 1
+    traffic_fraction: float  # fraction of the subscribers' requests to send here, 0 to 1
     cold_for: Optional[float]  # seconds since the start of the cold start; None if warm
     ejected_for: Optional[float]  # seconds until the ejection ends; None if not ejected
     attempts: float  # decayed count as of the last round
--- a/peatlead/planner/endpoint_updates.py
+++ b/peatlead/planner/endpoint_updates.py
@@ -16,9 +16,9 @@
 from .withdrawals import Withdrawals
 
 WATCH_RETRY_DELAY = (0.5, 1.5)  # seconds until the list is requested again after a failure
-# Reporting cycles without a successful attempt after which an endpoint counts as not answering.
+# Reporting cycles without a successful attempt, after which an endpoint counts as not answering.
 MAX_SILENT_CYCLES = 2
-NOT_SCHEDULED = float("inf")
+NOT_SCHEDULED = float("inf")  # seconds, later than any time
 
 
 class EndpointUpdates:
@@ -31,7 +31,7 @@
         pools: EndpointPools,
         lifecycle: EndpointLifecycle,
         health_checks: HealthChecks,
-        statistics: LoadStatistics,
+        load_statistics: LoadStatistics,
         withdrawals: Withdrawals,
     ) -> None:
         self.context = context
@@ -39,20 +39,20 @@
         self.pools = pools
         self.lifecycle = lifecycle
         self.health_checks = health_checks
-        self.statistics = statistics
+        self.load_statistics = load_statistics
         self.withdrawals = withdrawals
         self.has_list = False  # whether a list has arrived since the start
         on_request = context.settings.get("roster_mode") == LIST_ON_REQUEST
-        self.watch_at = 0.0 if on_request else NOT_SCHEDULED  # seconds, when to request the list
+        self.watch_at = 0.0 if on_request else NOT_SCHEDULED  # seconds, when the list is requested
 
     def watch_if_due(self) -> None:
-        """Request the list, after the start and after a failure."""
+        """Request the list if this is due: after the start and after a failure of the source."""
         if self.context.now >= self.watch_at:
             self.watch_at = NOT_SCHEDULED
             self.context.commands.append(WatchEndpoints(True))
 
     def on_update(self, event: EndpointUpdate) -> None:
-        """Apply a list or changes to it."""
+        """Apply a complete list, or changes to the list."""
         context = self.context
         if event.scope == ListScope.UNAVAILABLE:
             self.watch_at = context.now + context.rng.uniform(*WATCH_RETRY_DELAY)
@@ -60,17 +60,17 @@
         for endpoint in self._endpoints_to_remove(event):
             endpoint.phase = GONE
         for listed in event.endpoints:
-            self.apply(listed)
+            self.apply_entry(listed)
         self.has_list = True
         self.changes.removals_pending = True
         self.health_checks.update_interval()
         self.pools.reset()
         self._update_withdrawals()
         self.lifecycle.forget_gone()
-        self.changes.mark_all()
+        self.changes.mark_all_changed()
 
     def _endpoints_to_remove(self, event: EndpointUpdate) -> list[EndpointState]:
-        """Return the endpoints that a complete list lacks and that count as gone."""
+        """Return the known endpoints that are missing from a complete list and count as gone."""
         if event.scope == ListScope.CHANGES:
             return []
         listed = {endpoint.id for endpoint in event.endpoints}
@@ -86,13 +86,16 @@
         return []
 
     def _still_answers(self, endpoint: EndpointState) -> bool:
-        """Return whether an endpoint that is missing from the list is kept.
+        """Return whether the endpoint must be kept although the list says that it is gone.
 
-        The silence of an endpoint is measured up to the latest success at any endpoint, because a
+        This requires `gone_is_advice`, passing health checks and a recent successful attempt. The
+        time since that attempt is measured up to the latest success at any endpoint, because a
         controller that was stalled has received no reports.
         """
-        silence = min(self.context.now, self.statistics.last_success_at) - endpoint.last_success_at
-        cycle = self.statistics.cycle + self.context.settings["sums_every"]
+        silence = (
+            min(self.context.now, self.load_statistics.last_success_at) - endpoint.last_success_at
+        )
+        cycle = self.load_statistics.reporting_cycle + self.context.settings["sums_every"]
         return bool(
             self.context.settings.get("gone_is_advice")
             and endpoint.phase == READY
@@ -100,7 +103,7 @@
             and silence < MAX_SILENT_CYCLES * cycle
         )
 
-    def apply(self, listed: Endpoint) -> None:
+    def apply_entry(self, listed: Endpoint) -> None:
         """Apply one entry of the list."""
         endpoint = self._find_or_add(listed)
         if listed.phase == GONE and self._still_answers(endpoint):
@@ -115,7 +118,7 @@
             self.lifecycle.start(endpoint, listed.started_at, ramp_warm=self.has_list)
 
     def _find_or_add(self, listed: Endpoint) -> EndpointState:
-        """Return the endpoint's state, creating it if it is unknown.
+        """Return the state of a listed endpoint, which is created for an unknown endpoint.
 
         An endpoint that is added after the first list must be confirmed by a health check.
         """
@@ -127,6 +130,7 @@
         return endpoint
 
     def _update_withdrawals(self) -> None:
+        """Withdraw the endpoints that are no longer ready, and restore those that are again."""
         changed = [
             endpoint
             for endpoint in self.context.endpoints.values()
--- a/peatlead/planner/fleet_load.py
+++ b/peatlead/planner/fleet_load.py
@@ -13,16 +13,16 @@
 from .statistics import median, weighted_median
 
 HIGH_ERROR_RATE = 0.1  # median over attempts
-HIGH_LATENCY_RATIO = 0.42  # of the mean response target
+HIGH_LATENCY_RATIO = 0.42  # median latency over attempts, as a ratio to the mean response target
 BUSY_UTILIZATION = 0.7  # above it the fleet has little spare capacity
 SATURATED_UTILIZATION = 0.9  # above it the fleet has no spare capacity
 SATURATION_HYSTERESIS = 0.2  # relative decrease after which a saturated fleet counts as recovered
-MIN_REPORTED_ATTEMPTS = 0.5  # decayed, of an endpoint that is included in the fleet's medians
-MIN_PEER_ATTEMPTS = 2  # decayed, of an endpoint that is included in the peers' medians
+MIN_REPORTED_ATTEMPTS = 0.5  # decayed; endpoints with fewer are not in the fleet's medians
+MIN_PEER_ATTEMPTS = 2  # decayed; endpoints with fewer are not in the peers' medians
 
 
 class PeerMedians(NamedTuple):
-    """Medians over endpoints, with which each endpoint is compared."""
+    """Medians over the endpoints that each endpoint is compared with."""
 
     error_rate: float
     utilization: float
@@ -36,8 +36,8 @@
     def __init__(self, context: PlannerContext, demand: RequestDemand) -> None:
         self.context = context
         self.demand = demand
-        self.error_rate = 0.0
-        self.utilization = 0.0
+        self.error_rate = 0.0  # median over attempts, 0 to 1
+        self.utilization = 0.0  # median over attempts, 0 to 1
         self.latency_ratio = 0.0  # median latency relative to the mean response target
         self.reporting_endpoints = 0  # number of usable endpoints with attempts
         self.saturated = False  # whether the fleet has no spare capacity
@@ -52,7 +52,7 @@
         ]
 
     def measure(self, ready: list[EndpointState], admitted_fraction: float) -> PeerMedians:
-        """Update the fleet's load by the round's reports and return the peers' medians.
+        """Update the fleet's load from the round's reports and return the peers' medians.
 
         `admitted_fraction` is the fraction of all work that is admitted.
         """
@@ -62,7 +62,7 @@
             if endpoint.usable and endpoint.attempts >= MIN_REPORTED_ATTEMPTS
         ]
         target = self.demand.mean_target()
-        self._measure_attempts(reporting, target)
+        self._update_attempt_medians(reporting, target)
         relative_latency, relative_errors = (
             self.latency_ratio / HIGH_LATENCY_RATIO,
             self.error_rate / HIGH_ERROR_RATE,
@@ -79,11 +79,11 @@
             target,
         )
 
-    def _measure_attempts(self, reporting: list[EndpointState], target: float) -> None:
-        """Compute the medians over attempts.
+    def _update_attempt_medians(self, reporting: list[EndpointState], target: float) -> None:
+        """Update the medians over attempts.
 
-        An endpoint needs only few attempts to be included: while little is admitted, there are no
-        other signs of recovery.
+        Endpoints with few attempts are included too: while little is admitted, their reports are
+        the only signs of recovery.
         """
         counts = [ceil(endpoint.own_attempts) for endpoint in reporting]
         error_rates = [endpoint.error_rate for endpoint in reporting]
@@ -97,8 +97,8 @@
     def _mean_weight_fraction(self, ready: list[EndpointState], admitted_fraction: float) -> float:
         """Return the mean published fraction of the ready endpoints' weights.
 
-        Return 1 unless proxies avoid failing endpoints and the fleet is busy or sheds load: in that
-        case the other endpoints carry the load that ramping endpoints do not take.
+        The result is 1 unless proxies avoid failing endpoints and the fleet is busy or sheds load.
+        In that case the other endpoints must carry the load that ramping endpoints do not take.
         """
         avoids_failing = self.context.settings.get("fails_to_shun")
         if avoids_failing and (admitted_fraction < 1 or self.utilization > BUSY_UTILIZATION):
--- a/peatlead/planner/gossip.py
+++ b/peatlead/planner/gossip.py
@@ -1,8 +1,8 @@
 """Gossip between controllers about failing endpoints.
 
 A failing endpoint receives few attempts, and each controller receives reports of only a part of
-them, which may not suffice to eject the endpoint. A controller sends only what its own proxies
-report and never what other controllers sent, so that no count is propagated in a circle.
+these attempts, which may not suffice to eject the endpoint. A controller sends only the counts that
+its own proxies report, so that no count is propagated in a circle.
 """
 
 from typing import NamedTuple
@@ -12,25 +12,27 @@
 from .endpoint_state import DISTANT_PAST, Counts, DatedCounts, EndpointState
 from .load_statistics import FailingEndpoint, LoadStatistics
 
-MAX_ENDPOINTS = 20  # per round when sending, and per message when receiving
+MAX_ENDPOINTS = 20  # sent per round, and read per received message
 MAX_PAYLOAD_BYTES = 250  # the wire format allows 256
-MAX_COUNT = 1e6  # attempts, errors or seconds; higher received values are reduced to it
+MAX_COUNT = 1e6  # attempts, errors or seconds; greater received values are reduced to this
 
 
 class ReportedCounts(NamedTuple):
-    """One line of a gossip message."""
+    """One line of a gossip message: the counts of one endpoint."""
 
     name: bytes
     counts: Counts
 
 
 def encode_payloads(failing: list[FailingEndpoint]) -> list[bytes]:
-    """Return the payloads of the gossip messages about the worst endpoints.
+    """Return the payloads of the gossip messages about the endpoints with most errors.
 
-    Each line consists of an endpoint's name, attempts, errors and summed latency in seconds. A
-    single line that is longer than a payload may be is left out.
+    Each line consists of an endpoint's name, attempts, errors and summed latency in seconds. A line
+    that alone exceeds `MAX_PAYLOAD_BYTES` is left out.
     """
-    worst = sorted(failing, key=lambda failed: (-failed.counts.errors, failed.name, failed.counts))
+    worst = sorted(
+        failing, key=lambda endpoint: (-endpoint.counts.errors, endpoint.name, endpoint.counts)
+    )
     payloads = [b""]
     for name, counts in worst[:MAX_ENDPOINTS]:
         line = b"%s %.1f %.1f %.2f" % (name, *counts)
@@ -41,8 +43,11 @@
 
 
 def decode_payload(payload: bytes) -> list[ReportedCounts]:
-    """Return the lines of a payload; malformed lines are ignored, e.g. from another release."""
-    reports = []
+    """Return the counts of a payload by endpoint name.
+
+    Malformed lines, for instance of another release, are ignored.
+    """
+    reported = []
     for line in payload.split(b"\n")[:MAX_ENDPOINTS]:
         name, *fields = line.split(b" ")
         try:
@@ -52,16 +57,16 @@
         except ValueError:
             continue
         if 0 < errors <= attempts:
-            reports.append(ReportedCounts(name, Counts(attempts, errors, latency_sum)))
-    return reports
+            reported.append(ReportedCounts(name, Counts(attempts, errors, latency_sum)))
+    return reported
 
 
 class Gossip:
     """Sends and receives gossip messages."""
 
-    def __init__(self, context: PlannerContext, statistics: LoadStatistics) -> None:
+    def __init__(self, context: PlannerContext, load_statistics: LoadStatistics) -> None:
         self.context = context
-        self.statistics = statistics
+        self.load_statistics = load_statistics
 
     def send(self, failing: list[FailingEndpoint]) -> None:
         """Send the messages of this round, if gossip is enabled."""
@@ -76,10 +81,12 @@
             endpoint = by_name.get(name)
             if endpoint and self._covers_this_process(endpoint):
                 now = self.context.now
-                endpoint.peer_stats[event.sender] = DatedCounts(now, *counts)
+                endpoint.counts_by_peer[event.sender] = DatedCounts(now, *counts)
                 if counts.attempts - counts.errors >= 1:
                     endpoint.last_success_at = now
 
     def _covers_this_process(self, endpoint: EndpointState) -> bool:
-        """Return whether the current process was running during the whole last cycle."""
-        return self.context.now - self.statistics.cycle > (endpoint.cold_since or DISTANT_PAST)
+        """Return whether the endpoint's process was running during the whole last cycle."""
+        return self.context.now - self.load_statistics.reporting_cycle > (
+            endpoint.cold_since or DISTANT_PAST
+        )
--- a/peatlead/planner/health_checks.py
+++ b/peatlead/planner/health_checks.py
@@ -1,8 +1,8 @@
 """Active health checks: when each endpoint is checked, and how results are processed.
 
-Every ready endpoint is checked about once per second. In a large fleet checks are less frequent,
-because processing a thousand checks per second takes half of a controller's time. The next check is
-made early after a failed check or failed requests.
+Every ready endpoint is checked about once per second, or less often in a large fleet, because
+processing a thousand checks per second takes half of a controller's time. The next check is made
+early after a failed check or failed attempts.
 """
 
 from ..interface import CheckHealth, HealthCheckOutcome, HealthCheckResult
@@ -42,7 +42,7 @@
         self.interval = CHECK_INTERVAL  # seconds between two checks of an endpoint
 
     def update_interval(self) -> None:
-        """Adapt the interval to the number of endpoints."""
+        """Adapt the interval between checks to the number of endpoints."""
         endpoints = len(self.context.endpoints)
         self.interval = max(CHECK_INTERVAL, endpoints / MAX_CHECKS_PER_SECOND)
 
@@ -52,8 +52,11 @@
             endpoint.next_check_at = time
             self.schedule.add_deadline(time, endpoint)
 
-    def check_if_failing(self, endpoint: EndpointState) -> None:
-        """Check an endpoint with failed attempts now if the regular interval is long."""
+    def check_early(self, endpoint: EndpointState) -> None:
+        """Check an endpoint with failed attempts now if the regular interval is long.
+
+        An endpoint with failed checks is checked again soon in any case.
+        """
         if self.interval > CHECK_INTERVAL and not endpoint.failed_checks:
             self.schedule_check(endpoint, self.context.now)
 
@@ -71,7 +74,10 @@
             context.commands.append(CheckHealth(endpoint.id))
 
     def on_result(self, event: HealthCheckResult) -> None:
-        """Process a result; a check that could not be sent says nothing about the endpoint."""
+        """Update the endpoint's state by the result of a check.
+
+        A check that could not be sent says nothing about the endpoint and is ignored.
+        """
         endpoint = self.context.endpoints.get(event.endpoint)
         if endpoint is None or event.outcome == DENIED:
             return
@@ -88,10 +94,13 @@
             endpoint.passed_checks += 1
             endpoint.failed_checks = 0
         if not self.context.settings.get("tries_told", True):
-            self.report_round.note_report()  # without reported attempts, checks start the rounds
+            self.report_round.note_report()  # without reports of attempts, checks start rounds
 
     def _confirm(self, endpoint: EndpointState, outcome: str) -> None:
-        """Mark the endpoint as existing, since the list may name endpoints that do not exist."""
+        """Mark the endpoint as confirmed if it answered or timed out.
+
+        The list may name endpoints that do not exist.
+        """
         if outcome in (OK, TIMED_OUT):
             endpoint.confirmed = True
-            self.changes.mark(endpoint)
+            self.changes.mark_endpoint_changed(endpoint)
--- a/peatlead/planner/load_statistics.py
+++ b/peatlead/planner/load_statistics.py
@@ -1,8 +1,8 @@
 """Decaying sums of the attempts that proxies report, by endpoint.
 
-Each report is added to the sums of the endpoint and of the proxies' zone. Older counts decay by a
-constant factor per reporting cycle. The length of the cycle is measured, so that counts last longer
-where reports are infrequent.
+Each report is added to the counts for its endpoint and the zone of its proxies. Older counts decay
+by a constant factor per reporting cycle. The duration of the cycle is measured, so that counts last
+longer where reports are infrequent.
 """
 
 from math import fsum
@@ -19,10 +19,10 @@
 CYCLE_DECAY = 0.25
 REPORT_DELAY = 1.0  # seconds, approximate delay of reports
 CYCLE_WINDOW = 8  # reports that the measured cycle is averaged over
-# Decayed errors below which an endpoint is not reported to other controllers.
+# Decayed errors, below which an endpoint is not sent to other controllers.
 MIN_GOSSIP_ERRORS = 0.5
 
-Path = tuple[int, int]  # (zone of proxies, zone of endpoints)
+Path = tuple[int, int]  # (zone of the proxies, zone of the endpoints)
 
 
 class FailingEndpoint(NamedTuple):
@@ -33,7 +33,7 @@
 
 
 class LoadStatistics:
-    """Sums of attempts, errors and latency by endpoint."""
+    """Adds up attempts, errors and latency by endpoint, and measures the reporting cycle."""
 
     def __init__(
         self, context: PlannerContext, report_round: ReportRound, health_checks: HealthChecks
@@ -41,73 +41,80 @@
         self.context = context
         self.report_round = report_round
         self.health_checks = health_checks
-        self.cycle: float = context.settings.get("sums_every", 1.0)  # seconds between reports
-        self.last_success_at = 0.0  # at any endpoint
+        self.reporting_cycle: float = context.settings.get("sums_every", 1.0)  # seconds
+        self.last_success_at = 0.0  # seconds, of an attempt at any endpoint
 
     def on_endpoint_stats(self, event: EndpointStats) -> None:
-        """Add a report of one endpoint by the proxies of one zone."""
+        """Add a report about one endpoint from the proxies of one zone."""
         endpoint = self.context.endpoints.get(event.endpoint)
         self.report_round.note_report()
-        if endpoint is None or self._from_before_start(event, endpoint):
+        if endpoint is None or self._predates_start(event, endpoint):
             return
-        # If the number of reports is limited, each report covers several cycles.
+        # If the rate of reports is limited, a report covers more time than the configured interval.
         report_interval = max(event.window, self.context.settings["sums_every"])
-        self.cycle += (report_interval - self.cycle) / CYCLE_WINDOW
-        self._add(event, endpoint)
+        self.reporting_cycle += (report_interval - self.reporting_cycle) / CYCLE_WINDOW
+        self._add_counts(event, endpoint)
         endpoint.add_load_report(event.load_report)
         if event.errors:
-            self.health_checks.check_if_failing(endpoint)
+            self.health_checks.check_early(endpoint)
 
-    def _from_before_start(self, event: EndpointStats, endpoint: EndpointState) -> bool:
+    def _predates_start(self, event: EndpointStats, endpoint: EndpointState) -> bool:
         """Return whether the report covers a previous process of the endpoint."""
         return (
             endpoint.cold_since is not None
             and self.context.now - event.window - REPORT_DELAY < endpoint.cold_since
         )
 
-    def _add(self, event: EndpointStats, endpoint: EndpointState) -> None:
+    def _add_counts(self, event: EndpointStats, endpoint: EndpointState) -> None:
+        """Add a report to the decayed counts for its endpoint and zone."""
         now = self.context.now
         successes = event.attempts - event.errors
         if successes:
             endpoint.last_success_at = now
         self.last_success_at = max(self.last_success_at, endpoint.last_success_at)
         latency_sum = event.mean_latency * successes
-        old = endpoint.stats.get(event.zone)
-        if old is None:
-            endpoint.stats[event.zone] = DatedCounts(now, event.attempts, event.errors, latency_sum)
+        previous = endpoint.counts_by_zone.get(event.zone)
+        if previous is None:
+            endpoint.counts_by_zone[event.zone] = DatedCounts(
+                now, event.attempts, event.errors, latency_sum
+            )
             return
-        decay = CYCLE_DECAY ** ((now - old.updated_at) / self.cycle)
-        endpoint.stats[event.zone] = DatedCounts(
+        decay = CYCLE_DECAY ** ((now - previous.updated_at) / self.reporting_cycle)
+        endpoint.counts_by_zone[event.zone] = DatedCounts(
             now,
-            old.attempts * decay + event.attempts,
-            old.errors * decay + event.errors,
-            old.latency_sum * decay + latency_sum,
+            previous.attempts * decay + event.attempts,
+            previous.errors * decay + event.errors,
+            previous.latency_sum * decay + latency_sum,
         )
 
     def end_round(self, bad_paths: set[Path]) -> list[FailingEndpoint]:
         """Sum up each endpoint's counts, excluding bad paths, and return the failing endpoints.
 
-        Counts from other controllers are included in the sums but not in the returned counts.
+        The sums in the endpoints' state include counts from other controllers, the returned counts
+        do not.
         """
         failing = []
         for endpoint in self.context.endpoints.values():
             by_zone = [
-                self._decayed(counts)
-                for zone, counts in endpoint.stats.items()
+                self._decayed_counts(counts)
+                for zone, counts in endpoint.counts_by_zone.items()
                 if (zone, endpoint.zone) not in bad_paths
             ]
-            own = with_peers = sum_counts(by_zone)
-            endpoint.own_attempts = own.attempts
-            if endpoint.phase == READY and own.errors >= MIN_GOSSIP_ERRORS:
-                failing.append(FailingEndpoint(endpoint.name, own))
-            if endpoint.peer_stats:
-                by_peer = [self._decayed(counts) for counts in endpoint.peer_stats.values()]
-                with_peers = sum_counts(by_zone + by_peer)
-            endpoint.attempts, endpoint.errors, endpoint.latency_sum = with_peers
+            own_counts = all_counts = sum_counts(by_zone)
+            endpoint.own_attempts = own_counts.attempts
+            if endpoint.phase == READY and own_counts.errors >= MIN_GOSSIP_ERRORS:
+                failing.append(FailingEndpoint(endpoint.name, own_counts))
+            if endpoint.counts_by_peer:
+                by_peer = [
+                    self._decayed_counts(counts) for counts in endpoint.counts_by_peer.values()
+                ]
+                all_counts = sum_counts(by_zone + by_peer)
+            endpoint.attempts, endpoint.errors, endpoint.latency_sum = all_counts
         return failing
 
-    def _decayed(self, counts: DatedCounts) -> Counts:
-        decay = CYCLE_DECAY ** ((self.context.now - counts.updated_at) / self.cycle)
+    def _decayed_counts(self, counts: DatedCounts) -> Counts:
+        """Return the counts as decayed since their last update."""
+        decay = CYCLE_DECAY ** ((self.context.now - counts.updated_at) / self.reporting_cycle)
         return Counts(decay * counts.attempts, decay * counts.errors, decay * counts.latency_sum)
 
 
--- a/peatlead/planner/outlier_detection.py
+++ b/peatlead/planner/outlier_detection.py
@@ -1,9 +1,10 @@
 """Outlier detection, as in Envoy: temporarily ejects endpoints that fail compared with their peers.
 
-Reports and health checks eject an endpoint only by comparison with its peers. A fault that all
-endpoints share ejects none, and the remaining endpoints must be able to carry the load. An endpoint
-that is slow or full is relieved instead (load_relief.py), because ejecting it would overload the
-others. The duration of an ejection doubles if the endpoint fails again soon after its return.
+An endpoint is ejected if its reports or health checks are much worse than those of its peers. A
+fault that all endpoints share therefore ejects none. The number of ejected endpoints is limited, so
+that the rest can carry the load. An endpoint that is slow or full is relieved instead
+(load_relief.py), because ejecting it would overload the others. The duration of an ejection doubles
+if the endpoint fails again soon after its return.
 """
 
 from math import log
@@ -23,31 +24,31 @@
 MAX_EJECTION_DURATION = 60.0  # seconds
 REPEATED_EJECTION_WINDOW = 30  # seconds after a return within which an ejection counts as repeated
 MAX_EJECTED_FRACTION = 0.4  # of the ready endpoints, so that the rest can carry the load
-MIN_PASSED_CHECKS = 2  # consecutive, to end an ejection by health checks
+MIN_PASSED_CHECKS = 2  # consecutive, to end an ejection caused by health checks
 
-# Unresponsive endpoints: no recent successful attempt, and failing health checks.
-MAX_CYCLES_WITHOUT_SUCCESS = 1.3  # reporting cycles
-# Above this error rate an endpoint is ejected earlier if its peers have spare capacity.
+# An unresponsive endpoint has no recent successful attempt, and its health checks fail.
+MAX_CYCLES_WITHOUT_SUCCESS = 1.3  # reporting cycles since the last successful attempt
+# Error rate above which an endpoint is ejected earlier if its peers have spare capacity.
 UNRESPONSIVE_ERROR_RATE = 0.6
-SPARE_CAPACITY_UTILIZATION = 0.7  # below it the peers have spare capacity
+SPARE_CAPACITY_UTILIZATION = 0.7  # median utilization, below which peers have spare capacity
 MIN_FAILED_CHECKS = 3.0  # consecutive
-# Probability that the median endpoint fails so many consecutive checks.
+# Maximum probability that the median endpoint fails as many consecutive checks.
 MAX_CHANCE_OF_FAILED_CHECKS = 0.001
-# The median check failure rate is clamped to this range.
+# Range to which the median failure rate of health checks is clamped.
 CHECK_FAILURE_RATE_RANGE = (0.01, 0.8)
 MIN_REPORTED_ERRORS = 0.5  # decayed errors that confirm failed checks
 
-# Errors and latency compared with the peers.
-MIN_EVALUATED_ATTEMPTS = 2  # decayed
-MIN_ERRORS = 3  # decayed
-EJECTION_ERROR_RATE = 0.25
-PEER_ERROR_RATE_FACTOR = 3  # times the peers' error rate
-PEER_ERROR_RATE_MARGIN = 0.1  # added to the product
+# Errors, latency and utilization are compared with the medians of the peers.
+MIN_EVALUATED_ATTEMPTS = 2  # decayed; fewer are too few for a comparison
+MIN_ERRORS = 3  # decayed, of an endpoint that fails
+EJECTION_ERROR_RATE = 0.25  # minimum error rate of an endpoint that fails
+PEER_ERROR_RATE_FACTOR = 3  # times the peers' error rate, tolerated
+PEER_ERROR_RATE_MARGIN = 0.1  # added to the product of the factor and the peers' rate
 SLOW_LATENCY_FACTOR = 1.5  # times the peers' latency
 SLOW_TARGET_FACTOR = 0.6  # times the response target
-# Times the peers' latency; above it the errors of an endpoint are attributed to overload.
+# Times the peers' latency, above which an endpoint's errors are attributed to overload.
 OVERLOADED_LATENCY_FACTOR = 1.2
-OVERLOADED_UTILIZATION = 0.8  # at or above it, errors are attributed to overload
+OVERLOADED_UTILIZATION = 0.8  # at or above it, an endpoint's errors are attributed to overload
 RELIEF_UTILIZATION = 0.85  # above it an endpoint is relieved
 RELIEF_UTILIZATION_MARGIN = 0.15  # above the peers' utilization
 RESTORE_UTILIZATION_MARGIN = 0.1  # below the peers' utilization
@@ -61,7 +62,7 @@
         context: PlannerContext,
         changes: TableChanges,
         schedule: EndpointSchedule,
-        statistics: LoadStatistics,
+        load_statistics: LoadStatistics,
         zone_paths: ZonePaths,
         load_relief: LoadRelief,
         slow_start: SlowStart,
@@ -69,37 +70,41 @@
         self.context = context
         self.changes = changes
         self.schedule = schedule
-        self.statistics = statistics
+        self.load_statistics = load_statistics
         self.zone_paths = zone_paths
         self.load_relief = load_relief
         self.slow_start = slow_start
 
     def evaluate(self, ready: list[EndpointState], peers: PeerMedians) -> None:
         """Eject or relieve the outliers among the ready endpoints."""
-        failed_checks = failed_checks_to_eject(ready)
+        required_failed_checks = failed_checks_to_eject(ready)
         for endpoint in [endpoint for endpoint in ready if endpoint.usable]:
-            if self._is_unresponsive(endpoint, peers, failed_checks):
+            if self._is_unresponsive(endpoint, peers, required_failed_checks):
                 self.eject(endpoint, ready, by_checks=True)
             elif endpoint.attempts >= MIN_EVALUATED_ATTEMPTS:
                 self._evaluate_reports(endpoint, ready, peers)
 
     def _is_unresponsive(
-        self, endpoint: EndpointState, peers: PeerMedians, failed_checks: float
+        self, endpoint: EndpointState, peers: PeerMedians, required_failed_checks: float
     ) -> bool:
-        """Return whether the endpoint has stopped answering, by health checks and reports.
+        """Return whether health checks and reports show that the endpoint has stopped answering.
 
-        Reports cover several seconds, so the successes in them may be outdated. If the peers have
-        spare capacity, many errors suffice before the time without success has passed. If proxies
-        do not report attempts, health checks alone decide.
+        After `required_failed_checks` consecutive failures, reports must also show errors and no
+        successful attempt for some time. Since reports cover several seconds, their successes may
+        be outdated: if the peers have spare capacity, a high error rate suffices instead of the
+        time. If proxies do not report attempts, health checks alone decide.
         """
-        if endpoint.failed_checks < failed_checks:
+        if endpoint.failed_checks < required_failed_checks:
             return False
-        reports = self.context.settings.get("tries_told", True)
-        if reports and endpoint.errors <= MIN_REPORTED_ERRORS:
+        attempts_are_reported = self.context.settings.get("tries_told", True)
+        if attempts_are_reported and endpoint.errors <= MIN_REPORTED_ERRORS:
             return False
         path = (self.context.settings["zone"], endpoint.zone)
         last_answer_at = max(endpoint.last_success_at, self.zone_paths.bad_until(path))
-        if self.context.now - last_answer_at > MAX_CYCLES_WITHOUT_SUCCESS * self.statistics.cycle:
+        if (
+            self.context.now - last_answer_at
+            > MAX_CYCLES_WITHOUT_SUCCESS * self.load_statistics.reporting_cycle
+        ):
             return True
         return (
             recent_error_rate(endpoint) > UNRESPONSIVE_ERROR_RATE
@@ -133,23 +138,26 @@
         elif failing or slow or full:
             self.load_relief.relieve(endpoint, ready)
         elif endpoint.utilization < peers.utilization - RESTORE_UTILIZATION_MARGIN:
-            self.load_relief.restore_now(endpoint)
+            self.load_relief.make_restore_due(endpoint)
 
     def eject(self, endpoint: EndpointState, ready: list[EndpointState], by_checks: bool) -> None:
-        """Remove the endpoint from all tables for a while, unless too many are unusable already."""
-        unusable = sum([not other.usable for other in ready])
-        if unusable + 1 > len(ready) * MAX_EJECTED_FRACTION:
+        """Remove the endpoint from all tables for a while, unless too many are already unusable.
+
+        `ready` has all ready endpoints. `by_checks` is true if failed health checks are the cause.
+        """
+        unusable_count = sum([not other.usable for other in ready])
+        if unusable_count + 1 > len(ready) * MAX_EJECTED_FRACTION:
             return
         now = self.context.now
         endpoint.unusable_since = now
-        repeated = now - endpoint.restored_at <= REPEATED_EJECTION_WINDOW
+        repeated = now - endpoint.ejection_ended_at <= REPEATED_EJECTION_WINDOW
         endpoint.consecutive_ejections = endpoint.consecutive_ejections + 1 if repeated else 1
         endpoint.ejected_by_checks = by_checks
         endpoint.passed_checks = 0
         duration = INITIAL_EJECTION_DURATION * 2 ** (endpoint.consecutive_ejections - 1)
         endpoint.ejected_until = now + min(MAX_EJECTION_DURATION, duration)
         self.changes.removals_pending = True
-        self.changes.touch(endpoint)
+        self.changes.count_endpoint_change(endpoint)
         self.schedule.activate(endpoint)
         self.context.log(
             f"endpoint {endpoint.id} ejected: "
@@ -157,11 +165,10 @@
         )
 
     def end_ejection_if_due(self, endpoint: EndpointState) -> None:
-        """End an ejection that is due, and ramp the endpoint.
+        """End the endpoint's ejection if this is due, and ramp the endpoint.
 
-        An ejection by health checks ends after passed checks, any other ejection after its
-        duration. A shallow health check passes at an endpoint that hangs, so passed checks count
-        only if failed checks caused the ejection.
+        An ejection that failed health checks caused ends after passed checks. Any other ejection
+        ends after its duration, because a shallow health check may pass at an endpoint that hangs.
         """
         if endpoint.ejected_until is None:
             return
@@ -171,24 +178,24 @@
             due = self.context.now >= endpoint.ejected_until
         if due:
             endpoint.ejected_until = None
-            endpoint.restored_at = self.context.now
+            endpoint.ejection_ended_at = self.context.now
             endpoint.clear_evidence(self.context.now)
             self.slow_start.begin_ramp(endpoint)
-            self.changes.mark(endpoint)
+            self.changes.mark_endpoint_changed(endpoint)
 
 
 def recent_error_rate(endpoint: EndpointState) -> float:
-    """Return errors per attempt of an endpoint that may have had no attempts."""
+    """Return the errors per attempt of an endpoint that may have had no attempts."""
     return endpoint.errors / max(MIN_COUNT, endpoint.attempts)
 
 
 def failed_checks_to_eject(ready: list[EndpointState]) -> float:
     """Return the number of consecutive failed checks that is unlikely to occur by chance.
 
-    A deep check may time out at a busy endpoint. The number is so high that the checks of the
-    median endpoint rarely fail as often in a row.
+    A deep health check may time out at a busy endpoint. The number is so high that as many
+    consecutive checks of the median endpoint rarely fail.
     """
     lowest, highest = CHECK_FAILURE_RATE_RANGE
     median_rate = median([endpoint.check_failure_rate for endpoint in ready])
-    needed = log(MAX_CHANCE_OF_FAILED_CHECKS) / log(min(highest, max(lowest, median_rate)))
-    return max(MIN_FAILED_CHECKS, needed)
+    required = log(MAX_CHANCE_OF_FAILED_CHECKS) / log(min(highest, max(lowest, median_rate)))
+    return max(MIN_FAILED_CHECKS, required)
--- a/peatlead/planner/planner.py
+++ b/peatlead/planner/planner.py
@@ -6,9 +6,9 @@
 `settings` maps names to values (settings.py) and `now` is in float seconds. Events and commands are
 defined in peatlead/interface.py. Equal settings, seeds and events give equal commands.
 
-A proxy's table is its shuffle shard, which is spread over the zones (docs/design.md). Each
-mechanism has its own module. This module connects the mechanisms and defines the order in which
-they run.
+A proxy's table consists of the endpoints of its shuffle shard, which is spread over the zones
+(docs/design.md). Each mechanism has its own module. This module connects the mechanisms and defines
+the order in which they run.
 """
 
 from collections.abc import Callable, Iterable
@@ -50,7 +50,10 @@
 
 
 class Planner:
-    """Makes all decisions of one controller."""
+    """Makes all decisions of one controller.
+
+    Every attribute is one mechanism or the state that the mechanisms share (`context`).
+    """
 
     def __init__(self, settings: dict[str, Any], seed: int) -> None:
         self.context = context = PlannerContext(cast(PlannerSettings, settings), seed)
@@ -67,7 +70,7 @@
             self.pools,
             lifecycle,
             self.health_checks,
-            self.statistics,
+            self.load_statistics,
             self.withdrawals,
         )
         self.connections = ProxyConnections(context, self.pools, self.zone_capacity, self.budget)
@@ -75,7 +78,7 @@
             interface.EndpointUpdate: self.endpoint_updates.on_update,
             interface.ProxyConnected: self.connections.on_connected,
             interface.ProxyDisconnected: self.connections.on_disconnected,
-            interface.EndpointStats: self.statistics.on_endpoint_stats,
+            interface.EndpointStats: self.load_statistics.on_endpoint_stats,
             interface.HealthCheckResult: self.health_checks.on_result,
             interface.TimerFired: self.on_timer,
             interface.RequestStats: self.class_admission.on_request_stats,
@@ -88,10 +91,10 @@
         context, changes = self.context, self.changes
         self.report_round = ReportRound(context)
         self.health_checks = HealthChecks(context, changes, self.schedule, self.report_round)
-        self.statistics = LoadStatistics(context, self.report_round, self.health_checks)
+        self.load_statistics = LoadStatistics(context, self.report_round, self.health_checks)
         self.demand = RequestDemand(context)
-        self.zone_paths = ZonePaths(context, changes, self.demand, self.statistics)
-        self.gossip = Gossip(context, self.statistics)
+        self.zone_paths = ZonePaths(context, changes, self.demand, self.load_statistics)
+        self.gossip = Gossip(context, self.load_statistics)
 
     def _build_tables(self) -> None:
         """Create the mechanisms that compute and write tables."""
@@ -123,16 +126,16 @@
             context,
             changes,
             schedule,
-            self.statistics,
+            self.load_statistics,
             self.zone_paths,
             self.load_relief,
             self.slow_start,
         )
 
     def decide(self, now: float, events: Iterable[interface.Event]) -> list[interface.Command]:
-        """Return the commands that follow from a batch of events; `now` is in seconds."""
-        self.context.begin(now)
-        self.budget.backlog.advance(now)
+        """Process a batch of events and return its commands; `now` is in seconds."""
+        self.context.begin_batch(now)
+        self.budget.backlog.begin_batch(now)
         if self.class_admission.admissions is None:
             self.commands.append(interface.SetTimer(TICK_TIMER, TICK_INTERVAL))
             self.publish_admissions()
@@ -141,9 +144,9 @@
             if handler is not None:
                 handler(event)
         self.zone_capacity.update_if_due()
-        self.assignment.assign_waiting()
+        self.assignment.assign_waiting_proxies()
         self.withdrawals.send()
-        self.removals.remove_unusable()
+        self.removals.remove_unusable_endpoints()
         self.staged_updates.publish_stage()
         nonce = self.budget.backlog.end_batch()
         if nonce:
@@ -152,13 +155,13 @@
         return self.commands
 
     def status(self, now: float) -> interface.PlannerStatus:
-        """Return the state of the channel and of unassigned proxies, for logs and metrics."""
+        """Return the state of channel, proxies and withdrawals, for logs and metrics."""
         context, backlog = self.context, self.budget.backlog
-        oldest = backlog.batches[0].written_at if backlog.batches else now
+        oldest_written_at = backlog.batches[0].written_at if backlog.batches else now
         waiting = context.unassigned.values()
         return interface.PlannerStatus(
-            queued_entries=backlog.entries,
-            oldest_unacknowledged=now - oldest,
+            queued_entries=backlog.queued_entries,
+            oldest_unacknowledged=now - oldest_written_at,
             connected_proxies=len(context.connected),
             unassigned_proxies=len(context.unassigned),
             longest_wait=now - min([proxy.connected_at for proxy in waiting], default=now),
@@ -174,9 +177,9 @@
         return summarize(endpoint, subscribers, now)
 
     def on_timer(self, event: interface.TimerFired) -> None:
-        """Process the tick timer.
+        """Process a tick: end a complete round of reports, and advance the due endpoints.
 
-        The continuation timer only starts another batch and does nothing else here.
+        The continuation timer only causes a batch and is ignored here.
         """
         if event.token == CONTINUE_TIMER:
             return
@@ -192,31 +195,31 @@
         self.budget.backlog.acknowledge(event.proxy, event.nonce)
 
     def end_round(self) -> None:
-        """Evaluate paths, endpoints and the fleet by the reports of one round."""
+        """Evaluate paths, endpoints and the fleet from the reports of one round."""
         self.report_round.end()
         self.demand.end_round()
         self.zone_paths.end_round()
-        failing = self.statistics.end_round(self.zone_paths.bad_paths)
+        failing = self.load_statistics.end_round(self.zone_paths.bad_paths)
         self.gossip.send(failing)
         self.evaluate_endpoints()
         if self.load_shedding.update():
             self.publish_admissions()
 
     def evaluate_endpoints(self) -> None:
-        """Compare the fleet's load with its capacity, and each endpoint with its peers."""
+        """Update the fleet's load, and eject or relieve endpoints that are worse than others."""
         ready = self.fleet_load.ready_endpoints()
         peers = self.fleet_load.measure(ready, self.load_shedding.admitted_fraction)
         self.outlier_detection.evaluate(ready, peers)
 
     def publish_admissions(self) -> None:
-        """Publish the admitted fractions."""
+        """Publish the admitted fractions and retry policies that have changed."""
         self.class_admission.publish()
 
     def advance_endpoint(self, endpoint: EndpointState) -> None:
-        """Apply the changes of an endpoint that depend on time alone.
+        """Apply the changes of an endpoint that are due by time.
 
-        These are its return after an ejection or relief, its next ramp step and its next health
-        check.
+        These are the end of an ejection, the next step of restored traffic, the next step of the
+        ramp and the next health check.
         """
         if endpoint.ejected_until is not None:
             self.outlier_detection.end_ejection_if_due(endpoint)
@@ -228,9 +231,9 @@
             endpoint.ejected_until is None
             and endpoint.cold_since is None
             and endpoint.traffic_fraction >= 1
-            and endpoint.ramp >= 1
+            and endpoint.ramp_fraction >= 1
         ):
-            self.schedule.deactivate(endpoint)  # only its next health check depends on time
+            self.schedule.deactivate(endpoint)  # only the next health check remains scheduled
 
     @property
     def settings(self) -> dict[str, Any]:
@@ -258,7 +261,7 @@
 
     @property
     def unassigned(self) -> dict[int, ProxyState]:
-        """The connected proxies without tables, by number."""
+        """The connected proxies without tables of this controller, by number."""
         return self.context.unassigned
 
     @property
--- a/peatlead/planner/proxy_connections.py
+++ b/peatlead/planner/proxy_connections.py
@@ -1,4 +1,4 @@
-"""Proxies that connect and disconnect."""
+"""Registers proxies that connect, and removes proxies that disconnect."""
 
 from ..interface import ProxyConnected, ProxyDisconnected
 from .channel_budget import ChannelBudget
@@ -11,7 +11,7 @@
 
 
 class ProxyConnections:
-    """Keeps the proxies of the context up to date."""
+    """Adds and removes the connected proxies of the context."""
 
     def __init__(
         self,
@@ -39,7 +39,7 @@
         proxy.connected_at = context.now
         proxy.assigned = False
         proxy.notified_endpoints = set()
-        proxy.seen_withdrawals = 0
+        proxy.seen_withdrawal_count = 0
         proxy.invalidate_tables()
         proxy.message_times.clear()
         proxy.previous_table_until = context.now + self._previous_table_lifetime() * (
@@ -49,20 +49,23 @@
         context.unassigned[event.proxy] = proxy
 
     def _previous_table_lifetime(self) -> float:
-        """Return the seconds for which a proxy may keep a table of a previous controller.
+        """Return for how many seconds a proxy may keep the table of its previous controller.
 
-        The previous controller had more information. But all entries of its table may have been
-        withdrawn, and the table may name endpoints that were gone before this controller started.
-        Such entries must not be used for longer than the drain grace.
+        The previous controller had more reports than a controller that has just started. However,
+        all entries of the table may have been withdrawn, which the proxy may bear only for a
+        limited time. The table may also name endpoints that were gone before this controller
+        started, which must not be used for longer than the drain grace.
         """
         settings = self.context.settings
-        without_entries = max(0.0, settings["bare_most"] - settings["push_delay_most"])
-        return float(min(without_entries, settings["drain_grace"]) * PREVIOUS_TABLE_FRACTION)
+        max_time_without_entries = max(0.0, settings["bare_most"] - settings["push_delay_most"])
+        return float(
+            min(max_time_without_entries, settings["drain_grace"]) * PREVIOUS_TABLE_FRACTION
+        )
 
     def on_disconnected(self, event: ProxyDisconnected) -> None:
-        """Remove the proxy and its entries in the channel backlog."""
+        """Remove the proxy from the connected ones, and its entries from the channel backlog."""
         context = self.context
         if event.proxy in context.connected:
             context.connected.pop(event.proxy).assigned = False
             context.unassigned.pop(event.proxy, None)
-            self.budget.backlog.disconnect(event.proxy)
+            self.budget.backlog.remove_proxy(event.proxy)
--- a/peatlead/planner/proxy_state.py
+++ b/peatlead/planner/proxy_state.py
@@ -1,4 +1,4 @@
-"""What the planner knows about one proxy: its tables, their sources and its recent messages."""
+"""The state of one proxy: its tables, what they were computed from, and its recent messages."""
 
 from collections import deque
 
@@ -15,35 +15,37 @@
         self.number = number
         self.key = proxy_key(number)  # for rendezvous hashing
         self.zone = 0
-        # Table number of the first group; those of the other groups follow.
+        # Table number of the first group; the numbers of the other groups' tables follow.
         self.first_table = first_table
         # By group: endpoint id -> weight as published.
         self.entries: list[dict[int, float]] = [{} for _ in range(groups)]
-        self.assigned = False  # whether tables were assigned since the proxy connected
+        self.assigned = False  # whether tables have been assigned since the proxy connected
 
         # Connection.
-        self.connected_at = 0.0
-        self.previous_table_until = 0.0  # seconds; until then the previous table may stay in use
-        self.message_times: deque[float] = deque()  # times of recent messages to the proxy
+        self.connected_at = 0.0  # seconds
+        # Seconds; until then the proxy may keep the table of a previous controller.
+        self.previous_table_until = 0.0
+        self.message_times: deque[float] = deque()  # seconds, of recent messages to the proxy
 
         # Requests.
         self.request_rate = 0.0  # requests per second
         self.class_rates: dict[int, float] = {}  # requests per second by request class, as reported
 
-        # What the tables were computed from, to avoid computing unchanged tables again.
+        # What the tables were computed from, so that unchanged tables are not computed again.
         self.source_endpoints: dict[int, EndpointState] = {}  # endpoints of the shards, by id
-        self.seen_pool_changes = NEVER_WRITTEN  # `TableChanges.pool_changes` at that time
-        self.seen_changes = NEVER_WRITTEN  # `TableChanges.count` at that time
-        self.beyond_shards = False  # whether tables depend on endpoints outside the shards
-        # By (group, zone): the pool and the first endpoints in the proxy's order of the pool.
+        self.seen_global_change_count = NEVER_WRITTEN  # of `TableChanges`, at the last computation
+        self.seen_change_count = NEVER_WRITTEN  # of `TableChanges`, at the last computation
+        # Whether the tables have endpoints from outside the shards.
+        self.has_endpoints_outside_shards = False
+        # By (group, zone): the pool, and its first endpoints in the proxy's order.
         self.ranked_pools: dict[
             tuple[int, int], tuple[RendezvousPool[EndpointState], list[EndpointState]]
         ] = {}
 
         # Withdrawals, while the proxy waits for its tables.
         self.notified_endpoints: set[int] = set()  # ids of endpoints whose withdrawal was sent
-        self.seen_withdrawals = 0  # `Withdrawals.withdrawal_count` at the last notification
+        self.seen_withdrawal_count = 0  # `Withdrawals.withdrawal_count` at the last notification
 
     def invalidate_tables(self) -> None:
-        """Compute the tables again with the next write."""
-        self.seen_pool_changes = NEVER_WRITTEN
+        """Cause the tables to be computed again with the next write."""
+        self.seen_global_change_count = NEVER_WRITTEN
--- a/peatlead/planner/removals.py
+++ b/peatlead/planner/removals.py
@@ -8,7 +8,7 @@
 from .table_changes import TableChanges
 from .table_writer import TableWriter
 
-REMOVAL_QUEUE_FRACTION = 0.75  # of the queue; above it removals wait for the next batches
+REMOVAL_QUEUE_FRACTION = 0.75  # of the maximum queue; above it removals wait for a later batch
 # Of the drain grace: delay of removals while tables with earlier deadlines wait.
 REMOVAL_DELAY_FRACTION = 1 / 3
 
@@ -32,42 +32,42 @@
         self.assignment = assignment
         self.budget = budget
 
-    def remove_unusable(self) -> None:
-        """Remove the due entries as far as the channel has room."""
+    def remove_unusable_endpoints(self) -> None:
+        """Remove the entries of unusable endpoints that are due, while the channel has room."""
         changes = self.changes
         if not changes.removals_pending:
             return
         unusable = [endpoint for endpoint in self.context.endpoints.values() if not endpoint.usable]
-        due_before = self._due_before()
-        due = {endpoint.id for endpoint in unusable if endpoint.unusable_since <= due_before}
+        cutoff = self._removal_cutoff()
+        due = {endpoint.id for endpoint in unusable if endpoint.unusable_since <= cutoff}
         changes.removals_pending = len(due) < len(unusable)
-        for proxy in sorted(self._subscribers_of(due), key=lambda proxy: proxy.first_table):
+        for proxy in sorted(self._subscribers(due), key=lambda proxy: proxy.first_table):
             if not self.budget.has_room(REMOVAL_QUEUE_FRACTION):
                 changes.removals_pending = True  # for the next batches
                 break
-            self._remove_from(proxy, due)
+            self._remove_entries(proxy, due)
 
-    def _due_before(self) -> float:
-        """Return the time in seconds by which an endpoint must have become unusable to be removed.
+    def _removal_cutoff(self) -> float:
+        """Return the time until which an endpoint must have become unusable to be removed now.
 
-        While proxies wait for tables, removals are delayed: these proxies connected before the
-        update that caused the newest removals.
+        While proxies wait for room in the channel, removals are delayed: these proxies connected
+        before the update that caused the newest removals, so their tables have earlier deadlines.
         """
         delay = REMOVAL_DELAY_FRACTION * self.context.settings["drain_grace"]
         return float(self.context.now - self.assignment.blocked_by_queue * delay)
 
-    def _subscribers_of(self, endpoints: set[int]) -> list[ProxyState]:
+    def _subscribers(self, endpoints: set[int]) -> list[ProxyState]:
         """Return the connected proxies with assigned tables that hold any of the endpoints."""
         connected = self.context.connected
         numbers = self.context.subscriber_index.subscribers_of_any(sorted(endpoints))
         subscribers = [connected[number] for number in numbers if number in connected]
         return [proxy for proxy in subscribers if proxy.assigned]
 
-    def _remove_from(self, proxy: ProxyState, due: set[int]) -> None:
-        """Remove the endpoints from all tables of a proxy.
+    def _remove_entries(self, proxy: ProxyState, due: set[int]) -> None:
+        """Remove the due endpoints from all tables of a proxy.
 
-        The tables are rewritten if one of them is empty or mostly cold, because cold endpoints
-        would otherwise receive the share of the removed ones.
+        If a table becomes empty, or mostly cold while the channel has room, the proxy's tables are
+        written anew: otherwise the cold endpoints would receive the requests of the removed ones.
         """
         for group, entries in enumerate(proxy.entries):
             removed = [endpoint for endpoint in entries if endpoint in due]
@@ -78,6 +78,7 @@
                 self.writer.write(proxy)
 
     def _should_rewrite(self, entries: dict[int, float]) -> bool:
+        """Return whether a table is mostly cold and the channel has room for a new table."""
         endpoints = self.context.endpoints
         return self.budget.has_room() and self.sharding.is_cold_heavy(
             [endpoints[endpoint] for endpoint in entries]
--- a/peatlead/planner/rendezvous.py
+++ b/peatlead/planner/rendezvous.py
@@ -1,12 +1,12 @@
 """Rendezvous hashing (Thaler and Ravishankar, 1998) of a pool's endpoints for each proxy.
 
 Each proxy has its own pseudo-random order of the endpoints, which is computed without stored state.
-All controllers compute the same order, and a change of the list moves few entries.
+All controllers compute the same order, and a change of the endpoint list changes few tables.
 
 The hashes of the whole pool are mixed with a proxy's key at once, as lanes of one wide integer. For
 a thousand endpoints this takes a dozen big-integer operations instead of a thousand function calls.
-Only candidates for the first places are sorted. `python -m peatlead.benchmarks.scale` measures the
-planner with it, and docs/scale.md compares the alternatives.
+Only candidates for the first places are sorted. docs/scale.md compares alternatives, which
+`python -m peatlead.benchmarks.scale` measures.
 """
 
 import re
@@ -16,18 +16,18 @@
 from hashlib import blake2b
 from typing import Generic, Optional, Protocol, TypeVar
 
-# Seed of the hashes; a change would change all orders and the results of simulations
+# Seed of the hashes. Another value changes all orders and the results of simulations
 # (docs/results/scale.md).
 SALT = b"turf"
 LANE_BITS = 64  # of the wide integer, for each endpoint
 WORD_MASK = 0xFFFFFFFF  # the lower half of a lane, which holds the endpoint's hash
 MIX_SHIFT = 15  # bits, in the xorshift between the two multiplications
-MAX_FULL_SORT_SIZE = 32  # endpoints; smaller pools are sorted without selecting candidates
-# Highest limit of the candidate filter, which then passes about half of a pool. Above it, sorting
-# the whole pool is as fast.
+MAX_FULL_SORT_SIZE = 32  # endpoints; pools up to this size are sorted without selecting candidates
+# Maximum limit of the candidate filter, at which about half of a pool passes. Above this limit,
+# sorting the whole pool is as fast.
 MAX_FILTER_BYTE = 128
-# By byte value: matches every byte up to that value.
-BYTE_FILTERS = [re.compile(b"[\\x00-\\x%02x]" % top, re.DOTALL) for top in range(256)]
+# By byte value: a pattern that matches every byte up to this value.
+BYTE_FILTERS = [re.compile(b"[\\x00-\\x%02x]" % highest, re.DOTALL) for highest in range(256)]
 
 ProxyKey = tuple[int, int]  # two odd 32-bit multipliers
 
@@ -45,7 +45,8 @@
 def endpoint_hash(name: bytes) -> int:
     """Return a 32-bit hash of an endpoint's name.
 
-    The hash is odd, because a product with an odd number loses no bit of the other factor.
+    The hash is odd: the product with an odd number modulo 2^32 preserves all bits of the other
+    factor.
     """
     return int.from_bytes(blake2b(name, digest_size=4, person=SALT).digest(), "little") | 1
 
@@ -70,8 +71,8 @@
 def lane_masks(lanes: int) -> tuple[int, int]:
     """Return the masks of a pool with this number of lanes.
 
-    The first mask selects the lower words of the lanes. The second mask selects the bits that stay
-    within their own lane in the shift.
+    The first mask selects the lower word of each lane. The second mask selects the bits that stay
+    within their own lane when they are shifted by `MIX_SHIFT`.
     """
     ones = ((1 << LANE_BITS * lanes) - 1) // ((1 << LANE_BITS) - 1)
     return ones * WORD_MASK, ones * (WORD_MASK >> MIX_SHIFT)
@@ -107,7 +108,7 @@
         return iter(self.endpoints)
 
     def top(self, key: ProxyKey, count: int) -> list[EndpointT]:
-        """Return the first `count` endpoints (or all of them) in the order of the proxy."""
+        """Return the first `count` endpoints in the order of a proxy, or all if there are fewer."""
         mixed = self.packed * key[0] & self.word_mask
         mixed ^= mixed >> MIX_SHIFT & self.shift_mask
         lanes = (mixed * key[1] & self.word_mask).to_bytes(8 * self.size, "little")
@@ -118,11 +119,12 @@
         return [self.endpoints[index] for index in order[:count]]
 
     def _top_candidates(self, lanes: bytes, count: int) -> Optional[list[int]]:
-        """Return the ordered indices of the endpoints whose rank has a low highest byte.
+        """Return the ordered indices of endpoints whose rank has a small most significant byte.
 
-        The limit is chosen so that the expected number of candidates is `count` plus a margin of
-        four standard deviations. Return None if there are fewer than `count` candidates, or if most
-        of the pool would pass the limit.
+        `lanes` has the ranks of all endpoints. The limit of the byte is so high that the expected
+        number of candidates is `count` plus a margin of four standard deviations. The result is
+        None if there are fewer than `count` candidates, or if more than half of the pool would pass
+        the limit.
         """
         limit = 256 * (count + 4 * count**0.5 + 4) / self.size
         if limit > MAX_FILTER_BYTE:
--- a/peatlead/planner/report_round.py
+++ b/peatlead/planner/report_round.py
@@ -1,9 +1,9 @@
-"""Rounds of reports: decisions are made when the reports of one moment have all arrived."""
+"""Rounds of reports: decisions are made when all reports of about the same time have arrived."""
 
 from .context import PlannerContext
 
-ROUND_DURATION = 0.2  # seconds from the first report of a round until the others have arrived
-NO_REPORT = float("inf")
+ROUND_DURATION = 0.2  # seconds, from the first report of a round until all have arrived
+NO_REPORT = float("inf")  # start time while no report of the round has arrived
 
 
 class ReportRound:
@@ -11,18 +11,18 @@
 
     def __init__(self, context: PlannerContext) -> None:
         self.context = context
-        self.started_at = NO_REPORT
+        self.started_at = NO_REPORT  # seconds
         self.completed_rounds = 0
 
     def note_report(self) -> None:
-        """Start a round with its first report."""
+        """Start a round if this report is its first."""
         self.started_at = min(self.started_at, self.context.now)
 
     def is_complete(self) -> bool:
-        """Return whether the reports of the current round have arrived."""
+        """Return whether all reports of the current round have arrived."""
         return self.context.now - self.started_at >= ROUND_DURATION
 
     def end(self) -> None:
-        """End the round."""
+        """Count the round as completed and wait for the first report of the next."""
         self.completed_rounds += 1
         self.started_at = NO_REPORT
--- a/peatlead/planner/request_demand.py
+++ b/peatlead/planner/request_demand.py
@@ -7,22 +7,22 @@
 from .proxy_state import ProxyState
 
 ROUND_DECAY = 0.9  # fraction of a class's count that remains after a round
-MIN_REQUESTS = 1e-3  # lower bound of the count of a class, which may have no requests for hours
+MIN_REQUESTS = 1e-3  # lower bound of a class's count, since a class may be unused for hours
 RATE_WINDOW = 3  # reports that a proxy's rate is averaged over
 
 
 class RequestDemand:
-    """Decaying counts of requests by class."""
+    """Counts the requests of each class, with decay."""
 
     def __init__(self, context: PlannerContext) -> None:
         self.context = context
-        self.requests = [1.0] * len(context.settings["req_kinds"])  # by request class
+        # Decaying counts by request class.
+        self.requests = [1.0] * len(context.settings["req_kinds"])
 
     def add(self, proxy: ProxyState, event: RequestStats, admitted_fraction: float) -> None:
         """Count a proxy's requests of one class, of which a fraction was recently admitted.
 
-        Clients repeat a rejected request about once, so the count of a class that is cut is reduced
-        accordingly.
+        Clients repeat a rejected request about once. These repetitions are excluded from the count.
         """
         request_class = event.request_class
         self.requests[request_class] += event.requests / (2 - admitted_fraction)
@@ -38,7 +38,7 @@
     def work(self) -> list[float]:
         """Return the work by class.
 
-        The cost of a request is not reported and is approximated by its response target.
+        The cost of a request is not reported, so its response target is used as an approximation.
         """
         classes = self.context.settings["req_kinds"]
         return [
@@ -47,5 +47,5 @@
         ]
 
     def mean_target(self) -> float:
-        """Return the response target of the mean request, in seconds."""
+        """Return the mean response target of all requests, in seconds."""
         return fsum(self.work()) / fsum(self.requests)
--- a/peatlead/planner/settings.py
+++ b/peatlead/planner/settings.py
@@ -11,7 +11,7 @@
 class RequestClassSettings(TypedDict):
     """Settings of one request class."""
 
-    gain: float  # value of one request that is answered in time
+    gain: float  # value of a request that is answered in time
     response_target: float  # seconds
     own_zone: bool  # whether requests must stay in the zone of their proxy
     only_zones: NotRequired[list[int]]  # zones that requests may go to; all if empty
@@ -34,7 +34,7 @@
     # Reports and health checks.
     probing: NotRequired[bool]  # health checks are enabled
     report_fields: list[str]  # metrics in the load reports of endpoints
-    sums_every: float  # seconds between two reports of a proxy
+    sums_every: float  # seconds between two reports of a proxy's attempts
     tries_told: NotRequired[bool]  # proxies report their attempts
 
     # Proxies.
--- a/peatlead/planner/shuffle_sharding.py
+++ b/peatlead/planner/shuffle_sharding.py
@@ -5,9 +5,9 @@
 for all proxies (AWS, "Workload isolation using shuffle-sharding"). The order needs no stored state:
 every controller computes the same shard for a proxy, and a new list moves few entries.
 
-Endpoints that have just started ("cold") must not make up a large part of a table. Their weights
-are small, but a proxy distributes all of its requests over its table. Warm endpoints from outside
-the shard are added to such a table.
+Endpoints that have just started ("cold") must not make up a large part of a table: their weights
+are small, but a proxy distributes all of its requests over its table. Therefore warm endpoints from
+outside the shard are added to a mostly cold table.
 """
 
 from math import ceil, fsum
@@ -21,39 +21,39 @@
 from .statistics import cold_and_warm_weight
 from .zone_capacity import MIN_DIVISOR, ZoneCapacity
 
-MIN_ENDPOINTS_PER_ZONE = 1  # of a shard
-MAX_COLD_FRACTION = 0.2  # of a table's weight; at or above it, warm endpoints are added
+MIN_ENDPOINTS_PER_ZONE = 1  # endpoints of a shard, from each zone that it may use
+MAX_COLD_FRACTION = 0.2  # of a table's weight, at or above which warm endpoints are added
 # Maximum number of warm endpoints added to a table, or the table's size if that is larger.
 MAX_ADDED_WARM_ENDPOINTS = 24
 
 
 class Shard(NamedTuple):
-    """A proxy's endpoints for one group."""
+    """The endpoints that a proxy uses for the requests of one group."""
 
-    chosen: dict[int, list[EndpointState]]  # by zone, in the order of the proxy
-    pools: Pools  # the pools that the endpoints were chosen from
+    endpoints_by_zone: dict[int, list[EndpointState]]  # in the proxy's order
+    pools: Pools  # by zone: the pools that the endpoints were chosen from
 
 
 def prefix_of_weight(endpoints: list[EndpointState], weight: float) -> list[EndpointState]:
-    """Return the shortest non-empty prefix with at least this weight, or all endpoints."""
+    """Return the shortest non-empty prefix with this published weight, or all endpoints."""
     return [
         endpoint
         for position, endpoint in enumerate(endpoints)
         if position == 0
-        or fsum([before.weight * before.weight_fraction for before in endpoints[:position]])
+        or fsum([previous.weight * previous.weight_fraction for previous in endpoints[:position]])
         < weight
     ]
 
 
 def missing_weight(members: list[EndpointState], shard_endpoints: list[EndpointState]) -> float:
-    """Return the weight of warm endpoints that a mostly cold table lacks.
+    """Return the weight of the warm endpoints that must be added to a mostly cold table.
 
-    With this weight the table has the weight of the whole shard, and its cold endpoints are at most
-    `MAX_COLD_FRACTION` of it.
+    With the added weight, the table has at least the weight of the whole shard, and its cold
+    endpoints have at most `MAX_COLD_FRACTION` of the table's weight.
     """
     cold, warm = cold_and_warm_weight(members)
-    usual = fsum([endpoint.weight for endpoint in shard_endpoints])
-    return max(usual, cold / MAX_COLD_FRACTION) - fsum((cold, warm))
+    shard_weight = fsum([endpoint.weight for endpoint in shard_endpoints])
+    return max(shard_weight, cold / MAX_COLD_FRACTION) - fsum((cold, warm))
 
 
 class ShuffleSharding:
@@ -68,28 +68,40 @@
         self.warm_pools: dict[int, Pools] = {}  # by group, for the current batch
 
     def end_batch(self) -> None:
-        """Discard what is valid for one batch only."""
+        """Discard the pools that are valid for one batch only."""
         self.warm_pools = {}
 
     def shard(self, proxy: ProxyState, group: int) -> Shard:
-        """Return the current shard of a proxy, sized by the zone plan."""
-        pools = self.pools.open_endpoints(group, proxy.zone)
+        """Return the current shard of a proxy for a group.
+
+        The zone plan determines how the shard is divided among the zones. The shard is so large
+        that about `COVERAGE` proxies use each endpoint, but requires no more endpoints of a zone
+        than its pool has.
+        """
+        pools = self.pools.allowed_pools(group, proxy.zone)
         densities = self.zone_capacity.plan.get((group, proxy.zone), {})
-        unplanned = 0.0 if densities else 1.0
-        targets = {zone: densities.get(zone, unplanned) * len(pool) for zone, pool in pools.items()}
+        default_density = 0.0 if densities else 1.0
+        zone_targets = {
+            zone: densities.get(zone, default_density) * len(pool) for zone, pool in pools.items()
+        }
         expected = self.context.expected_proxies
-        limits = {zone: ceil(COVERAGE * len(pool) / expected) for zone, pool in pools.items()}
-        total = max(MIN_DIVISOR, fsum(targets.values()))
-        max_density = max([MIN_DIVISOR, *[targets[zone] / len(pools[zone]) for zone in pools]])
-        size = min(fsum(limits.values()), total / max_density)
+        coverage_counts = {
+            zone: ceil(COVERAGE * len(pool) / expected) for zone, pool in pools.items()
+        }
+        total_target = max(MIN_DIVISOR, fsum(zone_targets.values()))
+        max_density = max([MIN_DIVISOR, *[zone_targets[zone] / len(pools[zone]) for zone in pools]])
+        shard_size = min(fsum(coverage_counts.values()), total_target / max_density)
         # Proxies that pick the less loaded of two endpoints need fewer endpoints of their own zone.
-        size_is_capped = self.context.settings.get("pick") == PICK_LESS_LOADED
-        chosen = {}
+        zones_are_capped = self.context.settings.get("pick") == PICK_LESS_LOADED
+        endpoints_by_zone = {}
         for zone, pool in pools.items():
-            limit = limits[zone] if size_is_capped else len(pool)
-            count = max(MIN_ENDPOINTS_PER_ZONE, min(round(size * targets[zone] / total), limit))
-            chosen[zone] = self._ranked(proxy, group, zone, pool, count)
-        return Shard(chosen, pools)
+            max_count = coverage_counts[zone] if zones_are_capped else len(pool)
+            count = max(
+                MIN_ENDPOINTS_PER_ZONE,
+                min(round(shard_size * zone_targets[zone] / total_target), max_count),
+            )
+            endpoints_by_zone[zone] = self._ranked(proxy, group, zone, pool, count)
+        return Shard(endpoints_by_zone, pools)
 
     def _ranked(
         self,
@@ -110,19 +122,23 @@
         return ranked_endpoints[:count]
 
     def table(self, proxy: ProxyState, group: int) -> dict[int, float]:
-        """Return the current table of a proxy: endpoint id -> weight."""
+        """Return the current table of a proxy for a group: endpoint id -> weight."""
         shard = self.shard(proxy, group)
-        shard_endpoints = [endpoint for chosen in shard.chosen.values() for endpoint in chosen]
+        shard_endpoints = [
+            endpoint for chosen in shard.endpoints_by_zone.values() for endpoint in chosen
+        ]
         proxy.source_endpoints.update([(endpoint.id, endpoint) for endpoint in shard_endpoints])
         members = [endpoint for endpoint in shard_endpoints if endpoint.usable]
-        kept = [endpoint for endpoint in members if proxy.number not in endpoint.excluded_proxies]
-        if len(kept) * 2 >= len(members):
-            members = kept
+        not_excluding = [
+            endpoint for endpoint in members if proxy.number not in endpoint.excluded_proxies
+        ]
+        if len(not_excluding) * 2 >= len(members):
+            members = not_excluding
         if self.is_cold_heavy(members):
-            proxy.beyond_shards = True
+            proxy.has_endpoints_outside_shards = True
             members = members + self._warm_endpoints_to_add(proxy, group, members, shard_endpoints)
-        if not members:  # a table is never empty while endpoints are listed as ready
-            proxy.beyond_shards = True
+        if not members:  # a table is not empty while endpoints are listed as ready
+            proxy.has_endpoints_outside_shards = True
             members = [endpoint for pool in shard.pools.values() for endpoint in pool]
         weights = {
             endpoint.id: endpoint.weight * endpoint.weight_fraction
@@ -132,7 +148,7 @@
         return weights or {endpoint.id: endpoint.weight for endpoint in members}
 
     def is_cold_heavy(self, members: list[EndpointState]) -> bool:
-        """Return whether cold endpoints make up a large part of the table's weight."""
+        """Return whether at least `MAX_COLD_FRACTION` of the published weight is cold."""
         cold, warm = cold_and_warm_weight(members)
         return bool(MAX_COLD_FRACTION * (cold + warm) <= cold)
 
@@ -145,23 +161,28 @@
     ) -> list[EndpointState]:
         """Return warm endpoints to add to a mostly cold table, preferably from the proxy's zone.
 
-        They restore the weight that the table has without cold endpoints. A higher weight would
-        leave too few requests for the cold endpoints and overload others.
+        The added endpoints give the table the weight that it would have without cold endpoints. A
+        higher weight would leave too few requests for the cold endpoints.
         """
-        present = {endpoint.id for endpoint in members}
-        count = max(MAX_ADDED_WARM_ENDPOINTS, len(members))
+        member_ids = {endpoint.id for endpoint in members}
+        max_count = max(MAX_ADDED_WARM_ENDPOINTS, len(members))
         missing = missing_weight(members, shard_endpoints)
-        warm = {}
+        warm_by_zone = {}
         for zone, pool in self._warm_pools(group).items():
-            ranked_endpoints = pool.top(proxy.key, 2 * count)
-            candidates = [endpoint for endpoint in ranked_endpoints if endpoint.id not in present]
-            warm[zone] = prefix_of_weight(candidates[:count], missing)
-        return warm.get(proxy.zone) or [
-            endpoint for endpoints in warm.values() for endpoint in endpoints
+            ranked_endpoints = pool.top(proxy.key, 2 * max_count)
+            candidates = [
+                endpoint for endpoint in ranked_endpoints if endpoint.id not in member_ids
+            ]
+            warm_by_zone[zone] = prefix_of_weight(candidates[:max_count], missing)
+        return warm_by_zone.get(proxy.zone) or [
+            endpoint for endpoints in warm_by_zone.values() for endpoint in endpoints
         ]
 
     def _warm_pools(self, group: int) -> Pools:
-        """Return the warm endpoints by zone, also behind bad paths, cached for the batch."""
+        """Return the usable warm endpoints of all zones, cached for the batch.
+
+        Zones behind bad paths are included.
+        """
         if group not in self.warm_pools:
             self.warm_pools[group] = {
                 zone: RendezvousPool(
@@ -171,6 +192,6 @@
                         if endpoint.usable and endpoint.cold_since is None
                     ]
                 )
-                for zone, pool in self.pools.open_endpoints(group, None).items()
+                for zone, pool in self.pools.allowed_pools(group, None).items()
             }
         return self.warm_pools[group]
--- a/peatlead/planner/slow_start.py
+++ b/peatlead/planner/slow_start.py
@@ -2,7 +2,8 @@
 
 A ramp, as in the slow start of Envoy and HAProxy, spreads the steps over the time that a process
 needs to warm up. In addition, the planned load of a cold endpoint is limited to a fraction of the
-load that would currently overload it (docs/incidents/2026-12-01-cold-hosts-pushed-over.md).
+load that would overload the endpoint in its present state
+(docs/incidents/2026-12-01-cold-hosts-pushed-over.md).
 """
 
 from .context import PlannerContext
@@ -11,18 +12,18 @@
 from .fleet_load import FleetLoad
 from .table_changes import TableChanges
 
-INITIAL_RAMP = 0.25  # of the weight, at the start
-RAMP_STEP = 0.25  # of the weight
-RAMP_STEPS = 3  # after the initial one
+INITIAL_RAMP = 0.25  # of the weight, at the start of a ramp
+RAMP_STEP = 0.25  # of the weight, added by each step
+RAMP_STEPS = 3  # number of steps after the start of a ramp
 STEP_INTERVAL = 10 / 3  # seconds between two steps
 COLD_LOAD_FRACTION = 0.3  # of the load that would overload a cold endpoint
-COLD_LOAD_FRACTION_AVOIDING = 0.2  # same, if proxies avoid endpoints that fail
-# Only a few values, since each change must be sent to proxies.
+COLD_LOAD_FRACTION_AVOIDING = 0.2  # the same if proxies avoid failing endpoints
+# Possible published fractions. There are few, since each change must be sent to proxies.
 COLD_WEIGHT_FRACTIONS = (0.06, 0.12, 0.18, 0.25, 0.37, 0.5, 0.75, 1.0)
 
 
 class SlowStart:
-    """Computes the published fractions of weights."""
+    """Ramps endpoints, and computes the published fraction of each endpoint's weight."""
 
     def __init__(
         self,
@@ -39,9 +40,9 @@
     def begin_ramp(self, endpoint: EndpointState, interval: float = STEP_INTERVAL) -> None:
         """Start the ramp of an endpoint, with `interval` seconds between two steps."""
         self.schedule.activate(endpoint)
-        endpoint.ramp = INITIAL_RAMP
-        endpoint.next_step_at = self.context.now + interval
-        endpoint.step_interval = interval
+        endpoint.ramp_fraction = INITIAL_RAMP
+        endpoint.next_ramp_step_at = self.context.now + interval
+        endpoint.ramp_step_interval = interval
         endpoint.weight_fraction = self.target_weight_fraction(endpoint)
 
     def begin_cold_start(self, endpoint: EndpointState) -> None:
@@ -55,31 +56,33 @@
         )
 
     def advance(self, endpoint: EndpointState) -> None:
-        """Take the next step if it is due, and mark the endpoint if its weight has changed."""
+        """Update the ramp, whether the endpoint is cold, and its published weight fraction."""
         now = self.context.now
-        if endpoint.ramp < 1.0 and now >= endpoint.next_step_at:
-            endpoint.ramp += RAMP_STEP
-            endpoint.next_step_at = now + endpoint.step_interval
+        if endpoint.ramp_fraction < 1.0 and now >= endpoint.next_ramp_step_at:
+            endpoint.ramp_fraction += RAMP_STEP
+            endpoint.next_ramp_step_at = now + endpoint.ramp_step_interval
         cold_since = endpoint.cold_since
         if cold_since is not None and now - cold_since > self.context.settings["warm_after"]:
             endpoint.cold_since = None
         weight_fraction = (
-            endpoint.ramp if endpoint.cold_since is None else self.target_weight_fraction(endpoint)
+            endpoint.ramp_fraction
+            if endpoint.cold_since is None
+            else self.target_weight_fraction(endpoint)
         )
         if weight_fraction != endpoint.weight_fraction:
-            self.changes.reductions_pending |= weight_fraction < endpoint.weight_fraction
+            self.changes.weight_decrease_pending |= weight_fraction < endpoint.weight_fraction
             endpoint.weight_fraction = weight_fraction
-            self.changes.mark(endpoint)
+            self.changes.mark_endpoint_changed(endpoint)
 
     def target_weight_fraction(self, endpoint: EndpointState) -> float:
-        """Return the fraction of its weight that the endpoint should have now.
+        """Return the fraction of the endpoint's weight that should be published now.
 
         A cold endpoint gets 0 if the fleet is saturated and proxies avoid failing endpoints: in an
         overload the proxies would avoid all full endpoints and send all requests to the cold one.
         """
         settings = self.context.settings
         if endpoint.cold_since is None:
-            return endpoint.ramp
+            return endpoint.ramp_fraction
         avoids_failing = settings.get("fails_to_shun")
         if self.fleet_load.saturated and avoids_failing:
             return 0.0
@@ -93,7 +96,7 @@
             * settings["tip_multiple"]
             * capacity_fraction
         )
-        limit = min(endpoint.ramp, max_fraction)
+        limit = min(endpoint.ramp_fraction, max_fraction)
         return max(
             [
                 weight_fraction
--- a/peatlead/planner/staged_updates.py
+++ b/peatlead/planner/staged_updates.py
@@ -1,7 +1,6 @@
 """Publishes changed tables in stages, so that a mistake affects a tenth of the proxies at first.
 
-A decrease of a cold endpoint's weight is as urgent as a removal and is sent to many proxies at
-once.
+A decreased weight is as urgent as a removal and is sent to as many proxies as a batch permits.
 """
 
 from math import ceil
@@ -16,13 +15,13 @@
 from .timers import CONTINUE_DELAY, CONTINUE_TIMER
 
 STAGES = 10  # each stage covers one part in STAGES of the proxies
-STAGE_INTERVAL = 0.2  # mean seconds between two stages
-STAGE_JITTER = (0.5, 1.5)  # of the interval
+STAGE_INTERVAL = 0.2  # seconds between two stages, on average
+STAGE_JITTER = (0.5, 1.5)  # range of the random factor of the interval
 URGENT_MESSAGES_FRACTION = 0.8  # of a proxy's message limit, for decreased weights
 
 
 class StagedUpdates:
-    """Writes the tables of proxies with pending changes, in stages."""
+    """Writes the changed tables of proxies in stages."""
 
     def __init__(
         self,
@@ -41,25 +40,25 @@
         """Write the tables of the next stage if it is due."""
         context, changes = self.context, self.changes
         if changes.all_pending:
-            changes.pending.update(
+            changes.pending_proxies.update(
                 [number for number, proxy in context.connected.items() if proxy.assigned]
             )
             changes.all_pending = False
-        urgent = changes.reductions_pending
-        if not changes.pending or (context.now < self.next_stage_at and not urgent):
+        urgent = changes.weight_decrease_pending
+        if not changes.pending_proxies or (context.now < self.next_stage_at and not urgent):
             return
         messages_fraction = URGENT_MESSAGES_FRACTION if urgent else UPDATE_MESSAGES_FRACTION
         candidates = self._shuffled_candidates(messages_fraction)
         max_writes = TABLES_PER_BATCH if urgent else ceil(len(context.connected) / STAGES)
-        changes.reductions_pending = urgent and len(candidates) > max_writes
-        if changes.reductions_pending:
+        changes.weight_decrease_pending = urgent and len(candidates) > max_writes
+        if changes.weight_decrease_pending:
             context.commands.append(SetTimer(CONTINUE_TIMER, CONTINUE_DELAY))
         self._write(candidates, max_writes, messages_fraction)
         self.next_stage_at = context.now + context.rng.uniform(*STAGE_JITTER) * STAGE_INTERVAL
 
     def _shuffled_candidates(self, messages_fraction: float) -> list[ProxyState]:
         """Return the proxies with pending changes that may be written to, in random order."""
-        pending = self.changes.pending
+        pending = self.changes.pending_proxies
         candidates = [
             proxy
             for proxy in self.context.connected_proxies
@@ -73,15 +72,15 @@
     def _write(
         self, candidates: list[ProxyState], max_writes: int, messages_fraction: float
     ) -> None:
-        """Write to at most `max_writes` proxies.
+        """Write the tables of at most `max_writes` proxies.
 
-        A table without changes counts as a write only if the messages to a proxy are limited.
+        A proxy whose tables turn out to be unchanged counts only if messages are limited.
         """
         commands = self.context.commands
-        counts_messages = self.context.settings["messages_most"] > 0
+        messages_are_limited = self.context.settings["messages_most"] > 0
         for proxy in candidates:
             # The previous writes may have filled the queue.
             if max_writes > 0 and self.budget.may_update(proxy, messages_fraction):
-                before = len(commands)
+                commands_before = len(commands)
                 self.writer.write(proxy)
-                max_writes -= counts_messages or len(commands) > before
+                max_writes -= messages_are_limited or len(commands) > commands_before
--- a/peatlead/planner/statistics.py
+++ b/peatlead/planner/statistics.py
@@ -21,21 +21,22 @@
     return sorted(values)[len(values) // 2] if values else 0.0
 
 
-def weighted_median(counted: Sequence[tuple[float, int]]) -> float:
+def weighted_median(values_and_counts: Sequence[tuple[float, int]]) -> float:
     """Return the upper median of (value, count) pairs.
 
-    The result equals the upper median of all values, each repeated `count` times.
+    The result equals the upper median of all values, each repeated `count` times, or 0 if there are
+    none.
     """
-    left = sum(count for _, count in counted) // 2
-    for value, count in sorted(counted):
-        left -= count
-        if left < 0:
+    remaining = sum(count for _, count in values_and_counts) // 2
+    for value, count in sorted(values_and_counts):
+        remaining -= count
+        if remaining < 0:
             return value
     return 0.0
 
 
 def cold_and_warm_weight(endpoints: Iterable[WeightedEndpoint]) -> tuple[float, float]:
-    """Return the published weights of the cold and of the warm endpoints.
+    """Return the total published weights of the cold and of the warm endpoints.
 
     The sums are computed by `fsum` because the rounding of `sum` differs between Python versions,
     and all controllers must obtain the same value.
@@ -43,6 +44,6 @@
     cold: list[float] = []
     warm: list[float] = []
     for endpoint in endpoints:
-        side = warm if endpoint.cold_since is None else cold
-        side.append(endpoint.weight * endpoint.weight_fraction)
+        weights = warm if endpoint.cold_since is None else cold
+        weights.append(endpoint.weight * endpoint.weight_fraction)
     return fsum(cold), fsum(warm)
--- a/peatlead/planner/subscriber_index.py
+++ b/peatlead/planner/subscriber_index.py
@@ -4,10 +4,10 @@
 
 
 class SubscriberIndex:
-    """Endpoint -> its subscribers, the proxies whose tables name the endpoint.
+    """Maps each endpoint to its subscribers, the proxies whose tables name the endpoint.
 
     Subscribers are kept in the order in which they were added. A proxy is counted once for each of
-    its tables that names the endpoint, and is removed with the last of them.
+    its tables that names the endpoint, and stops being a subscriber when no table does.
     """
 
     __slots__ = ("by_endpoint",)
@@ -22,7 +22,7 @@
         counts[proxy] = counts.get(proxy, 0) + 1
 
     def remove(self, endpoint: int, proxy: int) -> None:
-        """Count one table less; KeyError if the proxy does not hold the endpoint."""
+        """Count one table less. Raises KeyError if the proxy is not a subscriber."""
         counts = self.by_endpoint[endpoint]
         counts[proxy] -= 1
         if not counts[proxy]:
@@ -31,7 +31,7 @@
                 del self.by_endpoint[endpoint]
 
     def subscribers(self, endpoint: int) -> dict[int, int]:
-        """Return the endpoint's subscribers, each with the number of its tables that name it.
+        """Return the endpoint's subscribers, each with its number of tables that name the endpoint.
 
         The result is the index's own dictionary and must not be modified by the caller.
         """
--- a/peatlead/planner/table_writer.py
+++ b/peatlead/planner/table_writer.py
@@ -1,4 +1,4 @@
-"""Writes the difference between the tables that a proxy holds and its current tables."""
+"""Writes the differences between the tables that a proxy holds and its newly computed tables."""
 
 from ..interface import SetEntry
 from .channel_budget import ChannelBudget
@@ -9,7 +9,7 @@
 
 
 class TableWriter:
-    """The only writer of entries: updates the subscriber index and counts written entries."""
+    """Writes all entries, updates the subscriber index and counts the written entries."""
 
     def __init__(
         self,
@@ -24,15 +24,15 @@
         self.budget = budget
 
     def write(self, proxy: ProxyState) -> None:
-        """Write the changes of all tables of a proxy."""
+        """Compute all tables of a proxy, if they may have changed, and write the differences."""
         changes = self.changes
-        changes.pending.discard(proxy.number)
+        changes.pending_proxies.discard(proxy.number)
         if self._is_current(proxy):
             return
         proxy.source_endpoints = {}
-        proxy.seen_pool_changes = changes.pool_changes
-        proxy.seen_changes = changes.count
-        proxy.beyond_shards = False
+        proxy.seen_global_change_count = changes.global_change_count
+        proxy.seen_change_count = changes.change_count
+        proxy.has_endpoints_outside_shards = False
         for group, entries in enumerate(proxy.entries):
             table = self.sharding.table(proxy, group)
             for endpoint in sorted(entries.keys() | table.keys()):
@@ -42,10 +42,10 @@
     def _is_current(self, proxy: ProxyState) -> bool:
         """Return whether nothing has changed that the tables were computed from."""
         return (
-            proxy.seen_pool_changes == self.changes.pool_changes
-            and not proxy.beyond_shards
+            proxy.seen_global_change_count == self.changes.global_change_count
+            and not proxy.has_endpoints_outside_shards
             and all(
-                endpoint.last_change <= proxy.seen_changes
+                endpoint.last_change_count <= proxy.seen_change_count
                 for endpoint in proxy.source_endpoints.values()
             )
         )
@@ -54,15 +54,17 @@
         """Set one entry; weight 0 removes it."""
         context = self.context
         entries = proxy.entries[group]
-        old = entries.pop(endpoint, None)
-        if old:
+        previous_weight = entries.pop(endpoint, None)
+        if previous_weight:
             context.subscriber_index.remove(endpoint, proxy.number)
         if weight:
             entries[endpoint] = weight
             context.subscriber_index.add(endpoint, proxy.number)
         context.commands.append(SetEntry(proxy.first_table + group, endpoint, weight))
         if proxy.assigned:
-            # An endpoint that the proxy may avoid after a withdrawal is restored with its first
-            # entry.
-            restored = context.endpoints[endpoint].ever_withdrawn and weight > 0 and not old
+            # A proxy may avoid an endpoint that was once withdrawn. The endpoint's new entry in its
+            # table is then sent together with an entry that restores the endpoint.
+            restored = (
+                context.endpoints[endpoint].ever_withdrawn and weight > 0 and not previous_weight
+            )
             self.budget.spend(proxy, 1 + restored)
--- a/peatlead/planner/withdrawals.py
+++ b/peatlead/planner/withdrawals.py
@@ -1,9 +1,9 @@
 """Notifies proxies of endpoints that the list withdraws, and of endpoints that return.
 
-A withdrawal is sent once. Proxies on this controller's tables lose the entries by separate writes.
-Proxies that still wait for tables are notified of the endpoints that their previous table may name.
-A notification costs one entry, whereas a whole table costs about a dozen and may have to wait for
-room in the channel.
+A withdrawal is sent once. Proxies with tables of this controller lose the endpoint's entries by
+separate writes. Proxies that still wait for tables are notified of the endpoints that their
+previous table may name. A notification costs one entry, whereas a whole table costs about a dozen
+entries and may have to wait for room in the channel.
 """
 
 from math import ceil
@@ -17,13 +17,14 @@
 from .shuffle_sharding import MIN_ENDPOINTS_PER_ZONE, ShuffleSharding
 from .table_assignment import TableAssignment
 
-# Times the size of a shard: the first endpoints of a proxy's order that its table may have named.
+# Factor for the size of a shard: how many of the first endpoints in a proxy's order its previous
+# table may have named.
 PREVIOUS_TABLE_FACTOR = 1.25
-RETRIES_PER_GRACE = 4  # attempts within the drain grace to notify the remaining proxies
+RETRIES_PER_GRACE = 4  # attempts to notify the remaining proxies, within the drain grace
 
 
 class Withdrawals:
-    """Withdrawn endpoints, and which of the waiting proxies were notified of them."""
+    """Emits withdrawals, and tracks which waiting proxies were notified of withdrawn endpoints."""
 
     def __init__(
         self,
@@ -38,12 +39,12 @@
         self.sharding = sharding
         self.assignment = assignment
         self.budget = budget
-        self.pending: list[int] = []  # ids of the endpoints withdrawn in this batch
-        self.withdrawal_count = 0  # number of withdrawals so far
-        self.retry_at = 0.0  # seconds, when the remaining proxies may be notified
+        self.newly_withdrawn: list[int] = []  # ids of endpoints withdrawn in this batch
+        self.withdrawal_count = 0  # withdrawals since the start
+        self.retry_at = 0.0  # seconds, when the remaining proxies are notified next
 
     def set_withdrawn(self, endpoint: EndpointState, withdrawn: bool) -> None:
-        """Record that the list withdraws or restores the endpoint."""
+        """Withdraw or restore the endpoint, as the list requires."""
         endpoint.withdrawn = withdrawn
         endpoint.withdrawn_at = self.context.now
         endpoint.ever_withdrawn = True
@@ -58,12 +59,12 @@
         endpoint.notified_proxies = dict.fromkeys(
             context.subscriber_index.subscribers(endpoint.id), True
         )
-        self.pending.append(endpoint.id)
+        self.newly_withdrawn.append(endpoint.id)
         self.withdrawal_count += 1
-        # Channels that notify the subscribers themselves send one more entry.
+        # Channels that notify the subscribers by themselves send one entry more to each of them.
         for number in endpoint.notified_proxies:
             if number in context.connected:
-                self.budget.backlog.add(number, 1, False)
+                self.budget.backlog.add_entries(number, 1, False)
 
     def _restore(self, endpoint: EndpointState) -> None:
         context = self.context
@@ -76,19 +77,25 @@
         endpoint.notified_proxies = {}
 
     def send(self) -> None:
-        """Emit this batch's withdrawals, and earlier ones for waiting proxies not notified yet."""
-        notify: dict[int, list[int]] = {endpoint: [] for endpoint in self.pending}
-        self.pending = []
-        if notify or self.context.now >= self.retry_at:
-            self._notify_waiting(notify)
+        """Emit the withdrawals of this batch.
+
+        Earlier withdrawals are emitted for waiting proxies that were not notified yet.
+        """
+        proxies_to_notify: dict[int, list[int]] = {
+            endpoint: [] for endpoint in self.newly_withdrawn
+        }
+        self.newly_withdrawn = []
+        if proxies_to_notify or self.context.now >= self.retry_at:
+            self._notify_waiting(proxies_to_notify)
         self.context.commands += [
-            WithdrawEndpoint(endpoint, True, tuple(proxies)) for endpoint, proxies in notify.items()
+            WithdrawEndpoint(endpoint, True, tuple(proxies))
+            for endpoint, proxies in proxies_to_notify.items()
         ]
 
-    def _notify_waiting(self, notify: dict[int, list[int]]) -> None:
-        """Add the unnotified waiting proxies to `notify`, by endpoint, as far as there is room."""
+    def _notify_waiting(self, proxies_to_notify: dict[int, list[int]]) -> None:
+        """Add waiting proxies to `proxies_to_notify`, by endpoint, while the channel has room."""
         context = self.context
-        unnotified = self._unnotified()
+        unnotified = self._unnotified_proxies()
         grace = context.settings["drain_grace"]
         self.retry_at = context.now + grace / RETRIES_PER_GRACE if unnotified else 0.0
         overhead = context.settings["message_head"]
@@ -99,23 +106,25 @@
             if not self.budget.has_room_for_withdrawals(
                 total_entries, len(endpoints) + overhead + 1
             ):
-                break  # the tables of the proxies take precedence
-            proxy.seen_withdrawals = self.withdrawal_count
+                break  # the proxies' tables take precedence
+            proxy.seen_withdrawal_count = self.withdrawal_count
             proxy.notified_endpoints |= endpoints
             if endpoints:
                 self.budget.spend(proxy, len(endpoints))
             for endpoint in sorted(endpoints):
                 context.endpoints[endpoint].notified_proxies[proxy.number] = True
-                notify.setdefault(endpoint, []).append(proxy.number)
+                proxies_to_notify.setdefault(endpoint, []).append(proxy.number)
 
-    def _unnotified(self) -> list[ProxyState]:
-        """Return the waiting proxies to notify.
+    def _unnotified_proxies(self) -> list[ProxyState]:
+        """Return the waiting proxies that must be notified of a withdrawal.
 
-        If the tables of all of them fit in time, only proxies that keep their previous table are
-        notified.
+        If all waiting proxies get their tables in time, only those that keep their previous table
+        must be notified.
         """
         waiting = self.context.unassigned.values()
-        unnotified = [proxy for proxy in waiting if proxy.seen_withdrawals < self.withdrawal_count]
+        unnotified = [
+            proxy for proxy in waiting if proxy.seen_withdrawal_count < self.withdrawal_count
+        ]
         if unnotified and self.assignment.tables_fit_in_time():
             return [proxy for proxy in unnotified if self.assignment.keeps_previous_table(proxy)]
         return unnotified
@@ -124,7 +133,7 @@
         """Return the ids of withdrawn endpoints that a waiting proxy's previous table may name.
 
         All controllers rank endpoints in the same order, so the previous table was drawn from the
-        first endpoints of that order among those that were open at the time.
+        first endpoints of that order among those that the list at that time allowed.
         """
         endpoints = self.context.endpoints
         endpoint_ids = {
@@ -135,10 +144,12 @@
         }
         for group in range(len(self.pools.groups)):
             shard = self.sharding.shard(proxy, group)
-            for zone, pool in self.pools.earlier_endpoints(group, proxy.zone).items():
-                open_now = len(shard.pools.get(zone, ()))
-                chosen = len(shard.chosen.get(zone, ()))
-                previous_count = max(MIN_ENDPOINTS_PER_ZONE, chosen * len(pool) / max(1, open_now))
+            for zone, pool in self.pools.previously_allowed_pools(group, proxy.zone).items():
+                current_pool_size = len(shard.pools.get(zone, ()))
+                current_count = len(shard.endpoints_by_zone.get(zone, ()))
+                previous_count = max(
+                    MIN_ENDPOINTS_PER_ZONE, current_count * len(pool) / max(1, current_pool_size)
+                )
                 candidates = pool.top(proxy.key, ceil(PREVIOUS_TABLE_FACTOR * previous_count))
                 endpoint_ids.update([endpoint.id for endpoint in candidates if endpoint.withdrawn])
         return endpoint_ids
--- a/peatlead/planner/zone_paths.py
+++ b/peatlead/planner/zone_paths.py
@@ -1,8 +1,8 @@
 """Detects slow network paths between zones.
 
 A path is bad if even the fast endpoints of a zone answer much later than the endpoints in the zone
-of the proxies. The endpoints are not at fault. Tables avoid that zone for a while, and for longer
-each time that the path turns out to be bad again.
+of the proxies, which indicates a slow network rather than slow endpoints. Tables of these proxies
+avoid the zone for a while, and for longer each time that the path turns out to be bad again.
 """
 
 from typing import NamedTuple
@@ -14,14 +14,14 @@
 from .statistics import median
 from .table_changes import TableChanges
 
-# Of the mean response target: latency above that of the local zone that makes a path bad.
+# Of the mean response target. A path is bad if it exceeds the local zone's latency by more.
 MAX_EXTRA_LATENCY = 0.3
 INITIAL_AVOIDANCE_DURATION = 10.0  # seconds, doubled each time that the path is bad again
 MAX_AVOIDANCE_DURATION = 60.0  # seconds
 # Seconds after the end of an avoidance within which the path counts as bad again.
 REPEATED_BAD_PATH_WINDOW = 30
-MIN_PATH_SUCCESSES = 0.5  # decayed successful attempts at an endpoint whose latency counts
-FASTEST_FRACTION_DIVISOR = 4  # the fastest quarter of a zone's endpoints determines the latency
+MIN_PATH_SUCCESSES = 0.5  # decayed; endpoints with fewer successful attempts are not considered
+FASTEST_FRACTION_DIVISOR = 4  # the latency of a path is that of the fastest quarter of endpoints
 # Median failure rate of a zone's health checks above which the avoidance is extended.
 MAX_CHECK_FAILURE_RATE = 0.5
 
@@ -37,46 +37,47 @@
 
 
 class ZonePaths:
-    """The bad paths between zones."""
+    """Detects bad paths between zones and decides for how long tables avoid them."""
 
     def __init__(
         self,
         context: PlannerContext,
         changes: TableChanges,
         demand: RequestDemand,
-        statistics: LoadStatistics,
+        load_statistics: LoadStatistics,
     ) -> None:
         self.context = context
         self.changes = changes
         self.demand = demand
-        self.statistics = statistics
+        self.load_statistics = load_statistics
         self.path_states: dict[Path, PathState] = {}
         self.bad_paths: set[Path] = set()
 
     def bad_until(self, path: Path) -> float:
-        """Return the time at which the path is or was used again."""
+        """Return the time in seconds until which the path is or was avoided."""
         return self.path_states.get(path, UNKNOWN_PATH).bad_until
 
     def end_round(self) -> None:
-        """Evaluate all paths by the latencies of the round."""
+        """Update the bad paths from the latencies and health checks of the round."""
         for zone in {proxy.zone: 0 for proxy in self.context.connected_proxies}:
-            self._evaluate_paths_from(zone)
+            self._evaluate_paths(zone)
         self._extend_while_checks_fail()
-        now, before = self.context.now, self.bad_paths
+        now, previous_bad_paths = self.context.now, self.bad_paths
         self.bad_paths = {path for path, state in self.path_states.items() if now < state.bad_until}
-        if self.bad_paths != before:
-            self.changes.mark_all()
+        if self.bad_paths != previous_bad_paths:
+            self.changes.mark_all_changed()
 
-    def _evaluate_paths_from(self, zone: int) -> None:
+    def _evaluate_paths(self, zone: int) -> None:
+        """Find the bad paths of the proxies in one zone, and start their avoidance."""
         latencies = self._latencies_by_zone(zone)
         local_latency = median(latencies.get(zone, ()))
         if not local_latency:
             return
-        for other, measured in latencies.items():
-            path, now = (zone, other), self.context.now
+        for other_zone, measured in latencies.items():
+            path, now = (zone, other_zone), self.context.now
             state = self.path_states.get(path, UNKNOWN_PATH)
             if (
-                other != zone
+                other_zone != zone
                 and now >= state.bad_until
                 and len(measured) > 1
                 and sorted(measured)[len(measured) // FASTEST_FRACTION_DIVISOR] - local_latency
@@ -90,29 +91,33 @@
                 )
                 self.path_states[path] = PathState(now + duration, duration)
                 self.context.log(
-                    f"path from zone {zone} to zone {other} is slow, avoided for {duration} s"
+                    f"path from zone {zone} to zone {other_zone} is slow, avoided for {duration} s"
                 )
 
     def _latencies_by_zone(self, zone: int) -> dict[int, list[float]]:
-        """Return by zone of the endpoints their mean latencies for the proxies of one zone."""
+        """Return the mean latencies of usable endpoints for the proxies of one zone.
+
+        The result is grouped by the zone of the endpoints. Outdated counts are ignored.
+        """
         latencies: dict[int, list[float]] = {}
-        oldest = 2 * self.statistics.cycle
+        max_age = 2 * self.load_statistics.reporting_cycle
         for endpoint in self.context.endpoints.values():
-            counts = endpoint.stats.get(zone)
+            counts = endpoint.counts_by_zone.get(zone)
             if (
                 counts is not None
                 and endpoint.usable
-                and self.context.now - counts.updated_at < oldest
+                and self.context.now - counts.updated_at < max_age
                 and counts.attempts - counts.errors > MIN_PATH_SUCCESSES
             ):
-                mean = counts.latency_sum / (counts.attempts - counts.errors)
-                latencies.setdefault(endpoint.zone, []).append(mean)
+                mean_latency = counts.latency_sum / (counts.attempts - counts.errors)
+                latencies.setdefault(endpoint.zone, []).append(mean_latency)
         return latencies
 
     def _extend_while_checks_fail(self) -> None:
-        """Extend the avoidance of paths from the own zone while health checks over them fail.
+        """Extend the avoidance of bad paths from the controller's zone while health checks fail.
 
-        Thus no request has to be sent to find out that a path is still bad.
+        The controller's own health checks use these paths. Thus no request has to be sent to find
+        out that a path is still bad.
         """
         own_zone = self.context.settings["zone"]
         for path in sorted(self.bad_paths):
@@ -125,5 +130,7 @@
             ]
             if median(rates) > MAX_CHECK_FAILURE_RATE:
                 state = self.path_states[path]
-                bad_until = max(state.bad_until, self.context.now + 2 * self.statistics.cycle)
+                bad_until = max(
+                    state.bad_until, self.context.now + 2 * self.load_statistics.reporting_cycle
+                )
                 self.path_states[path] = PathState(bad_until, state.duration)
--- a/peatlead/wire/codec.py
+++ b/peatlead/wire/codec.py
@@ -25,7 +25,7 @@
 
 
 def read_batch(stream: BinaryIO) -> Optional[Batch]:
-    """Read the next batch. Return None at the end of the input; raises WireFormatError."""
+    """Read the next batch, or return None at the end of the input. Raises WireFormatError."""
     header = _read_exactly(stream, BATCH_HEADER.size, "batch header")
     if header is None:
         return None
@@ -43,10 +43,11 @@
     return Batch(clock_us, records)
 
 
-def _read_exactly(stream: BinaryIO, size: int, what: str) -> Optional[bytes]:
-    """Read `size` bytes. Return None where the input ends before the first byte.
+def _read_exactly(stream: BinaryIO, size: int, content: str) -> Optional[bytes]:
+    """Read `size` bytes. Return None if the input ends before the first byte.
 
-    Raises WireFormatError, which mentions `what`, where the input ends after the first byte.
+    Raises WireFormatError if the input ends after the first byte. The error's message names
+    `content`, the part of the protocol that is read.
     """
     data = stream.read(size)
     if not data and size:
@@ -54,7 +55,7 @@
     while len(data) < size:
         chunk = stream.read(size - len(data))
         if not chunk:
-            raise WireFormatError(f"truncated {what}: {len(data)} of {size} bytes")
+            raise WireFormatError(f"truncated {content}: {len(data)} of {size} bytes")
         data += chunk
     return data
 
--- a/peatlead/wire/command_translator.py
+++ b/peatlead/wire/command_translator.py
@@ -9,22 +9,22 @@
 from .endpoint_ids import EndpointIds
 from .units import MICROSECONDS_PER_SECOND
 
-RETRY_POLICIES: dict[str, int] = {
+RETRY_POLICIES: dict[str, int] = {  # policy -> number on the wire
     RetryPolicy.NEVER: 0,
     RetryPolicy.UNSTARTED: 1,
     RetryPolicy.ONCE: 2,
     RetryPolicy.TWICE: 3,
 }
-ALL_TABLES = 65535  # the table number that stands for all tables
-ALL_PEERS = 65535  # the instance number that stands for all peers
+ALL_TABLES = 65535  # table number that means all tables
+ALL_PEERS = 65535  # instance number that means all peers
 NONCE_MODULUS = 65536  # nonces have 16 bits on the wire
-TIMER_MIN_US = 1
-TIMER_MAX_US = 70 * 60 * MICROSECONDS_PER_SECOND  # fits into 32 bits
+TIMER_MIN_US = 1  # microseconds
+TIMER_MAX_US = 70 * 60 * MICROSECONDS_PER_SECOND  # microseconds, fits into 32 bits
 TEXT_BYTES_MAX = 2000  # UTF-8 bytes of a log line or an error
 
 
 class CommandTranslator:
-    """Converts the commands of one instance's planner."""
+    """Converts the commands of one instance's planner to reply records."""
 
     def __init__(self, instance: int, endpoint_ids: EndpointIds) -> None:
         self.instance = instance
@@ -48,7 +48,7 @@
         return reply_records.Blank(self.instance, command.table)
 
     def attach_table(self, command: interface.AssignTable) -> reply_records.AttachTable:
-        """Route some request classes of a proxy by a table."""
+        """Make a proxy use a table for some request classes."""
         classes = _bit_mask(command.request_classes)
         return reply_records.AttachTable(self.instance, classes, command.proxy, command.table)
 
@@ -102,10 +102,12 @@
 
 
 def _bit_mask(request_classes: Iterable[int]) -> int:
+    """Return a mask in which bit N is set for request class N."""
     return sum(1 << request_class for request_class in request_classes)
 
 
 def _encode_text(text: str) -> bytes:
+    """Return the text in UTF-8, cut to `TEXT_BYTES_MAX`."""
     return text.encode("utf-8")[:TEXT_BYTES_MAX]
 
 
--- a/peatlead/wire/endpoint_ids.py
+++ b/peatlead/wire/endpoint_ids.py
@@ -1,4 +1,4 @@
-"""Maps the addresses that the wire uses to the small integer ids that the planner uses."""
+"""Maps endpoint addresses of the wire protocol to the small integer ids of the planner."""
 
 
 class EndpointIds:
@@ -11,7 +11,7 @@
         self.ids: dict[bytes, int] = {}  # address -> id
 
     def id_of(self, address: bytes) -> int:
-        """Return the id of an address; an address without an id gets the next free one."""
+        """Return the id of an address. A new address gets the next free id."""
         endpoint = self.ids.get(address)
         if endpoint is None:
             endpoint = self.ids[address] = len(self.addresses)
@@ -19,5 +19,5 @@
         return endpoint
 
     def address_of(self, endpoint: int) -> bytes:
-        """Return the address of an endpoint. Raises IndexError where the id is not assigned."""
+        """Return the address of an endpoint. Raises IndexError if the id is not assigned."""
         return self.addresses[endpoint]
--- a/peatlead/wire/errors.py
+++ b/peatlead/wire/errors.py
@@ -2,4 +2,4 @@
 
 
 class WireFormatError(Exception):
-    """Input that violates the wire protocol; the message names the problem and its position."""
+    """The input violates the wire protocol. The message names the problem and its position."""
--- a/peatlead/wire/event_reader.py
+++ b/peatlead/wire/event_reader.py
@@ -1,4 +1,4 @@
-"""Decodes the event records of a batch. Errors name the record and the position of the problem."""
+"""Decodes the event records of a batch. Errors name the record and the problem's position."""
 
 import json
 import struct
@@ -17,20 +17,22 @@
 
 
 class EventReader(NamedTuple):
-    """How to read the records of one type: the fixed-size fields, then at most one other field."""
+    """How to read the records of one type: fixed-size fields, then at most one variable field."""
 
     layout: EventLayout
     fixed_fields: FixedFields
-    variable_field: Optional[FieldType]  # the last field, where its size varies
+    variable_field: Optional[FieldType]  # the last field if its size varies, else None
 
 
 def _event_reader(layout: EventLayout) -> EventReader:
+    """Split the fields of a layout into fixed-size and variable fields."""
     if layout.fields[-1] in FIXED_SIZE_STRUCTS:
         return EventReader(layout, FixedFields(layout.fields), None)
     return EventReader(layout, FixedFields(layout.fields[:-1]), layout.fields[-1])
 
 
 RECORD_CODE = FixedFields([FieldType.U16])
+# Counts or sizes in bytes, of 8, 16 and 32 bits.
 COUNT_8 = FixedFields([FieldType.U8])
 COUNT_16 = FixedFields([FieldType.U16])
 COUNT_32 = FixedFields([FieldType.U32])
@@ -79,19 +81,20 @@
         return self._parse_json(self._read_bytes(size))
 
     def _read_fixed(self, fields: FixedFields) -> tuple[Any, ...]:
+        """Read consecutive fixed-size fields. Raises WireFormatError."""
         end = self.offset + fields.combined_struct.size
         if end > len(self.body):
-            position = fields.overrun_offset(self.offset, len(self.body))
+            field_offset = fields.overrun_offset(self.offset, len(self.body))
             raise WireFormatError(
                 f"record {self.record_number} at byte {self.record_start}: "
-                f"the field at byte {position} overruns the batch of {len(self.body)} bytes"
+                f"the field at byte {field_offset} overruns the batch of {len(self.body)} bytes"
             )
         values = fields.combined_struct.unpack_from(self.body, self.offset)
         self.offset = end
         return values
 
     def _read_bytes(self, size: int) -> bytes:
-        """Read the content of a variable-size field, whose size in bytes is known."""
+        """Read the content of a variable-size field of `size` bytes. Raises WireFormatError."""
         end = self.offset + size
         if end > len(self.body):
             raise WireFormatError(
@@ -103,11 +106,12 @@
         return data
 
     def _parse_json(self, data: bytes) -> dict[str, Any]:
-        position = f"record {self.record_number} at byte {self.record_start}"
+        """Parse the settings of an `Attach` record. Raises WireFormatError."""
+        location = f"record {self.record_number} at byte {self.record_start}"
         try:
             value = json.loads(data.decode("utf-8"))
         except ValueError as error:
-            raise WireFormatError(f"{position}: settings are not JSON: {error}") from None
+            raise WireFormatError(f"{location}: settings are not JSON: {error}") from None
         if not isinstance(value, dict):
-            raise WireFormatError(f"{position}: settings are not a JSON object")
+            raise WireFormatError(f"{location}: settings are not a JSON object")
         return value
--- a/peatlead/wire/event_records.py
+++ b/peatlead/wire/event_records.py
@@ -34,7 +34,7 @@
 
 
 class Topology(NamedTuple):
-    """The endpoint list, or the changed part of it; `scope` tells which."""
+    """The endpoint list or a part of the list, according to `scope`."""
 
     instance: int
     scope: int
@@ -43,7 +43,7 @@
 
 
 class Tally(NamedTuple):
-    """Attempts, errors and latency that the proxies of one zone observed at an endpoint."""
+    """Attempts, errors and mean latency that the proxies of one zone observed at an endpoint."""
 
     instance: int
     address: bytes
--- a/peatlead/wire/layouts.py
+++ b/peatlead/wire/layouts.py
@@ -58,7 +58,10 @@
         self.combined_struct = struct.Struct(">" + "".join(formats))
 
     def overrun_offset(self, offset: int, end: int) -> int:
-        """Return where the first field starts that extends past `end`, for fields at `offset`."""
+        """Return the offset of the first field that extends past `end`.
+
+        The first of the fields starts at `offset`.
+        """
         for field_struct in self.field_structs:
             if offset + field_struct.size > end:
                 break
@@ -67,7 +70,7 @@
 
 
 class EventLayout(NamedTuple):
-    """The layout of a record that the simulator sends. Its code is the key in `EVENT_LAYOUTS`."""
+    """The layout of a record that the simulator sends; `EVENT_LAYOUTS` maps codes to layouts."""
 
     name: str
     record_type: Callable[..., EventRecord]
--- a/peatlead/wire/reply_records.py
+++ b/peatlead/wire/reply_records.py
@@ -24,7 +24,7 @@
 
 
 class AttachTable(NamedTuple):
-    """Route some request classes of a proxy by a table."""
+    """Make a proxy use a table for some request classes."""
 
     instance: int
     request_classes: int
--- a/peatlead/wire/settings.py
+++ b/peatlead/wire/settings.py
@@ -79,7 +79,7 @@
     "stats.fields": "report_fields",
 }
 
-# Key of a request class in the environment -> name of its setting.
+# Key of a request class in the environment -> name of the setting.
 REQUEST_CLASS_SETTING_NAMES = {
     "name": "name",
     "targetUs": "response_target",
@@ -93,7 +93,7 @@
     "onlyZones": "only_zones",
     "onlyKinds": "only_machines",
 }
-# Name of a load report metric in the environment -> its name in the planner.
+# Name of a load report metric in the environment -> name in the planner.
 REPORT_METRICS = {
     "rif": "holding",
     "q": "waiting",
@@ -102,6 +102,7 @@
     "rate": "done_rate",
     "fail_rate": "bad_rate",
 }
+# Values of the environment -> values of the settings.
 PICK_POLICIES = {"random": "random", "rotate": "even", "p2c": "lighter of two"}
 REPEAT_POLICIES = {"repeatable": "replayable", "by_key": "uniqued", "once": "non-replayable"}
 DEDUPLICATION_SCOPES = {"cell": "cell", "zone": "zone"}
@@ -110,14 +111,14 @@
 def settings_from_environment(environment: Mapping[str, Any]) -> Settings:
     """Return the settings as one flat map. Unknown keys of the environment are ignored.
 
-    Raises AttributeError, KeyError, TypeError or ValueError where a value has the wrong type.
+    Raises AttributeError, KeyError, TypeError or ValueError if a value has the wrong type.
     """
     settings: Settings = {}
     for path, name in SETTING_NAMES.items():
-        group, _, key = path.rpartition(".")
-        values = environment.get(group, {}) if group else environment
-        if key in values:
-            settings[name] = _convert_value(key, values[key])
+        section_name, _, key = path.rpartition(".")
+        section = environment.get(section_name, {}) if section_name else environment
+        if key in section:
+            settings[name] = _convert_value(key, section[key])
     settings["report_fields"] = [
         REPORT_METRICS.get(metric, metric) for metric in settings.get("report_fields", ())
     ]
@@ -137,7 +138,7 @@
 
 
 def _request_class_settings(environment: Mapping[str, Any]) -> Settings:
-    """Return the settings of one request class, with defaults for those that are missing."""
+    """Return the settings of one request class, with defaults for missing keys."""
     settings: Settings = {
         name: _convert_value(key, environment[key])
         for key, name in REQUEST_CLASS_SETTING_NAMES.items()
@@ -154,7 +155,7 @@
 
 
 def _convert_value(key: str, value: Any) -> Any:
-    """Return the value, converted to seconds where the key ends in `Us`. Raises ValueError."""
+    """Return the value, converted to seconds if the key ends in `Us`. Raises ValueError."""
     if not key.endswith("Us"):
         return value
     if not isinstance(value, (int, float)):
--- a/tests/compatibility/test_recorded_messages.py
+++ b/tests/compatibility/test_recorded_messages.py
@@ -76,7 +76,7 @@
         for duration in ("10.0", "20.0"):
             for endpoint in self.planner.endpoints.values():
                 latency_sum = 10.0 if endpoint.zone else 1.0
-                endpoint.stats[0] = DatedCounts(self.planner.now, 10.0, 0.0, latency_sum)
+                endpoint.counts_by_zone[0] = DatedCounts(self.planner.now, 10.0, 0.0, latency_sum)
             self.assert_logs(
                 f"path from zone 0 to zone 1 is slow, avoided for {duration} s",
                 self.planner.zone_paths.end_round,
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -95,7 +95,7 @@
     health checks of endpoint 0 time out.
     """
     now = planner.now + 1.0
-    planner.statistics.cycle = 5.0
+    planner.load_statistics.reporting_cycle = 5.0
     events = [
         interface.EndpointStats(number, 0, 10, 0, 3.0, latency, {"util": utilization})
         for number in planner.endpoints
--- a/tests/planner/test_endpoint_pools.py
+++ b/tests/planner/test_endpoint_pools.py
@@ -14,17 +14,17 @@
 
     def test_a_pool_that_a_new_list_does_not_change_is_kept(self):
         planner = make_planner()
-        before = planner.pools.open_endpoints(0, 0)
+        before = planner.pools.allowed_pools(0, 0)
         planner.pools.reset()
-        planner.endpoint_updates.apply(make_endpoint(0, 0, "gone"))
-        after = planner.pools.open_endpoints(0, 0)
+        planner.endpoint_updates.apply_entry(make_endpoint(0, 0, "gone"))
+        after = planner.pools.allowed_pools(0, 0)
         self.assertIsNot(after[0], before[0])
         self.assertIs(after[1], before[1])
 
     def test_zones_behind_bad_paths_are_left_out_unless_no_other_zone_remains(self):
         planner = make_planner()
         planner.zone_paths.bad_paths = {(0, 1)}
-        self.assertEqual(set(planner.pools.open_endpoints(0, 0)), {0})
-        self.assertEqual(set(planner.pools.open_endpoints(0, None)), {0, 1})
+        self.assertEqual(set(planner.pools.allowed_pools(0, 0)), {0})
+        self.assertEqual(set(planner.pools.allowed_pools(0, None)), {0, 1})
         planner.zone_paths.bad_paths = {(0, 0), (0, 1)}
-        self.assertEqual(set(planner.pools.open_endpoints(0, 0)), {0, 1})
+        self.assertEqual(set(planner.pools.allowed_pools(0, 0)), {0, 1})
--- a/tests/planner/test_endpoint_updates.py
+++ b/tests/planner/test_endpoint_updates.py
@@ -27,7 +27,7 @@
 
     def test_with_gone_is_advice_an_answering_endpoint_is_kept_and_a_draining_one_is_not(self):
         planner = make_planner(gone_is_advice=True)
-        planner.now = planner.statistics.last_success_at = 110.0
+        planner.now = planner.load_statistics.last_success_at = 110.0
         planner.endpoints[3].last_success_at = 110.0
         planner.endpoint_updates.on_update(
             interface.EndpointUpdate("whole", 2, (make_endpoint(2, phase="draining"),))
--- a/tests/planner/test_gossip.py
+++ b/tests/planner/test_gossip.py
@@ -81,7 +81,7 @@
             b"\xff\xfe 1 1 1",
         ):
             planner.decide(100.5, [interface.GossipReceived(1, payload)])
-        self.assertFalse(any(endpoint.peer_stats for endpoint in planner.endpoints.values()))
+        self.assertFalse(any(endpoint.counts_by_peer for endpoint in planner.endpoints.values()))
 
     def test_counts_from_before_a_start_are_ignored(self):
         planner = make_planner(peer_notes=True)
@@ -92,7 +92,7 @@
                 interface.GossipReceived(1, b"host-0 9.0 9.0 0.0"),
             ],
         )
-        self.assertFalse(planner.endpoints[0].peer_stats)
+        self.assertFalse(planner.endpoints[0].counts_by_peer)
 
     def test_a_payload_is_decoded_as_it_was_encoded(self):
         failing = [
--- a/tests/planner/test_load_shedding.py
+++ b/tests/planner/test_load_shedding.py
@@ -12,12 +12,12 @@
         planner = make_planner(report_fields=["util"], fails_to_shun=3)
         shedding = planner.load_shedding
         shedding.admitted_fraction = shedding.safe_fraction = 0.5
-        shedding.cutting = True
-        shedding.severity = 1.0
+        shedding.last_change_was_cut = True
+        shedding.last_cut_severity = 1.0
         shedding.next_update_at = 0.0
         for endpoint in planner.endpoints.values():
-            endpoint.weight_fraction = endpoint.ramp = weight_fraction
-            endpoint.next_step_at = 1e9
+            endpoint.weight_fraction = endpoint.ramp_fraction = weight_fraction
+            endpoint.next_ramp_step_at = 1e9
         latency = 0.35 * planner.demand.mean_target()
         for _ in range(4):
             report_round(planner, utilization=0.45, latency=latency)
--- a/tests/planner/test_load_statistics.py
+++ b/tests/planner/test_load_statistics.py
@@ -13,13 +13,17 @@
             101.0,
             [interface.EndpointUpdate("changes", 2, (make_endpoint(3, 1, started_at=100.9),))],
         )
-        planner.statistics.on_endpoint_stats(interface.EndpointStats(3, 0, 9, 9, 4.0, 0.0, None))
-        self.assertFalse(planner.endpoints[3].stats)
+        planner.load_statistics.on_endpoint_stats(
+            interface.EndpointStats(3, 0, 9, 9, 4.0, 0.0, None)
+        )
+        self.assertFalse(planner.endpoints[3].counts_by_zone)
 
     def test_counts_last_until_the_next_report_if_reports_are_infrequent(self):
         planner = make_planner()
-        planner.statistics.cycle = 5.0
-        planner.statistics.on_endpoint_stats(interface.EndpointStats(2, 0, 10, 0, 5.0, 0.1, None))
+        planner.load_statistics.reporting_cycle = 5.0
+        planner.load_statistics.on_endpoint_stats(
+            interface.EndpointStats(2, 0, 10, 0, 5.0, 0.1, None)
+        )
         planner.now += 2.0
         planner.end_round()
         self.assertGreater(planner.endpoints[2].attempts, 5.0)
@@ -27,10 +31,10 @@
     def test_counts_decay_to_a_quarter_within_a_cycle(self):
         planner = make_planner()
         report = interface.EndpointStats(2, 0, 8, 4, 1.0, 0.5, None)
-        planner.statistics.on_endpoint_stats(report)
-        planner.now += planner.statistics.cycle
-        planner.statistics.on_endpoint_stats(report)
-        counts = planner.endpoints[2].stats[0]
+        planner.load_statistics.on_endpoint_stats(report)
+        planner.now += planner.load_statistics.reporting_cycle
+        planner.load_statistics.on_endpoint_stats(report)
+        counts = planner.endpoints[2].counts_by_zone[0]
         self.assertAlmostEqual(counts.attempts, 10.0)
         self.assertAlmostEqual(counts.errors, 5.0)
         self.assertAlmostEqual(counts.latency_sum, 2.5)
--- a/tests/planner/test_planner_at_scale.py
+++ b/tests/planner/test_planner_at_scale.py
@@ -75,10 +75,10 @@
             unchanged = [
                 proxy
                 for proxy in planner.context.connected_proxies
-                if proxy.seen_pool_changes == planner.changes.pool_changes
-                and not proxy.beyond_shards
+                if proxy.seen_global_change_count == planner.changes.global_change_count
+                and not proxy.has_endpoints_outside_shards
                 and all(
-                    endpoint.last_change <= proxy.seen_changes
+                    endpoint.last_change_count <= proxy.seen_change_count
                     for endpoint in proxy.source_endpoints.values()
                 )
             ]
@@ -227,10 +227,10 @@
         now += 60
         planner.decide(now, [interface.TimerFired(0)])
         planner.endpoints[3].weight_fraction = 0.5
-        planner.changes.mark(planner.endpoints[3])
-        planner.changes.reductions_pending = True
+        planner.changes.mark_endpoint_changed(planner.endpoints[3])
+        planner.changes.weight_decrease_pending = True
         batches = 0
-        while planner.changes.pending or planner.changes.all_pending:
+        while planner.changes.pending_proxies or planner.changes.all_pending:
             now += CONTINUE_DELAY
             planner.decide(now, [interface.TimerFired(CONTINUE_TIMER)])
             batches += 1
@@ -300,4 +300,4 @@
         )
         warm = [endpoint for endpoint in entries if planner.endpoints[endpoint].cold_since is None]
         self.assertTrue(0 < len(warm) <= MAX_ADDED_WARM_ENDPOINTS)
-        self.assertTrue(proxy.beyond_shards and cold <= 0.5 * sum(entries.values()))
+        self.assertTrue(proxy.has_endpoints_outside_shards and cold <= 0.5 * sum(entries.values()))
--- a/tests/planner/test_removals.py
+++ b/tests/planner/test_removals.py
@@ -25,7 +25,7 @@
         planner.endpoints[0].weight_fraction = 0.06
         planner.endpoints[1].phase = "gone"
         planner.changes.removals_pending = True
-        planner.removals.remove_unusable()
+        planner.removals.remove_unusable_endpoints()
         warm = {number for number in planner.endpoints if number > 3}
         self.assertTrue(warm <= set(proxy.entries[0]))
 
@@ -36,5 +36,5 @@
         planner.endpoints[0].phase = "gone"
         planner.changes.removals_pending = True
         planner.budget.backlog.unacknowledged_entries = planner.settings["queue_most"]
-        planner.removals.remove_unusable()
+        planner.removals.remove_unusable_endpoints()
         self.assertTrue(proxy.entries[0])
--- a/tests/planner/test_shuffle_sharding.py
+++ b/tests/planner/test_shuffle_sharding.py
@@ -13,13 +13,13 @@
         proxy = planner.proxies[0]
         shard = [
             endpoint
-            for chosen in planner.sharding.shard(proxy, 0).chosen.values()
+            for chosen in planner.sharding.shard(proxy, 0).endpoints_by_zone.values()
             for endpoint in chosen
         ]
         for endpoint in shard[:2]:
             endpoint.cold_since = 100.0
             endpoint.weight_fraction = 0.37
-        planner.changes.mark_all()
+        planner.changes.mark_all_changed()
         planner.sharding.end_batch()
         table = planner.sharding.table(proxy, 0)
         total = sum(table.values())
@@ -42,10 +42,10 @@
     def test_a_shard_without_usable_endpoints_is_replaced_by_all_ready_endpoints(self):
         planner = make_planner()
         shard = planner.sharding.shard(planner.proxies[0], 0)
-        for members in shard.chosen.values():
+        for members in shard.endpoints_by_zone.values():
             for endpoint in members:
                 endpoint.phase = "gone"
-        planner.endpoint_updates.apply(make_endpoint(50, 0))
+        planner.endpoint_updates.apply_entry(make_endpoint(50, 0))
         planner.pools.ready_pools.clear()
         self.assertEqual(set(planner.sharding.table(planner.proxies[0], 0)), {50})
 
--- a/tests/planner/test_slow_start.py
+++ b/tests/planner/test_slow_start.py
@@ -19,7 +19,7 @@
         planner = make_planner()
         endpoint = planner.endpoints[0]
         planner.now = endpoint.cold_since = 100.0
-        endpoint.ramp = 1.0
+        endpoint.ramp_fraction = 1.0
         weight_fraction = planner.slow_start.target_weight_fraction(endpoint)
         self.assertLessEqual(weight_fraction, 0.3 * 4.0 * 0.2 + 1e-9)
         planner.fleet_load.mean_weight_fraction = 0.5
--- a/tests/tables/test_change_causes.py
+++ b/tests/tables/test_change_causes.py
@@ -109,7 +109,7 @@
         texts = [self.logged_by(self.planner.publish_admissions)]
         for endpoint in self.planner.endpoints.values():
             latency_sum = 10.0 if endpoint.zone else 1.0
-            endpoint.stats[0] = DatedCounts(self.planner.now, 10.0, 0.0, latency_sum)
+            endpoint.counts_by_zone[0] = DatedCounts(self.planner.now, 10.0, 0.0, latency_sum)
         texts.append(self.logged_by(self.planner.zone_paths.end_round))
         for text in texts:
             self.assertIsNone(self.causes.note_planner_message(text))
