--- a/peatlead/controller/control_socket.py
+++ b/peatlead/controller/control_socket.py
@@ -67,7 +67,7 @@
         self._control.connections.remove(self)
         self._control.feeds.pop(self, None)
 
-    def line(self, data: bytes) -> None:
+    def line_received(self, data: bytes) -> None:
         """Answer a question."""
         try:
             question = msgspec.json.decode(data, type=Question)
@@ -144,7 +144,7 @@
         """Send the question."""
         self.send(msgspec.json.encode(self._question) + b"\n")
 
-    def line(self, data: bytes) -> None:
+    def line_received(self, data: bytes) -> None:
         """Pass a received line to the callback."""
         self._on_line(data)
 
--- a/peatlead/controller/health_checks.py
+++ b/peatlead/controller/health_checks.py
@@ -89,7 +89,7 @@
 
     def take_due_stats(self, now: float) -> list[Any]:
         """Return planner events for the endpoints' reports, or an empty list until they are due."""
-        events: list[Any] = self._counts.events_due(now, self._controller.view_numbers)
+        events: list[Any] = self._counts.take_due_events(now, self._controller.view_numbers)
         return events
 
     def _headers(self) -> list[tuple[str, str]]:
--- a/peatlead/controller/operator_queries.py
+++ b/peatlead/controller/operator_queries.py
@@ -159,7 +159,7 @@
             "prepared": controller.answers.prepared_count,
             "channel": self._describe_channel(),
             "burden": controller.overload.status(),
-            "probes_dropped": controller.health_checks.prober.dropped,
+            "probes_dropped": controller.health_checks.prober.dropped_count,
             "levels": controller.health_checks.admission_text(),
             "fresh": controller.answer_freshness.fresh,
         }
--- a/peatlead/health/load_report_counts.py
+++ b/peatlead/health/load_report_counts.py
@@ -185,7 +185,7 @@
         if passed and not any(endpoint == other for other, _ in self.endpoint_totals):
             self.endpoint_totals[endpoint, self.probe_zone] = EndpointTotals(1.0, 0.0, duration)
 
-    def events_due(
+    def take_due_events(
         self, now: float, proxy_numbers: Sequence[int]
     ) -> list[interface.RequestStats | interface.EndpointStats]:
         """Return the planner's events of the interval and start the next one, or return [].
--- a/peatlead/health/prober.py
+++ b/peatlead/health/prober.py
@@ -55,14 +55,14 @@
         self.local_address = local_address
         self.queue: deque[QueuedProbe] = deque()
         self.tasks: dict[int, asyncio.Task[None]] = {}  # probes in flight, by endpoint
-        self.dropped = 0  # number of probes dropped because the queue was full
+        self.dropped_count = 0  # number of probes dropped because the queue was full
 
     def probe(self, endpoint: int, address: tuple[str, int]) -> None:
         """Start or queue a probe, unless a probe of the endpoint is in flight or queued."""
         if endpoint in self.tasks or any(endpoint == queued.endpoint for queued in self.queue):
             return
         if len(self.queue) >= self.settings["waiting_most"]:
-            self.dropped += 1  # the planner orders another probe later
+            self.dropped_count += 1  # the planner orders another probe later
             return
         self.queue.append(QueuedProbe(endpoint, address))
         self.start_queued()
--- a/peatlead/net/in_memory_transport.py
+++ b/peatlead/net/in_memory_transport.py
@@ -11,12 +11,12 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.out = bytearray()  # all bytes written so far
+        self.written_data = bytearray()  # all bytes written so far
         self.closed = False
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
-        """Append the data to `out`."""
-        self.out += data
+        """Append the data to `written_data`."""
+        self.written_data += data
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
         """Return the peer's address for every name."""
--- a/peatlead/net/streams.py
+++ b/peatlead/net/streams.py
@@ -124,7 +124,7 @@
     def __init__(self, max_connections: int) -> None:
         self.max_connections = max_connections
         self.streams: dict[Stream, bool] = {}  # used as an ordered set
-        self.evicted = 0  # number of streams aborted because the set was full
+        self.evicted_count = 0  # number of streams aborted because the set was full
 
     def add(self, stream: Stream) -> None:
         """Add a stream; abort the longest idle one if the set is full."""
@@ -132,7 +132,7 @@
             longest_idle = min(self.streams, key=lambda other: other.last_activity)
             del self.streams[longest_idle]
             longest_idle.abort("evicted")
-            self.evicted += 1
+            self.evicted_count += 1
         self.streams[stream] = True
 
     def remove(self, stream: Stream) -> None:
@@ -148,7 +148,7 @@
 class LineStream(Stream):
     """A stream of newline-terminated lines of at most `max_line_bytes` bytes.
 
-    Subclasses override `line`.
+    Subclasses override `line_received`.
     """
 
     def __init__(
@@ -161,7 +161,7 @@
         self.max_line_bytes = max_line_bytes
         self.partial_line = bytearray()  # the start of a line that is not complete
 
-    def line(self, data: bytes) -> None:
+    def line_received(self, data: bytes) -> None:
         """Handle one line, without its newline."""
 
     def received(self, data: bytes) -> None:
@@ -176,6 +176,6 @@
             complete = [bytes(self.partial_line), *rest[:-1]]
             self.partial_line = bytearray(rest[-1])
             for line in complete:
-                self.line(line)
+                self.line_received(line)
         if len(self.partial_line) > self.max_line_bytes:
             self.abort("line too long")
--- a/peatlead/platform/sessions.py
+++ b/peatlead/platform/sessions.py
@@ -69,7 +69,7 @@
         if not self.ignores_input:
             super().received(data)
 
-    def line(self, data: bytes) -> None:
+    def line_received(self, data: bytes) -> None:
         """Handle one line.
 
         A malformed message is refused. A message with an invalid field is ignored, but refused if
--- a/peatlead/sources/endpoint_cache.py
+++ b/peatlead/sources/endpoint_cache.py
@@ -6,7 +6,7 @@
 import msgspec
 from blake3 import blake3
 
-from .endpoint_list import EndpointList, EndpointListError, read_document
+from .endpoint_list import EndpointList, EndpointListError, parse_list_document
 
 MAGIC = b"peatlead-list"
 FORMAT = 1  # version of the file format
@@ -58,7 +58,7 @@
         if words[2] != checksum(body):
             return None, "the checksum is wrong: the file is truncated or corrupted"
         try:
-            return read_document(body)._replace(scope="remembered"), ""
+            return parse_list_document(body)._replace(scope="remembered"), ""
         except EndpointListError as error:
             return None, str(error)
 
--- a/peatlead/sources/endpoint_list.py
+++ b/peatlead/sources/endpoint_list.py
@@ -49,7 +49,7 @@
     ] = ()  # names of unusable entries; None: the name is unusable too
 
 
-class Document(msgspec.Struct):
+class ListDocument(msgspec.Struct):
     """The JSON document of a list; `hosts` holds the entries, each checked on its own."""
 
     version: int
@@ -62,12 +62,12 @@
     """The data is not an endpoint list, for example because it is truncated or empty."""
 
 
-def read_document(data: bytes) -> EndpointList:
+def parse_list_document(data: bytes) -> EndpointList:
     """Parse a JSON document; raises EndpointListError.
 
     An invalid entry is left out and reported in `entry_errors`; the other entries are used.
     """
-    document = decode_document(data)
+    document = decode_list_document(data)
     endpoints: dict[str, ListedEndpoint] = {}
     errors = []
     for index, raw_entry in enumerate(document.hosts):
@@ -87,12 +87,12 @@
     )
 
 
-def decode_document(data: bytes) -> Document:
+def decode_list_document(data: bytes) -> ListDocument:
     """Decode a document and check everything except its entries; raises EndpointListError."""
     if not data.strip():
         raise EndpointListError("the file is empty")
     try:
-        document = msgspec.json.decode(data, type=Document)
+        document = msgspec.json.decode(data, type=ListDocument)
     except msgspec.MsgspecError as error:
         raise EndpointListError(str(error)) from None
     if document.scope not in DOCUMENT_SCOPES:
--- a/peatlead/sources/file_watch.py
+++ b/peatlead/sources/file_watch.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from .endpoint_list import EndpointList, EndpointListError, read_document
+from .endpoint_list import EndpointList, EndpointListError, parse_list_document
 
 
 class FileStamp(NamedTuple):
@@ -73,7 +73,7 @@
             stamp = FileStamp(status.st_mtime_ns, status.st_size, status.st_ino)
             if stamp == self.last_stamp:
                 return
-            endpoint_list = read_document(self.path.read_bytes())
+            endpoint_list = parse_list_document(self.path.read_bytes())
         except (OSError, EndpointListError) as error:
             self.handle_unreadable(now, error)
             return
--- a/peatlead/standin/platform_fleet.py
+++ b/peatlead/standin/platform_fleet.py
@@ -83,7 +83,7 @@
             cold=not proxy.received_full_table,
         )
 
-    def line(self, data: bytes) -> None:
+    def line_received(self, data: bytes) -> None:
         """Put a complete message into the controller's channel."""
         part = json.loads(data)
         if part["msg"] != "push":
--- a/tests/controller/test_dns_controller.py
+++ b/tests/controller/test_dns_controller.py
@@ -27,9 +27,9 @@
             )
             stream.close()
             endpoint = answer.headers["host-name"]
-            return answer.status, [(row[2], row[3]) for row in world.record.rows_of("effect")] == [
-                (endpoint, "r1")
-            ]
+            return answer.status, [
+                (row[2], row[3]) for row in world.record.rows_of_kind("effect")
+            ] == [(endpoint, "r1")]
 
         self.assertEqual(run_with_standins(case), (200, True))
 
--- a/tests/controller/test_dns_over_tcp.py
+++ b/tests/controller/test_dns_over_tcp.py
@@ -47,7 +47,7 @@
             controller = await world.start_controller()
             await until(lambda: world.answered_endpoints(controller))
             streams = [await dial(world) for _ in range(4)]
-            await until(lambda: controller.dns_server.connections.evicted == 1)
+            await until(lambda: controller.dns_server.connections.evicted_count == 1)
             await until(lambda: streams[0].over.done())
             streams[1].send(b"\x00\x05abcde")
             await until(lambda: streams[1].over.done())
--- a/tests/controller/test_health_checks.py
+++ b/tests/controller/test_health_checks.py
@@ -15,7 +15,7 @@
             prober.settings = {**prober.settings, "at_once": 2, "waiting_most": 3}
             for endpoint in range(100, 110):
                 prober.probe(endpoint, ("127.10.9.1", world.port))
-            return len(prober.tasks), len(prober.queue), prober.dropped
+            return len(prober.tasks), len(prober.queue), prober.dropped_count
 
         self.assertEqual(run_with_standins(case), (2, 3, 5))
 
--- a/tests/controller/test_many_proxies.py
+++ b/tests/controller/test_many_proxies.py
@@ -160,7 +160,7 @@
             sent += 1
             self.assertLessEqual(call.backlog_size, MAX_BACKLOG)
         self.assertTrue(call.is_closed and sent <= MAX_BACKLOG // 100_000)
-        self.assertLess(len(transport.out), 1000)
+        self.assertLess(len(transport.written_data), 1000)
 
     async def test_output_to_a_closing_connection_is_dropped_without_error(self):
         client = client_connection()
--- a/tests/fleet/test_gossip.py
+++ b/tests/fleet/test_gossip.py
@@ -23,7 +23,9 @@
                 script = script.replace(
                     f"control = {address}", f'peer = {address}{{grpc}}", control = {address}'
                 )
-            fleet_settings = settings(port, script=script, more=f"fleet(keys = [{KEY.hex()!r}])")
+            fleet_settings = settings(
+                port, script=script, extra_script=f"fleet(keys = [{KEY.hex()!r}])"
+            )
             controllers = fleet_settings["steward"]
             for index, me in enumerate(controllers):
                 nodes.append(
--- a/tests/grpc/test_failover.py
+++ b/tests/grpc/test_failover.py
@@ -91,7 +91,7 @@
                 ),
                 15,
             )
-            order_rows = [row for proxy in proxies for row in proxy.recorder.rows_of("order")]
+            order_rows = [row for proxy in proxies for row in proxy.recorder.rows_of_kind("order")]
             versions = [(row[2], row[4], row[5]) for row in order_rows if row[6] == "applied"]
             self.assertEqual(len(versions), len(set(versions)))
             for proxy in proxies:
@@ -148,7 +148,7 @@
             )
             await until(
                 lambda: proxy.fence.newest[0] > 1
-                and proxy.recorder.rows_of("order")[-1][6] == "applied",
+                and proxy.recorder.rows_of_kind("order")[-1][6] == "applied",
                 15,
             )
             connection.received = original
@@ -158,7 +158,9 @@
             for subscription in session.discovery.subscriptions.values():
                 subscription.nonce = ""
             session.on_tables_changed()
-            await until(lambda: any(row[6] == "old" for row in proxy.recorder.rows_of("order")))
+            await until(
+                lambda: any(row[6] == "old" for row in proxy.recorder.rows_of_kind("order"))
+            )
             self.assertEqual(proxy.entries, held_endpoints)
             await proxy.finish()
 
--- a/tests/grpc/test_incremental.py
+++ b/tests/grpc/test_incremental.py
@@ -81,7 +81,7 @@
                     for endpoint in endpoints
                 },
             )
-            self.assertFalse([row for row in proxy.recorder.rows_of("held") if not row[7]])
+            self.assertFalse([row for row in proxy.recorder.rows_of_kind("held") if not row[7]])
             self.assertTrue(cut_links)
             await proxy.finish()
 
--- a/tests/health/test_load_report_counts.py
+++ b/tests/health/test_load_report_counts.py
@@ -15,7 +15,7 @@
     def make_counts(self):
         views = {"10.1.0.0": View(0, "desk0", 70, 0, 1.0), "10.2.0.0": View(1, "desk1", 71, 1, 1.0)}
         counts = LoadReportCounts(["look", "file"], views.get, 0, 1.0)
-        self.assertEqual(counts.events_due(0.0, [70, 71]), [])
+        self.assertEqual(counts.take_due_events(0.0, [70, 71]), [])
         return counts
 
     def report(self, boot="b", **rows):
@@ -34,7 +34,7 @@
             ),
             None,
         )
-        events = counts.events_due(2.0, [70, 71])
+        events = counts.take_due_events(2.0, [70, 71])
         self.assertEqual(
             events,
             [
@@ -52,7 +52,7 @@
         counts.add_report(3, self.report("c", **{"10_1_0_0": [1, 1, 0, 0, 0, 0, 0.5]}), None)
         (stats,) = [
             event
-            for event in counts.events_due(1.0, [70, 71])
+            for event in counts.take_due_events(1.0, [70, 71])
             if type(event) is interface.EndpointStats
         ]
         self.assertEqual((stats.attempts, stats.errors), (4, 0))
@@ -63,7 +63,7 @@
         counts.add_report(3, self.report(**{"10_1_0_0": [9, 0, 0, 0, 8, 0, 0.0]}), None)
         (stats,) = [
             event
-            for event in counts.events_due(1.0, [70, 71])
+            for event in counts.take_due_events(1.0, [70, 71])
             if type(event) is interface.EndpointStats
         ]
         self.assertEqual((stats.attempts, stats.errors), (8, 8))
@@ -73,7 +73,8 @@
         counts.add_probe(3, True, 0.01)
         counts.add_probe(4, False, 0.8)
         self.assertEqual(
-            counts.events_due(1.0, [70, 71]), [interface.EndpointStats(3, 0, 1, 0, 1.0, 0.01, None)]
+            counts.take_due_events(1.0, [70, 71]),
+            [interface.EndpointStats(3, 0, 1, 0, 1.0, 0.01, None)],
         )
 
     def test_malformed_reports_are_ignored(self):
@@ -84,4 +85,4 @@
             counts.add_report(
                 3, EndpointReport("b", ["look", "other"], {"10.1.0.0": rows, "junk": rows}), None
             )
-        self.assertEqual(counts.events_due(1.0, [70, 71]), [])
+        self.assertEqual(counts.take_due_events(1.0, [70, 71]), [])
--- a/tests/net/test_http.py
+++ b/tests/net/test_http.py
@@ -43,18 +43,18 @@
         self.assertEqual([path for _, path, _, _ in server.served], ["/1", "/2"])
         server.respond(200, [], b"two", last=True)
         self.assertTrue(transport.closed)
-        self.assertLess(transport.out.index(b"one"), transport.out.index(b"two"))
+        self.assertLess(transport.written_data.index(b"one"), transport.written_data.index(b"two"))
 
     async def test_too_many_pipelined_requests_are_rejected_after_the_responses_to_the_others(self):
         server, transport = self.start()
         server.received(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n" * (http.MAX_PIPELINED_REQUESTS + 3))
-        self.assertEqual((len(server.served), transport.out), (1, b""))
+        self.assertEqual((len(server.served), transport.written_data), (1, b""))
         for _ in range(http.MAX_PIPELINED_REQUESTS):
             server.respond(200, [], b"")
             await asyncio.sleep(0)
         self.assertTrue(transport.closed)
         self.assertEqual(
-            [transport.out.count(b"HTTP/1.1 %d" % status) for status in (200, 429)],
+            [transport.written_data.count(b"HTTP/1.1 %d" % status) for status in (200, 429)],
             [http.MAX_PIPELINED_REQUESTS, 1],
         )
 
@@ -78,7 +78,9 @@
         ):
             server, transport = self.start()
             server.received(request)
-            self.assertEqual(transport.out.split(b" ")[1:2], [b"%d" % status], request[:60])
+            self.assertEqual(
+                transport.written_data.split(b" ")[1:2], [b"%d" % status], request[:60]
+            )
             self.assertTrue(transport.closed)
 
     async def test_a_body_above_the_size_limit_is_rejected_and_not_served(self):
@@ -88,7 +90,7 @@
         )
         for _ in range(http.MAX_BODY_BYTES // 65536 + 1):
             server.received(b"z" * 65536)
-        self.assertTrue(transport.out.startswith(b"HTTP/1.1 413"))
+        self.assertTrue(transport.written_data.startswith(b"HTTP/1.1 413"))
         self.assertEqual(server.served, [])
 
 
--- a/tests/platform/test_sessions.py
+++ b/tests/platform/test_sessions.py
@@ -167,7 +167,7 @@
             await platform.proxy_with_table()
             session = platform.controller.proxy_sessions[0]
             with mock.patch.object(session, "close"):  # as if unread bytes kept the connection open
-                session.line(b"no sense")
+                session.line_received(b"no sense")
                 await until(lambda: not platform.controller.planner.connected)
 
         with mock.patch.object(sessions, "REFUSAL_TIMEOUT", 0.05):
--- a/tests/platforms.py
+++ b/tests/platforms.py
@@ -118,7 +118,7 @@
         self.messages = []  # received from the controller, decoded
         self.end_reason = None
 
-    def line(self, data):
+    def line_received(self, data):
         self.messages.append(json.loads(data))
 
     def ended(self, reason):
--- a/tests/settings/test_loader.py
+++ b/tests/settings/test_loader.py
@@ -82,5 +82,7 @@
             load_settings("s.star", "")
 
     def test_a_script_may_compute_its_views(self):
-        loaded = settings(more='[view(name = "d%d" % i, zone = "north") for i in range(50)]\n')
+        loaded = settings(
+            extra_script='[view(name = "d%d" % i, zone = "north") for i in range(50)]\n'
+        )
         self.assertEqual(len(loaded["view"]), 52)
--- a/tests/sources/documents.py
+++ b/tests/sources/documents.py
@@ -2,7 +2,7 @@
 
 import json
 
-HOST = {
+LIST_ENTRY = {
     "name": "h1",
     "zone": "north",
     "phase": "ready",
@@ -11,6 +11,6 @@
 }
 
 
-def document(*hosts, version=1, written=100.0):
+def list_document(*hosts, version=1, written=100.0):
     """Return an endpoint list with these entries as JSON."""
     return json.dumps({"version": version, "written": written, "hosts": hosts}).encode()
--- a/tests/sources/test_endpoint_cache.py
+++ b/tests/sources/test_endpoint_cache.py
@@ -6,9 +6,9 @@
 from pathlib import Path
 
 from peatlead.sources.endpoint_cache import EndpointCache
-from peatlead.sources.endpoint_list import read_document
+from peatlead.sources.endpoint_list import parse_list_document
 
-from .documents import HOST, document
+from .documents import LIST_ENTRY, list_document
 
 
 class EndpointCacheTest(unittest.TestCase):
@@ -16,7 +16,7 @@
         with tempfile.TemporaryDirectory() as folder:
             cache = EndpointCache(f"{folder}/list")
             self.assertIsNone(cache.load()[0])
-            endpoint_list = read_document(document(HOST))
+            endpoint_list = parse_list_document(list_document(LIST_ENTRY))
             cache.save(endpoint_list)
             self.assertEqual(cache.load()[0], endpoint_list._replace(scope="remembered"))
             whole = Path(f"{folder}/list").read_bytes()
@@ -38,14 +38,14 @@
     def test_a_crash_during_a_write_leaves_the_previous_list(self):
         with tempfile.TemporaryDirectory() as folder:
             cache = EndpointCache(f"{folder}/list")
-            cache.save(read_document(document(HOST, version=1)))
+            cache.save(parse_list_document(list_document(LIST_ENTRY, version=1)))
             original, os.replace = (
                 os.replace,
                 lambda *_: (_ for _ in ()).throw(OSError("simulated error")),
             )
             try:
                 with self.assertRaises(OSError):
-                    cache.save(read_document(document(HOST, version=2)))
+                    cache.save(parse_list_document(list_document(LIST_ENTRY, version=2)))
             finally:
                 os.replace = original
             self.assertEqual(cache.load()[0].version, 1)
--- a/tests/sources/test_endpoint_list.py
+++ b/tests/sources/test_endpoint_list.py
@@ -2,23 +2,23 @@
 
 import unittest
 
-from peatlead.sources.endpoint_list import read_document
+from peatlead.sources.endpoint_list import parse_list_document
 
-from .documents import HOST, document
+from .documents import LIST_ENTRY, list_document
 
 
 class EndpointListTest(unittest.TestCase):
     def test_invalid_entries_are_left_out_and_reported(self):
         invalid = [
-            {**HOST, "name": "a.b"},
-            {**HOST, "phase": "well"},
-            {**HOST, "weight": 0},
-            {**HOST, "address": "::1"},
+            {**LIST_ENTRY, "name": "a.b"},
+            {**LIST_ENTRY, "phase": "well"},
+            {**LIST_ENTRY, "weight": 0},
+            {**LIST_ENTRY, "address": "::1"},
             {"zone": "north"},
             7,
-            {**HOST, "weight": "1"},
+            {**LIST_ENTRY, "weight": "1"},
         ]
-        endpoint_list = read_document(document(HOST, *invalid, HOST))
+        endpoint_list = parse_list_document(list_document(LIST_ENTRY, *invalid, LIST_ENTRY))
         self.assertEqual(
             ([entry.name for entry in endpoint_list.endpoints], len(endpoint_list.entry_errors)),
             (["h1"], 8),
--- a/tests/sources/test_file_watch.py
+++ b/tests/sources/test_file_watch.py
@@ -4,10 +4,10 @@
 import unittest
 from pathlib import Path
 
-from peatlead.sources.endpoint_list import EndpointListError, read_document
+from peatlead.sources.endpoint_list import EndpointListError, parse_list_document
 from peatlead.sources.file_watch import FileSource
 
-from .documents import HOST, document
+from .documents import LIST_ENTRY, list_document
 
 
 class FileSourceTest(unittest.TestCase):
@@ -21,10 +21,10 @@
         return source, updates, events
 
     def test_a_truncated_list_is_reported_unavailable_once(self):
-        whole = document(HOST)
+        whole = list_document(LIST_ENTRY)
         for size in range(0, len(whole) - 1):
             with self.assertRaises(EndpointListError):
-                read_document(whole[:size])
+                parse_list_document(whole[:size])
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "n.json"
             source, updates, events = self.make_source(path)
@@ -41,7 +41,7 @@
             path = Path(folder) / "n.json"
             source, updates, events = self.make_source(path)
             for version in (5, 4, 6):
-                path.write_bytes(document(HOST, version=version) + b" " * version)
+                path.write_bytes(list_document(LIST_ENTRY, version=version) + b" " * version)
                 source.check_file(0.0)
             self.assertEqual([update.version for update in updates], [5, 6])
             self.assertIn("older list ignored", events)
--- a/tests/standin_fleet.py
+++ b/tests/standin_fleet.py
@@ -45,10 +45,13 @@
 CLIENT_OF_VIEW = {"desk0": "10.1.0.1", "desk1": "10.2.0.1"}
 
 
-def settings(port=5300, path="/nowhere/nodes.json", script=SCRIPT, more=""):
-    """Return the settings of `script` with its ports and list file filled in, plus the text `more`."""
+def settings(port=5300, path="/nowhere/nodes.json", script=SCRIPT, extra_script=""):
+    """Return the settings of `script` followed by `extra_script`.
+
+    The ports and the path of the list file are filled into `script`.
+    """
     text = script.format(port=port, control=port + 1, grpc=port + 2, path=path)
-    return load_settings("test.star", text + more)
+    return load_settings("test.star", text + extra_script)
 
 
 def run(case, timeout=90.0):
@@ -87,7 +90,7 @@
     def row(self, kind, at, *fields):
         self.rows.append((kind, at, *fields))
 
-    def rows_of(self, kind):
+    def rows_of_kind(self, kind):
         return [row for row in self.rows if row[0] == kind]
 
 
--- a/tests/transcripts/test_gossip_transcripts.py
+++ b/tests/transcripts/test_gossip_transcripts.py
@@ -99,7 +99,7 @@
         script = script.replace(
             f"control = {address}", f'peer = {address}{{grpc}}", control = {address}'
         )
-    all_settings = settings(5300, script=script, more=f"fleet(keys = [{key.hex()!r}])")
+    all_settings = settings(5300, script=script, extra_script=f"fleet(keys = [{key.hex()!r}])")
     return all_settings, [tuple(controller["peer"]) for controller in all_settings["steward"]]
 
 
