--- a/peatlead/dns/server.py
+++ b/peatlead/dns/server.py
@@ -117,7 +117,7 @@
             self.server.unanswered += 1
             self.abort("answers are out of date")  # the resolver asks another controller
             return
-        answer = self.server.answers.respond(query, self.peer[0], True)
+        answer = self.server.answers.respond(query, self.peer_address[0], True)
         if answer is None:
             self.abort("malformed")
             return
--- a/peatlead/net/streams.py
+++ b/peatlead/net/streams.py
@@ -40,7 +40,7 @@
         self.idle_timeout = idle_timeout
         self.max_unsent_bytes = max_unsent_bytes
         self.transport: asyncio.Transport | None = None  # None before and after the connection
-        self.peer: Any = None  # the peer's address: (host, port), or longer for IPv6
+        self.peer_address: Any = None  # (host, port), or a longer tuple for IPv6
         self.last_activity = 0.0  # loop time of the last activity
         self.timer: asyncio.TimerHandle | None = None  # for the next check of the idle timeout
         self.close_reason: str | None = None  # why this side ended the connection
@@ -80,7 +80,7 @@
         """Start the idle timer and call `opened` (asyncio callback)."""
         self.loop = asyncio.get_running_loop()
         self.transport = cast(asyncio.Transport, transport)
-        self.peer = transport.get_extra_info("peername")
+        self.peer_address = transport.get_extra_info("peername")
         self.last_activity = self.loop.time()
         if self.idle_timeout:
             self.timer = self.loop.call_later(self.idle_timeout, self.check_idle)
--- a/peatlead/standin/hosts.py
+++ b/peatlead/standin/hosts.py
@@ -194,7 +194,7 @@
         )
 
     def _receive_check(self, connection: "Connection", headers: dict[str, str], now: float) -> None:
-        self._set_admissions(connection.peer[0], headers.get("peatlead-levels", ""), now)
+        self._set_admissions(connection.peer_address[0], headers.get("peatlead-levels", ""), now)
         if not self.plan.deep:
             self._answer_check(connection)
         elif self.hung:
@@ -367,7 +367,7 @@
 
     def opened(self) -> None:
         """Register the connection, or cut it past the endpoint's limit."""
-        self.network = self.peer[0].rpartition(".")[0] + ".0"
+        self.network = self.peer_address[0].rpartition(".")[0] + ".0"
         if len(self.host.connections) >= self.host.plan.connections:
             self.abort("too many connections")
             return
--- a/tests/controller/test_dns_controller.py
+++ b/tests/controller/test_dns_controller.py
@@ -28,7 +28,7 @@
             stream.close()
             endpoint = answer.headers["host-name"]
             return answer.status, [
-                (row[2], row[3]) for row in world.record.rows_of_kind("effect")
+                (row[2], row[3]) for row in world.recorder.rows_of_kind("effect")
             ] == [(endpoint, "r1")]
 
         self.assertEqual(run_with_standins(case), (200, True))
--- a/tests/standin_fleet.py
+++ b/tests/standin_fleet.py
@@ -104,7 +104,7 @@
     def __init__(self, folder, endpoints=4, deep=True, cold=False, script=SCRIPT):
         self.folder = Path(folder)
         self.port = free_port()
-        self.record = MemoryRecorder()
+        self.recorder = MemoryRecorder()
         self.settings = settings(self.port, f"{folder}/nodes.json", script)
         self.random = Random(4)
         self.pods = Pods()
@@ -138,7 +138,7 @@
     async def start(self):
         """Start the endpoints and write the first list."""
         for plan in self.plans:
-            self.endpoints.append(StandInEndpoint(plan, self.random, self.record, self.pods))
+            self.endpoints.append(StandInEndpoint(plan, self.random, self.recorder, self.pods))
             await self.endpoints[-1].begin()
         self.write_list()
         return self
