--- a/peatlead/standin/platform_fleet.py
+++ b/peatlead/standin/platform_fleet.py
@@ -83,7 +83,7 @@
             cold=not proxy.received_full_table,
         )
 
-    def line(self, data: bytes) -> None:
+    def line_received(self, data: bytes) -> None:
         """Collect the parts of a message and queue a complete one in the controller's channel."""
         part = json.loads(data)
         if part["msg"] != "push":
