--- a/peatlead/standin/dns_clients.py
+++ b/peatlead/standin/dns_clients.py
@@ -178,7 +178,7 @@
         self.id_prefix = id_prefix  # of request ids
         self.loop = asyncio.get_running_loop()
         self.rate = plan.rate
-        self.sent = 0
+        self.request_count = 0
         self.stopped = False
         self.tasks: set[asyncio.Task[None]] = set()
         prefix = plan.network.rpartition(".")[0]
@@ -203,12 +203,14 @@
         self.loop.call_at(due, self._arrive, due)
 
     def _start_request(self, due: float) -> None:
-        self.sent += 1
+        self.request_count += 1
         classes = self.plan.kinds
         request_class = self.rng.choices(classes, [candidate.share for candidate in classes])[0]
         client = self.clients[self.rng.randrange(len(self.clients))]
         deadline = due + request_class.client_timeout
-        request = Request(f"{self.id_prefix}-{self.sent}", request_class, client, due, deadline)
+        request = Request(
+            f"{self.id_prefix}-{self.request_count}", request_class, client, due, deadline
+        )
         task = self.loop.create_task(self._run(request))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
@@ -223,7 +225,7 @@
             result = await self._attempt(request, attempts, address)
             address = result.address
             if result.outcome != Outcome.UNRESOLVED or not attempts:
-                outcome = result.outcome  # a retry without an answer keeps the earlier outcome
+                outcome = result.outcome  # a retry that finds no address does not count
             attempts += 1
             if not result.retry:
                 break
--- a/peatlead/standin/hosts.py
+++ b/peatlead/standin/hosts.py
@@ -146,11 +146,11 @@
     def _receive_request(
         self, connection: "Connection", request_class: str, request_id: str, now: float
     ) -> None:
-        mean = self.plan.work.get(request_class)
-        if mean is None:
+        mean_work = self.plan.work.get(request_class)
+        if mean_work is None:
             connection.respond(404, [], b"")
             return
-        work = self._draw_work(request_class, mean)
+        work = self._draw_work(request_class, mean_work)
         self._count_offered_work(now, work)
         if self._refuse(connection, request_class, now):
             return
@@ -168,8 +168,8 @@
         self.queue.append(job)
         self.advance()
 
-    def _draw_work(self, request_class: str, mean: float) -> float:
-        work = mean * self.rng.uniform(*WORK_SPREAD)
+    def _draw_work(self, request_class: str, mean_work: float) -> float:
+        work = mean_work * self.rng.uniform(*WORK_SPREAD)
         heavy = self.heavy
         if heavy and heavy.request_class == request_class and self.rng.random() < heavy.fraction:
             work *= heavy.factor
@@ -343,7 +343,7 @@
     def _release(self) -> None:
         """Abort the connections whose requests were held while the endpoint was silent or hung."""
         for connection in self.held_connections:
-            connection.abort("was silent")
+            connection.abort("request was held by a fault")
         self.held_connections = []
         self.loop.call_soon(self.advance)
 
--- a/peatlead/standin/platform_fleet.py
+++ b/peatlead/standin/platform_fleet.py
@@ -2,7 +2,7 @@
 
     fleet = Fleet(settings, FleetPlan(...), folder)
     await fleet.start()
-    fleet.list_hosts([...]); fleet.kill("n0"); fleet.restart("n0")
+    fleet.update_endpoints([...]); fleet.kill("n0"); fleet.restart("n0")
     fleet.drain_report()
 
 The fleet checks the drain rule on the tables of the proxies: a proxy must not be able to reach an
@@ -94,7 +94,7 @@
             self.parts = []
 
     def ended(self, reason: str) -> None:
-        """Have the proxy dial again."""
+        """Schedule the next connection of the proxy."""
         self.fleet.stream_ended(self)
 
     def acknowledge(self, nonce: Any, latency: float) -> None:
@@ -119,14 +119,14 @@
         self.plan = plan
         self.folder = folder  # for configurations and logs of the controllers
         self.rng = Random(plan.seed)
-        self.controller_names = [f"n{rank}" for rank in range(plan.controllers)]  # of controllers
+        self.controller_names = [f"n{rank}" for rank in range(plan.controllers)]
         self.zones: list[str] = settings["zones"]
         self.proxies = self._build_proxies()
         self.streams: dict[ProxyState, ProxyStream] = {}
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
         self.tasks: set[asyncio.Task[None]] = set()
         self.channels = self._build_channels()
-        self.reachable_seconds: dict[tuple[int, str], float] = {}  # seconds, by proxy and endpoint
+        self.reachable_seconds: dict[tuple[int, str], float] = {}  # by proxy and endpoint
         self.stopped = False
         self.endpoint_list = EndpointList()
         self.update_endpoints([self.endpoint_entry(number) for number in range(plan.endpoints)])
@@ -180,9 +180,9 @@
             self.restart(name)
         for name in self.controller_names:
             await self.wait_until_ready(name)
-        self._spawn(self._run_checks())
+        self._start_task(self._run_checks())
         for proxy in self.proxies:
-            self._spawn(self._dial(proxy, self._own_controller(proxy)))
+            self._start_task(self._dial(proxy, self._own_controller(proxy)))
 
     def restart(self, name: str) -> None:
         """Start a controller's process."""
@@ -249,7 +249,7 @@
         """Return the name of the controller that a proxy prefers."""
         return self.controller_names[proxy.number % len(self.controller_names)]
 
-    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+    def _start_task(self, coroutine: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
@@ -274,10 +274,10 @@
 
     def _set_stream(self, proxy: ProxyState, stream: ProxyStream) -> None:
         """Replace the proxy's stream, and schedule its return to its own controller."""
-        former = self.streams.get(proxy)
+        previous = self.streams.get(proxy)
         self.streams[proxy] = stream
-        if former is not None:
-            former.abort("moved")
+        if previous is not None:
+            previous.abort("moved")
         if self.plan.return_delay and stream.controller != self._own_controller(proxy):
             delay = self.rng.uniform(0.5, 1.0) * self.plan.return_delay
             asyncio.get_running_loop().call_later(
@@ -286,7 +286,7 @@
 
     def _return_to_own_controller(self, proxy: ProxyState, stream: ProxyStream) -> None:
         if self.streams.get(proxy) is stream and not self.stopped:
-            self._spawn(self._dial(proxy, self._own_controller(proxy)))
+            self._start_task(self._dial(proxy, self._own_controller(proxy)))
 
     def stream_ended(self, stream: ProxyStream) -> None:
         """Schedule a new connection of the proxy if the stream was its current one."""
@@ -296,7 +296,7 @@
             proxy.joined_at = None
             delay = self.rng.uniform(*self.plan.redial_delay)
             asyncio.get_running_loop().call_later(
-                delay, lambda: self._spawn(self._dial(proxy, stream.controller))
+                delay, lambda: self._start_task(self._dial(proxy, stream.controller))
             )
 
     # Checks.
--- a/peatlead/standin/platform_proxies.py
+++ b/peatlead/standin/platform_proxies.py
@@ -81,9 +81,9 @@
         self.entries_per_s = entries_per_s
         self.message_cost = message_cost
         self.queue: deque[QueuedMessage[StreamT]] = deque()
-        self.last_departure_at = 0.0  # when the last message left
+        self.last_departure_at = 0.0
         self.waiting = 0.0  # entries in the queue
-        self.max_waiting = 0.0  # the largest value of `waiting` so far
+        self.max_waiting = 0.0  # maximum of `waiting` so far
 
     def put(self, now: float, stream: StreamT, parts: Sequence[MessagePart]) -> None:
         """Add a message whose last byte has arrived now."""
--- a/peatlead/standin/resolvers.py
+++ b/peatlead/standin/resolvers.py
@@ -27,8 +27,10 @@
 MAX_STALE_TIME = 30.0  # seconds after expiry in which an answer may be served
 ATTEMPT_TIMEOUT = 0.35  # seconds until the next server is queried
 MAX_ATTEMPTS = 4
-MAX_CACHED_ANSWERS = 10_000  # answers
-SLOWNESS_DECAY = 0.7  # per unanswered query, so that the server is queried again later
+MAX_CACHED_ANSWERS = 10_000
+SLOWNESS_DECAY = (
+    0.7  # of the previous slowness, after a query without an answer; bounds the slowness
+)
 UDP_PAYLOAD = 1232  # bytes, in the EDNS option (DNS flag day 2020)
 CACHED_RCODES = ("NOERROR", "NXDOMAIN")
 
@@ -91,7 +93,7 @@
         self.cache: dict[CacheKey, CachedAnswer] = {}
         self.queries: dict[CacheKey, asyncio.Task[Optional[CachedAnswer]]] = {}  # active
         self.waiting: dict[tuple[Server, bytes], asyncio.Future[bytes]] = {}  # by message ID
-        self.slowness = dict.fromkeys(servers, 0.0)  # smoothed seconds until an answer
+        self.slowness = dict.fromkeys(servers, 0.0)  # smoothed response time in seconds
 
     async def begin(self) -> None:
         """Open the UDP socket for queries."""
--- a/peatlead/standin/xds_proxies.py
+++ b/peatlead/standin/xds_proxies.py
@@ -1,8 +1,8 @@
 """Stand-in proxies, which apply assignments from a controller, send requests and report loads.
 
-A proxy follows one discovery stream. It applies only assignments that are newer than the newest
-(epoch, serial) it has applied; older ones are recorded and ignored. It continues to read abandoned
-streams, so that late messages of a frozen controller are recorded and shown to have no effect.
+A proxy follows one discovery stream. It applies only assignments that are newer than its fence, a
+pair (epoch, serial); older ones are recorded and ignored. It still reads abandoned streams, so that
+late messages of a frozen controller are recorded and shown to have no effect.
 """
 
 import asyncio
@@ -240,7 +240,7 @@
         ended: asyncio.Future[dict[str, str]],
     ) -> None:
         """Report loads until the stream ends or the controller stops responding."""
-        self._read_hints(call.peer_metadata)
+        self._store_preferred_controllers(call.peer_metadata)
         self.recorder.row("stream", self.loop.time(), self.plan.name, controller, "joined")
         self._start_task(self._report_loads(connection))
         await self._wait_for_end(connection, ended)
@@ -261,9 +261,9 @@
     def _abandon(self, connection: Connection) -> None:
         """Stop following a connection, but read it for ABANDONED_READ_TIME more."""
         self.abandoned_connections.append(connection)
-        self.loop.call_later(ABANDONED_READ_TIME, connection.abort, "given up")
+        self.loop.call_later(ABANDONED_READ_TIME, connection.abort, "stream abandoned")
 
-    def _read_hints(self, metadata: dict[str, str]) -> None:
+    def _store_preferred_controllers(self, metadata: dict[str, str]) -> None:
         """Store the controllers from the metadata `peatlead-controllers`: "NAME=HOST:PORT,..."."""
         self.preferred_controllers = []
         for item in filter(None, metadata.get("peatlead-controllers", "").split(",")):
@@ -479,7 +479,7 @@
         if tasks:
             await asyncio.wait(tasks, timeout=FINISH_TIMEOUT)
         for connection in self.abandoned_connections:
-            connection.abort("the day is over")
+            connection.abort("proxy finished")
 
 
 class ProxyGroup:
