--- a/peatlead/invariants/drains.py
+++ b/peatlead/invariants/drains.py
@@ -104,7 +104,7 @@
         counts["sends"] += 1
         counts["worst"] = max(counts["worst"], elapsed - self.grace if elapsed else 0.0)
         counts["after grace"] += elapsed > self.grace
-        if row.resolver == PROXY_RESOLVER:  # the rule binds a proxy only while it is connected
+        if row.resolver == PROXY_RESOLVER:  # the rule applies to a proxy only while it is connected
             elapsed = min(elapsed, row.at - self.connections.connected_since(row.view, row.at))
         elif elapsed > self.grace and not self.knowledge.any_could_know(removed_at, row.at):
             return  # no running controller could know of the drain
--- a/peatlead/invariants/findings.py
+++ b/peatlead/invariants/findings.py
@@ -11,7 +11,7 @@
 MAX_LISTED_BREACHES = 5  # breaches that a finding names one by one
 MAX_LIST_READ_DELAY = 0.25  # seconds until a controller, polling every 0.2 s, has read a new list
 DRAIN_BOUND_RESOLVERS = ("keeps", "agent")
-"""Resolver kinds that the drain rule binds; others use answers after their TTL (RFC 8767)."""
+"""Resolver kinds under the drain rule; others may use expired answers (RFC 8767)."""
 
 
 class Finding(NamedTuple):
--- a/peatlead/invariants/slow_start.py
+++ b/peatlead/invariants/slow_start.py
@@ -15,7 +15,7 @@
 
     started_at: float
     listed_at: float
-    binds_at: float
+    applies_at: float
 
 
 def listed_starts(lists: list[Row], grace: float) -> defaultdict[str, list[ListedStart]]:
@@ -64,6 +64,6 @@
     shown = [start for start in starts if start.started_at >= row.since - START_TOLERANCE]
     return (
         bool(shown)
-        and row.at > shown[0].binds_at
+        and row.at > shown[0].applies_at
         and knowledge.any_could_know(shown[0].listed_at, row.at)
     )
