--- a/peatlead/tables/active_pin.py
+++ b/peatlead/tables/active_pin.py
@@ -1,4 +1,4 @@
-"""A pin with its times on the clock of one controller."""
+"""A pin with its times on the clock of one controller. No I/O and no clock."""
 
 from typing import Optional
 
@@ -6,14 +6,14 @@
 
 from .pin import Pin, PinScope, rollout_position, share_fraction
 
-ROLLOUT_COMPLETE = 2.0  # greater than every rollout position
+ROLLOUT_COMPLETE = 2.0  # greater than every rollout position, which is at most 1
 
 
 class ActivePin:
     """A pin known to this controller, ended or not, with its times on a monotonic clock.
 
-    The times are computed from the age and the remaining time at the moment the pin is received, so
-    that the clocks of different controllers are never compared.
+    The times are in seconds. They are computed from the pin's age and remaining time when the pin
+    is received, so that the clocks of different controllers are never compared.
     """
 
     __slots__ = ("pin", "created_at", "expires_at", "ended_at")
@@ -26,11 +26,11 @@
 
     @property
     def precedence(self) -> tuple[int, str]:
-        """The rank among pins on the same proxy: the pin with the greatest precedence applies."""
+        """The precedence among pins that select a proxy: the pin with the greatest one applies."""
         return self.pin.sequence, self.pin.id
 
     def as_pin(self, now: float) -> Pin:
-        """Return the pin with its durations at `now`, for storage or gossip."""
+        """Return the pin for storage or gossip, with its durations at `now`."""
         return msgspec.structs.replace(
             self.pin,
             age=now - self.created_at,
@@ -51,7 +51,7 @@
         )
 
     def covers(self, now: float, name: str, zone: str) -> bool:
-        """Return whether the pin applies to a proxy now."""
+        """Return whether the pin applies now to the proxy with this name and zone."""
         if not self._selects(name, zone):
             return False
         position = rollout_position(self.pin, name)
@@ -65,7 +65,7 @@
         return self.ended_at is None or self._rollout_progress(now - self.ended_at) <= position
 
     def _selects(self, name: str, zone: str) -> bool:
-        """Return whether the proxy is in the pin's scope; the caller checks PinScope.SHARE."""
+        """Return whether the scope selects the proxy. The caller checks a PinScope.SHARE."""
         if self.pin.scope == PinScope.PROXY:
             return name == self.pin.scope_argument
         if self.pin.scope == PinScope.ZONE:
@@ -73,7 +73,10 @@
         return True
 
     def _rollout_progress(self, age: float) -> float:
-        """Return the position that a rollout of this age has reached, or ROLLOUT_COMPLETE."""
+        """Return the position that a rollout has reached after `age` seconds.
+
+        The result is ROLLOUT_COMPLETE after the end of the rollout.
+        """
         return (
             ROLLOUT_COMPLETE
             if self.pin.rollout_duration <= 0 or age >= self.pin.rollout_duration
@@ -82,7 +85,7 @@
 
     @property
     def settles_at(self) -> float:
-        """When the rollout, or the staged end, is complete."""
+        """The time at which the rollout, or the staged end, is complete."""
         return (
             self.created_at if self.ended_at is None else self.ended_at
         ) + self.pin.rollout_duration
--- a/peatlead/tables/change_causes.py
+++ b/peatlead/tables/change_causes.py
@@ -1,8 +1,9 @@
 """Causes of published versions, in words for operators. No I/O.
 
 The planner's commands contain what changes, but not why. Therefore the last event of each endpoint
-is stored: from the endpoint list, from the planner's log messages and from its ramp. When an entry
-changes, the cause is the last event of its endpoint.
+is stored, from the endpoint list or from the planner's log messages. If the weight of an entry is
+below the listed weight, the cause of its change is the endpoint's ramp. Otherwise the cause is the
+last event of the endpoint.
 """
 
 from collections.abc import Callable, Mapping
@@ -12,7 +13,7 @@
 from ..interface import EndpointPhase
 from .guard import RAMPED_FRACTION
 
-CAUSES_MAX = 6  # per version; further causes are only counted
+CAUSES_MAX = 6  # causes per version; further causes are only counted
 ASSIGNED_CAUSE = "put on its table"
 PHASE_EVENTS = {
     EndpointPhase.READY.value: "listed",
@@ -20,12 +21,12 @@
     EndpointPhase.GONE.value: "is gone",
 }
 
-Operation = tuple[Any, ...]  # its `OperationKind`, followed by what it changes
-Operations = Mapping[Operation, Any]
+Operation = tuple[Any, ...]  # an `OperationKind`, followed by the numbers of what is changed
+Operations = Mapping[Operation, Any]  # operation -> new value
 
 
 class OperationKind(StrEnum):
-    """The first component of an operation in a channel's message."""
+    """The kind of an operation in a message to a proxy: the first component of the operation."""
 
     WITHDRAWAL = "withdrawn"  # of an endpoint from all tables
     WEIGHT = "line"  # of an endpoint in a table
@@ -41,7 +42,7 @@
 
 
 class ChangeCauses:
-    """The last event of each endpoint, and the causes of changes.
+    """Stores the last event of each endpoint, and returns the causes of changes.
 
     `endpoint_name` returns an endpoint's name, and `listed_weight` its weight in the endpoint list.
     """
@@ -56,7 +57,7 @@
     def note_phase_changes(
         self, changes: Mapping[int, tuple[Optional[str], str]], version: object
     ) -> None:
-        """Store the phase changes of a list version: {endpoint: (before, after)}."""
+        """Store the phase changes of a list version: endpoint -> (phase before, phase after)."""
         for endpoint, (before, after) in changes.items():
             previous = f" (was {before})" if before else ""
             self.last_events[endpoint] = f"{PHASE_EVENTS[after]}, list {version}{previous}"
@@ -90,7 +91,7 @@
         return tuple(ranked)
 
     def _cause_of(self, operation: Operation, value: Any) -> Optional[str]:
-        """Return the cause of one operation, or None if the operation has no separate cause."""
+        """Return the cause of one operation, or None if the operation has no cause of its own."""
         kind = operation[0]
         if kind == OperationKind.WITHDRAWAL:
             endpoint = operation[1]
@@ -104,9 +105,10 @@
         return None
 
     def _cause_of_weight(self, endpoint: int, weight: Optional[float]) -> str:
+        """Return the cause of a changed weight; None or 0 removes the entry."""
         name = self._endpoint_name(endpoint)
-        listed = self._listed_weight(endpoint)
-        if weight and listed and weight < listed * RAMPED_FRACTION:
-            return f"{name} ramps, {weight / listed:.2f} of its weight"
+        listed_weight = self._listed_weight(endpoint)
+        if weight and listed_weight and weight < listed_weight * RAMPED_FRACTION:
+            return f"{name} ramps, {weight / listed_weight:.2f} of its weight"
         event = self.last_events.get(endpoint) or ("added" if weight else "removed")
         return f"{name} {event}"
--- a/peatlead/tables/digest.py
+++ b/peatlead/tables/digest.py
@@ -14,12 +14,12 @@
 from .items import ItemValue
 
 MODULUS = 1 << 256
-HASH_BYTES = 32
-TEXT_SHIFT_BITS = 128  # the text form has the upper half of the digest
+HASH_BYTES = 32  # of an item's hash
+TEXT_SHIFT_BITS = 128  # the text form contains the upper half of the digest
 
 
 class HashCache:
-    """A cache of item hashes; it is cleared when it holds `capacity` entries.
+    """A cache of item hashes, which is cleared when it holds `capacity` hashes.
 
     The tables of different proxies have many items in common.
     """
@@ -40,7 +40,7 @@
         return item_hash
 
 
-HASH_CACHE = HashCache()
+HASH_CACHE = HashCache()  # shared by all digests of the process
 
 
 class Digest:
--- a/peatlead/tables/errors.py
+++ b/peatlead/tables/errors.py
@@ -1,4 +1,4 @@
-"""Exceptions of versioned tables; all of them derive from `TablesError`."""
+"""Exceptions of versioned tables. All classes derive from `TablesError`."""
 
 
 class TablesError(Exception):
@@ -6,28 +6,28 @@
 
 
 class UnknownVersionError(TablesError):
-    """A version that is not stored: either it never existed or it was dropped."""
+    """A version is not stored, because it never existed or was dropped."""
 
 
 class VersionOrderError(TablesError, ValueError):
-    """A version that is not newer than the newest version of its proxy."""
+    """A committed version is not newer than the newest version of its proxy."""
 
 
 class KeyFormatError(TablesError, ValueError):
-    """Text that is not a valid line key."""
+    """A text is not a valid line key."""
 
 
 class StampFormatError(TablesError, ValueError):
-    """Text that is not a valid delta stamp."""
+    """A text is not a valid stamp of a delta."""
 
 
 class SegmentError(TablesError):
-    """Damage in a log segment; nothing after it can be read."""
+    """A segment of the table log is damaged. Nothing after the damage can be read."""
 
 
 class PinError(TablesError):
-    """An invalid pin request of an operator; the message says what was expected."""
+    """An operator's request for a pin is invalid. The message says what was expected."""
 
 
 class PinFormatError(TablesError, ValueError):
-    """Bytes that are not a valid list of pins."""
+    """Data is not a valid encoded list of pins."""
--- a/peatlead/tables/guard.py
+++ b/peatlead/tables/guard.py
@@ -3,11 +3,11 @@
 `guard` applies these rules in order:
 
 1. An endpoint is left out if it is withdrawn, not listed as ready, or in no table of the planner.
-2. An endpoint that is still ramping up gets its weight in the planner's table for this proxy, or
-   none if it is not in that table, and at most the same fraction of the table as there. The load of
-   the endpoint from all proxies therefore stays within the plan.
+2. An endpoint that is still ramping gets its weight in the planner's table for this proxy, and at
+   most the same fraction of the table's total weight as there. If the endpoint is not in that
+   table, it is left out. The load of the endpoint from all proxies therefore stays as planned.
 3. If less than KEPT_WEIGHT_FRACTION_MIN of the pinned weight is left, too few endpoints would take
-   the proxy's load: the endpoints of the planner's table are added.
+   the proxy's load. The endpoints of the planner's table are added.
 4. If no endpoint that has finished its ramp is left, the planner's table is used instead.
 """
 
@@ -20,7 +20,7 @@
 from ..interface import EndpointPhase
 
 KEPT_WEIGHT_FRACTION_MIN = 0.5  # of the pinned table's total weight
-RAMPED_FRACTION = 0.999  # of the listed weight: at or above it the ramp is finished
+RAMPED_FRACTION = 0.999  # of the listed weight, at or above which a ramp is finished
 
 Table = Mapping[int, float]  # endpoint -> weight
 
@@ -52,8 +52,8 @@
 class GuardedTable(NamedTuple):
     """A table to publish.
 
-    `restricted` has the endpoints that do not get their pinned weight, with the reason. `added` has
-    the endpoints that come from the planner's table.
+    `restricted` has the endpoints that do not get their pinned weight, with the reasons. `added`
+    has the endpoints that were added from the planner's table.
     """
 
     weights: dict[int, float]
@@ -62,7 +62,7 @@
 
 
 class _PermittedTable(NamedTuple):
-    """The permitted part of a pinned table."""
+    """The part of a pinned table that may be published."""
 
     weights: dict[int, float]
     restricted: dict[int, RestrictionReason]
@@ -70,14 +70,17 @@
 
 
 def guard(pinned: Table, planned: Table, context: GuardContext) -> GuardedTable:
-    """Return the table to publish, given the pinned table and the planner's present table."""
+    """Return the table to publish.
+
+    `pinned` is the past table of the pin, `planned` the current table of the planner.
+    """
     weights, restricted, ramping = _apply_restrictions(pinned, planned, context)
-    supplement: tuple[int, ...] = ()
+    added: tuple[int, ...] = ()
     if fsum(weights.values()) < KEPT_WEIGHT_FRACTION_MIN * fsum(pinned.values()):
-        supplement = tuple(
+        added = tuple(
             endpoint for endpoint in planned if endpoint not in weights and endpoint not in ramping
         )
-        weights.update((endpoint, planned[endpoint]) for endpoint in supplement)
+        weights.update((endpoint, planned[endpoint]) for endpoint in added)
     ramped = {
         endpoint
         for endpoint in weights
@@ -88,11 +91,11 @@
         return GuardedTable(dict(planned), restricted, unpinned)
     ramping += [endpoint for endpoint in weights if endpoint not in ramped]
     _limit_ramping(weights, ramping, planned)
-    return GuardedTable(weights, restricted, supplement)
+    return GuardedTable(weights, restricted, added)
 
 
 def _apply_restrictions(pinned: Table, planned: Table, context: GuardContext) -> _PermittedTable:
-    """Split a pinned table into unrestricted, restricted and still ramping endpoints."""
+    """Apply the rules 1 and 2 to the pinned table, without the weights of ramping endpoints."""
     permitted = _PermittedTable({}, {}, [])
     for endpoint, weight in pinned.items():
         reason = _restriction_reason(endpoint, planned, context)
@@ -108,7 +111,7 @@
 def _restriction_reason(
     endpoint: int, planned: Table, context: GuardContext
 ) -> Optional[RestrictionReason]:
-    """Return why an endpoint may not get its pinned weight, or None."""
+    """Return why an endpoint may not get its pinned weight, or None if it may."""
     phase = context.phases.get(endpoint)
     reason: Optional[RestrictionReason] = None
     if phase == EndpointPhase.DRAINING:
@@ -128,12 +131,15 @@
 
 
 def _limit_ramping(weights: dict[int, float], ramping: Collection[int], planned: Table) -> None:
-    """Limit ramping endpoints to their fraction of the planner's table."""
-    ramped_now = fsum(weight for endpoint, weight in weights.items() if endpoint not in ramping)
-    ramped_planned = fsum(weight for endpoint, weight in planned.items() if endpoint not in ramping)
-    # Scaled like the total of the other weights, ramping weights keep their fraction of the table.
+    """Set the weights of ramping endpoints, limited to their fraction of the planner's table."""
+    ramped_weight = fsum(weight for endpoint, weight in weights.items() if endpoint not in ramping)
+    planned_ramped_weight = fsum(
+        weight for endpoint, weight in planned.items() if endpoint not in ramping
+    )
+    # The planned weights of ramping endpoints are scaled down by as much as the other weights are
+    # smaller than planned, so that they keep their fraction of the table.
     scale = 1.0
-    if ramped_planned and ramped_now < ramped_planned:
-        scale = ramped_now / ramped_planned
+    if planned_ramped_weight and ramped_weight < planned_ramped_weight:
+        scale = ramped_weight / planned_ramped_weight
     for endpoint in ramping:
         weights[endpoint] = planned[endpoint] * scale
--- a/peatlead/tables/history.py
+++ b/peatlead/tables/history.py
@@ -1,8 +1,9 @@
 """The histories of all proxies, with limits. No I/O and no clock: times are arguments.
 
-Entries are limited in number (per proxy and in total), in age and in memory; the oldest entry of
-all proxies is dropped first. The newest state of a connected proxy is always kept. Above
-`proxies_max` histories, those of disconnected proxies are dropped, the earliest disconnected first.
+The entries are limited in number (per proxy and in total), in age and in memory. The oldest entry
+of all proxies is dropped first. The newest state of a connected proxy is always kept. Above
+`proxies_max` histories, the histories of disconnected proxies are dropped, starting with the proxy
+that disconnected first.
 """
 
 from collections import OrderedDict, deque
@@ -18,11 +19,11 @@
 
 __all__ = ["History", "HistoryEntry", "HistoryStore", "StoredEntry", "UnknownVersionError"]
 
-COMPACTION_SLACK = 1000  # references to dropped entries that never trigger a compaction
+COMPACTION_SLACK = 1000  # number of references to dropped entries that cause no compaction
 
 
 class StoredEntry(NamedTuple):
-    """An entry and the name of its proxy."""
+    """An entry with the name of its proxy."""
 
     name: str
     entry: HistoryEntry
@@ -50,14 +51,14 @@
         self.proxies_max = proxies_max
         self.histories: dict[str, History] = {}
         self.disconnected: OrderedDict[str, bool] = OrderedDict()  # earliest disconnected first
-        # (name, version) of all entries, oldest first. May refer to entries that were dropped.
+        # (name, version) of all entries, oldest first. Some references may be to dropped entries.
         self.publication_order: deque[tuple[str, Version]] = deque()
         self.entry_count = 0
         self.memory_bytes = 0  # approximate
-        self.dropped_entries = 0  # entries dropped since the start
+        self.dropped_entries = 0  # number of entries dropped since the start
 
     def history(self, name: str) -> History:
-        """Return the history of a connected proxy; creates the history of a new proxy."""
+        """Return the history of a connected proxy, which is created for a new proxy."""
         self.disconnected.pop(name, None)
         history = self.histories.get(name)
         if history is None:
@@ -66,7 +67,7 @@
         return history
 
     def mark_disconnected(self, name: str) -> None:
-        """Mark a proxy as disconnected: above `proxies_max` its history is dropped."""
+        """Mark a proxy as disconnected, so that its history may be dropped above `proxies_max`."""
         if name in self.histories:
             self.disconnected[name] = True
             self.disconnected.move_to_end(name)
@@ -79,7 +80,7 @@
         causes: Iterable[str],
         item_changes: Mapping[str, Optional[ItemValue]],
     ) -> HistoryEntry:
-        """Add a version of a proxy and drop what exceeds the limits.
+        """Add a version of a proxy, and drop the entries that exceed the limits.
 
         `published_at` is wall-clock time in seconds. Raises VersionOrderError.
         """
@@ -94,15 +95,15 @@
         self._compact()
         return entry
 
-    def restart(self, name: str, version: Version, items: Mapping[str, ItemValue]) -> None:
-        """Replace a proxy's history by a state whose previous versions are unknown."""
+    def replace_history(self, name: str, version: Version, items: Mapping[str, ItemValue]) -> None:
+        """Replace a proxy's history by one state, whose previous versions are unknown."""
         history = self.history(name)
         while history.entries:
             self._drop_oldest(history)
         history.items = dict(items)
         history.digest = Digest(items)
         history.newest_version = version
-        history.oldest_restorable = version
+        history.oldest_restorable_version = version
 
     def has_entry_up_to(self, name: str, version: Version) -> bool:
         """Return whether the proxy has a stored entry of this version or an older one."""
@@ -139,6 +140,7 @@
         return selected
 
     def _drop_oldest(self, history: History) -> None:
+        """Drop the oldest entry of one history."""
         entry = history.drop_oldest()
         self.entry_count -= 1
         self.memory_bytes -= entry.memory_bytes
@@ -147,7 +149,8 @@
     def _drop_excess_entries(self, now: float) -> None:
         """Drop the oldest entries while a limit is exceeded.
 
-        Where the clock was set back, no entry exceeds the age limit; the other limits still apply.
+        If the wall clock was set back, old entries may not exceed the age limit, but the other
+        limits still apply.
         """
         while self.publication_order and self._should_drop_oldest(now):
             name, version = self.publication_order.popleft()
@@ -166,7 +169,7 @@
         )
 
     def _oldest_entry(self) -> Optional[HistoryEntry]:
-        """Return the entry of the oldest reference, or None where that entry was dropped."""
+        """Return the entry of the oldest reference, or None if that entry was dropped."""
         name, version = self.publication_order[0]
         history = self.histories.get(name)
         if history and history.entries and history.entries[0].version == version:
@@ -182,9 +185,9 @@
                 self._drop_oldest(history)
 
     def _compact(self) -> None:
-        """Remove references to dropped entries once there are too many.
+        """Remove references to dropped entries if there are too many.
 
-        Otherwise they accumulate behind an old entry that is still stored.
+        Otherwise such references would accumulate behind an old entry that is still stored.
         """
         if len(self.publication_order) <= 2 * self.entry_count + COMPACTION_SLACK:
             return
--- a/peatlead/tables/items.py
+++ b/peatlead/tables/items.py
@@ -27,11 +27,11 @@
 WEIGHT_SCALE = 1000  # published weights are integers, in thousandths
 MILLION = 1_000_000  # published admitted fractions are integers, in millionths
 PORT_MAX = 65535
-KEY_CHARACTERS_SHOWN_MAX = 200  # of a malformed key in an error message
+KEY_CHARACTERS_SHOWN_MAX = 200  # of a malformed key, in an error message
 
 ItemValue = Union[int, str]
-Items = dict[str, ItemValue]
-ItemChanges = dict[str, Optional[ItemValue]]  # None: the item is removed
+Items = dict[str, ItemValue]  # by key
+ItemChanges = dict[str, Optional[ItemValue]]  # key -> new value, or None to remove the item
 Value = TypeVar("Value")
 
 
@@ -64,7 +64,7 @@
 
 
 def part_of(key: str) -> str:
-    """Return the part of the tables that a key belongs to: its first component."""
+    """Return the first component of a key, which is a `TablePart`."""
     return key[: key.index("/")]
 
 
@@ -77,7 +77,7 @@
 
 
 def changes(old: Mapping[str, Value], new: Mapping[str, Value]) -> dict[str, Optional[Value]]:
-    """Return the changes that turn `old` into `new`: key -> new value, None where removed."""
+    """Return the changes from `old` to `new`: key -> new value, or None for a removed key."""
     difference: dict[str, Optional[Value]] = {key: None for key in old if key not in new}
     difference.update((key, value) for key, value in new.items() if old.get(key) != value)
     return difference
--- a/peatlead/tables/log_reader.py
+++ b/peatlead/tables/log_reader.py
@@ -17,19 +17,19 @@
 
 
 class LogReader:
-    """Reads all segments into a store and a map of notes, oldest first."""
+    """Reads all segments, oldest first, into a store and a map of notes."""
 
     def __init__(self, folder: Path, store: HistoryStore, notes: dict[str, bytes]) -> None:
-        self.newest_number = 0  # of the newest segment; 0 where there is none
-        self.sizes: dict[int, int] = {}  # segment number -> intact bytes
+        self.newest_number = 0  # of the newest segment; 0 if there is no segment
+        self.segment_sizes: dict[int, int] = {}  # segment number -> intact bytes
         # Segment number -> newest version of each proxy in the segment.
-        self.published: dict[int, dict[str, Version]] = {}
+        self.published_versions: dict[int, dict[str, Version]] = {}
         self.problems: list[ReadProblem] = []
         self._folder = folder
         self._recovery = LogRecovery(store, notes)
 
     def read(self) -> None:
-        """Read all that is readable; adds an entry to `problems` for everything else."""
+        """Read all readable segments. Everything else is reported in `problems`."""
         try:
             paths = sorted(self._folder.glob("*.log"))
         except OSError as error:
@@ -40,6 +40,7 @@
                 self._read_file(path)
 
     def _read_file(self, path: Path) -> None:
+        """Read one segment file up to its end or the first damage."""
         try:
             segment = read_segment(path.read_bytes())
         except OSError as error:
@@ -49,13 +50,14 @@
         self.newest_number = max(self.newest_number, number)
         if segment.damage:
             self.problems.append(ReadProblem(path.name, segment.damage))
-        if segment.intact_bytes:  # 0 for files of other formats, which are left alone
+        if segment.intact_bytes:  # 0 for files of other formats, which are ignored
             self._apply(path.name, number, segment)
 
     def _apply(self, file: str, number: int, segment: Segment) -> None:
-        self.sizes[number] = segment.intact_bytes
-        published = self.published[number] = {}
+        """Apply the records of a segment to the store and the notes."""
+        self.segment_sizes[number] = segment.intact_bytes
+        published_versions = self.published_versions[number] = {}
         for record in segment.records:
-            problem = self._recovery.apply(record, published)
+            problem = self._recovery.apply(record, published_versions)
             if problem:
                 self.problems.append(ReadProblem(file, problem))
--- a/peatlead/tables/log_records.py
+++ b/peatlead/tables/log_records.py
@@ -2,12 +2,12 @@
 
 A segment is a header line `peatlead-tables FORMAT`, followed by frames. A frame is a 4-byte
 big-endian body length, an 8-byte checksum and the body. The bodies of a segment form one zstandard
-stream, flushed after each frame; each body holds one msgpack list of records. A checksum is the
-BLAKE3 hash of the previous frame's checksum and the body, so that missing, repeated and foreign
-frames are detected. Reading ends at the first damaged frame.
+stream, which is flushed after each frame. Each body contains one msgpack list of records. A
+checksum is the BLAKE3 hash of the previous frame's checksum and the body, so that missing, repeated
+and foreign frames are detected. Reading ends at the first damaged frame.
 
-Each segment starts with a snapshot of all proxies and can be read alone; older segments hold the
-versions before.
+Each segment starts with a snapshot of all proxies and can be read without the older segments, which
+contain the earlier versions.
 """
 
 import struct
@@ -22,20 +22,20 @@
 
 FORMAT_VERSION = 1
 HEADER_LINE = b"peatlead-tables %d\n"
-HEADER_MAGIC = HEADER_LINE.split()[0]
-HEADER_BYTES_MAX = 64
+HEADER_MAGIC = HEADER_LINE.split()[0]  # first word of the header line of every format
+HEADER_BYTES_MAX = 64  # of the header line
 FRAME_HEADER = struct.Struct(">I8s")  # body length, checksum
-CHECKSUM_BYTES = 8
-FRAME_BYTES_MAX = 16 << 20  # a greater length counts as damaged
+CHECKSUM_BYTES = 8  # of a frame's checksum
+FRAME_BYTES_MAX = 16 << 20  # a frame with a greater length counts as damaged
 DECOMPRESSED_BYTES_MAX = 256 << 20  # of a segment
-COMPRESSION_LEVEL = 3
+COMPRESSION_LEVEL = 3  # of zstandard
 
 
 class PublishedRecord(msgspec.Struct, array_like=True, tag="p"):
     """A published version of one proxy.
 
-    `at` is wall-clock time in seconds. `changes` maps keys to new values, None where the item was
-    removed.
+    `at` is wall-clock time in seconds. `changes` maps keys to new values, or to None for removed
+    items.
     """
 
     name: str
@@ -98,8 +98,8 @@
 class Segment(NamedTuple):
     """The readable records of a segment.
 
-    `intact_bytes` is the end of the last intact frame. `damage` says why reading stopped, or is ""
-    where the whole segment was read.
+    `intact_bytes` is the offset of the end of the last intact frame. `damage` says why reading
+    stopped, or is "" if the whole segment was read.
     """
 
     records: list[Record]
@@ -124,7 +124,7 @@
 
 
 def _check_header_line(data: bytes) -> int:
-    """Return the offset of the first frame. Raises SegmentError for any other format."""
+    """Return the offset of the first frame. Raises SegmentError if the format differs."""
     line = data[: data.find(b"\n", 0, HEADER_BYTES_MAX) + 1]
     if line == HEADER_LINE % FORMAT_VERSION:
         return len(line)
@@ -135,23 +135,24 @@
 
 
 class _FrameReader:
-    """Reads the frames of a segment in order; `position` is the end of the last intact frame."""
+    """Reads the frames of a segment in order. `position` is the end of the last intact frame."""
 
     def __init__(self, data: bytes, position: int) -> None:
         self.position = position
         self._data = data
         self._decompressor = zstandard.ZstdDecompressor().decompressobj()
         self._checksum = b""  # of the previous frame
-        self._decompressed_bytes = 0  # so far
+        self._decompressed_bytes = 0  # of all frames read so far
 
     def read_frame(self) -> list[Record]:
-        """Return the records of the next frame. Raises SegmentError where the frame is damaged."""
+        """Return the records of the next frame. Raises SegmentError if the frame is damaged."""
         body = self._read_body()
         records = self._decode(body)
         self.position += FRAME_HEADER.size + len(body)
         return records
 
     def _read_body(self) -> bytes:
+        """Return the body of the frame at `position` after checking length and checksum."""
         offset = self.position
         if len(self._data) - offset < FRAME_HEADER.size:
             raise SegmentError(f"torn frame header at byte {offset}")
@@ -169,6 +170,7 @@
         return body
 
     def _decode(self, body: bytes) -> list[Record]:
+        """Decompress and decode the body of a frame. Raises SegmentError."""
         offset = self.position
         try:
             decompressed = self._decompressor.decompress(body)
--- a/peatlead/tables/log_recovery.py
+++ b/peatlead/tables/log_recovery.py
@@ -19,7 +19,7 @@
         self._notes = notes
 
     def apply(self, record: Record, published: dict[str, Version]) -> Optional[str]:
-        """Apply one record. Return how it contradicts earlier records, or None.
+        """Apply one record. Return how the record contradicts earlier records, or None.
 
         `published` collects the newest published version of each proxy in the record's segment.
         """
@@ -39,6 +39,7 @@
     def _apply_published(
         self, record: PublishedRecord, history: History, version: Version
     ) -> Optional[str]:
+        """Commit a published version if it is newer than the proxy's newest version."""
         if version <= history.newest_version:
             return f"{record.name}: version {version} after {history.newest_version}"
         self._store.commit(record.name, version, record.at, record.causes, record.changes)
@@ -47,7 +48,7 @@
     def _apply_snapshot(
         self, record: SnapshotRecord, history: History, version: Version
     ) -> Optional[str]:
-        """Apply a snapshot. Missing versions before the snapshot become one version."""
+        """Apply a snapshot. Versions that are missing before the snapshot become one version."""
         if version == history.newest_version:
             if history.items == record.items:
                 return None
@@ -55,7 +56,7 @@
         if version < history.newest_version:
             return f"{record.name}: snapshot of version {version} after {history.newest_version}"
         if not history.newest_version.epoch:
-            self._store.restart(record.name, version, record.items)
+            self._store.replace_history(record.name, version, record.items)
             return None
         published_at = history.entries[-1].published_at if history.entries else 0.0
         missing = changes(history.items, record.items)
@@ -64,7 +65,7 @@
 
 
 def set_note(notes: dict[str, bytes], key: str, value: Optional[bytes]) -> None:
-    """Set a note, or remove it where the value is None."""
+    """Set a note. The value None removes the note."""
     if value is None:
         notes.pop(key, None)
     else:
--- a/peatlead/tables/pin.py
+++ b/peatlead/tables/pin.py
@@ -1,4 +1,4 @@
-"""Pins: operators' orders to serve past tables to some proxies. No I/O and no clock.
+"""Pins: orders of operators to serve past tables to some proxies. No I/O and no clock.
 
 A pin selects proxies, the past state that they get, and a duration. A pin takes effect in a staged
 rollout: the hash of the pin's id and a proxy's name gives the proxy a position from 0 to 1, and the
@@ -20,24 +20,24 @@
 
 ROLLOUT_MAX = 3600.0  # seconds from the first proxy to the last
 DURATION_MAX = 7 * 86_400.0  # seconds until a pin ends
-POSITION_BYTES = 6  # of the hash that determines a rollout position
+POSITION_BYTES = 6  # of the hash that gives a rollout position
 
 
 class PinScope(StrEnum):
-    """Which proxies a pin selects. The comments explain `Pin.scope_argument`."""
+    """Which proxies a pin selects. The comments say what `Pin.scope_argument` contains."""
 
-    ALL = "all"
+    ALL = "all"  # nothing
     ZONE = "zone"  # the zone's name
     SHARE = "share"  # a fraction of all proxies, above 0 and up to 1
     PROXY = "proxy"  # the proxy's name
 
 
 class PinTarget(StrEnum):
-    """Which state a pin gives the proxies. The comments explain `Pin.target_argument`."""
+    """Which state a pin gives the proxies. The comments say what `Pin.target_argument` contains."""
 
-    HELD = "held"  # no argument; the state of the proxy when the pin reaches it
-    BACK = "back"  # seconds; the state at that time before the pin was made
-    VERSION = "version"  # a version of the proxy; only with PinScope.PROXY
+    HELD = "held"  # nothing; the pin keeps the state that the proxy has when the pin reaches it
+    BACK = "back"  # seconds before the pin was made, at which the proxy had the state
+    VERSION = "version"  # a version of the proxy's tables; only with PinScope.PROXY
 
 
 class Pin(
@@ -76,7 +76,7 @@
 
 
 def rollout_position(pin: Pin, name: str) -> float:
-    """Return a proxy's position in a pin's rollout, 0 to 1. It is the same at all controllers."""
+    """Return a proxy's position in a pin's rollout, from 0 to 1, the same at all controllers."""
     digest = blake3(f"{pin.id}\0{name}".encode()).digest(POSITION_BYTES)
     return int.from_bytes(digest, "big") / (1 << 8 * POSITION_BYTES)
 
@@ -93,7 +93,7 @@
 
 
 def validate_pin(pin: Pin) -> None:
-    """Raise PinError where a field is invalid or two fields contradict each other."""
+    """Raise PinError if a field is invalid or two fields contradict each other."""
     if pin.scope not in tuple(PinScope):
         raise PinError(f"expected all, a zone, a share or a proxy, got {pin.scope!r}")
     if pin.scope == PinScope.SHARE and not 0 < share_fraction(pin) <= 1:
--- a/peatlead/tables/pins.py
+++ b/peatlead/tables/pins.py
@@ -1,8 +1,8 @@
 """The pins that a controller knows, merged with those of other controllers. No I/O and no clock.
 
 The revision of a pin only increases. If two controllers change a pin at the same time, both changes
-have the same revision; all controllers then keep the state that has ended, or else the one with the
-longer rollout. If two pins apply to a proxy, the one made later takes effect.
+have the same revision. All controllers then keep the state that has ended, or else the state with
+the longer rollout. If two pins apply to a proxy, the pin that was made later takes effect.
 
 The names of `pin` and `active_pin` that other packages use are re-exported here.
 """
@@ -30,12 +30,11 @@
     "encode_pins",
 ]
 
-PINS_MAX = 32  # pins that have not ended
-KNOWN_PINS_MAX = 4 * PINS_MAX  # including ended pins
+PINS_MAX = 32  # number of pins that have not ended
+KNOWN_PINS_MAX = 4 * PINS_MAX  # number of pins, including ended ones
 FORGET_AFTER = 600.0  # seconds that an ended pin is remembered after its staged end
-REMAINING_MIN = (
-    0.001  # seconds; replaces 0 in the validation of received pins, since ended pins have 0
-)
+# Seconds; replaces the remaining time 0 of ended pins in the validation of received pins.
+REMAINING_MIN = 0.001
 # Seconds between two updates of a pinned proxy, except for updates that remove an endpoint.
 REPUBLISH_INTERVAL = 1.5
 
@@ -90,25 +89,26 @@
         return pin
 
     def _next_sequence(self) -> int:
-        known = [active.pin.sequence for active in self.by_id.values()]
-        self._newest_sequence = 1 + max([self._newest_sequence, *known])
+        """Return a sequence number that is greater than those of all known pins."""
+        known_sequences = [active.pin.sequence for active in self.by_id.values()]
+        self._newest_sequence = 1 + max([self._newest_sequence, *known_sequences])
         return self._newest_sequence
 
     def resume(self, now: float, pin_id: str, end_duration: Optional[float] = None) -> Pin:
         """End a pin in stages over `end_duration` seconds; None means the duration of the rollout.
 
-        Raises PinError where the pin is not known.
+        Raises PinError if the pin is not known.
         """
         active = self.by_id.get(pin_id)
         if active is None:
-            known = ", ".join(sorted(self.unended())) or "(no pins)"
-            raise PinError(f"expected the id of a pin, one of {known}, got {pin_id!r}")
+            known_ids = ", ".join(sorted(self.unended())) or "(no pins)"
+            raise PinError(f"expected the id of a pin, one of {known_ids}, got {pin_id!r}")
         if active.ended_at is None:
             active.end(now, end_duration)
         return active.as_pin(now)
 
     def merge(self, now: float, pins: Iterable[Pin]) -> bool:
-        """Merge pins from another controller or from disk; return whether anything changed."""
+        """Merge pins from another controller or from disk. Return whether anything changed."""
         changed = False
         for pin in pins:
             if not self._is_newer(pin):
@@ -161,5 +161,5 @@
 
 
 def _merge_order(pin: Pin) -> tuple[int, bool, float]:
-    """Return the sort key of a pin's state: of two states, the greater one is kept."""
+    """Return the sort key of a pin's state. Of two states of a pin, the greater is kept."""
     return pin.revision, pin.ended_ago is not None, pin.rollout_duration
--- a/peatlead/tables/proxy_history.py
+++ b/peatlead/tables/proxy_history.py
@@ -2,7 +2,7 @@
 
 The newest state is stored in full. Each entry stores the items that its version changed, with their
 values before and after, and older states are computed by undoing entries. A version therefore needs
-memory only for its changes, and the oldest entry can be dropped without the others.
+memory only for its changes, and the oldest entry can be dropped alone.
 `peatlead.benchmarks.tables` compares this with full copies.
 """
 
@@ -15,12 +15,12 @@
 from .items import Items, ItemValue, changes
 from .version import NO_VERSION, Version
 
-ENTRY_BYTES = 260  # approximate memory of an entry without its changes
+ENTRY_BYTES = 260  # approximate memory of an entry, without its changes
 CHANGE_BYTES = 88  # approximate memory of one change
 
 
-# Key, value before, value after; None stands for an absent item. A plain tuple, because histories
-# hold hundreds of thousands of them and a NamedTuple is slower to create.
+# Key, value before, value after; None stands for an absent item. This is a plain tuple, because
+# histories have hundreds of thousands of changes and a NamedTuple is slower to create.
 ItemChange = tuple[str, Optional[ItemValue], Optional[ItemValue]]
 
 
@@ -35,21 +35,21 @@
 
     @property
     def memory_bytes(self) -> int:
-        """The approximate memory of the entry."""
+        """The approximate memory of the entry, in bytes."""
         return ENTRY_BYTES + CHANGE_BYTES * len(self.item_changes)
 
 
 class History:
     """The published versions of one proxy, oldest first."""
 
-    __slots__ = ("items", "entries", "digest", "newest_version", "oldest_restorable")
+    __slots__ = ("items", "entries", "digest", "newest_version", "oldest_restorable_version")
 
     def __init__(self) -> None:
         self.items: Items = {}  # the newest state
         self.entries: deque[HistoryEntry] = deque()
         self.digest = Digest()
-        self.newest_version = NO_VERSION  # its entry may have been dropped
-        self.oldest_restorable = NO_VERSION  # the version before the oldest stored entry
+        self.newest_version = NO_VERSION  # the entry of this version may have been dropped
+        self.oldest_restorable_version = NO_VERSION  # the version before the oldest stored entry
 
     def commit(
         self,
@@ -60,26 +60,26 @@
     ) -> HistoryEntry:
         """Add a version that sets the items in `item_changes`; None removes an item.
 
-        Raises VersionOrderError where the version is not newer than the newest one.
+        Raises VersionOrderError if the version is not newer than `newest_version`.
         """
         if version <= self.newest_version:
             raise VersionOrderError(
                 f"expected a version newer than {self.newest_version}, got {version}"
             )
         items = self.items
-        recorded = []
+        recorded_changes = []
         for key, new in item_changes.items():
             old = items.get(key)
             if old == new:
                 continue
-            recorded.append((key, old, new))
+            recorded_changes.append((key, old, new))
             self.digest.update(key, old, new)
             if new is None:
                 del items[key]
             else:
                 items[key] = new
         entry = HistoryEntry(
-            version, published_at, tuple(causes), tuple(recorded), str(self.digest)
+            version, published_at, tuple(causes), tuple(recorded_changes), str(self.digest)
         )
         self.entries.append(entry)
         self.newest_version = version
@@ -88,14 +88,14 @@
     def drop_oldest(self) -> HistoryEntry:
         """Remove the oldest entry and return it."""
         entry = self.entries.popleft()
-        self.oldest_restorable = entry.version
+        self.oldest_restorable_version = entry.version
         return entry
 
     def items_at_version(self, version: Version) -> Items:
         """Return the items at a version. Raises UnknownVersionError."""
         if version == self.newest_version:
             return dict(self.items)
-        if version != self.oldest_restorable and all(
+        if version != self.oldest_restorable_version and all(
             entry.version != version for entry in self.entries
         ):
             raise UnknownVersionError(str(version))
@@ -109,7 +109,7 @@
     def state_at_time(self, wall_time: float) -> tuple[Version, Items]:
         """Return the newest version published at or before `wall_time`, and its items.
 
-        Raises UnknownVersionError where no such version is stored.
+        Raises UnknownVersionError if no such version is stored.
         """
         items = dict(self.items)
         for entry in reversed(self.entries):
@@ -130,12 +130,12 @@
         return {key: (before.get(key), after.get(key)) for key in sorted(changes(before, after))}
 
     def digest_of_version(self, version: Version) -> Optional[str]:
-        """Return the digest of a version, or None where its entry is not stored."""
+        """Return the digest of a version, or None if its entry is not stored."""
         return next((entry.digest for entry in self.entries if entry.version == version), None)
 
 
 def _undo(items: Items, entry: HistoryEntry) -> None:
-    """Turn the items at an entry's version into the items before that version."""
+    """Change the items at the version of an entry into the items before that version."""
     for key, before, _ in entry.item_changes:
         if before is None:
             items.pop(key, None)
--- a/peatlead/tables/replica.py
+++ b/peatlead/tables/replica.py
@@ -1,8 +1,8 @@
 """A proxy's replica of its versioned tables. No I/O.
 
-A delta is applied atomically: it is applied to a copy, and the copy replaces the state only if its
-digest equals the digest in the stamp. Otherwise the delta is refused with a reason, and the sender
-continues with a delta from the proxy's actual state or with the whole state.
+A delta is applied atomically: it is applied to a copy, which replaces the state only if its digest
+equals the digest in the stamp. Otherwise the delta is refused with a reason, and the sender sends
+either a delta from the proxy's actual state or the whole state.
 """
 
 from collections.abc import Mapping
@@ -15,10 +15,10 @@
 
 
 class DeltaOutcome(StrEnum):
-    """The result of applying a delta. Refusals send the value to the controller as the reason."""
+    """The result of applying a delta. For a refusal, the value is the reason sent to the sender."""
 
     APPLIED = "applied"
-    OLD_VERSION = "old"  # not newer than the replica's version: ignored without an answer
+    OLD_VERSION = "old"  # not newer than the replica's version; ignored without an answer
     BASE_DIFFERS = "base differs"  # the delta applies to a state other than the replica's
     DIGEST_DIFFERS = "digest differs"  # the resulting state would differ from the sender's
 
@@ -30,7 +30,7 @@
 
 
 class Replica:
-    """The replica's state by part.
+    """The state of a proxy's tables, by part.
 
     Versions up to `newest_version` are refused, so that a controller that has lost ownership of the
     proxy cannot overwrite the state; see `peatlead.fleet.ownership`.
@@ -75,6 +75,7 @@
 def _apply_changes(
     items: Items, digest: Digest, item_changes: Mapping[str, Optional[ItemValue]]
 ) -> None:
+    """Apply changes to a map of items and to its digest."""
     for key, value in item_changes.items():
         digest.update(key, items.get(key), value)
         if value is None:
--- a/peatlead/tables/segment_file.py
+++ b/peatlead/tables/segment_file.py
@@ -8,7 +8,7 @@
 
 
 class SegmentFile:
-    """The file of a new segment. The constructor and all methods raise OSError."""
+    """The file of a new segment, which must not exist yet. All methods may raise OSError."""
 
     def __init__(self, path: Path) -> None:
         self.file = path.open("xb", buffering=0)
@@ -37,7 +37,7 @@
             self.file.close()
 
     def _write_all(self, data: bytes) -> None:
-        """Write all data. An error midway leaves a torn frame, which readers ignore."""
+        """Write all data. An error may leave an incomplete frame, which readers ignore."""
         remaining = memoryview(data)
         while remaining:
             written = self.file.write(remaining)
--- a/peatlead/tables/table_log.py
+++ b/peatlead/tables/table_log.py
@@ -30,7 +30,7 @@
 
 SEGMENT_BYTES_MAX = 2 << 20  # above this size a new segment is started
 SNAPSHOTS_PER_FRAME = 200
-NO_FOLDER = "no folder is set"
+NO_FOLDER = "no folder is set"  # `failure` of a log without a folder
 
 
 class EventLogger(Protocol):
@@ -66,14 +66,14 @@
         self.segment: Optional[SegmentFile] = None
         self.newest_number = 0  # of the newest segment
         self.segment_sizes: dict[int, int] = {}  # segment number -> bytes
-        self.failure = None if folder else NO_FOLDER  # why writing fails now
-        self.lost_versions = 0  # versions that are only part of a later snapshot
+        self.failure = None if folder else NO_FOLDER  # why writing fails, or None
+        self.lost_versions = 0  # versions not written, only contained in a later snapshot
         self._log_event = log or _discard_event
         self._pending: list[Record] = []  # not written yet
         # Segment number -> newest version of each proxy in the segment.
-        self._published: dict[int, dict[str, Version]] = {}
-        self._synced_at = 0.0
-        self._retry_at = 0.0
+        self._published_versions: dict[int, dict[str, Version]] = {}
+        self._synced_at = 0.0  # seconds, on the clock of the caller
+        self._retry_at = 0.0  # seconds, on the clock of the caller
 
     def restore(self) -> list[ReadProblem]:
         """Read all segments into the store and the notes. Return the problems in the files."""
@@ -82,17 +82,19 @@
         reader = LogReader(self.folder, self.store, self.notes)
         reader.read()
         self.newest_number = reader.newest_number
-        self.segment_sizes = reader.sizes
-        self._published = reader.published
+        self.segment_sizes = reader.segment_sizes
+        self._published_versions = reader.published_versions
         return reader.problems
 
     def record_version(self, name: str, entry: HistoryEntry) -> None:
         """Record a version that was committed to the store."""
         if self.folder is None:
             return
-        changed: ItemChanges = {key: after for key, _, after in entry.item_changes}
+        new_values: ItemChanges = {key: after for key, _, after in entry.item_changes}
         self._record(
-            PublishedRecord(name, *entry.version, entry.published_at, list(entry.causes), changed)
+            PublishedRecord(
+                name, *entry.version, entry.published_at, list(entry.causes), new_values
+            )
         )
 
     def record_disconnect(self, name: str) -> None:
@@ -113,10 +115,10 @@
             self._start_segment(self.folder)
             self._prune(self.folder)
         except OSError as error:
-            self._fail(now, error)
+            self._handle_write_failure(now, error)
 
     def flush(self, now: float) -> None:
-        """Write the pending records, and sync where that is due. Blocks on disk I/O."""
+        """Write the pending records, and sync if this is due. Blocks on disk I/O."""
         if self.folder is None:
             return
         if self.failure is not None and now < self._retry_at:
@@ -134,7 +136,7 @@
                 self._start_segment(self.folder)
                 self._prune(self.folder)
         except OSError as error:
-            self._fail(now, error)
+            self._handle_write_failure(now, error)
 
     def close(self) -> None:
         """Sync and close the segment. Raises OSError."""
@@ -144,24 +146,27 @@
             segment.close()
 
     def _record(self, record: Record) -> None:
+        """Add a record to the pending ones, unless there is no folder."""
         if self.folder is not None:
             self._pending.append(record)
 
     def _write_pending(self, segment: SegmentFile) -> None:
+        """Write the pending records, if there are any. Raises OSError."""
         if not self._pending:
             return
         self._write(segment, self._pending)
-        published = self._published[self.newest_number]
+        published = self._published_versions[self.newest_number]
         for record in self._pending:
             if isinstance(record, PublishedRecord):
                 published[record.name] = Version(record.epoch, record.serial)
         self._pending = []
 
     def _write(self, segment: SegmentFile, records: list[Record]) -> None:
+        """Write the records as one frame. Raises OSError."""
         segment.write_records(records)
         self.segment_sizes[self.newest_number] = segment.size
 
-    def _fail(self, now: float, error: OSError) -> None:
+    def _handle_write_failure(self, now: float, error: OSError) -> None:
         """Close the segment and schedule a retry: a new segment with a snapshot of the state."""
         reason = error.strerror or str(error)
         if self.failure is None:
@@ -169,11 +174,11 @@
         self.failure = reason
         self._retry_at = now + self.retry_interval
         self._drop_pending()
-        with contextlib.suppress(OSError):  # `failure` has the reason already
+        with contextlib.suppress(OSError):  # `failure` already has the reason
             self.close()
 
     def _drop_pending(self) -> None:
-        """Drop the pending records: the snapshot in the next segment includes their result."""
+        """Drop the pending records, whose result is part of the next segment's snapshot."""
         self.lost_versions += sum(isinstance(record, PublishedRecord) for record in self._pending)
         self._pending = []
 
@@ -184,7 +189,7 @@
         segment = self.segment = SegmentFile(_segment_path(folder, number))
         self.newest_number = number
         self.segment_sizes[number] = 0
-        self._published[number] = {}
+        self._published_versions[number] = {}
         segment.write_header_line()
         self._drop_pending()
         for records in self._snapshot():
@@ -195,7 +200,7 @@
         return segment
 
     def _snapshot(self) -> Iterator[list[Record]]:
-        """Yield the records of each frame: the proxies' states, then notes and disconnections."""
+        """Yield the records of each frame: the states of proxies, then notes and disconnections."""
         histories = list(self.store.histories.items())
         for start in range(0, len(histories), SNAPSHOTS_PER_FRAME):
             yield [
@@ -208,14 +213,15 @@
         ]
 
     def _prune(self, folder: Path) -> None:
-        """Remove the oldest segments, as long as no version in the store is in them.
+        """Remove the oldest segments, as long as they have no version that is in the store.
 
-        Above `disk_bytes_max` the store drops the versions of the oldest segment first.
+        If the segments exceed `disk_bytes_max`, the store first drops the versions of the
+        oldest segment.
         """
         while len(self.segment_sizes) > 1:
             oldest = min(self.segment_sizes)
             if sum(self.segment_sizes.values()) > self.disk_bytes_max:
-                for name, version in self._published[oldest].items():
+                for name, version in self._published_versions[oldest].items():
                     self.store.drop_up_to(name, version)
             if oldest == self.newest_number or self._is_needed(oldest):
                 return
@@ -225,19 +231,20 @@
                 self._log_event("old table log segment not removed", why=error.strerror)
                 return
             del self.segment_sizes[oldest]
-            del self._published[oldest]
+            del self._published_versions[oldest]
 
     def _is_needed(self, number: int) -> bool:
-        """Return whether the store has versions of this segment or of older ones."""
+        """Return whether the store has versions of this segment or of older segments."""
         return any(
             self.store.has_entry_up_to(name, version)
-            for name, version in self._published[number].items()
+            for name, version in self._published_versions[number].items()
         )
 
 
 def _segment_path(folder: Path, number: int) -> Path:
+    """Return the path of a segment's file."""
     return folder / f"{number:08d}.log"
 
 
 def _discard_event(event: str, /, **fields: object) -> None:
-    """Ignore an event."""
+    """Ignore an event: the default logger."""
--- a/peatlead/tables/version.py
+++ b/peatlead/tables/version.py
@@ -38,13 +38,13 @@
 ]
 
 VERSION_CHARACTERS_MAX = 40  # longer text is not parsed
-STAMP_CHARACTERS_SHOWN_MAX = 200  # of a malformed stamp in an error message
+STAMP_CHARACTERS_SHOWN_MAX = 200  # of a malformed stamp, in an error message
 BASE_PREFIX = "base="
 DIGEST_PREFIX = "digest="
 
 
 class Version(NamedTuple):
-    """The owner's epoch and the serial number in it. Ordered; `str()` returns `EPOCH.SERIAL`."""
+    """The owner's epoch and the serial number within the epoch. `str()` returns `EPOCH.SERIAL`."""
 
     epoch: int
     serial: int
@@ -54,11 +54,11 @@
 
 
 NO_VERSION = Version(0, 0)  # older than every published version
-WHOLE_STATE = "none"  # base of a delta that replaces the whole state
+WHOLE_STATE = "none"  # `Stamp.base` of a delta that replaces the whole state
 
 
 def parse_version(text: str) -> Version:
-    """Parse a version. Return NO_VERSION where the text is not a version."""
+    """Parse a version. Return NO_VERSION if the text is not a version."""
     epoch, dot, serial = text.partition(".")
     if dot and epoch.isdigit() and serial.isdigit() and len(text) < VERSION_CHARACTERS_MAX:
         return Version(int(epoch), int(serial))
@@ -69,7 +69,7 @@
     """The version and digests of a delta.
 
     `version` is the version of the resulting state and `digest` its digest. `base` is the digest of
-    the state that the delta applies to, or WHOLE_STATE where the delta replaces any state.
+    the state that the delta applies to, or WHOLE_STATE if the delta replaces any state.
     """
 
     version: Version
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Builds planners and endpoints for tests."""
+"""Planners, endpoints and reports for tests."""
 
 from peatlead import interface
 from peatlead.planner.planner import Planner
@@ -64,9 +64,10 @@
 
 
 def make_planner(endpoints=8, proxies=4, zones=2, now=100.0, **settings):
-    """Return a planner with an endpoint list and assigned proxies.
+    """Return a planner with an endpoint list and proxies that have tables.
 
-    The commands of these first events are discarded.
+    Endpoints and proxies are distributed over the zones in turn. The commands that follow from the
+    list and the connections are discarded.
     """
     planner = Planner({**SETTINGS, **settings}, 1)
     listed = tuple(make_endpoint(number, number % zones) for number in range(endpoints))
@@ -89,10 +90,10 @@
 
 
 def report_round(planner, errors=None, utilization=0.4, latency=0.2, failed_checks=0):
-    """Run a round in which each endpoint reports 10 attempts; reports arrive every 5 seconds.
+    """Run a round with a report of 10 attempts at each endpoint, at a cycle of 5 seconds.
 
-    With `errors`, that number of endpoint 0's attempts fails, and `failed_checks` consecutive
-    health checks of endpoint 0 time out.
+    If `errors` is given, this number of attempts at endpoint 0 fails, and `failed_checks`
+    consecutive health checks of endpoint 0 time out. Return the commands of the round's end.
     """
     now = planner.now + 1.0
     planner.load_statistics.reporting_cycle = 5.0
--- a/tests/planner/test_channel_backlog.py
+++ b/tests/planner/test_channel_backlog.py
@@ -1,12 +1,15 @@
+"""The estimate of queued entries from acknowledgements."""
+
 import unittest
 
 from peatlead.planner.channel_backlog import ChannelBacklog
 
 
 class ChannelBacklogTest(unittest.TestCase):
-    """Two proxies get 50 entries in each batch; a message adds an overhead of 6 and a nonce."""
+    """A message costs its entries, an overhead of 6 entries and one entry for the nonce."""
 
     def backlog_of(self, *batches):
+        """Return a backlog with batches, given as (nonce, entries for each of two proxies)."""
         backlog = ChannelBacklog(6, 10.0)
         for number, entries in batches:
             backlog.begin_batch(float(number))
@@ -28,7 +31,7 @@
         backlog = self.backlog_of((1, 50), (2, 50))
         for proxy, nonce in (("b", 2), ("a", 1), ("a", 1), ("b", 7), ("c", 2), ("b", 2), ("a", 0)):
             backlog.acknowledge(proxy, nonce)
-            # The acknowledgement of b covers the first batch and its own message only.
+            # Proxy b's acknowledgement covers the first batch and b's message of the second batch.
             self.assertEqual(backlog.unacknowledged_entries, 57)
         backlog.acknowledge("a", 2)
         self.assertEqual(backlog.unacknowledged_entries, 0.0)
--- a/tests/planner/test_channel_budget.py
+++ b/tests/planner/test_channel_budget.py
@@ -1,3 +1,5 @@
+"""Limits on the channel's queue and on the messages to a proxy."""
+
 import unittest
 
 from peatlead import interface
@@ -7,7 +9,7 @@
 
 class ChannelBudgetTest(unittest.TestCase):
     def test_a_channel_much_slower_than_configured_never_exceeds_its_queue(self):
-        # The channel sends at an eighth of its configured rate.
+        # The channel sends an eighth of its configured rate.
         planner = make_planner(endpoints=60, proxies=0, channel_rate=2000.0, queue_most=3000.0)
         planner.settings["proxies"] = 90
         publisher = Publisher()
@@ -32,21 +34,24 @@
                 planner.decide(now, [interface.TimerFired(0), *events])
             )
             channel += [
-                [proxy, 6 + len(ops), nonces.get(proxy, ())] for proxy, ops in messages.items()
+                [proxy, 6 + len(operations), nonces.get(proxy, ())]
+                for proxy, operations in messages.items()
             ]
             assigned.update(
-                proxy for proxy, ops in messages.items() if any(op[0] == "bind" for op in ops)
+                proxy
+                for proxy, operations in messages.items()
+                if any(operation[0] == "bind" for operation in operations)
             )
             max_queued = max(max_queued, sum(message[1] for message in channel))
             events = []
             sendable += 2000.0 / 8 / 10
             while channel and sendable >= channel[0][1]:
-                proxy, entries, sent = channel.pop(0)
+                proxy, entries, message_nonces = channel.pop(0)
                 sendable -= entries
-                events += [interface.Acknowledged(proxy, nonce, 0.1) for nonce in sent]
+                events += [interface.Acknowledged(proxy, nonce, 0.1) for nonce in message_nonces]
             sendable = sendable if channel else 0.0
         self.assertLess(max_queued, 3000.0)
-        # Tables are assigned as far as the channel can send them.
+        # Tables are still assigned, as fast as the channel sends them.
         self.assertGreater(len(assigned), 60)
 
     def test_updates_are_postponed_after_half_of_a_proxys_messages(self):
--- a/tests/planner/test_class_admission.py
+++ b/tests/planner/test_class_admission.py
@@ -1,3 +1,5 @@
+"""Admitted fractions and retry policies of request classes."""
+
 import unittest
 
 from peatlead import interface
--- a/tests/planner/test_deadline_queue.py
+++ b/tests/planner/test_deadline_queue.py
@@ -1,3 +1,5 @@
+"""The queue of items by deadline."""
+
 import unittest
 
 from peatlead.planner.deadline_queue import DeadlineQueue
--- a/tests/planner/test_endpoint_pools.py
+++ b/tests/planner/test_endpoint_pools.py
@@ -1,3 +1,5 @@
+"""Groups of request classes, and the pools of endpoints that they may use."""
+
 import unittest
 
 from peatlead.planner.endpoint_pools import group_request_classes
--- a/tests/planner/test_endpoint_updates.py
+++ b/tests/planner/test_endpoint_updates.py
@@ -1,3 +1,5 @@
+"""Updates of the endpoint list, including wrong lists."""
+
 import unittest
 
 from peatlead import interface
@@ -10,9 +12,9 @@
         planner.decide(101.0, [interface.ProxyDisconnected(1)])
         for number in range(200):
             # Each second, one of the six endpoints is replaced by an endpoint with a new name.
-            old = 5 + number
+            old_number = 5 + number
             new = make_endpoint(6 + number, (6 + number) % 2, started_at=0.0)
-            gone = make_endpoint(old, old % 2, "gone")
+            gone = make_endpoint(old_number, old_number % 2, "gone")
             planner.decide(
                 102.0 + number, [interface.EndpointUpdate("changes", 2 + number, (gone, new))]
             )
@@ -48,7 +50,7 @@
         self.assertTrue(all(proxy.entries[0] for proxy in planner.context.connected_proxies))
 
     def test_with_gone_is_advice_a_list_without_ready_endpoints_removes_none(self):
-        # An empty list may arrive while all endpoints are silent, hung or cut off.
+        # An empty list may arrive while no endpoint answers, for instance after a network fault.
         for gone_is_advice, expected in ((True, 8), (False, 0)):
             planner = make_planner(gone_is_advice=gone_is_advice)
             for endpoint in planner.endpoints.values():
--- a/tests/planner/test_gossip.py
+++ b/tests/planner/test_gossip.py
@@ -1,3 +1,5 @@
+"""Gossip between controllers about failing endpoints."""
+
 import unittest
 
 from peatlead import interface
--- a/tests/planner/test_health_checks.py
+++ b/tests/planner/test_health_checks.py
@@ -1,3 +1,5 @@
+"""Results of health checks."""
+
 import unittest
 
 from peatlead import interface
--- a/tests/planner/test_load_relief.py
+++ b/tests/planner/test_load_relief.py
@@ -1,3 +1,5 @@
+"""Relief of slow or full endpoints."""
+
 import unittest
 
 from tests.helpers import make_planner
--- a/tests/planner/test_load_shedding.py
+++ b/tests/planner/test_load_shedding.py
@@ -1,3 +1,5 @@
+"""The admitted fraction of all work under overload."""
+
 import unittest
 
 from tests.helpers import make_planner, report_round
@@ -23,10 +25,10 @@
             report_round(planner, utilization=0.45, latency=latency)
         return shedding.admitted_fraction
 
-    def overload(self, planner, errors, rounds):
-        """Run rounds in which a fraction of all attempts fails.
+    def run_failing_rounds(self, planner, errors, rounds):
+        """Run rounds in which the fraction `errors` of all attempts fails.
 
-        The endpoints' utilization equals that fraction.
+        The utilization of each endpoint equals this fraction.
         """
         for _ in range(rounds):
             planner.now = max(planner.now, planner.load_shedding.next_update_at) + 1
@@ -45,16 +47,16 @@
 
     def test_one_overloaded_round_cuts_a_little_and_two_cut_to_the_minimum(self):
         planner = make_planner()
-        self.overload(planner, 0.8, 1)
+        self.run_failing_rounds(planner, 0.8, 1)
         self.assertGreaterEqual(planner.load_shedding.admitted_fraction, 0.9)
-        self.overload(planner, 0.8, 1)
+        self.run_failing_rounds(planner, 0.8, 1)
         self.assertEqual(planner.load_shedding.admitted_fraction, 0.3)
 
     def test_few_attempts_per_endpoint_suffice_to_admit_more_again(self):
         planner = make_planner()
         planner.load_shedding.admitted_fraction = 0.2
         planner.load_shedding.safe_fraction = 0.5
-        self.overload(planner, 0.0, 1)
+        self.run_failing_rounds(planner, 0.0, 1)
         self.assertEqual(planner.load_shedding.admitted_fraction, 0.5)
 
     def test_errors_at_endpoints_with_spare_capacity_cause_no_cut(self):
--- a/tests/planner/test_load_statistics.py
+++ b/tests/planner/test_load_statistics.py
@@ -1,3 +1,5 @@
+"""Decaying counts of reported attempts."""
+
 import unittest
 
 from peatlead import interface
--- a/tests/planner/test_outlier_detection.py
+++ b/tests/planner/test_outlier_detection.py
@@ -1,3 +1,5 @@
+"""Ejection of failing endpoints, and its limits."""
+
 import unittest
 
 from peatlead import interface
@@ -7,7 +9,7 @@
 
 class OutlierDetectionTest(unittest.TestCase):
     def test_a_hung_endpoint_with_few_old_successes_is_ejected_while_peers_have_capacity(self):
-        # Guards against waiting for the time without success although checks and errors suffice.
+        # Reports of old successes must not delay the ejection while peers have capacity.
         planner = make_planner(report_fields=["util"])
         report_round(planner, errors=9, failed_checks=4)
         self.assertFalse(planner.endpoints[0].usable)
@@ -65,15 +67,15 @@
 
     def test_more_failed_checks_are_needed_if_checks_often_fail_by_chance(self):
         ready = list(make_planner().endpoints.values())
-        needed = []
+        required = []
         for rate in (0.0, 0.1, 0.5, 0.8, 1.0):
             for endpoint in ready:
                 endpoint.check_failure_rate = rate
-            needed.append(failed_checks_to_eject(ready))
-        self.assertEqual(needed[:2], [3.0, 3.0])
-        self.assertAlmostEqual(needed[2], 9.97, 2)
-        self.assertAlmostEqual(needed[3], 30.96, 2)
-        self.assertEqual(needed[4], needed[3])
+            required.append(failed_checks_to_eject(ready))
+        self.assertEqual(required[:2], [3.0, 3.0])
+        self.assertAlmostEqual(required[2], 9.97, 2)
+        self.assertAlmostEqual(required[3], 30.96, 2)
+        self.assertEqual(required[4], required[3])
 
     def test_at_most_forty_percent_of_the_endpoints_are_ejected(self):
         planner = make_planner(endpoints=10)
--- a/tests/planner/test_planner.py
+++ b/tests/planner/test_planner.py
@@ -1,3 +1,5 @@
+"""The planner's tolerance of unknown events, and access to its constants by name."""
+
 import ast
 import unittest
 from pathlib import Path
--- a/tests/planner/test_planner_at_scale.py
+++ b/tests/planner/test_planner_at_scale.py
@@ -1,3 +1,5 @@
+"""The planner under list changes, and with many proxies or endpoints."""
+
 import unittest
 from collections import Counter
 from random import Random
@@ -16,10 +18,10 @@
 
 
 class PlannerAtScaleTest(unittest.TestCase):
-    """The planner with its indexes, with list changes and with many proxies or endpoints."""
+    """Indexes, schedules and limits of the planner, under list changes or with a large fleet."""
 
-    def drive(self, planner, rng, steps=250):
-        """Run a planner through list changes, errors and recoveries.
+    def run_list_changes(self, planner, rng, steps=250):
+        """Run a planner through list changes, errors and recoveries, drawn from `rng`.
 
         Return the time of the last batch.
         """
@@ -29,9 +31,9 @@
         for step in range(steps):
             now += 0.1
             events = [interface.TimerFired(0)]
-            draw = rng.random()
+            random_value = rng.random()
             endpoint = rng.randrange(12)
-            if draw < 0.08:
+            if random_value < 0.08:
                 may_drain = (
                     phases[endpoint][0] == "ready"
                     and sum(phase == "ready" for phase, _ in phases.values()) > 6
@@ -44,7 +46,7 @@
                         "changes", 2, (make_endpoint(endpoint, endpoint % 2, *phases[endpoint]),)
                     )
                 )
-            elif draw < 0.12:
+            elif random_value < 0.12:
                 failing ^= {endpoint}
             if step % 10 == 5:
                 events += [
@@ -65,10 +67,10 @@
         return now
 
     def test_tables_that_were_not_recomputed_equal_newly_computed_ones(self):
-        compared = 0
+        compared_proxies = 0
         for seed in range(6):
             planner = make_planner(endpoints=12, proxies=24)
-            now = self.drive(planner, Random(seed))
+            now = self.run_list_changes(planner, Random(seed))
             for _ in range(400):  # until all endpoints are warm and all stages are written
                 now += 0.1
                 planner.decide(now, [interface.TimerFired(0)])
@@ -82,16 +84,16 @@
                     for endpoint in proxy.source_endpoints.values()
                 )
             ]
-            compared += len(unchanged)
+            compared_proxies += len(unchanged)
             for proxy in unchanged:
                 for group, entries in enumerate(proxy.entries):
                     self.assertEqual(entries, planner.sharding.table(proxy, group))
-        self.assertGreater(compared, 24)
+        self.assertGreater(compared_proxies, 24)
 
     def test_the_subscriber_index_follows_the_tables(self):
         for seed in range(4):
             planner = make_planner(endpoints=12, proxies=24)
-            self.drive(planner, Random(seed))
+            self.run_list_changes(planner, Random(seed))
             for endpoint in planner.endpoints:
                 self.assertEqual(
                     set(planner.context.subscriber_index.subscribers(endpoint)),
@@ -153,7 +155,8 @@
         commands = planner.decide(now + 0.1, [interface.TimerFired(0)])
         self.assertIn(interface.CheckHealth(unchecked), commands)
 
-    def planner_for(self, proxies):
+    def make_large_planner(self, proxies):
+        """Return a planner for this number of proxies, with 40 endpoints and a fast channel."""
         settings = {**SETTINGS, "proxies": proxies, "channel_rate": 1e6, "queue_most": 1e6}
         planner = Planner(settings, 1)
         planner.decide(
@@ -171,15 +174,15 @@
     def test_many_connections_are_spread_over_batches_and_a_withdrawal_is_sent_in_between(self):
         # Assigning all tables in one batch would delay a withdrawal by seconds.
         proxies = 450
-        planner = self.planner_for(proxies)
+        planner = self.make_large_planner(proxies)
         now, assigned, batches = 100.0, [], 0
         commands = planner.decide(
             now, [interface.ProxyConnected(proxy, proxy % 2, 1.0, True) for proxy in range(proxies)]
         )
         while len(assigned) < proxies:
-            new = [command.proxy for command in of_type(commands, interface.AssignTable)]
-            self.assertLessEqual(len(new), TABLES_PER_BATCH)
-            assigned += new
+            newly_assigned = [command.proxy for command in of_type(commands, interface.AssignTable)]
+            self.assertLessEqual(len(newly_assigned), TABLES_PER_BATCH)
+            assigned += newly_assigned
             if len(assigned) == 200:
                 commands = planner.decide(
                     now,
@@ -188,12 +191,12 @@
                 [withdrawal] = of_type(commands, interface.WithdrawEndpoint)
                 self.assertEqual((withdrawal.endpoint, withdrawal.withdrawn), (5, True))
                 self.assertTrue(set(withdrawal.notify) <= set(planner.unassigned))
-                held = {
+                holders = {
                     proxy.number
                     for proxy in planner.context.connected_proxies
                     if proxy.assigned and any(5 in entries for entries in proxy.entries)
                 }
-                self.assertEqual(held, set())
+                self.assertEqual(holders, set())
                 continue
             timers = [
                 command
@@ -208,14 +211,14 @@
         self.assertEqual(sorted(assigned), list(range(proxies)))
 
     def test_the_continuation_timer_is_not_a_tick(self):
-        planner = self.planner_for(4)
+        planner = self.make_large_planner(4)
         planner.decide(100.0, [interface.ProxyConnected(proxy, 0, 1.0, True) for proxy in range(4)])
         with mock.patch.object(planner, "advance_endpoint") as advance_endpoint:
             self.assertEqual(planner.decide(100.5, [interface.TimerFired(CONTINUE_TIMER)]), [])
         advance_endpoint.assert_not_called()
 
     def test_a_decreased_cold_weight_reaches_all_proxies_within_a_few_batches(self):
-        planner, now = self.planner_for(450), 100.0
+        planner, now = self.make_large_planner(450), 100.0
         commands = planner.decide(
             now, [interface.ProxyConnected(proxy, proxy % 2, 1.0, True) for proxy in range(450)]
         )
@@ -261,7 +264,7 @@
         )
 
     def test_proxy_numbers_may_have_64_bits(self):
-        planner = self.planner_for(3)
+        planner = self.make_large_planner(3)
         commands = planner.decide(
             101.0,
             [
--- a/tests/planner/test_removals.py
+++ b/tests/planner/test_removals.py
@@ -1,3 +1,5 @@
+"""Removal of unusable endpoints from tables."""
+
 import unittest
 
 from peatlead import interface
--- a/tests/planner/test_rendezvous.py
+++ b/tests/planner/test_rendezvous.py
@@ -1,3 +1,5 @@
+"""Rendezvous hashing of pools."""
+
 import unittest
 from collections import Counter
 
@@ -39,8 +41,8 @@
         self.assertEqual(RendezvousPool(endpoints[::-1]).top(proxy_key(7), 2), endpoints[:2])
 
     def test_endpoints_and_pairs_of_them_are_evenly_spread(self):
-        # Endpoints that often share a shard would be lost together, which shuffle sharding must
-        # prevent.
+        # Otherwise some endpoints would share many shards, and a proxy's harmful requests would
+        # break them together.
         pool = RendezvousPool(named_endpoints(40))
         uses, pairs = Counter(), Counter()
         for number in range(4000):
--- a/tests/planner/test_shuffle_sharding.py
+++ b/tests/planner/test_shuffle_sharding.py
@@ -1,3 +1,5 @@
+"""Shards and tables of proxies."""
+
 import unittest
 
 from peatlead import interface
@@ -7,7 +9,7 @@
 
 class ShuffleShardingTest(unittest.TestCase):
     def test_added_warm_endpoints_leave_the_cold_ones_their_load(self):
-        # Too many warm endpoints in a table would leave cold endpoints idle and overload others.
+        # Too many warm endpoints in a table would leave too few requests for the cold ones.
         planner = make_planner(endpoints=60, proxies=400, channel_rate=1e6, queue_most=1e6)
         planner.context.expected_proxies = 400.0
         proxy = planner.proxies[0]
--- a/tests/planner/test_slow_start.py
+++ b/tests/planner/test_slow_start.py
@@ -1,3 +1,5 @@
+"""Ramps and published weights of cold endpoints."""
+
 import unittest
 
 from peatlead import interface
--- a/tests/planner/test_staged_updates.py
+++ b/tests/planner/test_staged_updates.py
@@ -1,3 +1,5 @@
+"""Publication of changed tables in stages."""
+
 import unittest
 
 from peatlead import interface
--- a/tests/planner/test_statistics.py
+++ b/tests/planner/test_statistics.py
@@ -1,3 +1,5 @@
+"""The weighted median."""
+
 import unittest
 
 from hypothesis import given, strategies
--- a/tests/planner/test_subscriber_index.py
+++ b/tests/planner/test_subscriber_index.py
@@ -1,3 +1,5 @@
+"""The index of subscribers."""
+
 import unittest
 from collections import Counter
 
--- a/tests/planner/test_table_assignment.py
+++ b/tests/planner/test_table_assignment.py
@@ -1,3 +1,5 @@
+"""Assignment of tables after a restart of the controller."""
+
 import unittest
 
 from peatlead import interface
--- a/tests/planner/test_withdrawals.py
+++ b/tests/planner/test_withdrawals.py
@@ -1,3 +1,5 @@
+"""Withdrawals, and notifications of proxies that wait for tables."""
+
 import unittest
 
 from peatlead import interface
--- a/tests/planner/test_zone_capacity.py
+++ b/tests/planner/test_zone_capacity.py
@@ -1,3 +1,5 @@
+"""The division of requests among zones."""
+
 import unittest
 
 from tests.helpers import SETTINGS, make_planner
--- a/tests/planner/test_zone_paths.py
+++ b/tests/planner/test_zone_paths.py
@@ -1,3 +1,5 @@
+"""Detection of slow paths between zones."""
+
 import unittest
 
 from peatlead.planner.endpoint_state import DatedCounts
--- a/tests/tables/test_change_causes.py
+++ b/tests/tables/test_change_causes.py
@@ -73,14 +73,14 @@
         self.ready = self.planner.fleet_load.ready_endpoints()
 
     def logged_by(self, act, *arguments, **options):
-        """The only message that the planner logs while `act` runs."""
+        """Run `act`, and return the only message that the planner logs meanwhile."""
         self.planner.commands = []
         act(*arguments, **options)
         [message] = of_type(self.planner.commands, interface.LogMessage)
         return message.text
 
-    def assert_cause(self, text, endpoint, cause):
-        """The planner's text is the cause of a change of the endpoint's weight."""
+    def assert_message_causes(self, text, endpoint, cause):
+        """Assert that after the planner's message, `cause` is the cause of a changed weight."""
         self.assertEqual(self.causes.note_planner_message(text), (endpoint, cause))
         self.assertEqual(
             self.causes.causes_of({("line", 0, endpoint): None}), (f"h{endpoint} {cause}",)
@@ -92,17 +92,17 @@
     def test_an_ejection_is_the_cause_of_a_changed_weight(self):
         eject = self.planner.outlier_detection.eject
         text = self.logged_by(eject, self.ready[3], self.ready, by_checks=True)
-        self.assert_cause(text, 3, "ejected: failed health checks")
+        self.assert_message_causes(text, 3, "ejected: failed health checks")
         text = self.logged_by(eject, self.ready[12], self.ready, by_checks=False)
-        self.assert_cause(text, 12, "ejected: high error rate")
+        self.assert_message_causes(text, 12, "ejected: high error rate")
 
     def test_a_changed_traffic_fraction_is_the_cause_of_a_changed_weight(self):
         relief = self.planner.load_relief
         text = self.logged_by(relief.relieve, self.ready[5], self.ready)
-        self.assert_cause(text, 5, "traffic fraction set to 0.75")
+        self.assert_message_causes(text, 5, "traffic fraction set to 0.75")
         self.planner.now += 100.0
         text = self.logged_by(relief.restore_traffic_if_due, self.ready[5])
-        self.assert_cause(text, 5, "traffic fraction set to 1.0")
+        self.assert_message_causes(text, 5, "traffic fraction set to 1.0")
 
     def test_messages_about_admissions_and_paths_are_no_causes_of_endpoints(self):
         self.planner.load_shedding.admitted_fraction = 0.5
--- a/tests/tables/test_guard.py
+++ b/tests/tables/test_guard.py
@@ -13,7 +13,8 @@
 TABLES = st.dictionaries(st.sampled_from(ENDPOINTS), st.sampled_from([0.5, 1.0, 2.0]), max_size=6)
 
 
-def context(phases=None, withdrawn=(), fractions=None):
+def make_context(phases=None, withdrawn=(), fractions=None):
+    """Return the state of `ENDPOINTS`; by default all are ready and have their listed weight."""
     return GuardContext(
         phases or dict.fromkeys(ENDPOINTS, "ready"),
         frozenset(withdrawn),
@@ -28,7 +29,7 @@
         guarded = guard(
             pinned,
             {0: 1.0},
-            context(phases, withdrawn=(4,), fractions={0: 1.0, 1: 1.0, 2: 1.0, 4: 1.0}),
+            make_context(phases, withdrawn=(4,), fractions={0: 1.0, 1: 1.0, 2: 1.0, 4: 1.0}),
         )
         self.assertEqual(guarded.weights, {0: 1.0})
         self.assertEqual(set(guarded.restricted), {1, 2, 3, 4, 5})
@@ -37,24 +38,27 @@
 
     def test_old_weights_are_restored_without_endpoints_that_were_added_later(self):
         self.assertEqual(
-            guard({0: 2.0, 1: 1.0}, {0: 1.0, 1: 1.0, 5: 4.0}, context()).weights, {0: 2.0, 1: 1.0}
+            guard({0: 2.0, 1: 1.0}, {0: 1.0, 1: 1.0, 5: 4.0}, make_context()).weights,
+            {0: 2.0, 1: 1.0},
         )
 
     def test_ramping_endpoint_gets_at_most_its_fraction_of_the_planners_table(self):
         fractions = {**dict.fromkeys(ENDPOINTS, 1.0), 3: 0.12}
-        guarded = guard({0: 1.0, 3: 1.0}, {0: 1.0, 1: 1.0, 3: 0.12}, context(fractions=fractions))
+        guarded = guard(
+            {0: 1.0, 3: 1.0}, {0: 1.0, 1: 1.0, 3: 0.12}, make_context(fractions=fractions)
+        )
         self.assertAlmostEqual(guarded.weights[3] / sum(guarded.weights.values()), 0.12 / 2.12)
         self.assertNotIn(
-            3, guard({0: 1.0, 3: 1.0}, {0: 1.0, 1: 1.0}, context(fractions=fractions)).weights
+            3, guard({0: 1.0, 3: 1.0}, {0: 1.0, 1: 1.0}, make_context(fractions=fractions)).weights
         )
 
     def test_planners_endpoints_are_added_if_little_weight_is_left_or_replace_an_empty_table(self):
         phases = {**dict.fromkeys(ENDPOINTS, "ready"), 1: "gone", 2: "gone"}
         pinned = {0: 1.0, 1: 1.0, 2: 1.0}
         self.assertEqual(
-            guard(pinned, {4: 1.0, 5: 1.0}, context(phases)).weights, {0: 1.0, 4: 1.0, 5: 1.0}
+            guard(pinned, {4: 1.0, 5: 1.0}, make_context(phases)).weights, {0: 1.0, 4: 1.0, 5: 1.0}
         )
-        self.assertEqual(guard({1: 1.0, 2: 1.0}, {4: 1.0}, context(phases)).weights, {4: 1.0})
+        self.assertEqual(guard({1: 1.0, 2: 1.0}, {4: 1.0}, make_context(phases)).weights, {4: 1.0})
 
     @given(
         TABLES,
@@ -67,7 +71,7 @@
         self, pinned, planned, gone, dropped, ramping
     ):
         dropped -= planned.keys()  # an endpoint in the planner's table is not dropped
-        facts = context(
+        guard_context = make_context(
             {endpoint: "gone" if endpoint in gone else "ready" for endpoint in ENDPOINTS},
             fractions={
                 endpoint: 0.2 if endpoint in ramping else 1.0
@@ -75,7 +79,7 @@
                 if endpoint not in dropped
             },
         )
-        weights = guard(pinned, planned, facts).weights
+        weights = guard(pinned, planned, guard_context).weights
         self.assertEqual(bool(weights), bool(weights) if pinned else bool(planned))
         if planned:
             self.assertTrue(weights)
--- a/tests/tables/test_replica.py
+++ b/tests/tables/test_replica.py
@@ -22,6 +22,7 @@
 
 
 def line(number, weight=None):
+    """Return the key of an endpoint's item, or with a weight the map with this item."""
     return (
         f"line/k/z/10.0.0.{number}:80"
         if weight is None
@@ -30,14 +31,17 @@
 
 
 class DeltasTest(unittest.TestCase):
-    """`Incremental` of a controller sends deltas to the `Replica` of a proxy, with faults."""
+    """A controller's `IncrementalDiscovery` sends deltas to a proxy's `Replica`, with faults."""
 
     def setUp(self):
         self.wanted, self.replica = {}, Replica()
         self.connect(1)
 
     def connect(self, epoch):
-        """Open a new stream: messages in flight are lost; the proxy sends the versions of its items."""
+        """Open a new stream, on which the proxy first sends the versions of its items.
+
+        Messages in flight are lost.
+        """
         self.sender = IncrementalDiscovery(
             epoch,
             lambda part: self.wanted if part == "line" else {},
@@ -53,10 +57,12 @@
         self.responses, self.requests = deque(self.sender.handle_request(first_request)), deque()
 
     def change(self, wanted):
+        """Change the items that the controller wants the proxy to have."""
         self.wanted = wanted
         self.responses.extend(self.sender.resources_changed(LB_ENDPOINT_TYPE_URL))
 
     def deliver(self, response, answer=True):
+        """Apply a delta to the replica and return the outcome; `answer` sends it to the controller."""
         type_url, item_changes, stamp = decode_delta(
             discovery_pb2.DeltaDiscoveryResponse.FromString(response.SerializeToString())
         )
@@ -71,6 +77,7 @@
         return outcome
 
     def settle(self):
+        """Deliver all messages until none is in flight."""
         for _ in range(20):
             while self.responses:
                 self.deliver(self.responses.popleft())
@@ -155,6 +162,8 @@
 
     @given(
         st.lists(
+            # "twice" delivers a delta two times, "drop" loses one, "swap" delivers an earlier one
+            # again, and "flip" corrupts an item of the replica.
             st.sampled_from(
                 ["change", "deliver", "twice", "answer", "drop", "swap", "flip", "reconnect"]
             ),
@@ -181,12 +190,12 @@
                 delivered.append(response)
                 outcome = self.deliver(response)
                 if outcome == APPLIED:
-                    # Only `is_consistent` detects a corrupted item that no delta changes. The reported
-                    # digest must belong to a published state in any case, the items only if consistent.
-                    known = published | {str(Digest({})): True}
-                    self.assertIn(str(self.replica.digests["line"]), known)
+                    # Only `is_consistent` detects a corrupted item that no delta changes. The digest
+                    # must always belong to a published state, the items only if they are consistent.
+                    known_digests = published | {str(Digest({})): True}
+                    self.assertIn(str(self.replica.digests["line"]), known_digests)
                     if self.replica.is_consistent("line"):
-                        self.assertIn(str(Digest(self.held_items())), known)
+                        self.assertIn(str(Digest(self.held_items())), known_digests)
                 if step == "twice":
                     # A refused delta is refused again for the same reason; an applied delta is old
                     # the second time. Neither changes the state.
--- a/tests/tables/test_table_log.py
+++ b/tests/tables/test_table_log.py
@@ -21,7 +21,8 @@
         self.addCleanup(self.temporary.cleanup)
         self.folder, self.events = Path(self.temporary.name) / "tables", []
 
-    def open(self, **limits):
+    def open_log(self, **limits):
+        """Restore and start a log with a store of these limits. Return the log and the problems."""
         log = TableLog(
             self.folder,
             HistoryStore(**limits),
@@ -32,12 +33,14 @@
         log.start(0.0)
         return log, problems
 
-    def limit_segments(self, size):
+    def limit_segment_size(self, size):
+        """Set the size in bytes above which the log starts a new segment."""
         patch = mock.patch.object(table_log, "SEGMENT_BYTES_MAX", size)
         patch.start()
         self.addCleanup(patch.stop)
 
     def publish(self, log, count, name="p", first=1, at=0.0):
+        """Commit and record `count` versions, from the serial `first`, and flush the log."""
         for serial in range(first, first + count):
             log.record_version(
                 name,
@@ -60,53 +63,57 @@
         self.assertEqual(list(expected.entries), list(actual.entries))
 
     def test_restart_restores_versions_and_notes(self):
-        log, _ = self.open()
+        log, _ = self.open_log()
         for batch in range(4):
             self.publish(log, 10, first=batch * 10 + 1)
         log.record_note("boots", b"7")
         log.flush(1.0)
-        restarted, problems = self.open()  # the first log was killed: its file was never closed
+        restarted, problems = self.open_log()  # the first log was killed: its file was never closed
         self.assertEqual(problems, [])
         self.assert_same_history(log, restarted)
         self.assertEqual(restarted.notes, {"boots": b"7"})
-        third, problems = self.open()
+        third, problems = self.open_log()
         self.assertEqual(problems, [])
         self.assert_same_history(log, third)
 
     def test_truncated_segment_is_read_up_to_the_last_whole_frame(self):
-        log, _ = self.open()
+        log, _ = self.open_log()
         for batch in range(6):
             self.publish(log, 3, first=batch * 3 + 1)
         path = max(self.folder.glob("*.log"))
-        whole = path.read_bytes()
-        full = list(log.store.histories["p"].entries)
-        for size in range(0, len(whole), 7):
-            path.write_bytes(whole[:size])
+        original_data = path.read_bytes()
+        original_entries = list(log.store.histories["p"].entries)
+        for size in range(0, len(original_data), 7):
+            path.write_bytes(original_data[:size])
             reader = TableLog(self.folder, HistoryStore(), None)
             reader.restore()
-            found = list(reader.store.histories["p"].entries) if reader.store.histories else []
-            self.assertEqual(found, full[: len(found)])
-            self.assertEqual(len(found) % 3, 0)
+            restored_entries = (
+                list(reader.store.histories["p"].entries) if reader.store.histories else []
+            )
+            self.assertEqual(restored_entries, original_entries[: len(restored_entries)])
+            self.assertEqual(len(restored_entries) % 3, 0)
 
     def test_any_flipped_bit_is_detected_and_ends_reading(self):
-        log, _ = self.open()
+        log, _ = self.open_log()
         for batch in range(5):
             self.publish(log, 3, first=batch * 3 + 1)
         path = max(self.folder.glob("*.log"))
-        whole, full = path.read_bytes(), list(log.store.histories["p"].entries)
+        original_data, original_entries = path.read_bytes(), list(log.store.histories["p"].entries)
         rng = random.Random(5)
         for _ in range(200):
-            offset = rng.randrange(len(whole))
+            offset = rng.randrange(len(original_data))
             path.write_bytes(
-                whole[:offset]
-                + bytes([whole[offset] ^ 1 << rng.randrange(8)])
-                + whole[offset + 1 :]
+                original_data[:offset]
+                + bytes([original_data[offset] ^ 1 << rng.randrange(8)])
+                + original_data[offset + 1 :]
             )
             reader = TableLog(self.folder, HistoryStore(), None)
             problems = reader.restore()
             self.assertTrue(problems, f"flipped bit at byte {offset} was not detected")
-            found = list(reader.store.histories["p"].entries) if reader.store.histories else []
-            self.assertEqual(found, full[: len(found)])
+            restored_entries = (
+                list(reader.store.histories["p"].entries) if reader.store.histories else []
+            )
+            self.assertEqual(restored_entries, original_entries[: len(restored_entries)])
 
     def test_repeated_missing_and_foreign_frames_have_wrong_checksums(self):
         framer, other = RecordFramer(), RecordFramer()
@@ -136,7 +143,7 @@
             ("notes.txt", b"x"),
         ):
             (self.folder / name).write_bytes(data)
-        log, problems = self.open()
+        log, problems = self.open_log()
         foreign = "not a table log"
         self.assertEqual(
             [reason for _, reason in problems], ["format 0: expected 1", foreign, foreign]
@@ -145,15 +152,15 @@
         self.assertEqual((self.folder / "00000002.log").read_bytes(), b"junk")
 
     def test_damaged_segment_loses_only_its_own_versions(self):
-        self.limit_segments(600)
-        log, _ = self.open()
+        self.limit_segment_size(600)
+        log, _ = self.open_log()
         for batch in range(40):
             self.publish(log, 3, first=batch * 3 + 1)
         files = sorted(self.folder.glob("*.log"))
         self.assertGreater(len(files), 3)
         data = files[1].read_bytes()
         files[1].write_bytes(data[: len(data) // 2] + b"\0" + data[len(data) // 2 + 1 :])
-        restarted, problems = self.open()
+        restarted, problems = self.open_log()
         self.assertTrue(any("checksum" in reason for _, reason in problems))
         original, restored = log.store.histories["p"], restarted.store.histories["p"]
         self.assertEqual(
@@ -165,27 +172,27 @@
             self.assertEqual(restored.items_at_version(version), original.items_at_version(version))
 
     def test_pruning_keeps_all_segments_that_stored_versions_need(self):
-        self.limit_segments(900)
-        log, _ = self.open(versions_per_proxy=30)
+        self.limit_segment_size(900)
+        log, _ = self.open_log(versions_per_proxy=30)
         for batch in range(100):
             self.publish(log, 3, first=batch * 3 + 1)
         self.assertLess(len(list(self.folder.glob("*.log"))), 12)
-        restarted, problems = self.open(versions_per_proxy=30)
+        restarted, problems = self.open_log(versions_per_proxy=30)
         self.assertEqual(problems, [])
         self.assert_same_history(log, restarted)
 
     def test_disk_limit_drops_the_oldest_versions_and_segments(self):
-        self.limit_segments(900)
-        log, _ = self.open()
+        self.limit_segment_size(900)
+        log, _ = self.open_log()
         log.disk_bytes_max = 3000
         for batch in range(200):
             self.publish(log, 3, first=batch * 3 + 1)
         self.assertLess(sum(path.stat().st_size for path in self.folder.glob("*.log")), 4500)
-        restarted, _ = self.open()
+        restarted, _ = self.open_log()
         self.assert_same_history(log, restarted)
 
     def test_full_disk_loses_versions_on_disk_but_none_in_memory(self):
-        log, _ = self.open()
+        log, _ = self.open_log()
         self.publish(log, 5)
         segment_file = log.segment.file
 
@@ -215,7 +222,7 @@
             ["table log write failed", "table log writable again"],
         )
         self.publish(log, 1, first=18, at=8.0)
-        restarted, problems = self.open()
+        restarted, problems = self.open_log()
         self.assertTrue(any("torn" in reason for _, reason in problems))
         original, restored = log.store.histories["p"], restarted.store.histories["p"]
         self.assertEqual(
@@ -228,19 +235,19 @@
     def test_publishing_continues_where_the_folder_cannot_be_created(self):
         Path(self.temporary.name, "file").write_text("x")
         self.folder = Path(self.temporary.name, "file", "tables")
-        log, _ = self.open()
+        log, _ = self.open_log()
         self.publish(log, 3)
         self.assertTrue(log.failure)
         self.assertEqual(log.store.histories["p"].newest_version, Version(1, 3))
 
     def test_restored_backup_is_read_and_new_versions_continue(self):
-        log, _ = self.open()
+        log, _ = self.open_log()
         self.publish(log, 5)
         backup = {path: path.read_bytes() for path in self.folder.glob("*.log")}
         self.publish(log, 5, first=6)
         for path, data in backup.items():
             path.write_bytes(data)
-        restarted, _ = self.open()
+        restarted, _ = self.open_log()
         self.assertEqual(restarted.store.histories["p"].newest_version, Version(1, 5))
-        # The proxy has version 1.10, so that it joins with a higher epoch.
+        # The proxy already has version 1.10, so that it joins with a higher epoch.
         restarted.store.commit("p", Version(2, 1), 3.0, (), {"level/k": 1})
--- a/tests/wire/test_adapter.py
+++ b/tests/wire/test_adapter.py
@@ -1,3 +1,5 @@
+"""The adapter's batches, with faulty records and failing planners."""
+
 import unittest
 
 from peatlead import adapter
--- a/tests/wire/test_codec.py
+++ b/tests/wire/test_codec.py
@@ -1,3 +1,5 @@
+"""Framing of batches and replies, and their record layouts."""
+
 import io
 import struct
 import unittest
@@ -9,6 +11,7 @@
 
 
 def batch(*records_hex, clock_us=5):
+    """Return an encoded batch of records, given in hexadecimal."""
     body = b"".join(map(bytes.fromhex, records_hex))
     return struct.pack(">IIQ", len(records_hex), len(body), clock_us) + body
 
--- a/tests/wire/test_settings.py
+++ b/tests/wire/test_settings.py
@@ -1,3 +1,5 @@
+"""Conversion of the wire's environment to planner settings."""
+
 import unittest
 
 from peatlead.wire.settings import settings_from_environment
--- a/tests/wire/test_translators.py
+++ b/tests/wire/test_translators.py
@@ -1,3 +1,5 @@
+"""Conversion between wire records and planner events and commands."""
+
 import unittest
 
 from peatlead import interface
