--- a/peatlead/planner/channel_budget.py
+++ b/peatlead/planner/channel_budget.py
@@ -34,26 +34,28 @@
 
         `fraction` is the fraction of the proxy's message limit that such updates may use.
         """
-        settings, sent = self.context.settings, proxy.message_times
+        settings, message_times = self.context.settings, proxy.message_times
         limit = settings["messages_most"]
-        while sent and self.context.now - sent[0] > settings["messages_span"]:
-            sent.popleft()
-        return self.has_room(UPDATE_QUEUE_FRACTION) and (not limit or len(sent) < limit * fraction)
+        while message_times and self.context.now - message_times[0] > settings["messages_span"]:
+            message_times.popleft()
+        return self.has_room(UPDATE_QUEUE_FRACTION) and (
+            not limit or len(message_times) < limit * fraction
+        )
 
     def has_room(self, fraction: float = TABLE_QUEUE_FRACTION) -> bool:
         """Return whether less than a fraction of the maximum queue is in use."""
         return bool(self.backlog.queued_entries < fraction * self.context.settings["queue_most"])
 
-    def has_room_for_withdrawals(self, total: float, entries: float) -> bool:
+    def has_room_for_withdrawals(self, total_entries: float, entries: float) -> bool:
         """Return whether withdrawals of `entries` more may be sent to waiting proxies.
 
         A few withdrawals may always be sent. Filling the queue with withdrawals would delay the
-        tables that those proxies wait for. `total` is the size of all withdrawals in this batch, in
-        entries, including the `entries` in question.
+        tables that those proxies wait for. `total_entries` is the size of all such withdrawals in this
+        batch, including these `entries`.
         """
         limit = self.context.settings["queue_most"]
         return bool(
-            total < MIN_WITHDRAWAL_QUEUE_FRACTION * limit
+            total_entries < MIN_WITHDRAWAL_QUEUE_FRACTION * limit
             or self.backlog.queued_entries + entries < MAX_WITHDRAWAL_QUEUE_FRACTION * limit
         )
 
@@ -62,8 +64,8 @@
 
         A batch sends one message to each proxy, so the overhead of the message is counted once.
         """
-        sent, now = proxy.message_times, self.context.now
-        new_message = not sent or sent[-1] < now
+        message_times, now = proxy.message_times, self.context.now
+        new_message = not message_times or message_times[-1] < now
         if new_message:
-            sent.append(now)
+            message_times.append(now)
         self.backlog.add_entries(proxy.number, entries, new_message)
--- a/peatlead/planner/context.py
+++ b/peatlead/planner/context.py
@@ -30,9 +30,10 @@
         self.connected: dict[int, ProxyState] = {}  # by number, in the order of connecting
         self.unassigned: dict[int, ProxyState] = {}  # by number, connected, without tables
         self.subscriber_index = SubscriberIndex()  # which proxies' tables name an endpoint
+        # Estimated number of proxies of this controller.
         self.expected_proxies = max(
             1.0, settings.get("proxies", 1) / max(1, settings.get("stewards", 1))
-        )  # estimated number of proxies of this controller
+        )
 
     @property
     def connected_proxies(self) -> ValuesView[ProxyState]:
--- a/peatlead/planner/endpoint_state.py
+++ b/peatlead/planner/endpoint_state.py
@@ -55,9 +55,8 @@
         self.withdrawn_at = now  # when `withdrawn` last changed
         # True after the first withdrawal: proxies may still avoid the endpoint.
         self.ever_withdrawn = False
-        self.notified_proxies: dict[
-            int, object
-        ] = {}  # by number: proxies to notify of the endpoint's return
+        # By number: proxies to notify of the endpoint's return.
+        self.notified_proxies: dict[int, object] = {}
         self.unusable_since = now  # when the endpoint last became unusable
 
         # Slow start.
--- a/peatlead/planner/load_shedding.py
+++ b/peatlead/planner/load_shedding.py
@@ -26,9 +26,8 @@
 OVERLOAD_LATENCY_FACTOR = 2  # times the high latency ratio: above it the fleet is overloaded
 MIN_CUT_FACTOR = 0.85  # of the admitted fraction, after the largest regular cut
 MAX_CUT_FACTOR = 0.9  # of the admitted fraction, after the smallest regular cut
-IMPROVED_SEVERITY_FACTOR = (
-    0.95  # of the severity at the last cut, below which no further cut is made
-)
+# Fraction of the severity at the last cut, below which no further cut is made.
+IMPROVED_SEVERITY_FACTOR = 0.95
 SAFE_FACTOR = 0.85  # of the admitted fraction before an overload
 LOW_LATENCY_FACTOR = 0.7  # of the high latency ratio, below which more is admitted
 MIN_INCREASE = 0.02  # of all work, in each step above the safe fraction
--- a/peatlead/planner/load_statistics.py
+++ b/peatlead/planner/load_statistics.py
@@ -119,7 +119,7 @@
 
 
 def sum_counts(all_counts: list[Counts]) -> Counts:
-    """Return the sum of counts; `fsum` makes the result independent of their order."""
+    """Return the sum of counts. `fsum` makes the result independent of the order."""
     return Counts(
         fsum([counts.attempts for counts in all_counts]),
         fsum([counts.errors for counts in all_counts]),
--- a/peatlead/planner/proxy_connections.py
+++ b/peatlead/planner/proxy_connections.py
@@ -52,9 +52,9 @@
         """Return for how many seconds a proxy may keep the table of its previous controller.
 
         The previous controller had more reports than a controller that has just started. However,
-        all entries of the table may have been withdrawn, which the proxy may bear only for a
-        limited time. The table may also name endpoints that were gone before this controller
-        started, which must not be used for longer than the drain grace.
+        all entries of the table may have been withdrawn, and a proxy may be without entries only
+        for a limited time. The table may also name endpoints that were gone before this controller
+        started, and such endpoints must not be used for longer than the drain grace.
         """
         settings = self.context.settings
         max_time_without_entries = max(0.0, settings["bare_most"] - settings["push_delay_most"])
--- a/peatlead/planner/proxy_state.py
+++ b/peatlead/planner/proxy_state.py
@@ -35,7 +35,8 @@
         self.source_endpoints: dict[int, EndpointState] = {}  # endpoints of the shards, by id
         self.seen_global_change_count = NEVER_WRITTEN  # of `TableChanges`, at the last computation
         self.seen_change_count = NEVER_WRITTEN  # of `TableChanges`, at the last computation
-        # Whether the tables have endpoints from outside the shards.
+        # Whether the tables have endpoints from outside the shards, so that every write computes
+        # them again.
         self.has_endpoints_outside_shards = False
         # By (group, zone): the pool, and its first endpoints in the proxy's order.
         self.ranked_pools: dict[
--- a/peatlead/planner/shuffle_sharding.py
+++ b/peatlead/planner/shuffle_sharding.py
@@ -3,7 +3,7 @@
 Each proxy uses the first endpoints of its own pseudo-random order (Thaler and Ravishankar, 1998).
 Two proxies rarely have the same shard, so one harmful request or client cannot break an endpoint
 for all proxies (AWS, "Workload isolation using shuffle-sharding"). The order needs no stored state:
-every controller computes the same shard for a proxy, and a new list moves few entries.
+every controller computes the same shard for a proxy, and a new endpoint list changes few tables.
 
 Endpoints that have just started ("cold") must not make up a large part of a table: their weights
 are small, but a proxy distributes all of its requests over its table. Therefore warm endpoints from
@@ -84,9 +84,9 @@
         zone_targets = {
             zone: densities.get(zone, default_density) * len(pool) for zone, pool in pools.items()
         }
-        expected = self.context.expected_proxies
+        expected_proxies = self.context.expected_proxies
         coverage_counts = {
-            zone: ceil(COVERAGE * len(pool) / expected) for zone, pool in pools.items()
+            zone: ceil(COVERAGE * len(pool) / expected_proxies) for zone, pool in pools.items()
         }
         total_target = max(MIN_DIVISOR, fsum(zone_targets.values()))
         max_density = max([MIN_DIVISOR, *[zone_targets[zone] / len(pools[zone]) for zone in pools]])
--- a/peatlead/planner/staged_updates.py
+++ b/peatlead/planner/staged_updates.py
@@ -37,7 +37,7 @@
         self.next_stage_at = 0.0  # seconds, when the next stage may start
 
     def publish_stage(self) -> None:
-        """Write the tables of the next stage if it is due."""
+        """Write the tables of the next stage if the stage is due or a weight has decreased."""
         context, changes = self.context, self.changes
         if changes.all_pending:
             changes.pending_proxies.update(
@@ -58,11 +58,11 @@
 
     def _shuffled_candidates(self, messages_fraction: float) -> list[ProxyState]:
         """Return the proxies with pending changes that may be written to, in random order."""
-        pending = self.changes.pending_proxies
+        pending_proxies = self.changes.pending_proxies
         candidates = [
             proxy
             for proxy in self.context.connected_proxies
-            if proxy.number in pending
+            if proxy.number in pending_proxies
             and proxy.assigned
             and self.budget.may_update(proxy, messages_fraction)
         ]
--- a/peatlead/planner/table_assignment.py
+++ b/peatlead/planner/table_assignment.py
@@ -38,9 +38,8 @@
         self.writer = writer
         self.budget = budget
         self.blocked_by_queue = False  # whether proxies wait because the channel has no room
-        self.mean_cost = (
-            COVERAGE  # moving average of the entries for a proxy's tables and assignment
-        )
+        # Moving average of the entries for a proxy's tables and assignment.
+        self.mean_cost = COVERAGE
 
     def assign_waiting_proxies(self) -> None:
         """Assign tables to waiting proxies.
--- a/peatlead/planner/table_changes.py
+++ b/peatlead/planner/table_changes.py
@@ -13,15 +13,13 @@
 
     def __init__(self) -> None:
         self.change_count = 0  # number of changes so far, of one endpoint or of all tables
-        self.global_change_count = (
-            0  # changes so far that affect all tables: pools, plans, bad paths
-        )
+        # Changes so far that affect all tables: pools, plans, bad paths.
+        self.global_change_count = 0
         self.pending_proxies: set[int] = set()  # numbers of proxies whose tables may differ
         self.all_pending = False  # whether the tables of all proxies may differ
         self.removals_pending = False  # whether tables may name an unusable endpoint
-        self.weight_decrease_pending = (
-            False  # whether a published weight has decreased, which is urgent
-        )
+        # Whether a published weight has decreased, which is urgent.
+        self.weight_decrease_pending = False
 
     def mark_all_changed(self) -> None:
         """Mark the tables of all proxies as changed, to be written in stages."""
--- a/peatlead/planner/withdrawals.py
+++ b/peatlead/planner/withdrawals.py
@@ -54,6 +54,7 @@
             self._restore(endpoint)
 
     def _withdraw(self, endpoint: EndpointState) -> None:
+        """Add the endpoint to the withdrawals of this batch, and count the entries for channels."""
         context = self.context
         endpoint.unusable_since = context.now
         endpoint.notified_proxies = dict.fromkeys(
@@ -67,6 +68,7 @@
                 self.budget.backlog.add_entries(number, 1, False)
 
     def _restore(self, endpoint: EndpointState) -> None:
+        """Emit the restoration, and count one entry for each proxy that was notified."""
         context = self.context
         context.commands.append(WithdrawEndpoint(endpoint.id, False))
         for proxy in context.unassigned.values():
--- a/tests/planner/test_removals.py
+++ b/tests/planner/test_removals.py
@@ -12,9 +12,8 @@
         commands = planner.decide(
             101.0, [interface.EndpointUpdate("changes", 2, (make_endpoint(3, 1, "draining"),))]
         )
-        self.assertIn(
-            interface.WithdrawEndpoint(3, True, ()), commands
-        )  # no proxy waits for a table
+        # No proxy waits for a table.
+        self.assertIn(interface.WithdrawEndpoint(3, True, ()), commands)
         entries = of_type(commands, interface.SetEntry)
         removed = [entry for entry in entries if entry.endpoint == 3 and not entry.weight]
         self.assertEqual(len(removed), 4)
--- a/tests/planner/test_shuffle_sharding.py
+++ b/tests/planner/test_shuffle_sharding.py
@@ -85,7 +85,7 @@
         self.assertTrue(planner.sharding.is_cold_heavy(endpoints[:2]))
         self.assertFalse(planner.sharding.is_cold_heavy(endpoints[:4]))
 
-    def test_proxies_whose_numbers_are_hashes_of_names_are_assigned(self):
+    def test_proxies_whose_numbers_are_hashes_of_names_get_tables(self):
         planner = make_planner()
         commands = planner.decide(101.0, [interface.ProxyConnected(2**47 + 5, 0, 1.0, True)])
         self.assertTrue(of_type(commands, interface.AssignTable))
--- a/tests/tables/test_history.py
+++ b/tests/tables/test_history.py
@@ -80,9 +80,8 @@
                 [entry.version.serial for entry in history.entries], [8, 9, 10], limits
             )
             self.assertEqual(history.items, {"level/k": 10})
-            self.assertEqual(
-                history.items_at_version(Version(1, 7)), {"level/k": 7}
-            )  # the oldest restorable version
+            # The oldest restorable version is that before the oldest entry.
+            self.assertEqual(history.items_at_version(Version(1, 7)), {"level/k": 7})
             with self.assertRaises(UnknownVersionError):
                 history.items_at_version(Version(1, 6))
             with self.assertRaises(UnknownVersionError):
@@ -99,9 +98,8 @@
         self.assertEqual(sorted(store.histories), ["a", "c", "d"])
         store.history("a")  # reconnected
         store.history("e")
-        self.assertEqual(
-            sorted(store.histories), ["a", "c", "d", "e"]
-        )  # histories of connected proxies stay
+        # The histories of connected proxies are kept.
+        self.assertEqual(sorted(store.histories), ["a", "c", "d", "e"])
 
     def test_references_to_dropped_entries_do_not_accumulate_behind_an_old_entry(self):
         store = HistoryStore(versions_per_proxy=10)
--- a/tests/tables/test_replica.py
+++ b/tests/tables/test_replica.py
@@ -62,7 +62,10 @@
         self.responses.extend(self.sender.resources_changed(LB_ENDPOINT_TYPE_URL))
 
     def deliver(self, response, answer=True):
-        """Apply a delta to the replica and return the outcome; `answer` sends it to the controller."""
+        """Apply a delta to the replica and return the outcome.
+
+        If `answer` is true, the proxy answers the controller, unless the delta is old.
+        """
         type_url, item_changes, stamp = decode_delta(
             discovery_pb2.DeltaDiscoveryResponse.FromString(response.SerializeToString())
         )
@@ -162,8 +165,8 @@
 
     @given(
         st.lists(
-            # "twice" delivers a delta two times, "drop" loses one, "swap" delivers an earlier one
-            # again, and "flip" corrupts an item of the replica.
+            # "twice" delivers a delta two times, "drop" loses a delta, "swap" delivers an earlier
+            # delta again, and "flip" corrupts an item of the replica.
             st.sampled_from(
                 ["change", "deliver", "twice", "answer", "drop", "swap", "flip", "reconnect"]
             ),
--- a/tests/tables/test_table_log.py
+++ b/tests/tables/test_table_log.py
@@ -212,9 +212,8 @@
         self.publish(log, 5, first=6, at=1.0)
         self.assertIn("No space", log.failure)
         self.publish(log, 5, first=11, at=2.0)
-        self.assertEqual(
-            log.store.histories["p"].newest_version, Version(1, 15)
-        )  # publishing continues
+        # Publishing continues.
+        self.assertEqual(log.store.histories["p"].newest_version, Version(1, 15))
         self.publish(log, 2, first=16, at=7.0)
         self.assertIsNone(log.failure)
         self.assertEqual(
