--- a/peatlead/health/load_report_counts.py
+++ b/peatlead/health/load_report_counts.py
@@ -1,4 +1,4 @@
-"""Aggregation of the request counts that endpoints report. No I/O, no clock.
+"""Aggregates the request counts that endpoints report; performs no I/O and reads no clock.
 
 DNS clients send no reports, so the endpoints count requests by client network: how many were
 answered, failed, were denied because the endpoint was full, were shed by admission control, or were
@@ -21,7 +21,7 @@
 
 from .. import interface
 
-COUNTERS_PER_ROW = 7  # for one client network and request class
+COUNTERS_PER_ROW = 7  # a row is for one client network and request class
 MAX_NETWORKS = 20_000  # client networks in one report
 
 Counters = list[float]
@@ -36,7 +36,7 @@
 
 
 class ClientView(Protocol):
-    """The attributes of a client network's view that are used here."""
+    """The attributes of a client network's view that `LoadReportCounts` uses."""
 
     @property
     def index(self) -> int:
@@ -60,7 +60,7 @@
 
     attempts: float = 0.0
     errors: float = 0.0
-    seconds: float = 0.0  # summed response time of the successful attempts
+    response_seconds: float = 0.0  # summed over the successful attempts
 
 
 @dataclass(slots=True)
@@ -85,27 +85,27 @@
 class LoadReportCounts:
     """Sums the increments of reported counts over a reporting interval.
 
-    `class_names` holds the names of the request classes in the planner's order. `view_of(network)`
-    returns the view of a client network given as text, or None. `probe_zone` is the zone that this
-    controller probes from. `interval` is in seconds.
+    `class_names` holds the names of the request classes in the planner's order.
+    `find_view(network)` returns the view of a client network given as text, or None. `probe_zone`
+    is the zone that this controller probes from. `interval` is in seconds.
     """
 
     def __init__(
         self,
         class_names: Sequence[str],
-        view_of: Callable[[str], ClientView | None],
+        find_view: Callable[[str], ClientView | None],
         probe_zone: int,
         interval: float,
     ) -> None:
         self.request_classes = {name: index for index, name in enumerate(class_names)}
-        self.view_of = view_of
+        self.find_view = find_view
         self.probe_zone = probe_zone
         self.interval = interval
         self.last_counts: dict[int, ReportedCounts] = {}  # by endpoint
         self.endpoint_totals: dict[tuple[int, int], EndpointTotals] = {}  # by endpoint, zone
         self.request_totals: dict[tuple[int, int], RequestTotals] = {}  # by view index, class
         self.load_reports: dict[int, interface.LoadReport] = {}  # by endpoint
-        self.interval_start: float | None = None  # seconds
+        self.interval_start: float | None = None  # seconds on the caller's clock
 
     def add_report(
         self,
@@ -113,7 +113,7 @@
         report: EndpointReport | None,
         load_report: interface.LoadReport | None,
     ) -> None:
-        """Add an endpoint's report and its load report, or None for either that is missing.
+        """Add an endpoint's report and its load report; either is None if it is missing.
 
         The first report of an endpoint serves only as the baseline of the next one, because its
         counts go back to the start of the endpoint.
@@ -122,15 +122,15 @@
             self.load_reports[endpoint] = load_report
         if report is None:
             return
-        last = self.last_counts.get(endpoint)
+        last_counts = self.last_counts.get(endpoint)
         self.last_counts[endpoint] = ReportedCounts(report.boot, report.networks)
-        if last is None:
+        if last_counts is None:
             return
-        baseline = last.networks if last.boot == report.boot else {}
+        baseline = last_counts.networks if last_counts.boot == report.boot else {}
         for network, rows in report.networks.items():
-            self.add_network(endpoint, report.kinds, network, rows, baseline.get(network))
+            self.add_network_rows(endpoint, report.kinds, network, rows, baseline.get(network))
 
-    def add_network(
+    def add_network_rows(
         self,
         endpoint: int,
         class_names: Sequence[str],
@@ -139,7 +139,7 @@
         baseline_rows: list[Counters] | None,
     ) -> None:
         """Add the increments of one client network; ignore invalid rows and unknown classes."""
-        view = self.view_of(network)
+        view = self.find_view(network)
         if view is None:
             return
         for index, name in enumerate(class_names[: len(rows)]):
@@ -168,7 +168,7 @@
             )
             endpoint_totals.attempts += done + errored + denied + abandoned
             endpoint_totals.errors += errored + denied + abandoned
-            endpoint_totals.seconds += seconds
+            endpoint_totals.response_seconds += seconds
         if received:
             request_totals = self.request_totals.setdefault(
                 (view.index, request_class), RequestTotals()
@@ -182,7 +182,7 @@
         Without this, the planner would get no statistics of an idle endpoint. `duration` is in
         seconds.
         """
-        if passed and not any(endpoint == other for other, _ in self.endpoint_totals):
+        if passed and not any(endpoint == attempted for attempted, _ in self.endpoint_totals):
             self.endpoint_totals[endpoint, self.probe_zone] = EndpointTotals(1.0, 0.0, duration)
 
     def take_due_events(
@@ -190,7 +190,7 @@
     ) -> list[interface.RequestStats | interface.EndpointStats]:
         """Return the planner's events of the interval and start the next one, or return [].
 
-        An interval ends after `interval` seconds, once there is something to report.
+        An interval ends after `interval` seconds, or later with the first count to report.
         `proxy_numbers` holds the planner's proxy number of each view index. `now` is in seconds.
         """
         if self.interval_start is None:
@@ -234,7 +234,7 @@
                 attempts=int(totals.attempts),
                 errors=int(totals.errors),
                 window=window,
-                mean_latency=totals.seconds / max(1.0, totals.attempts - totals.errors),
+                mean_latency=totals.response_seconds / max(1.0, totals.attempts - totals.errors),
                 load_report=self.load_reports.get(endpoint),
             )
             for (endpoint, zone), totals in sorted(
--- a/peatlead/health/prober.py
+++ b/peatlead/health/prober.py
@@ -36,8 +36,8 @@
     `on_result(endpoint, outcome, duration, load_report, request_counts)` is called after each
     probe; the duration is in seconds. `parse_response(response)` returns the outcome, the load
     report and the request counts; the last two are None if the response has none.
-    `extra_headers()` returns additional request headers. `local_address` is the address to probe
-    from, if any.
+    `extra_headers()` returns additional request headers. `local_address` is the source address of
+    probes, or None for the default.
     """
 
     def __init__(
@@ -65,9 +65,9 @@
             self.dropped_count += 1  # the planner orders another probe later
             return
         self.queue.append(QueuedProbe(endpoint, address))
-        self.start_queued()
+        self.start_queued_probes()
 
-    def start_queued(self) -> None:
+    def start_queued_probes(self) -> None:
         """Start queued probes while fewer than `at_once` probes are in flight."""
         loop = asyncio.get_running_loop()
         while self.queue and len(self.tasks) < self.settings["at_once"]:
@@ -79,9 +79,9 @@
     async def run_probe(self, endpoint: int, address: tuple[str, int]) -> None:
         """Send one probe and report its result."""
         loop = asyncio.get_running_loop()
-        start = loop.time()
+        started_at = loop.time()
         load_report = request_counts = connection = None
-        deadline = start + self.settings["deadline"]
+        deadline = started_at + self.settings["deadline"]
         try:
             connection = await connect(loop, address, deadline, self.local_address)
             headers = [("host", address[0]), ("connection", "close"), *self.extra_headers()]
@@ -95,8 +95,8 @@
             if connection is not None:
                 connection.abort("probe done")
             self.tasks.pop(endpoint, None)
-        self.on_result(endpoint, outcome, loop.time() - start, load_report, request_counts)
-        self.start_queued()
+        self.on_result(endpoint, outcome, loop.time() - started_at, load_report, request_counts)
+        self.start_queued_probes()
 
     def stop(self) -> None:
         """Cancel all probes, queued or in flight."""
--- a/peatlead/net/errors.py
+++ b/peatlead/net/errors.py
@@ -1,4 +1,4 @@
-"""Classification of operating system errors: caused by this machine or by the peer, or transient.
+"""Tells shortages on this machine from errors of the peer, and transient from permanent errors.
 
 Source: socket(2), connect(2), accept(2) and open(2) of the Linux manual pages.
 """
@@ -19,7 +19,7 @@
         errno.EINTR,
     }
 )
-# Errors after which opening a listener or a file may succeed on a retry.
+# After these errors, opening a listener or a file may succeed on a retry.
 TRANSIENT_ERRNOS = LOCAL_SHORTAGE_ERRNOS | {errno.EADDRINUSE, errno.EIO, errno.ESTALE}
 
 
--- a/peatlead/net/http/client.py
+++ b/peatlead/net/http/client.py
@@ -25,7 +25,7 @@
 class RequestOutcome(StrEnum):
     """Why a request got no response."""
 
-    UNREACHABLE = "unreachable"  # the connection was refused or reset, or the host has no route
+    UNREACHABLE = "unreachable"  # the connection was refused or reset, or there is no route
     DENIED = "denied"  # a shortage on this machine; nothing is known about the server
     TIMED_OUT = "timed out"
     BROKEN = "broken"  # the connection ended, or the response was not valid HTTP
@@ -34,14 +34,14 @@
 class RequestFailedError(HttpError):
     """A request got no response.
 
-    `outcome` is the value of a RequestOutcome. `sent` tells whether any byte of the request may
-    have reached the server.
+    `outcome` is the value of a RequestOutcome. `request_sent` tells whether any byte of the request
+    may have reached the server.
     """
 
-    def __init__(self, outcome: RequestOutcome, sent: bool) -> None:
+    def __init__(self, outcome: RequestOutcome, request_sent: bool) -> None:
         super().__init__(outcome.value)
         self.outcome: str = outcome.value  # a plain string, as in recordings and messages
-        self.sent = sent
+        self.request_sent = request_sent
 
 
 class Response(NamedTuple):
@@ -70,10 +70,10 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.response = ResponseMessage(self)
-        self.parser = httptools.HttpResponseParser(self.response)
-        self.pending: asyncio.Future[Response] | None = None  # for the current request
-        self.sent = False  # whether the current request was written to the transport
+        self.response_message = ResponseMessage(self)
+        self.parser = httptools.HttpResponseParser(self.response_message)
+        self.pending_response: asyncio.Future[Response] | None = None  # of the current request
+        self.request_sent = False  # whether the current request was written to the transport
         self.keep_alive = True
         self.received_bytes = 0  # since the start of the current request
 
@@ -90,29 +90,29 @@
         `deadline` is a time of the event loop's clock, in seconds.
         """
         loop = asyncio.get_running_loop()
-        self.sent = False
+        self.request_sent = False
         self.received_bytes = 0
-        self.pending = loop.create_future()
+        self.pending_response = loop.create_future()
         if body:
             headers = [*headers, ("content-length", str(len(body)))]
-        self.sent = self.send(encode_message(f"{method} {path} HTTP/1.1", headers, body))
+        self.request_sent = self.send(encode_message(f"{method} {path} HTTP/1.1", headers, body))
         timer = loop.call_at(deadline, self.time_out)
         try:
-            return await self.pending
+            return await self.pending_response
         finally:
             timer.cancel()
-            self.pending = None
+            self.pending_response = None
 
     def time_out(self) -> None:
         """Fail the request and abort the connection at the deadline."""
-        self.fail(RequestOutcome.TIMED_OUT)
+        self.fail_request(RequestOutcome.TIMED_OUT)
         self.abort("late")
 
-    def fail(self, outcome: RequestOutcome) -> None:
+    def fail_request(self, outcome: RequestOutcome) -> None:
         """Fail the pending request, if any, and mark the connection as not reusable."""
         self.keep_alive = False
-        if self.pending is not None and not self.pending.done():
-            self.pending.set_exception(RequestFailedError(outcome, self.sent))
+        if self.pending_response is not None and not self.pending_response.done():
+            self.pending_response.set_exception(RequestFailedError(outcome, self.request_sent))
 
     def received(self, data: bytes) -> None:
         """Parse the response.
@@ -122,11 +122,11 @@
         """
         self.received_bytes += len(data)
         if (
-            self.pending is None
+            self.pending_response is None
             or self.received_bytes > MAX_BODY_BYTES + MAX_HEAD_BYTES
             or feed_parser(self.parser, data) is not None
         ):
-            self.fail(RequestOutcome.BROKEN)
+            self.fail_request(RequestOutcome.BROKEN)
             self.abort("not HTTP")
 
     def finish_response(self) -> None:
@@ -135,30 +135,32 @@
         if status < FIRST_FINAL_STATUS:
             return
         self.keep_alive = self.keep_alive and self.parser.should_keep_alive()
-        if self.pending is not None and not self.pending.done():
-            body = b"".join(self.response.body)
-            self.pending.set_result(Response(status, self.response.headers, body, self.keep_alive))
+        if self.pending_response is not None and not self.pending_response.done():
+            body = b"".join(self.response_message.body)
+            self.pending_response.set_result(
+                Response(status, self.response_message.headers, body, self.keep_alive)
+            )
         if not self.keep_alive:
             self.close()
 
     def ended(self, reason: str) -> None:
         """Fail the pending request when the connection ends."""
-        self.fail(RequestOutcome.BROKEN)
+        self.fail_request(RequestOutcome.BROKEN)
 
 
 async def connect(
     loop: asyncio.AbstractEventLoop,
     address: tuple[str, int],
     deadline: float,
-    local: str | None = None,
+    local_address: str | None = None,
 ) -> ClientConnection:
-    """Open a connection to (host, port), from the local address `local` if given.
+    """Open a connection to the host and port `address`, from `local_address` if given.
 
     `deadline` is a time of the event loop's clock, in seconds. Raises RequestFailedError.
     """
     try:
         opening = loop.create_connection(
-            ClientConnection, *address, local_addr=(local, 0) if local else None
+            ClientConnection, *address, local_addr=(local_address, 0) if local_address else None
         )
         _, connection = await with_timeout(max(0.0, deadline - loop.time()), opening)
         return connection
--- a/peatlead/net/http/message.py
+++ b/peatlead/net/http/message.py
@@ -61,18 +61,18 @@
 
     def on_url(self, data: bytes) -> None:
         """Append to the request's target."""
-        self.count_head(len(data))
+        self.count_head_bytes(len(data))
         self.target += data
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Add a header; raises InvalidMessageError if one of SINGLE_HEADERS is repeated."""
-        self.count_head(len(name) + len(value))
-        key = name.decode("latin-1").lower()
-        if key in self.headers and key in SINGLE_HEADERS:
+        self.count_head_bytes(len(name) + len(value))
+        lower_name = name.decode("latin-1").lower()
+        if lower_name in self.headers and lower_name in SINGLE_HEADERS:
             raise InvalidMessageError(HTTPStatus.BAD_REQUEST)
-        self.headers[key] = value.decode("latin-1")
+        self.headers[lower_name] = value.decode("latin-1")
 
-    def count_head(self, size: int) -> None:
+    def count_head_bytes(self, size: int) -> None:
         """Count bytes of the head; raises InvalidMessageError above MAX_HEAD_BYTES."""
         self.head_bytes += size
         if self.head_bytes > MAX_HEAD_BYTES:
--- a/peatlead/net/http/server.py
+++ b/peatlead/net/http/server.py
@@ -10,7 +10,7 @@
 from ..streams import Stream
 from .message import Header, InvalidMessageError, Message, encode_message, feed_parser
 
-MAX_PIPELINED_REQUESTS = 16  # that wait while another request is served
+MAX_PIPELINED_REQUESTS = 16  # requests that wait while another one is served
 REASON_PHRASES = {status.value: status.phrase for status in HTTPStatus}
 
 
@@ -46,25 +46,25 @@
     def __init__(self, idle_timeout: float) -> None:
         super().__init__(idle_timeout)
         self.parser = httptools.HttpRequestParser(RequestMessage(self))
-        self.pipelined: deque[Request] = deque()
-        self.serving = False  # whether `serve` was called and `respond` was not yet
-        self.input_ended = False  # whether further data from the client is ignored
-        self.error_status: HTTPStatus | None = None  # to reject an invalid request with
+        self.pipelined_requests: deque[Request] = deque()
+        self.serving = False  # between the calls of `serve` and `respond`
+        self.ignores_input = False  # whether further data from the client is ignored
+        self.error_status: HTTPStatus | None = None  # of a request to reject
 
     def serve(self, method: str, path: str, headers: dict[str, str], body: bytes) -> None:
         """Handle one request and call `respond` for it, now or later."""
 
     def received(self, data: bytes) -> None:
         """Parse requests and serve the next one, unless another is being served."""
-        if self.input_ended:
+        if self.ignores_input:
             return
         self.error_status = feed_parser(self.parser, data)
-        self.input_ended = self.error_status is not None
+        self.ignores_input = self.error_status is not None
         self.serve_next()
 
     def enqueue(self, message: Message) -> None:
         """Queue a complete request; raises InvalidMessageError."""
-        if len(self.pipelined) >= MAX_PIPELINED_REQUESTS:
+        if len(self.pipelined_requests) >= MAX_PIPELINED_REQUESTS:
             raise InvalidMessageError(HTTPStatus.TOO_MANY_REQUESTS)
         if "host" not in message.headers and self.parser.get_http_version() == "1.1":
             raise InvalidMessageError(HTTPStatus.BAD_REQUEST)
@@ -77,14 +77,14 @@
             body=b"".join(message.body),
             keep_alive=self.parser.should_keep_alive(),
         )
-        self.pipelined.append(request)
+        self.pipelined_requests.append(request)
 
     def serve_next(self) -> None:
         """Serve the next request; reject an invalid one after the responses to all before it."""
-        while self.pipelined and not self.serving and self.transport is not None:
-            request = self.pipelined.popleft()
+        while self.pipelined_requests and not self.serving and self.transport is not None:
+            request = self.pipelined_requests.popleft()
             self.serving = True
-            self.input_ended = self.input_ended or not request.keep_alive
+            self.ignores_input = self.ignores_input or not request.keep_alive
             self.serve(request.method, request.target, request.headers, request.body)
         if self.error_status is not None and not self.serving:
             self.reject(self.error_status)
@@ -97,22 +97,22 @@
         self.close()
 
     def respond(
-        self, status: int, headers: Sequence[Header], body: bytes, last: bool = False
+        self, status: int, headers: Sequence[Header], body: bytes, close_connection: bool = False
     ) -> None:
-        """Respond to the request being served; with `last`, close the connection afterwards."""
+        """Respond to the request being served, then close the connection if requested."""
         if self.transport is None:
             return
-        more_pending = bool(self.pipelined) or self.error_status is not None
-        last = last or (self.input_ended and not more_pending)
+        has_more_work = bool(self.pipelined_requests) or self.error_status is not None
+        close_connection = close_connection or (self.ignores_input and not has_more_work)
         all_headers = [*headers, ("content-length", str(len(body)))]
-        if last:
+        if close_connection:
             all_headers.append(("connection", "close"))
         status_line = f"HTTP/1.1 {status} {REASON_PHRASES.get(status, '')}"
         self.send(encode_message(status_line, all_headers, body))
         self.serving = False
-        if last:
-            self.input_ended = True
-            self.pipelined.clear()
+        if close_connection:
+            self.ignores_input = True
+            self.pipelined_requests.clear()
             self.close()
-        elif more_pending:
+        elif has_more_work:
             self.loop.call_soon(self.serve_next)
--- a/peatlead/net/streams.py
+++ b/peatlead/net/streams.py
@@ -8,13 +8,13 @@
 
 READ_BUFFER_BYTES = 64 << 10  # maximum size of one read
 MAX_UNSENT_BYTES = 1 << 20  # default limit of the write buffer
-MAX_LINE_BYTES = 1 << 20  # default limit
+MAX_LINE_BYTES = 1 << 20  # default limit of one line
 
 # All streams share one read buffer. asyncio fills the buffer and calls `buffer_updated` in the same
 # callback, and `buffer_updated` copies the data. One buffer per stream would take 200 MB with 3,000
 # proxies.
 READ_BUFFER = bytearray(READ_BUFFER_BYTES)
-READ_VIEW = memoryview(READ_BUFFER)
+READ_BUFFER_VIEW = memoryview(READ_BUFFER)
 
 
 async def with_timeout(seconds: float, awaitable: Awaitable[Result]) -> Result:
@@ -39,10 +39,10 @@
     def __init__(self, idle_timeout: float = 0.0, max_unsent_bytes: int = MAX_UNSENT_BYTES) -> None:
         self.idle_timeout = idle_timeout
         self.max_unsent_bytes = max_unsent_bytes
-        self.transport: asyncio.Transport | None = None  # None before and after the connection
+        self.transport: asyncio.Transport | None = None  # None unless the connection is open
         self.peer_address: Any = None  # (host, port), or a longer tuple for IPv6
-        self.last_activity = 0.0  # loop time of the last activity
-        self.timer: asyncio.TimerHandle | None = None  # for the next check of the idle timeout
+        self.last_activity = 0.0  # seconds on the loop's clock
+        self.idle_timer: asyncio.TimerHandle | None = None  # for the next `check_idle`
         self.close_reason: str | None = None  # why this side ended the connection
 
     def opened(self) -> None:
@@ -83,7 +83,7 @@
         self.peer_address = transport.get_extra_info("peername")
         self.last_activity = self.loop.time()
         if self.idle_timeout:
-            self.timer = self.loop.call_later(self.idle_timeout, self.check_idle)
+            self.idle_timer = self.loop.call_later(self.idle_timeout, self.check_idle)
         self.opened()
 
     def get_buffer(self, sizehint: int) -> bytearray:
@@ -93,7 +93,7 @@
     def buffer_updated(self, size: int) -> None:
         """Pass a copy of the bytes read to `received` (asyncio callback)."""
         self.last_activity = self.loop.time()
-        self.received(bytes(READ_VIEW[:size]))
+        self.received(bytes(READ_BUFFER_VIEW[:size]))
 
     def eof_received(self) -> bool:
         """Return False: close the connection when the peer closes its side (asyncio callback)."""
@@ -101,8 +101,8 @@
 
     def connection_lost(self, error: Exception | None) -> None:
         """Call `ended` with the reason (asyncio callback)."""
-        if self.timer is not None:
-            self.timer.cancel()
+        if self.idle_timer is not None:
+            self.idle_timer.cancel()
         self.transport = None
         self.ended(self.close_reason or (type(error).__name__ if error else "closed"))
 
@@ -113,13 +113,16 @@
         """
         remaining = self.last_activity + self.idle_timeout - self.loop.time()
         if remaining > 0:
-            self.timer = self.loop.call_later(remaining, self.check_idle)
+            self.idle_timer = self.loop.call_later(remaining, self.check_idle)
         else:
             self.abort("idle")
 
 
 class ConnectionSet:
-    """The open streams of a listener. When the set is full, the longest idle stream is aborted."""
+    """The open streams of a listener.
+
+    When the set is full, a new stream replaces the stream that was idle for the longest time.
+    """
 
     def __init__(self, max_connections: int) -> None:
         self.max_connections = max_connections
@@ -159,7 +162,7 @@
     ) -> None:
         super().__init__(idle_timeout, max_unsent_bytes)
         self.max_line_bytes = max_line_bytes
-        self.partial_line = bytearray()  # the start of a line that is not complete
+        self.partial_line = bytearray()  # the received start of an incomplete line
 
     def line_received(self, data: bytes) -> None:
         """Handle one line, without its newline."""
@@ -173,9 +176,9 @@
         first, *rest = data.split(b"\n")
         self.partial_line += first
         if rest:
-            complete = [bytes(self.partial_line), *rest[:-1]]
+            complete_lines = [bytes(self.partial_line), *rest[:-1]]
             self.partial_line = bytearray(rest[-1])
-            for line in complete:
+            for line in complete_lines:
                 self.line_received(line)
         if len(self.partial_line) > self.max_line_bytes:
             self.abort("line too long")
--- a/peatlead/settings/consistency.py
+++ b/peatlead/settings/consistency.py
@@ -1,4 +1,4 @@
-"""Checks across several values: names that must exist, and times that depend on each other."""
+"""Checks that concern several values, such as references to names and dependent times."""
 
 from collections.abc import Collection, Iterable
 from typing import Any
@@ -21,23 +21,23 @@
         raise SettingsError(f"{name}:1: {error}") from None
 
 
-def require_unique(names: Iterable[str], what: str) -> None:
-    """Raise ValueError if a name occurs twice; `what` describes the names."""
-    seen = set()
+def require_unique(names: Iterable[str], kind: str) -> None:
+    """Raise ValueError if a name occurs twice; `kind` is what the names denote."""
+    seen_names = set()
     for name in names:
-        if name in seen:
-            raise expectation_error(f"each {what} once", name)
-        seen.add(name)
+        if name in seen_names:
+            raise expectation_error(f"each {kind} once", name)
+        seen_names.add(name)
 
 
-def require_known(names: Iterable[str], known: Collection[str], what: str) -> None:
-    """Raise ValueError if a name is not one of the known names; `what` is the setting."""
+def require_known(names: Iterable[str], known: Collection[str], setting: str) -> None:
+    """Raise ValueError if a name is not one of the known names; `setting` is where it was given."""
     for name in names:
         if name not in known:
-            raise ValueError(f"{what}: expected one of {', '.join(sorted(known))}, got {name!r}")
+            raise ValueError(f"{setting}: expected one of {', '.join(sorted(known))}, got {name!r}")
 
 
-def _check_presence(settings: Settings) -> None:
+def _check_required_builtins(settings: Settings) -> None:
     for builtin in REQUIRED_BUILTINS:
         if not settings[builtin]:
             raise ValueError(f"expected at least 1 {builtin}(...)")
@@ -84,9 +84,9 @@
     require_unique(networks, "network")
 
 
-def _check_clients(settings: Settings) -> None:
-    served = (settings["view"], settings["dns"]["open_views"], settings["grpc"]["proxies"])
-    if not any(served):
+def _check_any_client_is_served(settings: Settings) -> None:
+    client_settings = (settings["view"], settings["dns"]["open_views"], settings["grpc"]["proxies"])
+    if not any(client_settings):
         raise ValueError(
             "expected a view(...), dns.open_views or grpc.proxies: without them no client is served"
         )
@@ -124,13 +124,13 @@
 
 
 CHECKS = (  # in order of precedence of their errors
-    _check_presence,
+    _check_required_builtins,
     _check_names,
     _check_request_classes,
     _check_services,
     _check_zones,
     _check_networks,
-    _check_clients,
+    _check_any_client_is_served,
     _check_fleet,
     _check_lifetime,
 )
--- a/peatlead/settings/fields.py
+++ b/peatlead/settings/fields.py
@@ -19,10 +19,10 @@
 Schema = dict[str, dict[str, Field]]  # by builtin name and field name
 
 
-def expectation_error(what: str, value: object) -> ValueError:
+def expectation_error(expected: str, value: object) -> ValueError:
     """Return the error of a failed check.
 
     A ValueError is used because the Starlark interpreter includes the name of the class in its
     error report, from which starlark_runner removes it.
     """
-    return ValueError(f"expected {what}, got {value!r}")
+    return ValueError(f"expected {expected}, got {value!r}")
--- a/peatlead/settings/loader.py
+++ b/peatlead/settings/loader.py
@@ -51,12 +51,14 @@
 def _single_values(name: str, builtin: str, calls: list[Call]) -> dict[str, Any]:
     """Return the values of a builtin that may be called once, or its defaults."""
     fields = SINGLE_BUILTINS[builtin]
-    given = [call.values for call in calls if call.builtin == builtin]
-    if len(given) > 1:
-        raise SettingsError(f"{name}:1: expected one call of {builtin}(), got {len(given)}")
-    if given:
-        return given[0]
-    required = [f"{field} = ..." for field, spec in fields.items() if spec.default is REQUIRED]
+    given_values = [call.values for call in calls if call.builtin == builtin]
+    if len(given_values) > 1:
+        raise SettingsError(f"{name}:1: expected one call of {builtin}(), got {len(given_values)}")
+    if given_values:
+        return given_values[0]
+    required = [
+        f"{field_name} = ..." for field_name, spec in fields.items() if spec.default is REQUIRED
+    ]
     if required:
         raise SettingsError(f"{name}:1: expected a call of {builtin}({', '.join(required)})")
-    return {field: spec.default for field, spec in fields.items()}
+    return {field_name: spec.default for field_name, spec in fields.items()}
--- a/peatlead/settings/starlark_runner.py
+++ b/peatlead/settings/starlark_runner.py
@@ -24,22 +24,22 @@
     calls: list[Call] = []
     module = starlark.Module()
     for builtin, fields in schema.items():
-        module.add_callable(builtin, _recorder(calls, builtin, fields))
+        module.add_callable(builtin, _make_builtin(calls, builtin, fields))
     try:
         program = starlark.parse(name, source, starlark.Dialect.extended())
         starlark.eval(module, program, starlark.Globals.standard())
     except starlark.StarlarkError as error:
-        raise SettingsError(_message_with_line(name, str(error))) from None
+        raise SettingsError(_format_error(name, str(error))) from None
     return calls
 
 
-def _recorder(calls: list[Call], builtin: str, fields: dict[str, Field]) -> Callable[..., None]:
-    """Return the function that a script calls under the builtin's name."""
+def _make_builtin(calls: list[Call], builtin: str, fields: dict[str, Field]) -> Callable[..., None]:
+    """Return the function of a builtin: it checks its arguments and adds them to `calls`."""
 
-    def record(*positional: Any, **named: Any) -> None:
+    def record_call(*positional: Any, **named: Any) -> None:
         calls.append(Call(builtin, _check_fields(builtin, fields, positional, named)))
 
-    return record
+    return record_call
 
 
 def _check_fields(
@@ -70,8 +70,8 @@
     return field.default
 
 
-def _message_with_line(name: str, report: str) -> str:
-    """Return `FILE:LINE: text` for Starlark's report, whose last arrow points at the location."""
+def _format_error(name: str, report: str) -> str:
+    """Return `FILE:LINE: text` for Starlark's error report, whose last `-->` is the location."""
     line, text = "1", report.strip().splitlines()[0]
     for report_line in map(str.strip, report.splitlines()):
         if report_line.startswith("--> "):
--- a/peatlead/sources/endpoint_cache.py
+++ b/peatlead/sources/endpoint_cache.py
@@ -9,15 +9,15 @@
 from .endpoint_list import EndpointList, EndpointListError, parse_list_document
 
 MAGIC = b"peatlead-list"
-FORMAT = 1  # version of the file format
+FORMAT_VERSION = 1
 
 
 class EndpointCache:
-    """Caches the last complete list for starts of the controller while its source is unavailable.
+    """Stores the last complete list, for a start of the controller while the source is unavailable.
 
-    The file has a header line, `peatlead-list FORMAT CHECKSUM`, followed by a JSON document. The
-    file is replaced by a rename, so that a crash leaves the previous file intact. A file with a
-    wrong header or checksum is ignored.
+    The file has a header line, `peatlead-list FORMAT_VERSION CHECKSUM`, followed by a JSON
+    document. The file is replaced by a rename, so a crash leaves the previous file intact. A file
+    with a wrong header or checksum is ignored.
     """
 
     def __init__(self, path: str | None) -> None:
@@ -35,7 +35,7 @@
                 "hosts": endpoint_list.endpoints,
             }
         )
-        header = b"%s %d %s\n" % (MAGIC, FORMAT, checksum(body))
+        header = b"%s %d %s\n" % (MAGIC, FORMAT_VERSION, checksum(body))
         temporary_path = self.path.with_name(self.path.name + ".new")
         self.path.parent.mkdir(parents=True, exist_ok=True)
         with open(temporary_path, "wb") as file:
@@ -53,7 +53,7 @@
         except OSError as error:
             return None, error.strerror or str(error)
         words = header.split(b" ")
-        if len(words) != 3 or words[:2] != [MAGIC, b"%d" % FORMAT]:
+        if len(words) != 3 or words[:2] != [MAGIC, b"%d" % FORMAT_VERSION]:
             return None, "the header is not that of a cached list of this version"
         if words[2] != checksum(body):
             return None, "the checksum is wrong: the file is truncated or corrupted"
--- a/peatlead/sources/endpoint_list.py
+++ b/peatlead/sources/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Endpoint lists as delivered by every source, and their JSON format. No I/O.
+"""Endpoint lists as delivered by every source, and their JSON format; performs no I/O.
 
 A source passes an `EndpointList` to a callback. The controller assigns endpoint ids, maps times to
 its own clock and emits the events.
@@ -13,7 +13,7 @@
 DOCUMENT_SCOPES = ("whole", "changes")
 MAX_ENDPOINTS = 20_000  # in one list
 MAX_LABEL_LENGTH = 63  # characters (RFC 1035, section 2.3.4)
-WEIGHT_LIMIT = 1e6  # exclusive upper bound
+WEIGHT_UPPER_BOUND = 1e6  # exclusive
 
 # Value of an interface.ListScope, as in stored lists and recordings. "whole": all endpoints;
 # "changes": the endpoints that changed; "remembered": all endpoints, read from the cache;
@@ -37,16 +37,14 @@
 
 
 class EndpointList(NamedTuple):
-    """An endpoint list, or with scope "unavailable" the information that none could be read."""
+    """An endpoint list; with scope "unavailable", the information that no list could be read."""
 
     scope: Scope
     version: int
     written: float  # time of writing in seconds, by the clock of the list's author
     endpoints: tuple[ListedEndpoint, ...]
     entry_errors: tuple[str, ...] = ()  # one message for each invalid entry
-    unusable_names: tuple[
-        str | None, ...
-    ] = ()  # names of unusable entries; None: the name is unusable too
+    unusable_names: tuple[str | None, ...] = ()  # of invalid entries; None: the name is invalid too
 
 
 class ListDocument(msgspec.Struct):
@@ -110,9 +108,9 @@
         raise ValueError(f"expected a phase of {', '.join(PHASES)}, got {entry.phase!r}")
     if not is_label(entry.name):
         raise ValueError(f"expected a name of one label, got {entry.name!r}")
-    if not 0 < entry.weight < WEIGHT_LIMIT:
+    if not 0 < entry.weight < WEIGHT_UPPER_BOUND:
         raise ValueError(
-            f"expected a weight above 0 and below {WEIGHT_LIMIT:g}, got {entry.weight!r}"
+            f"expected a weight above 0 and below {WEIGHT_UPPER_BOUND:g}, got {entry.weight!r}"
         )
     if not (entry.address or entry.address6):
         raise ValueError(f"{entry.name}: expected an address")
--- a/peatlead/sources/file_watch.py
+++ b/peatlead/sources/file_watch.py
@@ -22,27 +22,28 @@
 
 
 class FileSource:
-    """Polls the file and calls `on_update(endpoint_list)` for each update.
+    """Polls the file and calls `on_list(endpoint_list)` with each new list.
 
-    `settings` has the keys `path`, `every` (seconds between polls) and `patience` (seconds until an
-    unreadable file is reported as unavailable). `log(event, **fields)` is called for invalid
+    An unreadable file is reported once, as an empty list with the scope "unavailable". `settings`
+    has the keys `path`, `every` (seconds between polls) and `patience` (seconds until an unreadable
+    file is reported). `log(event, **fields)` is called for invalid
     entries, ignored lists and read errors.
     """
 
     def __init__(
         self,
         settings: Mapping[str, Any],
-        on_update: Callable[[EndpointList], object],
+        on_list: Callable[[EndpointList], object],
         log: Callable[..., object],
     ) -> None:
         self.path = Path(settings["path"])
         self.poll_interval: float = settings["every"]  # seconds
         self.unavailable_timeout: float = settings["patience"]  # seconds
-        self.on_update = on_update
+        self.on_list = on_list
         self.log = log
-        self.last_stamp: FileStamp | None = None  # of the file that was last read
-        self.version: int | None = None  # of the last accepted list
-        self.unreadable_since: float | None = None  # seconds
+        self.last_stamp: FileStamp | None = None  # of the file when it was last read
+        self.version: int | None = None  # of the last accepted list; None before the first
+        self.unreadable_since: float | None = None  # seconds on the loop's clock
         self.reported_unavailable = False
         self.task: asyncio.Task[None] | None = None
 
@@ -75,20 +76,20 @@
                 return
             endpoint_list = parse_list_document(self.path.read_bytes())
         except (OSError, EndpointListError) as error:
-            self.handle_unreadable(now, error)
+            self.handle_read_error(now, error)
             return
         self.last_stamp = stamp
         self.unreadable_since = None
         self.reported_unavailable = False
-        self.accept(endpoint_list)
+        self.accept_list(endpoint_list)
 
     def fetch(self, now: float) -> None:
         """Read the file whether or not it has changed; `now` is in seconds."""
         self.last_stamp = None
         self.check_file(now)
 
-    def accept(self, endpoint_list: EndpointList) -> None:
-        """Call `on_update` with a list, unless its version is older than the last."""
+    def accept_list(self, endpoint_list: EndpointList) -> None:
+        """Call `on_list` with a list, unless its version is older than that of the last list."""
         for error in endpoint_list.entry_errors:
             self.log("list entry left out", path=str(self.path), why=error)
         if self.version is not None and endpoint_list.version < self.version:
@@ -100,9 +101,9 @@
             )
             return
         self.version = endpoint_list.version
-        self.on_update(endpoint_list)
+        self.on_list(endpoint_list)
 
-    def handle_unreadable(self, now: float, error: Exception) -> None:
+    def handle_read_error(self, now: float, error: Exception) -> None:
         """Report the list as unavailable, once, after `unavailable_timeout` seconds of errors."""
         if self.unreadable_since is None:
             self.unreadable_since = now
@@ -112,4 +113,4 @@
             and not self.reported_unavailable
         ):
             self.reported_unavailable = True
-            self.on_update(EndpointList("unavailable", self.version or 0, 0.0, ()))
+            self.on_list(EndpointList("unavailable", self.version or 0, 0.0, ()))
--- a/tests/health/test_load_report_counts.py
+++ b/tests/health/test_load_report_counts.py
@@ -19,12 +19,12 @@
         return counts
 
     def report(self, boot="b", **rows):
-        """Return a report of one request class; a key such as "10_1_0_0" stands for a network."""
+        """Return a report on the request class `look`; the keyword 10_1_0_0 is the network 10.1.0.0."""
         return EndpointReport(
             boot, ["look"], {network.replace("_", "."): [row] for network, row in rows.items()}
         )
 
-    def test_stats_are_counter_increments_by_view_and_by_zone_of_the_view(self):
+    def test_statistics_are_increments_of_counters_by_view_and_by_the_zone_of_the_view(self):
         counts = self.make_counts()
         counts.add_report(3, self.report(**{"10_1_0_0": [10, 9, 1, 0, 0, 0, 4.5]}), {"util": 0.4})
         counts.add_report(
@@ -45,7 +45,7 @@
             ],
         )
 
-    def test_counters_restart_with_a_new_process_and_decreases_are_ignored(self):
+    def test_counters_start_at_0_in_a_new_process_and_decreases_are_ignored(self):
         counts = self.make_counts()
         counts.add_report(3, self.report(**{"10_1_0_0": [100, 90, 0, 0, 0, 0, 9.0]}), None)
         counts.add_report(3, self.report("c", **{"10_1_0_0": [4, 4, 0, 0, 0, 0, 1.0]}), None)
--- a/tests/net/test_connect_errors.py
+++ b/tests/net/test_connect_errors.py
@@ -11,11 +11,11 @@
 
 
 class ConnectErrorsTest(unittest.TestCase):
-    def connect_outcome(self, number):
+    def connect_outcome(self, error_number):
         async def case():
             loop = asyncio.get_running_loop()
             with mock.patch.object(
-                loop, "create_connection", side_effect=OSError(number, "simulated error")
+                loop, "create_connection", side_effect=OSError(error_number, "simulated error")
             ):
                 with self.assertRaises(RequestFailedError) as raised:
                     await connect(loop, ("127.0.0.1", 9), loop.time() + 1.0)
--- a/tests/net/test_http.py
+++ b/tests/net/test_http.py
@@ -41,7 +41,7 @@
         server.respond(200, [], b"one")
         await asyncio.sleep(0)
         self.assertEqual([path for _, path, _, _ in server.served], ["/1", "/2"])
-        server.respond(200, [], b"two", last=True)
+        server.respond(200, [], b"two", close_connection=True)
         self.assertTrue(transport.closed)
         self.assertLess(transport.written_data.index(b"one"), transport.written_data.index(b"two"))
 
@@ -136,7 +136,7 @@
         with self.assertRaises(RequestFailedError) as timed_out:
             await task
         self.assertEqual(
-            (timed_out.exception.outcome, timed_out.exception.sent), ("timed out", True)
+            (timed_out.exception.outcome, timed_out.exception.request_sent), ("timed out", True)
         )
         _, task = await self.start_request(b"SSH-2.0\r\n")
         with self.assertRaises(RequestFailedError) as broken:
--- a/tests/net/test_listener.py
+++ b/tests/net/test_listener.py
@@ -14,38 +14,40 @@
 class FailingSocket:
     """A listening socket whose first accepts fail with the given errnos; 0 means no error."""
 
-    def __init__(self, real, errnos):
-        self.real, self.errnos = real, list(errnos)
+    def __init__(self, listening_socket, errnos):
+        self.listening_socket, self.errnos = listening_socket, list(errnos)
 
     def accept(self):
-        number = self.errnos.pop(0) if self.errnos else 0
-        if number:
-            raise OSError(number, "simulated error")
-        return self.real.accept()
+        error_number = self.errnos.pop(0) if self.errnos else 0
+        if error_number:
+            raise OSError(error_number, "simulated error")
+        return self.listening_socket.accept()
 
     def fileno(self):
-        return self.real.fileno()
+        return self.listening_socket.fileno()
 
     def close(self):
-        self.real.close()
+        self.listening_socket.close()
 
 
 class ListenerTest(unittest.TestCase):
     def accept_all(self, errnos, peers):
-        """Return the logged events and the listener once `peers` connections were accepted."""
+        """Accept `peers` connections; return the logged events and the closed listener."""
         events = []
 
         async def case():
-            with socket.create_server(("127.0.0.1", 0), backlog=peers) as real:
-                real.setblocking(False)
+            with socket.create_server(("127.0.0.1", 0), backlog=peers) as listening_socket:
+                listening_socket.setblocking(False)
                 accepted = []
                 listener = Listener(
-                    FailingSocket(real, errnos),
+                    FailingSocket(listening_socket, errnos),
                     lambda: accepted.append(1) or asyncio.Protocol(),
                     8,
                     lambda event, **fields: events.append(event),
                 )
-                connections = [socket.create_connection(real.getsockname()) for _ in range(peers)]
+                connections = [
+                    socket.create_connection(listening_socket.getsockname()) for _ in range(peers)
+                ]
                 await until(lambda: len(accepted) == peers)
                 listener.close()
                 for connection in connections:
@@ -72,7 +74,7 @@
         self.assertEqual(
             events, ["accepting connections paused", "accepting connections resumed"] * 3
         )
-        self.assertEqual(listener.pause, MIN_PAUSE)
+        self.assertEqual(listener.next_pause, MIN_PAUSE)
 
     def test_a_lasting_shortage_is_logged_once_and_accepting_resumes(self):
         with mock.patch("peatlead.net.listener.MAX_PAUSE", 0.04):
@@ -81,15 +83,15 @@
 
     def test_a_listener_closed_during_a_pause_does_not_resume(self):
         async def case():
-            with socket.create_server(("127.0.0.1", 0)) as real:
-                real.setblocking(False)
-                failing = FailingSocket(real, [errno.EMFILE] * 9)
-                listener = Listener(failing, asyncio.Protocol, 8, lambda *_, **__: None)
-                with socket.create_connection(real.getsockname()):
-                    await until(lambda: listener.timer is not None)
+            with socket.create_server(("127.0.0.1", 0)) as listening_socket:
+                listening_socket.setblocking(False)
+                failing_socket = FailingSocket(listening_socket, [errno.EMFILE] * 9)
+                listener = Listener(failing_socket, asyncio.Protocol, 8, lambda *_, **__: None)
+                with socket.create_connection(listening_socket.getsockname()):
+                    await until(lambda: listener.resume_timer is not None)
                     listener.close()
                     listener.close()
                     await asyncio.sleep(0.05)
-                    return listener.timer.cancelled()
+                    return listener.resume_timer.cancelled()
 
         self.assertTrue(run(case()))
--- a/tests/sources/documents.py
+++ b/tests/sources/documents.py
@@ -12,5 +12,5 @@
 
 
 def list_document(*hosts, version=1, written=100.0):
-    """Return an endpoint list with these entries as JSON."""
+    """Return an endpoint list with these entries (`hosts`) as JSON."""
     return json.dumps({"version": version, "written": written, "hosts": hosts}).encode()
