--- a/peatlead/platform/__main__.py
+++ b/peatlead/platform/__main__.py
@@ -46,14 +46,14 @@
 async def serve() -> int:
     """Run the controller and return the exit code."""
 
-    def read() -> Configuration:
+    def read_current_configuration() -> Configuration:
         return read_configuration(os.environ, time.time())
 
     loop = asyncio.get_running_loop()
     loop.set_exception_handler(log_callback_exception)
     try:
-        configuration = await read_with_retries(read, log)
-        controller = PlatformController(configuration, read, log, time.time)
+        configuration = await read_with_retries(read_current_configuration, log)
+        controller = PlatformController(configuration, read_current_configuration, log, time.time)
         for signal_number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(signal_number, controller.stop)
         loop.add_signal_handler(signal.SIGHUP, controller.reload)
--- a/peatlead/platform/clock.py
+++ b/peatlead/platform/clock.py
@@ -12,9 +12,9 @@
 
 from .shared_types import Log
 
-MIN_STEP = 0.25  # seconds; a smaller change of the offset is slew
+MIN_STEP = 0.25  # seconds; a smaller change of the offset counts as slew, not as a step
 MAX_OFFSETS = 8  # offsets kept
-# Seconds by which a start may be in the future; an offset that puts the start later is not used.
+# Maximum seconds by which a start may lie in the future; an offset that gives more is not used.
 FUTURE_TOLERANCE = 1.0
 
 
--- a/peatlead/platform/controller.py
+++ b/peatlead/platform/controller.py
@@ -21,7 +21,7 @@
 from .health_checks import make_prober, max_concurrent_checks
 from .messages import CollectorHello, ProxyHello
 from .push import PushComposer
-from .reload import ConfigurationReload, differences
+from .reload import ConfigurationReload, changed_names
 from .reports import ReportTranslator
 from .restart_budget import RestartBudget
 from .session_listener import SessionListener
@@ -38,7 +38,7 @@
 # Seconds that peers have to read buffered data when the controller stops; the platform allows 0.7
 # seconds for the whole stop.
 STOP_TIMEOUT = 0.4
-SWEEP_INTERVAL = 5.0  # seconds between searches for endpoints that the planner has forgotten
+FORGET_INTERVAL = 5.0  # seconds between calls of `forget_unused_endpoints`
 MAX_DIFFERENCES_LOGGED = 20  # differing names of a new configuration
 
 MakePlanner = Callable[[Settings, int], Planner]  # takes the settings and a seed
@@ -116,7 +116,7 @@
                 self.become_ready()
         self.watch.start()
         self.loop.call_later(FIRST_LIST_TIMEOUT, self.become_ready)
-        self.loop.call_later(SWEEP_INTERVAL, self.sweep)
+        self.loop.call_later(FORGET_INTERVAL, self.forget_unused_endpoints)
         self.log_start()
 
     def log_start(self) -> None:
@@ -135,7 +135,7 @@
         """Answer liveness checks from now on."""
         if not self.ready:
             self.ready = True
-            self.listener.answer_pending_checks()
+            self.listener.answer_pending_liveness_checks()
 
     def stop(self, reason: str = STOPPED) -> None:
         """Stop the controller.
@@ -152,19 +152,19 @@
         self.reloader.stop()
         self.watch.stop()
         self.prober.stop()
-        self.loop.call_later(STOP_TIMEOUT, self.finish)
+        self.loop.call_later(STOP_TIMEOUT, self.finish_stop)
         self.listener.close()
 
     def all_sessions_ended(self) -> None:
-        """Finish before `STOP_TIMEOUT`, since no connection is left."""
-        self.finish()
+        """Finish the stop before `STOP_TIMEOUT`, since no connection is left."""
+        self.finish_stop()
 
-    def finish(self) -> None:
-        """Cut the remaining connections, and set the result of `ended`."""
+    def finish_stop(self) -> None:
+        """Abort the remaining connections, and set the result of `ended`."""
         if self.ended.done():
             return
         self.ended.set_result(self.stop_reason)
-        self.listener.cut()
+        self.listener.abort_all()
         self.log(
             "controller stopped",
             why=self.stop_reason,
@@ -214,7 +214,7 @@
         messages: Mapping[int, Operations],
         nonces: Mapping[int, Sequence[int]],
     ) -> None:
-        """Write a batch's messages; the last nonce of a proxy covers its earlier ones."""
+        """Write a batch's messages; a proxy's last nonce covers its earlier nonces."""
         for proxy, operations in messages.items():
             session = self.proxy_sessions.get(proxy)
             if session is not None:
@@ -224,7 +224,7 @@
     def send_push(
         self, proxy: int, session: Session, operations: Operations, nonce: Optional[int]
     ) -> None:
-        """Write one message, or cut the connection if the message can't be composed.
+        """Write one message, or abort the connection if the message can't be composed.
 
         Without the message, the proxy's tables would differ from what the planner assumes. The
         proxy is sent whole tables again after it has reconnected.
@@ -240,7 +240,7 @@
             self.telemetry.message_written(proxy, operations)
 
     def on_batch_end(self, now: float, events: Sequence[interface.Event]) -> None:
-        """Log the events of the batch."""
+        """Log the telemetry events that are due."""
         self.telemetry.end_batch(now, self.planner)
 
     # Configuration.
@@ -251,7 +251,7 @@
 
     def apply_configuration(self, configuration: Configuration) -> None:
         """Apply discovery's address; other differences need a restart and are only logged."""
-        differing_names = differences(self.configuration, configuration)
+        differing_names = changed_names(self.configuration, configuration)
         if differing_names:
             self.log(
                 "configuration changes need a restart",
@@ -263,20 +263,20 @@
     # Endpoints.
 
     def on_endpoint_list(self, endpoint_list: EndpointList) -> None:
-        """Handle a whole list or changes from discovery, or the remembered list."""
+        """Apply a whole list or changes from discovery, or the remembered list."""
         self.submit(self.endpoint_tracker.apply(endpoint_list, self.loop.time()))
         if endpoint_list.scope != interface.ListScope.REMEMBERED:
             self.become_ready()
 
-    def sweep(self) -> None:
+    def forget_unused_endpoints(self) -> None:
         """Forget the endpoints that the planner has forgotten, unless events wait in the inbox."""
-        self.loop.call_later(SWEEP_INTERVAL, self.sweep)
+        self.loop.call_later(FORGET_INTERVAL, self.forget_unused_endpoints)
         if self.inbox:
             return
         for endpoint in self.endpoint_tracker.forget_unused(self.planner.endpoints):
             self.publisher.forget(endpoint)
             for session in self.proxy_sessions.values():
-                session.restored.discard(endpoint)
+                session.restored_endpoints.discard(endpoint)
 
     def check_health(self, command: interface.CheckHealth) -> None:
         """Start a health check that the planner requested."""
@@ -297,13 +297,14 @@
     # Sessions; these methods implement SessionOwner.
 
     def accept_proxy(self, session: Session, hello: ProxyHello) -> Optional[int]:
-        """Return the proxy's number, or None if the proxy or its zone is unknown.
+        """Store the hello in the session and return the proxy's number.
 
-        A repeated hello must name the proxy that has joined on the session.
+        Returns None if the proxy or its zone is unknown, or if a repeated hello names another proxy
+        than the one that has joined on the session.
         """
         zone = self.endpoint_tracker.registry.zones.get(hello.zone)
-        is_same = session.proxy is None or session.proxy == hello.proxy
-        if not is_same or hello.proxy >= self.settings["proxies"] or zone is None:
+        is_same_proxy = session.proxy is None or session.proxy == hello.proxy
+        if not is_same_proxy or hello.proxy >= self.settings["proxies"] or zone is None:
             return None
         session.zone = zone
         session.request_rate = hello.request_rate
@@ -315,7 +316,7 @@
         return hello.zone in self.endpoint_tracker.registry.zones
 
     def session_joined(self, session: Session) -> None:
-        """Handle a new stream of a proxy; a stream of the same proxy that is still open is cut."""
+        """Handle a new stream of a proxy; an open stream of the same proxy is aborted."""
         proxy = session.proxy
         if proxy is None:
             return
--- a/peatlead/platform/endpoint_tracker.py
+++ b/peatlead/platform/endpoint_tracker.py
@@ -31,7 +31,7 @@
         self.possibly_ejected: set[int] = set()
         self.forgotten_names: dict[str, bool] = {}  # names, as an ordered set
 
-    def name_of(self, endpoint: int) -> str:
+    def endpoint_name(self, endpoint: int) -> str:
         """Return an endpoint's name."""
         name: str = self.registry.entries[endpoint].name
         return name
@@ -39,19 +39,23 @@
     def apply(self, endpoint_list: EndpointList, now: float) -> EndpointUpdate:
         """Apply a list and return the event for the planner; `now` is on the loop's clock."""
         endpoint_list = self.keep_endpoints_with_unusable_entries(endpoint_list)
-        previous = {entry.name: self.phase_of(entry.name) for entry in endpoint_list.endpoints}
-        is_first = not self.registry.list_received
+        previous_phases = {
+            entry.name: self.last_phase(entry.name) for entry in endpoint_list.endpoints
+        }
+        is_first_list = not self.registry.list_received
         update: EndpointUpdate = self.registry.endpoint_update(endpoint_list, now)
         if endpoint_list.scope != ListScope.CHANGES:
-            listed = {endpoint.id for endpoint in update.endpoints}
+            listed_endpoints = {endpoint.id for endpoint in update.endpoints}
             self.possibly_ejected.update(
-                endpoint for endpoint in self.registry.entries if endpoint not in listed
+                endpoint for endpoint in self.registry.entries if endpoint not in listed_endpoints
             )
         for entry in endpoint_list.endpoints:
             endpoint = self.registry.numbers.get(entry.name)
-            was_known = is_first or self.was_listed_before(entry.name, previous[entry.name])
+            was_known = is_first_list or self.was_listed_before(
+                entry.name, previous_phases[entry.name]
+            )
             is_change = endpoint_list.scope == ListScope.CHANGES
-            has_changed = may_have_changed(entry, previous[entry.name], is_change)
+            has_changed = may_have_changed(entry, previous_phases[entry.name], is_change)
             if endpoint is not None and was_known and has_changed:
                 self.possibly_ejected.add(endpoint)
         self.log_applied_list(endpoint_list)
@@ -72,7 +76,7 @@
         """
         unused_endpoints = [endpoint for endpoint in self.registry.entries if endpoint not in used]
         for endpoint in unused_endpoints:
-            name = self.name_of(endpoint)
+            name = self.endpoint_name(endpoint)
             self.forgotten_names.pop(name, None)
             self.forgotten_names[name] = True
             self.registry.forget(endpoint)
@@ -108,7 +112,7 @@
             endpoints=(*previous_entries, *other_entries),
         )
 
-    def phase_of(self, name: str) -> Optional[str]:
+    def last_phase(self, name: str) -> Optional[str]:
         """Return the phase of an endpoint's last entry, or None if the endpoint is unknown."""
         endpoint = self.registry.numbers.get(name)
         if endpoint is None:
@@ -121,10 +125,10 @@
         return previous_phase is not None or name in self.forgotten_names
 
     def log_applied_list(self, endpoint_list: EndpointList) -> None:
-        """Log the size of a list that was applied."""
+        """Log the size of an applied list and the number of its ready endpoints."""
         ready = sum(entry.phase == EndpointPhase.READY for entry in endpoint_list.endpoints)
         self.log(
-            "list",
+            "endpoint list received",
             scope=endpoint_list.scope,
             version=endpoint_list.version,
             hosts=len(endpoint_list.endpoints),
--- a/peatlead/platform/endpoint_watch.py
+++ b/peatlead/platform/endpoint_watch.py
@@ -1,8 +1,8 @@
 """Watches the platform's endpoint list by HTTP/1.1 long polls, one after the other.
 
 Discovery answers a poll as soon as the list has changed, and after `POLL_WAIT` at the latest. The
-wait is short so that a dead connection is noticed early enough: a change that was delayed by it
-then counts as late and not as missed.
+wait is short so that a dead connection is noticed early: the platform then counts the changes that
+the connection held up as late, not as missed.
 """
 
 import asyncio
@@ -16,14 +16,14 @@
 from .messages import Address, MalformedMessageError, read_endpoint_list
 from .shared_types import Log
 
-POLL_WAIT = 2.0  # seconds that discovery waits for a change before it answers a poll
-ANSWER_TIMEOUT = 0.75  # seconds, in addition to the wait of the poll
+POLL_WAIT = 2.0  # maximum seconds that discovery waits for a change before it answers
+ANSWER_TIMEOUT = 0.75  # seconds, in addition to the time that discovery may wait
 CONNECT_TIMEOUT = 0.5  # seconds
 # Seconds between a failed poll and the next one; the delay doubles after each failure.
 INITIAL_RETRY_DELAY = 0.05
 MAX_RETRY_DELAY = 0.5
-MAX_DOUBLINGS = 8  # keeps the exponent small
-MAX_ERRORS_LOGGED = 5  # invalid entries of one list
+MAX_DOUBLINGS = 8  # of the retry delay; keeps the exponent small
+MAX_ERRORS_LOGGED = 5  # for the invalid entries of one list
 PATH = "/v1/endpoints"
 HTTP_OK = 200
 
@@ -49,53 +49,53 @@
         self.log = log
         self.unix_time = unix_time
         self.rng = rng  # for the jitter of retry delays
-        self.version: Optional[int] = None  # of the last list; None requests the whole list
-        self.current: Optional[Poller] = None
-        self.previous: Optional[Poller] = None  # of the previous address
+        self.version: Optional[int] = None  # of the last list; None: request the whole list
+        self.current_poller: Optional[Poller] = None
+        self.previous_poller: Optional[Poller] = None  # polls the previous address
 
     @property
-    def failures(self) -> int:
+    def failure_count(self) -> int:
         """Number of consecutive failed polls of the current address."""
-        return self.current.failures if self.current is not None else 0
+        return self.current_poller.failure_count if self.current_poller is not None else 0
 
     def start(self) -> None:
         """Start to poll the address."""
-        self.current = Poller(self, self.address)
+        self.current_poller = Poller(self, self.address)
 
     def stop(self) -> None:
-        """Stop all polls."""
-        for poller in (self.current, self.previous):
+        """Stop polling."""
+        for poller in (self.current_poller, self.previous_poller):
             if poller is not None:
                 poller.stop()
-        self.previous = None
+        self.previous_poller = None
 
     def change_address(self, address: Address) -> None:
         """Poll another address, for changes since the last list."""
         if address == self.address:
             return
-        if self.current is not None:
-            self.retire(self.current)
+        if self.current_poller is not None:
+            self.retire_poller(self.current_poller)
         self.address = address
         self.start()
 
-    def retire(self, poller: "Poller") -> None:
+    def retire_poller(self, poller: "Poller") -> None:
         """Keep a poller until the new address answers; stop it now if it has never succeeded."""
         if not poller.has_succeeded:
             poller.stop()
             return
-        if self.previous is not None:
-            self.previous.stop()
-        self.previous = poller
+        if self.previous_poller is not None:
+            self.previous_poller.stop()
+        self.previous_poller = poller
 
     def handle_list(self, poller: "Poller", endpoint_list: EndpointList) -> None:
         """Handle an answer; the next poll requests the changes since the answer's version."""
         is_whole = endpoint_list.scope == ListScope.WHOLE
-        if poller is not self.current:
+        if poller is not self.current_poller:
             if self.version is None or endpoint_list.version <= self.version:
                 return
-        elif self.previous is not None:
-            self.previous.stop()
-            self.previous = None
+        elif self.previous_poller is not None:
+            self.previous_poller.stop()
+            self.previous_poller = None
         for error in endpoint_list.entry_errors[:MAX_ERRORS_LOGGED]:
             self.log("list entry left out", why=error)
         if not is_whole and self.version is not None and endpoint_list.version < self.version:
@@ -118,7 +118,7 @@
         self.watch = watch
         self.address = address
         self.connection: Optional[ClientConnection] = None
-        self.failures = 0  # consecutive
+        self.failure_count = 0  # consecutive failed polls
         self.has_succeeded = False  # whether any poll has succeeded
         loop = asyncio.get_running_loop()
         self.task = loop.create_task(self.poll_repeatedly(), name=f"watch {address}")
@@ -141,7 +141,7 @@
                 self.watch.handle_list(self, await self.poll())
                 self.record_success()
             except (RequestFailedError, MalformedMessageError) as error:
-                if self is not self.watch.current:
+                if self is not self.watch.current_poller:
                     self.close_connection()
                     return
                 await self.back_off(str(error))
@@ -151,18 +151,18 @@
 
     def record_success(self) -> None:
         """Log the end of a series of failures, and reset their count."""
-        if self.failures:
-            self.watch.log("discovery polls succeed again", failures=self.failures)
-        self.failures = 0
+        if self.failure_count:
+            self.watch.log("discovery polls succeed again", failures=self.failure_count)
+        self.failure_count = 0
         self.has_succeeded = True
 
     async def back_off(self, reason: str) -> None:
         """Wait before the next poll; only the first of several consecutive failures is logged."""
         self.close_connection()
-        if not self.failures:
+        if not self.failure_count:
             self.watch.log("discovery poll failed", why=reason, place=str(self.address))
-        self.failures += 1
-        doublings = min(MAX_DOUBLINGS, self.failures - 1)
+        self.failure_count += 1
+        doublings = min(MAX_DOUBLINGS, self.failure_count - 1)
         delay = min(MAX_RETRY_DELAY, INITIAL_RETRY_DELAY * 2**doublings)
         await asyncio.sleep(delay * self.watch.rng.uniform(0.5, 1.0))
 
--- a/peatlead/platform/health_checks.py
+++ b/peatlead/platform/health_checks.py
@@ -9,15 +9,15 @@
 from .shared_types import Settings
 
 MAX_CONCURRENT_CHECKS = 24
-# With few file descriptors, there is one concurrent check for this number of descriptors; the
-# others are left to connections of proxies.
+# File descriptors per concurrent check where descriptors are few; proxies' connections need most.
 DESCRIPTORS_PER_CHECK = 16
-MAX_PENDING_CHECKS = 1000
+MAX_QUEUED_CHECKS = 1000
 CHECK_PATH = "/status/load"
 DEFAULT_TIMEOUT = 0.25  # seconds, for the whole check
 OUTCOME_BY_STATUS = {200: HealthCheckOutcome.OK, 503: HealthCheckOutcome.ERRORED}
 
-# Called with the endpoint, the outcome, the duration in seconds, the load report, and None.
+# Called with the endpoint, the outcome, the duration in seconds, the load report, and None in place
+# of request counts.
 OnResult = Callable[[int, str, float, Optional[LoadReport], None], None]
 
 
@@ -47,7 +47,7 @@
             "path": CHECK_PATH,
             "deadline": settings.get("connect_timeout", DEFAULT_TIMEOUT),
             "at_once": max_checks,
-            "waiting_most": MAX_PENDING_CHECKS,
+            "waiting_most": MAX_QUEUED_CHECKS,
         },
         on_result,
         read_response,
--- a/peatlead/platform/messages/discovery.py
+++ b/peatlead/platform/messages/discovery.py
@@ -63,21 +63,21 @@
     instance_list = decode_instance_list(body)
     endpoints: dict[str, ListedEndpoint] = {}
     errors: list[str] = []
-    unread_names: list[Optional[str]] = []
+    unusable_names: list[Optional[str]] = []
     for index, raw_instance in enumerate(instance_list.instances):
         try:
             entry = to_listed_endpoint(INSTANCE_DECODER.decode(raw_instance))
             endpoints[entry.name] = entry
         except (msgspec.MsgspecError, ValueError) as error:
             errors.append(f"entry {index}: {error}")
-            unread_names.append(decode_name(raw_instance))
+            unusable_names.append(decode_name(raw_instance))
     return EndpointList(
         ListScope.WHOLE if instance_list.reset else ListScope.CHANGES,
         instance_list.generation,
         received_at,
         tuple(endpoints.values()),
         tuple(errors),
-        tuple(unread_names),
+        tuple(unusable_names),
     )
 
 
--- a/peatlead/platform/push.py
+++ b/peatlead/platform/push.py
@@ -16,11 +16,11 @@
 from .sessions import Session
 
 
-class Ejections(NamedTuple):
+class EjectionChanges(NamedTuple):
     """Names of the endpoints that a proxy must eject, and of those that it must restore."""
 
-    ejected: list[str]
-    restored: list[str]
+    ejected_names: list[str]
+    restored_names: list[str]
 
 
 class PushComposer:
@@ -42,29 +42,29 @@
 
         Restored and ejected endpoints are recorded in the session.
         """
-        ejections = self.ejections(session, operations)
+        changes = self.update_ejections(session, operations)
         updates = self.table_updates(publisher, proxy, operations)
-        return write_push(updates, ejections.ejected, ejections.restored, nonce)
+        return write_push(updates, changes.ejected_names, changes.restored_names, nonce)
 
-    def ejections(self, session: Session, operations: Operations) -> Ejections:
+    def update_ejections(self, session: Session, operations: Operations) -> EjectionChanges:
         """Return the endpoints to eject and to restore, and record them in the session."""
-        ejections = Ejections([], [])
+        changes = EjectionChanges([], [])
         for key, value in operations.items():
             if key[0] == WITHDRAWN:
                 endpoint = key[1]
                 if value:
-                    ejections.ejected.append(self.endpoint_tracker.name_of(endpoint))
-                    session.restored.discard(endpoint)
-                elif endpoint not in session.restored:
-                    ejections.restored.append(self.endpoint_tracker.name_of(endpoint))
-                    session.restored.add(endpoint)
+                    changes.ejected_names.append(self.endpoint_tracker.endpoint_name(endpoint))
+                    session.restored_endpoints.discard(endpoint)
+                elif endpoint not in session.restored_endpoints:
+                    changes.restored_names.append(self.endpoint_tracker.endpoint_name(endpoint))
+                    session.restored_endpoints.add(endpoint)
             elif key[0] == ENTRY and value:
                 endpoint = key[2]
-                if endpoint not in session.restored:
+                if endpoint not in session.restored_endpoints:
                     if endpoint in self.endpoint_tracker.possibly_ejected:
-                        ejections.restored.append(self.endpoint_tracker.name_of(endpoint))
-                    session.restored.add(endpoint)
-        return ejections
+                        changes.restored_names.append(self.endpoint_tracker.endpoint_name(endpoint))
+                    session.restored_endpoints.add(endpoint)
+        return changes
 
     def table_updates(
         self, publisher: Publisher, proxy: int, operations: Operations
--- a/peatlead/platform/reload.py
+++ b/peatlead/platform/reload.py
@@ -7,8 +7,8 @@
 from .configuration import Configuration, ConfigurationError
 from .shared_types import Log
 
-# Seconds between attempts to read the file; the delay doubles after each attempt, and there is no
-# further attempt after the maximum.
+# Seconds between attempts to read the file; the delay doubles after each attempt, and the attempt
+# after the maximum delay is the last.
 INITIAL_RETRY_DELAY = 0.2
 MAX_RETRY_DELAY = 6.4
 COMPARED_FIELDS = ("name", "listen", "sockets")
@@ -17,30 +17,30 @@
 class ConfigurationReload:
     """Reads the configuration again on request, and retries for a while after a failure.
 
-    The retries cover a file that is only half written at the time of the request: without them, the
-    controller would miss a change of discovery's address. `read` returns the configuration or
-    raises ConfigurationError; `apply` is called with the configuration.
+    The file may be only half written at the time of the request; without retries, the controller
+    would miss a change of discovery's address. `read_configuration()` returns the configuration or
+    raises ConfigurationError; `apply_configuration(configuration)` is called after each success.
     """
 
     def __init__(
         self,
-        read: Callable[[], Configuration],
-        apply: Callable[[Configuration], None],
+        read_configuration: Callable[[], Configuration],
+        apply_configuration: Callable[[Configuration], None],
         log: Log,
     ) -> None:
-        self.read = read
-        self.apply = apply
+        self.read_configuration = read_configuration
+        self.apply_configuration = apply_configuration
         self.log = log
         self.loop = asyncio.get_running_loop()
-        self.timer: Optional[asyncio.TimerHandle] = None  # for the next attempt
-        self.delay = INITIAL_RETRY_DELAY
+        self.retry_timer: Optional[asyncio.TimerHandle] = None
+        self.retry_delay = INITIAL_RETRY_DELAY  # seconds until the next retry
         self.stopped = False
 
     def request(self) -> None:
         """Read the configuration now; this replaces the retries of an earlier request."""
         self.cancel_retry()
-        self.delay = INITIAL_RETRY_DELAY
-        self.attempt()
+        self.retry_delay = INITIAL_RETRY_DELAY
+        self.read_and_apply()
 
     def stop(self) -> None:
         """Ignore all further requests."""
@@ -48,33 +48,33 @@
         self.cancel_retry()
 
     def cancel_retry(self) -> None:
-        """Cancel the next attempt, if there is one."""
-        if self.timer is not None:
-            self.timer.cancel()
-            self.timer = None
+        """Cancel the next retry, if one is scheduled."""
+        if self.retry_timer is not None:
+            self.retry_timer.cancel()
+            self.retry_timer = None
 
-    def attempt(self) -> None:
+    def read_and_apply(self) -> None:
         """Read and apply the configuration, or schedule a retry."""
-        self.timer = None
+        self.retry_timer = None
         if self.stopped:
             return
         try:
-            configuration = self.read()
+            configuration = self.read_configuration()
         except ConfigurationError as error:
             self.schedule_retry(error)
             return
-        self.apply(configuration)
+        self.apply_configuration(configuration)
 
     def schedule_retry(self, error: ConfigurationError) -> None:
-        """Schedule the next attempt; only the first failure of a request is logged."""
-        if self.delay == INITIAL_RETRY_DELAY:
+        """Schedule the next retry, if any; only the first failure of a request is logged."""
+        if self.retry_delay == INITIAL_RETRY_DELAY:
             self.log("configuration reload failed", why=str(error))
-        if self.delay <= MAX_RETRY_DELAY:
-            self.timer = self.loop.call_later(self.delay, self.attempt)
-            self.delay *= 2
+        if self.retry_delay <= MAX_RETRY_DELAY:
+            self.retry_timer = self.loop.call_later(self.retry_delay, self.read_and_apply)
+            self.retry_delay *= 2
 
 
-def differences(old: Configuration, new: Configuration) -> list[str]:
+def changed_names(old: Configuration, new: Configuration) -> list[str]:
     """Return the names of the fields and settings that differ, except discovery's address."""
     changed_fields = [name for name in COMPARED_FIELDS if getattr(new, name) != getattr(old, name)]
     setting_names = {**new.settings, **old.settings}
--- a/peatlead/platform/reports.py
+++ b/peatlead/platform/reports.py
@@ -23,7 +23,7 @@
     def to_event(self, sender: Optional[int], report: Report) -> Optional[ReportEvent]:
         """Return the event, or None if the report is not valid for its sender.
 
-        This is the case if it names an unknown endpoint, zone, request class or proxy, or if a
+        A report is not valid if it names an unknown endpoint, zone, request class or proxy, or if a
         proxy sent it for another proxy. `sender` is the number of the sending proxy, or None for a
         collector.
         """
@@ -36,7 +36,7 @@
         return None
 
     def to_endpoint_stats(self, report: EndpointOutcomes) -> Optional[interface.EndpointStats]:
-        """Convert a zone's report on an endpoint; None if either is unknown."""
+        """Convert a zone's report on an endpoint; return None if either name is unknown."""
         endpoint = self.registry.numbers.get(report.endpoint)
         zone = self.registry.zones.get(report.zone)
         if endpoint is None or zone is None:
@@ -54,7 +54,10 @@
     def to_request_stats(
         self, sender: Optional[int], report: RequestDemand
     ) -> Optional[interface.RequestStats]:
-        """Convert a report on a proxy's requests, which may come from that proxy or a collector."""
+        """Convert a report on a proxy's requests.
+
+        The result is None if the report is invalid or was sent by another proxy.
+        """
         class_number = self.class_numbers.get(report.request_class)
         if class_number is None or report.proxy >= self.proxy_count:
             return None
@@ -72,7 +75,7 @@
 def to_acknowledged(
     sender: Optional[int], report: Acknowledgement
 ) -> Optional[interface.Acknowledged]:
-    """Convert an acknowledgement, which only the proxy that it names may send."""
+    """Convert an acknowledgement; return None if another proxy than the one it names sent it."""
     if report.proxy != sender:
         return None
     return interface.Acknowledged(report.proxy, report.nonce, report.duration)
--- a/peatlead/platform/session_owner.py
+++ b/peatlead/platform/session_owner.py
@@ -18,7 +18,7 @@
 
 
 class EndReason(StrEnum):
-    """Why the controller cut a connection; `net.streams` gives the other reasons."""
+    """Why the controller aborted a connection; `net.streams` gives the other reasons."""
 
     REPLACED = "replaced by a newer connection"
     PUSH_FAILED = "message not written"
@@ -47,7 +47,7 @@
         ...
 
     def accept_proxy(self, session: "Session", hello: ProxyHello) -> Optional[int]:
-        """Return the proxy's number, or None if the hello is not acceptable."""
+        """Store the hello in the session; return the proxy's number, or None if it is not valid."""
         ...
 
     def accept_collector(self, hello: CollectorHello) -> bool:
--- a/peatlead/platform/sessions.py
+++ b/peatlead/platform/sessions.py
@@ -28,12 +28,12 @@
 if TYPE_CHECKING:
     from .session_listener import SessionListener
 
-JOIN_TIMEOUT = 1.3  # seconds after which a peer that has not joined is refused
-REFUSAL_TIMEOUT = 1.0  # seconds after which a refused connection that is still open is cut
-# Bytes of a line before joining; the limit is MAX_LINE_BYTES afterwards.
+JOIN_TIMEOUT = 1.3  # seconds until a peer that has not joined is refused
+REFUSAL_TIMEOUT = 1.0  # seconds until a refused connection that is still open is aborted
+# Maximum size of a line before the peer has joined; afterwards, the maximum is MAX_LINE_BYTES.
 MAX_HELLO_LINE_BYTES = 4096
-MAX_UNREAD_BYTES = 128 << 10  # buffered bytes that the peer has not read
-MAX_PENDING_CHECKS = 8  # unanswered liveness checks of one connection
+MAX_UNSENT_BYTES = 128 << 10  # buffered bytes that wait for the peer to read
+MAX_PENDING_LIVENESS_CHECKS = 8  # of one connection
 
 
 class Session(LineStream):
@@ -43,19 +43,19 @@
     timeout_timer: asyncio.TimerHandle  # JOIN_TIMEOUT; after a refusal, REFUSAL_TIMEOUT
 
     def __init__(self, listener: "SessionListener") -> None:
-        super().__init__(max_line_bytes=MAX_HELLO_LINE_BYTES, max_unsent_bytes=MAX_UNREAD_BYTES)
+        super().__init__(max_line_bytes=MAX_HELLO_LINE_BYTES, max_unsent_bytes=MAX_UNSENT_BYTES)
         self.listener = listener
         self.proxy: Optional[int] = None  # number of the proxy that joined
-        self.collector_zone: Optional[str] = None  # zone of the collector that joined
+        self.collector_zone_name: Optional[str] = None  # of the collector that joined
         self.joined = False
         self.ignores_input = False
-        self.pending_checks = 0  # liveness checks to answer once the controller is ready
-        # From the proxy's hello.
+        self.pending_liveness_checks = 0  # to answer once the controller is ready
+        # These three values are from the proxy's hello.
         self.zone = 0  # index of the zone
         self.request_rate = 0.0  # requests per second
         self.bootstrap_only = True  # whether the proxy has no table of any controller yet
         # Endpoints that the proxy does not eject, since they were restored on this stream.
-        self.restored: set[int] = set()
+        self.restored_endpoints: set[int] = set()
 
     def opened(self) -> None:
         """Start the timeout for joining."""
@@ -72,8 +72,8 @@
     def line_received(self, data: bytes) -> None:
         """Handle one line.
 
-        A malformed message is refused. A message with an invalid field is ignored, but refused if
-        the peer has not joined.
+        A malformed message is refused. A message with an invalid field is refused if the peer has
+        not joined, and ignored otherwise.
         """
         if self.ignores_input or not data.strip():
             return
@@ -87,9 +87,9 @@
         except MalformedMessageError as error:
             self.refuse(str(error))
             return
-        self.handle(message)
+        self.handle_message(message)
 
-    def handle(self, message: InboundMessage) -> None:
+    def handle_message(self, message: InboundMessage) -> None:
         """Handle a valid message."""
         if isinstance(message, (Acknowledgement, EndpointOutcomes, RequestDemand)):
             if self.joined:
@@ -107,8 +107,8 @@
         """Answer a liveness check now, or as soon as the controller is ready."""
         if self.listener.owner.ready:
             self.send(ALIVE)
-        elif self.pending_checks < MAX_PENDING_CHECKS:
-            self.pending_checks += 1
+        elif self.pending_liveness_checks < MAX_PENDING_LIVENESS_CHECKS:
+            self.pending_liveness_checks += 1
 
     def join_as_collector(self, hello: CollectorHello) -> None:
         """Join as a collector, or change the zone of a collector that has joined."""
@@ -116,10 +116,10 @@
             self.refuse("expected a collector's zone")
             return
         is_first = not self.joined
-        self.collector_zone = hello.zone
+        self.collector_zone_name = hello.zone
         self.finish_joining()
         if is_first:
-            self.listener.cut_silent_collectors(self)
+            self.listener.abort_silent_collectors(self)
 
     def join_as_proxy(self, hello: ProxyHello) -> None:
         """Join as a proxy; a repeated hello only updates the zone, rate and `bootstrap_only`."""
@@ -139,7 +139,7 @@
         self.joined = True
         self.max_line_bytes = MAX_LINE_BYTES
         self.timeout_timer.cancel()
-        self.listener.unjoined.pop(self, None)
+        self.listener.unjoined_sessions.pop(self, None)
 
     def refuse(self, reason: str) -> None:
         """Send an error, close the connection and ignore further input."""
@@ -166,7 +166,7 @@
         self.partial_line = bytearray()
 
     def abort(self, reason: str) -> None:
-        """Cut the connection immediately and ignore further input."""
+        """Close the connection immediately and ignore further input."""
         self.ignores_input = True
         super().abort(reason)
 
--- a/peatlead/platform/settings_validation.py
+++ b/peatlead/platform/settings_validation.py
@@ -100,7 +100,7 @@
 
 
 def class_setting_errors(request_classes: list[Settings]) -> Iterator[str]:
-    """Yield an error for each setting of a request class that is not a number or too small."""
+    """Yield an error for each setting of a request class that is too small or not a number."""
     for request_class in request_classes:
         for name, expected, lower_bound in NUMERIC_CLASS_SETTINGS:
             value = request_class.get(name)
--- a/peatlead/platform/startup.py
+++ b/peatlead/platform/startup.py
@@ -13,20 +13,22 @@
 from .session_listener import SessionListener
 from .shared_types import Log
 
-START_TIMEOUT = 20.0  # seconds; a transient error after this time is raised
+START_TIMEOUT = 20.0  # seconds; afterwards, transient errors are raised too
 READ_RETRY_DELAY = 0.5  # seconds between attempts to read the configuration
 # Seconds between attempts to listen; the delay doubles after each attempt.
 INITIAL_LISTEN_RETRY_DELAY = 0.05
 MAX_LISTEN_RETRY_DELAY = 0.5
 
 
-async def read_with_retries(read: Callable[[], Configuration], log: Log) -> Configuration:
+async def read_with_retries(
+    read_configuration: Callable[[], Configuration], log: Log
+) -> Configuration:
     """Read the configuration; retry after transient errors. Raises ConfigurationError."""
     loop = asyncio.get_running_loop()
     deadline = loop.time() + START_TIMEOUT
     while True:
         try:
-            return read()
+            return read_configuration()
         except ConfigurationError as error:
             if not error.transient or loop.time() > deadline:
                 raise
@@ -40,7 +42,7 @@
     """Open the listener; retry after transient errors. Raises OSError."""
     loop = asyncio.get_running_loop()
     deadline = loop.time() + START_TIMEOUT
-    delay = INITIAL_LISTEN_RETRY_DELAY
+    retry_delay = INITIAL_LISTEN_RETRY_DELAY
     while not is_stopping():
         try:
             await listener.open(address)
@@ -48,6 +50,6 @@
         except OSError as error:
             if not is_transient(error) or loop.time() > deadline:
                 raise
-            log("listening failed, will retry", why=error.strerror, wait=delay)
-        await asyncio.sleep(delay)
-        delay = min(MAX_LISTEN_RETRY_DELAY, 2 * delay)
+            log("listening failed, will retry", why=error.strerror, wait=retry_delay)
+        await asyncio.sleep(retry_delay)
+        retry_delay = min(MAX_LISTEN_RETRY_DELAY, 2 * retry_delay)
--- a/peatlead/platform/telemetry.py
+++ b/peatlead/platform/telemetry.py
@@ -37,10 +37,11 @@
 
     def __init__(self, log: Log) -> None:
         self.log = log
-        # Numbers of proxies, since the last `proxies` event.
-        self.joined: list[int] = []
-        self.left: dict[str, list[int]] = {}  # by reason
-        self.tables: list[int] = []  # proxies that were sent a whole table
+        # Numbers of the proxies that joined, left or were sent a whole table since the last
+        # `proxies` event.
+        self.joined_proxies: list[int] = []
+        self.left_proxies: dict[str, list[int]] = {}  # by reason
+        self.proxies_sent_tables: list[int] = []
         self.counts: dict[str, float] = {}  # by name, since the last `channel` event
         self.next_status_at = 0.0
 
@@ -50,12 +51,12 @@
 
     def proxy_joined(self, proxy: int, has_table: bool) -> None:
         """Record the start of a proxy's stream."""
-        self.joined.append(proxy)
+        self.joined_proxies.append(proxy)
         self.count("joined_with_table" if has_table else "joined_without_table")
 
     def proxy_left(self, proxy: int, reason: str) -> None:
         """Record the end of a proxy's stream."""
-        self.left.setdefault(reason, []).append(proxy)
+        self.left_proxies.setdefault(reason, []).append(proxy)
         self.count("left")
 
     def message_written(self, proxy: int, operations: Operations) -> None:
@@ -70,7 +71,7 @@
         self.count("shut_out", ejected_count)
         self.count("levels", operation_kinds.count(ADMISSION))
         if ASSIGNMENT in operation_kinds:
-            self.tables.append(proxy)
+            self.proxies_sent_tables.append(proxy)
             self.count("tables")
 
     def acknowledged(self, duration: float) -> None:
@@ -80,7 +81,7 @@
 
     def end_batch(self, now: float, planner: StatusProvider) -> None:
         """Log the due events after all messages of a batch have been written."""
-        if self.joined or self.left or self.tables:
+        if self.joined_proxies or self.left_proxies or self.proxies_sent_tables:
             self.log_proxies()
         if now >= self.next_status_at:
             self.next_status_at = now + STATUS_INTERVAL
@@ -88,10 +89,15 @@
 
     def log_proxies(self) -> None:
         """Log the proxies that joined, left or were sent a whole table."""
-        self.log("proxies", joined=self.joined, left=self.left, tables=self.tables)
-        self.joined = []
-        self.left = {}
-        self.tables = []
+        self.log(
+            "proxies",
+            joined=self.joined_proxies,
+            left=self.left_proxies,
+            tables=self.proxies_sent_tables,
+        )
+        self.joined_proxies = []
+        self.left_proxies = {}
+        self.proxies_sent_tables = []
 
     def log_status(self, status: PlannerStatus) -> None:
         """Log the planner's status and the counts, unless nothing waits and nothing was counted."""
--- a/tests/platform/test_configuration.py
+++ b/tests/platform/test_configuration.py
@@ -78,7 +78,7 @@
                 endpoints=2, req_kinds=request_classes, zones=["z1", "z0"], proxies=9
             ).start()
             first, second = (
-                await platform.proxy_with_table(3, cold=False),
+                await platform.connect_proxy_with_table(3, bootstrap_only=False),
                 await other.connect_proxy(8, zone="z1"),
             )
             await until(lambda: whole_tables(second))
--- a/tests/platform/test_endpoint_watch.py
+++ b/tests/platform/test_endpoint_watch.py
@@ -18,7 +18,7 @@
             on_list = watch.on_list
             watch.on_list = lambda endpoint_list: 1 / 0
             platform.discovery.publish(instance(0, lifecycle="leaving"))
-            await until(lambda: platform.controller.watch.failures)
+            await until(lambda: platform.controller.watch.failure_count)
             platform.discovery.instances[0] = instance(0, lifecycle="leaving")
             watch.on_list = on_list
             await until(lambda: platform.controller.planner.endpoints[0].phase == "draining")
@@ -80,7 +80,7 @@
 
             def decide_with_interruption(now, events):
                 if not interruptions:
-                    # The pending poll is lost during the decision.
+                    # The list changes during the decision, and the pending poll is never answered.
                     interruptions.append(platform.discovery.held_requests.clear())
                     platform.discovery.publish(instance(0, lifecycle="leaving"))
                 return decide(now, events)
@@ -110,7 +110,7 @@
                 [instance(1, "z1", "leaving")],
             )
             await until(lambda: platform.controller.planner.endpoints[1].phase == "draining", 20)
-            await until(lambda: platform.controller.watch.previous is None)
+            await until(lambda: platform.controller.watch.previous_poller is None)
             for connection in new_discovery.connections:
                 connection.abort("over")
             new_discovery.servers[0].close()
@@ -125,7 +125,7 @@
             platform.discovery.publish(instance(0, lifecycle="leaving"))
             await until(lambda: platform.controller.planner.endpoints[0].phase == "draining")
             platform.change_discovery_port(0)
-            await until(lambda: platform.controller.watch.previous is None)
+            await until(lambda: platform.controller.watch.previous_poller is None)
             platform.discovery.publish(instance(1, "z1", "leaving"))
             await until(lambda: platform.controller.planner.endpoints[1].phase == "draining")
 
--- a/tests/platform/test_planner_restart.py
+++ b/tests/platform/test_planner_restart.py
@@ -19,16 +19,16 @@
 class PlannerRestart(unittest.TestCase):
     def test_a_planner_that_raises_is_replaced_and_its_proxies_are_served(self):
         async def case(platform):
-            proxy, planner = await platform.proxy_with_table(), platform.controller.planner
+            proxy, planner = await platform.connect_proxy_with_table(), platform.controller.planner
             with mock.patch.object(planner, "decide", side_effect=KeyError("planted")):
                 platform.controller.submit(interface.ProxyDisconnected(3))
                 await until(lambda: platform.controller.planner is not planner)
             await until(lambda: whole_tables(proxy) == 2, 20)
-            decided_before = platform.controller.batch_count
+            batches_before = platform.controller.batch_count
             platform.discovery.publish(instance(1, "z1", "leaving"))
             await until(lambda: "s-1" in removed_endpoints(proxy))
             await until(
-                lambda: platform.controller.batch_count > decided_before + 5
+                lambda: platform.controller.batch_count > batches_before + 5
             )  # the timers of the new planner run
             self.assertIsNone(proxy.end_reason)
 
--- a/tests/platform/test_push.py
+++ b/tests/platform/test_push.py
@@ -56,7 +56,7 @@
 
 class Ejections(unittest.TestCase):
     def test_a_proxy_with_a_table_receives_a_removal_for_a_drain_and_an_entry_for_the_return(self):
-        # An additional ejection would cost one more entry of the channel per proxy and endpoint.
+        # An additional ejection would cost the channel one more entry per proxy and endpoint.
         async def case(platform):
             proxy = await platform.connect_proxy()
             state = ProxyState(
@@ -86,8 +86,8 @@
                 **platform.controller.planner.settings,
                 "queue_most": 0.0,
             }  # no table fits in the queue
-            proxy, cold_proxy = (
-                await platform.connect_proxy(0, cold=False),
+            proxy, new_proxy = (
+                await platform.connect_proxy(0, bootstrap_only=False),
                 await platform.connect_proxy(1, "z1"),
             )
             await until(lambda: len(platform.controller.planner.unassigned) == 2)
@@ -98,18 +98,19 @@
             platform.controller.planner.budget.backlog.unacknowledged_entries = 410.0
             platform.discovery.publish(instance(2, lifecycle="leaving"))
             await until(lambda: any(part.get("eject") == ["s-2"] for part in proxy.messages))
-            self.assertFalse(any(part.get("full") for part in proxy.messages + cold_proxy.messages))
+            self.assertFalse(any(part.get("full") for part in proxy.messages + new_proxy.messages))
 
         run_with_platform(case)
 
     def test_an_endpoint_that_another_controller_ejected_is_restored_with_its_entry(self):
         # A proxy keeps ejections after its stream has ended, also those of another controller.
         async def case(platform):
+            # The sleep gives the controller time to accept the first proxy.
             await (await platform.connect_proxy(1)).loop.create_task(asyncio.sleep(0.05))
             platform.discovery.publish(instance(1, "z1", "leaving"))
             await until(lambda: platform.controller.endpoint_tracker.possibly_ejected)
             platform.discovery.publish(instance(1, "z1", started=1.9e12))
-            late_proxy = await platform.connect_proxy(0, cold=False)
+            late_proxy = await platform.connect_proxy(0, bootstrap_only=False)
             await until(lambda: any("endpoints" in part for part in late_proxy.messages), 20)
             await until(
                 lambda: any(part.get("restore") == ["s-1"] for part in late_proxy.messages), 20
@@ -133,7 +134,7 @@
             platform.controller.endpoint_tracker.forgotten_names["s-8"] = True
             platform.discovery.publish(instance(8))
             await until(lambda: len(platform.controller.endpoint_tracker.possibly_ejected) == 2)
-            proxy = await platform.proxy_with_table(2)
+            proxy = await platform.connect_proxy_with_table(2)
             self.assertEqual(
                 {name for part in proxy.messages for name in part.get("restore", ())},
                 {"s-1", "s-8"},
@@ -161,21 +162,24 @@
 
 
 class Failures(unittest.TestCase):
-    def test_a_message_that_cannot_be_composed_ends_its_stream_and_timers_continue(self):
+    def test_a_message_that_cannot_be_composed_ends_its_stream_and_the_planner_keeps_running(self):
         async def case(platform):
-            proxy, other = await platform.proxy_with_table(0), await platform.proxy_with_table(1)
-            tables = platform.controller.push_composer.table_updates
+            proxy, other = (
+                await platform.connect_proxy_with_table(0),
+                await platform.connect_proxy_with_table(1),
+            )
+            table_updates = platform.controller.push_composer.table_updates
             platform.controller.push_composer.table_updates = (
                 lambda publisher, number, operations: (
-                    1 / 0 if number == 0 else tables(publisher, number, operations)
+                    1 / 0 if number == 0 else table_updates(publisher, number, operations)
                 )
             )
             platform.discovery.publish(instance(1, "z1", "leaving"))
             await until(lambda: proxy.end_reason and "s-1" in removed_endpoints(other))
-            platform.controller.push_composer.table_updates = tables
-            new_stream = await platform.proxy_with_table(0)
-            decided_before = platform.controller.batch_count
-            await until(lambda: platform.controller.batch_count > decided_before + 3)
+            platform.controller.push_composer.table_updates = table_updates
+            new_stream = await platform.connect_proxy_with_table(0)
+            batches_before = platform.controller.batch_count
+            await until(lambda: platform.controller.batch_count > batches_before + 3)
             self.assertIsNone(new_stream.end_reason)
 
         run_with_platform(case)
--- a/tests/platform/test_reload.py
+++ b/tests/platform/test_reload.py
@@ -39,7 +39,7 @@
                 raise ConfigurationError("torn")
 
             await until(lambda: platform.controller.watch.version == 1)
-            platform.controller.reloader.read = fail
+            platform.controller.reloader.read_configuration = fail
             platform.controller.reload()
             self.assertEqual(platform.log[-1], ("configuration reload failed", {"why": "torn"}))
             platform.discovery.publish(instance(0, lifecycle="leaving"))
@@ -56,7 +56,7 @@
             )
             with mock.patch.object(
                 platform.controller.reloader,
-                "read",
+                "read_configuration",
                 side_effect=[
                     ConfigurationError("half written"),
                     ConfigurationError("half written"),
--- a/tests/platform/test_reports.py
+++ b/tests/platform/test_reports.py
@@ -12,7 +12,7 @@
 
 
 class Reports(unittest.TestCase):
-    def test_reports_reach_the_planner_and_invalid_ones_are_ignored(self):
+    def test_valid_reports_reach_the_planner_and_invalid_reports_are_ignored(self):
         async def case(platform):
             events, submit_event = [], platform.controller.submit
             platform.controller.submit = lambda event: (events.append(event), submit_event(event))
--- a/tests/platform/test_resource_shortages.py
+++ b/tests/platform/test_resource_shortages.py
@@ -1,4 +1,4 @@
-"""Shortages of resources on the controller's machine."""
+"""Shortages on the controller's machine must not eject endpoints or end the start."""
 
 import errno
 import unittest
@@ -16,7 +16,7 @@
 
 
 class HealthChecks(unittest.TestCase):
-    def test_health_checks_that_could_not_be_sent_eject_no_endpoint(self):
+    def test_health_checks_that_could_not_be_sent_do_not_eject_their_endpoint(self):
         planner_under_test = make_planner(tries_told=False, report_fields=[])
         for tick in range(100):
             results = [
--- a/tests/platform/test_sessions.py
+++ b/tests/platform/test_sessions.py
@@ -1,4 +1,4 @@
-"""Connections: joining, limits and misbehaving peers."""
+"""Connections of peers: joining, limits, and peers that send invalid data or do not read."""
 
 import json
 import socket
@@ -151,7 +151,7 @@
                 connection.sendall(data)
                 connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 connection.close()  # sends a reset
-            proxy = await platform.proxy_with_table()
+            proxy = await platform.connect_proxy_with_table()
             await until(
                 lambda: list(platform.controller.listener.sessions)
                 == [platform.controller.proxy_sessions[0]]
@@ -164,7 +164,7 @@
 
     def test_a_refused_peer_that_does_not_read_is_cut(self):
         async def case(platform):
-            await platform.proxy_with_table()
+            await platform.connect_proxy_with_table()
             session = platform.controller.proxy_sessions[0]
             with mock.patch.object(session, "close"):  # as if unread bytes kept the connection open
                 session.line_received(b"no sense")
--- a/tests/platform/test_shutdown.py
+++ b/tests/platform/test_shutdown.py
@@ -22,7 +22,7 @@
 class Shutdown(unittest.TestCase):
     def test_events_received_before_the_stop_are_decided_on_and_written(self):
         async def case(platform):
-            proxy = await platform.proxy_with_table()
+            proxy = await platform.connect_proxy_with_table()
             platform.controller.on_endpoint_list(
                 endpoint_list(2, instance(1, "z1", "leaving"))
             )  # in the inbox, not decided on yet
@@ -34,11 +34,11 @@
 
         run_with_platform(case)
 
-    def test_buffered_bytes_are_sent_and_a_peer_that_does_not_read_delays_no_other(self):
+    def test_buffered_bytes_are_sent_although_another_peer_does_not_read(self):
         async def case(platform):
             proxy, unresponsive_proxy = (
-                await platform.proxy_with_table(0),
-                await platform.proxy_with_table(1),
+                await platform.connect_proxy_with_table(0),
+                await platform.connect_proxy_with_table(1),
             )
             unresponsive_proxy.transport.pause_reading()
             for session in platform.controller.proxy_sessions.values():
@@ -52,9 +52,9 @@
 
     def test_a_second_stop_a_reload_and_late_timers_have_no_effect(self):
         async def case(platform):
-            proxy = await platform.proxy_with_table()
+            proxy = await platform.connect_proxy_with_table()
             platform.controller.stop()
-            decided = platform.controller.batch_count
+            batches_before = platform.controller.batch_count
             platform.controller.stop("again")
             platform.configuration = platform.configuration._replace(
                 discovery=Address(DISCOVERY_HOST, 1)
@@ -65,7 +65,7 @@
             await until(lambda: proxy.end_reason and platform.controller.ended.done())
             self.assertEqual(
                 (platform.controller.ended.result(), platform.controller.batch_count),
-                ("stopped", decided),
+                ("stopped", batches_before),
             )
 
         run_with_platform(case)
--- a/tests/platforms.py
+++ b/tests/platforms.py
@@ -16,7 +16,7 @@
 
 CONTROLLER_HOST = "127.3.0.1"
 DISCOVERY_HOST = "127.3.0.9"
-UNIX_TIME = 2e9  # Unix seconds
+UNIX_TIME = 2e9  # seconds
 # A valid report from a collector.
 OUTCOMES = {
     "msg": "outcomes",
@@ -51,7 +51,7 @@
 
 
 class DiscoveryConnection(ServerConnection):
-    """A connection to a FakeDiscovery."""
+    """A connection of a client to a FakeDiscovery."""
 
     def __init__(self, discovery):
         super().__init__(0.0)
@@ -73,11 +73,11 @@
 
     def __init__(self, instances):
         self.version = 1
-        self.instances = instances  # of the whole list
-        self.changes = []  # since the previous version
-        self.silent = False  # whether requests are left without an answer
+        self.instances = instances  # entries of the whole list
+        self.changes = []  # entries that changed since the previous version
+        self.silent = False  # whether requests get no answer
         self.request_paths = []
-        self.held_requests = []  # (connection, path)
+        self.held_requests = []  # (connection, path) of each unanswered request
         self.connections = []
         self.servers = []
 
@@ -129,7 +129,10 @@
 
 
 class PlatformFixture:
-    """A controller with fake discovery and fake peers; `settings` override helpers.SETTINGS."""
+    """A controller with a fake discovery and fake peers; `settings` override helpers.SETTINGS.
+
+    `sockets` is the maximum number of open file descriptors. With `silent`, discovery never answers.
+    """
 
     def __init__(self, endpoints=4, sockets=256, remembered_list=None, silent=False, **settings):
         self.port = free_port()
@@ -178,9 +181,9 @@
         self.peers.append(peer)
         return peer
 
-    async def connect_proxy(self, number=0, zone="z0", cold=True):
+    async def connect_proxy(self, number=0, zone="z0", bootstrap_only=True):
         peer = await self.connect()
-        peer.send_message(msg="hello", node=number, locality=zone, w=5.0, cold=cold)
+        peer.send_message(msg="hello", node=number, locality=zone, w=5.0, cold=bootstrap_only)
         return peer
 
     async def connect_collector(self, zone="z0"):
@@ -188,8 +191,8 @@
         peer.send_message(msg="agent", locality=zone)
         return peer
 
-    async def proxy_with_table(self, number=0, **options):
-        """Connect a proxy, and return it once it has received a whole table."""
+    async def connect_proxy_with_table(self, number=0, **options):
+        """Connect a proxy, wait until it has received a whole table, and return it."""
         proxy = await self.connect_proxy(number, **options)
         await until(lambda: whole_tables(proxy))
         return proxy
@@ -201,7 +204,7 @@
 
 
 def removed_endpoints(peer):
-    """Return the endpoints that a proxy with these messages could reach once and no longer can."""
+    """Return the endpoints that the peer's messages made reachable and later removed."""
     names = [request_class["name"] for request_class in SETTINGS["req_kinds"]]
     state = ProxyState(0, "z0", names)
     reachable_before = set()
--- a/tests/seeded_faults.py
+++ b/tests/seeded_faults.py
@@ -25,13 +25,13 @@
     """Proxies apply commands of earlier owners."""
     original = StandInProxy.receive_response
 
-    def take(self, call, steward, data):
+    def receive_response(self, call, controller, data):
         self.current = call
-        original(self, call, steward, data)
+        original(self, call, controller, data)
 
     with (
         mock.patch.object(Fence, "allows", lambda self, *_: True),
-        mock.patch.object(StandInProxy, "receive_response", take),
+        mock.patch.object(StandInProxy, "receive_response", receive_response),
     ):
         yield
 
@@ -57,12 +57,15 @@
     """Endpoints that are warming up get 50 times their listed weight."""
     original = warmup_thinning.WarmupThinning.decide
 
-    def decide(self, changed, listed, heard=()):
+    def decide(self, changed, full_weights, rates=()):
         changed = {
-            view: {host: 50.0 * listed[host] / max(0.01, weight) for host, weight in table.items()}
+            view: {
+                endpoint: 50.0 * full_weights[endpoint] / max(0.01, weight)
+                for endpoint, weight in table.items()
+            }
             for view, table in changed.items()
         }
-        return original(self, changed, listed, heard)
+        return original(self, changed, full_weights, rates)
 
     return mock.patch.object(warmup_thinning.WarmupThinning, "decide", decide)
 
@@ -82,8 +85,8 @@
     """Proxies retry requests that must not be sent twice."""
     original = Publisher.set_admission
 
-    def set_admission(self, out, command):
-        original(self, out, command._replace(retry_policy="once"))
+    def set_admission(self, messages, command):
+        original(self, messages, command._replace(retry_policy="once"))
 
     return mock.patch.object(Publisher, "set_admission", set_admission)
 
@@ -92,10 +95,10 @@
     """Applying a withdrawal raises an exception."""
     original = ViewState.apply
 
-    def apply(self, ops):
-        if any(op[0] == "withdrawn" and value for op, value in ops.items()):
+    def apply(self, operations):
+        if any(key[0] == "withdrawn" and value for key, value in operations.items()):
             raise KeyError("planted")
-        original(self, ops)
+        original(self, operations)
 
     return mock.patch.object(ViewState, "apply", apply)
 
@@ -104,7 +107,9 @@
     """One withdrawal removes all endpoints from a table."""
     original = ViewState.weights
     return mock.patch.object(
-        ViewState, "weights", lambda self, kind: {} if self.withdrawn else original(self, kind)
+        ViewState,
+        "weights",
+        lambda self, request_class: {} if self.withdrawn else original(self, request_class),
     )
 
 
@@ -119,8 +124,8 @@
         for proxy in self.context.joined:
             if proxy.assigned:
                 self.commands += [
-                    interface.SetEntry(proxy.first_table, host, weight)
-                    for host, weight in proxy.entries[0].items()
+                    interface.SetEntry(proxy.first_table, endpoint, weight)
+                    for endpoint, weight in proxy.entries[0].items()
                 ]
 
     return mock.patch.object(Planner, "on_timer", on_timer)
