--- a/peatlead/benchmarks/tables_wire.py
+++ b/peatlead/benchmarks/tables_wire.py
@@ -217,7 +217,7 @@
             self.counts.delta_bytes += response.ByteSize()
             subscription = stream.subscriptions[LB_ENDPOINT_TYPE_URL]
             assert subscription.in_flight is not None
-            subscription.held = subscription.in_flight.items
+            subscription.held_items = subscription.in_flight.items
             subscription.digest = subscription.in_flight.digest
             subscription.in_flight = None
             subscription.nonce = ""
--- a/peatlead/controller/proxies.py
+++ b/peatlead/controller/proxies.py
@@ -115,7 +115,7 @@
         session.number = proxy_number(NUMBER_PREFIX + node.name)
         session.state = ViewState()
         session.zone = controller.registry.zones.get(node.zone, 0)
-        self.server.add(session)
+        self.server.add_session(session)
         self.by_number[session.number] = session
         self._progress[session] = ProxyProgress()
         self._reset_subscription(session)
@@ -128,7 +128,7 @@
     def on_leave(self, session: Session) -> None:
         """Unregister a proxy whose session has ended, unless a newer session has replaced it."""
         self._progress.pop(session, None)
-        if not self.server.remove(session):
+        if not self.server.remove_session(session):
             return
         controller = self._controller
         self.by_number.pop(session.number, None)
@@ -200,12 +200,12 @@
         node = session.node
         return self._controller.publication.effective_weights(node.name, node.zone, name, planned)
 
-    def endpoint_at(self, address_and_port: AddressAndPort) -> int | None:
+    def find_endpoint(self, address_and_port: AddressAndPort) -> int | None:
         """Return the endpoint at an address and port, or None if no list has named it."""
         address, port = address_and_port
         return self._endpoint_by_address.get(address) if port == self._port else None
 
-    def address_of(self, endpoint: int) -> tuple[str, int, str]:
+    def endpoint_address(self, endpoint: int) -> tuple[str, int, str]:
         """Return an endpoint's address, port and zone."""
         entry = self._controller.registry.entries[endpoint]
         return entry.address or entry.address6, self._port, entry.zone
@@ -307,7 +307,7 @@
     def _known_weights(self, lines: Iterable[WeightedEndpoint]) -> EndpointWeights:
         weights: EndpointWeights = {}
         for line in lines:
-            endpoint = self.endpoint_at((line.address, line.port))
+            endpoint = self.find_endpoint((line.address, line.port))
             if line.weight > 0 and endpoint is not None:
                 weights[endpoint] = line.weight
         return weights
--- a/peatlead/controller/proxy_admission.py
+++ b/peatlead/controller/proxy_admission.py
@@ -100,7 +100,7 @@
     def forget(self, name: str) -> None:
         """Forget a joined proxy that has left."""
         if self._ownership is not None:
-            self._ownership.forget(name)
+            self._ownership.forget_proxy(name)
 
     def redirect_proxies(self, now: float, server: GrpcServer) -> None:
         """Redirect some of the joined proxies that another controller should own."""
--- a/peatlead/dns/answer_cache.py
+++ b/peatlead/dns/answer_cache.py
@@ -92,23 +92,23 @@
         self.cycle = context.cycle(source, family)
         self.bodies: dict[Order, bytes] = {}  # answers without their id
 
-    def next(self) -> bytes:
+    def next_answer(self) -> bytes:
         """Return the next answer without its id."""
         if self.version != self.source.version:
-            self.renew()
+            self.reset()
         cycle = self.cycle
         index = cycle.index
         cycle.index = index + 1 if index + 1 < len(cycle.orders) else 0
         order = cycle.orders[index]
-        return self.bodies.get(order) or self.build(order)
+        return self.bodies.get(order) or self.build_body(order)
 
-    def renew(self) -> None:
+    def reset(self) -> None:
         """Drop the built answers after a change of the source."""
         self.version = self.source.version
         self.bodies = {}
         self.cycle = self.context.cycle(self.source, self.family)
 
-    def build(self, order: Order) -> bytes:
+    def build_body(self, order: Order) -> bytes:
         """Build and store the answer, without its id, that has the endpoints in this order.
 
         Addresses that do not fit are left out without setting the TC flag, since clients can do
--- a/peatlead/dns/answers.py
+++ b/peatlead/dns/answers.py
@@ -140,7 +140,7 @@
         if prepared_answers is not None:
             prepared = prepared_answers.get(data[2:])
             if prepared is not None and prepared.source.weights:
-                return data[:2] + prepared.next()
+                return data[:2] + prepared.next_answer()
         return self.answer_unprepared(data, peer, tcp)
 
     def cycle(self, source: AnswerSource, family: int) -> AnswerCycle:
@@ -219,7 +219,7 @@
 
     def answer_name(self, query: Query, view: View | None) -> bytes:
         """Answer a query about a name of the zone."""
-        labels = query.labels_below(self.zone)
+        labels = query.relative_labels(self.zone)
         target = self.service_names.find(labels, view)
         if target is None and not self.name_exists(labels):
             self.counts["unknown"] += 1
@@ -263,7 +263,7 @@
         family = FAMILIES[rdtype]
         if not any(self.endpoints[endpoint].by_family[family] for endpoint in source.weights):
             return self.answer_negatively(query)
-        return query.data[:ID_BYTES] + self.prepare(query, source, family).next()
+        return query.data[:ID_BYTES] + self.prepare(query, source, family).next_answer()
 
     def fail_without_table(self, query: Query) -> bytes:
         """Answer SERVFAIL to a query whose view has no endpoints.
@@ -311,7 +311,7 @@
         else:
             add_apex_records(self, response.answer, response.additional, name, rdtype)
 
-    def soa(self, serial: int | None = None) -> str:
+    def soa_text(self, serial: int | None = None) -> str:
         """Return the text of the SOA record, with the current serial if none is given."""
         return soa_text(self, self.serial if serial is None else serial)
 
@@ -327,7 +327,7 @@
 
     def answer_negatively(self, query: Query) -> bytes:
         """Give a negative answer, which has the SOA record (RFC 2308 section 3)."""
-        add_record(query.response.authority, self.zone, NEGATIVE_TTL, "SOA", self.soa())
+        add_record(query.response.authority, self.zone, NEGATIVE_TTL, "SOA", self.soa_text())
         return self.encode_response(query)
 
     def encode_response(self, query: Query) -> bytes:
--- a/peatlead/dns/client_subnet.py
+++ b/peatlead/dns/client_subnet.py
@@ -15,7 +15,7 @@
 
     Client subnets are used only from trusted resolvers. See RFC 7871 section 7.2.1.
     """
-    if message.edns == 0 and views.trusts_subnets_from(peer):
+    if message.edns == 0 and views.is_trusted_resolver(peer):
         for option in message.options:
             if isinstance(option, dns.edns.ECSOption):
                 return find_subnet_view(views, option, peer)
--- a/peatlead/dns/notify.py
+++ b/peatlead/dns/notify.py
@@ -31,7 +31,7 @@
     message_id: int
     timer: asyncio.TimerHandle  # sends the next message
 
-    def is_acknowledged_by(self, data: bytes) -> bool:
+    def is_response(self, data: bytes) -> bool:
         """Return whether a datagram is the response to the message."""
         return (
             len(data) >= HEADER_BYTES
@@ -68,7 +68,7 @@
         self.store_serial = store_serial
         self.allowed_peers = {peer for peer, _ in self.secondary_addresses}
         self.history = ZoneHistory(
-            answers.zone, answers.soa, Serials(controller_index, controller_count), serial
+            answers.zone, answers.soa_text, Serials(controller_index, controller_count), serial
         )
         self.loop: asyncio.AbstractEventLoop | None = None
         self.transport: asyncio.DatagramTransport | None = None
@@ -133,7 +133,7 @@
         """Handle an acknowledgement (asyncio callback)."""
         address = (peer[0], peer[1])
         pending = self.pending.get(address)
-        if pending is not None and pending.is_acknowledged_by(data):
+        if pending is not None and pending.is_response(data):
             del self.pending[address]
             pending.timer.cancel()
             self.counts["answered"] += 1
@@ -151,7 +151,7 @@
             return transfer_refusal(query)
         self.counts["transfers"] += tcp
         serial = client_serial(query)
-        if serial is not None and self.history.advance_past(serial):
+        if serial is not None and self.history.advance_serial(serial):
             self.counts["passed"] += 1
             self.publish()
         return respond_to_transfer(query, self.history, tcp)
--- a/peatlead/dns/query.py
+++ b/peatlead/dns/query.py
@@ -28,7 +28,7 @@
     response: dns.message.Message
     max_size: int  # of the response, in bytes
 
-    def labels_below(self, zone: dns.name.Name) -> list[str]:
+    def relative_labels(self, zone: dns.name.Name) -> list[str]:
         """Return the question's labels below a zone's apex, in lower case."""
         labels = self.question.name.relativize(zone).labels
         return [label.decode("ascii", "replace").lower() for label in labels]
--- a/peatlead/dns/serials.py
+++ b/peatlead/dns/serials.py
@@ -29,11 +29,11 @@
             self.step *= 2
         self.controller_index = controller_index
 
-    def next_after(self, serial: int) -> int:
+    def next_own_serial(self, serial: int) -> int:
         """Return this controller's first serial that is newer than another serial."""
         distance = self.step - (serial - self.controller_index) % self.step
         following = (serial + distance) % SERIAL_MODULUS
-        return following or self.next_after(following)
+        return following or self.next_own_serial(following)
 
     def is_own(self, serial: int) -> bool:
         """Return whether this controller may issue a serial."""
--- a/peatlead/dns/transfer.py
+++ b/peatlead/dns/transfer.py
@@ -46,7 +46,7 @@
     soa = history.soa_record(history.serial)
     if not tcp or serial == history.serial:
         return [soa]  # the client is up to date, or retries over TCP (RFC 1995 section 2)
-    difference = history.difference_since(serial)
+    difference = history.condensed_difference(serial)
     if difference is None or is_longer_than_zone(difference, history):
         return full_zone_records(history)
     old_soa = history.soa_record(serial)
--- a/peatlead/dns/views.py
+++ b/peatlead/dns/views.py
@@ -135,7 +135,7 @@
         view = self.by_resolver.get(address)
         return ViewMatch(view, 0) if view else self.match_network(address, address.max_prefixlen)
 
-    def trusts_subnets_from(self, peer: str) -> bool:
+    def is_trusted_resolver(self, peer: str) -> bool:
         """Return whether a resolver is trusted to send client subnets (RFC 7871)."""
         return self.trusted_resolvers.find(unmap_ipv4(ip_address(peer))) is not None
 
--- a/peatlead/dns/warmup_thinning.py
+++ b/peatlead/dns/warmup_thinning.py
@@ -95,15 +95,13 @@
         for view, table in changed.items():
             self.update_table(view, table)
         ramping = self.find_ramping(affected_views)
-        naming_views = {
-            endpoint: self.choose_naming_views(endpoint) for endpoint in sorted(ramping)
-        }
+        selected_views = {endpoint: self.select_views(endpoint) for endpoint in sorted(ramping)}
         for endpoint in ramping | self.ramping:
             affected_views |= self.views_by_endpoint.get(endpoint, set())
         self.ramping = ramping
         updates = {}
         for view in sorted(affected_views):
-            pool = self.make_pool(view, naming_views)
+            pool = self.make_pool(view, selected_views)
             if pool != self.pools.get(view):
                 self.pools[view] = pool
                 updates[view] = pool
@@ -147,7 +145,7 @@
             for view in self.views_by_endpoint.get(endpoint, ())
         )
 
-    def choose_naming_views(self, endpoint: int) -> set[ViewKey]:
+    def select_views(self, endpoint: int) -> set[ViewKey]:
         """Return the views whose answers contain a ramping endpoint.
 
         Views with few requests are chosen first. Neither the rate of one chosen view nor the mean
@@ -168,19 +166,19 @@
         return select_within_rate(planned_rate, sorted(candidates))
 
     def make_pool(
-        self, view: ViewKey, naming_views: Mapping[int, Collection[ViewKey]]
+        self, view: ViewKey, selected_views: Mapping[int, Collection[ViewKey]]
     ) -> AnswerPool:
         """Return the endpoints that a view's answers are drawn from."""
         table = self.tables[view]
         fair_shares = self.rates.get(view, 1.0) / max(MIN_FAIR_RATE, self.fair_rate)
         min_addresses = min(len(table), ceil(fair_shares / MAX_FAIR_SHARES_PER_ADDRESS))
-        if all(endpoint in naming_views for endpoint in table):
+        if all(endpoint in selected_views for endpoint in table):
             return AnswerPool(dict(table), False, min_addresses)
         weights = {}
         for endpoint, weight in table.items():
-            if endpoint not in naming_views:
+            if endpoint not in selected_views:
                 weights[endpoint] = weight
-            elif view in naming_views[endpoint]:
+            elif view in selected_views[endpoint]:
                 weights[endpoint] = self.full_weights.get(endpoint, weight)
         return AnswerPool(weights, fair_shares <= MAX_CACHEABLE_FAIR_SHARES, min_addresses)
 
@@ -188,7 +186,7 @@
 def select_within_rate(planned_rate: float, candidates: Iterable[Candidate]) -> set[Any]:
     """Return the first candidates' views that stay within the limits of a planned rate.
 
-    `candidates` are sorted by rate. See `WarmupThinning.choose_naming_views` for the limits.
+    `candidates` are sorted by rate. See `WarmupThinning.select_views` for the limits.
     """
     chosen = set()
     mean = 0.0
--- a/peatlead/dns/zone.py
+++ b/peatlead/dns/zone.py
@@ -45,23 +45,24 @@
 class ZoneHistory:
     """The zone's current version, and the changes since earlier versions.
 
-    `soa(serial)` returns the SOA record's text. `serial` is the last serial before a restart, or 0.
+    `soa_text(serial)` returns the SOA record's text. `serial` is the last serial before a restart,
+    or 0.
     """
 
     def __init__(
         self,
         origin: dns.name.Name,
-        soa: Callable[[int], str],
+        soa_text: Callable[[int], str],
         serials: Serials,
         serial: int = 0,
     ) -> None:
         self.origin = origin
-        self.soa = soa
+        self.soa_text = soa_text
         self.serials = serials
-        self.serial = serials.next_after(serial)
+        self.serial = serials.next_own_serial(serial)
         self.records: frozenset[ZoneRecord] = frozenset()  # empty before the first version
         self.content: frozenset[ZoneRecord] = frozenset()  # without the SOA and ZONEMD records
-        self.digested: frozenset[ZoneRecord] = frozenset()  # without the ZONEMD record
+        self.digested_records: frozenset[ZoneRecord] = frozenset()  # without the ZONEMD record
         self.deltas: deque[Delta] = deque()  # oldest first
         self.delta_record_count = 0
         self.zonemd_text: str | None = None  # None before the first version
@@ -77,7 +78,7 @@
         if not old_records:
             self.set_version(content, old_serial)
             return True
-        self.set_version(content, self.serials.next_after(old_serial))
+        self.set_version(content, self.serials.next_own_serial(old_serial))
         removed = tuple(sorted(old_records - self.records))
         added = tuple(sorted(self.records - old_records))
         self.deltas.append(Delta(old_serial, removed, added))
@@ -88,17 +89,19 @@
     def set_version(self, content: frozenset[ZoneRecord], serial: int) -> None:
         """Set the current version's content and serial, and compute its digest."""
         self.serial = serial
-        digested = content | {self.soa_record(serial)}
-        self.canonical.apply_changes(self.digested - digested, digested - self.digested)
+        digested_records = content | {self.soa_record(serial)}
+        self.canonical.apply_changes(
+            self.digested_records - digested_records, digested_records - self.digested_records
+        )
         self.zonemd_text = f"{serial} {ZONEMD_PARAMETERS} {self.canonical.digest()}"
         zonemd = ZoneRecord(APEX, APEX_TTL, ZONEMD, self.zonemd_text)
         self.content = content
-        self.digested = digested
-        self.records = digested | {zonemd}
+        self.digested_records = digested_records
+        self.records = digested_records | {zonemd}
 
     def soa_record(self, serial: int) -> ZoneRecord:
         """Return the SOA record of a version."""
-        return ZoneRecord(APEX, APEX_TTL, SOA, self.soa(serial))
+        return ZoneRecord(APEX, APEX_TTL, SOA, self.soa_text(serial))
 
     def drop_old_deltas(self) -> None:
         """Drop the oldest deltas while there are more than the limits allow."""
@@ -108,7 +111,7 @@
             oldest = self.deltas.popleft()
             self.delta_record_count -= len(oldest.removed) + len(oldest.added)
 
-    def difference_since(self, serial: int) -> Difference | None:
+    def condensed_difference(self, serial: int) -> Difference | None:
         """Return the condensed difference from a version to the current version.
 
         See RFC 1995 section 5. The result is None if the version is not known.
@@ -130,7 +133,7 @@
             added |= set(delta.added) - added_again
         return Difference(removed, added) if known else None
 
-    def advance_past(self, serial: int) -> bool:
+    def advance_serial(self, serial: int) -> bool:
         """Continue after a secondary's serial if it is newer; return whether it was.
 
         Otherwise the secondary would ignore all further versions of this controller.
@@ -139,5 +142,5 @@
             return False
         self.deltas.clear()
         self.delta_record_count = 0
-        self.set_version(self.content, self.serials.next_after(serial))
+        self.set_version(self.content, self.serials.next_own_serial(serial))
         return True
--- a/peatlead/dns/zone_contents.py
+++ b/peatlead/dns/zone_contents.py
@@ -50,7 +50,7 @@
     `name` is the apex in the spelling of the query.
     """
     if rdtype == dns.rdatatype.SOA:
-        add_record(answer, name, SERVER_TTL, "SOA", answers.soa())
+        add_record(answer, name, SERVER_TTL, "SOA", answers.soa_text())
     elif rdtype == dns.rdatatype.NS:
         for server, address in answers.name_servers:
             target = f"{server}.{answers.zone.to_text()}"
--- a/peatlead/fleet/authentication.py
+++ b/peatlead/fleet/authentication.py
@@ -61,7 +61,7 @@
         self.accepted_bits = 0  # bit n is set if `highest_counter - n` was accepted
         self.replaced_boots: list[bytes] = []  # oldest first
 
-    def restart(self, boot: bytes) -> None:
+    def replace_boot(self, boot: bytes) -> None:
         """Replaces the boot by a new, proven one and resets the counters."""
         self.replaced_boots = [*self.replaced_boots, self.boot][-MAX_REPLACED_BOOTS:]
         self.boot = boot
@@ -123,10 +123,13 @@
 
     # Sending.
 
-    def seal(self, body: bytes, to: str = "") -> bytes:
-        """Returns the datagram with `body` for the member `to`, empty if its name is unknown."""
+    def seal(self, body: bytes, receiver: str = "") -> bytes:
+        """Returns the datagram with `body` for a member.
+
+        `receiver`: the name of that member, empty if the name is unknown.
+        """
         self.counter += 1
-        challenge = self.received_challenges.get(to, NO_CHALLENGE)
+        challenge = self.received_challenges.get(receiver, NO_CHALLENGE)
         header = HEADER.pack(VERSION, len(self.name), self.boot, self.counter, challenge)
         data = header + self.name + body
         return data + self._hash(self.keys[0], data)
@@ -196,7 +199,7 @@
             return False
         del self.issued_challenges[name]  # other boots of this sender need a new challenge
         if sender is not None:
-            sender.restart(boot)
+            sender.replace_boot(boot)
         elif len(self.senders) < MAX_SENDERS:
             self.senders[name] = SenderState(boot)
         else:
--- a/peatlead/fleet/gossip.py
+++ b/peatlead/fleet/gossip.py
@@ -68,9 +68,9 @@
 class GossipNode(asyncio.DatagramProtocol):
     """The gossip endpoint of one controller.
 
-    `settings`: the settings of the fleet. `me`: this controller's entry in the settings. `boot`:
-    8 bytes that differ at each start of the process. `count_proxies()` returns the number of
-    connected proxies. `log(event, **fields)` writes a log line.
+    `settings`: the settings of the fleet. `own_settings`: this controller's entry in the settings.
+    `boot`: 8 bytes that differ at each start of the process. `count_proxies()` returns the number
+    of connected proxies. `log(event, **fields)` writes a log line.
 
     `on_advice(sender, payload)` handles a message of another controller's planner; `sender` is the
     index of that controller in the settings. `on_pins(payload)` handles operators' pins, and
@@ -80,7 +80,7 @@
     def __init__(  # noqa: PLR0913 - each argument is a separate collaborator
         self,
         settings: Mapping[str, Any],
-        me: Mapping[str, Any],
+        own_settings: Mapping[str, Any],
         rng: Random,
         boot: bytes,
         count_proxies: Callable[[], int],
@@ -89,7 +89,7 @@
         on_pins: Callable[[bytes], None] = ignore_message,
         on_pin_target: Callable[[bytes], None] = ignore_message,
     ) -> None:
-        self.me = me
+        self.own_settings = own_settings
         self.count_proxies = count_proxies
         self.log = log
         self.on_advice = on_advice
@@ -100,9 +100,9 @@
         }
         self.advice_limit = AdviceRateLimit()
         keys = [bytes.fromhex(key) for key in settings["fleet"]["keys"]]
-        self.authenticator = Authenticator(keys, me["name"], boot)
+        self.authenticator = Authenticator(keys, own_settings["name"], boot)
         self.membership = self._make_membership(settings, rng)
-        self.ownership = Ownership(me["name"], settings["fleet"]["joins_rate"], rng)
+        self.ownership = Ownership(own_settings["name"], settings["fleet"]["joins_rate"], rng)
         # Names of members, by the address that their last datagram came from.
         self.names_by_address: dict[Address, str] = {}
         self.loop: asyncio.AbstractEventLoop
@@ -112,12 +112,12 @@
         self.last_refusal = ""
 
     def _make_membership(self, settings: Mapping[str, Any], rng: Random) -> Membership:
-        name = self.me["name"]
+        name = self.own_settings["name"]
         seeds = [
             controller["peer"] for controller in settings["steward"] if controller["name"] != name
         ]
-        proxy_address = self.me["grpc"] or ()
-        info = MemberInfo(name, self.me["peer"], MemberState.ALIVE, 0, proxy_address)
+        proxy_address = self.own_settings["grpc"] or ()
+        info = MemberInfo(name, self.own_settings["peer"], MemberState.ALIVE, 0, proxy_address)
         timers = settings["fleet"]
         return Membership(
             info, seeds, rng, timers["probe_every"], timers["probe_wait"], timers["suspect"]
@@ -128,7 +128,7 @@
     async def open(self) -> None:
         """Binds the socket and starts probing. Raises OSError."""
         self.loop = asyncio.get_running_loop()
-        await self.loop.create_datagram_endpoint(lambda: self, local_addr=self.me["peer"])
+        await self.loop.create_datagram_endpoint(lambda: self, local_addr=self.own_settings["peer"])
         self._tick()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -197,7 +197,7 @@
 
     def _broadcast(self, message: Message) -> None:
         for name, info in self.membership.live_members().items():
-            if name != self.me["name"]:
+            if name != self.own_settings["name"]:
                 self.send(info.address, msgspec.msgpack.encode(message))
 
     def send(self, address: Address, body: bytes) -> None:
--- a/peatlead/fleet/member_table.py
+++ b/peatlead/fleet/member_table.py
@@ -24,7 +24,7 @@
     MemberState.DEAD: 2,
     MemberState.LEFT: 3,
 }
-REACHABLE_STATES = (MemberState.ALIVE, MemberState.SUSPECT)
+LIVE_STATES = (MemberState.ALIVE, MemberState.SUSPECT)
 INACTIVE_STATES = (MemberState.DEAD, MemberState.LEFT)
 
 
@@ -54,30 +54,30 @@
 
 
 class MemberTable:
-    """All known members by name, including this one (`me`).
+    """All known members by name, including this one (`own_info`).
 
     `suspicion_timeout`: seconds until a suspected member is declared dead, in a fleet of up to
     four members; the time grows with the logarithm of the number of members.
     """
 
-    def __init__(self, me: MemberInfo, suspicion_timeout: float) -> None:
-        self.me = me
-        self.members = {me.name: Member(me, 0.0)}
+    def __init__(self, own_info: MemberInfo, suspicion_timeout: float) -> None:
+        self.own_info = own_info
+        self.members = {own_info.name: Member(own_info, 0.0)}
         self.suspicion_timeout = suspicion_timeout
 
-    def reachable(self) -> dict[str, MemberInfo]:
+    def live_members(self) -> dict[str, MemberInfo]:
         """Returns the members that are alive or suspected, sorted by name."""
         return {
             name: member.info
             for name, member in sorted(self.members.items())
-            if member.info.state in REACHABLE_STATES
+            if member.info.state in LIVE_STATES
         }
 
-    def peers(self) -> list[str]:
+    def live_peer_names(self) -> list[str]:
         """Returns the names of the reachable members except this one."""
-        return [name for name in self.reachable() if name != self.me.name]
+        return [name for name in self.live_members() if name != self.own_info.name]
 
-    def at_address(self, address: Address) -> list[Member]:
+    def find_by_address(self, address: Address) -> list[Member]:
         """Returns the members with this gossip address, in any state."""
         return [member for member in self.members.values() if member.info.address == address]
 
@@ -88,7 +88,7 @@
         info = msgspec.structs.replace(
             info, address=tuple(info.address), proxy_address=tuple(info.proxy_address)
         )
-        if info.name == self.me.name:
+        if info.name == self.own_info.name:
             self._refute_if_wrong(info)
             return None
         known = self.members.get(info.name)
@@ -153,48 +153,52 @@
 
     def _refute_if_wrong(self, info: MemberInfo) -> None:
         declared_inactive = (
-            info.state != MemberState.ALIVE and info.incarnation >= self.me.incarnation
+            info.state != MemberState.ALIVE and info.incarnation >= self.own_info.incarnation
         )
-        if declared_inactive and self.me.state != MemberState.LEFT:
+        if declared_inactive and self.own_info.state != MemberState.LEFT:
             self.refute(info.incarnation)
-        elif info.incarnation > self.me.incarnation:
+        elif info.incarnation > self.own_info.incarnation:
             # The fact is of an earlier start of this member, whose incarnation it no longer knows.
             self.refute(info.incarnation)
 
     def refute(self, incarnation: int) -> None:
         """Declares this member alive, at an incarnation above `incarnation`."""
-        next_incarnation = max(incarnation, self.me.incarnation) + 1
-        self.update_me(
-            msgspec.structs.replace(self.me, incarnation=next_incarnation, state=MemberState.ALIVE)
+        next_incarnation = max(incarnation, self.own_info.incarnation) + 1
+        self.update_own_info(
+            msgspec.structs.replace(
+                self.own_info, incarnation=next_incarnation, state=MemberState.ALIVE
+            )
         )
 
-    def update_me(self, info: MemberInfo) -> None:
+    def update_own_info(self, info: MemberInfo) -> None:
         """Replaces the fact on this member, and restarts its dissemination."""
-        self.me = info
+        self.own_info = info
         member = self.members[info.name]
         member.info = info
         member.times_sent = 0
 
     # Dissemination.
 
-    def next_facts(self, everything: bool = False) -> list[MemberInfo]:
+    def next_facts(self, include_disseminated: bool = False) -> list[MemberInfo]:
         """Returns the facts for the next message: this member's own, then the least often sent.
 
-        `everything`: includes facts that have reached their number of retransmissions, for a
-        receiver that has just joined.
+        `include_disseminated`: whether to include facts that were already sent as often as the
+        limit allows; a receiver that has just joined needs these facts too.
         """
         limit = RETRANSMIT_FACTOR * ceil(log2(len(self.members) + 1))
         pending = (
-            known for known in self.members.values() if everything or known.times_sent < limit
+            known
+            for known in self.members.values()
+            if include_disseminated or known.times_sent < limit
         )
         chosen = sorted(pending, key=self._dissemination_order)[:MAX_FACTS]
         for member in chosen:
             member.times_sent += 1
         facts = [member.info for member in chosen]
-        if not any(info.name == self.me.name for info in facts):
-            return [self.me, *facts[: MAX_FACTS - 1]]
+        if not any(info.name == self.own_info.name for info in facts):
+            return [self.own_info, *facts[: MAX_FACTS - 1]]
         return facts
 
     def _dissemination_order(self, member: Member) -> tuple[bool, int, str]:
         name = member.info.name
-        return name != self.me.name, member.times_sent, name
+        return name != self.own_info.name, member.times_sent, name
--- a/peatlead/fleet/membership.py
+++ b/peatlead/fleet/membership.py
@@ -110,15 +110,15 @@
 
     def __init__(
         self,
-        me: MemberInfo,
+        own_info: MemberInfo,
         seeds: Iterable[Address],
         rng: Random,
         probe_interval: float = 0.3,
         ack_timeout: float = 0.15,
         suspicion_timeout: float = 1.0,
     ) -> None:
-        self.table = MemberTable(me, suspicion_timeout)
-        self.seeds = [seed for seed in seeds if seed != me.address]
+        self.table = MemberTable(own_info, suspicion_timeout)
+        self.seeds = [seed for seed in seeds if seed != own_info.address]
         self.rng = rng
         self.probe_interval = probe_interval
         self.ack_timeout = ack_timeout
@@ -127,14 +127,14 @@
         self.probes: dict[int, Probe] = {}  # by ping number
         self.relays: dict[int, Relay] = {}  # by ping number
         self.next_probe_at = 0.0
-        self.last_tick: Optional[float] = None
+        self.last_tick_at: Optional[float] = None
         self.now = 0.0
         self.actions: list[Action] = []
 
     @property
-    def me(self) -> MemberInfo:
+    def own_info(self) -> MemberInfo:
         """The fact on this member."""
-        return self.table.me
+        return self.table.own_info
 
     @property
     def members(self) -> dict[str, Member]:
@@ -143,7 +143,7 @@
 
     def live_members(self) -> dict[str, MemberInfo]:
         """Returns the members that are alive or suspected, sorted by name."""
-        return self.table.reachable()
+        return self.table.live_members()
 
     def decide(self, now: float, events: Iterable[Event]) -> list[Action]:
         """Handles the events in order and returns the actions to carry out.
@@ -172,7 +172,7 @@
     def _on_tick(self) -> None:
         if self._has_stalled():
             self._recover_from_stall()
-        self.last_tick = self.now
+        self.last_tick_at = self.now
         for number, probe in list(self.probes.items()):
             if self.now >= probe.deadline:
                 self._on_probe_timeout(number, probe)
@@ -187,19 +187,19 @@
 
     def _has_stalled(self) -> bool:
         max_interval = STALL_INTERVALS * self.probe_interval
-        return self.last_tick is not None and self.now - self.last_tick > max_interval
+        return self.last_tick_at is not None and self.now - self.last_tick_at > max_interval
 
     def _recover_from_stall(self) -> None:
         """Cancels all probes: answers may have arrived while this process was stalled."""
         self.probes = {}
         self.relays = {}
         self.table.restart_suspicions(self.now)
-        self.table.refute(self.me.incarnation)
+        self.table.refute(self.own_info.incarnation)
 
     # Probes.
 
     def _probe_next(self) -> None:
-        peers = self.table.peers()
+        peers = self.table.live_peer_names()
         self.probe_queue = [name for name in self.probe_queue if name in peers]
         if not self.probe_queue:
             self.probe_queue = peers
@@ -219,7 +219,7 @@
             return
         number = self._next_number()
         seed = self.rng.choice(unknown)
-        facts = [self.me, *self.table.next_facts()[: MAX_FACTS - 1]]
+        facts = [self.own_info, *self.table.next_facts()[: MAX_FACTS - 1]]
         self._send(seed, Ping(number, facts))
 
     def _on_probe_timeout(self, number: int, probe: Probe) -> None:
@@ -227,7 +227,7 @@
         member = self.live_members().get(probe.name)
         if member is None:
             return
-        helpers = [name for name in self.table.peers() if name != probe.name]
+        helpers = [name for name in self.table.live_peer_names() if name != probe.name]
         if helpers and not probe.indirect:
             self._probe_indirectly(number, member, helpers)
         elif member.state == MemberState.ALIVE:
@@ -258,9 +258,9 @@
                 self._on_indirect_ping(address, message)
 
     def _on_ping(self, address: Address, ping: Ping) -> None:
-        senders = self.table.at_address(address)
+        senders = self.table.find_by_address(address)
         corrections = self._corrections(senders, ping.facts)
-        facts = corrections + self.table.next_facts(everything=not senders)
+        facts = corrections + self.table.next_facts(include_disseminated=not senders)
         self._send(address, Ack(ping.number, facts[:MAX_FACTS]))
 
     @staticmethod
@@ -295,22 +295,24 @@
     # This member.
 
     def _on_status(self, load: int, draining: bool) -> None:
-        if (load, draining) == (self.me.load, self.me.draining):
+        if (load, draining) == (self.own_info.load, self.own_info.draining):
             return
-        next_incarnation = self.me.incarnation + 1
-        self.table.update_me(
+        next_incarnation = self.own_info.incarnation + 1
+        self.table.update_own_info(
             msgspec.structs.replace(
-                self.me, load=load, draining=draining, incarnation=next_incarnation
+                self.own_info, load=load, draining=draining, incarnation=next_incarnation
             )
         )
 
     def _on_leave(self) -> None:
-        next_incarnation = self.me.incarnation + 1
-        self.table.update_me(
-            msgspec.structs.replace(self.me, state=MemberState.LEFT, incarnation=next_incarnation)
+        next_incarnation = self.own_info.incarnation + 1
+        self.table.update_own_info(
+            msgspec.structs.replace(
+                self.own_info, state=MemberState.LEFT, incarnation=next_incarnation
+            )
         )
-        for name in self.table.peers()[:MAX_FACTS]:
-            self._send(self.members[name].info.address, Ping(0, [self.me]))
+        for name in self.table.live_peer_names()[:MAX_FACTS]:
+            self._send(self.members[name].info.address, Ping(0, [self.own_info]))
 
     # Actions.
 
--- a/peatlead/fleet/ownership.py
+++ b/peatlead/fleet/ownership.py
@@ -80,21 +80,22 @@
 class Ownership:
     """Ownership of proxies as one controller sees it.
 
-    `me`: the name of this controller. `max_admission_rate`: admissions per second after a burst of
-    `ADMISSION_BURST`.
+    `own_name`: the name of this controller. `max_admission_rate`: admissions per second after a
+    burst of `ADMISSION_BURST`.
     """
 
-    def __init__(self, me: str, max_admission_rate: float, rng: Random) -> None:
-        self.me = me
+    def __init__(self, own_name: str, max_admission_rate: float, rng: Random) -> None:
+        self.own_name = own_name
         self.max_admission_rate = max_admission_rate
         self.rng = rng
         self.controllers: dict[str, ControllerStatus] = {}  # live ones by name, this one included
-        self.changed_at = 0.0  # when a controller last joined, left or changed its draining state
+        # When a controller last joined, left or changed its draining state.
+        self.membership_changed_at = 0.0
         self.draining = False  # whether this controller redirects all its proxies to others
         self.epochs: dict[str, int] = {}  # by connected proxy
         self.unreachable_reports: dict[str, ReportedUnreachable] = {}  # by connected proxy
-        self.tokens = float(ADMISSION_BURST)  # token bucket of the admission rate
-        self.tokens_at = 0.0  # when the token bucket was last refilled
+        self.admission_tokens = float(ADMISSION_BURST)  # token bucket of the admission rate
+        self.tokens_refilled_at = 0.0  # when the token bucket was last refilled
         self.next_redirects_at = 0.0
 
     def update_controllers(self, now: float, controllers: Mapping[str, ControllerStatus]) -> None:
@@ -102,12 +103,12 @@
         if controllers.keys() != self.controllers.keys() or any(
             controllers[name].draining != self.controllers[name].draining for name in controllers
         ):
-            self.changed_at = now
+            self.membership_changed_at = now
         self.controllers = dict(controllers)
 
     # New proxies.
 
-    def owner_of(self, proxy: str, unreachable_controllers: Collection[str] = ()) -> str:
+    def find_owner(self, proxy: str, unreachable_controllers: Collection[str] = ()) -> str:
         """Returns the owner of a new proxy: the first by rank that is neither draining nor full.
 
         If all are full, the owner is the first by rank that is not draining.
@@ -116,7 +117,7 @@
             name
             for name in rank_controllers(proxy, self.controllers)
             if name not in unreachable_controllers
-        ] or [self.me]
+        ] or [self.own_name]
         total = sum(status.load for status in self.controllers.values()) + 1
         max_load = total / max(1, len(self.controllers)) * MAX_LOAD_RATIO + LOAD_ALLOWANCE
         accepting = [name for name in ranked if not self._status(name).draining]
@@ -142,33 +143,33 @@
         greater. `hops`: how often the proxy was redirected. `unreachable_controllers`: the
         controllers that the proxy could not reach.
         """
-        owner = self.owner_of(proxy, unreachable_controllers)
-        if owner != self.me and hops < MAX_HOPS and owner in self.controllers:
+        owner = self.find_owner(proxy, unreachable_controllers)
+        if owner != self.own_name and hops < MAX_HOPS and owner in self.controllers:
             return AdmissionDecision(owner, False, 0.0, AdmissionReason.OWNED_BY_OTHER)
         if not self._take_token(now):
             # All proxies of a failed controller connect at once; jitter spreads their retries.
             retry_delay = (
                 self.rng.uniform(MIN_JITTER, MAX_JITTER) * ADMISSION_BURST / self.max_admission_rate
             )
-            return AdmissionDecision(self.me, False, retry_delay, AdmissionReason.PACED)
+            return AdmissionDecision(self.own_name, False, retry_delay, AdmissionReason.PACED)
         self.epochs[proxy] = max(last_epoch, self.epochs.get(proxy, 0)) + 1
         self.unreachable_reports[proxy] = ReportedUnreachable(now, tuple(unreachable_controllers))
-        owned = owner == self.me
+        owned = owner == self.own_name
         reason = AdmissionReason.OWNED if owned else AdmissionReason.OWNER_UNREACHABLE
-        return AdmissionDecision(self.me, True, 0.0, reason)
+        return AdmissionDecision(self.own_name, True, 0.0, reason)
 
     def _take_token(self, now: float) -> bool:
-        refilled = self.tokens + (now - self.tokens_at) * self.max_admission_rate
-        self.tokens = min(float(ADMISSION_BURST), refilled)
-        self.tokens_at = now
-        if self.tokens < 1:
+        refilled = self.admission_tokens + (now - self.tokens_refilled_at) * self.max_admission_rate
+        self.admission_tokens = min(float(ADMISSION_BURST), refilled)
+        self.tokens_refilled_at = now
+        if self.admission_tokens < 1:
             return False
-        self.tokens -= 1
+        self.admission_tokens -= 1
         return True
 
     # Connected proxies.
 
-    def forget(self, proxy: str) -> None:
+    def forget_proxy(self, proxy: str) -> None:
         """Forgets a proxy that has disconnected."""
         self.epochs.pop(proxy, None)
         self.unreachable_reports.pop(proxy, None)
@@ -181,14 +182,14 @@
         """
         if now < self.next_redirects_at or not self.epochs:
             return []
-        if not self.draining and now - self.changed_at < SETTLE_DELAY:
+        if not self.draining and now - self.membership_changed_at < SETTLE_DELAY:
             return []
         self.next_redirects_at = now + REDIRECT_INTERVAL
         limit = self._redirect_limit()
         redirects: list[tuple[str, str]] = []
         for proxy in sorted(self.epochs):
             owner = self.preferred_owner(proxy)
-            if owner == self.me or self._could_not_reach(now, proxy, owner):
+            if owner == self.own_name or self._reported_unreachable(now, proxy, owner):
                 continue
             redirects.append((proxy, owner))
             if len(redirects) >= limit:
@@ -199,7 +200,7 @@
         speedup = DRAIN_SPEEDUP if self.draining else 1
         return max(1, round(len(self.epochs) * REDIRECT_FRACTION * REDIRECT_INTERVAL * speedup))
 
-    def _could_not_reach(self, now: float, proxy: str, owner: str) -> bool:
+    def _reported_unreachable(self, now: float, proxy: str, owner: str) -> bool:
         """Returns whether the proxy has recently reported its owner as unreachable."""
         report = self.unreachable_reports.get(proxy)
         return (
@@ -221,14 +222,14 @@
             if not self.controllers[name].draining
         ]
         if self.draining:
-            ranked = [name for name in ranked if name != self.me]
+            ranked = [name for name in ranked if name != self.own_name]
         if not ranked:
-            return self.me
+            return self.own_name
         max_load = (
             sum(status.load for status in self.controllers.values()) / len(ranked) * MAX_LOAD_RATIO
         )
         if not self.draining:
-            return ranked[0] if self.controllers[ranked[0]].load < max_load else self.me
+            return ranked[0] if self.controllers[ranked[0]].load < max_load else self.own_name
         for name in ranked:
             if self.controllers[name].load < max_load:
                 return name
@@ -244,7 +245,7 @@
         """Returns whether an update is newer than all earlier ones."""
         return (epoch, serial) > self.newest
 
-    def advanced_to(self, epoch: int, serial: int) -> "Fence":
+    def after_update(self, epoch: int, serial: int) -> "Fence":
         """Returns the fence after an update with this epoch and serial."""
         return Fence(max(self.newest, (epoch, serial)))
 
@@ -270,7 +271,7 @@
     return {
         "proxy": proxy,
         "rank": rank_controllers(proxy, ownership.controllers),
-        "owner": ownership.owner_of(proxy),
+        "owner": ownership.find_owner(proxy),
         "here": proxy in ownership.epochs,
         "epoch": ownership.epochs.get(proxy),
         "since": None if joined_at is None else now - joined_at,
--- a/peatlead/grpc/discovery.py
+++ b/peatlead/grpc/discovery.py
@@ -57,7 +57,7 @@
 class Discovery:
     """The discovery stream of one proxy.
 
-    `epoch`: the epoch of this controller's ownership of the proxy. `resources(type_url, names)`
+    `epoch`: the epoch of this controller's ownership of the proxy. `get_resources(type_url, names)`
     returns the current resources, or None if they are not known yet. `identity`: the name of this
     controller. `on_response_sent(version, type_url)` is called for each response.
 
@@ -67,12 +67,12 @@
     def __init__(
         self,
         epoch: int,
-        resources: Callable[[str, tuple[str, ...]], Optional[Resources]],
+        get_resources: Callable[[str, tuple[str, ...]], Optional[Resources]],
         identity: str,
         on_response_sent: Callable[[Version, str], None] = ignore_response_sent,
     ) -> None:
         self.epoch = epoch
-        self.resources = resources
+        self.get_resources = get_resources
         self.identity = identity  # sent in each response
         self.on_response_sent = on_response_sent
         self.subscriptions: dict[str, Subscription] = {}  # by type URL
@@ -116,7 +116,7 @@
     def _due_responses(self, type_url: str, subscription: Subscription) -> list[Message]:
         if not subscription.dirty or subscription.nonce:
             return []
-        resources = self.resources(type_url, subscription.names)
+        resources = self.get_resources(type_url, subscription.names)
         subscription.dirty = False
         sent = subscription.sent
         if resources is None or (sent is not None and sent.resources == resources):
--- a/peatlead/grpc/handler.py
+++ b/peatlead/grpc/handler.py
@@ -49,10 +49,10 @@
     def endpoint_weights(self, session: Session, request_class: int, /) -> Mapping[int, float]:
         """Returns the weights of the endpoints in a proxy's current table, by endpoint index."""
 
-    def address_of(self, endpoint: int, /) -> tuple[str, int, str]:
+    def endpoint_address(self, endpoint: int, /) -> tuple[str, int, str]:
         """Returns an endpoint's address, port and zone."""
 
-    def endpoint_at(self, address: tuple[str, int], /) -> Optional[int]:
+    def find_endpoint(self, address: tuple[str, int], /) -> Optional[int]:
         """Returns the endpoint at an address and port, or None if there is none."""
 
     def accepts_report(self, session: Session, now: float, /) -> bool:
--- a/peatlead/grpc/http2.py
+++ b/peatlead/grpc/http2.py
@@ -48,7 +48,7 @@
         self.frame_times: deque[float] = deque()  # of the counted frames in the current window
         self.window_updates_left = 2 * WINDOW_UPDATES_PER_FRAME
 
-    def add(self, now: float) -> bool:
+    def count_frame(self, now: float) -> bool:
         """Counts a frame; returns whether the peer has exceeded the limit."""
         self.frame_times.append(now)
         while now - self.frame_times[0] > CONTROL_WINDOW:
@@ -284,7 +284,7 @@
 
     def _count_control_frame(self) -> None:
         """Counts a control frame; ends the connection if the peer has sent too many."""
-        if self.control_frames.add(self.loop.time()):
+        if self.control_frames.count_frame(self.loop.time()):
             self.h2_connection.close_connection(h2.errors.ErrorCodes.ENHANCE_YOUR_CALM)
             self.flush()
             self.abort(
--- a/peatlead/grpc/incremental.py
+++ b/peatlead/grpc/incremental.py
@@ -41,7 +41,7 @@
     ROUTE_TYPE_URL: "retry",
 }  # part of the tables by type URL
 MAX_FULL_RESYNCS = 3  # consecutive responses with the full state after rejections
-MISMATCHES = (
+MISMATCH_ERRORS = (
     BASE_DIFFERS,
     DIGEST_DIFFERS,
 )  # error messages of a proxy whose state differs from the assumed one
@@ -65,25 +65,26 @@
     """The state of one resource type on the stream."""
 
     __slots__ = (
-        "held",
+        "held_items",
         "digest",
         "in_flight",
         "nonce",
         "requested",
         "dirty",
-        "rejected",
+        "rejected_items",
         "full_resyncs",
         "names",
     )
 
     def __init__(self) -> None:
-        self.held: Optional[Items] = {}  # acknowledged or reported by the proxy; None if unknown
+        # Items that the proxy has acknowledged or reported; None if unknown.
+        self.held_items: Optional[Items] = {}
         self.digest = Digest()  # of the held items
         self.in_flight: Optional[InFlight] = None
         self.nonce = ""  # of the response in flight
         self.requested = False  # whether the first request has arrived
         self.dirty = False  # whether the items may have changed since the last response
-        self.rejected: Optional[Items] = None  # items that the last NACK rejected
+        self.rejected_items: Optional[Items] = None  # items that the last NACK rejected
         self.full_resyncs = 0  # consecutive responses with the full state
         self.names: set[str] = set()  # subscribed names; empty for all resources
 
@@ -91,8 +92,8 @@
         """Stores the items that the proxy reports with its first request."""
         self.requested = True
         self.dirty = True
-        self.held = decode_initial_versions(request)
-        self.digest = Digest(self.held)
+        self.held_items = decode_initial_versions(request)
+        self.digest = Digest(self.held_items)
 
     def subscribe(self, request: Message) -> None:
         """Applies the changes of the subscribed names in a request."""
@@ -116,7 +117,7 @@
 class IncrementalDiscovery:
     """The incremental discovery stream of one proxy.
 
-    `epoch`: the epoch of this controller's ownership of the proxy. `items(part)` returns the
+    `epoch`: the epoch of this controller's ownership of the proxy. `get_items(part)` returns the
     current items of a part of the tables, or None if they are not known yet. `identity`: the name
     of this controller. `on_response_sent(version, parts)` is called for each response. `zones`:
     the zones of which each request class has a collection.
@@ -127,13 +128,13 @@
     def __init__(
         self,
         epoch: int,
-        items: Callable[[str], Optional[Items]],
+        get_items: Callable[[str], Optional[Items]],
         identity: str,
         on_response_sent: Callable[[Version, tuple[str, ...]], None],
         zones: Sequence[str] = (),
     ) -> None:
         self.epoch = epoch
-        self.items = items
+        self.get_items = get_items
         self.identity = identity  # sent in each response
         self.on_response_sent = on_response_sent
         self.zones = zones
@@ -167,20 +168,20 @@
         if request.HasField("error_detail"):
             self._reject(subscription, in_flight, request)
             return
-        subscription.held = in_flight.items
+        subscription.held_items = in_flight.items
         subscription.digest = in_flight.digest
         subscription.full_resyncs = 0
-        subscription.rejected = None
+        subscription.rejected_items = None
         self.acks.append((request.type_url, in_flight.version))
 
     def _reject(self, subscription: Subscription, in_flight: InFlight, request: Message) -> None:
         text = request.error_detail.message[:MAX_ERROR_TEXT]
         self.nacks.append(Nack(request.type_url, str(in_flight.version), text))
-        if text in MISMATCHES and subscription.full_resyncs < MAX_FULL_RESYNCS:
-            subscription.held = None
+        if text in MISMATCH_ERRORS and subscription.full_resyncs < MAX_FULL_RESYNCS:
+            subscription.held_items = None
             subscription.dirty = True
         else:
-            subscription.rejected = in_flight.items  # not sent again
+            subscription.rejected_items = in_flight.items  # not sent again
 
     def resources_changed(self, type_url: str) -> list[Message]:
         """Returns the responses to send after items of a type may have changed."""
@@ -193,21 +194,21 @@
     def _due_responses(self, type_url: str, subscription: Subscription) -> list[Message]:
         if not subscription.dirty or subscription.in_flight is not None:
             return []
-        items = self.items(PART_BY_TYPE[type_url])
+        items = self.get_items(PART_BY_TYPE[type_url])
         subscription.dirty = False
         if items is None:
             return []
         wanted_items = {key: value for key, value in items.items() if subscription.includes(key)}
-        if wanted_items == subscription.rejected:
+        if wanted_items == subscription.rejected_items:
             return []
-        if subscription.held is None:
+        if subscription.held_items is None:
             return [self._respond_with_full_state(type_url, subscription, wanted_items)]
-        changed_items = changes(subscription.held, wanted_items)
+        changed_items = changes(subscription.held_items, wanted_items)
         if not changed_items:
             return []
         digest = subscription.digest.copy()
         for key, value in changed_items.items():
-            digest.update(key, subscription.held.get(key), value)
+            digest.update(key, subscription.held_items.get(key), value)
         in_flight = self._next_in_flight(wanted_items, digest)
         return [
             self._respond(
--- a/peatlead/grpc/load_report_stream.py
+++ b/peatlead/grpc/load_report_stream.py
@@ -56,7 +56,7 @@
         read_report(
             request,
             self.server.class_indices,
-            self.handler.endpoint_at,
+            self.handler.find_endpoint,
             session.number,
             session.zone,
             self.handler.load_aggregator,
--- a/peatlead/grpc/load_reports.py
+++ b/peatlead/grpc/load_reports.py
@@ -24,7 +24,7 @@
 def read_report(
     request: Any,
     request_classes: Mapping[str, int],
-    endpoint_of: EndpointLookup,
+    find_endpoint: EndpointLookup,
     proxy: int,
     zone: int,
     aggregator: LoadAggregator,
@@ -39,7 +39,7 @@
         window = duration.seconds + duration.nanos / 1e9
         if request_class is None or not MIN_INTERVAL <= window <= MAX_INTERVAL:
             continue
-        attempts, successes = _read_endpoints(cluster, endpoint_of, zone, window, aggregator)
+        attempts, successes = _read_endpoints(cluster, find_endpoint, zone, window, aggregator)
         requests = min(cluster.total_dropped_requests, MAX_COUNT) + attempts
         if requests:
             unanswered = requests - successes
@@ -48,7 +48,7 @@
 
 def _read_endpoints(
     cluster: Any,
-    endpoint_of: EndpointLookup,
+    find_endpoint: EndpointLookup,
     zone: int,
     window: float,
     aggregator: LoadAggregator,
@@ -69,7 +69,7 @@
             all_attempts += attempts
             all_successes += successes
             address = stats.address.socket_address
-            endpoint = endpoint_of((address.address, address.port_value))
+            endpoint = find_endpoint((address.address, address.port_value))
             if endpoint is not None and attempts:
                 metrics = _read_metrics(stats)
                 aggregator.add_endpoint(endpoint, zone, attempts, errors, *metrics, window)
--- a/peatlead/grpc/resources.py
+++ b/peatlead/grpc/resources.py
@@ -126,17 +126,17 @@
 # Routes.
 
 
-def encode_routes(retries: Mapping[str, str]) -> bytes:
+def encode_routes(retry_policies: Mapping[str, str]) -> bytes:
     """Serializes a RouteConfiguration with the retry policy of each request class."""
-    return _encode_routes(tuple(sorted(retries.items())))
+    return _encode_routes(tuple(sorted(retry_policies.items())))
 
 
 @lru_cache(ROUTE_CACHE_SIZE)
-def _encode_routes(retries: tuple[tuple[str, str], ...]) -> bytes:
+def _encode_routes(retry_policies: tuple[tuple[str, str], ...]) -> bytes:
     """Serializes a RouteConfiguration; cached because all proxies of a controller get the same."""
     message = route_pb2.RouteConfiguration(name=ROUTE_CONFIGURATION_NAME)
     virtual_host = message.virtual_hosts.add(name=ROUTE_CONFIGURATION_NAME, domains=["*"])
-    for request_class, policy in retries:
+    for request_class, policy in retry_policies:
         route = virtual_host.routes.add()
         route.match.path = "/" + request_class
         route.route.cluster = request_class
--- a/peatlead/grpc/server.py
+++ b/peatlead/grpc/server.py
@@ -41,12 +41,12 @@
         self.class_indices = {name: index for index, name in enumerate(request_classes)}
         self.sessions: dict[str, Session] = {}  # of admitted proxies, by name
         self.connections = ConnectionSet(max_connections)
-        self.server: Optional[asyncio.Server] = None
+        self.listener: Optional[asyncio.Server] = None
 
     async def open(self, address: tuple[str, int]) -> None:
         """Listens on an address. Raises OSError."""
         loop = asyncio.get_running_loop()
-        self.server = await loop.create_server(
+        self.listener = await loop.create_server(
             self._create_connection, *address, backlog=LISTEN_BACKLOG
         )
 
@@ -68,7 +68,7 @@
             expected = f"expected {DISCOVERY_PATH}, {DELTA_DISCOVERY_PATH} or {LOAD_REPORTING_PATH}"
             call.finish(StatusCode.UNIMPLEMENTED, expected)
 
-    def add(self, session: Session) -> None:
+    def add_session(self, session: Session) -> None:
         """Adds the session of an admitted proxy.
 
         An older session of the same proxy belongs to a half-open connection and is ended.
@@ -79,7 +79,7 @@
         if replaced_session is not None:
             replaced_session.call.finish(StatusCode.UNAVAILABLE, "replaced by a newer stream")
 
-    def remove(self, session: Session) -> bool:
+    def remove_session(self, session: Session) -> bool:
         """Removes a session; returns False if a newer session of the proxy has replaced it."""
         name = session.node.name
         if self.sessions.get(name) is not session:
@@ -89,8 +89,8 @@
 
     def close(self) -> None:
         """Stops listening, sends GOAWAY on all connections and closes them."""
-        if self.server is not None:
-            self.server.close()
+        if self.listener is not None:
+            self.listener.close()
         for connection in list(self.connections.streams):
             if isinstance(connection, Connection):
                 connection.go_away()
--- a/peatlead/grpc/session.py
+++ b/peatlead/grpc/session.py
@@ -64,7 +64,7 @@
         self.admitted_fractions: dict[str, float] = {}  # by request class
         self.retry_policies: dict[str, str] = {}  # by request class
         self.causes: dict[Any, None] = {}  # causes of the next response
-        self.held: Version = NO_VERSION  # newest acknowledged version
+        self.acknowledged_version: Version = NO_VERSION  # newest acknowledged version
         self.last_report_at: Optional[float] = None  # when a load report was last processed
         self.report_count = 0  # received load reports
         call.on_message = self._on_message
@@ -164,7 +164,7 @@
     def _endpoints(self, request_class: str) -> list[WeightedEndpoint]:
         weights = self.handler.endpoint_weights(self, self.server.class_indices[request_class])
         return [
-            WeightedEndpoint(*self.handler.address_of(endpoint), weight)
+            WeightedEndpoint(*self.handler.endpoint_address(endpoint), weight)
             for endpoint, weight in weights.items()
         ]
 
--- a/peatlead/standin/xds_proxies.py
+++ b/peatlead/standin/xds_proxies.py
@@ -337,7 +337,7 @@
         )
         try:
             self._apply(response)
-            self.fence = self.fence.advanced_to(*version)
+            self.fence = self.fence.after_update(*version)
             outcome = AssignmentOutcome.APPLIED
         except ValueError as problem:
             answer.error_detail.code = INVALID_ARGUMENT
@@ -388,7 +388,7 @@
 
     def _show_applied(self, controller: str, version: Version, part: str) -> None:
         """Send by the new state from now on, and record it."""
-        self.fence = self.fence.advanced_to(*version)
+        self.fence = self.fence.after_update(*version)
         self._rebuild_tables()
         self._record_assignment(controller, version, AssignmentOutcome.APPLIED)
         # An admission that comes first says nothing of the entries brought along.
--- a/tests/dns/test_zone.py
+++ b/tests/dns/test_zone.py
@@ -45,7 +45,8 @@
         self, serial, controller_count
     ):
         next_serials = [
-            Serials(index, controller_count).next_after(serial) for index in range(controller_count)
+            Serials(index, controller_count).next_own_serial(serial)
+            for index in range(controller_count)
         ]
         self.assertEqual(len(set(next_serials)), controller_count)
         for index, next_serial in enumerate(next_serials):
@@ -64,10 +65,10 @@
             versions[history.serial] = history.records
         for version, records in versions.items():
             if version != history.serial:
-                removed, added = history.difference_since(version)
+                removed, added = history.condensed_difference(version)
                 self.assertLessEqual(removed, records)
                 self.assertEqual((records - removed) | added, history.records)
-        self.assertIsNone(history.difference_since((history.serial + 1) % 2**32))
+        self.assertIsNone(history.condensed_difference((history.serial + 1) % 2**32))
 
     def test_dnspython_verifies_the_digest(self):
         history = make_history()
@@ -92,15 +93,15 @@
         for number in range(zone_module.MAX_DELTAS + 20):
             history.update({NS, ("d1.api", 1, "A", f"10.0.{number // 250}.{number % 250}")})
         self.assertEqual(len(history.deltas), zone_module.MAX_DELTAS)
-        self.assertIsNone(history.difference_since(1))
+        self.assertIsNone(history.condensed_difference(1))
 
     def test_the_next_serial_follows_a_newer_serial_of_a_secondary(self):
         history = make_history(index=1, controller_count=2)
         history.update({NS})
-        self.assertTrue(history.advance_past(1000))
+        self.assertTrue(history.advance_serial(1000))
         self.assertEqual(history.serial, 1001)
-        self.assertFalse(history.advance_past(1000))
-        self.assertIsNone(history.difference_since(999))
+        self.assertFalse(history.advance_serial(1000))
+        self.assertIsNone(history.condensed_difference(999))
 
     def test_serials_continue_after_a_restart_without_the_stored_deltas(self):
         first = make_history()
@@ -109,4 +110,5 @@
         restarted = make_history(first.serial)
         restarted.update({NS})
         self.assertTrue(is_newer(restarted.serial, first.serial))
-        self.assertIsNone(restarted.difference_since(first.serial))  # so a full transfer follows
+        # The secondary therefore gets a full transfer.
+        self.assertIsNone(restarted.condensed_difference(first.serial))
--- a/tests/fleet/test_gossip.py
+++ b/tests/fleet/test_gossip.py
@@ -25,11 +25,11 @@
                 )
             fleet_settings = settings(port, script=script, more=f"fleet(keys = [{KEY.hex()!r}])")
             controllers = fleet_settings["steward"]
-            for index, me in enumerate(controllers):
+            for index, own_settings in enumerate(controllers):
                 nodes.append(
                     GossipNode(
                         fleet_settings,
-                        me,
+                        own_settings,
                         random.Random(index),
                         bytes([index]) * 8,
                         lambda: 0,
--- a/tests/fleet/test_membership.py
+++ b/tests/fleet/test_membership.py
@@ -85,7 +85,7 @@
         net.start("n1")
         net.run(5.0)
         self.assertTrue(net.agreed(sorted(net.nodes)))
-        self.assertGreater(net.nodes["n1"].me.incarnation, 0)
+        self.assertGreater(net.nodes["n1"].own_info.incarnation, 0)
 
     def test_a_member_that_leaves_is_removed_at_once(self):
         net = MembershipNetwork(3)
--- a/tests/fleet/test_ownership.py
+++ b/tests/fleet/test_ownership.py
@@ -30,12 +30,14 @@
 
     def test_controllers_agree_on_owners_and_a_lost_controller_moves_only_its_proxies(self):
         three_controllers, two_controllers = make_fleet("a", "b", "c"), make_fleet("a", "b")
-        owners = {proxy: three_controllers["a"].owner_of(proxy) for proxy in self.PROXIES}
+        owners = {proxy: three_controllers["a"].find_owner(proxy) for proxy in self.PROXIES}
         self.assertEqual(
-            owners, {proxy: three_controllers["c"].owner_of(proxy) for proxy in self.PROXIES}
+            owners, {proxy: three_controllers["c"].find_owner(proxy) for proxy in self.PROXIES}
         )
         redirected = [
-            proxy for proxy in self.PROXIES if owners[proxy] != two_controllers["a"].owner_of(proxy)
+            proxy
+            for proxy in self.PROXIES
+            if owners[proxy] != two_controllers["a"].find_owner(proxy)
         ]
         self.assertEqual({owners[proxy] for proxy in redirected}, {"c"})
 
@@ -46,7 +48,7 @@
             ownership.update_controllers(
                 0.0, {name: ControllerStatus(load, False) for name, load in loads.items()}
             )
-            loads[ownership.owner_of(proxy)] += 1
+            loads[ownership.find_owner(proxy)] += 1
         self.assertLessEqual(max(loads.values()), 300 / 4 * 1.25 + 5)
 
     def test_a_proxy_that_cannot_reach_its_owner_is_admitted_elsewhere(self):
@@ -94,11 +96,11 @@
         while len(redirected) < 40 and now < 60:
             for proxy, owner in fleet["a"].due_redirects(now):
                 self.assertEqual(owner, "b")
-                fleet["a"].forget(proxy)
+                fleet["a"].forget_proxy(proxy)
                 redirected.add(proxy)
             now += 0.1
         self.assertEqual(len(redirected), 40)
-        self.assertNotEqual(fleet["b"].owner_of("new"), "a")
+        self.assertNotEqual(fleet["b"].find_owner("new"), "a")
 
     def test_no_proxy_is_redirected_while_the_membership_changes(self):
         ownership = make_fleet("a", "b")["a"]
@@ -107,7 +109,7 @@
         ownership.update_controllers(
             10.0, {"a": ControllerStatus(40, False), "b": ControllerStatus(0, False)}
         )
-        ownership.changed_at = 10.0
+        ownership.membership_changed_at = 10.0
         self.assertEqual(ownership.due_redirects(11.0), [])
         self.assertTrue(ownership.due_redirects(14.0))
 
@@ -129,11 +131,11 @@
             self.assertGreater(epoch, fence.newest[0])
             updates += [(epoch, serial, name) for serial in range(1, serial_count + 1)]
             if forgets:
-                fleet[name].forget("p")  # the controller restarted, or the stream ended
+                fleet[name].forget_proxy("p")  # the controller restarted, or the stream ended
             for update in rng.sample(updates, len(updates)):
                 if fence.allows(update[0], update[1]):
                     self.assertEqual((update[0], update[2]), (epoch, name))
                     effective.append(update[:2])
-                    fence = fence.advanced_to(update[0], update[1])
+                    fence = fence.after_update(update[0], update[1])
         self.assertEqual(len(effective), len(set(effective)))
         self.assertEqual(effective, sorted(effective))
--- a/tests/grpc/test_failover.py
+++ b/tests/grpc/test_failover.py
@@ -32,7 +32,7 @@
             proxy = connect_proxy(world)
             await until(lambda: self.owner_of(controllers))
             first_owner = self.owner_of(controllers)
-            self.assertEqual(first_owner, controllers["ns1"].gossip.ownership.owner_of("p0"))
+            self.assertEqual(first_owner, controllers["ns1"].gossip.ownership.find_owner("p0"))
             await until(lambda: proxy.entries)
             held_endpoints, epoch = dict(proxy.entries), proxy.fence.newest[0]
             controllers.pop(first_owner).stop()
--- a/tests/transcripts/test_gossip_transcripts.py
+++ b/tests/transcripts/test_gossip_transcripts.py
@@ -105,10 +105,10 @@
 
 def make_node(all_settings, index, clock, transport, received):
     """Returns a GossipNode with a simulated clock and transport."""
-    me = all_settings["steward"][index]
+    own_settings = all_settings["steward"][index]
     node = gossip.GossipNode(
         all_settings,
-        me,
+        own_settings,
         random.Random(index),
         bytes([index + 1]) * 8,
         lambda: 3 + index,
