--- a/peatlead/fleet/authentication.py
+++ b/peatlead/fleet/authentication.py
@@ -22,7 +22,7 @@
 KEY_SIZE = 32  # bytes, of keyed BLAKE3
 HASH_SIZE = 16  # bytes
 CHALLENGE_SIZE = 8  # bytes
-REPLAY_WINDOW = 64  # a counter this far below the highest accepted counter is refused
+REPLAY_WINDOW = 64  # a counter this far or further below the highest accepted one is refused
 MAX_SENDERS = 600
 MAX_CHALLENGES = 4  # unanswered per boot: several datagrams of a boot may be in flight
 MAX_UNPROVEN_BOOTS = 4  # per sender: replayed datagrams add unproven boots
@@ -73,18 +73,18 @@
 
         Raises AuthenticationError.
         """
-        ahead = counter - self.highest_counter
-        if ahead > 0:
-            self._advance(counter, ahead)
-        elif -ahead >= REPLAY_WINDOW or self.accepted_bits >> -ahead & 1:
+        increase = counter - self.highest_counter
+        if increase > 0:
+            self._raise_highest_counter(counter, increase)
+        elif -increase >= REPLAY_WINDOW or self.accepted_bits >> -increase & 1:
             raise AuthenticationError("counter was already accepted or is too old")
         else:
-            self.accepted_bits |= 1 << -ahead
+            self.accepted_bits |= 1 << -increase
 
-    def _advance(self, counter: int, ahead: int) -> None:
-        window = (1 << REPLAY_WINDOW) - 1
+    def _raise_highest_counter(self, counter: int, increase: int) -> None:
+        window_mask = (1 << REPLAY_WINDOW) - 1
         self.accepted_bits = (
-            (self.accepted_bits << ahead | 1) & window if ahead < REPLAY_WINDOW else 1
+            (self.accepted_bits << increase | 1) & window_mask if increase < REPLAY_WINDOW else 1
         )
         self.highest_counter = counter
 
@@ -171,11 +171,11 @@
             raise AuthenticationError(
                 "hash matches no key: the datagram was forged, modified or sent by another fleet"
             )
-        body_at = HEADER.size + name_size
-        if len(signed) < body_at:
+        body_start = HEADER.size + name_size
+        if len(signed) < body_start:
             raise AuthenticationError("datagram ends before the end of the sender's name")
-        name = signed[HEADER.size : body_at].decode("utf-8", "replace")
-        return Datagram(name, boot, counter, challenge, signed[body_at:])
+        name = signed[HEADER.size : body_start].decode("utf-8", "replace")
+        return Datagram(name, boot, counter, challenge, signed[body_start:])
 
     @staticmethod
     def _hash(key: bytes, data: bytes) -> bytes:
@@ -186,6 +186,8 @@
     def _is_proven(self, datagram: Datagram) -> bool:
         """Returns whether the boot is proven already or the datagram echoes a valid challenge.
 
+        A valid challenge makes the boot the sender's proven one.
+
         Raises AuthenticationError if the boot was replaced or there are too many senders.
         """
         name, boot = datagram.name, datagram.boot
@@ -194,8 +196,10 @@
             return True
         if sender is not None and boot in sender.replaced_boots:
             raise AuthenticationError("sender's boot was replaced by a later one")
-        unanswered = self.issued_challenges.get(name, {}).get(boot, ())
-        if not any(compare_digest(datagram.challenge, challenge) for challenge in unanswered):
+        unanswered_challenges = self.issued_challenges.get(name, {}).get(boot, ())
+        if not any(
+            compare_digest(datagram.challenge, challenge) for challenge in unanswered_challenges
+        ):
             return False
         del self.issued_challenges[name]  # other boots of this sender need a new challenge
         if sender is not None:
@@ -217,8 +221,8 @@
         challenge = blake3(challenge_input, key=self.keys[0]).digest(CHALLENGE_SIZE)
         if name not in self.issued_challenges and len(self.issued_challenges) >= MAX_SENDERS:
             self.issued_challenges.pop(next(iter(self.issued_challenges)))
-        boots = self.issued_challenges.setdefault(name, {})
-        if boot not in boots and len(boots) >= MAX_UNPROVEN_BOOTS:
-            boots.pop(next(iter(boots)))
-        boots[boot] = [*boots.get(boot, ()), challenge][-MAX_CHALLENGES:]
+        challenges_by_boot = self.issued_challenges.setdefault(name, {})
+        if boot not in challenges_by_boot and len(challenges_by_boot) >= MAX_UNPROVEN_BOOTS:
+            challenges_by_boot.pop(next(iter(challenges_by_boot)))
+        challenges_by_boot[boot] = [*challenges_by_boot.get(boot, ()), challenge][-MAX_CHALLENGES:]
         return challenge
--- a/peatlead/fleet/gossip.py
+++ b/peatlead/fleet/gossip.py
@@ -37,7 +37,7 @@
 MAX_ADVICE_SIZE = 1000  # bytes
 MAX_ADVICE_RATE = 100  # accepted advice messages per window
 ADVICE_WINDOW = 1.0  # seconds
-# Names of the counters: datagrams, except for "bytes out"; a note is an advice message.
+# All counters except "bytes out" count datagrams; "notes" are accepted advice messages.
 COUNTERS = ("in", "out", "bytes out", "refused", "unproven", "notes", "notes dropped")
 CHALLENGE_PREFIX = b"prove"  # starts a body that carries a challenge, which the receiver echoes
 
@@ -118,9 +118,14 @@
         ]
         proxy_address = self.own_settings["grpc"] or ()
         info = MemberInfo(name, self.own_settings["peer"], MemberState.ALIVE, 0, proxy_address)
-        timers = settings["fleet"]
+        fleet_settings = settings["fleet"]
         return Membership(
-            info, seeds, rng, timers["probe_every"], timers["probe_wait"], timers["suspect"]
+            info,
+            seeds,
+            rng,
+            fleet_settings["probe_every"],
+            fleet_settings["probe_wait"],
+            fleet_settings["suspect"],
         )
 
     # Opening and closing.
@@ -151,7 +156,7 @@
     # Membership.
 
     def member_info(self, name: str) -> Optional[MemberInfo]:
-        """Returns the facts on a live controller, None for an unknown or failed one."""
+        """Returns the newest fact on a live controller, None for an unknown or failed one."""
         return self.membership.live_members().get(name)
 
     def _tick(self) -> None:
@@ -168,13 +173,16 @@
                 self.log(
                     "member state changed",
                     name=action.name,
-                    before=action.before,
-                    after=action.after,
+                    before=action.old_state,
+                    after=action.new_state,
                 )
-        live = self.membership.live_members()
+        live_members = self.membership.live_members()
         self.ownership.update_controllers(
             now,
-            {name: ControllerStatus(info.load, info.draining) for name, info in live.items()},
+            {
+                name: ControllerStatus(info.load, info.draining)
+                for name, info in live_members.items()
+            },
         )
 
     # Sending.
--- a/peatlead/fleet/member_table.py
+++ b/peatlead/fleet/member_table.py
@@ -16,7 +16,7 @@
 MAX_MEMBERS = 500
 MAX_FACTS = 12  # in one message; keeps a datagram below 1200 bytes
 RETRANSMIT_FACTOR = 3  # a fact is sent this factor times log2(members) times
-FORGET_DELAY = 60.0  # seconds that a dead or departed member is kept, so that old facts are ignored
+FORGET_DELAY = 60.0  # seconds that a dead or departed member is kept, to recognize old facts on it
 
 PRECEDENCE: dict[str, int] = {  # at the same incarnation, the greater value overrides the lower
     MemberState.ALIVE: 0,
@@ -29,11 +29,11 @@
 
 
 class StateChanged(NamedTuple):
-    """Action: the believed state of a member has changed; `before` is None for a new member."""
+    """Action: the believed state of a member has changed; `old_state` is None for a new member."""
 
     name: str
-    before: Optional[str]
-    after: str
+    old_state: Optional[str]
+    new_state: str
 
 
 @dataclass(slots=True)
@@ -84,7 +84,10 @@
     # Merging facts.
 
     def merge(self, now: float, info: MemberInfo) -> Optional[StateChanged]:
-        """Stores a fact if it is newer than the known one; refutes a wrong fact on this member."""
+        """Stores a fact if it is newer than the known one; refutes a wrong fact on this member.
+
+        Returns the change of the member's state, if any.
+        """
         info = msgspec.structs.replace(
             info, address=tuple(info.address), proxy_address=tuple(info.proxy_address)
         )
@@ -107,17 +110,17 @@
         return StateChanged(info.name, None, info.state)
 
     def _replace(self, now: float, known: Member, info: MemberInfo) -> Optional[StateChanged]:
-        before = known.info.state
-        if before in INACTIVE_STATES and info.state == MemberState.SUSPECT:
+        old_state = known.info.state
+        if old_state in INACTIVE_STATES and info.state == MemberState.SUSPECT:
             # A member that is suspected at a later incarnation than its death is alive again.
             info = msgspec.structs.replace(info, state=MemberState.ALIVE)
         known.info = info
         known.times_sent = 0
         self._set_suspicion(now, known)
-        if info.state == before:
+        if info.state == old_state:
             return None
         known.state_since = now
-        return StateChanged(info.name, before, info.state)
+        return StateChanged(info.name, old_state, info.state)
 
     # Suspicion.
 
@@ -139,7 +142,10 @@
                 member.suspect_until = now + self.suspicion_duration()
 
     def expire(self, now: float) -> Iterable[StateChanged]:
-        """Declares suspects dead after their timeout, and forgets members that left long ago."""
+        """Declares suspects dead after their timeout; forgets members that died or left long ago.
+
+        Yields the changes of state.
+        """
         for member in list(self.members.values()):
             if member.suspect_until is not None and now >= member.suspect_until:
                 dead = msgspec.structs.replace(member.info, state=MemberState.DEAD)
@@ -158,11 +164,11 @@
         if declared_inactive and self.own_info.state != MemberState.LEFT:
             self.refute(info.incarnation)
         elif info.incarnation > self.own_info.incarnation:
-            # The fact is of an earlier start of this member, whose incarnation it no longer knows.
+            # The fact dates from before a restart, in which this member lost its incarnation.
             self.refute(info.incarnation)
 
     def refute(self, incarnation: int) -> None:
-        """Declares this member alive, at an incarnation above `incarnation`."""
+        """Declares this member alive, at an incarnation above `incarnation` and its own."""
         next_incarnation = max(incarnation, self.own_info.incarnation) + 1
         self.update_own_info(
             msgspec.structs.replace(
@@ -187,9 +193,9 @@
         """
         limit = RETRANSMIT_FACTOR * ceil(log2(len(self.members) + 1))
         pending = (
-            known
-            for known in self.members.values()
-            if include_disseminated or known.times_sent < limit
+            member
+            for member in self.members.values()
+            if include_disseminated or member.times_sent < limit
         )
         chosen = sorted(pending, key=self._dissemination_order)[:MAX_FACTS]
         for member in chosen:
--- a/peatlead/fleet/membership.py
+++ b/peatlead/fleet/membership.py
@@ -46,8 +46,8 @@
 
 MAX_HELPERS = 2  # members asked for an indirect ping (k in the SWIM paper)
 STALL_INTERVALS = 3  # probe intervals without a tick after which this process counts as stalled
-RELAY_TIMEOUTS = 3  # ack timeouts that a helper waits for the answer to an indirect ping
-INDIRECT_TIMEOUTS = 2  # ack timeouts for an indirect answer, which travels twice as far
+RELAY_TIMEOUTS = 3  # helpers wait this multiple of the ack timeout for the answer to their ping
+INDIRECT_TIMEOUTS = 2  # multiple of the ack timeout for an indirect answer, which travels twice
 MAX_INCARNATION = 1 << 62  # greater than every incarnation in use
 
 
@@ -70,7 +70,7 @@
 
 
 class Leave(NamedTuple):
-    """Event: this member stops and announces that to the others."""
+    """Event: this member stops, and tells the others that it leaves."""
 
 
 class SendDatagram(NamedTuple):
@@ -93,7 +93,7 @@
 
 
 class Relay(NamedTuple):
-    """A ping on behalf of another member, to whose address the answer is passed on."""
+    """A ping that was sent for another member; the answer is forwarded to `requester`."""
 
     requester: Address
     number: int  # of the requester's `IndirectPing`
@@ -103,7 +103,7 @@
 class Membership:
     """The failure detector of one member.
 
-    `seeds`: addresses to ping while no reachable member has them. `probe_interval`: seconds
+    `seeds`: addresses to ping while no live member has them. `probe_interval`: seconds
     between probes. `ack_timeout`: seconds to wait for an answer. `suspicion_timeout`: seconds that
     a suspected member has to refute the suspicion (see `MemberTable`).
     """
@@ -190,7 +190,10 @@
         return self.last_tick_at is not None and self.now - self.last_tick_at > max_interval
 
     def _recover_from_stall(self) -> None:
-        """Cancels all probes: answers may have arrived while this process was stalled."""
+        """Cancels all probes, since their deadlines may have passed only because of the stall.
+
+        Suspicions start again, and this member announces that it is alive.
+        """
         self.probes = {}
         self.relays = {}
         self.table.restart_suspicions(self.now)
@@ -212,13 +215,13 @@
         self._send(self.members[name].info.address, Ping(number, self.table.next_facts()))
 
     def _ping_seed(self) -> None:
-        """Pings one seed that no reachable member has, to join the fleet or heal a partition."""
-        known = {info.address for info in self.live_members().values()}
-        unknown = [seed for seed in self.seeds if seed not in known]
-        if not unknown:
+        """Pings one seed that is no live member's address, to join the fleet or end a partition."""
+        live_addresses = {info.address for info in self.live_members().values()}
+        missing_seeds = [seed for seed in self.seeds if seed not in live_addresses]
+        if not missing_seeds:
             return
         number = self._next_number()
-        seed = self.rng.choice(unknown)
+        seed = self.rng.choice(missing_seeds)
         facts = [self.own_info, *self.table.next_facts()[: MAX_FACTS - 1]]
         self._send(seed, Ping(number, facts))
 
@@ -267,8 +270,8 @@
     def _corrections(senders: list[Member], facts: list[MemberInfo]) -> list[MemberInfo]:
         """Returns the facts on the sender of a ping that the sender has to refute.
 
-        These are facts that do not say that it is alive, and facts of a later incarnation than it
-        reports, from before a restart of the sender.
+        The sender has to refute a fact that does not say that the sender is alive. It also has to
+        refute a fact from before its restart, whose incarnation is later than the reported one.
         """
         incarnations = {info.name: info.incarnation for info in facts}
         return [
--- a/peatlead/fleet/ownership.py
+++ b/peatlead/fleet/ownership.py
@@ -20,7 +20,7 @@
 from blake3 import blake3
 
 MAX_HOPS = 2  # a proxy that was redirected this often is admitted by any controller
-MAX_LOAD_RATIO = 1.25  # of the mean load, above which a controller is full
+MAX_LOAD_RATIO = 1.25  # a controller is full at this multiple of the mean load
 LOAD_ALLOWANCE = 4  # proxies that a controller may have beyond `MAX_LOAD_RATIO`
 REDIRECT_FRACTION = 0.05  # of a controller's proxies, redirected per second at most
 REDIRECT_INTERVAL = 0.2  # seconds between batches of redirects
@@ -33,7 +33,7 @@
 
 
 class AdmissionReason(StrEnum):
-    """Why a proxy was admitted or not; refused proxies receive the text."""
+    """Why a proxy was admitted or not; a proxy that is not admitted receives the text."""
 
     OWNED_BY_OTHER = "another's by rank"
     PACED = "paced"
@@ -118,8 +118,8 @@
             for name in rank_controllers(proxy, self.controllers)
             if name not in unreachable_controllers
         ] or [self.own_name]
-        total = sum(status.load for status in self.controllers.values()) + 1
-        max_load = total / max(1, len(self.controllers)) * MAX_LOAD_RATIO + LOAD_ALLOWANCE
+        total_load = sum(status.load for status in self.controllers.values()) + 1
+        max_load = total_load / max(1, len(self.controllers)) * MAX_LOAD_RATIO + LOAD_ALLOWANCE
         accepting = [name for name in ranked if not self._status(name).draining]
         for name in accepting:
             if self._status(name).load < max_load:
@@ -159,6 +159,7 @@
         return AdmissionDecision(self.own_name, True, 0.0, reason)
 
     def _take_token(self, now: float) -> bool:
+        """Refills the token bucket and takes a token; returns False if the bucket is empty."""
         refilled = self.admission_tokens + (now - self.tokens_refilled_at) * self.max_admission_rate
         self.admission_tokens = min(float(ADMISSION_BURST), refilled)
         self.tokens_refilled_at = now
@@ -197,11 +198,12 @@
         return redirects
 
     def _redirect_limit(self) -> int:
+        """Returns the maximum number of proxies in one batch of redirects."""
         speedup = DRAIN_SPEEDUP if self.draining else 1
         return max(1, round(len(self.epochs) * REDIRECT_FRACTION * REDIRECT_INTERVAL * speedup))
 
     def _reported_unreachable(self, now: float, proxy: str, owner: str) -> bool:
-        """Returns whether the proxy has recently reported its owner as unreachable."""
+        """Returns whether the proxy has recently reported that it could not reach the owner."""
         report = self.unreachable_reports.get(proxy)
         return (
             report is not None
@@ -239,15 +241,15 @@
 class Fence(NamedTuple):
     """The fencing token of a proxy, which rejects updates of former owners."""
 
-    newest: tuple[int, int] = (0, 0)  # greatest (epoch, serial) that the proxy has seen
+    newest_version: tuple[int, int] = (0, 0)  # greatest (epoch, serial) that the proxy has seen
 
     def allows(self, epoch: int, serial: int) -> bool:
         """Returns whether an update is newer than all earlier ones."""
-        return (epoch, serial) > self.newest
+        return (epoch, serial) > self.newest_version
 
     def after_update(self, epoch: int, serial: int) -> "Fence":
         """Returns the fence after an update with this epoch and serial."""
-        return Fence(max(self.newest, (epoch, serial)))
+        return Fence(max(self.newest_version, (epoch, serial)))
 
 
 class OwnershipReport(TypedDict):
--- a/peatlead/standin/xds_proxies.py
+++ b/peatlead/standin/xds_proxies.py
@@ -273,7 +273,7 @@
     def _send_first_requests(self, call: Call, hops: int) -> None:
         # Each dial is a join of its own: a controller dialled before may only be slow, and must
         # not have the same epoch to give. So what was dialled is fenced off, answered or not.
-        self.fence = Fence((self.fence.newest[0] + 1, DIALLED))
+        self.fence = Fence((self.fence.newest_version[0] + 1, DIALLED))
         if self.plan.incremental:
             self._send_first_deltas(call, hops)
             return
@@ -294,7 +294,7 @@
 
     def _send_first_deltas(self, call: Call, hops: int) -> None:
         """Subscribe to all parts of the tables, naming the versions of what it holds."""
-        self.replica.reject_up_to(Version(*self.fence.newest))
+        self.replica.reject_up_to(Version(*self.fence.newest_version))
         for type_url, part in PART_BY_TYPE.items():
             request = discovery_pb2.DeltaDiscoveryRequest(
                 type_url=type_url, resource_names_subscribe=["*"]
@@ -309,7 +309,7 @@
         request.node.locality.zone = self.plan.zone
         request.node.metadata.update(
             {
-                "epoch": self.fence.newest[0],
+                "epoch": self.fence.newest_version[0],
                 "rate": self.plan.rate,
                 "hops": hops,
                 "avoid": [self.names[address] for address in self.avoid if address in self.names],
--- a/tests/fleet/test_authentication.py
+++ b/tests/fleet/test_authentication.py
@@ -19,7 +19,7 @@
             sender.store_challenge(name, caught.exception.challenge)
         return alice, bob
 
-    def test_a_proven_sender_is_accepted_and_each_message_once(self):
+    def test_each_message_of_a_proven_sender_is_accepted_once(self):
         alice, bob = self.proven_pair()
         first, second = alice.seal(b"x", "b"), alice.seal(b"y", "b")
         self.assertEqual(bob.open(second), ("a", b"y"))
--- a/tests/fleet/test_membership.py
+++ b/tests/fleet/test_membership.py
@@ -97,14 +97,14 @@
 
     def test_messages_are_bounded_in_a_large_fleet(self):
         net = MembershipNetwork(60)
-        longest = [0]
+        max_sizes = [0]  # bytes, at each step of the run
         net.run(
             6.0,
-            lambda: longest.append(
+            lambda: max_sizes.append(
                 max((len(datagram[3]) for datagram in net.in_flight), default=0)
             ),
         )
-        self.assertLess(max(longest), 1200)
+        self.assertLess(max(max_sizes), 1200)
 
     def test_load_and_draining_are_disseminated(self):
         net = MembershipNetwork(3)
--- a/tests/fleet/test_ownership.py
+++ b/tests/fleet/test_ownership.py
@@ -41,7 +41,7 @@
         ]
         self.assertEqual({owners[proxy] for proxy in redirected}, {"c"})
 
-    def test_load_is_bounded(self):
+    def test_no_controller_gets_much_more_than_the_mean_load(self):
         loads = {"a": 0, "b": 0, "c": 0, "d": 0}
         ownership = make_fleet(*loads)["a"]
         for proxy in self.PROXIES:
@@ -58,11 +58,14 @@
         )
         self.assertFalse(fleet["b"].admit(0.0, proxy, 4).admitted)
         self.assertTrue(fleet["b"].admit(0.0, proxy, 4, hops=2).admitted)
-        second = rank_controllers(proxy, "abc")[1]
-        self.assertTrue(fleet[second].admit(0.0, proxy, 4, unreachable_controllers=("a",)).admitted)
+        next_owner = rank_controllers(proxy, "abc")[1]
+        self.assertTrue(
+            fleet[next_owner].admit(0.0, proxy, 4, unreachable_controllers=("a",)).admitted
+        )
 
-    def test_a_proxy_is_not_redirected_at_once_to_an_owner_it_could_not_reach(self):
-        # Guards against a proxy that alternates between admission and redirect until its owner is declared dead.
+    def test_a_proxy_is_not_redirected_at_once_to_an_owner_that_it_could_not_reach(self):
+        # Otherwise the proxy would alternate between two controllers until its owner is declared
+        # dead.
         ownership = Ownership("a", 200.0, random.Random(1))
         ownership.update_controllers(
             0.0, {"a": ControllerStatus(4, False), "b": ControllerStatus(4, False)}
@@ -78,8 +81,8 @@
         ownership = make_fleet("a")["a"]
         decisions = [ownership.admit(0.0, proxy, 0) for proxy in self.PROXIES]
         self.assertEqual(sum(decision.admitted for decision in decisions), ADMISSION_BURST)
-        waits = {decision.retry_delay for decision in decisions if not decision.admitted}
-        self.assertGreater(len(waits), 200)
+        retry_delays = {decision.retry_delay for decision in decisions if not decision.admitted}
+        self.assertGreater(len(retry_delays), 200)
         admitted_later = [ownership.admit(1.0, proxy, 0).admitted for proxy in self.PROXIES]
         self.assertEqual(sum(admitted_later), ADMISSION_BURST)
 
@@ -117,25 +120,27 @@
         st.lists(st.tuples(st.sampled_from("abc"), st.integers(0, 4), st.booleans()), max_size=40),
         st.integers(0, 99),
     )
-    def test_epochs_never_go_back_and_at_most_one_owner_is_effective(self, connections, seed):
-        """A proxy connects to controllers in any order; updates of all of them arrive in any order."""
+    def test_epochs_never_go_back_and_only_the_newest_owners_updates_are_applied(
+        self, connections, seed
+    ):
+        """A proxy connects to controllers in any order; their updates arrive in any order."""
         fleet, rng = make_fleet("a", "b", "c"), random.Random(seed)
-        fence, updates, effective = Fence(), [], []
+        fence, updates, applied = Fence(), [], []
         for name, serial_count, forgets in connections:
             # A proxy that connects rejects all updates of former owners.
-            fence = Fence((fence.newest[0] + 1, 1 << 62))
-            decision = fleet[name].admit(0.0, "p", fence.newest[0], hops=9)
+            fence = Fence((fence.newest_version[0] + 1, 1 << 62))
+            decision = fleet[name].admit(0.0, "p", fence.newest_version[0], hops=9)
             if not decision.admitted:
                 continue
             epoch = fleet[name].epochs["p"]
-            self.assertGreater(epoch, fence.newest[0])
+            self.assertGreater(epoch, fence.newest_version[0])
             updates += [(epoch, serial, name) for serial in range(1, serial_count + 1)]
             if forgets:
                 fleet[name].forget_proxy("p")  # the controller restarted, or the stream ended
             for update in rng.sample(updates, len(updates)):
                 if fence.allows(update[0], update[1]):
                     self.assertEqual((update[0], update[2]), (epoch, name))
-                    effective.append(update[:2])
+                    applied.append(update[:2])
                     fence = fence.after_update(update[0], update[1])
-        self.assertEqual(len(effective), len(set(effective)))
-        self.assertEqual(effective, sorted(effective))
+        self.assertEqual(len(applied), len(set(applied)))
+        self.assertEqual(applied, sorted(applied))
--- a/tests/grpc/test_failover.py
+++ b/tests/grpc/test_failover.py
@@ -34,10 +34,10 @@
             first_owner = self.owner_of(controllers)
             self.assertEqual(first_owner, controllers["ns1"].gossip.ownership.find_owner("p0"))
             await until(lambda: proxy.entries)
-            held_endpoints, epoch = dict(proxy.entries), proxy.fence.newest[0]
+            held_endpoints, epoch = dict(proxy.entries), proxy.fence.newest_version[0]
             controllers.pop(first_owner).stop()
             await until(lambda: self.owner_of(controllers))
-            await until(lambda: proxy.fence.newest[0] > epoch)
+            await until(lambda: proxy.fence.newest_version[0] > epoch)
             self.assertEqual(
                 set(held_endpoints["look"]), set(proxy.entries["look"])
             )  # the shard does not depend on the owner
@@ -147,7 +147,7 @@
                 15,
             )
             await until(
-                lambda: proxy.fence.newest[0] > 1
+                lambda: proxy.fence.newest_version[0] > 1
                 and proxy.recorder.rows_of("order")[-1][6] == "applied",
                 15,
             )
