--- a/peatlead/platform/endpoint_tracker.py
+++ b/peatlead/platform/endpoint_tracker.py
@@ -8,7 +8,7 @@
 from ..sources.endpoint_list import EndpointList, ListedEndpoint
 from .shared_types import Log, Settings
 
-MAX_FORGOTTEN_NAMES = 20_000  # names that are kept after their endpoints were forgotten
+MAX_FORGOTTEN_NAMES = 20_000  # names kept after their endpoints were forgotten
 
 
 class EndpointTracker:
@@ -27,12 +27,12 @@
             compute_age=compute_age,
         )
         # Endpoints that may have been in another phase before. A proxy may still eject such an
-        # endpoint, because a controller that it was connected to before told it to.
+        # endpoint, by order of a controller that the proxy was connected to before.
         self.possibly_ejected: set[int] = set()
-        self.forgotten_names: dict[str, bool] = {}  # names, as an ordered set
+        self.forgotten_names: dict[str, bool] = {}  # used as an ordered set
 
     def endpoint_name(self, endpoint: int) -> str:
-        """Return an endpoint's name."""
+        """Return the name of an endpoint, given by its number."""
         name: str = self.registry.entries[endpoint].name
         return name
 
@@ -139,7 +139,7 @@
 def may_have_changed(entry: ListedEndpoint, previous_phase: Optional[str], is_change: bool) -> bool:
     """Return whether an endpoint may have been in another phase since the previous list.
 
-    An update may combine several changes of an endpoint.
+    An entry may stand for several changes: the endpoint may have left and returned in between.
     """
     phases = {previous_phase, entry.phase}
     return bool(entry.started or is_change or phases - {None, EndpointPhase.READY})
--- a/peatlead/platform/health_checks.py
+++ b/peatlead/platform/health_checks.py
@@ -9,7 +9,8 @@
 from .shared_types import Settings
 
 MAX_CONCURRENT_CHECKS = 24
-# File descriptors per concurrent check where descriptors are few; proxies' connections need most.
+# With few file descriptors, one check may run for this number of descriptors; the connections of
+# proxies need the others.
 DESCRIPTORS_PER_CHECK = 16
 MAX_QUEUED_CHECKS = 1000
 CHECK_PATH = "/status/load"
--- a/peatlead/platform/push.py
+++ b/peatlead/platform/push.py
@@ -2,8 +2,8 @@
 
 A proxy keeps an endpoint ejected after its stream has ended, and any controller may have ejected
 it; a table entry has no effect while its endpoint is ejected. Each session therefore records which
-endpoints were restored on its stream. The first entry for another endpoint also restores it, if it
-may be ejected.
+endpoints were restored on its stream. The first entry for another endpoint also restores that
+endpoint, if it may be ejected.
 """
 
 from collections.abc import Iterable, Set
@@ -17,7 +17,7 @@
 
 
 class EjectionChanges(NamedTuple):
-    """Names of the endpoints that a proxy must eject, and of those that it must restore."""
+    """Names of the endpoints that a proxy must eject, and of those that the proxy must restore."""
 
     ejected_names: list[str]
     restored_names: list[str]
@@ -69,7 +69,7 @@
     def table_updates(
         self, publisher: Publisher, proxy: int, operations: Operations
     ) -> list[TableUpdate]:
-        """Return the updates of entries, followed by those of admissions.
+        """Return the updates of tables, followed by the updates of admissions.
 
         A table is sent whole if a request class was assigned to it in this batch.
         """
--- a/peatlead/platform/sessions.py
+++ b/peatlead/platform/sessions.py
@@ -29,7 +29,7 @@
     from .session_listener import SessionListener
 
 JOIN_TIMEOUT = 1.3  # seconds until a peer that has not joined is refused
-REFUSAL_TIMEOUT = 1.0  # seconds until a refused connection that is still open is aborted
+REFUSAL_TIMEOUT = 1.0  # seconds until a refused connection is aborted if it is still open
 # Maximum size of a line before the peer has joined; afterwards, the maximum is MAX_LINE_BYTES.
 MAX_HELLO_LINE_BYTES = 4096
 MAX_UNSENT_BYTES = 128 << 10  # buffered bytes that wait for the peer to read
@@ -54,7 +54,7 @@
         self.zone = 0  # index of the zone
         self.request_rate = 0.0  # requests per second
         self.bootstrap_only = True  # whether the proxy has no table of any controller yet
-        # Endpoints that the proxy does not eject, since they were restored on this stream.
+        # Endpoints that the proxy does not eject, because this stream has restored them.
         self.restored_endpoints: set[int] = set()
 
     def opened(self) -> None:
--- a/peatlead/platform/settings_validation.py
+++ b/peatlead/platform/settings_validation.py
@@ -17,7 +17,7 @@
     "warm_after",
     "push_delay_most",
 )
-# Optional settings with defaults that disable their limits.
+# Optional settings, with defaults that mean no limit.
 DEFAULT_SETTINGS = {
     "messages_most": 0,
     "messages_span": 0.0,
@@ -36,9 +36,9 @@
     "fails_to_shun",
 )
 POSITIVE_SETTINGS = ("channel_rate", "proxies")
-# Settings of each request class: name, expected value, and exclusive lower bound.
+# Numeric settings of each request class: name, expected value, and exclusive lower bound.
 NUMERIC_CLASS_SETTINGS = (
-    ("response_target", "seconds", 0.0),
+    ("response_target", "a number of seconds above 0", 0.0),
     ("gain", "a number of at least 0", -1.0),
 )
 
--- a/peatlead/sources/endpoint_cache.py
+++ b/peatlead/sources/endpoint_cache.py
@@ -52,10 +52,10 @@
             header, _, body = self.path.read_bytes().partition(b"\n")
         except OSError as error:
             return None, error.strerror or str(error)
-        words = header.split(b" ")
-        if len(words) != 3 or words[:2] != [MAGIC, b"%d" % FORMAT_VERSION]:
+        header_fields = header.split(b" ")
+        if len(header_fields) != 3 or header_fields[:2] != [MAGIC, b"%d" % FORMAT_VERSION]:
             return None, "the header is not that of a cached list of this version"
-        if words[2] != checksum(body):
+        if header_fields[2] != checksum(body):
             return None, "the checksum is wrong: the file is truncated or corrupted"
         try:
             return parse_list_document(body)._replace(scope="remembered"), ""
--- a/peatlead/sources/endpoint_list.py
+++ b/peatlead/sources/endpoint_list.py
@@ -15,7 +15,7 @@
 MAX_LABEL_LENGTH = 63  # characters (RFC 1035, section 2.3.4)
 WEIGHT_UPPER_BOUND = 1e6  # exclusive
 
-# Value of an interface.ListScope, as in stored lists and recordings. "whole": all endpoints;
+# Value of an `interface.ListScope`, as in stored lists and recordings. "whole": all endpoints;
 # "changes": the endpoints that changed; "remembered": all endpoints, read from the cache;
 # "unavailable": no list could be read.
 Scope = str
@@ -105,9 +105,9 @@
 def check_entry(entry: ListedEndpoint) -> ListedEndpoint:
     """Check an entry and return it with its name in lower case; raises ValueError."""
     if entry.phase not in PHASES:
-        raise ValueError(f"expected a phase of {', '.join(PHASES)}, got {entry.phase!r}")
+        raise ValueError(f"expected one of the phases {', '.join(PHASES)}, got {entry.phase!r}")
     if not is_label(entry.name):
-        raise ValueError(f"expected a name of one label, got {entry.name!r}")
+        raise ValueError(f"expected a name that is one DNS label, got {entry.name!r}")
     if not 0 < entry.weight < WEIGHT_UPPER_BOUND:
         raise ValueError(
             f"expected a weight above 0 and below {WEIGHT_UPPER_BOUND:g}, got {entry.weight!r}"
--- a/tests/platform/test_configuration.py
+++ b/tests/platform/test_configuration.py
@@ -37,7 +37,7 @@
     def test_read_errors_are_marked_as_transient_or_permanent(self):
         expected = {errno.EIO: True, errno.EMFILE: True, errno.ENOENT: False, errno.EACCES: False}
         for error_number, transient in expected.items():
-            with mock.patch("builtins.open", side_effect=OSError(error_number, "planted")):
+            with mock.patch("builtins.open", side_effect=OSError(error_number, "simulated error")):
                 with self.assertRaises(ConfigurationError) as raised:
                     read_configuration({"NODE_CONFIG": "/config.json"}, 0.0)
             self.assertEqual(raised.exception.transient, transient)
--- a/tests/platform/test_planner_restart.py
+++ b/tests/platform/test_planner_restart.py
@@ -20,7 +20,7 @@
     def test_a_planner_that_raises_is_replaced_and_its_proxies_are_served(self):
         async def case(platform):
             proxy, planner = await platform.connect_proxy_with_table(), platform.controller.planner
-            with mock.patch.object(planner, "decide", side_effect=KeyError("planted")):
+            with mock.patch.object(planner, "decide", side_effect=KeyError("simulated error")):
                 platform.controller.submit(interface.ProxyDisconnected(3))
                 await until(lambda: platform.controller.planner is not planner)
             await until(lambda: whole_tables(proxy) == 2, 20)
@@ -48,10 +48,10 @@
     def test_a_planner_that_fails_too_often_stops_the_controller(self):
         async def case(platform):
             await until(lambda: platform.controller.watch.version)
-            with mock.patch.object(Planner, "decide", side_effect=KeyError("planted")):
+            with mock.patch.object(Planner, "decide", side_effect=KeyError("simulated error")):
                 platform.controller.submit(interface.ProxyDisconnected(3))
                 await until(platform.controller.ended.done)
-            self.assertIn("planted", platform.controller.ended.result())
+            self.assertIn("simulated error", platform.controller.ended.result())
             self.assertEqual(platform.controller.restart_budget.failure_count, MAX_RESTARTS + 1)
 
         run_with_platform(case)
--- a/tests/platform/test_push.py
+++ b/tests/platform/test_push.py
@@ -110,13 +110,13 @@
             platform.discovery.publish(instance(1, "z1", "leaving"))
             await until(lambda: platform.controller.endpoint_tracker.possibly_ejected)
             platform.discovery.publish(instance(1, "z1", started=1.9e12))
-            late_proxy = await platform.connect_proxy(0, bootstrap_only=False)
-            await until(lambda: any("endpoints" in part for part in late_proxy.messages), 20)
+            joining_proxy = await platform.connect_proxy(0, bootstrap_only=False)
+            await until(lambda: any("endpoints" in part for part in joining_proxy.messages), 20)
             await until(
-                lambda: any(part.get("restore") == ["s-1"] for part in late_proxy.messages), 20
+                lambda: any(part.get("restore") == ["s-1"] for part in joining_proxy.messages), 20
             )
             self.assertNotIn(
-                "s-0", {name for part in late_proxy.messages for name in part.get("restore", ())}
+                "s-0", {name for part in joining_proxy.messages for name in part.get("restore", ())}
             )
 
         run_with_platform(case)
--- a/tests/platform/test_sessions.py
+++ b/tests/platform/test_sessions.py
@@ -58,10 +58,10 @@
             )
             for session in list(platform.controller.listener.sessions)[:2]:
                 session.last_activity -= 60.0
-            late_peer = await platform.connect_collector()
+            new_collector = await platform.connect_collector()
             await until(lambda: silent_collector.end_reason)
             self.assertEqual(
-                (other_collector.end_reason, live_collector.end_reason, late_peer.end_reason),
+                (other_collector.end_reason, live_collector.end_reason, new_collector.end_reason),
                 (None, None, None),
             )
 
@@ -103,8 +103,8 @@
             listener = platform.controller.listener
             for _ in range(listener.max_connections + 28):
                 await platform.connect()
-            late_peer = await platform.connect_proxy(1)
-            await until(lambda: late_peer.messages)
+            new_proxy = await platform.connect_proxy(1)
+            await until(lambda: new_proxy.messages)
             self.assertLessEqual(len(listener.sessions), listener.max_connections + 1)
             self.assertIsNone(proxy.end_reason)
             self.assertGreater(listener.counts["evicted"], 0)
--- a/tests/seeded_faults.py
+++ b/tests/seeded_faults.py
@@ -114,7 +114,7 @@
 
 
 def channel_rate_ignored():
-    """Every table is published again in each round, whatever the capacity of the channel."""
+    """Every table is published again in each round, even if the channel is full."""
     from peatlead.planner.planner import Planner
 
     original = Planner.on_timer
--- a/tests/standin_fleet.py
+++ b/tests/standin_fleet.py
@@ -1,4 +1,4 @@
-"""Test support: settings, and a small fleet of stand-in endpoints and controllers."""
+"""Fixtures for tests: settings, and a small fleet of stand-in endpoints and controllers."""
 
 import asyncio
 import json
@@ -111,13 +111,13 @@
         self.endpoints = []  # StandInEndpoint objects
         self.controllers = []
         self.log = []  # (event, fields) of all controllers
-        self.cleanups = []  # functions that `stop` calls
-        self.plans = [self._plan(number, deep, cold) for number in range(endpoints)]
+        self.cleanups = []  # functions that `stop` calls at its end
+        self.plans = [self._make_plan(number, deep, cold) for number in range(endpoints)]
         self.phases = {plan.name: "ready" for plan in self.plans}  # in the list, by name
         self.list_version = 0
-        self.extra_entries = []  # entries of the list that are no stand-in endpoints
+        self.extra_entries = []  # further entries of the list, without a stand-in endpoint
 
-    def _plan(self, number, deep, cold):
+    def _make_plan(self, number, deep, cold):
         return EndpointPlan(
             name=f"h{number}",
             zone=ZONES[number % 2],
@@ -166,9 +166,9 @@
         new_path.write_bytes(json.dumps(document).encode() if data is None else data)
         new_path.replace(path)
 
-    async def change_list_repeatedly(self, times, interval):
-        """Change phases `times` times; at the end h1 is draining and all others are ready."""
-        for number in range(times):
+    async def change_list_repeatedly(self, change_count, interval):
+        """Change `change_count` phases, one every `interval` seconds; finally only h1 drains."""
+        for number in range(change_count):
             name = f"h{number % 3 + 1}"
             self.phases[name] = "draining" if self.phases[name] == "ready" else "ready"
             self.write_list()
@@ -189,19 +189,19 @@
         await controller.start()
         return controller
 
-    def answered_endpoints(self, controller, view="desk0", queries=24):
+    def answered_endpoints(self, controller, view="desk0", query_count=24):
         """Return the names of the endpoints in the answers to a view's client.
 
         An address that belongs to no endpoint is returned as it is.
         """
         client = CLIENT_OF_VIEW[view]
         addresses = set()
-        for _ in range(queries):
+        for _ in range(query_count):
             query = dns.message.make_query("api.example.org", "A").to_wire()
             answer = dns.message.from_wire(controller.answers.respond(query, client))
             addresses |= {str(record) for rrset in answer.answer for record in rrset}
-        name_of = {plan.address: plan.name for plan in self.plans}
-        return {name_of.get(address, address) for address in addresses}
+        names_by_address = {plan.address: plan.name for plan in self.plans}
+        return {names_by_address.get(address, address) for address in addresses}
 
     def stop(self):
         """Stop controllers and endpoints, then call the cleanup functions."""
