--- a/peatlead/platform/endpoint_watch.py
+++ b/peatlead/platform/endpoint_watch.py
@@ -24,7 +24,7 @@
 MAX_RETRY_DELAY = 0.5
 MAX_DOUBLINGS = 8  # of the retry delay; keeps the exponent small
 MAX_ERRORS_LOGGED = 5  # for the invalid entries of one list
-PATH = "/v1/endpoints"
+ENDPOINTS_PATH = "/v1/endpoints"
 HTTP_OK = 200
 
 
@@ -88,7 +88,11 @@
         self.previous_poller = poller
 
     def handle_list(self, poller: "Poller", endpoint_list: EndpointList) -> None:
-        """Handle an answer; the next poll requests the changes since the answer's version."""
+        """Pass an answer to `on_list`, unless it is outdated or contains no change.
+
+        The next poll requests the changes since the answer's version. An answer from the previous
+        address is used only if its version is newer than that of the last list.
+        """
         is_whole = endpoint_list.scope == ListScope.WHOLE
         if poller is not self.current_poller:
             if self.version is None or endpoint_list.version <= self.version:
@@ -112,7 +116,10 @@
 
 
 class Poller:
-    """Polls one address until it is stopped, or until a poll of a previous address fails."""
+    """Polls one address until it is stopped.
+
+    A poller of a previous address also ends when a poll fails.
+    """
 
     def __init__(self, watch: EndpointWatch, address: Address) -> None:
         self.watch = watch
@@ -173,7 +180,11 @@
         connection = await self.usable_connection(loop)
         # The first poll of an address does not wait, which shows early whether the address works.
         wait = POLL_WAIT if self.has_succeeded and version is not None else 0.0
-        path = PATH if version is None else f"{PATH}?after={version}&wait_ms={round(wait * 1000)}"
+        path = (
+            ENDPOINTS_PATH
+            if version is None
+            else f"{ENDPOINTS_PATH}?after={version}&wait_ms={round(wait * 1000)}"
+        )
         headers = [("host", str(self.address))]
         deadline = loop.time() + ANSWER_TIMEOUT + wait
         response = await connection.send_request("GET", path, headers, b"", deadline)
--- a/peatlead/platform/session_owner.py
+++ b/peatlead/platform/session_owner.py
@@ -29,7 +29,7 @@
 
 
 class Incident(StrEnum):
-    """Names of the counts of a listener, in addition to the ends of proxies' streams."""
+    """Incidents that a listener counts, in addition to the ends of proxies' streams."""
 
     INVALID_FIELD = "spoilt"
     REFUSED = "refused"
--- a/peatlead/platform/sessions.py
+++ b/peatlead/platform/sessions.py
@@ -58,7 +58,7 @@
         self.restored_endpoints: set[int] = set()
 
     def opened(self) -> None:
-        """Start the timeout for joining."""
+        """Start the join timeout and register the connection with the listener."""
         self.timeout_timer = self.loop.call_later(
             JOIN_TIMEOUT, self.refuse, "expected a message that joins"
         )
@@ -135,7 +135,7 @@
         self.listener.owner.session_joined(self)
 
     def finish_joining(self) -> None:
-        """End the join timeout and the limits of a connection that has not joined."""
+        """Stop the join timeout and lift the limits of connections that have not joined."""
         self.joined = True
         self.max_line_bytes = MAX_LINE_BYTES
         self.timeout_timer.cancel()
@@ -171,7 +171,7 @@
         super().abort(reason)
 
     def ended(self, reason: str) -> None:
-        """Handle the end of the connection."""
+        """Stop the timeout and remove the connection from the listener."""
         self.ignore_input()
         self.timeout_timer.cancel()
         self.listener.remove(self, reason)
