--- a/peatlead/dns/answer_cache.py
+++ b/peatlead/dns/answer_cache.py
@@ -55,7 +55,7 @@
 
 
 class PreparedAnswer:
-    """The answers to one query.
+    """The answers to one query, built when they are first needed.
 
     `head` is the header and question without the id. `tail` is the OPT record, which follows the
     answer section; it may be empty. `max_size` is the largest size of an answer in bytes.
@@ -103,7 +103,7 @@
         return self.bodies.get(order) or self.build_body(order)
 
     def reset(self) -> None:
-        """Drop the built answers after a change of the source."""
+        """Drop the built answers and get a new cycle, after a change of the source."""
         self.version = self.source.version
         self.bodies = {}
         self.cycle = self.context.cycle(self.source, self.family)
@@ -130,6 +130,7 @@
     """Prepared answers by transport (whether TCP), peer address and query without its id."""
 
     def __init__(self) -> None:
+        # By transport, then by peer, then by query.
         self.by_transport: dict[bool, dict[str, dict[bytes, PreparedAnswer]]] = {}
         self.size = 0  # number of prepared answers
         self.clear()
--- a/peatlead/dns/answers.py
+++ b/peatlead/dns/answers.py
@@ -82,9 +82,9 @@
         self.sources = [[AnswerSource() for _ in self.services] for _ in views.views]
         self.cache = AnswerCache()
         self.records: dict[tuple[int, int, int], bytes] = {}  # by endpoint, address family and TTL
-        self.change_count = 0  # changes of any answer's content
+        self.change_count = 0  # changes of endpoints and pools
         self.serial = 1
-        self.transfer: Transfer | None = None  # set if secondaries are configured
+        self.transfer: Transfer | None = None  # set by `Secondaries`, if any are configured
         self.counts = dict.fromkeys(COUNTERS, 0)
 
     @property
@@ -250,8 +250,8 @@
     def answer_service(self, query: Query, target: Target) -> bytes:
         """Answer a query about a service's name."""
         rdtype = query.question.rdtype
-        has_type = rdtype == dns.rdatatype.SRV if target.is_srv else rdtype in FAMILIES
-        if not has_type:
+        type_exists = rdtype == dns.rdatatype.SRV if target.is_srv else rdtype in FAMILIES
+        if not type_exists:
             return self.answer_negatively(query)
         if target.view is None:
             return self.refuse(query)
@@ -280,10 +280,10 @@
 
         The question is copied from the query, so that the case of its name is preserved.
         """
-        empty = query.response.to_wire()  # header, question and OPT record
+        empty_response = query.response.to_wire()  # header, question and OPT record
         question = question_bytes(query.data)
-        head = empty[ID_BYTES:HEADER_BYTES] + question
-        tail = empty[HEADER_BYTES + len(question) :]
+        head = empty_response[ID_BYTES:HEADER_BYTES] + question
+        tail = empty_response[HEADER_BYTES + len(question) :]
         prepared = PreparedAnswer(self, source, family, head, tail, query.max_size)
         if self.prepared_count >= self.settings["prepared_most"]:
             self.flush()
@@ -326,7 +326,7 @@
         return self.encode_response(query)
 
     def answer_negatively(self, query: Query) -> bytes:
-        """Give a negative answer, which has the SOA record (RFC 2308 section 3)."""
+        """Give a negative answer, with only the zone's SOA record (RFC 2308 section 3)."""
         add_record(query.response.authority, self.zone, NEGATIVE_TTL, "SOA", self.soa_text())
         return self.encode_response(query)
 
--- a/peatlead/dns/canonical_zone.py
+++ b/peatlead/dns/canonical_zone.py
@@ -42,8 +42,8 @@
 class CanonicalZone:
     """A zone's records in canonical form and order (RFC 4034 section 6), updated incrementally.
 
-    Only the records that a new version changes are converted; the digest is then one pass of the
-    hash over stored bytes. The digest of dnspython would convert all records for each version.
+    Only the records that a new version changes are converted to canonical form, whereas the digest
+    of dnspython would convert all records for each version.
     """
 
     def __init__(self, origin: dns.name.Name) -> None:
--- a/peatlead/dns/notify.py
+++ b/peatlead/dns/notify.py
@@ -20,6 +20,7 @@
 MIN_VERSION_INTERVAL = 1.0  # seconds between versions of the zone
 MAX_NOTIFY_ATTEMPTS = 6  # for one secondary and one version
 FIRST_NOTIFY_TIMEOUT = 1.0  # seconds; doubled with each attempt
+# "answered" counts acknowledged NOTIFY messages, "passed" the newer serials of secondaries.
 COUNTERS = ("versions", "notified", "answered", "given up", "transfers", "passed")
 
 Address = tuple[str, int]
@@ -29,10 +30,10 @@
     """A NOTIFY message that has not been acknowledged."""
 
     message_id: int
-    timer: asyncio.TimerHandle  # sends the next message
+    timer: asyncio.TimerHandle  # sends the message again
 
     def is_response(self, data: bytes) -> bool:
-        """Return whether a datagram is the response to the message."""
+        """Return whether a datagram is the secondary's response to the message."""
         return (
             len(data) >= HEADER_BYTES
             and data[:ID_BYTES] == self.message_id.to_bytes(ID_BYTES, "big")
@@ -73,7 +74,7 @@
         self.loop: asyncio.AbstractEventLoop | None = None
         self.transport: asyncio.DatagramTransport | None = None
         self.last_version_at = -1e9  # loop time of the last version
-        self.pending: dict[Address, PendingNotify] = {}
+        self.pending: dict[Address, PendingNotify] = {}  # by the secondary's address
         self.published_change_count = -1  # `Answers.change_count` at the last version
         self.counts = dict.fromkeys(COUNTERS, 0)
         answers.transfer = self.transfer
@@ -107,18 +108,21 @@
         for address in self.secondary_addresses:
             self.notify(address, MAX_NOTIFY_ATTEMPTS, FIRST_NOTIFY_TIMEOUT)
 
-    def notify(self, address: Address, attempts: int, wait: float) -> None:
-        """Send a NOTIFY, and again after `wait` seconds while attempts are left."""
+    def notify(self, address: Address, attempts_left: int, timeout: float) -> None:
+        """Send a NOTIFY, and again after `timeout` seconds while attempts are left.
+
+        The timeout doubles with each attempt.
+        """
         old = self.pending.pop(address, None)
         if old is not None:
             old.timer.cancel()
-        if self.transport is None or self.loop is None or not attempts:
-            self.counts["given up"] += not attempts
+        if self.transport is None or self.loop is None or not attempts_left:
+            self.counts["given up"] += not attempts_left
             return
         message = self.build_notify()
         self.transport.sendto(message.to_wire(), address)
         self.counts["notified"] += 1
-        timer = self.loop.call_later(wait, self.notify, address, attempts - 1, 2 * wait)
+        timer = self.loop.call_later(timeout, self.notify, address, attempts_left - 1, 2 * timeout)
         self.pending[address] = PendingNotify(message.id, timer)
 
     def build_notify(self) -> dns.message.Message:
--- a/peatlead/dns/query.py
+++ b/peatlead/dns/query.py
@@ -1,4 +1,4 @@
-"""A parsed query and its response in progress."""
+"""Queries with the responses that are built for them, and the size limits of responses."""
 
 from dataclasses import dataclass
 
@@ -19,9 +19,9 @@
 
 @dataclass(slots=True)
 class Query:
-    """A parsed query and its response in progress."""
+    """A parsed query, and the response that is being built."""
 
-    data: bytes
+    data: bytes  # the query's message
     peer: str  # the resolver's address
     tcp: bool
     question: dns.rrset.RRset
@@ -29,7 +29,7 @@
     max_size: int  # of the response, in bytes
 
     def relative_labels(self, zone: dns.name.Name) -> list[str]:
-        """Return the question's labels below a zone's apex, in lower case."""
+        """Return the labels of the question's name without those of the zone, in lower case."""
         labels = self.question.name.relativize(zone).labels
         return [label.decode("ascii", "replace").lower() for label in labels]
 
--- a/peatlead/dns/serials.py
+++ b/peatlead/dns/serials.py
@@ -30,10 +30,10 @@
         self.controller_index = controller_index
 
     def next_own_serial(self, serial: int) -> int:
-        """Return this controller's first serial that is newer than another serial."""
+        """Return this controller's first serial that is newer than `serial`."""
         distance = self.step - (serial - self.controller_index) % self.step
-        following = (serial + distance) % SERIAL_MODULUS
-        return following or self.next_own_serial(following)
+        next_serial = (serial + distance) % SERIAL_MODULUS
+        return next_serial or self.next_own_serial(next_serial)
 
     def is_own(self, serial: int) -> bool:
         """Return whether this controller may issue a serial."""
--- a/peatlead/dns/service_names.py
+++ b/peatlead/dns/service_names.py
@@ -34,7 +34,7 @@
     def find(self, labels: list[str], client_view: View | None) -> Target | None:
         """Return what a name refers to, or None if it is not a service's name.
 
-        `client_view` is the view of the client, used for names without a view.
+        `client_view` is the view of the client, which applies if the name contains no view.
         """
         is_srv = len(labels) > SRV_PREFIX_LABELS and labels[:SRV_PREFIX_LABELS] == self.srv_prefix
         if is_srv:
--- a/peatlead/dns/transfer.py
+++ b/peatlead/dns/transfer.py
@@ -86,7 +86,7 @@
 def encode_messages(
     query: dns.message.Message, history: ZoneHistory, records: Sequence[ZoneRecord]
 ) -> list[bytes]:
-    """Return as many messages as the records need.
+    """Return the messages of a transfer with the records in the given order.
 
     The records are sent in the stored canonical form that the digest uses. Without name compression
     the messages are longer, but the records need no conversion.
@@ -96,10 +96,10 @@
     wire = response.to_wire()
     id_and_flags = wire[:4]
     question = question_bytes(wire)
-    parts = []
+    messages = []
     for start in range(0, len(records), RECORDS_PER_MESSAGE):
-        part = records[start : start + RECORDS_PER_MESSAGE]
-        counts = struct.pack(">HHHH", 1, len(part), 0, 0)
-        body = b"".join(history.canonical.row(record).wire for record in part)
-        parts.append(id_and_flags + counts + question + body)
-    return parts
+        message_records = records[start : start + RECORDS_PER_MESSAGE]
+        counts = struct.pack(">HHHH", 1, len(message_records), 0, 0)
+        body = b"".join(history.canonical.row(record).wire for record in message_records)
+        messages.append(id_and_flags + counts + question + body)
+    return messages
--- a/peatlead/dns/views.py
+++ b/peatlead/dns/views.py
@@ -66,7 +66,9 @@
     """
 
     def __init__(self) -> None:
+        # By address family, then by prefix length, then by network address.
         self.values: dict[int, dict[int, dict[int, Value]]] = {IPV4: {}, IPV6: {}}
+        # By address family; the longest prefix first.
         self.tables: dict[int, tuple[PrefixTable[Value], ...]] = {IPV4: (), IPV6: ()}
 
     def add(self, network: IPNetwork | str, value: Value) -> None:
@@ -74,18 +76,18 @@
         network = ip_network(network)
         by_length = self.values[network.version]
         by_length.setdefault(network.prefixlen, {})[int(network.network_address)] = value
-        bits = network.max_prefixlen
+        address_length = network.max_prefixlen
         self.tables[network.version] = tuple(
-            PrefixTable(length, ((1 << length) - 1) << (bits - length), by_length[length])
+            PrefixTable(length, ((1 << length) - 1) << (address_length - length), by_length[length])
             for length in sorted(by_length, reverse=True)
         )
 
     def find(self, address: IPAddress, max_length: int = 128) -> PrefixMatch[Value] | None:
         """Return the match with the longest prefix of at most `max_length` bits, or None."""
-        number = int(address)
+        address_bits = int(address)
         for length, mask, values in self.tables[address.version]:
-            if length <= max_length and (number & mask) in values:
-                return PrefixMatch(values[number & mask], length)
+            if length <= max_length and (address_bits & mask) in values:
+                return PrefixMatch(values[address_bits & mask], length)
         return None
 
 
@@ -142,7 +144,8 @@
     def match_network(self, address: IPAddress, length: int) -> ViewMatch:
         """Return the view of the clients in the network `address`/`length`.
 
-        If no configured network contains it, the view is an open view, or None without open views.
+        If no configured network contains this network, the view is an open view, or None if the
+        settings have no open views.
         """
         match = self.by_network.find(address, length)
         if match:
--- a/peatlead/dns/warmup_thinning.py
+++ b/peatlead/dns/warmup_thinning.py
@@ -3,7 +3,7 @@
 A table can give a ramping endpoint a small weight, but a DNS answer cannot: a resolver caches the
 answer and sends all of its clients to the endpoints in it until the TTL ends. If one in ten answers
 to a busy view contained a cold endpoint, that endpoint would get all requests of the view in one
-TTL out of ten, and would be overloaded although its average is right.
+TTL out of ten, and would be overloaded although its average rate is the planned one.
 
 So the rate of a ramping endpoint is set by the number of views that use it. Selected views have the
 endpoint in their answers at its full weight; the other views do not have it. Views with few
@@ -72,7 +72,7 @@
     def __init__(self, rates: Mapping[ViewKey, float]) -> None:
         self.rates = dict(rates)
         self.tables: dict[ViewKey, Weights] = {}  # as planned
-        self.views_by_endpoint: dict[int, set[ViewKey]] = {}  # by tables
+        self.views_by_endpoint: dict[int, set[ViewKey]] = {}  # views with the endpoint in a table
         self.pools: dict[ViewKey, AnswerPool] = {}  # as last returned
         self.ramping: set[int] = set()  # endpoints below their full weight in some table
         self.full_weights: Mapping[int, float] = {}  # by endpoint
@@ -80,32 +80,34 @@
 
     def decide(
         self,
-        changed: Mapping[ViewKey, Mapping[int, float]],
+        changed_tables: Mapping[ViewKey, Mapping[int, float]],
         full_weights: Mapping[int, float],
         rates: Iterable[tuple[ViewKey, float]] = (),
     ) -> dict[ViewKey, AnswerPool]:
         """Return the new pool of each view whose pool has changed.
 
-        `changed` holds the complete new tables, `full_weights` each endpoint's weight after its
-        ramp-up, and `rates` the views' requests per second in the last round.
+        `changed_tables` holds the complete new tables, `full_weights` each endpoint's weight after
+        its ramp-up, and `rates` the views' requests per second in the last round.
         """
         self.full_weights = full_weights
-        affected_views = set(changed) | self.update_rates(rates)
+        affected_views = set(changed_tables) | self.update_rates(rates)
         self.fair_rate = self.compute_fair_rate()
-        for view, table in changed.items():
+        for view, table in changed_tables.items():
             self.update_table(view, table)
         ramping = self.find_ramping(affected_views)
-        selected_views = {endpoint: self.select_views(endpoint) for endpoint in sorted(ramping)}
+        views_by_ramping_endpoint = {
+            endpoint: self.select_views(endpoint) for endpoint in sorted(ramping)
+        }
         for endpoint in ramping | self.ramping:
             affected_views |= self.views_by_endpoint.get(endpoint, set())
         self.ramping = ramping
-        updates = {}
+        changed_pools = {}
         for view in sorted(affected_views):
-            pool = self.make_pool(view, selected_views)
+            pool = self.make_pool(view, views_by_ramping_endpoint)
             if pool != self.pools.get(view):
                 self.pools[view] = pool
-                updates[view] = pool
-        return updates
+                changed_pools[view] = pool
+        return changed_pools
 
     def update_rates(self, rates: Iterable[tuple[ViewKey, float]]) -> set[ViewKey]:
         """Update the views' rates; return those of the views that have a table."""
@@ -139,46 +141,50 @@
 
     def is_ramping(self, endpoint: int) -> bool:
         """Return whether the endpoint is below its full weight in some table."""
-        ramping_below = RAMPING_FRACTION * self.full_weights.get(endpoint, 0.0)
+        min_warm_weight = RAMPING_FRACTION * self.full_weights.get(endpoint, 0.0)
         return any(
-            self.tables[view][endpoint] < ramping_below
+            self.tables[view][endpoint] < min_warm_weight
             for view in self.views_by_endpoint.get(endpoint, ())
         )
 
     def select_views(self, endpoint: int) -> set[ViewKey]:
-        """Return the views whose answers contain a ramping endpoint.
+        """Select the views whose answers contain a ramping endpoint.
 
-        Views with few requests are chosen first. Neither the rate of one chosen view nor the mean
-        rate that all chosen views send to the endpoint exceeds the planned rate, and the upper rate
-        stays below `MAX_UPPER_RATE` times the planned rate. The planner keeps the planned rate
-        below a third of the rate that overloads the endpoint.
+        Views with few requests are selected first. Neither the rate of one selected view nor the
+        mean rate that all selected views send to the endpoint exceeds the planned rate, which is
+        the rate that the tables assign to the endpoint. The upper rate, `UPPER_RATE_SIGMAS` above
+        the mean, stays below `MAX_UPPER_RATE` times the planned rate. The planner keeps the planned
+        rate below a third of the rate that overloads the endpoint.
         """
         planned_rate = 0.0
         candidates = []
         for view in self.views_by_endpoint[endpoint]:
             table = self.tables[view]
             rate = self.rates.get(view, 1.0)
-            total = fsum(table.values())
-            planned_rate += rate * table[endpoint] / total
+            total_weight = fsum(table.values())
+            planned_rate += rate * table[endpoint] / total_weight
             full_weight = self.full_weights.get(endpoint, table[endpoint])
-            fraction = full_weight / (total - table[endpoint] + full_weight)
+            fraction = full_weight / (total_weight - table[endpoint] + full_weight)
             candidates.append(Candidate(rate, view, fraction))
         return select_within_rate(planned_rate, sorted(candidates))
 
     def make_pool(
-        self, view: ViewKey, selected_views: Mapping[int, Collection[ViewKey]]
+        self, view: ViewKey, views_by_ramping_endpoint: Mapping[int, Collection[ViewKey]]
     ) -> AnswerPool:
-        """Return the endpoints that a view's answers are drawn from."""
+        """Return the endpoints that a view's answers are drawn from.
+
+        `views_by_ramping_endpoint` has the selected views of each ramping endpoint.
+        """
         table = self.tables[view]
         fair_shares = self.rates.get(view, 1.0) / max(MIN_FAIR_RATE, self.fair_rate)
         min_addresses = min(len(table), ceil(fair_shares / MAX_FAIR_SHARES_PER_ADDRESS))
-        if all(endpoint in selected_views for endpoint in table):
+        if all(endpoint in views_by_ramping_endpoint for endpoint in table):
             return AnswerPool(dict(table), False, min_addresses)
         weights = {}
         for endpoint, weight in table.items():
-            if endpoint not in selected_views:
+            if endpoint not in views_by_ramping_endpoint:
                 weights[endpoint] = weight
-            elif view in selected_views[endpoint]:
+            elif view in views_by_ramping_endpoint[endpoint]:
                 weights[endpoint] = self.full_weights.get(endpoint, weight)
         return AnswerPool(weights, fair_shares <= MAX_CACHEABLE_FAIR_SHARES, min_addresses)
 
@@ -188,14 +194,18 @@
 
     `candidates` are sorted by rate. See `WarmupThinning.select_views` for the limits.
     """
-    chosen = set()
-    mean = 0.0
+    selected_views = set()
+    mean_rate = 0.0
     variance = 0.0
     for rate, view, fraction in candidates:
-        mean += rate * fraction
+        mean_rate += rate * fraction
         variance += rate * rate * fraction * (1 - fraction)
-        upper_rate = mean + UPPER_RATE_SIGMAS * sqrt(variance)
-        if rate > planned_rate or mean > planned_rate or upper_rate > MAX_UPPER_RATE * planned_rate:
+        upper_rate = mean_rate + UPPER_RATE_SIGMAS * sqrt(variance)
+        if (
+            rate > planned_rate
+            or mean_rate > planned_rate
+            or upper_rate > MAX_UPPER_RATE * planned_rate
+        ):
             break
-        chosen.add(view)
-    return chosen
+        selected_views.add(view)
+    return selected_views
--- a/peatlead/dns/zone.py
+++ b/peatlead/dns/zone.py
@@ -7,7 +7,7 @@
 
 A secondary may have a newer serial, if the controller was restored from a backup or if the
 secondary got its copy from another controller. Then the controller continues with its first serial
-after the secondary's.
+that is newer than the secondary's.
 """
 
 from collections import deque
@@ -112,31 +112,32 @@
             self.delta_record_count -= len(oldest.removed) + len(oldest.added)
 
     def condensed_difference(self, serial: int) -> Difference | None:
-        """Return the condensed difference from a version to the current version.
+        """Return the condensed difference from version `serial` to the current version.
 
-        See RFC 1995 section 5. The result is None if the version is not known.
+        See RFC 1995 section 5. The result is None if the version has no stored delta.
         """
         if not self.serials.is_own(serial):
             return None
-        known = False
+        version_found = False
         removed: set[ZoneRecord] = set()
         added: set[ZoneRecord] = set()
         for delta in self.deltas:
-            known = known or delta.serial == serial
-            if not known:
+            version_found = version_found or delta.serial == serial
+            if not version_found:
                 continue
-            removed_again = added.intersection(delta.removed)
-            added -= removed_again
-            removed |= set(delta.removed) - removed_again
-            added_again = removed.intersection(delta.added)
-            removed -= added_again
-            added |= set(delta.added) - added_again
-        return Difference(removed, added) if known else None
+            added_and_removed = added.intersection(delta.removed)
+            added -= added_and_removed
+            removed |= set(delta.removed) - added_and_removed
+            removed_and_added = removed.intersection(delta.added)
+            removed -= removed_and_added
+            added |= set(delta.added) - removed_and_added
+        return Difference(removed, added) if version_found else None
 
     def advance_serial(self, serial: int) -> bool:
-        """Continue after a secondary's serial if it is newer; return whether it was.
+        """Give the current version a newer serial if `serial`, a secondary's, is newer.
 
-        Otherwise the secondary would ignore all further versions of this controller.
+        Return whether the serial was advanced. Without this, the secondary would ignore all
+        further versions of this controller.
         """
         if not is_newer(serial, self.serial):
             return False
--- a/peatlead/fleet/member_table.py
+++ b/peatlead/fleet/member_table.py
@@ -193,9 +193,9 @@
         """
         limit = RETRANSMIT_FACTOR * ceil(log2(len(self.members) + 1))
         pending = (
-            member
-            for member in self.members.values()
-            if include_disseminated or member.times_sent < limit
+            candidate
+            for candidate in self.members.values()
+            if include_disseminated or candidate.times_sent < limit
         )
         chosen = sorted(pending, key=self._dissemination_order)[:MAX_FACTS]
         for member in chosen:
--- a/peatlead/grpc/call.py
+++ b/peatlead/grpc/call.py
@@ -96,7 +96,7 @@
         data = frame(message)
         if self.backlog_size + len(data) > MAX_BACKLOG:
             self.reset(
-                f"backlog of {self.backlog_size} bytes and {len(data)} more exceed the limit"
+                f"backlog of {self.backlog_size} bytes and {len(data)} more exceed {MAX_BACKLOG}"
             )
             return False
         self.backlog.append(memoryview(data))
@@ -110,11 +110,11 @@
 
     def drop_chunk(self, size: int) -> None:
         """Removes `size` bytes, which have been sent, from the front of the backlog."""
-        first = self.backlog[0]
-        if size == len(first):
+        chunk = self.backlog[0]
+        if size == len(chunk):
             self.backlog.popleft()
         else:
-            self.backlog[0] = first[size:]
+            self.backlog[0] = chunk[size:]
         self.backlog_size -= size
 
     def finish(self, status: int, text: str = "", **metadata: str) -> None:
@@ -135,7 +135,7 @@
             self.end(StatusCode.CANCELLED, text)
 
     def end(self, status: int, text: str) -> None:
-        """Closes the call, and calls its `on_end` handler."""
+        """Closes the call without sending anything, and calls its `on_end` handler."""
         if self.is_closed:
             return
         self.is_closed = True
--- a/peatlead/grpc/discovery.py
+++ b/peatlead/grpc/discovery.py
@@ -86,7 +86,7 @@
         subscription = self.subscriptions.setdefault(type_url, Subscription())
         if request.response_nonce:
             if request.response_nonce != subscription.nonce:
-                return []  # the request refers to a response that a newer one has replaced
+                return []  # the request answers a response that a newer one has replaced
             self._handle_acknowledgement(subscription, request)
         names = tuple(sorted(set(request.resource_names)))[:MAX_SUBSCRIPTIONS]
         if names != subscription.names or not subscription.requested:
@@ -96,7 +96,7 @@
         return self._due_responses(type_url, subscription)
 
     def _handle_acknowledgement(self, subscription: Subscription, request: Message) -> None:
-        """Handles an ACK or a NACK of the newest response."""
+        """Stores an ACK or a NACK of the newest response for the caller."""
         subscription.nonce = ""
         if not request.HasField("error_detail"):
             self.acks.append((request.type_url, parse_version(request.version_info)))
--- a/peatlead/grpc/encoder.py
+++ b/peatlead/grpc/encoder.py
@@ -77,31 +77,37 @@
 
 
 @lru_cache(CACHE_SIZE)
-def _policy(dropped: int) -> bytes:
-    """Encodes the drop policy; `dropped` is in millionths of the requests."""
+def _policy(dropped_millionths: int) -> bytes:
+    """Encodes the drop policy; the dropped fraction of the requests is in millionths."""
     message = endpoint_pb2.ClusterLoadAssignment.Policy()
     drop = message.drop_overloads.add(category=DROP_CATEGORY)
-    drop.drop_percentage.numerator = dropped
+    drop.drop_percentage.numerator = dropped_millionths
     drop.drop_percentage.denominator = percent_pb2.FractionalPercent.MILLION
     return length_delimited(POLICY, _serialize(message))
 
 
-def _locality_endpoints(zone: str, entries: Sequence[WeightedAddress]) -> bytes:
-    total = sum(weight for _, _, weight in entries)
-    parts = [_locality(zone), *[_lb_endpoint(*entry) for entry in entries], _locality_weight(total)]
+def _locality_endpoints(zone: str, endpoints: Sequence[WeightedAddress]) -> bytes:
+    total_weight = sum(weight for _, _, weight in endpoints)
+    parts = [
+        _locality(zone),
+        *[_lb_endpoint(*endpoint) for endpoint in endpoints],
+        _locality_weight(total_weight),
+    ]
     return length_delimited(ENDPOINTS, b"".join(parts))
 
 
 def assemble_assignment(
-    cluster: str, zones: Mapping[str, Sequence[WeightedAddress]], dropped: int = 0
+    cluster: str,
+    endpoints_by_zone: Mapping[str, Sequence[WeightedAddress]],
+    dropped_millionths: int = 0,
 ) -> bytes:
     """Serializes a ClusterLoadAssignment with localities and endpoints in the given order.
 
-    `zones`: the endpoints by zone. `dropped`: the millionths of the requests that proxies drop.
+    `dropped_millionths`: the fraction of the requests that proxies drop, in millionths.
     """
     parts = [length_delimited(CLUSTER_NAME, cluster.encode())]
-    for zone, entries in zones.items():
-        parts.append(_locality_endpoints(zone, entries))
-    if dropped:
-        parts.append(_policy(dropped))
+    for zone, endpoints in endpoints_by_zone.items():
+        parts.append(_locality_endpoints(zone, endpoints))
+    if dropped_millionths:
+        parts.append(_policy(dropped_millionths))
     return b"".join(parts)
--- a/peatlead/grpc/http2.py
+++ b/peatlead/grpc/http2.py
@@ -60,7 +60,10 @@
         self.window_updates_left += WINDOW_UPDATES_PER_FRAME
 
     def take_window_update(self) -> bool:
-        """Returns whether a window update of the peer is an expected one, which is not counted."""
+        """Handles a window update of the peer; returns whether it is expected.
+
+        Expected window updates are not counted as control frames.
+        """
         self.window_updates_left -= 1
         if self.window_updates_left >= 0:
             return True
@@ -161,13 +164,13 @@
             return
         self.ping_sent_at = None
         interval = max(self.ping_interval, self.connection_count() / MAX_PING_RATE)
-        wait = interval - (now - self.last_received_at)
-        if wait < MIN_PING_DELAY:
-            wait = max(interval, self.ping_timeout)
+        delay = interval - (now - self.last_received_at)
+        if delay < MIN_PING_DELAY:
+            delay = max(interval, self.ping_timeout)
             self.ping_sent_at = now
             self.h2_connection.ping(PING_DATA)
             self.flush()
-        self.ping_timer = self.loop.call_later(wait, self.ping)
+        self.ping_timer = self.loop.call_later(delay, self.ping)
 
     def go_away(self) -> None:
         """Sends GOAWAY: the peer starts no more calls, and calls in progress may finish."""
@@ -240,7 +243,7 @@
         timeout = parse_timeout(headers.get("grpc-timeout", ""))
         if timeout is not None:
             call.deadline_timer = self.loop.call_later(
-                timeout, call.finish, StatusCode.DEADLINE_EXCEEDED, "its deadline has passed"
+                timeout, call.finish, StatusCode.DEADLINE_EXCEEDED, "the call's deadline has passed"
             )
         self.on_call(call)
 
@@ -260,8 +263,8 @@
             call.finish(StatusCode.OK)
             return
         status = call.peer_metadata.get("grpc-status", "")
-        code = int(status) if status.isdigit() else StatusCode.UNKNOWN
-        call.end(code, call.peer_metadata.get("grpc-message", ""))
+        status_code = int(status) if status.isdigit() else StatusCode.UNKNOWN
+        call.end(status_code, call.peer_metadata.get("grpc-message", ""))
 
     def _on_stream_reset(self, _: Any, call: Optional[Call]) -> None:
         self._count_control_frame()
@@ -399,7 +402,7 @@
 ) -> Connection:
     """Connects as a client, from the address `local_host` if given, within `timeout` seconds.
 
-    Raises OSError or asyncio.TimeoutError.
+    The pings are those of `Connection`. Raises OSError or asyncio.TimeoutError.
     """
     _, connection = await with_timeout(
         timeout,
--- a/peatlead/grpc/incremental.py
+++ b/peatlead/grpc/incremental.py
@@ -3,7 +3,7 @@
 Each endpoint is a resource of its own, in a collection for each request class and zone (locality
 endpoint discovery, LEDS). When a weight changes, only the resource of that endpoint is sent. The
 version of a resource is its value. A proxy that reports the versions of its resources therefore
-reports all it holds, even if another controller sent them, and gets only the differences.
+reports everything that it holds, even what another controller sent, and gets only the differences.
 
 Each response carries a stamp in its `system_version_info`: the digests of the proxy's state before
 and after the response. A proxy of this project verifies both and rejects a response that does not
@@ -35,16 +35,18 @@
     resource_name,
 )
 
+# Part of the tables by type URL.
 PART_BY_TYPE = {
     LB_ENDPOINT_TYPE_URL: "line",
     ASSIGNMENT_TYPE_URL: "level",
     ROUTE_TYPE_URL: "retry",
-}  # part of the tables by type URL
+}
 MAX_FULL_RESYNCS = 3  # consecutive responses with the full state after rejections
+# Error messages in the NACK of a proxy whose state differs from the assumed one.
 MISMATCH_ERRORS = (
     BASE_DIFFERS,
     DIGEST_DIFFERS,
-)  # error messages of a proxy whose state differs from the assumed one
+)
 WILDCARD = "*"
 COLLECTION_SUFFIX = "/*"
 
@@ -97,11 +99,11 @@
 
     def subscribe(self, request: Message) -> None:
         """Applies the changes of the subscribed names in a request."""
-        added = self.names | set(request.resource_names_subscribe)
-        names = added - set(request.resource_names_unsubscribe)
-        bounded = set(sorted(names)[:MAX_SUBSCRIPTIONS])
-        self.dirty |= bounded != self.names
-        self.names = bounded
+        with_added_names = self.names | set(request.resource_names_subscribe)
+        names = with_added_names - set(request.resource_names_unsubscribe)
+        limited_names = set(sorted(names)[:MAX_SUBSCRIPTIONS])
+        self.dirty |= limited_names != self.names
+        self.names = limited_names
 
     def includes(self, key: str) -> bool:
         """Returns whether an item is subscribed, by name, collection or wildcard."""
@@ -269,20 +271,20 @@
 
     Resources of another control plane are ignored.
     """
-    held: Items = {}
+    items: Items = {}
     for name, version in request.initial_resource_versions.items():
         try:
             key = parse_resource_name(request.type_url, name)
-            held[key] = version if key.startswith("retry/") else int(version)
+            items[key] = version if key.startswith("retry/") else int(version)
         except ValueError:
             continue
-    return held
+    return items
 
 
 def decode_delta(response: Message) -> tuple[str, dict[str, Optional[Value]], Stamp]:
     """Decodes a response; returns its type URL, changed items (None if removed) and stamp.
 
-    Raises ValueError.
+    Raises ValueError if a resource, a resource name or the stamp is invalid.
     """
     type_url: str = response.type_url
     changed_items: dict[str, Optional[Value]] = {}
--- a/peatlead/grpc/load_aggregation.py
+++ b/peatlead/grpc/load_aggregation.py
@@ -3,7 +3,7 @@
 Many proxies report on the same endpoints. The aggregator adds up their reports by endpoint and
 zone, and by proxy and request class, and passes each total to the planner once. The number of
 totals is limited by endpoints times zones, and by connected proxies times request classes.
-`load_reports` filters out unlisted endpoints and overflowed counters before.
+`load_reports` leaves out unlisted endpoints and overflowed counters.
 """
 
 from dataclasses import dataclass
@@ -45,7 +45,10 @@
 
 
 class LoadAggregator:
-    """Adds up reports until the totals are due, `max_delay` seconds after the first report."""
+    """Adds up reports until the totals are due, `max_delay` seconds after the first report.
+
+    The owner of the aggregator sets `max_delay`.
+    """
 
     def __init__(self) -> None:
         self.endpoints: dict[tuple[int, int], EndpointTotals] = {}  # by (endpoint, zone)
--- a/peatlead/grpc/load_report_stream.py
+++ b/peatlead/grpc/load_report_stream.py
@@ -34,7 +34,7 @@
     def _on_message(self, data: bytes) -> None:
         started_at = asyncio.get_running_loop().time()
         session = self._session()
-        # Drops a report before parsing, which is the most expensive part of its processing.
+        # A report that is not accepted is dropped before the parsing, its most expensive step.
         if session is not None and not self.handler.accepts_report(session, started_at):
             self._send_interval(session)
             return
@@ -50,7 +50,7 @@
         if not request.cluster_stats:
             return
         if session is None:  # the proxy is connected to another controller
-            self.call.finish(StatusCode.NOT_FOUND, "expected a proxy that has joined")
+            self.call.finish(StatusCode.NOT_FOUND, f"proxy {self.node_id!r} has not joined")
             return
         self.handler.load_aggregator.on_report(started_at)
         read_report(
--- a/peatlead/grpc/load_reports.py
+++ b/peatlead/grpc/load_reports.py
@@ -14,7 +14,7 @@
 MIN_INTERVAL = 0.05  # seconds; a report that covers less is ignored
 MAX_INTERVAL = 600.0  # seconds; a report that covers more is ignored
 MAX_COUNT = 10_000_000  # attempts per report; a greater count is an overflowed counter
-MAX_METRIC_TOTAL = 1e9
+MAX_METRIC_TOTAL = 1e9  # in the unit of the metric; a metric with a greater total is ignored
 SECONDS_METRIC = "seconds"
 UTILIZATION_METRIC = "util"
 
@@ -53,9 +53,9 @@
     window: float,
     aggregator: LoadAggregator,
 ) -> tuple[int, int]:
-    """Adds the endpoints of a cluster; returns the attempts and successes at all of them.
+    """Adds the endpoints of a cluster; returns the attempts and successes at all endpoints.
 
-    The returned counts include endpoints that are not listed.
+    The returned counts include endpoints that are not listed, which are not added.
     """
     all_attempts = 0
     all_successes = 0
@@ -78,8 +78,8 @@
 
 def _read_metrics(stats: Any) -> tuple[float, float, int]:
     """Returns the total latency (seconds), total utilization and number of utilization reports."""
-    seconds = 0.0
-    utilization = 0.0
+    total_latency = 0.0
+    total_utilization = 0.0
     utilization_reports = 0
     for metric in stats.load_metric_stats:
         count = metric.num_requests_finished_with_metric
@@ -87,8 +87,8 @@
         if not 0 < count <= MAX_COUNT or not 0 <= total < MAX_METRIC_TOTAL:
             continue
         if metric.metric_name == SECONDS_METRIC:
-            seconds += total
+            total_latency += total
         elif metric.metric_name == UTILIZATION_METRIC:
-            utilization += total
+            total_utilization += total
             utilization_reports += count
-    return seconds, utilization, utilization_reports
+    return total_latency, total_utilization, utilization_reports
--- a/peatlead/grpc/proxy_node.py
+++ b/peatlead/grpc/proxy_node.py
@@ -9,15 +9,16 @@
 from ..tables.version import WEIGHT_SCALE, parse_line_key, parse_version
 from .resources import LB_ENDPOINT_TYPE_URL, WeightedEndpoint, parse_resource_name
 
-MAX_HELD_ENDPOINTS = 2000  # per request class; per request in the incremental variant
+# Per request class, but in the incremental variant per request; further endpoints are ignored.
+MAX_HELD_ENDPOINTS = 2000
 MAX_NODE_ID = 200  # characters
-MAX_UNREACHABLE_CONTROLLERS = 100  # controllers
+MAX_UNREACHABLE_CONTROLLERS = 100  # further reported controllers are ignored
 MAX_EPOCH = 2**53  # greater integers are not exact in a protobuf Struct, which holds doubles
 MIN_RATE = 0.01  # requests per second
 MAX_RATE = 1e6  # requests per second
 DEFAULT_RATE = 1.0  # requests per second
 HOPS_IF_UNREPORTED = 100  # a proxy that reports no hops does not support redirects
-ENDPOINT_FIELDS = 4  # of a held endpoint
+ENDPOINT_FIELDS = 4  # fields in the text of a held endpoint
 
 Held = dict[str, list[WeightedEndpoint]]  # endpoints by request class
 
@@ -38,7 +39,7 @@
     """Returns the node of a stream's first request. Raises ValueError if it is invalid."""
     node = request.node
     if not node.id or len(node.id) > MAX_NODE_ID:
-        raise ValueError("expected a node id")
+        raise ValueError(f"expected a node id of 1 to {MAX_NODE_ID} characters")
     metadata = node.metadata.fields
     epoch = _read_epoch(request, metadata)
     rate = _read_rate(metadata)
@@ -94,8 +95,8 @@
 
 def _parse_held_endpoint(text: str) -> WeightedEndpoint:
     """Parses `ADDRESS|PORT|ZONE|WEIGHT`."""
-    padded = text.split("|") + [""] * ENDPOINT_FIELDS
-    address, port, zone, weight = padded[:ENDPOINT_FIELDS]
+    fields = text.split("|") + [""] * ENDPOINT_FIELDS
+    address, port, zone, weight = fields[:ENDPOINT_FIELDS]
     try:
         return WeightedEndpoint(address, int(port), zone, float(weight))
     except ValueError:
--- a/peatlead/grpc/resources.py
+++ b/peatlead/grpc/resources.py
@@ -82,12 +82,12 @@
     request_class: str, endpoints: Iterable[WeightedEndpoint], admitted_fraction: float
 ) -> bytes:
     """Serializes a ClusterLoadAssignment; `admitted_fraction` is from 0 to 1."""
-    zones: dict[str, list[WeightedAddress]] = {}
+    endpoints_by_zone: dict[str, list[WeightedAddress]] = {}
     for endpoint in sorted(endpoints, key=lambda endpoint: (endpoint.zone, endpoint)):
-        entry = endpoint.address, endpoint.port, quantize_weight(endpoint.weight)
-        zones.setdefault(endpoint.zone, []).append(entry)
-    dropped = round((1 - admitted_fraction) * MILLION) if admitted_fraction < 1 else 0
-    return assemble_assignment(request_class, zones, dropped)
+        weighted_address = endpoint.address, endpoint.port, quantize_weight(endpoint.weight)
+        endpoints_by_zone.setdefault(endpoint.zone, []).append(weighted_address)
+    dropped_millionths = round((1 - admitted_fraction) * MILLION) if admitted_fraction < 1 else 0
+    return assemble_assignment(request_class, endpoints_by_zone, dropped_millionths)
 
 
 def decode_assignment(data: bytes) -> tuple[str, list[WeightedEndpoint], float]:
@@ -163,15 +163,15 @@
 def _read_retry_policy(route: Any) -> str:
     policy = route.route.retry_policy
     settings = RetrySettings(policy.retry_on, policy.num_retries.value)
-    known = RETRY_POLICIES.get(settings)
-    if known is None:
+    policy_name = RETRY_POLICIES.get(settings)
+    if policy_name is None:
         cluster = route.route.cluster
         raise ResourceError(f"{cluster}: expected a known retry policy, got {policy.retry_on!r}")
-    return known
+    return policy_name
 
 
-# Single items, for the incremental variant. The name of an endpoint's resource consists of the
-# name of its collection (request class and zone) and the endpoint's address and port.
+# Items of the incremental variant, each of which has its own resource. The name of an endpoint's
+# resource consists of the name of its collection (request class and zone), its address and port.
 
 
 def resource_name(key: str) -> str:
@@ -181,28 +181,28 @@
 
 
 def parse_resource_name(type_url: str, name: str) -> str:
-    """Returns the key of an item by the name of its resource. Raises ValueError."""
-    shown = name[:MAX_RESOURCE_NAME]
+    """Returns the key of the item whose resource has this name. Raises ValueError."""
+    shown_name = name[:MAX_RESOURCE_NAME]
     if type_url == LB_ENDPOINT_TYPE_URL:
         if not name.startswith(LB_ENDPOINT_NAME_PREFIX):
             raise ResourceError(
-                f"expected {LB_ENDPOINT_NAME_PREFIX}KIND/ZONE/ADDRESS:PORT, got {shown!r}"
+                f"expected {LB_ENDPOINT_NAME_PREFIX}CLASS/ZONE/ADDRESS:PORT, got {shown_name!r}"
             )
         key = "line/" + name.removeprefix(LB_ENDPOINT_NAME_PREFIX)
         parse_line_key(key)
         return key
     if not name or len(name) > MAX_RESOURCE_NAME:
-        raise ResourceError(f"expected the name of a request kind, got {shown!r}")
+        raise ResourceError(f"expected the name of a request class, got {shown_name!r}")
     return ("level/" if type_url == ASSIGNMENT_TYPE_URL else "retry/") + name
 
 
 def encode_item(key: str, value: Any, zones: Iterable[str] = ()) -> bytes:
     """Serializes the resource of one item.
 
-    The resource of an endpoint, whose value is a weight, is an LbEndpoint. The resource of a
-    request class whose value is the admitted fraction (in millionths) is a ClusterLoadAssignment,
-    which refers to one collection of endpoints for each of `zones`. The resource of a request
-    class whose value is the retry policy is a RouteConfiguration.
+    The weight of an endpoint (`line/`) is an LbEndpoint. The admitted fraction of a request class
+    (`level/`, in millionths) is a ClusterLoadAssignment, which refers to one collection of
+    endpoints for each of `zones`. The retry policy of a request class (`retry/`) is a
+    RouteConfiguration.
     """
     part, _, rest = key.partition("/")
     if part == "line":
@@ -221,8 +221,10 @@
     return _serialize(message)
 
 
-def _encode_collections(request_class: str, admitted: int, zones: Iterable[str]) -> bytes:
-    """Serializes a ClusterLoadAssignment that refers to locality endpoint discovery (LEDS)."""
+def _encode_collections(
+    request_class: str, admitted_millionths: int, zones: Iterable[str]
+) -> bytes:
+    """Serializes a ClusterLoadAssignment whose endpoints are in LEDS collections, one per zone."""
     message = endpoint_pb2.ClusterLoadAssignment(cluster_name=request_class)
     for zone in zones:
         locality = message.endpoints.add()
@@ -231,9 +233,9 @@
         leds.leds_config.ads.SetInParent()
         leds.leds_config.resource_api_version = config_source_pb2.ApiVersion.V3
         leds.leds_collection_name = f"{LB_ENDPOINT_NAME_PREFIX}{request_class}/{zone}/*"
-    if admitted < MILLION:
+    if admitted_millionths < MILLION:
         drop = message.policy.drop_overloads.add(category=DROP_CATEGORY)
-        drop.drop_percentage.numerator = MILLION - admitted
+        drop.drop_percentage.numerator = MILLION - admitted_millionths
         drop.drop_percentage.denominator = percent_pb2.FractionalPercent.MILLION
     return _serialize(message)
 
@@ -252,8 +254,8 @@
 def _decode_retry(request_class: str, data: bytes) -> str:
     routes = decode_routes(data)
     if list(routes) != [request_class]:
-        others = ", ".join(routes)[:MAX_RESOURCE_NAME]
-        raise ResourceError(f"expected the route of {request_class}, got {others!r}")
+        actual_classes = ", ".join(routes)[:MAX_RESOURCE_NAME]
+        raise ResourceError(f"expected the route of {request_class}, got {actual_classes!r}")
     return routes[request_class]
 
 
--- a/peatlead/grpc/server.py
+++ b/peatlead/grpc/server.py
@@ -17,14 +17,15 @@
     "/envoy.service.discovery.v3.AggregatedDiscoveryService/DeltaAggregatedResources"
 )
 LOAD_REPORTING_PATH = "/envoy.service.load_stats.v3.LoadReportingService/StreamLoadStats"
-MAX_CONNECTIONS = 10_000  # above it the connection that is idle for longest is closed
-LISTEN_BACKLOG = 1024
+MAX_CONNECTIONS = 10_000  # a further connection replaces the one that has been idle longest
+LISTEN_BACKLOG = 1024  # connections that wait to be accepted
 
 
 class GrpcServer:
     """Listens for proxies, and keeps the sessions of admitted proxies.
 
-    `identity`: the name of this controller. `request_classes`, `zones`: their names.
+    `identity`: the name of this controller. `request_classes` and `zones`: the names of the
+    request classes and of the zones, in the order of the settings.
     """
 
     def __init__(
--- a/peatlead/grpc/session.py
+++ b/peatlead/grpc/session.py
@@ -58,13 +58,13 @@
         self.ready = False  # whether the handler has tables for the proxy
         self.stale_types: set[str] = set()  # types that have changed since they were sent
         # The handler sets the following attributes.
-        self.number: Any = None  # the planner's number of the proxy
+        self.number: Any = None  # the planner's proxy number
         self.state: Any = None  # the tables that the planner has assigned
         self.zone = 0  # index
         self.admitted_fractions: dict[str, float] = {}  # by request class
         self.retry_policies: dict[str, str] = {}  # by request class
         self.causes: dict[Any, None] = {}  # causes of the next response
-        self.acknowledged_version: Version = NO_VERSION  # newest acknowledged version
+        self.acknowledged_version: Version = NO_VERSION  # newest that the proxy acknowledged
         self.last_report_at: Optional[float] = None  # when a load report was last processed
         self.report_count = 0  # received load reports
         call.on_message = self._on_message
@@ -228,10 +228,7 @@
 
 
 class DeltaSession(Session):
-    """The session of one proxy on an incremental discovery stream.
-
-    Each endpoint is a resource of its own.
-    """
+    """The session of one proxy on an incremental discovery stream (see `incremental`)."""
 
     REQUEST_TYPE = discovery_pb2.DeltaDiscoveryRequest
     PARTS_BY_TYPE_URL = {
--- a/tests/grpc/test_http2.py
+++ b/tests/grpc/test_http2.py
@@ -81,7 +81,7 @@
             )
             return await asyncio.wait_for(connection_ended, 5)
 
-        self.assertEqual(run_with_standins(case), (4, "its deadline has passed"))
+        self.assertEqual(run_with_standins(case), (4, "the call's deadline has passed"))
 
     def test_half_open_connections_are_found_by_pings(self):
         async def case(world):
