--- a/tests/lab/test_reproducibility.py
+++ b/tests/lab/test_reproducibility.py
@@ -43,7 +43,7 @@
             deque(),
             0,
         )
-        endpoint.draining = endpoint.hung = endpoint.silent = endpoint.tipped = False
+        endpoint.draining = endpoint.hung = endpoint.silent = endpoint.overloaded = False
         endpoint.paused_until, endpoint.stolen, endpoint.plan = 0.0, 0.0, mock.Mock(cores=1)
         for number in range(50):
             connection = mock.Mock(job=None, close=lambda number=number: closed.append(number))
