--- a/tests/dns/test_answer_order.py
+++ b/tests/dns/test_answer_order.py
@@ -37,9 +37,11 @@
             )
 
         rotation = AnswerRotation(weights, 0.3)
-        rotated = largest_deviation(rotation.pick() for _ in range(length))
-        drawn = largest_deviation(rng.choices(list(weights), list(weights.values()), k=length))
-        self.assertLess(rotated * 3, drawn)
+        rotation_deviation = largest_deviation(rotation.pick() for _ in range(length))
+        random_deviation = largest_deviation(
+            rng.choices(list(weights), list(weights.values()), k=length)
+        )
+        self.assertLess(rotation_deviation * 3, random_deviation)
 
 
 class DrawOrdersTest(unittest.TestCase):
--- a/tests/dns/test_answers.py
+++ b/tests/dns/test_answers.py
@@ -17,9 +17,9 @@
 from ..standin_fleet import settings
 
 
-def make_answers(weights=None, cacheable=True, min_addresses=1, endpoints=40, **dns):
+def make_answers(weights=None, cacheable=True, min_addresses=1, endpoints=40, **dns_settings):
     all_settings = settings()
-    all_settings["dns"].update(dns)
+    all_settings["dns"].update(dns_settings)
     answers = Answers(all_settings, Views(all_settings), random.Random(1).uniform)
     for endpoint in range(endpoints):
         answers.set_endpoint(
@@ -67,7 +67,7 @@
     def test_an_answer_that_is_not_cacheable_has_ttl_0(self):
         self.assertEqual(ask(make_answers(cacheable=False)).answer[0].ttl, 0)
 
-    def test_aaaa_contains_only_endpoints_with_ipv6_and_is_no_data_without_any(self):
+    def test_aaaa_answers_have_only_endpoints_with_ipv6_and_are_negative_without_any(self):
         self.assertEqual(set(addresses(ask(make_answers(), rdtype="AAAA"))), {"2001:db8::2"})
         no_data = ask(make_answers({0: 1.0, 2: 1.0}), rdtype="AAAA")
         self.assertEqual(
@@ -114,16 +114,16 @@
                 self.assertEqual((answer.rcode(), answer.answer), (rcode, []))
                 self.assertEqual(answer.authority[0].rdtype, dns.rdatatype.SOA)
 
-    def test_soa_ns_any_and_glue_records(self):
+    def test_soa_ns_any_and_glue_queries_are_answered(self):
         answers = make_answers()
         self.assertEqual(len(ask(answers, "example.org", "NS").answer[0]), 2)
         self.assertEqual(addresses(ask(answers, "ns2.example.org")), ["127.1.0.2"])
-        before = ask(answers, "example.org", "SOA").answer[0][0].serial
+        serial_before = ask(answers, "example.org", "SOA").answer[0][0].serial
         answers.set_pool(0, 0, AnswerPool({0: 1.0}, True), {0: 1.0})
-        self.assertEqual(ask(answers, "example.org", "SOA").answer[0][0].serial, before + 1)
+        self.assertEqual(ask(answers, "example.org", "SOA").answer[0][0].serial, serial_before + 1)
         self.assertIn("RFC8482", str(ask(answers, rdtype="ANY").answer[0][0]))
 
-    def test_other_zones_and_unsupported_or_malformed_queries(self):
+    def test_foreign_unsupported_and_malformed_queries_get_an_error_or_no_response(self):
         answers = make_answers()
         self.assertEqual(ask(answers, "example.com").rcode(), dns.rcode.REFUSED)
         self.assertEqual(ask(answers, "example.org", "AXFR", tcp=True).rcode(), dns.rcode.REFUSED)
@@ -134,9 +134,8 @@
         query = dns.message.make_query("api.example.org", "A").to_wire()
         self.assertEqual(answers.respond(query[:20], "10.1.0.1")[3] & 15, dns.rcode.FORMERR)
         response = query[:2] + b"\x80" + query[3:]
-        self.assertIsNone(
-            answers.respond(response, "10.1.0.1")
-        )  # otherwise two servers could answer each other forever
+        # Otherwise two servers could answer each other forever.
+        self.assertIsNone(answers.respond(response, "10.1.0.1"))
         self.assertIsNone(answers.respond(query[:11], "10.1.0.1"))
 
     def test_the_case_of_the_name_is_preserved(self):
@@ -158,7 +157,7 @@
             untrusted = ask(answers, peer="10.1.0.9", use_edns=0, options=[option])
             self.assertEqual((len(addresses(untrusted)), untrusted.options), (2, ()))
 
-    def test_a_views_own_name_selects_it_for_any_resolver(self):
+    def test_a_views_own_name_selects_the_view_for_any_resolver(self):
         answers = make_answers()
         answers.set_pool(1, 0, AnswerPool({7: 1.0}, True), {7: 1.0})
         self.assertEqual(
--- a/tests/dns/test_views.py
+++ b/tests/dns/test_views.py
@@ -1,4 +1,4 @@
-"""The view of a query."""
+"""The view of a query, by its client subnet or by the resolver's address."""
 
 import unittest
 from ipaddress import ip_address, ip_network
@@ -9,7 +9,7 @@
 
 from ..standin_fleet import settings
 
-DESK0_NUMBER = 261398713923410  # must not change between releases
+DESK0_NUMBER = 261398713923410  # proxy number of the view "desk0", the same in all releases
 
 
 class PrefixMapTest(unittest.TestCase):
@@ -23,8 +23,8 @@
     )
     def test_the_longest_matching_prefix_is_found(self, networks, address, max_length):
         prefixes, values = PrefixMap(), {}
-        for value, (base, length) in enumerate(networks):
-            network = ip_network((base, length), strict=False)
+        for value, (network_address, length) in enumerate(networks):
+            network = ip_network((network_address, length), strict=False)
             prefixes.add(network, value)
             values[network] = value
         address = ip_address(address)
--- a/tests/dns/test_warmup_thinning.py
+++ b/tests/dns/test_warmup_thinning.py
@@ -9,31 +9,33 @@
 
 class WarmupThinningTest(unittest.TestCase):
     def test_a_cold_endpoint_is_in_answers_to_small_views_only(self):
-        # View 0 has half of all requests. One answer with the cold endpoint would send all of them
-        # there until the TTL ends.
+        # View 0 has half of all requests. One answer with the cold endpoint would send all requests
+        # of the view to that endpoint until the TTL ends.
         thinning = WarmupThinning({view: 100.0 if view == 0 else 2.0 for view in range(50)})
         table = {0: 0.25, 1: 1.0, 2: 1.0, 3: 1.0}
         pools = thinning.decide({view: table for view in range(50)}, dict.fromkeys(range(4), 1.0))
-        naming = [view for view in pools if 0 in pools[view].weights]
-        self.assertNotIn(0, naming)
-        self.assertTrue(naming)
-        planned = (100 + 49 * 2) * 0.25 / 3.25
-        self.assertLessEqual(sum(2.0 / 4 for _ in naming), planned)
+        selected = [view for view in pools if 0 in pools[view].weights]
+        self.assertNotIn(0, selected)
+        self.assertTrue(selected)
+        planned_rate = (100 + 49 * 2) * 0.25 / 3.25
+        self.assertLessEqual(sum(2.0 / 4 for _ in selected), planned_rate)
 
     @given(
         strategies.lists(strategies.floats(0.1, 60.0), min_size=3, max_size=40),
         strategies.floats(0.05, 0.9),
     )
-    def test_neither_one_selected_view_nor_all_together_exceed_the_planned_rate(self, rates, share):
+    def test_neither_one_selected_view_nor_all_together_exceed_the_planned_rate(
+        self, rates, cold_weight
+    ):
         thinning = WarmupThinning(dict(enumerate(rates)))
-        table = {0: share, 1: 1.0, 2: 1.0}
+        table = {0: cold_weight, 1: 1.0, 2: 1.0}
         pools = thinning.decide(
             {view: table for view in range(len(rates))}, dict.fromkeys(range(3), 1.0)
         )
-        planned = sum(rates) * share / (share + 2)
-        naming = [rates[view] for view in pools if 0 in pools[view].weights]
-        self.assertLessEqual(sum(naming) / 3, planned + 1e-9)
-        self.assertLessEqual(max(naming, default=0.0), planned + 1e-9)
+        planned_rate = sum(rates) * cold_weight / (cold_weight + 2)
+        selected_rates = [rates[view] for view in pools if 0 in pools[view].weights]
+        self.assertLessEqual(sum(selected_rates) / 3, planned_rate + 1e-9)
+        self.assertLessEqual(max(selected_rates, default=0.0), planned_rate + 1e-9)
 
     def test_a_view_with_only_ramping_endpoints_gets_all_and_is_not_cacheable(self):
         thinning = WarmupThinning({0: 10.0})
--- a/tests/dns/test_zone.py
+++ b/tests/dns/test_zone.py
@@ -24,11 +24,11 @@
 NS = ("@", 60, "NS", "ns1.example.org.")
 
 
-def make_history(serial=0, index=0, controller_count=1):
+def make_history(serial=0, controller_index=0, controller_count=1):
     return ZoneHistory(
         ORIGIN,
         lambda number: f"ns1.example.org. h.example.org. {number} 60 10 600 5",
-        Serials(index, controller_count),
+        Serials(controller_index, controller_count),
         serial,
     )
 
@@ -38,7 +38,7 @@
         self.assertTrue(is_newer(1, 0xFFFFFFFF))
         self.assertFalse(is_newer(0xFFFFFFFF, 1))
         self.assertFalse(is_newer(5, 5))
-        self.assertFalse(is_newer(0, 1 << 31) or is_newer(1 << 31, 0))  # the order is undefined
+        self.assertFalse(is_newer(0, 1 << 31) or is_newer(1 << 31, 0))  # their order is undefined
 
     @given(strategies.integers(0, 2**32 - 1), strategies.integers(1, 9))
     def test_controllers_issue_different_serials_that_are_newer_than_any_given_serial(
@@ -96,7 +96,7 @@
         self.assertIsNone(history.condensed_difference(1))
 
     def test_the_next_serial_follows_a_newer_serial_of_a_secondary(self):
-        history = make_history(index=1, controller_count=2)
+        history = make_history(controller_index=1, controller_count=2)
         history.update({NS})
         self.assertTrue(history.advance_serial(1000))
         self.assertEqual(history.serial, 1001)
--- a/tests/dns/test_zone_transfer.py
+++ b/tests/dns/test_zone_transfer.py
@@ -74,11 +74,11 @@
     def test_a_controller_restored_from_a_backup_continues_after_its_secondarys_serial(self):
         async def case(world, controller, secondary):
             soa = secondary.zone.get_rdataset("@", "SOA")
-            ahead = soa[0].replace(serial=soa[0].serial + 100_000)
+            newer_soa = soa[0].replace(serial=soa[0].serial + 100_000)
             soa.clear()
-            soa.add(ahead, 60)
+            soa.add(newer_soa, 60)
             secondary.fetch()
-            await until(lambda: is_newer(controller.secondaries.history.serial, ahead.serial))
+            await until(lambda: is_newer(controller.secondaries.history.serial, newer_soa.serial))
             await until(lambda: secondary.serial == controller.secondaries.history.serial)
             self.assertTrue(secondary.verify_digest())
             self.assertEqual(controller.secondaries.counts["passed"], 1)
@@ -126,7 +126,7 @@
         self.secondary_address = secondary_address
         self.rng = rng
         self.controller_address = None
-        self.copies_sent = set()  # the different numbers of copies so far
+        self.copies_sent = set()  # all numbers of copies in which a datagram was forwarded
 
     def connection_made(self, transport):
         self.transport = transport
--- a/tests/grpc/test_discovery.py
+++ b/tests/grpc/test_discovery.py
@@ -32,9 +32,10 @@
         (second,) = stream.handle_request(self.request(response_nonce="7.1", version_info="7.1"))
         self.assertEqual(second.resources[0].value, b"3")
         self.assertEqual(stream.acks, [(ASSIGNMENT_TYPE_URL, Version(7, 1))])
+        # An ACK of a response that a newer one has replaced is ignored.
         self.assertEqual(
             stream.handle_request(self.request(response_nonce="7.1", version_info="7.1")), []
-        )  # refers to a response that a newer one has replaced
+        )
 
     def test_a_nack_is_reported_and_the_rejected_resources_are_not_sent_again(self):
         resources = {"look": b"1"}
--- a/tests/grpc/test_failover.py
+++ b/tests/grpc/test_failover.py
@@ -18,29 +18,29 @@
         )
         return controllers
 
-    def owner_of(self, controllers, name="p0"):
-        ownership = [
+    def connected_controller(self, controllers, name="p0"):
+        """Return the only controller that has a session of the proxy; None for none or several."""
+        connected = [
             key
             for key, controller in controllers.items()
             if name in controller.proxies.server.sessions
         ]
-        return ownership[0] if len(ownership) == 1 else None
+        return connected[0] if len(connected) == 1 else None
 
     def test_the_first_controller_by_rank_admits_a_proxy_and_is_replaced_when_killed(self):
         async def case(world):
             controllers = await self.start_three_controllers(world)
             proxy = connect_proxy(world)
-            await until(lambda: self.owner_of(controllers))
-            first_owner = self.owner_of(controllers)
+            await until(lambda: self.connected_controller(controllers))
+            first_owner = self.connected_controller(controllers)
             self.assertEqual(first_owner, controllers["ns1"].gossip.ownership.find_owner("p0"))
             await until(lambda: proxy.entries)
             held_endpoints, epoch = dict(proxy.entries), proxy.fence.newest_version[0]
             controllers.pop(first_owner).stop()
-            await until(lambda: self.owner_of(controllers))
+            await until(lambda: self.connected_controller(controllers))
             await until(lambda: proxy.fence.newest_version[0] > epoch)
-            self.assertEqual(
-                set(held_endpoints["look"]), set(proxy.entries["look"])
-            )  # the shard does not depend on the owner
+            # The shard does not depend on the owner.
+            self.assertEqual(set(held_endpoints["look"]), set(proxy.entries["look"]))
             await proxy.finish()
 
         run_fleet(case)
@@ -55,9 +55,13 @@
                 for index in range(6)
             ]
             await until(
-                lambda: all(self.owner_of(controllers, proxy.plan.name) for proxy in proxies)
+                lambda: all(
+                    self.connected_controller(controllers, proxy.plan.name) for proxy in proxies
+                )
             )
-            original = {name: controller.gossip.send for name, controller in controllers.items()}
+            original_sends = {
+                name: controller.gossip.send for name, controller in controllers.items()
+            }
             for controller in controllers.values():  # no gossip message is delivered
                 controller.gossip.send = lambda address, body: None
             await until(
@@ -76,7 +80,7 @@
                 )
             )
             for name, controller in controllers.items():
-                controller.gossip.send = original[name]
+                controller.gossip.send = original_sends[name]
             await until(
                 lambda: all(
                     len(controller.gossip.membership.live_members()) == 3
@@ -85,7 +89,7 @@
             )
             await until(
                 lambda: all(
-                    self.owner_of(controllers, proxy.plan.name)
+                    self.connected_controller(controllers, proxy.plan.name)
                     == controllers["ns1"].gossip.ownership.preferred_owner(proxy.plan.name)
                     for proxy in proxies
                 ),
@@ -105,20 +109,24 @@
             proxies = [connect_proxy(world, f"p{index}") for index in range(5)]
             await until(
                 lambda: all(
-                    self.owner_of(controllers, proxy.plan.name) and proxy.entries
+                    self.connected_controller(controllers, proxy.plan.name) and proxy.entries
                     for proxy in proxies
                 )
             )
-            busiest = max(
+            drained_name = max(
                 controllers, key=lambda name: len(controllers[name].proxies.server.sessions)
             )
-            controllers[busiest].answer_fleet_question(type("Q", (), {"do": "drain", "host": ""}))
-            await until(lambda: not controllers[busiest].proxies.server.sessions, 15)
+            controllers[drained_name].answer_fleet_question(
+                type("Q", (), {"do": "drain", "host": ""})
+            )
+            await until(lambda: not controllers[drained_name].proxies.server.sessions, 15)
             await until(
-                lambda: all(self.owner_of(controllers, proxy.plan.name) for proxy in proxies)
+                lambda: all(
+                    self.connected_controller(controllers, proxy.plan.name) for proxy in proxies
+                )
             )
             self.assertTrue(all(proxy.entries["look"] for proxy in proxies))
-            answer = controllers[busiest].answer_fleet_question(
+            answer = controllers[drained_name].answer_fleet_question(
                 type("Q", (), {"do": "why", "host": "p0"})
             )
             self.assertFalse(answer["here"])
@@ -131,16 +139,17 @@
         async def case(world):
             controllers = await self.start_three_controllers(world)
             proxy = connect_proxy(world)
-            await until(lambda: self.owner_of(controllers) and proxy.entries)
-            first_owner = self.owner_of(controllers)
+            await until(lambda: self.connected_controller(controllers) and proxy.entries)
+            first_owner = self.connected_controller(controllers)
             session = controllers[first_owner].proxies.server.sessions["p0"]
-            # The owner stops answering pings, as if frozen, and later resumes without knowing of the new owner.
+            # The owner stops answering pings, as if frozen, and later resumes without knowing of the
+            # new owner.
             connection = session.call.connection
             connection.ping_timer.cancel()
-            original, connection.received = connection.received, lambda data: None
+            original_received, connection.received = connection.received, lambda data: None
             await until(
                 lambda: any(
-                    self.owner_of({name: controller})
+                    self.connected_controller({name: controller})
                     for name, controller in controllers.items()
                     if name != first_owner
                 ),
@@ -151,7 +160,7 @@
                 and proxy.recorder.rows_of_kind("order")[-1][6] == "applied",
                 15,
             )
-            connection.received = original
+            connection.received = original_received
             held_endpoints = dict(proxy.entries)
             session.state.withdrawn.update(range(3))
             session.ready = True
--- a/tests/grpc/test_http2.py
+++ b/tests/grpc/test_http2.py
@@ -61,7 +61,7 @@
             for size, stream_id in held_acknowledgements:
                 try:
                     original_acknowledge(size, stream_id)
-                except Exception:  # the stream of the call was reset
+                except Exception:  # raised for the first call, whose stream was reset
                     client.h2_connection._inbound_flow_control_window_manager.process_bytes(size)
             client.flush()
             await until(lambda: received.count(message) >= 5)
@@ -100,7 +100,7 @@
     def test_floods_and_invalid_frames_end_the_connection(self):
         async def case(world):
             address, connections = await self.start_server(world, lambda call: None)
-            ended = []
+            ended_faults = []
             for fault in ("pings", "settings", "resets", "junk"):
                 client = await dial(address, ping_interval=0.0)
                 connection_ended = asyncio.get_running_loop().create_future()
@@ -108,7 +108,7 @@
                     lambda reason, connection_ended=connection_ended: connection_ended.done()
                     or connection_ended.set_result(reason)
                 )
-                for attempt in range(400):  # ends early once the client notices the end
+                for attempt in range(400):  # fewer if the server closes the connection earlier
                     if (
                         client.transport is None
                         or client.transport.is_closing()
@@ -132,9 +132,9 @@
                     client.flush()
                     await asyncio.sleep(0)
                 await asyncio.wait_for(connection_ended, 5)
-                ended.append(fault)
+                ended_faults.append(fault)
             await until(lambda: all(connection.transport is None for connection in connections))
-            return ended, [len(connection.calls) for connection in connections]
+            return ended_faults, [len(connection.calls) for connection in connections]
 
         self.assertEqual(
             run_with_standins(case), (["pings", "settings", "resets", "junk"], [0] * 4)
--- a/tests/grpc/test_server.py
+++ b/tests/grpc/test_server.py
@@ -1,4 +1,4 @@
-"""Simulated proxies and independent xDS clients that connect to one controller."""
+"""Streams of simulated proxies and of xDS clients of another implementation to one controller."""
 
 import asyncio
 import queue
@@ -25,10 +25,10 @@
             proxy = connect_proxy(world, controller_order=(1,))
             await until(lambda: len(proxy.entries.get("look", ())) == 4 and proxy.tables.retries)
             received = []
-            original = controller.planner.handlers[interface.EndpointStats]
+            original_handler = controller.planner.handlers[interface.EndpointStats]
             controller.planner.handlers[interface.EndpointStats] = lambda event: (
                 received.append(event),
-                original(event),
+                original_handler(event),
             )
             await until(lambda: sum(event.attempts for event in received) > 5)
             self.assertEqual(proxy.tables.retries, {"look": "unstarted", "file": "unstarted"})
@@ -83,7 +83,7 @@
                     results.update(
                         nonce=response.nonce,
                         version=response.version_info,
-                        lines=len(decode_assignment(response.resources[0].value)[1]),
+                        endpoint_count=len(decode_assignment(response.resources[0].value)[1]),
                     )
                     acknowledged.set()
                     report = lrs_pb2.LoadStatsRequest()
@@ -93,24 +93,29 @@
                         lrs_pb2.LoadStatsRequest.SerializeToString,
                         lrs_pb2.LoadStatsResponse.FromString,
                     )(iter([report]), timeout=10)
-                    results["every"] = next(load_stream).load_reporting_interval.ToMilliseconds()
+                    results["interval"] = next(load_stream).load_reporting_interval.ToMilliseconds()
                     list(load_stream)
-                    results["loads"] = load_stream.code()
+                    results["load_status"] = load_stream.code()
                     try:
                         channel.unary_unary("/x/Y")(b"", timeout=5)
                     except grpc.RpcError as error:
-                        results["unknown"] = error.code()
+                        results["unknown_method_status"] = error.code()
                     stream.cancel()
 
             await loop.run_in_executor(None, run_client)
-            return results["lines"], results["every"], results["loads"], results["unknown"]
+            return (
+                results["endpoint_count"],
+                results["interval"],
+                results["load_status"],
+                results["unknown_method_status"],
+            )
 
         self.assertEqual(
             run_fleet(case), (4, 200, grpc.StatusCode.OK, grpc.StatusCode.UNIMPLEMENTED)
         )
 
     def test_an_independent_client_uses_the_incremental_variant(self):
-        """The client ignores stamps; assignments name collections, which contain the endpoints."""
+        """The client ignores stamps and finds the endpoints by the collections of assignments."""
 
         async def case(world):
             controller = await world.start_controller()
@@ -135,28 +140,30 @@
                     assignment = endpoint_pb2.ClusterLoadAssignment.FromString(
                         response.resources[0].resource.value
                     )
-                    names = [
+                    collection_names = [
                         locality.leds_cluster_locality_config.leds_collection_name
                         for locality in assignment.endpoints
                     ]
                     send_request(type_url=ASSIGNMENT_TYPE_URL, response_nonce=response.nonce)
-                    send_request(type_url=LB_ENDPOINT_TYPE_URL, resource_names_subscribe=names)
+                    send_request(
+                        type_url=LB_ENDPOINT_TYPE_URL, resource_names_subscribe=collection_names
+                    )
                     response = next(stream)
-                    results["lines"] = {
+                    results["addresses"] = {
                         resource.name.rpartition("/")[2] for resource in response.resources
                     }
-                    results["names"] = {
+                    results["request_classes"] = {
                         resource.name.split("/")[4] for resource in response.resources
                     }
                     send_request(type_url=LB_ENDPOINT_TYPE_URL, response_nonce=response.nonce)
-                    results["first"] = True
+                    results["acknowledged"] = True
                     response = next(stream)
-                    results["gone"] = list(response.removed_resources), len(response.resources)
+                    results["removed"] = list(response.removed_resources), len(response.resources)
                     requests_queue.put(None)
                     stream.cancel()
 
             task = loop.run_in_executor(None, run_client)
-            await until(lambda: "first" in results)
+            await until(lambda: "acknowledged" in results)
             await until(lambda: controller.proxies.ack_count >= 2)
             world.phases["h1"] = "draining"
             world.write_list()
@@ -164,23 +171,23 @@
             return results
 
         results = run_fleet(case)
-        self.assertEqual((len(results["lines"]), results["names"]), (4, {"look"}))
-        self.assertEqual(len(results["gone"][0]), 1)
-        self.assertIn("127.10.9.2", results["gone"][0][0])
+        self.assertEqual((len(results["addresses"]), results["request_classes"]), (4, {"look"}))
+        self.assertEqual(len(results["removed"][0]), 1)
+        self.assertIn("127.10.9.2", results["removed"][0][0])
 
     def test_a_rejecting_proxy_keeps_its_old_endpoints_and_is_reported(self):
         async def case(world):
             controller = await world.start_controller()
             proxy = connect_proxy(world, controller_order=(1,))
             await until(lambda: len(proxy.entries.get("look", ())) == 4)
-            endpoints_before, original = dict(proxy.entries), proxy._apply
+            endpoints_before, original_apply = dict(proxy.entries), proxy._apply
             proxy._apply = lambda response: (_ for _ in ()).throw(ValueError("simulated error"))
             world.phases["h1"] = "draining"
             world.write_list()
             await until(lambda: controller.proxies.nack_count)
             self.assertEqual(proxy.entries, endpoints_before)
             self.assertEqual(dict(world.log)["assignment refused"]["why"], "simulated error")
-            proxy._apply = original
+            proxy._apply = original_apply
             await proxy.finish()
 
         run_fleet(case)
--- a/tests/transcripts/recorded.py
+++ b/tests/transcripts/recorded.py
@@ -8,10 +8,12 @@
 
 
 def to_base64(data):
+    """Return bytes as base64 text."""
     return b64encode(data).decode()
 
 
 def read(name):
+    """Return the record of this name."""
     return json.loads((DIRECTORY / f"{name}.json").read_text())
 
 
@@ -28,14 +30,16 @@
     (DIRECTORY / f"{name}.json").write_text("{" + ",\n".join(parts) + "}\n")
 
 
-def compare(case, name, actual):
-    """Fail `case` at the first element that differs from the record."""
+def compare(test_case, name, actual):
+    """Fail `test_case` at the first element that differs from the record."""
     expected, actual = read(name), json.loads(json.dumps(actual))
-    case.assertEqual(sorted(expected), sorted(actual))
+    test_case.assertEqual(sorted(expected), sorted(actual))
     for key, value in expected.items():
         if isinstance(value, list):
             for index, (expected_element, actual_element) in enumerate(zip(value, actual[key])):
-                case.assertEqual(expected_element, actual_element, f"{name}: {key}, entry {index}")
-            case.assertEqual(len(value), len(actual[key]), f"{name}: {key}")
+                test_case.assertEqual(
+                    expected_element, actual_element, f"{name}: {key}, entry {index}"
+                )
+            test_case.assertEqual(len(value), len(actual[key]), f"{name}: {key}")
         else:
-            case.assertEqual(value, actual[key], f"{name}: {key}")
+            test_case.assertEqual(value, actual[key], f"{name}: {key}")
--- a/tests/transcripts/test_dns_transcripts.py
+++ b/tests/transcripts/test_dns_transcripts.py
@@ -1,7 +1,7 @@
-"""Compares DNS answers and zone transfers with the bytes recorded in tests/data/wire/dns.json.
+"""Compares DNS answers and zone transfers byte by byte with tests/data/wire/dns.json.
 
-The queries have fixed ids. After an intended change of the answers, record them again with
-`python -m tests.transcripts.test_dns_transcripts`. A change of names must pass with the old record.
+The queries have fixed ids. After an intended change of the answers, record the file again with
+`python -m tests.transcripts.test_dns_transcripts`. Renamed code must match the existing file.
 """
 
 import random
@@ -21,7 +21,7 @@
 from ..standin_fleet import settings
 from . import recorded
 
-# Adapter: the only code here that uses names of the implementation.
+# Adapter: the only code here that uses names of the package.
 
 SECONDARY = ("127.1.0.77", 53)
 
@@ -267,7 +267,10 @@
 
 
 def transfers():
-    """Return recorded transfers (full, incremental and refused), NOTIFY messages and serials."""
+    """Return the transfers (full, incremental, refused), the NOTIFY messages, and the serials.
+
+    The serials are mixed with the number of pending NOTIFY messages and the delay of the last timer.
+    """
     controller, network = make_controller(), FakeNetwork()
     controller.add_secondary(network, 1, 3, 100)
     recorder, serials = QueryRecorder(controller), []
@@ -309,7 +312,7 @@
 
 
 def seeded_transcript():
-    """Return the transcript. dnspython shuffles records with the global generator, so seed it."""
+    """Return the transcript, with a seed for dnspython, which shuffles records at random."""
     state = random.getstate()
     random.seed(1)
     try:
@@ -337,21 +340,21 @@
 
     def test_the_record_has_each_response_code_a_difference_and_a_valid_zone_digest(self):
         record = recorded.read("dns")
-        codes = {
+        response_codes = {
             recorded.b64decode(data)[3] & 15
             for part in ("answers", "drawn", "odd", "transfers")
             for entry in record[part]
             for data in entry[3]
             if " " not in data
         }
-        self.assertLessEqual({0, 1, 2, 3, 4, 5}, codes)
+        self.assertLessEqual({0, 1, 2, 3, 4, 5}, response_codes)
         differences = dns.message.from_wire(
             recorded.b64decode(record["transfers"][3][3][0]), one_rr_per_rrset=True
         )
         self.assertEqual(
             [soa[0].serial for soa in differences.answer if soa.rdtype == dns.rdatatype.SOA],
             [105, 101, 105, 105],
-        )  # the order of RFC 1995 section 4
+        )  # the SOA records of an incremental transfer (RFC 1995 section 4)
         self.assertTrue(any(" " in data for entry in record["transfers"] for data in entry[3]))
         messages = [recorded.b64decode(data) for data in record["transfers"][0][3]]
         zone = dns.zone.from_text("", ZONE, check_origin=False)
--- a/tests/transcripts/test_gossip_transcripts.py
+++ b/tests/transcripts/test_gossip_transcripts.py
@@ -15,7 +15,7 @@
 from ..standin_fleet import SCRIPT, settings
 from . import recorded
 
-# All names of the package that these tests use. Structs are created with positional arguments.
+# Adapter: the only code here that uses names of the package. Structs are created by position.
 
 Ping, Ack, IndirectPing, MemberInfo = (
     messages.Ping,
@@ -138,7 +138,7 @@
     }[kind](payload)
 
 
-# Test data and transcripts.
+# End of the adapter.
 
 DRAINING_MEMBER = (
     b"\x97\xa2n1\x92\xa9127.0.0.1\xcd\x14\xb4\xa5alive\x02\x92\xa9127.0.0.1\xcd\x14\xb5\x11\xc3",
--- a/tests/transcripts/test_tables_transcripts.py
+++ b/tests/transcripts/test_tables_transcripts.py
@@ -1,8 +1,8 @@
-"""The formats of the table log and of pins: literal bytes, and the recording tests/data/wire/tables.json.
+"""Compares the table log and pins with literal bytes and with tests/data/wire/tables.json.
 
-Compressed bytes depend on the version of the zstandard library, so frames are compared after decompression.
-After an intended change of the format, record again with `python -m tests.transcripts.test_tables_transcripts`;
-other changes must pass with the existing recording.
+Compressed bytes depend on the version of the zstandard library, so frames are compared after
+decompression. After an intended change of the format, record the file again with
+`python -m tests.transcripts.test_tables_transcripts`. Renamed code must match the existing file.
 """
 
 import struct
@@ -18,7 +18,7 @@
 
 from . import recorded
 
-# Adapter: the tests use names of the program only in this section, and create structs by position.
+# Adapter: the only code here that uses names of the package. Structs are created by position.
 
 PublishedRecord, SnapshotRecord, RemovedRecord, NoteRecord, Pin = (
     log_records.PublishedRecord,
@@ -53,13 +53,16 @@
     return [round(pins.rollout_position(pin, name) * (1 << 48)) for name in names]
 
 
-def encoded_snapshot(now, pin_arguments, later):
-    """Return the encoded pins of a controller at `later`: made at `now`, the first one ended in between."""
+def encoded_snapshot(now, pin_arguments, snapshot_at):
+    """Return the encoded pins of a controller at `snapshot_at`.
+
+    All pins are made at `now`, and the first pin ends before the snapshot.
+    """
     known_pins = pins.Pins("ns1", "-start")
     for arguments in pin_arguments:
         known_pins.make(now, *arguments)
     known_pins.resume(now + 1.5, sorted(known_pins.by_id)[0])
-    return encode_pins(known_pins.snapshot(later))
+    return encode_pins(known_pins.snapshot(snapshot_at))
 
 
 def open_log(folder):
--- a/tests/transcripts/test_xds_transcripts.py
+++ b/tests/transcripts/test_xds_transcripts.py
@@ -1,7 +1,8 @@
 """Compares discovery and load reporting streams byte by byte with tests/data/wire/xds.json.
 
-Requests are made with the public protobuf classes. After an intended change of the wire format, record the file again
-with `python -m tests.transcripts.test_xds_transcripts`. Renamed code must match the existing file.
+Requests are made with the public protobuf classes. After an intended change of the wire format,
+record the file again with `python -m tests.transcripts.test_xds_transcripts`. Renamed code must
+match the existing file.
 """
 
 import random
@@ -28,7 +29,7 @@
 
 from . import recorded
 
-# All names of the package that these tests use.
+# Adapter: the only code here that uses names of the package.
 
 PATHS = [server.DISCOVERY_PATH, server.DELTA_DISCOVERY_PATH, server.LOAD_REPORTING_PATH]
 encode_routes, encode_item = resources.encode_routes, resources.encode_item
@@ -126,7 +127,7 @@
 
 
 class Proxy:
-    """Applies incremental responses to a replica."""
+    """A proxy of the incremental variant, which applies responses to a replica of the tables."""
 
     def __init__(self):
         self.replica = replica.Replica()
@@ -190,7 +191,7 @@
     def ping(self):
         self.connection.ping()
 
-    def leave(self):
+    def go_away(self):
         self.connection.go_away()
 
     def time(self):
@@ -261,7 +262,7 @@
     abort = close
 
 
-# Test data and transcripts.
+# End of the adapter.
 
 
 def encode_all(messages):
@@ -285,7 +286,7 @@
 
 
 def resource_cases():
-    """Returns [kind or name, input, encoded bytes, decoded value] of each case."""
+    """Returns [label or resource name, input, encoded bytes, decoded value] of each case."""
     cases = []
     for admitted_fraction in (1.0, 0.85, 0.000001, 0.0):
         for endpoints in (ENDPOINTS, ENDPOINTS[:1], []):
@@ -621,7 +622,7 @@
         lambda: client.call(PATHS[0], [], b"hello"),
         lambda: client.call(PATHS[1], [("grpc-timeout", "2S")], b"x" * 300),
         client.ping,
-        client.leave,
+        client.go_away,
     ):
         step()
         outputs.append(bytes(client.out).hex())
