--- a/peatlead/controller/answer_freshness.py
+++ b/peatlead/controller/answer_freshness.py
@@ -35,7 +35,7 @@
         self._controller.log(
             "controller stalled",
             seconds=round(now - self._dns_server.fresh_until + self._period, 3),
-            unanswered=self._dns_server.unanswered,
+            unanswered=self._dns_server.unanswered_count,
         )
         self._controller.endpoint_lists.source.fetch(now)
 
--- a/peatlead/controller/operator_queries.py
+++ b/peatlead/controller/operator_queries.py
@@ -155,7 +155,7 @@
             "decided": controller.batch_count,
             "slowest_decide": controller.longest_decision,
             "answers": dict(controller.answers.counts),
-            "unanswered": controller.dns_server.unanswered,
+            "unanswered": controller.dns_server.unanswered_count,
             "prepared": controller.answers.prepared_count,
             "channel": self._describe_channel(),
             "burden": controller.overload.status(),
--- a/peatlead/controller/proxies.py
+++ b/peatlead/controller/proxies.py
@@ -229,7 +229,7 @@
         pinned = (
             self._controller.publication.pin_of(session.node.name, session.node.zone) is not None
         )
-        before = all_items(session) if pinned and session.ready else None
+        before = all_items(session) if pinned and session.has_tables else None
         session.state.apply(message.operations)
         self._copy_admission(session)
         unchanged = before is not None and before == all_items(session)
--- a/peatlead/dns/answer_cache.py
+++ b/peatlead/dns/answer_cache.py
@@ -140,7 +140,7 @@
         self.by_transport = {False: {}, True: {}}
         self.size = 0
 
-    def add(self, query: bytes, peer: str, tcp: bool, prepared: PreparedAnswer) -> None:
+    def add(self, query: bytes, peer: str, tcp: bool, prepared_answer: PreparedAnswer) -> None:
         """Add the prepared answer to a query."""
-        self.by_transport[tcp].setdefault(peer, {})[query[ID_BYTES:]] = prepared
+        self.by_transport[tcp].setdefault(peer, {})[query[ID_BYTES:]] = prepared_answer
         self.size += 1
--- a/peatlead/dns/answers.py
+++ b/peatlead/dns/answers.py
@@ -94,13 +94,13 @@
 
     def set_endpoint(self, endpoint: int, name: str, ipv4: str, ipv6: str) -> None:
         """Set an endpoint's name and addresses; an address is empty if the endpoint has none."""
-        old = self.endpoints.get(endpoint)
-        new = EndpointAddresses(name, ipv4, ipv6)
-        if old is not None:
-            if old.name == name and old.by_family == new.by_family:
+        old_addresses = self.endpoints.get(endpoint)
+        new_addresses = EndpointAddresses(name, ipv4, ipv6)
+        if old_addresses is not None:
+            if old_addresses.name == name and old_addresses.by_family == new_addresses.by_family:
                 return
-            self.endpoint_by_label.pop(old.name, None)
-        self.endpoints[endpoint] = new
+            self.endpoint_by_label.pop(old_addresses.name, None)
+        self.endpoints[endpoint] = new_addresses
         self.change_count += 1
         self.endpoint_by_label[name] = endpoint
         self.records = {key: value for key, value in self.records.items() if key[0] != endpoint}
@@ -138,9 +138,9 @@
         self.counts["asked"] += 1
         prepared_answers = self.cache.by_transport[tcp].get(peer)
         if prepared_answers is not None:
-            prepared = prepared_answers.get(data[2:])
-            if prepared is not None and prepared.source.weights:
-                return data[:2] + prepared.next_answer()
+            prepared_answer = prepared_answers.get(data[2:])
+            if prepared_answer is not None and prepared_answer.source.weights:
+                return data[:2] + prepared_answer.next_answer()
         return self.answer_unprepared(data, peer, tcp)
 
     def cycle(self, source: AnswerSource, family: int) -> AnswerCycle:
@@ -284,11 +284,11 @@
         question = question_bytes(query.data)
         head = empty_response[ID_BYTES:HEADER_BYTES] + question
         tail = empty_response[HEADER_BYTES + len(question) :]
-        prepared = PreparedAnswer(self, source, family, head, tail, query.max_size)
+        prepared_answer = PreparedAnswer(self, source, family, head, tail, query.max_size)
         if self.prepared_count >= self.settings["prepared_most"]:
             self.flush()
-        self.cache.add(query.data, query.peer, query.tcp, prepared)
-        return prepared
+        self.cache.add(query.data, query.peer, query.tcp, prepared_answer)
+        return prepared_answer
 
     def answer_srv(self, query: Query, source: AnswerSource) -> bytes:
         """Answer with SRV records for all endpoints, and with their addresses if they fit.
--- a/peatlead/dns/notify.py
+++ b/peatlead/dns/notify.py
@@ -74,7 +74,7 @@
         self.loop: asyncio.AbstractEventLoop | None = None
         self.transport: asyncio.DatagramTransport | None = None
         self.last_version_at = -1e9  # loop time of the last version
-        self.pending: dict[Address, PendingNotify] = {}  # by the secondary's address
+        self.pending_notifies: dict[Address, PendingNotify] = {}  # by the secondary's address
         self.published_change_count = -1  # `Answers.change_count` at the last version
         self.counts = dict.fromkeys(COUNTERS, 0)
         answers.transfer = self.transfer
@@ -113,9 +113,9 @@
 
         The timeout doubles with each attempt.
         """
-        old = self.pending.pop(address, None)
-        if old is not None:
-            old.timer.cancel()
+        old_notify = self.pending_notifies.pop(address, None)
+        if old_notify is not None:
+            old_notify.timer.cancel()
         if self.transport is None or self.loop is None or not attempts_left:
             self.counts["given up"] += not attempts_left
             return
@@ -123,7 +123,7 @@
         self.transport.sendto(message.to_wire(), address)
         self.counts["notified"] += 1
         timer = self.loop.call_later(timeout, self.notify, address, attempts_left - 1, 2 * timeout)
-        self.pending[address] = PendingNotify(message.id, timer)
+        self.pending_notifies[address] = PendingNotify(message.id, timer)
 
     def build_notify(self) -> dns.message.Message:
         """Return a NOTIFY message with a random id (RFC 1996)."""
@@ -136,10 +136,10 @@
     def datagram_received(self, data: bytes, peer: tuple[Any, ...]) -> None:
         """Handle an acknowledgement (asyncio callback)."""
         address = (peer[0], peer[1])
-        pending = self.pending.get(address)
-        if pending is not None and pending.is_response(data):
-            del self.pending[address]
-            pending.timer.cancel()
+        pending_notify = self.pending_notifies.get(address)
+        if pending_notify is not None and pending_notify.is_response(data):
+            del self.pending_notifies[address]
+            pending_notify.timer.cancel()
             self.counts["answered"] += 1
 
     def error_received(self, error: Exception) -> None:
@@ -162,9 +162,9 @@
 
     def close(self) -> None:
         """Cancel the pending NOTIFY messages and close the socket."""
-        for pending in self.pending.values():
-            pending.timer.cancel()
-        self.pending.clear()
+        for pending_notify in self.pending_notifies.values():
+            pending_notify.timer.cancel()
+        self.pending_notifies.clear()
         if self.transport is not None:
             self.transport.close()
             self.transport = None
--- a/peatlead/dns/server.py
+++ b/peatlead/dns/server.py
@@ -35,7 +35,7 @@
         self.answers = answers
         self.connections = ConnectionSet(settings["tcp_most"])
         self.fresh_until = 0.0
-        self.unanswered = 0  # queries that arrived after `fresh_until`
+        self.unanswered_count = 0  # queries that arrived after `fresh_until`
         self.listeners: list[Closable] = []
 
     async def open(self, address: tuple[str, int]) -> None:
@@ -72,7 +72,7 @@
     def datagram_received(self, data: bytes, peer: tuple[Any, ...]) -> None:
         """Answer a query (asyncio callback)."""
         if self.now() > self.server.fresh_until:
-            self.server.unanswered += 1
+            self.server.unanswered_count += 1
             return
         answer = self.respond(data, peer[0])
         if answer is not None:
@@ -88,7 +88,7 @@
     def __init__(self, server: DnsServer) -> None:
         super().__init__(server.settings["tcp_idle"], MAX_UNSENT_BYTES)
         self.server = server
-        self.incomplete = b""  # the received part of the next message, less than 64 KiB
+        self.incomplete_message = b""  # the received part of the next message, less than 64 KiB
 
     def opened(self) -> None:
         """Add this connection to the server's limited set of connections."""
@@ -100,7 +100,7 @@
 
     def received(self, data: bytes) -> None:
         """Answer all complete queries in the received data."""
-        data = self.incomplete + data
+        data = self.incomplete_message + data
         start = 0
         while len(data) - start >= TCP_LENGTH_BYTES:
             size = int.from_bytes(data[start : start + TCP_LENGTH_BYTES], "big")
@@ -109,12 +109,12 @@
                 break
             self.answer_query(data[start + TCP_LENGTH_BYTES : end])
             start = end
-        self.incomplete = data[start:]
+        self.incomplete_message = data[start:]
 
     def answer_query(self, query: bytes) -> None:
         """Answer one query; the answer to a zone transfer may have several messages."""
         if self.loop.time() > self.server.fresh_until:
-            self.server.unanswered += 1
+            self.server.unanswered_count += 1
             self.abort("answers are out of date")  # the resolver asks another controller
             return
         answer = self.server.answers.respond(query, self.peer_address[0], True)
--- a/peatlead/dns/warmup_thinning.py
+++ b/peatlead/dns/warmup_thinning.py
@@ -74,7 +74,7 @@
         self.tables: dict[ViewKey, Weights] = {}  # as planned
         self.views_by_endpoint: dict[int, set[ViewKey]] = {}  # views with the endpoint in a table
         self.pools: dict[ViewKey, AnswerPool] = {}  # as last returned
-        self.ramping: set[int] = set()  # endpoints below their full weight in some table
+        self.ramping_endpoints: set[int] = set()  # endpoints below their full weight in some table
         self.full_weights: Mapping[int, float] = {}  # by endpoint
         self.fair_rate = 0.0  # requests per second of an endpoint's fair share
 
@@ -94,13 +94,13 @@
         self.fair_rate = self.compute_fair_rate()
         for view, table in changed_tables.items():
             self.update_table(view, table)
-        ramping = self.find_ramping(affected_views)
+        ramping_endpoints = self.find_ramping_endpoints(affected_views)
         views_by_ramping_endpoint = {
-            endpoint: self.select_views(endpoint) for endpoint in sorted(ramping)
+            endpoint: self.select_views(endpoint) for endpoint in sorted(ramping_endpoints)
         }
-        for endpoint in ramping | self.ramping:
+        for endpoint in ramping_endpoints | self.ramping_endpoints:
             affected_views |= self.views_by_endpoint.get(endpoint, set())
-        self.ramping = ramping
+        self.ramping_endpoints = ramping_endpoints
         changed_pools = {}
         for view in sorted(affected_views):
             pool = self.make_pool(view, views_by_ramping_endpoint)
@@ -131,12 +131,12 @@
             self.views_by_endpoint.setdefault(endpoint, set()).add(view)
         self.tables[view] = dict(table)
 
-    def find_ramping(self, affected_views: Iterable[ViewKey]) -> set[int]:
+    def find_ramping_endpoints(self, affected_views: Iterable[ViewKey]) -> set[int]:
         """Return the endpoints below their full weight in some table.
 
         Only the endpoints that were ramping before and those of affected views are checked.
         """
-        candidates = self.ramping.union(*(self.tables[view] for view in affected_views))
+        candidates = self.ramping_endpoints.union(*(self.tables[view] for view in affected_views))
         return {endpoint for endpoint in candidates if self.is_ramping(endpoint)}
 
     def is_ramping(self, endpoint: int) -> bool:
--- a/peatlead/fleet/member_table.py
+++ b/peatlead/fleet/member_table.py
@@ -15,7 +15,7 @@
 
 MAX_MEMBERS = 500
 MAX_FACTS = 12  # in one message; keeps a datagram below 1200 bytes
-RETRANSMIT_FACTOR = 3  # a fact is sent this factor times log2(members) times
+RETRANSMIT_FACTOR = 3  # a fact is sent at most this factor times log2(members) times
 FORGET_DELAY = 60.0  # seconds that a dead or departed member is kept, to recognize old facts on it
 
 PRECEDENCE: dict[str, int] = {  # at the same incarnation, the greater value overrides the lower
@@ -74,7 +74,7 @@
         }
 
     def live_peer_names(self) -> list[str]:
-        """Returns the names of the reachable members except this one."""
+        """Returns the names of the live members except this one."""
         return [name for name in self.live_members() if name != self.own_info.name]
 
     def find_by_address(self, address: Address) -> list[Member]:
@@ -94,12 +94,12 @@
         if info.name == self.own_info.name:
             self._refute_if_wrong(info)
             return None
-        known = self.members.get(info.name)
-        if known is None:
+        known_member = self.members.get(info.name)
+        if known_member is None:
             return self._add(now, info)
-        if not overrides(info, known.info):
+        if not overrides(info, known_member.info):
             return None
-        return self._replace(now, known, info)
+        return self._replace(now, known_member, info)
 
     def _add(self, now: float, info: MemberInfo) -> Optional[StateChanged]:
         if len(self.members) >= MAX_MEMBERS or info.state in INACTIVE_STATES:
@@ -109,17 +109,19 @@
         self._set_suspicion(now, member)
         return StateChanged(info.name, None, info.state)
 
-    def _replace(self, now: float, known: Member, info: MemberInfo) -> Optional[StateChanged]:
-        old_state = known.info.state
+    def _replace(
+        self, now: float, known_member: Member, info: MemberInfo
+    ) -> Optional[StateChanged]:
+        old_state = known_member.info.state
         if old_state in INACTIVE_STATES and info.state == MemberState.SUSPECT:
             # A member that is suspected at a later incarnation than its death is alive again.
             info = msgspec.structs.replace(info, state=MemberState.ALIVE)
-        known.info = info
-        known.times_sent = 0
-        self._set_suspicion(now, known)
+        known_member.info = info
+        known_member.times_sent = 0
+        self._set_suspicion(now, known_member)
         if info.state == old_state:
             return None
-        known.state_since = now
+        known_member.state_since = now
         return StateChanged(info.name, old_state, info.state)
 
     # Suspicion.
--- a/peatlead/fleet/membership.py
+++ b/peatlead/fleet/membership.py
@@ -202,10 +202,10 @@
     # Probes.
 
     def _probe_next(self) -> None:
-        peers = self.table.live_peer_names()
-        self.probe_queue = [name for name in self.probe_queue if name in peers]
+        peer_names = self.table.live_peer_names()
+        self.probe_queue = [name for name in self.probe_queue if name in peer_names]
         if not self.probe_queue:
-            self.probe_queue = peers
+            self.probe_queue = peer_names
             self.rng.shuffle(self.probe_queue)
         if not self.probe_queue:
             return
--- a/peatlead/grpc/discovery.py
+++ b/peatlead/grpc/discovery.py
@@ -32,12 +32,12 @@
 class Subscription:
     """The state of one resource type on the stream."""
 
-    __slots__ = ("names", "nonce", "sent", "dirty", "requested")
+    __slots__ = ("names", "nonce", "sent_resources", "dirty", "requested")
 
     def __init__(self) -> None:
         self.names: tuple[str, ...] = ()  # subscribed names; empty for all resources
         self.nonce = ""  # of the response that awaits its ACK or NACK, else empty
-        self.sent: Optional[SentResources] = None
+        self.sent_resources: Optional[SentResources] = None
         self.dirty = False  # whether the resources may have changed since the last response
         self.requested = False  # whether the first request has arrived
 
@@ -118,15 +118,17 @@
             return []
         resources = self.get_resources(type_url, subscription.names)
         subscription.dirty = False
-        sent = subscription.sent
-        if resources is None or (sent is not None and sent.resources == resources):
+        sent_resources = subscription.sent_resources
+        if resources is None or (
+            sent_resources is not None and sent_resources.resources == resources
+        ):
             return []  # the proxy has these resources, or has rejected them
         return [self._respond(type_url, subscription, resources)]
 
     def _respond(self, type_url: str, subscription: Subscription, resources: Resources) -> Message:
         self.serial += 1
         version = Version(self.epoch, self.serial)
-        subscription.sent = SentResources(version, resources)
+        subscription.sent_resources = SentResources(version, resources)
         subscription.nonce = str(version)
         self.on_response_sent(version, type_url)
         return discovery_pb2.DiscoveryResponse(
--- a/peatlead/grpc/http2.py
+++ b/peatlead/grpc/http2.py
@@ -82,7 +82,7 @@
 class Connection(Stream):
     """One side of an HTTP/2 connection.
 
-    `client`: whether this is the client's side. `on_call(call)` handles each call that the peer
+    `is_client`: whether this is the client's side. `on_call(call)` handles each call that the peer
     starts. `ping_interval`: seconds without received data until the peer is pinged; 0 disables
     pings. `ping_timeout`: seconds to wait for the answer.
 
@@ -92,7 +92,7 @@
 
     def __init__(
         self,
-        client: bool,
+        is_client: bool,
         on_call: Callable[[Call], object] = ignore_call,
         ping_interval: float = PING_INTERVAL,
         ping_timeout: float = PING_TIMEOUT,
@@ -100,10 +100,10 @@
         super().__init__(0.0, MAX_UNSENT_BYTES)
         self.h2_connection = h2.connection.H2Connection(
             h2.config.H2Configuration(
-                client_side=client, header_encoding="utf-8", validate_inbound_headers=True
+                client_side=is_client, header_encoding="utf-8", validate_inbound_headers=True
             )
         )
-        self.client = client
+        self.is_client = is_client
         self.on_call = on_call
         self.calls: dict[int, Call] = {}  # by HTTP/2 stream ID
         self.control_frames = ControlFrameLimit()
@@ -130,7 +130,7 @@
     def opened(self) -> None:
         """Sends the HTTP/2 settings and starts the ping timer."""
         self.h2_connection.local_settings = h2.settings.Settings(
-            client=self.client,
+            client=self.is_client,
             initial_values={
                 h2.settings.SettingCodes.MAX_CONCURRENT_STREAMS: MAX_CALLS,
                 h2.settings.SettingCodes.MAX_HEADER_LIST_SIZE: MAX_HEADER_LIST,
@@ -221,7 +221,7 @@
         try:
             messages = call.deframer.feed(data)
         except FramingError as error:
-            if self.client:
+            if self.is_client:
                 call.reset(str(error))
             else:
                 call.finish(error.status, str(error))
@@ -259,7 +259,7 @@
     def _on_stream_ended(self, _: Any, call: Optional[Call]) -> None:
         if call is None:
             return
-        if not self.client:
+        if not self.is_client:
             call.finish(StatusCode.OK)
             return
         status = call.peer_metadata.get("grpc-status", "")
@@ -332,7 +332,7 @@
         """Sends as much of a call's backlog as the peer's window allows, then its trailers."""
         if not self.is_open or call.is_closed:
             return
-        if not self.client:
+        if not self.is_client:
             self.send_initial_metadata(call)
         had_backlog = bool(call.backlog)
         self._send_backlog(call)
--- a/peatlead/grpc/load_aggregation.py
+++ b/peatlead/grpc/load_aggregation.py
@@ -51,8 +51,9 @@
     """
 
     def __init__(self) -> None:
-        self.endpoints: dict[tuple[int, int], EndpointTotals] = {}  # by (endpoint, zone)
-        self.requests: dict[int, dict[int, RequestTotals]] = {}  # by proxy, then request class
+        self.endpoint_totals: dict[tuple[int, int], EndpointTotals] = {}  # by (endpoint, zone)
+        # By proxy, then by request class.
+        self.request_totals: dict[int, dict[int, RequestTotals]] = {}
         self.first_report_at: Optional[float] = None  # None if there are no totals
         self.max_delay = 0.0  # seconds
 
@@ -73,9 +74,9 @@
         window: float,
     ) -> None:
         """Adds one proxy's report on an endpoint; the arguments are those of EndpointTotals."""
-        totals = self.endpoints.get((endpoint, zone))
+        totals = self.endpoint_totals.get((endpoint, zone))
         if totals is None:
-            self.endpoints[endpoint, zone] = EndpointTotals(
+            self.endpoint_totals[endpoint, zone] = EndpointTotals(
                 attempts, errors, total_latency, total_utilization, utilization_reports, window
             )
             return
@@ -90,7 +91,7 @@
         self, proxy: int, request_class: int, requests: int, unanswered: int, window: float
     ) -> None:
         """Adds one proxy's report on a request class; `window` is in seconds."""
-        classes = self.requests.setdefault(proxy, {})
+        classes = self.request_totals.setdefault(proxy, {})
         totals = classes.get(request_class)
         if totals is None:
             totals = classes[request_class] = RequestTotals()
@@ -109,16 +110,16 @@
             interface.RequestStats(
                 proxy, request_class, totals.requests, totals.unanswered, totals.window
             )
-            for proxy, classes in self.requests.items()
+            for proxy, classes in self.request_totals.items()
             for request_class, totals in classes.items()
         ]
-        for endpoint, zone in sorted(self.endpoints):
-            events.append(self.endpoints[endpoint, zone].to_stats(endpoint, zone))
-        self.endpoints = {}
-        self.requests = {}
+        for endpoint, zone in sorted(self.endpoint_totals):
+            events.append(self.endpoint_totals[endpoint, zone].to_stats(endpoint, zone))
+        self.endpoint_totals = {}
+        self.request_totals = {}
         self.first_report_at = None
         return events
 
     def forget_proxy(self, proxy: int) -> None:
         """Drops the totals of a disconnected proxy, which the planner no longer knows."""
-        self.requests.pop(proxy, None)
+        self.request_totals.pop(proxy, None)
--- a/peatlead/grpc/session.py
+++ b/peatlead/grpc/session.py
@@ -55,7 +55,7 @@
         # The discovery stream, None unless the proxy is admitted.
         self.discovery: Optional[Union[Discovery, IncrementalDiscovery]] = None
         self.admitted_at = 0.0  # event loop time
-        self.ready = False  # whether the handler has tables for the proxy
+        self.has_tables = False  # whether the handler has planned tables for the proxy
         self.stale_types: set[str] = set()  # types that have changed since they were sent
         # The handler sets the following attributes.
         self.number: Any = None  # the planner's proxy number
@@ -69,7 +69,7 @@
         self.report_count = 0  # received load reports
         call.on_message = self._on_message
         call.on_end = self._on_end
-        call.on_writable = self.push
+        call.on_writable = self.send_stale_types
 
     @property
     def node(self) -> ProxyNode:
@@ -140,7 +140,7 @@
         Returns None until the handler has tables; until then the proxy keeps the tables that it
         holds from an earlier stream.
         """
-        if not self.ready:
+        if not self.has_tables:
             return None
         if type_url == ASSIGNMENT_TYPE_URL:
             return {
@@ -170,7 +170,7 @@
 
     def items(self, part: str) -> Optional[Items]:
         """Returns the current items of a part of the tables, None until the handler has tables."""
-        if not self.ready:
+        if not self.has_tables:
             return None
         request_classes = self.server.class_indices
         if part == "line":
@@ -200,8 +200,8 @@
 
         A slow reader gets only the newest state.
         """
-        if not self.ready:
-            self.ready = True
+        if not self.has_tables:
+            self.has_tables = True
             parts = PARTS
         changed = set(parts)
         self.stale_types.update(
@@ -209,9 +209,9 @@
             for type_url, type_parts in self.PARTS_BY_TYPE_URL.items()
             if type_parts & changed
         )
-        self.push()
+        self.send_stale_types()
 
-    def push(self) -> None:
+    def send_stale_types(self) -> None:
         """Sends the changed resource types while the call has no backlog."""
         for type_url in self.PARTS_BY_TYPE_URL:
             if type_url in self.stale_types and self.call.idle and self.discovery is not None:
--- a/tests/controller/test_dns_controller.py
+++ b/tests/controller/test_dns_controller.py
@@ -169,10 +169,10 @@
             world.write_list()
             controller.dns_server.fresh_until = loop.time() - 5.0
             wire = dns.message.make_query("api.example.org", "A").to_wire()
-            before = controller.dns_server.unanswered
+            before = controller.dns_server.unanswered_count
             resolver.transport.sendto(wire, ("127.1.0.1", world.port))
             await until(
-                lambda: controller.dns_server.unanswered > before
+                lambda: controller.dns_server.unanswered_count > before
                 or controller.dns_server.fresh_until > loop.time()
             )
             await until(lambda: controller.dns_server.fresh_until > loop.time())
--- a/tests/dns/test_zone_transfer.py
+++ b/tests/dns/test_zone_transfer.py
@@ -112,7 +112,7 @@
             secondaries = controller.secondaries
             secondaries.notify(secondaries.secondary_addresses[0], 1, 0.01)
             await until(lambda: secondaries.counts["given up"])
-            self.assertFalse(secondaries.pending)
+            self.assertFalse(secondaries.pending_notifies)
             secondary.transport = secondaries.transport  # for the cleanup, which closes it
             await asyncio.sleep(0)
 
--- a/tests/grpc/test_failover.py
+++ b/tests/grpc/test_failover.py
@@ -163,7 +163,7 @@
             connection.received = original_received
             held_endpoints = dict(proxy.entries)
             session.state.withdrawn.update(range(3))
-            session.ready = True
+            session.has_tables = True
             for subscription in session.discovery.subscriptions.values():
                 subscription.nonce = ""
             session.on_tables_changed()
--- a/tests/transcripts/test_dns_transcripts.py
+++ b/tests/transcripts/test_dns_transcripts.py
@@ -80,7 +80,7 @@
         self.secondaries.datagram_received(data, SECONDARY)
 
     def pending_count(self):
-        return len(self.secondaries.pending)
+        return len(self.secondaries.pending_notifies)
 
 
 # End of the adapter.
