--- a/peatlead/benchmarks/lab_speed.py
+++ b/peatlead/benchmarks/lab_speed.py
@@ -56,11 +56,11 @@
     return {
         "hosts / agents": name,
         "requests per second": size.rate,
-        "simulated seconds": round(played.seconds, 1),
+        "simulated seconds": round(played.end_time, 1),
         "CPU seconds": round(cpu_time, 1),
-        "simulated seconds per CPU second": round(played.seconds / cpu_time, 2),
+        "simulated seconds per CPU second": round(played.end_time / cpu_time, 2),
         "us per request": round(cpu_time / requests * 1e6),
-        "deliveries": played.events,
+        "deliveries": played.event_count,
         "problems": played.problems,
         "peak MB": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // 1024,
     }
--- a/peatlead/benchmarks/members.py
+++ b/peatlead/benchmarks/members.py
@@ -40,7 +40,7 @@
 def measure(size: int, seed: int) -> Measurement:
     """Start members, run them without a change, then kill and restart one of them."""
     net = MembershipNetwork(size, seed)
-    joined = seconds_until(net, lambda: bool(net.agreed(sorted(net.nodes))))
+    joined = seconds_until(net, lambda: bool(net.members_agree(sorted(net.nodes))))
     messages_before = net.messages_sent
     bytes_before = net.bytes_sent
     start = net.now
@@ -51,9 +51,9 @@
     sent_bytes = net.bytes_sent - bytes_before
     seconds = net.now - start
     net.dead.add("n1")
-    death_known = seconds_until(net, lambda: set(net.states_of("n1").values()) == {"dead"})
+    death_known = seconds_until(net, lambda: set(net.member_states("n1").values()) == {"dead"})
     net.start("n1")
-    rejoined = seconds_until(net, lambda: bool(net.agreed(sorted(net.nodes))))
+    rejoined = seconds_until(net, lambda: bool(net.members_agree(sorted(net.nodes))))
     return Measurement(
         joined,
         death_known,
--- a/peatlead/benchmarks/versions.py
+++ b/peatlead/benchmarks/versions.py
@@ -18,10 +18,10 @@
 PLAY = """
 import sys
 from peatlead.lab.day import play_day
-from peatlead.lab.random_scenario import draw
+from peatlead.lab.random_scenario import draw_scenario
 kind, first, last = sys.argv[1], int(sys.argv[2]), int(sys.argv[3])
 for seed in range(first, last):
-    print(play_day(draw(seed, kind, 12.0), seed).digest)
+    print(play_day(draw_scenario(seed, kind, 12.0), seed).digest)
 """
 
 
--- a/peatlead/cli/lab.py
+++ b/peatlead/cli/lab.py
@@ -60,7 +60,8 @@
     for finding in result.problems:
         click.echo(f"found: {finding}")
     click.echo(
-        f"digest {result.digest}, {result.events} events, {result.seconds:.1f} simulated seconds"
+        f"digest {result.digest}, {result.event_count} events, "
+        f"{result.end_time:.1f} simulated seconds"
     )
     sys.exit(1 if result.problems else 0)
 
--- a/peatlead/invariants/checker.py
+++ b/peatlead/invariants/checker.py
@@ -22,10 +22,10 @@
 __all__ = ["Finding", "Report", "check"]
 
 
-def check(read: Recording, limits: Limits, gains: dict[str, float]) -> Report:
+def check(recording: Recording, limits: Limits, gains: dict[str, float]) -> Report:
     """Return the report of a day's recording; `gains` is the gain of one request by class."""
     rows: defaultdict[str, list[Row]] = defaultdict(list)
-    for row in read.rows:
+    for row in recording.rows:
         rows[row.kind].append(row)
     knowledge = ControllerKnowledge(rows)
     drains, late_sends = check_drains(rows, limits, knowledge)
@@ -47,6 +47,6 @@
         dict(Counter(row.resolver for row in rows["answer"])),
         failed_endpoints(rows),
         find_takeovers(rows),
-        len(read.rows),
-        read.torn_bytes,
+        len(recording.rows),
+        recording.torn_bytes,
     )
--- a/peatlead/invariants/record.py
+++ b/peatlead/invariants/record.py
@@ -52,8 +52,8 @@
 }
 
 
-LENGTH = struct.Struct(">I")  # of a row in bytes, before each row
-COMPRESSION = 3  # zstandard level
+ROW_LENGTH = struct.Struct(">I")  # of a row in bytes, before each row
+COMPRESSION_LEVEL = 3  # zstandard level
 
 
 class Row(NamedTuple):
@@ -75,16 +75,16 @@
 
     def __init__(self, path: Union[str, Path]) -> None:
         self.file = open(path, "wb")  # noqa: SIM115 (closed by `close`)
-        self.compressor = zstandard.ZstdCompressor(level=COMPRESSION).stream_writer(self.file)
+        self.compressor = zstandard.ZstdCompressor(level=COMPRESSION_LEVEL).stream_writer(self.file)
         self.encode = msgspec.msgpack.Encoder().encode
         self.rows = 0
 
-    def row(self, kind: str, at: float, *fields: Any) -> None:
+    def write_row(self, kind: str, at: float, *fields: Any) -> None:
         """Write a row. Raises ValueError if the number of fields is not that of the kind."""
         if len(fields) != len(ROWS[kind]):
             raise ValueError(f"a row {kind} has {len(ROWS[kind])} fields, got {len(fields)}")
         data = self.encode((kind, at, *fields))
-        self.compressor.write(LENGTH.pack(len(data)) + data)
+        self.compressor.write(ROW_LENGTH.pack(len(data)) + data)
         self.rows += 1
 
     def flush(self) -> None:
@@ -111,9 +111,9 @@
     data = decompress(path)
     rows = []
     position = 0
-    while len(data) - position >= LENGTH.size:
-        start = position + LENGTH.size
-        (size,) = LENGTH.unpack_from(data, position)
+    while len(data) - position >= ROW_LENGTH.size:
+        start = position + ROW_LENGTH.size
+        (size,) = ROW_LENGTH.unpack_from(data, position)
         if len(data) - start < size:
             break
         kind, at, *fields = msgspec.msgpack.decode(data[start : start + size])
--- a/peatlead/lab/datagrams.py
+++ b/peatlead/lab/datagrams.py
@@ -38,7 +38,7 @@
         delay = links.delay(self.address[0], address[0])
         if delay is None or links.drop_datagram():
             return
-        due = self.simulation.now + links.reordered(delay)
+        due = self.simulation.now + links.with_random_reordering(delay)
         self.simulation.schedule(due, None, self._arrive, bytes(data), address)
 
     def _arrive(self, data: bytes, address: Address) -> None:
--- a/peatlead/lab/day.py
+++ b/peatlead/lab/day.py
@@ -38,7 +38,7 @@
     def __init__(self):
         self.rows = []
 
-    def row(self, kind, at, *fields):
+    def write_row(self, kind, at, *fields):
         """Store a row. Raises ValueError if the number of fields is wrong."""
         if len(fields) != len(ROWS[kind]):
             raise ValueError(
@@ -122,7 +122,7 @@
         """Start a simulated stand-in process; returns its address for commands."""
         address, loop = (
             self.standin_address(kind, number),
-            self.simulation.process(f"{kind}{number}"),
+            self.simulation.add_process(f"{kind}{number}"),
         )
         rng = Random(self.standin_seed(kind, number))
 
@@ -140,7 +140,7 @@
         """Start a simulated controller process and record its feed."""
         name = f"ns{number + 1}"
         loop, settings = (
-            self.simulation.process(name),
+            self.simulation.add_process(name),
             load_settings("settings.star", self.settings_text()),
         )
         settings["tables"]["sync_every"] = 1e9  # seconds: simulated machines never lose power
@@ -182,7 +182,7 @@
         return {
             name: endpoint.available_cores(self.simulation.now)
             for group in self.standin_groups
-            for name, endpoint in getattr(group, "hosts", {}).items()
+            for name, endpoint in getattr(group, "endpoints", {}).items()
             if endpoint.server is not None
         }
 
@@ -244,20 +244,20 @@
     """The result of one simulated day.
 
     `report` is the checker's report, None if the day did not complete; `failures` are the
-    descriptions of unhandled exceptions; `events` counts the events of `digest`; `seconds` is the
-    simulated time at the end; `trace` holds the events themselves if they were kept.
+    descriptions of unhandled exceptions; `event_count` is the number of events in `digest`;
+    `end_time` is in simulated seconds; `trace` holds the events themselves if they were kept.
     """
 
-    __slots__ = ("report", "digest", "events", "failures", "logs", "rows", "seconds", "trace")
+    __slots__ = ("report", "digest", "event_count", "failures", "logs", "rows", "end_time", "trace")
 
     def __init__(self, report, simulation, day):
-        self.report, self.digest, self.events = (
+        self.report, self.digest, self.event_count = (
             report,
             simulation.digest.hexdigest(16),
-            simulation.events,
+            simulation.event_count,
         )
         self.failures = [failure.describe() for failure in simulation.failures]
-        self.logs, self.rows, self.seconds, self.trace = (
+        self.logs, self.rows, self.end_time, self.trace = (
             day.logs,
             day.recorder.rows,
             simulation.now,
@@ -299,7 +299,7 @@
         infrequent_garbage_collection(),
         tempfile.TemporaryDirectory(prefix="peatlead-lab-") as folder,
     ):
-        loop = simulation.process("day")
+        loop = simulation.add_process("day")
         day = SimulatedDay(simulation, scenario, Path(folder), planner, replacements)
         day.place_addresses()
         report = None
--- a/peatlead/lab/hunt.py
+++ b/peatlead/lab/hunt.py
@@ -41,7 +41,7 @@
     seed, kind, length = job
     start = time.perf_counter()
     result = play_day(draw_scenario(seed, kind, length), seed)
-    return seed, result.problems, result.digest, result.events, time.perf_counter() - start
+    return seed, result.problems, result.digest, result.event_count, time.perf_counter() - start
 
 
 def search_seeds(
--- a/peatlead/lab/links.py
+++ b/peatlead/lab/links.py
@@ -44,7 +44,7 @@
         """Return at random whether the next datagram is lost."""
         return self.loss > 0.0 and self.rng.random() < self.loss
 
-    def reordered(self, delay: float) -> float:
+    def with_random_reordering(self, delay: float) -> float:
         """Return a datagram's delay, at random longer so that later datagrams overtake it."""
         if self.reordering and self.rng.random() < self.reordering:
             return delay * (1 + 10 * self.rng.random())
--- a/peatlead/lab/members.py
+++ b/peatlead/lab/members.py
@@ -79,7 +79,7 @@
             if after_tick is not None:
                 after_tick()
 
-    def states_of(self, member):
+    def member_states(self, member):
         """Return the state of a member in the view of each running member, by name."""
         return {
             name: node.members[member].info.state
@@ -87,6 +87,6 @@
             if name not in self.dead and member in node.members
         }
 
-    def agreed(self, live):
+    def members_agree(self, live):
         """Return whether each member of `live` considers exactly these members alive."""
         return all(set(self.nodes[name].live_members()) == set(live) for name in live)
--- a/peatlead/lab/planner_constants.py
+++ b/peatlead/lab/planner_constants.py
@@ -22,7 +22,7 @@
     return [importlib.import_module(f"{planner.__name__}.{name}") for name in names]
 
 
-def modules_with(constant: str) -> list[ModuleType]:
+def modules_with_constant(constant: str) -> list[ModuleType]:
     """Return the planner's modules that define or import a constant.
 
     Raises ValueError if there is none.
@@ -34,10 +34,12 @@
 
 
 @contextmanager
-def replaced(constants: Mapping[str, Any]) -> Iterator[None]:
+def replaced_constants(constants: Mapping[str, Any]) -> Iterator[None]:
     """Replace values of the planner's constants in this process, within the context."""
     saved = [
-        (module, name, getattr(module, name)) for name in constants for module in modules_with(name)
+        (module, name, getattr(module, name))
+        for name in constants
+        for module in modules_with_constant(name)
     ]
     try:
         for module, name, _ in saved:
--- a/peatlead/lab/simulation.py
+++ b/peatlead/lab/simulation.py
@@ -84,14 +84,14 @@
         self.next_port = FIRST_EPHEMERAL_PORT
         self.failures: list[Failure] = []
         self.digest = blake3()
-        self.events = 0  # number of events in the digest
+        self.event_count = 0  # number of events in the digest
         self.trace: list[tuple[Any, ...]] | None = [] if trace else None
         # Keeps objects of killed processes alive, so that their deletion runs no code.
         self.killed_state: list[tuple[Any, ...]] = []
         # CPU seconds of this program at the end of the last callback.
         self.cpu_time = time.process_time()
 
-    def process(self, name: str) -> ProcessLoop:
+    def add_process(self, name: str) -> ProcessLoop:
         """Add a process."""
         process = ProcessLoop(self, name)  # type: ignore[abstract]  # no threads, pipes etc.
         self.processes[name] = process
@@ -99,7 +99,7 @@
 
     def record(self, event: str, *fields: object) -> None:
         """Add an event to the digest, and to the trace if there is one."""
-        self.events += 1
+        self.event_count += 1
         parts = [pack_time(self.now), event.encode()]
         parts += [field if type(field) is bytes else str(field).encode() for field in fields]
         self.digest.update(b"".join(parts))
--- a/peatlead/lab/study.py
+++ b/peatlead/lab/study.py
@@ -21,7 +21,7 @@
 from ..settings.fields import REQUIRED, Field, expectation_error
 from ..settings.starlark_runner import run_script
 from .day import POLICIES, play_day
-from .planner_constants import modules_with, replaced
+from .planner_constants import modules_with_constant, replaced_constants
 
 # Columns of the results. `rule1` to `rule5` are how near a day came to the limit of each rule.
 METRICS = (
@@ -134,7 +134,7 @@
     for name, value in changes.items():
         builtin, _, field = name.partition(".")
         if builtin == "module":
-            modules_with(field)  # raises ValueError if there is no such constant
+            modules_with_constant(field)  # raises ValueError if there is no such constant
             constants[field] = value
         elif (
             builtin in scenario
@@ -147,7 +147,7 @@
     return scenario, constants
 
 
-def metrics_of(result):
+def day_metrics(result):
     """Return the values of `METRICS` for one day by name; all None if the day has no report."""
     report, outcomes = result.report, {}
     if report is None:
@@ -171,7 +171,7 @@
         if takeover_seconds
         else None,
         "takeover_worst": takeover_seconds[-1] if takeover_seconds else None,
-        "events": result.events,
+        "events": result.event_count,
     }
     return {
         **metrics,
@@ -186,9 +186,9 @@
     """
     cell, scenario, changes, policy, seed = job
     scenario, constants = apply_changes(scenario, changes)
-    with replaced(constants):
+    with replaced_constants(constants):
         result = play_day(scenario, seed, policy)
-    return cell, result.digest, result.problems, metrics_of(result)
+    return cell, result.digest, result.problems, day_metrics(result)
 
 
 class Results:
--- a/peatlead/lab/timer_wheel.py
+++ b/peatlead/lab/timer_wheel.py
@@ -36,15 +36,15 @@
 
     def __init__(self) -> None:
         self.heap: list[Entry[Item]] = []
-        self.number = 0  # insertion number of the newest entry
+        self.last_insertion = 0  # insertion number of the newest entry
 
     def __len__(self) -> int:
         return len(self.heap)
 
     def push(self, at: float, item: Item) -> None:
         """Add an item that is due at a time."""
-        self.number += 1
-        heapq.heappush(self.heap, (at, self.number, item))
+        self.last_insertion += 1
+        heapq.heappush(self.heap, (at, self.last_insertion, item))
 
     def pop(self) -> tuple[float, Item] | None:
         """Remove the first item and return (time, item), or None if the queue is empty."""
@@ -58,7 +58,7 @@
         return self.heap[0][0] if self.heap else None
 
 
-def tick_of(at: float) -> int:
+def tick_containing(at: float) -> int:
     """Return the tick that contains a time."""
     return int(at * TICKS_PER_SECOND)
 
@@ -80,7 +80,7 @@
         self.overflow: list[Entry[Item]] = []  # a heap of the entries beyond the highest level
         self.due: list[Entry[Item]] = []  # a heap of the entries of the current and earlier ticks
         self.tick = 0  # the current tick
-        self.number = 0  # insertion number of the newest entry
+        self.last_insertion = 0  # insertion number of the newest entry
         self.size = 0
 
     def __len__(self) -> int:
@@ -88,9 +88,9 @@
 
     def push(self, at: float, item: Item) -> None:
         """Add an item that is due at a time."""
-        self.number += 1
+        self.last_insertion += 1
         self.size += 1
-        self._insert((at, self.number, item))
+        self._insert((at, self.last_insertion, item))
 
     def pop(self) -> tuple[float, Item] | None:
         """Remove the first item and return (time, item), or None if the queue is empty."""
@@ -107,7 +107,7 @@
         return self.due[0][0] if self.due else None
 
     def _insert(self, entry: Entry[Item]) -> None:
-        tick = tick_of(entry[0])
+        tick = tick_containing(entry[0])
         if tick <= self.tick:
             heapq.heappush(self.due, entry)
             return
@@ -153,9 +153,9 @@
             heapq.heappush(self.due, entry)
 
     def _skip_to_overflow(self) -> None:
-        self.tick = max(self.tick, tick_of(self.overflow[0][0]))
+        self.tick = max(self.tick, tick_containing(self.overflow[0][0]))
         max_distance = SLOTS**LEVELS // 2  # ticks
-        while self.overflow and tick_of(self.overflow[0][0]) - self.tick < max_distance:
+        while self.overflow and tick_containing(self.overflow[0][0]) - self.tick < max_distance:
             self._insert(heapq.heappop(self.overflow))
 
     def _cascade(self, level: int) -> None:
--- a/peatlead/scenario/context.py
+++ b/peatlead/scenario/context.py
@@ -22,12 +22,12 @@
         self,
         fleet: Fleet,
         loop: asyncio.AbstractEventLoop,
-        record: RowRecorder,
+        recorder: RowRecorder,
         endpoint_list: EndpointListFile,
         standins: StandInCommands,
     ) -> None:
         self.fleet = fleet
-        self.record = record
+        self.recorder = recorder
         self.endpoint_list = endpoint_list
         self.standins = standins
         self.rng = Random(fleet.scenario["day"]["seed"] + RNG_SEED_OFFSET)
@@ -45,4 +45,6 @@
         """Record the start and end time of a fault and the addresses of affected endpoints."""
         now = self.now()
         addresses = [plan["address"] for plan in plans]
-        self.record.row("trouble", now, fault["verb"], addresses, now + fault.get("length", 0.0))
+        self.recorder.write_row(
+            "trouble", now, fault["verb"], addresses, now + fault.get("length", 0.0)
+        )
--- a/peatlead/scenario/controller_faults.py
+++ b/peatlead/scenario/controller_faults.py
@@ -104,7 +104,9 @@
             except (OSError, TimeoutError):
                 continue
             pin = answer.get("pin", answer.get("error", ""))
-            self.context.record.row("pin", self.context.now(), f"ns{number + 1}", pin, "pinned")
+            self.context.recorder.write_row(
+                "pin", self.context.now(), f"ns{number + 1}", pin, "pinned"
+            )
             return
 
     async def drain(self, fault: Fault) -> None:
@@ -127,7 +129,7 @@
                 continue
             address, _ = self.context.fleet.controller_addresses[number]
             for proxy, (epoch, serial, digest, age) in answer.get("ends", {}).items():
-                self.context.record.row(
+                self.context.recorder.write_row(
                     "published", self.context.now(), address, proxy, epoch, serial, digest, age
                 )
 
@@ -148,7 +150,7 @@
         The feed identifies a controller by name, resolvers and proxies by address.
         """
         for name in (f"ns{number + 1}", self.context.fleet.controller_addresses[number][0]):
-            self.context.record.row("steward", self.context.now(), name, event.value)
+            self.context.recorder.write_row("steward", self.context.now(), name, event.value)
 
     def _control_address(self, number: int) -> tuple[str, int]:
         address, port = self.context.fleet.controller_addresses[number]
--- a/peatlead/scenario/controller_feeds.py
+++ b/peatlead/scenario/controller_feeds.py
@@ -18,8 +18,8 @@
 class ControllerFeeds:
     """Follows the feeds of controllers and records their messages."""
 
-    def __init__(self, record: RowRecorder) -> None:
-        self._record = record
+    def __init__(self, recorder: RowRecorder) -> None:
+        self._recorder = recorder
         self._streams: dict[int, ControlClient] = {}  # by controller number
         self._closed = False
 
@@ -44,7 +44,7 @@
     def _record_message(self, data: bytes) -> None:
         message = msgspec.json.decode(data)
         if "view" in message and not self._closed:
-            self._record.row(
+            self._recorder.write_row(
                 "message",
                 message["at"],
                 message["steward"],
--- a/peatlead/scenario/endpoint_faults.py
+++ b/peatlead/scenario/endpoint_faults.py
@@ -43,9 +43,9 @@
 
     async def list_fault(self, fault: Fault) -> None:
         """Write a wrong endpoint list for the fault's length."""
-        self.context.endpoint_list.begin(fault["verb"], fault, self.context.rng)
+        self.context.endpoint_list.begin_fault(fault["verb"], fault, self.context.rng)
         await asyncio.sleep(fault["length"])
-        self.context.endpoint_list.end()
+        self.context.endpoint_list.end_fault()
 
     async def silent(self, fault: Fault) -> None:
         """Let endpoints neither answer nor reset connections, then restart them cold."""
@@ -171,10 +171,10 @@
         self._affected.difference_update(plan["name"] for plan in plans)
 
     def _list(self, plan: Plan, phase: str, started: float) -> None:
-        self.context.endpoint_list.put(plan, phase, started)
+        self.context.endpoint_list.set_entry(plan, phase, started)
         self.context.endpoint_list.write()
 
     def _list_as_started(self, plans: list[Plan]) -> None:
         for plan in plans:
-            self.context.endpoint_list.put(plan, "ready", self.context.now())
+            self.context.endpoint_list.set_entry(plan, "ready", self.context.now())
         self.context.endpoint_list.write()
--- a/peatlead/scenario/endpoint_list_file.py
+++ b/peatlead/scenario/endpoint_list_file.py
@@ -21,7 +21,7 @@
 class RowRecorder(Protocol):
     """Records rows of the kinds in `peatlead.invariants.record.ROWS`."""
 
-    def row(self, kind: str, at: float, *fields: Any) -> None:
+    def write_row(self, kind: str, at: float, *fields: Any) -> None:
         """Record a row."""
 
     def close(self) -> None:
@@ -49,15 +49,15 @@
     does not require controllers to follow an incorrect list.
     """
 
-    def __init__(self, path: Path, now: Callable[[], float], record: RowRecorder) -> None:
+    def __init__(self, path: Path, now: Callable[[], float], recorder: RowRecorder) -> None:
         self.path = Path(path)
         self.now = now  # returns the time in seconds
-        self.record = record
+        self.recorder = recorder
         self.endpoints: dict[str, Entry] = {}  # by name
         self.version = 0
         self.fault: ListFault | None = None
 
-    def put(self, plan: dict[str, Any], phase: str, started: float) -> None:
+    def set_entry(self, plan: dict[str, Any], phase: str, started: float) -> None:
         """Set the entry of an endpoint, which the next `write` writes to the file."""
         self.endpoints[plan["name"]] = {
             "name": plan["name"],
@@ -81,7 +81,7 @@
             entry["name"]: [entry["address"], entry["phase"], entry.get("started", 0.0)]
             for entry in contents.endpoints
         }
-        self.record.row("list", self.now(), contents.version, listed, self.fault is None)
+        self.recorder.write_row("list", self.now(), contents.version, listed, self.fault is None)
 
     def _write_file(self, contents: Contents) -> None:
         document = {
@@ -98,8 +98,11 @@
         temporary.write_bytes(data)
         os.replace(temporary, self.path)
 
-    def begin(self, verb: str, parameters: dict[str, Any], rng: Random) -> None:
-        """Make the file wrong until `end`; `verb` is a builtin whose name starts with `list_`."""
+    def begin_fault(self, verb: str, parameters: dict[str, Any], rng: Random) -> None:
+        """Make the file wrong until `end_fault`.
+
+        `verb` is the name of a builtin of day scripts, which starts with `list_`.
+        """
         match verb:
             case "list_empty":
                 self.fault = ListFault(lambda contents: Contents([], contents.version))
@@ -113,7 +116,7 @@
                 self.fault = self._with_ghosts(parameters["ghosts"])
         self.write()
 
-    def end(self) -> None:
+    def end_fault(self) -> None:
         """End the fault and write the correct contents."""
         self.fault = None
         self.write()
--- a/peatlead/scenario/runner.py
+++ b/peatlead/scenario/runner.py
@@ -57,7 +57,7 @@
         self.children: list[ChildProcess] = []  # stand-in processes
         self.controllers: dict[int, ChildProcess] = {}  # processes by controller number
         self.loop: asyncio.AbstractEventLoop
-        self.record: RowRecorder
+        self.row_recorder: RowRecorder
         self.context: DayContext
         self.feeds: ControllerFeeds
         self.controller_faults: ControllerFaults
@@ -79,10 +79,12 @@
         self.loop = asyncio.get_running_loop()
         self.folder.mkdir(parents=True, exist_ok=True)
         self._remove_stale_files()
-        self.record = self.open_recorder()
-        self.feeds = ControllerFeeds(self.record)
-        endpoint_list = EndpointListFile(self._list_path(), self.loop.time, self.record)
-        self.context = DayContext(self.fleet, self.loop, self.record, endpoint_list, self.standins)
+        self.row_recorder = self.open_recorder()
+        self.feeds = ControllerFeeds(self.row_recorder)
+        endpoint_list = EndpointListFile(self._list_path(), self.loop.time, self.row_recorder)
+        self.context = DayContext(
+            self.fleet, self.loop, self.row_recorder, endpoint_list, self.standins
+        )
         self.controller_faults = ControllerFaults(
             self.context, self.controllers, self.start_controller
         )
@@ -128,7 +130,7 @@
         self._start_standins()
         for plan in self.fleet.endpoints:
             await self.add_endpoint(plan)
-            self.context.endpoint_list.put(plan, "ready", self.loop.time() - INITIAL_AGE)
+            self.context.endpoint_list.set_entry(plan, "ready", self.loop.time() - INITIAL_AGE)
         self.context.endpoint_list.write()
         for number in range(len(self.fleet.controller_addresses)):
             self.start_controller(number)
@@ -184,7 +186,7 @@
         self.feeds.close()
         self.standins.close()
         processes.stop_all(self.children, self.controllers.values())
-        self.record.close()
+        self.row_recorder.close()
 
     def start_standin(self, kind: str, number: int) -> Address:
         """Start a stand-in process and return its address for commands."""
--- a/peatlead/scenario/standin_commands.py
+++ b/peatlead/scenario/standin_commands.py
@@ -35,7 +35,7 @@
         self.endpoint_processes: list[Address] = []
         self.client_processes: list[Address] = []
         self.proxy_processes: list[Address] = []
-        self._process_of: dict[str, Address] = {}  # by endpoint name
+        self._process_by_endpoint: dict[str, Address] = {}  # by endpoint name
         self._transport: asyncio.BaseTransport | None = None
         self._sender: Any = None
 
@@ -60,19 +60,23 @@
     async def add_endpoint(self, plan: Plan) -> None:
         """Add an endpoint to the process of its pod."""
         process = self.endpoint_processes[plan["pod"] % len(self.endpoint_processes)]
-        self._process_of[plan["name"]] = process
+        self._process_by_endpoint[plan["name"]] = process
         await self.send(process, {"do": "host", "plan": plan})
 
     async def restart_endpoint(self, plan: Plan) -> None:
         """Start a stopped endpoint again, cold."""
-        await self.send(self._process_of[plan["name"]], {"do": "begin", "host": plan["name"]})
+        await self.send(
+            self._process_by_endpoint[plan["name"]], {"do": "begin", "host": plan["name"]}
+        )
 
     async def command_endpoints(
         self, plans: Iterable[Plan], command: EndpointCommand, value: Any = True
     ) -> None:
         """Send one command for several endpoints, in one datagram per process."""
         for process in self.endpoint_processes:
-            names = [plan["name"] for plan in plans if self._process_of[plan["name"]] == process]
+            names = [
+                plan["name"] for plan in plans if self._process_by_endpoint[plan["name"]] == process
+            ]
             if names:
                 await self.send(
                     process, {"do": "tell", "hosts": names, "fault": command, "value": value}
@@ -82,14 +86,14 @@
         """Add the resolvers, and their networks of DNS clients to the same processes."""
         names = sorted(resolver["name"] for resolver in resolvers)
 
-        def process_of(resolver: str) -> Address:
+        def resolver_process(resolver: str) -> Address:
             return self.client_processes[names.index(resolver) % len(self.client_processes)]
 
         for resolver in resolvers:
-            await self.send(process_of(resolver["name"]), resolver)
+            await self.send(resolver_process(resolver["name"]), resolver)
         for number, plan in enumerate(networks):
             await self.send(
-                process_of(plan["resolver"]), {"do": "desk", "plan": plan, "desk": number}
+                resolver_process(plan["resolver"]), {"do": "desk", "plan": plan, "desk": number}
             )
 
     async def add_proxies(self, plans: list[Plan]) -> None:
--- a/peatlead/standin/dns_clients.py
+++ b/peatlead/standin/dns_clients.py
@@ -96,15 +96,15 @@
 class Client:
     """One client, with its habit and its idle connections by address."""
 
-    __slots__ = ("habit", "local_address", "idle", "last_address")
+    __slots__ = ("habit", "local_address", "idle_connections", "last_address")
 
     def __init__(self, habit: str, local_address: str) -> None:
         self.habit = habit
         self.local_address = local_address
-        self.idle: dict[str, ClientConnection] = {}
+        self.idle_connections: dict[str, ClientConnection] = {}
         self.last_address: Optional[str] = None  # of the endpoint that last responded
 
-    def choose(self, addresses: list[str], rng: Random) -> list[str]:
+    def order_addresses(self, addresses: list[str], rng: Random) -> list[str]:
         """Return the addresses in the order in which the client tries them."""
         if self.habit == Habit.ANY:
             return rng.sample(addresses, len(addresses))
@@ -116,21 +116,21 @@
             ]
         return addresses
 
-    def take_idle(self, address: str) -> Optional[ClientConnection]:
+    def take_idle_connection(self, address: str) -> Optional[ClientConnection]:
         """Remove and return the idle connection to an address, None without a usable one."""
-        connection = self.idle.pop(address, None)
+        connection = self.idle_connections.pop(address, None)
         return connection if connection is not None and connection.usable else None
 
-    def keep_idle(self, address: str, connection: ClientConnection) -> None:
+    def keep_idle_connection(self, address: str, connection: ClientConnection) -> None:
         """Keep a usable connection for later requests; close the oldest ones above the limit."""
         if not connection.usable:
             return
-        while len(self.idle) >= MAX_IDLE_CONNECTIONS:
-            self.idle.pop(next(iter(self.idle))).close()
-        previous = self.idle.pop(address, None)
+        while len(self.idle_connections) >= MAX_IDLE_CONNECTIONS:
+            self.idle_connections.pop(next(iter(self.idle_connections))).close()
+        previous = self.idle_connections.pop(address, None)
         if previous is not None and previous is not connection:
             previous.close()
-        self.idle[address] = connection
+        self.idle_connections[address] = connection
 
 
 @dataclass(slots=True)
@@ -242,7 +242,7 @@
             gain = request_class.gain * (self.plan.late_gain if late else 1.0)
         if outcome == Outcome.DONE and late:
             outcome = Outcome.LATE.value
-        self.recorder.row(
+        self.recorder.write_row(
             "req",
             now,
             request.id,
@@ -262,7 +262,7 @@
         """Choose an address, connect and send the request once."""
         client = request.client
         required_address = previous_address if request.request_class.repeat == "uniqued" else None
-        address, connection = await self._choose(request, number, required_address)
+        address, connection = await self._choose_address(request, number, required_address)
         if address is None:
             return AttemptResult(Outcome.UNRESOLVED.value, previous_address, True)
         sent = False
@@ -273,7 +273,7 @@
             self._record_attempt(request, address, number, Outcome.SENT.value, True)
             outcome = await self._send(request, connection, number)
             client.last_address = address
-            client.keep_idle(address, connection)
+            client.keep_idle_connection(address, connection)
         except RequestFailedError as error:
             outcome = error.outcome
         self._record_attempt(request, address, number, outcome, sent)
@@ -299,22 +299,26 @@
         )
         return OUTCOME_BY_STATUS.get(response.status, Outcome.ERRORED.value)
 
-    async def _choose(
+    async def _choose_address(
         self, request: Request, number: int, required_address: Optional[str]
     ) -> tuple[Optional[str], Optional[ClientConnection]]:
         """Return the address to try, None if none is known, and an idle connection to it."""
         client = request.client
         if required_address is not None:
-            return required_address, client.take_idle(required_address)
-        if client.habit == Habit.HOLDS and number == 0 and client.last_address in client.idle:
-            connection = client.take_idle(client.last_address)
+            return required_address, client.take_idle_connection(required_address)
+        if (
+            client.habit == Habit.HOLDS
+            and number == 0
+            and client.last_address in client.idle_connections
+        ):
+            connection = client.take_idle_connection(client.last_address)
             if connection is not None:
                 return client.last_address, connection
         addresses = await self._look_up(request.deadline)
         if not addresses:
             return None, None
-        address = client.choose(addresses, self.rng)[number % len(addresses)]
-        return address, client.take_idle(address)
+        address = client.order_addresses(addresses, self.rng)[number % len(addresses)]
+        return address, client.take_idle_connection(address)
 
     async def _look_up(self, deadline: float) -> Optional[list[str]]:
         network = self.plan.network + "/24" if self.plan.tells_subnet else ""
@@ -328,7 +332,7 @@
     def _record_attempt(
         self, request: Request, address: str, number: int, outcome: str, sent: bool
     ) -> None:
-        self.recorder.row(
+        self.recorder.write_row(
             "try",
             self.loop.time(),
             request.id,
@@ -384,7 +388,7 @@
             command["rotates"],
         )
         self.resolvers[command["name"]] = resolver
-        await resolver.begin()
+        await resolver.open()
 
     def _add_site(self, command: dict[str, Any]) -> None:
         plan = msgspec.convert(command["plan"], ClientSitePlan)
--- a/peatlead/standin/endpoint_work.py
+++ b/peatlead/standin/endpoint_work.py
@@ -38,7 +38,7 @@
     cold: bool = False  # whether the first process starts cold
 
 
-class Pods:
+class PodRequestIds:
     """The ids of recent uniqued requests, which the endpoints of a pod share."""
 
     MAX_REQUESTS = 100_000  # per pod
@@ -69,7 +69,7 @@
         "network",
         "arrived",
         "abandoned",
-        "is_check",
+        "is_health_check",
         "repeat",
     )
 
@@ -80,7 +80,7 @@
         work: float,
         connection: "Connection",
         arrived: float,
-        is_check: bool = False,
+        is_health_check: bool = False,
         repeat: bool = False,
     ) -> None:
         self.request_id = request_id
@@ -90,7 +90,7 @@
         self.network = connection.network
         self.arrived = arrived
         self.abandoned = False  # the client closed the connection
-        self.is_check = is_check
+        self.is_health_check = is_health_check
         self.repeat = repeat  # a repeat costs the same work but has no effect
 
 
--- a/peatlead/standin/hosts.py
+++ b/peatlead/standin/hosts.py
@@ -16,13 +16,20 @@
 from ..invariants.record import Recorder
 from ..net.http import ServerConnection
 from ..net.orca import LOAD_REPORT_HEADER, format_load_report
-from .endpoint_work import CountReport, EndpointPlan, HeavyRequests, Job, Pods, RequestCounts
+from .endpoint_work import (
+    CountReport,
+    EndpointPlan,
+    HeavyRequests,
+    Job,
+    PodRequestIds,
+    RequestCounts,
+)
 
-__all__ = ["Connection", "EndpointGroup", "EndpointPlan", "Pods", "StandInEndpoint"]
+__all__ = ["Connection", "EndpointGroup", "EndpointPlan", "PodRequestIds", "StandInEndpoint"]
 
 IDLE_TIMEOUT = 30.0  # seconds without a byte until a connection is closed
 ADMISSION_LIFETIME = 5.0  # seconds after which the admission of a silent controller is ignored
-CHECK_WORK = 0.004  # seconds of one core for a health check
+HEALTH_CHECK_WORK = 0.004  # seconds of one core for a health check
 WORK_SPREAD = (0.6, 1.4)  # a request's work, as a factor of its class's mean
 MIN_CORES = 0.3  # available however much of the machine others use
 MEASURE_INTERVAL = 1.0  # minimum seconds between measurements of utilization
@@ -33,13 +40,15 @@
 
 
 class StandInEndpoint:
-    """One endpoint. `begin()` opens its socket, and `inject_fault()` causes faults."""
+    """One endpoint. `open()` opens its socket, and `inject_fault()` causes faults."""
 
-    def __init__(self, plan: EndpointPlan, rng: Random, recorder: Recorder, pods: Pods) -> None:
+    def __init__(
+        self, plan: EndpointPlan, rng: Random, recorder: Recorder, pod_request_ids: PodRequestIds
+    ) -> None:
         self.plan = plan
         self.rng = rng
         self.recorder = recorder
-        self.pods = pods
+        self.pod_request_ids = pod_request_ids
         self.loop = asyncio.get_running_loop()
         self.server: Optional[asyncio.Server] = None
         # A dict keeps the order of arrival; the order of a set would change between runs.
@@ -117,12 +126,12 @@
         while self.recent_work and now - self.recent_work[0][0] > window:
             self.recent_work_sum -= self.recent_work.popleft()[1]
         load_fraction = self.recent_work_sum / (self.plan.tip_multiple * cores * window)
-        self.recorder.row("cold", now, self.plan.name, load_fraction, since)
+        self.recorder.write_row("cold", now, self.plan.name, load_fraction, since)
         if load_fraction > 1 and not self.overloaded:
             self.overloaded = True
-            self.recorder.row("tipped", now, self.plan.name, since)
+            self.recorder.write_row("tipped", now, self.plan.name, since)
 
-    def _measure(self, now: float) -> float:
+    def _measure_utilization(self, now: float) -> float:
         """Return the fraction of the cores in use, updated once per MEASURE_INTERVAL."""
         if now - self.measured_at >= MEASURE_INTERVAL:
             utilization = min(1.0, self.busy_seconds / (now - self.measured_at) / self.plan.cores)
@@ -139,7 +148,7 @@
         if self.silent or self.overloaded:
             self.held_connections.append(connection)
         elif path.startswith("/load"):
-            self._receive_check(connection, headers, now)
+            self._receive_health_check(connection, headers, now)
         else:
             self._receive_request(connection, path.strip("/"), headers.get("req-id", ""), now)
 
@@ -152,7 +161,7 @@
             return
         work = self._draw_work(request_class, mean_work)
         self._count_offered_work(now, work)
-        if self._refuse(connection, request_class, now):
+        if self._shed_or_fail(connection, request_class, now):
             return
         job = Job(request_id, request_class, work, connection, now)
         if self.hung:  # only the maximum number of connections limits the held requests
@@ -166,7 +175,7 @@
         job.repeat = self._is_repeat(job, now)
         connection.job = job
         self.queue.append(job)
-        self.advance()
+        self.start_jobs()
 
     def _draw_work(self, request_class: str, mean_work: float) -> float:
         work = mean_work * self.rng.uniform(*WORK_SPREAD)
@@ -175,7 +184,7 @@
             work *= heavy.factor
         return work
 
-    def _refuse(self, connection: "Connection", request_class: str, now: float) -> bool:
+    def _shed_or_fail(self, connection: "Connection", request_class: str, now: float) -> bool:
         """Count a request, and shed it or answer it with an error if it is to fail."""
         counts = self.counts_for(connection.network, request_class)
         counts.arrived += 1
@@ -190,21 +199,23 @@
         return False
 
     def _is_repeat(self, job: Job, now: float) -> bool:
-        return self.plan.repeat[job.request_class] == "uniqued" and self.pods.is_repeat(
+        return self.plan.repeat[job.request_class] == "uniqued" and self.pod_request_ids.is_repeat(
             self.plan.pod, job.request_id, now, self.plan.window
         )
 
-    def _receive_check(self, connection: "Connection", headers: dict[str, str], now: float) -> None:
+    def _receive_health_check(
+        self, connection: "Connection", headers: dict[str, str], now: float
+    ) -> None:
         self._set_admissions(connection.peer_address[0], headers.get("peatlead-levels", ""), now)
         if not self.plan.deep:
-            self._answer_check(connection)
+            self._answer_health_check(connection)
         elif self.hung:
             self.held_connections.append(connection)
         elif len(self.queue) >= self.plan.room:
             connection.respond(503, [], b"full")
         else:
-            self.queue.append(Job("", "", CHECK_WORK, connection, now, is_check=True))
-            self.advance()
+            self.queue.append(Job("", "", HEALTH_CHECK_WORK, connection, now, is_health_check=True))
+            self.start_jobs()
 
     def _set_admissions(self, controller: str, header: str, now: float) -> None:
         """Store a controller's admitted fractions from a header "class=fraction,..."."""
@@ -235,7 +246,7 @@
 
     # Work.
 
-    def advance(self) -> None:
+    def start_jobs(self) -> None:
         """Start jobs from the queue while there are free cores."""
         now = self.loop.time()
         if self.hung or self.silent or self.overloaded or now < self.paused_until:
@@ -259,17 +270,17 @@
         self.busy_seconds += duration
         if self.silent or self.hung or self.overloaded:
             return
-        if job.is_check:
-            self._answer_check(job.connection)
+        if job.is_health_check:
+            self._answer_health_check(job.connection)
         else:
             self._complete(job, now)
-        self.advance()
+        self.start_jobs()
 
     def _complete(self, job: Job, now: float) -> None:
         """Record the effect of a request and respond to it."""
         repeat_semantics = self.plan.repeat[job.request_class]
         if not job.repeat:
-            self.recorder.row(
+            self.recorder.write_row(
                 "effect", now, self.plan.name, job.request_id, job.request_class, repeat_semantics
             )
         counts = self.counts_for(job.network, job.request_class)
@@ -280,7 +291,7 @@
         counts.seconds += now - job.arrived
         self.recent_done.append(now)
         if self.rng.random() >= self.lost:
-            utilization = f"{self._measure(now):.3f}"
+            utilization = f"{self._measure_utilization(now):.3f}"
             headers = [("host-name", self.plan.name), ("load-util", utilization)]
             job.connection.respond(200, headers, b"done", self.draining)
 
@@ -290,10 +301,14 @@
             job.abandoned = True
             self.counts_for(job.network, job.request_class).abandoned += 1
 
-    def _answer_check(self, connection: "Connection") -> None:
+    def _answer_health_check(self, connection: "Connection") -> None:
         now = self.loop.time()
         rate = sum(now - done_at < RATE_WINDOW for done_at in self.recent_done) / RATE_WINDOW
-        report = {"util": self._measure(now), "done_rate": rate, "waiting": len(self.queue)}
+        report = {
+            "util": self._measure_utilization(now),
+            "done_rate": rate,
+            "waiting": len(self.queue),
+        }
         classes = list(self.plan.work)
         networks = {
             network: [by_class.get(name, NO_COUNTS) for name in classes]
@@ -304,7 +319,7 @@
 
     # Life and faults.
 
-    async def begin(self) -> None:
+    async def open(self) -> None:
         """Open the socket if it is not open yet."""
         if self.server is not None:
             return
@@ -323,7 +338,7 @@
             self.reset(cold=True)
         elif fault == "pause":
             self.paused_until = now + value
-            self.loop.call_at(self.paused_until, self.advance)
+            self.loop.call_at(self.paused_until, self.start_jobs)
         elif fault == "heavy":
             self.heavy = HeavyRequests(*value) if value else None
             if not value:
@@ -332,7 +347,7 @@
             setattr(self, fault, value)
             if not value:
                 self._release()
-        self.advance()
+        self.start_jobs()
 
     def _drain(self) -> None:
         self.draining = True
@@ -345,7 +360,7 @@
         for connection in self.held_connections:
             connection.abort("request was held by a fault")
         self.held_connections = []
-        self.loop.call_soon(self.advance)
+        self.loop.call_soon(self.start_jobs)
 
     def stop(self) -> None:
         """End the process: its connections are aborted and its jobs are lost."""
@@ -361,29 +376,29 @@
 class Connection(ServerConnection):
     """A client's connection to an endpoint."""
 
-    def __init__(self, host: StandInEndpoint) -> None:
+    def __init__(self, endpoint: StandInEndpoint) -> None:
         super().__init__(IDLE_TIMEOUT)
-        self.host = host
+        self.endpoint = endpoint
         self.job: Optional[Job] = None  # the pending request
         self.network = ""  # the client's /24 network
 
     def opened(self) -> None:
         """Register the connection, or abort it if the endpoint has too many."""
         self.network = self.peer_address[0].rpartition(".")[0] + ".0"
-        if len(self.host.connections) >= self.host.plan.connections:
+        if len(self.endpoint.connections) >= self.endpoint.plan.connections:
             self.abort("too many connections")
             return
-        self.host.connections[self] = True
+        self.endpoint.connections[self] = True
 
     def ended(self, reason: str) -> None:
         """Abandon the pending request."""
-        self.host.connections.pop(self, None)
+        self.endpoint.connections.pop(self, None)
         if self.job is not None:
-            self.host.abandon(self.job)
+            self.endpoint.abandon(self.job)
 
     def serve(self, method: str, path: str, headers: dict[str, str], body: bytes) -> None:
         """Pass a request to the endpoint."""
-        self.host.receive(self, path, headers)
+        self.endpoint.receive(self, path, headers)
 
 
 class EndpointGroup:
@@ -392,22 +407,22 @@
     def __init__(self, rng: Random, recorder: Recorder) -> None:
         self.rng = rng
         self.recorder = recorder
-        self.pods = Pods()
-        self.hosts: dict[str, StandInEndpoint] = {}
+        self.pod_request_ids = PodRequestIds()
+        self.endpoints: dict[str, StandInEndpoint] = {}
 
     async def execute(self, command: dict[str, Any], /) -> None:
         """Execute a command."""
         match command["do"]:
             case "host":
                 plan = msgspec.convert(command["plan"], EndpointPlan)
-                host = StandInEndpoint(plan, self.rng, self.recorder, self.pods)
-                self.hosts[plan.name] = host
-                await host.begin()
+                endpoint = StandInEndpoint(plan, self.rng, self.recorder, self.pod_request_ids)
+                self.endpoints[plan.name] = endpoint
+                await endpoint.open()
             case "tell":
                 for name in command["hosts"]:
-                    if name in self.hosts:
-                        self.hosts[name].inject_fault(command["fault"], command["value"])
+                    if name in self.endpoints:
+                        self.endpoints[name].inject_fault(command["fault"], command["value"])
             case "begin":
-                host = self.hosts[command["host"]]
-                await host.begin()
-                host.inject_fault("start", True)
+                endpoint = self.endpoints[command["host"]]
+                await endpoint.open()
+                endpoint.inject_fault("start", True)
--- a/peatlead/standin/platform_fleet.py
+++ b/peatlead/standin/platform_fleet.py
@@ -90,7 +90,7 @@
             return
         self.parts.append(part)
         if not part.get("continued"):
-            self.fleet.channels[self.controller].put(self.loop.time(), self, self.parts)
+            self.fleet.channels[self.controller].enqueue(self.loop.time(), self, self.parts)
             self.parts = []
 
     def ended(self, reason: str) -> None:
@@ -166,7 +166,7 @@
 
     # Controllers.
 
-    def address(self, name: str) -> str:
+    def controller_address(self, name: str) -> str:
         """Return a controller's address."""
         return f"127.4.0.{self.controller_names.index(name) + 1}"
 
@@ -206,7 +206,7 @@
         }
         return {
             "name": name,
-            "listen": f"{self.address(name)}:{self.plan.port}",
+            "listen": f"{self.controller_address(name)}:{self.plan.port}",
             "discovery": f"{DISCOVERY_ADDRESS}:{self.plan.port}",
             "seed": f"{self.plan.seed + rank:x}",
             "limits": {"sockets": MAX_SOCKETS},
@@ -220,7 +220,9 @@
         deadline = loop.time() + READY_TIMEOUT
         while True:
             try:
-                reader, writer = await asyncio.open_connection(self.address(name), self.plan.port)
+                reader, writer = await asyncio.open_connection(
+                    self.controller_address(name), self.plan.port
+                )
                 writer.write(b'{"msg":"probe"}\n')
                 answer = await asyncio.wait_for(reader.readline(), READY_TIMEOUT)
                 writer.close()
@@ -262,7 +264,7 @@
             try:
                 _, stream = await asyncio.get_running_loop().create_connection(
                     partial(ProxyStream, self, proxy, name),
-                    self.address(name),
+                    self.controller_address(name),
                     self.plan.port,
                 )
             except OSError:
@@ -305,7 +307,7 @@
         loop = asyncio.get_running_loop()
         while not self.stopped:
             for channel in self.channels.values():
-                for message in channel.take(loop.time()):
+                for message in channel.take_due(loop.time()):
                     self._deliver(loop, message)
             self._check_drains(loop.time())
             await asyncio.sleep(CHECK_INTERVAL)
@@ -325,7 +327,7 @@
     def _check_drains(self, now: float) -> None:
         drained_at = self.endpoint_list.drained_at
         for proxy in self.streams:
-            for endpoint in proxy.reachable() & drained_at.keys():
+            for endpoint in proxy.reachable_endpoints() & drained_at.keys():
                 seconds = now - max(drained_at[endpoint], proxy.joined_at or now)
                 key = (proxy.number, endpoint)
                 self.reachable_seconds[key] = max(seconds, self.reachable_seconds.get(key, 0.0))
@@ -346,7 +348,7 @@
     def count_proxies_with_drained(self) -> int:
         """Count the proxies that can reach an endpoint that drains or has left."""
         drained = self.endpoint_list.drained_at.keys()
-        return sum(bool(proxy.reachable() & drained) for proxy in self.streams)
+        return sum(bool(proxy.reachable_endpoints() & drained) for proxy in self.streams)
 
     def stop(self) -> None:
         """Stop the fleet: abort its connections and kill its processes."""
--- a/peatlead/standin/platform_proxies.py
+++ b/peatlead/standin/platform_proxies.py
@@ -43,7 +43,7 @@
             else:
                 table.pop(endpoint, None)
 
-    def reachable(self) -> set[str]:
+    def reachable_endpoints(self) -> set[str]:
         """Return the names of the endpoints to which the proxy can send requests."""
         in_tables: set[str] = set().union(*self.tables.values())
         return in_tables - self.ejected
@@ -85,14 +85,14 @@
         self.waiting = 0.0  # entries in the queue
         self.max_waiting = 0.0  # maximum of `waiting` so far
 
-    def put(self, now: float, stream: StreamT, parts: Sequence[MessagePart]) -> None:
+    def enqueue(self, now: float, stream: StreamT, parts: Sequence[MessagePart]) -> None:
         """Add a message whose last byte has arrived now."""
         message = QueuedMessage(stream, parts, self.message_cost + count_entries(parts), now)
         self.queue.append(message)
         self.waiting += message.size
         self.max_waiting = max(self.max_waiting, self.waiting)
 
-    def take(self, now: float) -> list[QueuedMessage[StreamT]]:
+    def take_due(self, now: float) -> list[QueuedMessage[StreamT]]:
         """Remove and return the messages that have left by now."""
         departed = []
         while self.queue:
--- a/peatlead/standin/proxy_requests.py
+++ b/peatlead/standin/proxy_requests.py
@@ -65,14 +65,14 @@
         self.recorder = recorder
         self.loop = asyncio.get_running_loop()
         self.stats = LoadStats(plan, self.loop.time())
-        self.idle: dict[str, list[ClientConnection]] = {}  # connections by address
+        self.idle_connections: dict[str, list[ClientConnection]] = {}  # connections by address
         self.in_flight: defaultdict[str, int] = defaultdict(int)  # requests by address
-        self.failures: defaultdict[str, int] = defaultdict(int)  # consecutive, by address
+        self.failure_counts: defaultdict[str, int] = defaultdict(int)  # consecutive, by address
         self.ejected_until: dict[str, float] = {}
 
     async def run(self, request_id: str, request_class: RequestClass, due: float) -> None:
         """Admit or shed a request, run it with its retries, and record it."""
-        tried: list[str] = []
+        tried_addresses: list[str] = []
         if self.rng.random() >= self.tables.admissions.get(request_class.name, 1.0):
             self.stats.dropped[request_class.name] += 1
             outcome: str = Outcome.SHED.value
@@ -80,8 +80,8 @@
             request = ProxyRequest(request_id, request_class, due, deadline, "never", 0)
         else:
             request = self._build_request(request_id, request_class, due)
-            outcome = await self._try(request, tried)
-        self._record_request(request, outcome, len(tried))
+            outcome = await self._run_attempts(request, tried_addresses)
+        self._record_request(request, outcome, len(tried_addresses))
 
     def _build_request(
         self, request_id: str, request_class: RequestClass, due: float
@@ -90,15 +90,18 @@
         deadline = due + request_class.client_timeout
         return ProxyRequest(request_id, request_class, due, deadline, retry, MAX_ATTEMPTS[retry])
 
-    async def _try(self, request: ProxyRequest, tried: list[str]) -> str:
-        """Try endpoints until the request ends, add each to `tried`, and return the outcome."""
+    async def _run_attempts(self, request: ProxyRequest, tried_addresses: list[str]) -> str:
+        """Try endpoints until the request ends, and return the outcome.
+
+        The address of each is added to `tried_addresses`.
+        """
         outcome: str = Outcome.UNRESOLVED.value
-        while len(tried) < request.max_attempts and self.loop.time() < request.deadline:
-            entry = self._choose(request.request_class.name, tried)
+        while len(tried_addresses) < request.max_attempts and self.loop.time() < request.deadline:
+            entry = self._choose_entry(request.request_class.name, tried_addresses)
             if entry is None:
                 break
-            tried.append(entry.address)
-            outcome, may_have_run = await self._attempt(request, entry, len(tried))
+            tried_addresses.append(entry.address)
+            outcome, may_have_run = await self._attempt(request, entry, len(tried_addresses))
             if outcome == Outcome.DONE or (request.retry == "unstarted" and may_have_run):
                 break
         return outcome
@@ -112,7 +115,7 @@
             gain = request_class.gain * (self.plan.late_gain if late else 1.0)
         if outcome == Outcome.DONE and late:
             outcome = Outcome.LATE.value
-        self.recorder.row(
+        self.recorder.write_row(
             "req",
             now,
             request.id,
@@ -126,10 +129,12 @@
             gain,
         )
 
-    def _choose(self, request_class: str, tried: list[str]) -> Optional[WeightedEndpoint]:
+    def _choose_entry(
+        self, request_class: str, tried_addresses: list[str]
+    ) -> Optional[WeightedEndpoint]:
         """Choose an untried endpoint at random by weight; an ejected one only without others."""
         entries = self.tables.entries.get(request_class, ())
-        untried = [entry for entry in entries if entry.address not in tried]
+        untried = [entry for entry in entries if entry.address not in tried_addresses]
         now = self.loop.time()
         not_ejected = [
             entry for entry in untried if self.ejected_until.get(entry.address, 0.0) <= now
@@ -148,11 +153,13 @@
         """Send a request to an endpoint once, and count the outcome."""
         start = self.loop.time()
         address = entry.address
-        tally = self.stats.endpoints[request.request_class.name, address]
+        tally = self.stats.tallies[request.request_class.name, address]
         self.in_flight[address] += 1
         may_have_run = False
         try:
-            connection = self._take_idle(address) or await self._connect(request, entry, start)
+            connection = self._take_idle_connection(address) or await self._connect(
+                request, entry, start
+            )
             may_have_run = True
             self._record_sent(request, address, number)
             response = await self._send(request, connection, number, start)
@@ -160,12 +167,12 @@
             may_have_run = outcome not in (Outcome.DENIED, Outcome.SHED)
             _add_utilization(tally, response)
             if connection.usable:
-                self.idle.setdefault(address, []).append(connection)
+                self.idle_connections.setdefault(address, []).append(connection)
         except RequestFailedError as error:
             outcome = error.outcome
         finally:
             self.in_flight[address] -= 1
-        self._count(tally, address, outcome, self.loop.time() - start)
+        self._count_attempt(tally, address, outcome, self.loop.time() - start)
         return AttemptResult(outcome, may_have_run)
 
     async def _connect(
@@ -187,7 +194,7 @@
         )
 
     def _record_sent(self, request: ProxyRequest, address: str, number: int) -> None:
-        self.recorder.row(
+        self.recorder.write_row(
             "try",
             self.loop.time(),
             request.id,
@@ -201,22 +208,24 @@
             True,
         )
 
-    def _count(self, tally: EndpointTally, address: str, outcome: str, duration: float) -> None:
+    def _count_attempt(
+        self, tally: EndpointTally, address: str, outcome: str, duration: float
+    ) -> None:
         """Count an attempt, and eject the endpoint after enough failures in a row."""
         if outcome == Outcome.DONE:
             tally.done += 1
-            tally.seconds += duration
-            self.failures[address] = 0
+            tally.latency_sum += duration
+            self.failure_counts[address] = 0
             return
         tally.errors += 1
-        self.failures[address] += 1
-        if self.plan.fails_to_shun and self.failures[address] >= self.plan.fails_to_shun:
+        self.failure_counts[address] += 1
+        if self.plan.fails_to_shun and self.failure_counts[address] >= self.plan.fails_to_shun:
             ejection = self.plan.shun_for * self.rng.uniform(*EJECTION_SPREAD)
             self.ejected_until[address] = self.loop.time() + ejection
-            self.failures[address] = 0
+            self.failure_counts[address] = 0
 
-    def _take_idle(self, address: str) -> Optional[ClientConnection]:
-        connections = self.idle.get(address, [])
+    def _take_idle_connection(self, address: str) -> Optional[ClientConnection]:
+        connections = self.idle_connections.get(address, [])
         while connections:
             connection = connections.pop()
             if connection.usable:
@@ -226,8 +235,8 @@
     def close_unassigned(self) -> None:
         """Close idle connections to endpoints that are no longer in the tables."""
         assigned = self.tables.addresses()
-        for address in [address for address in self.idle if address not in assigned]:
-            for connection in self.idle.pop(address):
+        for address in [address for address in self.idle_connections if address not in assigned]:
+            for connection in self.idle_connections.pop(address):
                 connection.close()
 
 
@@ -235,5 +244,5 @@
     """Add the utilization from a response's `load-util` header, if it has one."""
     utilization = response.headers.get("load-util")
     if utilization:
-        tally.util += float(utilization)
-        tally.reports += 1
+        tally.utilization_sum += float(utilization)
+        tally.utilization_reports += 1
--- a/peatlead/standin/proxy_stats.py
+++ b/peatlead/standin/proxy_stats.py
@@ -13,14 +13,14 @@
 class EndpointTally:
     """Counts of requests of one class to one endpoint since the last report."""
 
-    __slots__ = ("done", "errors", "seconds", "util", "reports")
+    __slots__ = ("done", "errors", "latency_sum", "utilization_sum", "utilization_reports")
 
     def __init__(self) -> None:
         self.done = 0
         self.errors = 0
-        self.seconds = 0.0  # sum of the latencies of done requests
-        self.util = 0.0  # sum of the utilizations that the endpoint reported
-        self.reports = 0  # number of utilizations in the sum
+        self.latency_sum = 0.0  # sum of the latencies of done requests
+        self.utilization_sum = 0.0  # sum of the utilizations that the endpoint reported
+        self.utilization_reports = 0  # number of utilizations in the sum
 
 
 class LoadStats:
@@ -29,7 +29,7 @@
     def __init__(self, plan: ProxyPlan, now: float) -> None:
         self.plan = plan
         self.reported_at = now
-        self.endpoints: defaultdict[tuple[str, str], EndpointTally] = defaultdict(EndpointTally)
+        self.tallies: defaultdict[tuple[str, str], EndpointTally] = defaultdict(EndpointTally)
         self.dropped: defaultdict[str, int] = defaultdict(int)  # shed requests by class
 
     def take_report(self, now: float) -> Any:
@@ -41,10 +41,10 @@
             cluster.load_report_interval.FromNanoseconds(interval)
             cluster.total_dropped_requests = self.dropped.pop(request_class.name, 0)
             locality = cluster.upstream_locality_stats.add()
-            for (name, address), tally in self.endpoints.items():
+            for (name, address), tally in self.tallies.items():
                 if name == request_class.name:
                     self._add_endpoint(locality, address, tally)
-        self.endpoints.clear()
+        self.tallies.clear()
         self.reported_at = now
         return request
 
@@ -55,8 +55,8 @@
         stats.total_successful_requests = tally.done
         stats.total_error_requests = tally.errors
         for metric, count, total in (
-            ("seconds", tally.done, tally.seconds),
-            ("util", tally.reports, tally.util),
+            ("seconds", tally.done, tally.latency_sum),
+            ("util", tally.utilization_reports, tally.utilization_sum),
         ):
             if count:
                 stats.load_metric_stats.add(
--- a/peatlead/standin/resolvers.py
+++ b/peatlead/standin/resolvers.py
@@ -95,7 +95,7 @@
         self.waiting: dict[tuple[Server, bytes], asyncio.Future[bytes]] = {}  # by message ID
         self.slowness = dict.fromkeys(servers, 0.0)  # smoothed response time in seconds
 
-    async def begin(self) -> None:
+    async def open(self) -> None:
         """Open the UDP socket for queries."""
         self.loop = asyncio.get_running_loop()
         await self.loop.create_datagram_endpoint(lambda: self, local_addr=(self.address, 0))
@@ -172,7 +172,9 @@
     ) -> None:
         now = self.loop.time()
         duration = now - start
-        self.recorder.row("answer", now, view, self.kind, server, rcode, addresses, ttl, duration)
+        self.recorder.write_row(
+            "answer", now, view, self.kind, server, rcode, addresses, ttl, duration
+        )
 
     def _order_servers(self) -> list[Server]:
         """Return the servers to query, fastest first, in random order if equally fast."""
--- a/peatlead/standin/secondary.py
+++ b/peatlead/standin/secondary.py
@@ -20,7 +20,7 @@
 
 DONE = "done"  # outcome of a transfer that was applied
 TRANSFER_IDLE_TIMEOUT = 5.0  # seconds without data until a transfer is aborted
-LENGTH = struct.Struct(">H")  # before each message over TCP (RFC 1035 section 4.2.2)
+MESSAGE_LENGTH = struct.Struct(">H")  # before each message over TCP (RFC 1035 section 4.2.2)
 
 
 class Transfer(Stream):
@@ -39,7 +39,7 @@
     def opened(self) -> None:
         """Send the query."""
         message = self.query.to_wire()
-        self.send(LENGTH.pack(len(message)) + message)
+        self.send(MESSAGE_LENGTH.pack(len(message)) + message)
 
     def received(self, data: bytes) -> None:
         """Apply the complete messages."""
@@ -51,12 +51,12 @@
 
     def _next_message(self) -> Optional[bytes]:
         """Remove and return a complete message from the buffer, None without one."""
-        if len(self.buffer) < LENGTH.size:
+        if len(self.buffer) < MESSAGE_LENGTH.size:
             return None
-        end = LENGTH.size + LENGTH.unpack_from(self.buffer)[0]
+        end = MESSAGE_LENGTH.size + MESSAGE_LENGTH.unpack_from(self.buffer)[0]
         if len(self.buffer) < end:
             return None
-        message = self.buffer[LENGTH.size : end]
+        message = self.buffer[MESSAGE_LENGTH.size : end]
         self.buffer = self.buffer[end:]
         return message
 
--- a/peatlead/standin/xds_proxies.py
+++ b/peatlead/standin/xds_proxies.py
@@ -102,10 +102,10 @@
         self.recorder = recorder
         self.loop = asyncio.get_running_loop()
         self.tables = ProxyTables()
-        self.requests = RequestSender(plan, self.tables, rng, recorder)
+        self.request_sender = RequestSender(plan, self.tables, rng, recorder)
         self.replica = Replica()  # verified state of the incremental variant
         self.fence = Fence()
-        self.current: Optional[Call] = None  # the discovery stream
+        self.current_call: Optional[Call] = None  # the discovery stream
         self.preferred_controllers: list[Address] = []  # best first, from the last controller
         self.controller_names: dict[Address, str] = {}
         self.avoided_until: dict[Address, float] = {}
@@ -140,7 +140,7 @@
             self.request_count += 1
             request_class = self.rng.choices(classes, [candidate.share for candidate in classes])[0]
             request_id = f"{self.plan.name}-{self.request_count}"
-            self._start_task(self.requests.run(request_id, request_class, due))
+            self._start_task(self.request_sender.run(request_id, request_class, due))
             due += self.rng.expovariate(self.plan.rate)
         self.loop.call_at(due, self._arrive, due)
 
@@ -229,7 +229,7 @@
         call.on_end = lambda *_: set_once(ended, dict(call.peer_metadata))
         receive = self.receive_delta if self.plan.incremental else self.receive_response
         call.on_message = lambda data: receive(call, controller, data)
-        self.current = call
+        self.current_call = call
         return call
 
     async def _stay_joined(
@@ -241,10 +241,10 @@
     ) -> None:
         """Report loads until the stream ends or the controller stops responding."""
         self._store_preferred_controllers(call.peer_metadata)
-        self.recorder.row("stream", self.loop.time(), self.plan.name, controller, "joined")
+        self.recorder.write_row("stream", self.loop.time(), self.plan.name, controller, "joined")
         self._start_task(self._report_loads(connection))
         await self._wait_for_end(connection, ended)
-        self.recorder.row("stream", self.loop.time(), self.plan.name, controller, "lost")
+        self.recorder.write_row("stream", self.loop.time(), self.plan.name, controller, "lost")
 
     async def _wait_for_end(
         self, connection: Connection, ended: asyncio.Future[dict[str, str]]
@@ -336,7 +336,7 @@
         """Apply a DiscoveryResponse completely, or reject it with the reason."""
         response = discovery_pb2.DiscoveryResponse.FromString(data)
         version = parse_version(response.version_info)
-        if not self.fence.allows(*version) or call is not self.current:
+        if not self.fence.allows(*version) or call is not self.current_call:
             self._record_assignment(controller, version, AssignmentOutcome.OLD)
             return
         is_routes = response.type_url == ROUTE_TYPE_URL
@@ -367,13 +367,13 @@
         for request_class, entries, admission in assignments:
             self.tables.entries[request_class] = entries
             self.tables.admissions[request_class] = admission
-        self.requests.close_unassigned()
+        self.request_sender.close_unassigned()
 
     def receive_delta(self, call: Call, controller: str, data: bytes) -> None:
         """Apply a DeltaDiscoveryResponse completely, or reject it with the reason."""
         response = discovery_pb2.DeltaDiscoveryResponse.FromString(data)
         version = parse_version(response.nonce)
-        if call is not self.current:
+        if call is not self.current_call:
             self._record_assignment(controller, version, AssignmentOutcome.OLD)
             return
         try:
@@ -418,18 +418,20 @@
             self.tables.admissions[key.partition("/")[2]] = cast(int, fraction) / MILLION
         for key, policy in self.replica.parts["retry"].items():
             self.tables.retries[key.partition("/")[2]] = cast(str, policy)
-        self.requests.close_unassigned()
+        self.request_sender.close_unassigned()
 
     def _record_assignment(
         self, controller: str, version: Version, outcome: AssignmentOutcome
     ) -> None:
         fewest = min((len(self.entries.get(name, ())) for name in self._class_names()), default=0)
         now = self.loop.time()
-        self.recorder.row("order", now, self.plan.name, controller, *version, outcome.value, fewest)
+        self.recorder.write_row(
+            "order", now, self.plan.name, controller, *version, outcome.value, fewest
+        )
 
     def _record_held(self, controller: str, version: Version) -> None:
         """Record the digest of the held entries, its consistency, and the addresses."""
-        self.recorder.row(
+        self.recorder.write_row(
             "held",
             self.loop.time(),
             self.plan.name,
@@ -469,7 +471,7 @@
             and connection.transport is not None
         ):
             await asyncio.sleep(interval)
-            report = self.requests.stats.take_report(self.loop.time())
+            report = self.request_sender.stats.take_report(self.loop.time())
             call.send(report.SerializeToString(deterministic=True))
 
     async def finish(self) -> None:
--- a/tests/compatibility/test_lab_digests.py
+++ b/tests/compatibility/test_lab_digests.py
@@ -103,7 +103,7 @@
     """(the lab's own digest of the day, events in the world, what was found wrong)."""
     with mock.patch.object(lab_day, "canonical_form", recorded_canonical_form):
         played = play_day(draw_scenario(seed, kind, LENGTH), seed, PLANNER)
-    return played.digest, played.events, played.problems
+    return played.digest, played.event_count, played.problems
 
 
 # The end of the adapter.
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -183,7 +183,7 @@
     settings["tables"]["sync_every"] = 1e9
     settings["dns"]["secondaries"] = list(secondaries)
     controller_settings = next(entry for entry in settings["steward"] if entry["name"] == name)
-    controller_process, client_process = world.process(name), world.process("asker")
+    controller_process, client_process = world.add_process(name), world.add_process("asker")
 
     controllers = []
 
@@ -224,7 +224,7 @@
         world = Simulation(script["day"]["seed"])
         day = SimulatedDay(world, script, temporary)
         day.place_addresses()
-        play(world, world.process("day"), day.play(), 200.0)
+        play(world, world.add_process("day"), day.play(), 200.0)
         shutil.rmtree(folder, ignore_errors=True)
         (folder / "record").mkdir(parents=True)
         shutil.copytree(temporary / "state", folder / "state")
@@ -241,10 +241,10 @@
         for number in range(2):
             record = Recorder(folder / "record" / f"part{number}.rec")
             for row in rows[number::2]:
-                record.row(row.kind, row.at, *row.fields.values())
+                record.write_row(row.kind, row.at, *row.fields.values())
             if number == 1:
                 # An incomplete row, as a killed writer leaves it.
-                record.zip.write(b"\0\0\0\x40half a row")
+                record.compressor.write(b"\0\0\0\x40half a row")
                 record.flush()
                 record.file.close()
             else:
--- a/tests/controller/connections.py
+++ b/tests/controller/connections.py
@@ -44,6 +44,6 @@
     """A stand-in resolver of a kind that queries these servers and is closed with the world."""
     addresses = [(server, world.port) for server in servers]
     resolver = Resolver(kind, "127.20.9.1", addresses, world.random, MemoryRecorder())
-    await resolver.begin()
+    await resolver.open()
     world.cleanups.append(resolver.close)
     return resolver
--- a/tests/fleet/test_membership.py
+++ b/tests/fleet/test_membership.py
@@ -14,10 +14,10 @@
         for size in (3, 10, 50):
             net = MembershipNetwork(size)
             net.run(8.0)
-            self.assertTrue(net.agreed(sorted(net.nodes)), size)
+            self.assertTrue(net.members_agree(sorted(net.nodes)), size)
             net.dead.add("n1")
             net.run(14.0)
-            self.assertEqual(set(net.states_of("n1").values()), {"dead"})
+            self.assertEqual(set(net.member_states("n1").values()), {"dead"})
 
     def test_packet_loss_alone_declares_no_member_dead_for_long(self):
         net, dead_beliefs = MembershipNetwork(5, loss=0.15), []
@@ -25,13 +25,17 @@
         net.run(
             60.0,
             lambda: dead_beliefs.append(
-                sum(state == "dead" for name in net.nodes for state in net.states_of(name).values())
+                sum(
+                    state == "dead"
+                    for name in net.nodes
+                    for state in net.member_states(name).values()
+                )
             ),
         )
         self.assertLess(sum(map(bool, dead_beliefs)), len(dead_beliefs) * 0.05)
         net.loss = 0.0
         net.run(4.0)
-        self.assertTrue(net.agreed(sorted(net.nodes)))
+        self.assertTrue(net.members_agree(sorted(net.nodes)))
 
     def test_a_partition_splits_the_membership_and_heals(self):
         net = MembershipNetwork(5)
@@ -41,18 +45,18 @@
             (b, a) for a in first_side for b in second_side
         }
         net.run(10.0)
-        self.assertTrue(net.agreed(first_side) and net.agreed(second_side))
+        self.assertTrue(net.members_agree(first_side) and net.members_agree(second_side))
         net.cut = set()
         net.run(10.0)
-        self.assertTrue(net.agreed(sorted(net.nodes)))
+        self.assertTrue(net.members_agree(sorted(net.nodes)))
 
     def test_indirect_pings_bridge_a_one_way_partition(self):
         net = MembershipNetwork(3)
         net.run(5.0)
         net.cut = {("n0", "n1")}
         net.run(20.0)
-        self.assertEqual(net.states_of("n1")["n0"], "alive")
-        self.assertEqual(net.states_of("n0")["n1"], "alive")
+        self.assertEqual(net.member_states("n1")["n0"], "alive")
+        self.assertEqual(net.member_states("n0")["n1"], "alive")
 
     def test_members_agree_after_a_flapping_link(self):
         net = MembershipNetwork(3)
@@ -62,19 +66,19 @@
             net.run(net.rng.uniform(0.2, 2.0))
         net.cut = set()
         net.run(8.0)
-        self.assertTrue(net.agreed(sorted(net.nodes)))
+        self.assertTrue(net.members_agree(sorted(net.nodes)))
 
     def test_a_stalled_member_refutes_its_death_and_suspects_nobody(self):
         net = MembershipNetwork(4)
         net.run(5.0)
         net.frozen.add("n2")
         net.run(10.0)
-        self.assertEqual(set(net.states_of("n2").values()) - {"alive"}, {"dead"})
+        self.assertEqual(set(net.member_states("n2").values()) - {"alive"}, {"dead"})
         net.frozen.clear()
         net.run(0.2)
         self.assertEqual(set(net.nodes["n2"].live_members()), set(net.nodes))
         net.run(5.0)
-        self.assertTrue(net.agreed(sorted(net.nodes)))
+        self.assertTrue(net.members_agree(sorted(net.nodes)))
 
     def test_a_member_that_restarts_without_state_rejoins(self):
         net = MembershipNetwork(3)
@@ -84,7 +88,7 @@
         net.run(0.4)  # restarts before the other members notice
         net.start("n1")
         net.run(5.0)
-        self.assertTrue(net.agreed(sorted(net.nodes)))
+        self.assertTrue(net.members_agree(sorted(net.nodes)))
         self.assertGreater(net.nodes["n1"].me.incarnation, 0)
 
     def test_a_member_that_leaves_is_removed_at_once(self):
@@ -93,7 +97,7 @@
         net.deliver("n2", [Leave()])
         net.dead.add("n2")
         net.run(0.3)
-        self.assertEqual(set(net.states_of("n2").values()), {"left"})
+        self.assertEqual(set(net.member_states("n2").values()), {"left"})
 
     def test_messages_are_bounded_in_a_large_fleet(self):
         net = MembershipNetwork(60)
@@ -161,4 +165,4 @@
             net.run(wait, check_incarnations)
         net.cut, net.frozen, net.loss = set(), set(), 0.0
         net.run(25.0, check_incarnations)
-        self.assertTrue(net.agreed(sorted(set(net.nodes) - net.dead)))
+        self.assertTrue(net.members_agree(sorted(set(net.nodes) - net.dead)))
--- a/tests/invariants/test_checker.py
+++ b/tests/invariants/test_checker.py
@@ -172,11 +172,11 @@
             path = Path(folder) / "a.rec"
             recorder = Recorder(path)
             for at in range(50):
-                recorder.row("tipped", float(at), f"h{at}", 0.0)
+                recorder.write_row("tipped", float(at), f"h{at}", 0.0)
             recorder.flush()
             flushed_data = path.read_bytes()
             self.assertEqual(len(read_folder(folder).rows), 50)
-            recorder.row("tipped", 50.0, "h50", 0.0)
+            recorder.write_row("tipped", 50.0, "h50", 0.0)
             recorder.close()
             path.write_bytes(path.read_bytes()[: len(flushed_data) + 3])
             self.assertEqual(len(read_folder(folder).rows), 50)
@@ -185,7 +185,7 @@
         with tempfile.TemporaryDirectory() as folder, self.assertRaises(ValueError):
             recorder = Recorder(Path(folder) / "a.rec")
             try:
-                recorder.row("tipped", 1.0)
+                recorder.write_row("tipped", 1.0)
             finally:
                 recorder.close()
 
--- a/tests/lab/test_simulated_streams.py
+++ b/tests/lab/test_simulated_streams.py
@@ -28,7 +28,10 @@
 class SimulatedStreamTest(unittest.TestCase):
     def run_case(self, case, until=60.0, server=EchoStream):
         simulation = Simulation(1)
-        client_loop, server_loop = simulation.process("client"), simulation.process("server")
+        client_loop, server_loop = (
+            simulation.add_process("client"),
+            simulation.add_process("server"),
+        )
 
         async def main():
             await server_loop.create_server(server, "b", 7)
--- a/tests/lab/test_simulation_failures.py
+++ b/tests/lab/test_simulation_failures.py
@@ -10,7 +10,7 @@
 class SimulationFailureTest(unittest.TestCase):
     def failure_of(self, case):
         simulation = Simulation(1)
-        loop = simulation.process("p")
+        loop = simulation.add_process("p")
         with self.assertRaises(RuntimeError) as caught:
             play(simulation, loop, case(loop, simulation), 5.0)
         return str(caught.exception)
@@ -45,7 +45,7 @@
 
     def test_a_killed_process_runs_no_more_callbacks(self):
         simulation, steps = Simulation(1), []
-        loop, other = simulation.process("p"), simulation.process("q")
+        loop, other = simulation.add_process("p"), simulation.add_process("q")
 
         async def wait_and_clean_up():
             try:
--- a/tests/lab/test_takeovers.py
+++ b/tests/lab/test_takeovers.py
@@ -23,7 +23,7 @@
         last_stream_events = {
             row.agent: row.what
             for row in played.rows
-            if row.kind == "stream" and row.at < played.seconds - 3
+            if row.kind == "stream" and row.at < played.end_time - 3
         }
         self.assertEqual(set(last_stream_events.values()), {"joined"})
         return played
--- a/tests/planner/test_planner.py
+++ b/tests/planner/test_planner.py
@@ -4,7 +4,7 @@
 
 from peatlead import interface
 from peatlead import planner as planner_package
-from peatlead.lab.planner_constants import modules_with, replaced
+from peatlead.lab.planner_constants import modules_with_constant, replaced_constants
 from peatlead.planner import context, shuffle_sharding
 from tests.helpers import make_endpoint, make_planner, of_type
 
@@ -56,12 +56,14 @@
         self.assertEqual(len(assigned), len(set(assigned)))
 
     def test_a_constant_is_replaced_in_every_module_that_has_it(self):
-        with replaced({"COVERAGE": 8.0}):
-            self.assertEqual({module.COVERAGE for module in modules_with("COVERAGE")}, {8.0})
+        with replaced_constants({"COVERAGE": 8.0}):
+            self.assertEqual(
+                {module.COVERAGE for module in modules_with_constant("COVERAGE")}, {8.0}
+            )
             self.assertIs(shuffle_sharding.COVERAGE, context.COVERAGE)
         self.assertEqual((shuffle_sharding.COVERAGE, context.COVERAGE), (25.0, 25.0))
 
     def test_an_unknown_constant_raises_an_error(self):
         for name in ("COVERAGES", "Planner", "rendezvous"):
             with self.assertRaises(ValueError):
-                modules_with(name)
+                modules_with_constant(name)
--- a/tests/platform/test_push.py
+++ b/tests/platform/test_push.py
@@ -69,12 +69,12 @@
                 in [entry for part in proxy.messages for entry in part.get("endpoints", ())]
             )
             state.apply(proxy.messages)
-            self.assertEqual(state.reachable(), {"s-0", "s-1", "s-3"})
+            self.assertEqual(state.reachable_endpoints(), {"s-0", "s-1", "s-3"})
             platform.discovery.publish(instance(2, started=1.9e12))
 
             def reachable():
                 state.apply(proxy.messages)
-                return "s-2" in state.reachable()
+                return "s-2" in state.reachable_endpoints()
 
             await until(reachable)
 
--- a/tests/platforms.py
+++ b/tests/platforms.py
@@ -207,8 +207,8 @@
     reachable_before = set()
     for message in peer.messages:
         state.apply([message])
-        reachable_before |= state.reachable()
-    return reachable_before - state.reachable()
+        reachable_before |= state.reachable_endpoints()
+    return reachable_before - state.reachable_endpoints()
 
 
 def run_with_platform(case, **options):
--- a/tests/scenario/test_runner.py
+++ b/tests/scenario/test_runner.py
@@ -11,7 +11,7 @@
         async def registered_faults(folder):
             day = Day(load_day("d.star", ""), folder)
             day.prepare()
-            day.record.close()
+            day.row_recorder.close()
             day.standins.close()
             return day.fault_players
 
--- a/tests/seeded_faults.py
+++ b/tests/seeded_faults.py
@@ -26,7 +26,7 @@
     original = StandInProxy.receive_response
 
     def take(self, call, steward, data):
-        self.current = call
+        self.current_call = call
         original(self, call, steward, data)
 
     with (
--- a/tests/standin/test_dns_clients.py
+++ b/tests/standin/test_dns_clients.py
@@ -17,7 +17,7 @@
         clients = {habit: Client(habit, "x") for habit in ("first", "sorted", "same", "holds")}
         clients["same"].last_address = clients["holds"].last_address = "c"
         self.assertEqual(
-            {habit: client.choose(addresses, rng)[0] for habit, client in clients.items()},
+            {habit: client.order_addresses(addresses, rng)[0] for habit, client in clients.items()},
             {"first": "b", "sorted": "a", "same": "c", "holds": "c"},
         )
 
--- a/tests/standin_fleet.py
+++ b/tests/standin_fleet.py
@@ -13,7 +13,7 @@
 from peatlead.planner.planner import Planner
 from peatlead.scenario.runner import free_port
 from peatlead.settings import load_settings
-from peatlead.standin.hosts import EndpointPlan, Pods, StandInEndpoint
+from peatlead.standin.hosts import EndpointPlan, PodRequestIds, StandInEndpoint
 
 hypothesis_settings.register_profile("steady", derandomize=True, deadline=None, max_examples=60)
 hypothesis_settings.load_profile("steady")  # property tests give the same result on every run
@@ -87,7 +87,7 @@
     def __init__(self):
         self.rows = []
 
-    def row(self, kind, at, *fields):
+    def write_row(self, kind, at, *fields):
         self.rows.append((kind, at, *fields))
 
     def rows_of_kind(self, kind):
@@ -107,7 +107,7 @@
         self.recorder = MemoryRecorder()
         self.settings = settings(self.port, f"{folder}/nodes.json", script)
         self.random = Random(4)
-        self.pods = Pods()
+        self.pod_request_ids = PodRequestIds()
         self.endpoints = []  # StandInEndpoint objects
         self.controllers = []
         self.log = []  # (event, fields) of all controllers
@@ -138,8 +138,10 @@
     async def start(self):
         """Start the endpoints and write the first list."""
         for plan in self.plans:
-            self.endpoints.append(StandInEndpoint(plan, self.random, self.recorder, self.pods))
-            await self.endpoints[-1].begin()
+            self.endpoints.append(
+                StandInEndpoint(plan, self.random, self.recorder, self.pod_request_ids)
+            )
+            await self.endpoints[-1].open()
         self.write_list()
         return self
 
