--- a/tests/seeded_faults.py
+++ b/tests/seeded_faults.py
@@ -26,7 +26,7 @@
     original = StandInProxy.receive_response
 
     def receive_response(self, call, controller, data):
-        self.current = call
+        self.current_call = call
         original(self, call, controller, data)
 
     with (
