--- a/peatlead/controller/batch_loop.py
+++ b/peatlead/controller/batch_loop.py
@@ -79,7 +79,7 @@
 
     # Batches.
 
-    def submit_later(self, event: interface.Event) -> None:
+    def add_to_next_batch(self, event: interface.Event) -> None:
         """Add an event to the next batch without scheduling that batch."""
         self.inbox.append(event)
 
--- a/peatlead/controller/channel.py
+++ b/peatlead/controller/channel.py
@@ -77,7 +77,7 @@
         other.pop(subscriber, None)
         lane.setdefault(subscriber, True)
 
-    def forget(self, subscriber: int) -> None:
+    def forget_subscriber(self, subscriber: int) -> None:
         """Drop the queued message of a subscriber that has left."""
         message = self.queue.pop(subscriber, None)
         self.urgent.pop(subscriber, None)
--- a/peatlead/controller/control_socket.py
+++ b/peatlead/controller/control_socket.py
@@ -131,14 +131,14 @@
 class ControlClient(LineStream):
     """The client's side: sends one question and passes each received line to `on_line`.
 
-    `over` is a future that completes with the reason when the connection has ended.
+    `end_reason` is a future that completes with the reason when the connection has ended.
     """
 
     def __init__(self, question: object, on_line: Callable[[bytes], None]) -> None:
         super().__init__(max_unsent_bytes=MAX_QUESTION_BYTES, max_line_bytes=MAX_ANSWER_BYTES)
         self._question = question
         self._on_line = on_line
-        self.over: asyncio.Future[str] = asyncio.get_running_loop().create_future()
+        self.end_reason: asyncio.Future[str] = asyncio.get_running_loop().create_future()
 
     def opened(self) -> None:
         """Send the question."""
@@ -149,9 +149,9 @@
         self._on_line(data)
 
     def ended(self, reason: str) -> None:
-        """Complete `over` with the reason."""
-        if not self.over.done():
-            self.over.set_result(reason)
+        """Complete `end_reason` with the reason."""
+        if not self.end_reason.done():
+            self.end_reason.set_result(reason)
 
 
 async def ask_once(
@@ -179,7 +179,7 @@
             answer.set_exception(OSError(f"the controller ended the connection: {reason}"))
 
     _, stream = await loop.create_connection(lambda: ControlClient(question, set_answer), *address)
-    stream.over.add_done_callback(connection_ended)
+    stream.end_reason.add_done_callback(connection_ended)
     try:
         return await answer
     finally:
--- a/peatlead/controller/endpoint_registry.py
+++ b/peatlead/controller/endpoint_registry.py
@@ -21,8 +21,8 @@
 
     A number is never reused, because commands refer to endpoints by number. `zones` and `machines`
     are names in the order of the settings. With `assume_old`, an endpoint whose start is unknown
-    counts as old whenever it is first listed. `age_of` returns the seconds since a Unix time, for
-    lists whose own timestamp is not comparable with the start times.
+    counts as old whenever it is first listed. `process_age` returns the seconds since a Unix time,
+    for lists whose own timestamp is not comparable with the start times.
     """
 
     def __init__(
@@ -31,7 +31,7 @@
         log: Callable[..., None],
         machines: Iterable[str] = (),
         assume_old: bool = False,
-        age_of: Optional[Callable[[float], float]] = None,
+        process_age: Optional[Callable[[float], float]] = None,
     ) -> None:
         self.zones = {zone: number for number, zone in enumerate(zones)}
         self.machines = {machine: number for number, machine in enumerate(machines)}
@@ -41,7 +41,7 @@
         self.process_starts: dict[str, ProcessStart] = {}
         self.list_received = False  # whether a list has ever arrived
         self.assume_old = assume_old
-        self.age_of = age_of
+        self.process_age = process_age
         self.next_number = 0
 
     def endpoint_update(self, endpoint_list: EndpointList, now: float) -> interface.EndpointUpdate:
@@ -102,12 +102,12 @@
     def age(self, entry: ListedEndpoint, written: float) -> float:
         """Return the age in seconds of a process that is listed for the first time."""
         if written > 0 and entry.started > 0:
-            if self.age_of is not None:
-                return self.age_of(entry.started)
+            if self.process_age is not None:
+                return self.process_age(entry.started)
             return max(0.0, written - entry.started)
         return UNKNOWN_AGE if self.assume_old or not self.list_received else 0.0
 
-    def forget(self, number: int) -> None:
+    def forget_endpoint(self, number: int) -> None:
         """Drop an endpoint that is in no table; if it is listed again, it gets a new number."""
         entry = self.entries.pop(number)
         del self.numbers[entry.name]
--- a/peatlead/controller/message_pump.py
+++ b/peatlead/controller/message_pump.py
@@ -33,7 +33,7 @@
         for number, message in controller.channel.take_due(now, MAX_MESSAGES_PER_CALLBACK):
             for nonce in message.nonces:
                 delay = now - message.enqueued_at
-                controller.submit_later(interface.Acknowledged(number, nonce, delay))
+                controller.add_to_next_batch(interface.Acknowledged(number, nonce, delay))
             controller.propagation.message_dequeued(number)
             view = controller.views.by_number.get(number)
             if view is None:
--- a/peatlead/controller/proxies.py
+++ b/peatlead/controller/proxies.py
@@ -132,11 +132,11 @@
             return
         controller = self._controller
         self.by_number.pop(session.number, None)
-        controller.channel.forget(session.number)
+        controller.channel.forget_subscriber(session.number)
         controller.publisher.leave(session.number)
         self.load_aggregator.forget_proxy(session.number)
         controller.publication.record_leave(session.node.name)
-        self.admission.forget(session.node.name)
+        self.admission.forget_proxy(session.node.name)
         controller.proxy_left(session.number)
 
     def accepts_report(self, session: Session, now: float) -> bool:
@@ -285,7 +285,7 @@
     def _reset_subscription(self, session: Session) -> None:
         """Drop what is queued for an earlier session of this proxy."""
         publisher = self._controller.publisher
-        self._controller.channel.forget(session.number)
+        self._controller.channel.forget_subscriber(session.number)
         publisher.leave(session.number)
         publisher.join(session.number, enforces_admission=True)
         session.state.admissions.update(publisher.admissions)
--- a/peatlead/controller/proxy_admission.py
+++ b/peatlead/controller/proxy_admission.py
@@ -97,7 +97,7 @@
         ]
         return {CONTROLLERS_METADATA: ",".join(addresses)}
 
-    def forget(self, name: str) -> None:
+    def forget_proxy(self, name: str) -> None:
         """Forget a joined proxy that has left."""
         if self._ownership is not None:
             self._ownership.forget(name)
--- a/peatlead/controller/publisher.py
+++ b/peatlead/controller/publisher.py
@@ -67,7 +67,7 @@
         for table in self.assigned_tables.pop(subscriber, {}).values():
             self.subscribers[table].discard(subscriber)
 
-    def forget(self, endpoint: int) -> None:
+    def forget_endpoint(self, endpoint: int) -> None:
         """Drop the state of an endpoint that is gone and in no table."""
         self.weights_of_endpoint.pop(endpoint, None)
         for subscriber in self.notified.pop(endpoint, ()):
--- a/peatlead/platform/controller.py
+++ b/peatlead/platform/controller.py
@@ -274,7 +274,7 @@
         if self.inbox:
             return
         for endpoint in self.endpoint_tracker.forget_unused(self.planner.endpoints):
-            self.publisher.forget(endpoint)
+            self.publisher.forget_endpoint(endpoint)
             for session in self.proxy_sessions.values():
                 session.restored.discard(endpoint)
 
@@ -350,6 +350,6 @@
         elif type(event) is interface.Acknowledged:
             self.telemetry.acknowledged(event.duration)
             # Each message is acknowledged: a batch for each acknowledgement would be too expensive.
-            self.submit_later(event)
+            self.add_to_next_batch(event)
         else:
             self.submit(event)
--- a/peatlead/platform/endpoint_tracker.py
+++ b/peatlead/platform/endpoint_tracker.py
@@ -12,16 +12,19 @@
 
 
 class EndpointTracker:
-    """Converts endpoint lists to planner events; `age_of` returns the seconds since a Unix time."""
+    """Converts endpoint lists to planner events.
 
-    def __init__(self, settings: Settings, age_of: Callable[[float], float], log: Log) -> None:
+    `process_age` returns the seconds since a Unix time.
+    """
+
+    def __init__(self, settings: Settings, process_age: Callable[[float], float], log: Log) -> None:
         self.log = log
         self.registry = EndpointRegistry(
             settings["zones"],
             log,
             settings.get("machines", ()),
             assume_old=True,
-            age_of=age_of,
+            process_age=process_age,
         )
         # Endpoints that may have been in another phase before. A proxy may still eject such an
         # endpoint, because a controller that it was connected to before told it to.
@@ -72,7 +75,7 @@
             name = self.name_of(endpoint)
             self.forgotten_names.pop(name, None)
             self.forgotten_names[name] = True
-            self.registry.forget(endpoint)
+            self.registry.forget_endpoint(endpoint)
             self.possibly_ejected.discard(endpoint)
         while len(self.forgotten_names) > MAX_FORGOTTEN_NAMES:
             del self.forgotten_names[next(iter(self.forgotten_names))]
--- a/peatlead/scenario/controller_feeds.py
+++ b/peatlead/scenario/controller_feeds.py
@@ -31,7 +31,7 @@
                     _feed_client(self._record_message), *address
                 )
                 self._streams[number] = stream
-                await stream.over
+                await stream.end_reason
             except OSError:
                 await asyncio.sleep(RECONNECT_DELAY)
 
--- a/tests/controller/connections.py
+++ b/tests/controller/connections.py
@@ -11,18 +11,18 @@
 
 
 class ReceivedBytes(Stream):
-    """Collects all received bytes in `received_bytes`; the future `over` completes at the end."""
+    """Collects all received bytes in `received_bytes`; the future `end_reason` completes at the end."""
 
     def __init__(self):
         super().__init__()
         self.received_bytes = b""
-        self.over = asyncio.get_running_loop().create_future()
+        self.end_reason = asyncio.get_running_loop().create_future()
 
     def received(self, data):
         self.received_bytes += data
 
     def ended(self, reason):
-        self.over.set_result(reason)
+        self.end_reason.set_result(reason)
 
 
 def framed_query(name="api.example.org"):
--- a/tests/controller/test_batch_loop.py
+++ b/tests/controller/test_batch_loop.py
@@ -45,7 +45,7 @@
             planner = RecordingPlanner()
             loop = RecordingLoop(planner)
             events = [interface.ProxyDisconnected(proxy) for proxy in range(3)]
-            loop.submit_later(events[0])
+            loop.add_to_next_batch(events[0])
             for event in events[1:]:
                 loop.submit(event)
             await until(lambda: planner.batches)
@@ -53,11 +53,11 @@
 
         run(case())
 
-    def test_submit_later_schedules_no_batch(self):
+    def test_add_to_next_batch_schedules_no_batch(self):
         async def case():
             planner = RecordingPlanner()
             loop = RecordingLoop(planner)
-            loop.submit_later(interface.ProxyDisconnected(1))
+            loop.add_to_next_batch(interface.ProxyDisconnected(1))
             self.assertEqual((loop.batch_scheduled, len(loop.inbox)), (False, 1))
 
         run(case())
--- a/tests/controller/test_channel.py
+++ b/tests/controller/test_channel.py
@@ -105,7 +105,7 @@
         channel.enqueue(0.0, 2, {("withdrawn", 3): True})
         channel.enqueue(0.0, 2, {("withdrawn", 3): False})
         channel.enqueue(0.0, 3, {("line", 0, 1): 0.0})
-        channel.forget(3)
+        channel.forget_subscriber(3)
         self.assertEqual([view for view, _ in channel.take_due(1.0)], [1, 2])
         self.assertEqual((len(channel.urgent), len(channel.normal), channel.size), (0, 0, 0.0))
 
--- a/tests/controller/test_dns_over_tcp.py
+++ b/tests/controller/test_dns_over_tcp.py
@@ -48,10 +48,10 @@
             await until(lambda: world.answered_endpoints(controller))
             streams = [await dial(world) for _ in range(4)]
             await until(lambda: controller.dns_server.connections.evicted == 1)
-            await until(lambda: streams[0].over.done())
+            await until(lambda: streams[0].end_reason.done())
             streams[1].send(b"\x00\x05abcde")
-            await until(lambda: streams[1].over.done())
-            await until(lambda: streams[2].over.done() and streams[3].over.done())
+            await until(lambda: streams[1].end_reason.done())
+            await until(lambda: streams[2].end_reason.done() and streams[3].end_reason.done())
             return len(controller.dns_server.connections.streams)
 
         self.assertEqual(run_with_standins(case), 0)
--- a/tests/controller/test_endpoint_registry.py
+++ b/tests/controller/test_endpoint_registry.py
@@ -39,7 +39,7 @@
     def test_a_forgotten_endpoint_is_listed_again_under_a_new_number(self):
         registry = EndpointRegistry(["north"], lambda *_, **__: None)
         registry.endpoint_update(read_document(document(HOST)), 1000.0)
-        registry.forget(0)
+        registry.forget_endpoint(0)
         self.assertEqual((registry.numbers, registry.entries), ({}, {}))
         again = registry.endpoint_update(
             read_document(document(HOST, version=2, written=130.0)), 1031.0
--- a/tests/platform/test_endpoint_tracker.py
+++ b/tests/platform/test_endpoint_tracker.py
@@ -39,7 +39,7 @@
     def test_a_health_check_of_a_forgotten_endpoint_is_ignored(self):
         async def case(platform):
             await until(lambda: platform.controller.watch.version == 1)
-            platform.controller.endpoint_tracker.registry.forget(3)
+            platform.controller.endpoint_tracker.registry.forget_endpoint(3)
             del platform.controller.planner.endpoints[3]
             platform.controller.on_health_check(3, "timed out", 0.2, None, None)
             platform.controller.on_endpoint_list(endpoint_list(2, instance(3, "z1")))
