--- a/peatlead/cli/common.py
+++ b/peatlead/cli/common.py
@@ -7,9 +7,9 @@
 
 from ..settings import SettingsError, read_settings
 
-Settings = dict[str, Any]  # the checked content of a settings file or a day script
+Settings = dict[str, Any]  # checked settings of a settings file or a day script
 Answer = dict[str, Any]  # a controller's answer, decoded from JSON
-PLANNERS = ("shards", "plain")
+PLANNERS = ("shards", "plain")  # peatlead's planner and the baseline
 
 
 def settings_or_exit(path: str) -> Settings:
--- a/peatlead/cli/fleet.py
+++ b/peatlead/cli/fleet.py
@@ -14,7 +14,7 @@
 
 
 def query_fleet(file: str, name: Optional[str], action: str, proxy: str = "") -> Answer:
-    """Return a controller's answer to a query about the fleet."""
+    """Return a controller's answer to a `fleet` query; `action` is the value of `do`."""
     return query_controller(file, name, {"ask": "fleet", "do": action, "host": proxy})
 
 
@@ -32,13 +32,14 @@
             f"{member_status['proxies']} proxies{draining}"
         )
     click.echo(
-        f"{answer['steward']}: {answer['joined']} joined, {answer['moved']} moved, "
-        f"{answer['sent on']} sent on to other controllers, {answer['paced']} paced, "
+        f"{answer['steward']}: {answer['joined']} proxies joined, {answer['moved']} redirected "
+        f"after joining, {answer['sent on']} redirected before joining, "
+        f"{answer['paced']} joins delayed, "
         f"{answer['refusals']} assignments refused"
     )
     if proxies:
-        for proxy, (epoch, since) in answer["owned"].items():
-            click.echo(f"  {proxy}: epoch {epoch} for {since:.1f} s")
+        for proxy, (epoch, age) in answer["owned"].items():
+            click.echo(f"  {proxy}: epoch {epoch} for {age:.1f} s")
 
 
 @fleet.command(name="drain")
--- a/peatlead/cli/lab.py
+++ b/peatlead/cli/lab.py
@@ -39,7 +39,7 @@
     return scenario
 
 
-KIND = click.option(
+KIND_OPTION = click.option(
     "--kind", type=click.Choice(("fleet", "dns")), default="fleet", help="kind of random scenarios"
 )
 
@@ -48,7 +48,7 @@
 @click.argument("script", type=click.Path(), required=False)
 @click.option("--seed", type=int, default=1)
 @click.option("--planner", type=click.Choice((*PLANNERS, "home", "oracle")), default="shards")
-@KIND
+@KIND_OPTION
 def lab_run(script: Optional[str], seed: int, planner: str, kind: str) -> None:
     """Play a day script, or a random scenario made from the seed, in simulated time."""
     from ..invariants.report import print_report
@@ -110,7 +110,7 @@
 @click.option(
     "--length", type=float, default=20.0, help="length of each scenario in simulated seconds"
 )
-@KIND
+@KIND_OPTION
 def lab_hunt(
     first: int, last: int, workers: Optional[int], most: int, length: float, kind: str
 ) -> None:
@@ -139,7 +139,7 @@
     help="a day script; by default a random scenario made from the seed",
 )
 @click.option("--seed", type=int, default=1)
-@KIND
+@KIND_OPTION
 def lab_replay(what: str, script: Optional[str], seed: int, kind: str) -> None:
     """Play a scenario again and print all events of a request, proxy, view, endpoint or address."""
     from ..lab.day import play_day
@@ -162,7 +162,7 @@
         raise click.ClickException(f"{path}:1: expected a readable study: {error}") from None
 
 
-BASE = click.option(
+RESULTS_OPTION = click.option(
     "--results",
     "base",
     type=click.Path(),
@@ -174,7 +174,7 @@
 @lab.command(name="study")
 @click.argument("file", type=click.Path())
 @click.option("--workers", type=int)
-@BASE
+@RESULTS_OPTION
 def lab_study(file: str, workers: Optional[int], base: str) -> None:
     """Play the cells of a study that have no results yet; can be stopped and run again."""
     from ..lab.study import Results, run_study
@@ -190,7 +190,7 @@
 @lab.command(name="compare")
 @click.argument("file", type=click.Path())
 @click.argument("figure")
-@BASE
+@RESULTS_OPTION
 def lab_compare(file: str, figure: str, base: str) -> None:
     """Compare FIGURE with the first variant and policy: paired differences, 95% intervals."""
     from ..lab.study import Results, compare_paired
@@ -217,7 +217,7 @@
 @lab.command(name="report")
 @click.argument("file", type=click.Path())
 @click.argument("out", type=click.Path(dir_okay=False))
-@BASE
+@RESULTS_OPTION
 def lab_report(file: str, out: Optional[str], base: str) -> None:
     """Write a study's tables and charts to one HTML file."""
     from ..lab.report import write_report
--- a/peatlead/cli/queries.py
+++ b/peatlead/cli/queries.py
@@ -71,29 +71,29 @@
 @click.argument("what")
 @click.option("--name", help="controller to query; required if FILE has several")
 def why(file: str, what: str, name: Optional[str]) -> None:
-    """Show the state and recent events of an endpoint or proxy, and the spread of removals."""
+    """Show the state and recent events of an endpoint or proxy, and the delays of removals."""
     response = query_controller(file, name, {"ask": "why", "host": what})
     notes = response.pop("notes", [])
-    losses = response.pop("losses", [])
+    withdrawals = response.pop("losses", [])
     tables = response.pop("lines", {})
     for field, value in response.items():
         click.echo(f"{field:24} {value}")
     for age, text in notes:
         click.echo(f"{age:10.2f} s ago  {text}")
-    for loss in losses:
-        click.echo(describe_loss(loss))
+    for withdrawal in withdrawals:
+        click.echo(describe_withdrawal(withdrawal))
     for request_class, entries in tables.items():
-        listed = ", ".join(f"{host} {weight:g}" for host, weight in entries.items())
-        click.echo(f"{request_class}: {listed}")
+        weights = ", ".join(f"{host} {weight:g}" for host, weight in entries.items())
+        click.echo(f"{request_class}: {weights}")
 
 
-def describe_loss(loss: Answer) -> str:
-    """Return one line on the removal of an endpoint from the tables of proxies and views."""
+def describe_withdrawal(withdrawal: Answer) -> str:
+    """Return a line on how far an endpoint's removal has reached the tables that named it."""
     delays = ""
-    if loss["last s"] is not None:
-        delays = f"; median {loss['median s']:g} s, last {loss['last s']:g} s"
+    if withdrawal["last s"] is not None:
+        delays = f"; median {withdrawal['median s']:g} s, last {withdrawal['last s']:g} s"
     return (
-        f"removed {loss['seconds ago']:.2f} s ago from {loss['holders']} tables: "
-        f"{loss['without it']} done, {loss['still to go']} still to go, "
-        f"{loss['left before']} left before{delays}"
+        f"removed {withdrawal['seconds ago']:.2f} s ago from {withdrawal['holders']} holders: "
+        f"{withdrawal['without it']} applied, {withdrawal['still to go']} pending, "
+        f"{withdrawal['left before']} disconnected{delays}"
     )
--- a/peatlead/cli/scenarios.py
+++ b/peatlead/cli/scenarios.py
@@ -16,12 +16,12 @@
 if TYPE_CHECKING:
     from ..invariants.checker import Report
 
-TITLES = {
+PLANNER_TITLES = {
     "shards": "peatlead",
     "plain": "plain baseline (all endpoints in every answer, no health checks)",
 }
-BASELINE_ADDRESSES = 32  # in each answer of the baseline; scenarios have fewer endpoints
-SERVED = ("done", "late")  # outcomes of requests that got a usable response
+BASELINE_ADDRESSES = 32  # in each answer of the baseline; more than a scenario has endpoints
+SERVED_OUTCOMES = ("done", "late")  # outcomes of requests that got a usable response
 TABLE_WIDTH = 118  # characters
 
 
@@ -43,20 +43,23 @@
     except SettingsError as error:
         raise click.ClickException(str(error)) from None
     folder = Path(out or tempfile.mkdtemp(prefix="peatlead-day-"))
-    chosen = PLANNERS if planner == "both" else (planner,)
-    reports = asyncio.run(play_all(scenario, folder, chosen))
+    planners = PLANNERS if planner == "both" else (planner,)
+    reports = asyncio.run(play_with_planners(scenario, folder, planners))
     for name, report in reports.items():
-        show_report(report, folder / name, name)
+        print_and_store_report(report, folder / name, name)
     if planner == "both":
-        compare(reports)
+        print_comparison(reports)
     click.echo(f"recording and logs: {folder}")
-    sys.exit(0 if reports[chosen[0]].all_rules_kept else 1)
+    sys.exit(0 if reports[planners[0]].all_rules_kept else 1)
 
 
-async def play_all(
+async def play_with_planners(
     scenario: Settings, folder: Path, planners: tuple[str, ...]
 ) -> "dict[str, Report]":
-    """Play the scenario with all planners at once, so that they share the machine's load."""
+    """Play the scenario with all planners at the same time, so that all run under equal load.
+
+    Returns the reports by planner.
+    """
     from ..scenario.runner import Day
 
     steering = {**scenario["steering"], "addresses": BASELINE_ADDRESSES}
@@ -68,16 +71,16 @@
     return dict(zip(planners, await asyncio.gather(*(day.play() for day in days))))
 
 
-def show_report(report: "Report", folder: Path, planner: str) -> None:
+def print_and_store_report(report: "Report", folder: Path, planner: str) -> None:
     """Print a report and store it in the folder of its recording."""
     from ..invariants.report import as_data, print_report
 
-    print_report(report, TITLES[planner])
+    print_report(report, PLANNER_TITLES[planner])
     (folder / "report.json").write_text(json.dumps(as_data(report), indent=1))
 
 
-def compare(reports: "dict[str, Report]") -> None:
-    """Print the service of the planner and of the baseline side by side."""
+def print_comparison(reports: "dict[str, Report]") -> None:
+    """Print the served fraction and the unserved requests of each class, for both planners."""
     from rich.console import Console
     from rich.table import Table
 
@@ -88,14 +91,14 @@
     for request_class in planned:
         rows = planned[request_class], baseline[request_class]
         service = [f"{row['part']:.4f}" for row in rows]
-        table.add_row(request_class, *service, *(str(not_served(row)) for row in rows))
+        table.add_row(request_class, *service, *(str(count_unserved(row)) for row in rows))
     Console(width=TABLE_WIDTH).print(table)
 
 
-def not_served(row: Settings) -> int:
-    """Return how many requests of a class got no usable response."""
+def count_unserved(row: Settings) -> int:
+    """Return how many requests of a class got no usable response, from the class's report row."""
     outcomes: dict[str, int] = row["outcomes"]
-    return sum(count for outcome, count in outcomes.items() if outcome not in SERVED)
+    return sum(count for outcome, count in outcomes.items() if outcome not in SERVED_OUTCOMES)
 
 
 @main.command()
--- a/peatlead/cli/tables.py
+++ b/peatlead/cli/tables.py
@@ -19,7 +19,7 @@
     """Show the versions of published tables, and pin tables or roll them back."""
 
 
-CONTROLLER = click.option(
+CONTROLLER_OPTION = click.option(
     "--name", help="controller in FILE to query; by default the first that answers"
 )
 
@@ -101,7 +101,7 @@
 @click.option("--since", help="HH:MM[:SS] or a date and time")
 @click.option("--until", help="HH:MM[:SS] or a date and time")
 @click.option("--most", type=int, default=50)
-@CONTROLLER
+@CONTROLLER_OPTION
 def tables_log(
     file: str,
     proxy: Optional[str],
@@ -139,7 +139,7 @@
 @click.argument("file", type=click.Path())
 @click.argument("proxy")
 @click.option("--version", help="EPOCH.SERIAL; by default the newest")
-@CONTROLLER
+@CONTROLLER_OPTION
 def tables_show(file: str, proxy: str, version: Optional[str], name: Optional[str]) -> None:
     """Show the tables of a proxy or view in one version."""
     answers = query_tables(file, name, "show", not name, proxy=proxy, version=version)
@@ -169,7 +169,7 @@
 @click.argument("proxy")
 @click.argument("one")
 @click.argument("other")
-@CONTROLLER
+@CONTROLLER_OPTION
 def tables_diff(file: str, proxy: str, one: str, other: str, name: Optional[str]) -> None:
     """Show the items that differ between two versions, and their percentages of the requests."""
     answers = query_tables(file, name, "diff", not name, proxy=proxy, one=one, other=other)
@@ -183,18 +183,18 @@
 ) -> dict[str, str]:
     """Return the scope of a pin as arguments of the query.
 
-    Raises UsageError if there is not exactly one scope option.
+    Raises UsageError unless exactly one scope option is given.
     """
-    chosen = [
+    scopes = [
         (scope, str(value))
         for scope, value in (("proxy", proxy), ("zone", zone), ("share", share))
         if value
     ]
     if everyone:
-        chosen.append(("all", ""))
-    if len(chosen) != 1:
+        scopes.append(("all", ""))
+    if len(scopes) != 1:
         raise click.UsageError("expected one of --proxy, --zone, --share and --all")
-    whom, which = chosen[0]
+    whom, which = scopes[0]
     return {"whom": whom, "which": which}
 
 
@@ -216,7 +216,7 @@
     ),
     click.option("--by", default="", help="author and reason, shown by `tables status`"),
     click.option("--dry", is_flag=True, help="only print what would change"),
-    CONTROLLER,
+    CONTROLLER_OPTION,
 )
 
 
@@ -246,7 +246,7 @@
 
 
 def print_dry_run(controller: str, answer: Answer) -> None:
-    """Print what a pin would change at each proxy, and what can't be restored."""
+    """Print what a pin would change at each proxy, and what the guard restricts or adds."""
     click.echo(
         f"{controller}: {answer['proxies']} proxies, {answer['would change']} would change, "
         f"{answer['not known']} have a target that this controller does not know"
@@ -256,9 +256,9 @@
         click.echo(f"{proxy['proxy']}{unknown}")
         print_changes(proxy["changes"])
         for host, reason in sorted(proxy["taken"].items()):
-            click.echo(f"  not as it was: {host} {reason}")
+            click.echo(f"  not restored as pinned: {host} {reason}")
         if proxy["filled"]:
-            click.echo(f"  filled with {', '.join(sorted(set(proxy['filled'])))}")
+            click.echo(f"  added by the guard: {', '.join(sorted(set(proxy['filled'])))}")
 
 
 @tables.command(name="pin")
@@ -297,11 +297,11 @@
     help="seconds from the first to the last proxy's change; by default as for the pin",
 )
 @click.option("--by", default="", help="author, shown in the log")
-@CONTROLLER
+@CONTROLLER_OPTION
 def tables_resume(file: str, pin: str, over: Optional[float], by: str, name: Optional[str]) -> None:
     """End a pin: return to the planner's tables."""
     for controller, answer in query_tables(file, name, "resume", pin=pin, over=over, by=by).items():
-        click.echo(f"{controller}: {answer['pin']} ended, with changes over {answer['over']:g} s")
+        click.echo(f"{controller}: {answer['pin']} ended, changes spread over {answer['over']:g} s")
 
 
 @tables.command(name="status")
@@ -311,13 +311,13 @@
     is_flag=True,
     help="list the version last sent to each proxy, and the acknowledged version",
 )
-@CONTROLLER
+@CONTROLLER_OPTION
 def tables_status(file: str, proxies: bool, name: Optional[str]) -> None:
     """Show the current pins, and whether versions are stored on disk."""
     for answer in query_tables(file, name, "status", True, proxies=proxies).values():
-        stored = "kept on disk"
+        stored = "stored on disk"
         if not answer["kept on disk"]:
-            stored = f"NOT KEPT on disk: {answer['why not']}"
+            stored = f"NOT STORED on disk: {answer['why not']}"
         click.echo(
             f"{answer['steward']}: {answer['proxies']} proxies and views, "
             f"{answer['versions']} versions, {stored}"
@@ -325,9 +325,11 @@
         for pin in answer["pins"]:
             print_pin(pin)
         for proxy in answer["holders"]:
-            behind = "" if proxy["held"] == proxy["sent"] else f", acknowledged {proxy['held']}"
+            acknowledged = (
+                "" if proxy["held"] == proxy["sent"] else f", acknowledged {proxy['held']}"
+            )
             pinned = f", pinned by {proxy['pin']}" if proxy["pin"] else ""
-            click.echo(f"  {proxy['proxy']}: {proxy['sent']}{behind}{pinned}")
+            click.echo(f"  {proxy['proxy']}: {proxy['sent']}{acknowledged}{pinned}")
 
 
 def print_pin(pin: Answer) -> None:
@@ -338,8 +340,8 @@
     unknown = ""
     if pin["target not known"]:
         unknown = f", target not known for {', '.join(pin['target not known'])}"
-    by = f", {pin['by']}" if pin["by"] else ""
+    author = f", by {pin['by']}" if pin["by"] else ""
     click.echo(
         f"  {pin['pin']}: {pin['whom']} {pin['which']}, {pin['target']} {pin['to']}, {state}, "
-        f"applies to {pin['holds here']} proxies here{unknown}{by}"
+        f"applies to {pin['holds here']} proxies here{unknown}{author}"
     )
--- a/peatlead/controller/batch_loop.py
+++ b/peatlead/controller/batch_loop.py
@@ -21,7 +21,7 @@
 
 
 class DecisionMaker(Protocol):
-    """The part of a planner's interface that the loop calls."""
+    """The planner's method that the batch loop calls."""
 
     def decide(self, now: float, events: Sequence[interface.Event], /) -> list[interface.Command]:
         """Return the commands for a batch of events; `now` is in seconds on the loop's clock."""
@@ -117,8 +117,8 @@
         Handlers run first because they set the planner's timers: without timers the planner would
         never run again after an error in a message.
         """
-        messages, nonces, others = self.publisher.route(commands)
-        for command in others:
+        messages, nonces, local_commands = self.publisher.route(commands)
+        for command in local_commands:
             handler = self.command_handlers.get(type(command))
             if handler is not None:
                 handler(command)
--- a/peatlead/controller/channel.py
+++ b/peatlead/controller/channel.py
@@ -33,8 +33,8 @@
     """
 
     def __init__(self, rate: float, overhead: float, max_size: float) -> None:
-        self.rate = rate
-        self.overhead = overhead
+        self.rate = rate  # operations per second
+        self.overhead = overhead  # operations per message
         self.max_size = max_size
         self.queue: dict[int, Message] = {}  # queued messages by subscriber
         self.urgent: Lane = OrderedDict()  # subscribers whose message removes an endpoint
@@ -73,8 +73,8 @@
     def choose_lane(self, subscriber: int, message: Message) -> None:
         """Move a subscriber to the lane of its message; within the same lane it keeps its place."""
         urgent = bool(removed_endpoints(message.operations))
-        lane, other = (self.urgent, self.normal) if urgent else (self.normal, self.urgent)
-        other.pop(subscriber, None)
+        lane, other_lane = (self.urgent, self.normal) if urgent else (self.normal, self.urgent)
+        other_lane.pop(subscriber, None)
         lane.setdefault(subscriber, True)
 
     def forget_subscriber(self, subscriber: int) -> None:
--- a/peatlead/controller/control_socket.py
+++ b/peatlead/controller/control_socket.py
@@ -8,7 +8,8 @@
     {"ask": "fleet", "do": "status|drain|undrain|why", "host": PROXY}
     {"ask": "tables", "do": "log|show|diff|pin|resume|status|ends", "args": {...}}
 
-After `feed` the connection also receives a line for each message that is sent to a view or proxy.
+After the question `feed` the connection also receives a line for each message that leaves the
+channel to a view or proxy.
 """
 
 import asyncio
@@ -22,10 +23,10 @@
 MAX_CONNECTIONS = 64
 IDLE_TIMEOUT = 3600.0  # seconds until an idle connection is closed
 MAX_QUESTION_BYTES = 65536
-MAX_UNSENT_BYTES = 8 << 20  # output for a slow reader; more ends the connection
-MAX_ANSWER_BYTES = 64 << 20  # that a client accepts
+MAX_UNSENT_BYTES = 8 << 20  # queued output; a slow reader with more is disconnected
+MAX_ANSWER_BYTES = 64 << 20  # largest answer that a client accepts
 DEFAULT_TIMEOUT = 2.0  # seconds that a client waits for an answer
-FEED = "feed"
+FEED = "feed"  # value of `ask` that subscribes a connection to the feed
 
 Answer = dict[str, Any]
 """An answer to an operator, encoded as a JSON object."""
@@ -43,7 +44,7 @@
 
 
 Handler = Callable[[Question], Answer]
-"""Answers the questions with one value of `ask`."""
+"""Returns the answer to a question; there is one handler for each value of `ask`."""
 
 
 def encode_line(message: Answer) -> bytes:
@@ -72,30 +73,33 @@
         try:
             question = msgspec.json.decode(data, type=Question)
         except msgspec.MsgspecError as error:
-            self._answer({"error": f'expected a question such as {{"ask": "status"}}: {error}'})
+            self._send_answer(
+                {"error": f'expected a question such as {{"ask": "status"}}: {error}'}
+            )
             return
         if question.ask == FEED:
             self._control.feeds[self] = True
-            self._answer({"feed": "begun"})
+            self._send_answer({"feed": "begun"})
         else:
-            self._answer(self._control.reply(question))
+            self._send_answer(self._control.reply(question))
 
-    def _answer(self, message: Answer) -> None:
+    def _send_answer(self, message: Answer) -> None:
         self.send(encode_line(message))
 
 
 class ControlSocket:
     """Listens for operators and passes their questions to handlers.
 
-    `accepts_query()` returns whether there is time for another question. Questions with a `do` are
-    always accepted. A feed whose reader is too slow is cut.
+    `accepts_query()` returns whether there is time for another question. Questions with the field
+    `do` are always accepted. A connection with a feed is closed if its reader is too slow.
     """
 
     def __init__(self, accepts_query: Callable[[], bool], handlers: Mapping[str, Handler]) -> None:
         self._accepts_query = accepts_query
         self._handlers = handlers  # by value of `ask`
         self.connections = ConnectionSet(MAX_CONNECTIONS)
-        self.feeds: dict[OperatorConnection, bool] = {}  # used as an ordered set
+        # Connections that receive the feed; used as an ordered set.
+        self.feeds: dict[OperatorConnection, bool] = {}
         self._server: asyncio.Server | None = None
 
     async def open(self, address: tuple[str, int]) -> None:
@@ -131,7 +135,7 @@
 class ControlClient(LineStream):
     """The client's side: sends one question and passes each received line to `on_line`.
 
-    `end_reason` is a future that completes with the reason when the connection has ended.
+    `end_reason` is a future; its result is why the connection has ended.
     """
 
     def __init__(self, question: object, on_line: Callable[[bytes], None]) -> None:
@@ -149,7 +153,7 @@
         self._on_line(data)
 
     def ended(self, reason: str) -> None:
-        """Complete `end_reason` with the reason."""
+        """Set the result of `end_reason`."""
         if not self.end_reason.done():
             self.end_reason.set_result(reason)
 
@@ -173,9 +177,9 @@
         if not answer.done():
             answer.set_result(msgspec.json.decode(data))
 
-    def connection_ended(over: asyncio.Future[str]) -> None:
+    def connection_ended(closed: asyncio.Future[str]) -> None:
         if not answer.done():
-            reason = over.result()
+            reason = closed.result()
             answer.set_exception(OSError(f"the controller ended the connection: {reason}"))
 
     _, stream = await loop.create_connection(lambda: ControlClient(question, set_answer), *address)
--- a/peatlead/controller/controller.py
+++ b/peatlead/controller/controller.py
@@ -33,7 +33,7 @@
 from .publication import Publication
 from .recipients import PlannedTable, Recipients
 
-# Added to the controller's seed, so that each part has its own random generator.
+# Added to the controller's seed, so that the parts have independent random generators.
 SECONDARIES_SEED_OFFSET = 7
 OVERLOAD_SEED_OFFSET = 11
 
@@ -43,15 +43,15 @@
 class Controller(BatchLoop):
     """One controller: creates the parts and connects them to the planner.
 
-    `settings` are those of the whole fleet, and `name` selects this controller's entry.
+    `settings` are the settings of the whole fleet, and `name` selects this controller's entry.
     `log(event, **fields)` writes a log line. `create_planner(settings, seed)` returns the planner.
     `state_folder` holds the persistent state, or is None to store nothing. `create_source` is a
-    `SourceFactory` for endpoint lists. `boot` is eight bytes that no other start of this controller
-    has used; only a fleet needs it. `wall_clock()` returns the time of day, for timestamps that
+    `SourceFactory` for endpoint lists. `boot` is eight bytes that identify this start of the
+    controller; only a fleet needs them. `wall_clock()` returns the time of day, for timestamps that
     people read; no decision depends on it.
 
     `start()` opens the sockets and raises OSError if that fails. `ended` is a future whose result
-    is "stopped" or the error.
+    is "stopped" or the error that ended the controller.
     """
 
     def __init__(
@@ -94,7 +94,7 @@
         self._register_command_handlers()
 
     def _read_settings(self, settings: dict[str, Any], name: str) -> None:
-        """Set the attributes that the parts read from the settings."""
+        """Set the attributes that the other parts use instead of the settings."""
         self.settings = settings
         # This controller's entry in the settings.
         self.own_settings: dict[str, Any] = next(
@@ -111,7 +111,7 @@
         """Register handlers for the commands that concern this controller itself."""
         self.command_handlers.update(
             {
-                interface.CheckHealth: self.health_checks.check,
+                interface.CheckHealth: self.health_checks.send_check,
                 interface.SetAdmission: self.health_checks.set_admission,
                 interface.FetchEndpoints: self._fetch_endpoints,
                 interface.SendGossip: self._send_gossip,
@@ -119,7 +119,7 @@
         )
 
     def _create_channel(self, seed: int) -> None:
-        """Create the channel and the parts that move messages through it."""
+        """Create the channel, and the parts that fill the channel and send its messages."""
         limits = self.settings["limits"]
         self.channel = Channel(limits["channel_rate"], limits["message_head"], limits["queue_most"])
         self.registry = EndpointRegistry(self.zone_names, self.log)
@@ -203,12 +203,12 @@
         """Stop answering, then stop publishing, then close the remaining sockets."""
         if self.ended.done():
             return
-        self.answer_freshness.end()
+        self.answer_freshness.forbid_answers()
         self.endpoint_lists.source.stop()
         self.health_checks.prober.stop()
         self.dns_server.close()
         if self.gossip:
-            # Before the proxies disconnect, so that the other controllers know their new owners.
+            # The other controllers must know of the departure before the proxies reconnect to them.
             self.gossip.leave()
         if self.proxies:
             self.proxies.server.close()
@@ -233,7 +233,7 @@
 
     def on_batch_start(self, now: float) -> None:
         """Check for a stall before anything else, then add the load statistics that are due."""
-        self.answer_freshness.check(now)
+        self.answer_freshness.detect_stall(now)
         stats = self.health_checks.take_due_stats(now)
         self.inbox += stats
         if self.proxies:
@@ -250,16 +250,16 @@
         """Queue a batch's messages in the channel, with their causes."""
         for command in commands:
             self._record_cause(now, command)
-        for number in sorted(messages):
-            operations = messages[number]
+        for subscriber in sorted(messages):
+            operations = messages[subscriber]
             for endpoint in removed_endpoints(operations):
-                if self.recipients.holds(number, endpoint):
-                    self.propagation.begin_withdrawal(now, endpoint, number)
+                if self.recipients.holds(subscriber, endpoint):
+                    self.propagation.begin_withdrawal(now, endpoint, subscriber)
             causes = self.publication.causes.causes_of(operations)
-            self.channel.enqueue(now, number, operations, nonces.get(number, ()), causes)
+            self.channel.enqueue(now, subscriber, operations, nonces.get(subscriber, ()), causes)
 
     def _record_cause(self, now: float, command: object) -> None:
-        """Record the event of an endpoint that a command implies, as a cause of later versions."""
+        """Record what a command says about an endpoint, as a cause of later versions."""
         if type(command) is interface.LogMessage:
             event = self.publication.causes.note_planner_message(command.text)
             if event:
@@ -270,7 +270,7 @@
             self.propagation.record_event(now, command.endpoint, text)
 
     def on_batch_end(self, now: float, events: Sequence[object]) -> None:
-        """Send the messages that are due; after a round of the planner's timer do periodic work."""
+        """Send due messages; after the first batch and after timer events also do periodic work."""
         self.message_pump.send_due()
         timer_fired = any(type(event) is interface.TimerFired for event in events)
         if not timer_fired and self.batch_count != 1:
@@ -311,9 +311,9 @@
         """Return the number of joined proxies."""
         return len(self.proxies.server.sessions) if self.proxies else 0
 
-    def planned_tables(self, number: int) -> list[PlannedTable]:
+    def planned_tables(self, subscriber: int) -> list[PlannedTable]:
         """Return the planned tables of a view or proxy."""
-        return self.recipients.planned_tables(number)
+        return self.recipients.planned_tables(subscriber)
 
     def answer_fleet_question(self, question: Question) -> Answer:
         """Answer a query about the fleet. Raises KeyError if this controller is in no fleet."""
--- a/peatlead/controller/dns_publication.py
+++ b/peatlead/controller/dns_publication.py
@@ -16,7 +16,7 @@
     from .controller import Controller
 
 ViewService = tuple[int, int]
-"""The index of a view and the index of a service; answers are set for each such pair."""
+"""The index of a view and the index of a service. Each pair has its own DNS answers."""
 
 
 def service_request_classes(settings: Mapping[str, Any]) -> list[list[int]]:
@@ -37,16 +37,20 @@
         views = controller.views.views
         self._states = [ViewState() for _ in views]
         self.thinning = WarmupThinning(
-            {(view.index, service): view.rate for view in views for service in self._services()}
+            {
+                (view.index, service): view.rate
+                for view in views
+                for service in self._service_indices()
+            }
         )
-        # When each endpoint was removed from the last view, in seconds on the loop's clock.
+        # When the last view lost each endpoint, in seconds on the loop's clock.
         self._last_named_at: dict[int, float] = {}
 
-    def _services(self) -> range:
+    def _service_indices(self) -> range:
         return range(len(self._service_labels))
 
-    def state_of(self, view: View) -> ViewState:
-        """Return the planned state of a view, as far as messages have left the channel."""
+    def view_state(self, view: View) -> ViewState:
+        """Return a view's state after all messages that have left the channel."""
         return self._states[view.index]
 
     def planned_tables(self, view: View) -> list[PlannedTable]:
@@ -57,15 +61,15 @@
             for label, request_classes in zip(self._service_labels, self._request_classes)
         ]
 
-    def items_of(self, view: View) -> LineWeights:
-        """Return the published items that a view should have now."""
-        return self._items_of_tables(self._tables_of(view))
+    def view_items(self, view: View) -> LineWeights:
+        """Return the published items that a view should have now, of all services."""
+        return self._items_of_tables(self._effective_tables(view))
 
     def apply(self, now: float, view: View, message: Message) -> list[EndpointWeights]:
         """Apply a message that has left the channel. Return the view's tables, by service."""
         self._states[view.index].apply(message.operations)
         self._controller.propagation.version_applied(now, view.number)
-        tables = self._tables_of(view)
+        tables = self._effective_tables(view)
         self._controller.publication.record_view(
             VIEW_PREFIX + view.name, self._items_of_tables(tables), tuple(message.causes)
         )
@@ -122,7 +126,7 @@
             return None
         return self._controller.loop.time() - self._last_named_at[endpoint]
 
-    def _tables_of(self, view: View) -> list[EndpointWeights]:
+    def _effective_tables(self, view: View) -> list[EndpointWeights]:
         """Return a view's tables by service: the planned tables, or guarded tables under a pin."""
         zone = self._controller.zone_names[view.zone]
         return [
--- a/peatlead/controller/endpoint_lists.py
+++ b/peatlead/controller/endpoint_lists.py
@@ -1,4 +1,4 @@
-"""Endpoint lists: received from a source, stored on disk, and passed to the controller's parts."""
+"""Receives endpoint lists from a source, stores them, and updates the controller's parts."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
@@ -17,7 +17,7 @@
 class EndpointLists:
     """Receives endpoint lists and updates the controller's parts.
 
-    `cache_path` is the file that stores the last whole list, or None to store nothing.
+    `cache_path` is the file for the last list of scope WHOLE, or None to store nothing.
     """
 
     def __init__(
@@ -43,7 +43,7 @@
         loop.call_soon(lambda: self.source.fetch(loop.time()))
 
     def receive(self, endpoint_list: EndpointList) -> None:
-        """Handle a list from the source."""
+        """Update the controller's parts from a list, and submit the list to the planner."""
         controller = self._controller
         now = controller.loop.time()
         update = controller.registry.endpoint_update(endpoint_list, now)
--- a/peatlead/controller/endpoint_registry.py
+++ b/peatlead/controller/endpoint_registry.py
@@ -6,11 +6,11 @@
 from .. import interface
 from ..sources.endpoint_list import EndpointList, ListedEndpoint
 
-UNKNOWN_AGE = 1e6  # seconds; assumed for an endpoint on the first list whose start is unknown
+UNKNOWN_AGE = 1e6  # seconds; assumed for endpoints on the first list without a start time
 
 
 class ProcessStart(NamedTuple):
-    """When an endpoint's process started, in seconds on the list's and the controller's clock."""
+    """When an endpoint's process started, in seconds on the list's and on the loop's clock."""
 
     listed: float
     local: float
@@ -89,17 +89,17 @@
     def started_at(self, entry: ListedEndpoint, written: float, now: float) -> float:
         """Return when an endpoint's process started, in seconds on the controller's clock.
 
-        Only the difference of the list's two times is used, so the list may use any clock. A
-        process keeps the start time computed from the first list that named it; otherwise each new
-        list would shift the start time.
+        Of the list, only the difference between `written` and the entry's start time is used, so
+        the list may use any clock. A process keeps the start time that is computed from the first
+        list that names it; otherwise each new list would shift the start time.
         """
         start = self.process_starts.get(entry.name)
         if start is None or start.listed != entry.started:
-            start = ProcessStart(entry.started, now - self.age(entry, written))
+            start = ProcessStart(entry.started, now - self.initial_age(entry, written))
             self.process_starts[entry.name] = start
         return start.local
 
-    def age(self, entry: ListedEndpoint, written: float) -> float:
+    def initial_age(self, entry: ListedEndpoint, written: float) -> float:
         """Return the age in seconds of a process that is listed for the first time."""
         if written > 0 and entry.started > 0:
             if self.process_age is not None:
--- a/peatlead/controller/health_checks.py
+++ b/peatlead/controller/health_checks.py
@@ -1,7 +1,7 @@
-"""Health checks that the planner commands, and the load reports in the endpoints' answers.
+"""Sends the health checks that the planner commands, and reads load reports from the answers.
 
-A health check also carries the admitted fractions to the endpoint, which enforces them for DNS
-clients.
+The request of a health check also carries the admitted fractions. Endpoints enforce them for
+requests of DNS clients.
 """
 
 from ipaddress import ip_address
@@ -55,47 +55,48 @@
         settings = controller.settings
         self._controller = controller
         self._port: int = settings["probes"]["port"]
-        self._view_by_network: dict[str, View | None] = {}  # a cache
-        self.admission: dict[int, float] = {}  # request class -> admitted fraction
-        self._counts = LoadReportCounts(
+        self._view_by_network: dict[str, View | None] = {}  # cached results of `_find_view`
+        self.admitted_fractions: dict[int, float] = {}  # by request class
+        self._report_counts = LoadReportCounts(
             controller.request_classes,
-            self._view_of,
+            self._cached_view,
             controller.zone_names.index(controller.own_settings["zone"]),
             settings["choices"]["sums_every"],
         )
         self.prober = Prober(
             settings["probes"],
-            self._completed,
+            self._check_completed,
             read_answer,
-            self._headers,
+            self._request_headers,
             controller.own_settings["listen"][0],
         )
 
-    def check(self, command: interface.CheckHealth) -> None:
+    def send_check(self, command: interface.CheckHealth) -> None:
         """Send the health check that the planner commands."""
         entry = self._controller.registry.entries[command.endpoint]
         self.prober.probe(command.endpoint, (entry.address or entry.address6, self._port))
 
     def set_admission(self, command: interface.SetAdmission) -> None:
         """Set the admitted fraction that the next health checks carry."""
-        self.admission.update(dict.fromkeys(command.request_classes, command.fraction))
+        self.admitted_fractions.update(dict.fromkeys(command.request_classes, command.fraction))
 
-    def admission_text(self) -> str:
-        """Return the admitted fractions in the header's format: `CLASS=FRACTION,...`."""
+    def admission_header(self) -> str:
+        """Return the value of ADMISSION_HEADER: `CLASS=FRACTION,...`."""
         names = self._controller.request_classes
         return ",".join(
-            f"{names[index]}={fraction}" for index, fraction in sorted(self.admission.items())
+            f"{names[index]}={fraction}"
+            for index, fraction in sorted(self.admitted_fractions.items())
         )
 
     def take_due_stats(self, now: float) -> list[Any]:
         """Return planner events for the endpoints' reports, or an empty list until they are due."""
-        events: list[Any] = self._counts.events_due(now, self._controller.view_numbers)
+        events: list[Any] = self._report_counts.events_due(now, self._controller.view_numbers)
         return events
 
-    def _headers(self) -> list[tuple[str, str]]:
-        return [(ADMISSION_HEADER, self.admission_text())]
+    def _request_headers(self) -> list[tuple[str, str]]:
+        return [(ADMISSION_HEADER, self.admission_header())]
 
-    def _completed(
+    def _check_completed(
         self,
         endpoint: int,
         outcome: str,
@@ -103,14 +104,14 @@
         load_report: LoadReport | None,
         request_counts: EndpointReport | None,
     ) -> None:
-        self._counts.add_report(endpoint, request_counts, load_report)
-        self._counts.add_probe(endpoint, outcome == PASSED, duration)
+        self._report_counts.add_report(endpoint, request_counts, load_report)
+        self._report_counts.add_probe(endpoint, outcome == PASSED, duration)
         self._controller.submit(
             interface.HealthCheckResult(endpoint, outcome, duration, load_report)
         )
 
-    def _view_of(self, network: str) -> View | None:
-        """Return the view of a client network; endpoints report the same networks repeatedly."""
+    def _cached_view(self, network: str) -> View | None:
+        """Return the view of a client network, cached since reports repeat the same networks."""
         if network not in self._view_by_network:
             if len(self._view_by_network) > MAX_CACHED_NETWORKS:
                 self._view_by_network = {}
--- a/peatlead/controller/message.py
+++ b/peatlead/controller/message.py
@@ -8,7 +8,7 @@
     (WITHDRAWN, endpoint): withdrawn             eject an endpoint from all tables, or restore it
     (ASSIGNMENT, request class): table           assign a table to a request class
     (ADMISSION, request class): (admitted fraction, retry policy)
-    (UNASSIGNED_TABLE, table): True              drop a table that is assigned to no class
+    (UNASSIGNED_TABLE, table): True              drop a table that is no longer assigned
     (PIN_CHECK, entry key): True                 check the entry against the pin in force
 
 Keys are plain tuples of strings and integers, which are cheap to create: the restart of a fleet
@@ -49,7 +49,7 @@
         # When the first operation was queued, in seconds on the loop's clock.
         self.enqueued_at = now
         self.nonces: list[int] = []  # nonces to acknowledge once the message is applied
-        self.causes: dict[str, None] = {}  # why it is sent, in order; used as an ordered set
+        self.causes: dict[str, None] = {}  # why the message is sent; used as an ordered set
 
 
 def set_operation(operations: Operations, key: OperationKey, value: Any) -> None:
--- a/peatlead/controller/message_pump.py
+++ b/peatlead/controller/message_pump.py
@@ -16,7 +16,7 @@
 
 
 class MessagePump:
-    """Sends the messages that are due, and schedules a timer for the next message."""
+    """Sends the messages that are due, and sets a timer for the next message."""
 
     def __init__(self, controller: "Controller") -> None:
         self._controller = controller
@@ -30,14 +30,14 @@
             self._timer.cancel()
             self._timer = None
         changed_tables: dict[ViewService, EndpointWeights] = {}
-        for number, message in controller.channel.take_due(now, MAX_MESSAGES_PER_CALLBACK):
+        for subscriber, message in controller.channel.take_due(now, MAX_MESSAGES_PER_CALLBACK):
             for nonce in message.nonces:
                 delay = now - message.enqueued_at
-                controller.add_to_next_batch(interface.Acknowledged(number, nonce, delay))
-            controller.propagation.message_dequeued(number)
-            view = controller.views.by_number.get(number)
+                controller.add_to_next_batch(interface.Acknowledged(subscriber, nonce, delay))
+            controller.propagation.message_dequeued(subscriber)
+            view = controller.views.by_number.get(subscriber)
             if view is None:
-                self._send_to_proxy(now, number, message)
+                self._send_to_proxy(now, subscriber, message)
             else:
                 changed_tables.update(self._send_to_view(now, view, message))
         if changed_tables:
@@ -46,9 +46,9 @@
             due_at = max(now, controller.channel.next_due_at)
             self._timer = controller.loop.call_at(due_at, self.send_due)
 
-    def _send_to_proxy(self, now: float, number: int, message: Message) -> None:
+    def _send_to_proxy(self, now: float, subscriber: int, message: Message) -> None:
         proxies = self._controller.proxies
-        session = proxies.apply(number, message) if proxies else None
+        session = proxies.apply(subscriber, message) if proxies else None
         if proxies is not None and session is not None:
             self._publish_to_feed(now, session.node.name, message, proxies.line_counts(session))
 
--- a/peatlead/controller/operator_queries.py
+++ b/peatlead/controller/operator_queries.py
@@ -18,25 +18,28 @@
 
 @runtime_checkable
 class DescribesEndpoints(Protocol):
-    """A planner that can describe endpoints; simple planners of studies cannot."""
+    """A planner that can describe endpoints; the simple planners for comparisons cannot."""
 
-    def describe(self, endpoint_id: int, now: float, /) -> EndpointSummary | None:
-        """Return an endpoint's summary, or None for an unknown endpoint; `now` is in loop time."""
+    def describe(self, endpoint: int, now: float, /) -> EndpointSummary | None:
+        """Return an endpoint's summary, or None for an unknown endpoint.
 
+        `now` is in seconds on the loop's clock.
+        """
 
-def describe_endpoint(endpoint: EndpointSummary) -> Answer:
+
+def describe_endpoint(summary: EndpointSummary) -> Answer:
     """Return the planner's summary of an endpoint as operators see it."""
     return {
-        "phase": endpoint.phase,
-        "usable": endpoint.usable,
-        "share": endpoint.weight_fraction,
-        "reach": endpoint.traffic_fraction,
-        "cold for s": None if endpoint.cold_for is None else round(endpoint.cold_for, 1),
-        "out for s more": None if endpoint.ejected_for is None else round(endpoint.ejected_for, 1),
-        "tries": round(endpoint.attempts, 1),
-        "bad": round(endpoint.errors, 1),
-        "load": round(endpoint.utilization, 2),
-        "probes failed in a row": endpoint.failed_checks,
+        "phase": summary.phase,
+        "usable": summary.usable,
+        "share": summary.weight_fraction,
+        "reach": summary.traffic_fraction,
+        "cold for s": None if summary.cold_for is None else round(summary.cold_for, 1),
+        "out for s more": None if summary.ejected_for is None else round(summary.ejected_for, 1),
+        "tries": round(summary.attempts, 1),
+        "bad": round(summary.errors, 1),
+        "load": round(summary.utilization, 2),
+        "probes failed in a row": summary.failed_checks,
     }
 
 
@@ -83,22 +86,22 @@
         }
 
     def why(self, question: Question) -> Answer:
-        """Return the state of an endpoint or proxy, with its withdrawals."""
+        """Return the state of an endpoint or proxy, with the withdrawals that concern it."""
         controller = self._controller
-        index, planner = controller.registry.numbers.get(question.host), controller.planner
-        if index is not None and isinstance(planner, DescribesEndpoints):
+        endpoint, planner = controller.registry.numbers.get(question.host), controller.planner
+        if endpoint is not None and isinstance(planner, DescribesEndpoints):
             now = controller.loop.time()
-            endpoint = planner.describe(index, now)
-            if endpoint is not None:
-                return self._why_endpoint(question.host, index, endpoint, now)
+            summary = planner.describe(endpoint, now)
+            if summary is not None:
+                return self._explain_endpoint(question.host, endpoint, summary, now)
         proxies = controller.proxies
         session = proxies.server.sessions.get(question.host) if proxies else None
         if proxies is not None and session is not None:
-            return self._why_proxy(question.host, proxies, session)
+            return self._explain_proxy(question.host, proxies, session)
         return {"error": f"expected a host of the list or a joined proxy, got {question.host!r}"}
 
     def drained(self, question: Question) -> Answer:
-        """Return whether answers name an endpoint, and how long cached answers may still do so."""
+        """Return whether DNS answers name an endpoint, and how long cached answers may do so."""
         controller = self._controller
         endpoint = controller.registry.numbers.get(question.host)
         if endpoint is None:
@@ -117,7 +120,7 @@
         }
 
     def fleet(self, gossip: GossipNode, question: Question) -> Answer:
-        """Execute `drain` or `undrain`, and return the fleet as this controller sees it."""
+        """Execute `drain`, `undrain` or `why`; except for `why`, return the fleet's status."""
         controller = self._controller
         proxies = controller.proxies
         ownership = gossip.ownership
@@ -160,7 +163,7 @@
             "channel": self._describe_channel(),
             "burden": controller.overload.status(),
             "probes_dropped": controller.health_checks.prober.dropped,
-            "levels": controller.health_checks.admission_text(),
+            "levels": controller.health_checks.admission_header(),
             "fresh": controller.answer_freshness.fresh,
         }
 
@@ -184,19 +187,21 @@
             "named": named,
         }
 
-    def _why_endpoint(self, name: str, index: int, endpoint: EndpointSummary, now: float) -> Answer:
+    def _explain_endpoint(
+        self, name: str, endpoint: int, summary: EndpointSummary, now: float
+    ) -> Answer:
         controller = self._controller
         return {
             "host": name,
             "steward": controller.own_settings["name"],
-            **describe_endpoint(endpoint),
-            "holders": endpoint.subscribers,
-            **controller.propagation.status(now, index),
+            **describe_endpoint(summary),
+            "holders": summary.subscribers,
+            **controller.propagation.status(now, endpoint),
         }
 
-    def _why_proxy(self, name: str, proxies: Proxies, session: Session) -> Answer:
+    def _explain_proxy(self, name: str, proxies: Proxies, session: Session) -> Answer:
         controller = self._controller
-        name_of = controller.publication.name_of
+        endpoint_name = controller.publication.endpoint_name
         pending_endpoints = controller.propagation.pending.get(session.number, ())
         return {
             "proxy": name,
@@ -206,10 +211,10 @@
             "epoch": session.epoch,
             "says it holds": str(proxies.acknowledged_version(session.number)),
             "waits for its window": not session.call.idle,
-            "losses under way": [name_of(endpoint) for endpoint in pending_endpoints],
+            "losses under way": [endpoint_name(endpoint) for endpoint in pending_endpoints],
             "lines": {
                 request_class: {
-                    name_of(endpoint): weight
+                    endpoint_name(endpoint): weight
                     for endpoint, weight in sorted(proxies.endpoint_weights(session, index).items())
                 }
                 for request_class, index in proxies.server.class_indices.items()
--- a/peatlead/controller/overload.py
+++ b/peatlead/controller/overload.py
@@ -8,20 +8,21 @@
 - `TimerLateness`: a timer of the controller fired late by a measured time
 
 Commands:
-- `SetReportInterval`: the interval between load reports; each proxy receives its own interval with
-  its next report (`report_interval_of`)
+- `SetReportInterval`: the common interval between load reports; each proxy receives an interval of
+  its own (`proxy_report_interval`) in the response to its next report
 - `SetGatherWindow`: how long statistics are gathered before the planner receives them
 - `LogOverload`: a log message
 
-`accepts_report`, `join_delay` and `accepts_query` are called for each arrival.
+`accepts_report`, `join_delay` and `accepts_query` are called for each report, join and query that
+arrives.
 
 Work is shed in this order:
 
-1. The report interval is raised: each report then covers more time, and no data is lost.
+1. The report interval is raised: each report then covers a longer time, and no data is lost.
 2. Reports beyond the budget are dropped unread, evenly over all proxies.
 3. Statistics are gathered for longer, so that the planner receives larger batches.
 4. Operators' queries are limited to a few per second.
-5. Proxies that already hold a table must retry their join; the table stays in force meanwhile.
+5. Proxies that already hold a table must retry their join; meanwhile they use that table.
 
 Removals of endpoints are never shed. Joins of proxies without a table are never delayed, because no
 proxy may be left without a table. Lateness is measured on the loop's clock. Simulated work takes no
@@ -34,10 +35,10 @@
 
 from .token_bucket import TokenBucket
 
-MAX_NORMAL_LATENESS = 0.03  # seconds of mean timer lateness; above, optional work is reduced
-SEVERE_LATENESS = 0.25  # seconds of mean timer lateness; from here on, all optional work stops
+MAX_NORMAL_LATENESS = 0.03  # seconds of mean timer lateness; optional work is reduced above it
+SEVERE_LATENESS = 0.25  # seconds of mean timer lateness; the headroom is 0 from this value on
 MAX_COUNTED_LATENESS = 0.5  # seconds per timer; limits the effect of a single stall
-LATENESS_SMOOTHING = 0.2  # weight of a new value in the mean
+LATENESS_SMOOTHING = 0.2  # weight of a new value in the mean lateness
 
 MAX_REPORT_FRACTION = 0.35  # of all time, for processing reports at full headroom
 MIN_REPORT_FRACTION = 0.03  # of all time, for processing reports without headroom
@@ -53,29 +54,32 @@
 
 INITIAL_REPORT_COST = 0.0004  # seconds to process a report
 COST_SMOOTHING = 0.01  # weight of each report in the mean cost
-MAX_COST_REPORTS = 10  # reports of one measurement that count for its weight
+MAX_COST_REPORTS = 10  # further reports do not increase the weight of a measurement
 RATE_SMOOTHING = 0.1  # weight of a new value in the mean report rate
 
-MAX_GATHER_FRACTION = 0.5  # of the configured report interval, for gathering statistics
+MAX_GATHER_FRACTION = 0.5  # of the configured report interval; the longest gather window
 JOIN_RATE = 600.0  # joins per second of proxies with a table, at full headroom
-MEAN_JOIN_DELAY = 0.5  # seconds until a proxy retries its join
+MEAN_JOIN_DELAY = 0.5  # seconds until a proxy retries a delayed join
 QUERY_RATE = 50.0  # operators' queries per second, at full headroom
 
 LONG_AGO = -1e9  # seconds on the loop's clock, before all events
 
 
 class ReportsRead(NamedTuple):
-    """Event: `reports` load reports were processed in `seconds` on the loop's clock."""
+    """Event: `report_count` load reports were processed in `seconds` on the loop's clock."""
 
-    reports: int
+    report_count: int
     seconds: float
 
 
 class TimerLateness(NamedTuple):
-    """Event: a timer fired `late` seconds after its planned time; `proxies` are connected."""
+    """Event: a timer fired `lateness` seconds after its planned time.
 
-    late: float
-    proxies: int
+    `proxy_count` is the number of connected proxies.
+    """
+
+    lateness: float
+    proxy_count: int
 
 
 class SetReportInterval(NamedTuple):
@@ -104,8 +108,8 @@
     """Decides how much optional work a controller accepts.
 
     `report_interval` is the configured number of seconds between two load reports of a proxy.
-    `uniform(low, high)` returns a random number. `headroom` summarizes the state: 1 means time for
-    all work, and 0 means no time for optional work.
+    `uniform(low, high)` returns a random number. `headroom` is the fraction of optional work that
+    the controller has time for, between 0 and 1.
     """
 
     def __init__(self, report_interval: float, uniform: Callable[[float, float], float]) -> None:
@@ -118,11 +122,11 @@
         self.last_timer_at: Optional[float] = None  # when the last timer fired
         self.low_headroom_at = LONG_AGO  # when the headroom was last below 1
         self.report_cost = INITIAL_REPORT_COST  # mean seconds to process a report
-        self.report_rate = 0.0  # mean arriving reports per second
-        self.report_count = 0  # reports that arrived since the last timer
+        self.report_rate = 0.0  # mean of the arriving reports per second
+        self.report_count = 0  # reports since the last timer, without reports dropped as too early
         self.read_fraction = 1.0  # fraction of the arriving reports that are processed
-        self.interval = report_interval  # current common report interval in seconds
-        self.interval_set_at = LONG_AGO
+        self.report_interval = report_interval  # current common report interval in seconds
+        self.report_interval_set_at = LONG_AGO
         self.gather_window = 0.0  # seconds for which statistics are gathered
         self.join_bucket = TokenBucket(JOIN_RATE)
         self.query_bucket = TokenBucket(QUERY_RATE)
@@ -141,22 +145,22 @@
 
     def on_reports_read(self, event: ReportsRead) -> None:
         """Update the mean cost of a load report."""
-        if event.reports:
-            weight = COST_SMOOTHING * min(MAX_COST_REPORTS, event.reports)
-            self.report_cost += weight * (event.seconds / event.reports - self.report_cost)
+        if event.report_count:
+            weight = COST_SMOOTHING * min(MAX_COST_REPORTS, event.report_count)
+            self.report_cost += weight * (event.seconds / event.report_count - self.report_cost)
 
     def on_timer(self, event: TimerLateness) -> None:
         """Update the headroom, the report budget and the intervals from a timer's lateness."""
-        self.measure_rate()
-        self.update_headroom(event.late)
-        # Reports are held to their fraction of the time, whatever work has caused the lateness.
+        self.update_report_rate()
+        self.update_headroom(event.lateness)
+        # The budget is a fraction of the time, and applies whatever work has caused the lateness.
         budget = max(MIN_REPORT_FRACTION, MAX_REPORT_FRACTION * self.headroom)
-        needed = self.report_rate * max(0.0, self.report_cost)
-        self.read_fraction = min(1.0, budget / needed) if needed else 1.0
-        self.set_interval(event.proxies * self.report_cost / budget)
-        self.set_gather_window()
+        required = self.report_rate * max(0.0, self.report_cost)
+        self.read_fraction = min(1.0, budget / required) if required else 1.0
+        self.update_report_interval(event.proxy_count * self.report_cost / budget)
+        self.update_gather_window()
 
-    def measure_rate(self) -> None:
+    def update_report_rate(self) -> None:
         """Update the mean report rate from the reports that arrived since the last timer."""
         if self.last_timer_at is not None and self.now > self.last_timer_at:
             rate = self.report_count / (self.now - self.last_timer_at)
@@ -164,10 +168,10 @@
             self.report_rate += RATE_SMOOTHING * (rate - self.report_rate)
         self.last_timer_at = self.now
 
-    def update_headroom(self, late: float) -> None:
+    def update_headroom(self, lateness: float) -> None:
         """Increase the headroom in steps while lateness is normal, or reduce it by a factor."""
         self.mean_lateness += LATENESS_SMOOTHING * (
-            min(late, MAX_COUNTED_LATENESS) - self.mean_lateness
+            min(lateness, MAX_COUNTED_LATENESS) - self.mean_lateness
         )
         if self.mean_lateness <= MAX_NORMAL_LATENESS:
             self.headroom = min(1.0, self.headroom + HEADROOM_INCREASE)
@@ -176,30 +180,31 @@
         else:
             self.headroom = 0.0
 
-    def set_interval(self, needed: float) -> None:
+    def update_report_interval(self, required_interval: float) -> None:
         """Set the report interval so that reports of all connected proxies fit into the budget.
 
-        `needed` is the required interval in seconds. The interval is raised as soon as that is
-        needed. To avoid oscillation the interval is lowered only by more than one step, and only
-        after the headroom has been full for `INTERVAL_DECREASE_DELAY`.
+        `required_interval` is in seconds. If it is longer than the current interval, the interval
+        is raised at once. To avoid oscillation the interval is lowered only by more than one step,
+        and only after the headroom has been full for `INTERVAL_DECREASE_DELAY`. Two changes are at
+        least `MIN_INTERVAL_CHANGE_GAP` apart.
         """
-        new_interval = self.round_up(needed)
+        new_interval = self.round_up_interval(required_interval)
         if self.headroom < 1:
             self.low_headroom_at = self.now
         may_decrease = self.now - self.low_headroom_at >= INTERVAL_DECREASE_DELAY
-        decreases = new_interval < self.interval / INTERVAL_STEP_FACTOR and may_decrease
+        decreases = new_interval < self.report_interval / INTERVAL_STEP_FACTOR and may_decrease
         if (
-            new_interval > self.interval or decreases
-        ) and self.now - self.interval_set_at >= MIN_INTERVAL_CHANGE_GAP:
-            self.interval = new_interval
-            self.interval_set_at = self.now
+            new_interval > self.report_interval or decreases
+        ) and self.now - self.report_interval_set_at >= MIN_INTERVAL_CHANGE_GAP:
+            self.report_interval = new_interval
+            self.report_interval_set_at = self.now
             lateness = f"mean timer lateness {self.mean_lateness * 1000:.0f} ms"
             self.commands.append(SetReportInterval(new_interval))
             self.commands.append(
                 LogOverload(f"load report interval {new_interval:.3g} s, {lateness}")
             )
 
-    def round_up(self, interval: float) -> float:
+    def round_up_interval(self, interval: float) -> float:
         """Round up to the configured interval times a power of the step factor, up to a maximum."""
         max_interval = MAX_INTERVAL_FACTOR * self.configured_interval
         interval = min(max_interval, max(self.configured_interval, interval))
@@ -208,8 +213,8 @@
             rounded *= INTERVAL_STEP_FACTOR
         return min(rounded, max_interval)
 
-    def set_gather_window(self) -> None:
-        """Gather statistics for longer as the headroom decreases."""
+    def update_gather_window(self) -> None:
+        """Set the gather window: the lower the headroom, the longer statistics are gathered."""
         max_window = MAX_GATHER_FRACTION * self.configured_interval
         window = min(
             max_window,
@@ -219,31 +224,34 @@
             self.gather_window = window
             self.commands.append(SetGatherWindow(window))
 
-    def report_interval_of(self, phase: float) -> float:
+    def proxy_report_interval(self, phase: float) -> float:
         """Return the report interval of a proxy in seconds; `phase` is between 0 and 1.
 
-        A raised interval differs between proxies by their phase. With the same interval for all,
-        proxies whose reports arrive together would keep reporting together.
+        A raised interval depends on the proxy's phase. With the same interval for all proxies,
+        reports that arrive at the same time would do so again in each interval.
         """
-        if self.interval == self.configured_interval:
-            return self.interval
-        return self.interval * (1 + INTERVAL_SCATTER * (2 * phase - 1))
+        if self.report_interval == self.configured_interval:
+            return self.report_interval
+        return self.report_interval * (1 + INTERVAL_SCATTER * (2 * phase - 1))
 
-    # Called for each arrival.
+    # Called for each report, join or query that arrives.
 
-    def accepts_report(self, now: float, last_read_at: Optional[float], index: int) -> bool:
+    def accepts_report(self, now: float, last_read_at: Optional[float], report_index: int) -> bool:
         """Return whether a load report should be processed.
 
-        `last_read_at` is when the proxy's last processed report arrived, or None. `index` is the
-        number of reports that the proxy has sent before. A fraction `read_fraction` of a proxy's
-        reports is processed, spread evenly over the indices.
+        `last_read_at` is when the proxy's last processed report arrived, or None. `report_index` is
+        the number of reports that the proxy has sent before. A fraction `read_fraction` of each
+        proxy's reports is processed, spread evenly over the indices.
         """
-        if last_read_at is not None and now - last_read_at < EARLY_REPORT_FRACTION * self.interval:
+        if (
+            last_read_at is not None
+            and now - last_read_at < EARLY_REPORT_FRACTION * self.report_interval
+        ):
             # Not counted in the report rate: a flooding proxy must not reduce `read_fraction`.
             self.shed_counts["reports early"] += 1
             return False
         self.report_count += 1
-        if ceil((index + 1) * self.read_fraction) == ceil(index * self.read_fraction):
+        if ceil((report_index + 1) * self.read_fraction) == ceil(report_index * self.read_fraction):
             self.shed_counts["reports"] += 1
             return False
         return True
@@ -272,7 +280,7 @@
         return {
             "ease": round(self.headroom, 3),
             "late ms": round(self.mean_lateness * 1000, 1),
-            "reports every": self.interval,
+            "reports every": self.report_interval,
             "reports a second": round(self.report_rate, 1),
             "us a report": round(self.report_cost * 1e6),
             "read": round(self.read_fraction, 3),
--- a/peatlead/controller/pin_commands.py
+++ b/peatlead/controller/pin_commands.py
@@ -1,4 +1,4 @@
-"""Operators' commands on pins: make a pin, show what a pin would change, end a pin."""
+"""Executes operators' commands to make a pin, to show what a pin would change, and to end a pin."""
 
 from collections.abc import Mapping
 from typing import TYPE_CHECKING, Any, NamedTuple
@@ -18,7 +18,7 @@
 Arguments = Mapping[str, Any]
 """The arguments (`args`) of an operator's question."""
 
-DEFAULT_ROLLOUT = 10.0  # seconds until a pin has reached all proxies
+DEFAULT_ROLLOUT = 10.0  # seconds from the first to the last proxy that a pin applies to
 DEFAULT_LENGTH = 3600.0  # seconds until a pin expires
 MAX_AUTHOR_LENGTH = 200  # characters
 MAX_DRY_RUN_PROXIES = 500  # proxies in the answer to a dry run
@@ -37,21 +37,29 @@
 
 
 def author(arguments: Arguments) -> str:
-    """Return the operator's name from the arguments, cut to the maximum length."""
+    """Return the operator's name from the arguments, cut to MAX_AUTHOR_LENGTH."""
     return str(arguments.get("by", ""))[:MAX_AUTHOR_LENGTH]
 
 
 def read_pin_request(arguments: Arguments) -> PinRequest:
     """Read the arguments of a `pin` command. Raises KeyError, TypeError or ValueError."""
-    which = str(arguments.get("which", ""))
+    scope_argument = str(arguments.get("which", ""))
     target = arguments.get("target", "held")
-    to = str(arguments.get("to", ""))
-    over = float(arguments.get("over", DEFAULT_ROLLOUT))
+    target_argument = str(arguments.get("to", ""))
+    rollout_duration = float(arguments.get("over", DEFAULT_ROLLOUT))
     length = float(arguments.get("length", DEFAULT_LENGTH))
     if target == "back":
-        float(to)  # raises ValueError unless `to` is a number of seconds
-    whom = arguments["whom"]
-    return PinRequest(whom, which, target, to, over, length, author(arguments))
+        float(target_argument)  # raises ValueError unless it is a number of seconds
+    scope = arguments["whom"]
+    return PinRequest(
+        scope,
+        scope_argument,
+        target,
+        target_argument,
+        rollout_duration,
+        length,
+        author(arguments),
+    )
 
 
 class PinCommands:
@@ -83,7 +91,7 @@
         if arguments.get("dry"):
             return self._dry_run(now, request)
         pin = self._control.pins.make(now, **request._asdict())
-        self._targets.announce_known()
+        self._targets.schedule_announcements()
         self._control.commit_change(now)
         self._controller.log(
             "tables pinned",
@@ -99,17 +107,17 @@
     def resume(self, arguments: Arguments) -> Answer:
         """End a pin. Raises PinError."""
         now = self._controller.loop.time()
-        over = None if arguments.get("over") is None else float(arguments["over"])
-        pin = self._control.pins.resume(now, arguments["pin"], over)
+        rollout_duration = None if arguments.get("over") is None else float(arguments["over"])
+        pin = self._control.pins.resume(now, arguments["pin"], rollout_duration)
         self._control.commit_change(now)
         self._controller.log("pin ended by operator", pin=pin.id, by=author(arguments))
         return {"pin": pin.id, "over": pin.rollout_duration}
 
     def _dry_run(self, now: float, request: PinRequest) -> Answer:
-        """Return what a complete rollout of a pin would change, and what the guard removes."""
+        """Return what a pin would change at the proxies it covers, and what the guard removes."""
         active = ActivePin(dry_run_pin(request), now)
         proxies = [
-            self._dry_run_on(active, number, name)
+            self._dry_run_recipient(active, number, name)
             for number, name, zone in self._controller.recipients.all_recipients()
             if active.covers(now, name, zone)
         ]
@@ -123,8 +131,8 @@
             "each": affected[:MAX_DRY_RUN_PROXIES],
         }
 
-    def _dry_run_on(self, active: ActivePin, number: int, name: str) -> Answer:
-        past = self._targets.find(active, name)
+    def _dry_run_recipient(self, active: ActivePin, number: int, name: str) -> Answer:
+        past = self._targets.find_past_table(active, name)
         answer: Answer = {
             "proxy": name,
             "known": past is not None,
@@ -136,7 +144,7 @@
             return answer
         after: LineWeights = {}
         for request_class, planned in self._controller.recipients.planned_tables(number):
-            table = self._tables.guarded(line_items(past.items), request_class, planned)
+            table = self._tables.guarded_table(line_items(past.items), request_class, planned)
             after.update(self._tables.items_of_table(request_class, table.weights))
             self._add_guard_result(answer, table)
         published = line_items(self._store.histories[name].items)
@@ -144,11 +152,11 @@
         return answer
 
     def _add_guard_result(self, answer: Answer, table: GuardedTable) -> None:
-        name_of = self._controller.publication.name_of
+        endpoint_name = self._controller.publication.endpoint_name
         for endpoint, reason in table.restricted.items():
-            name = name_of(endpoint) if endpoint >= 0 else "an unknown address"
+            name = endpoint_name(endpoint) if endpoint >= 0 else "an unknown address"
             answer["taken"][name] = reason
-        answer["filled"] += [name_of(endpoint) for endpoint in table.added]
+        answer["filled"] += [endpoint_name(endpoint) for endpoint in table.added]
 
 
 def dry_run_pin(request: PinRequest) -> Pin:
--- a/peatlead/controller/pin_control.py
+++ b/peatlead/controller/pin_control.py
@@ -1,4 +1,4 @@
-"""The pins of this controller: stored on disk, sent to other controllers, and expired on time.
+"""Stores the pins on disk, exchanges them with other controllers, and ends them when they expire.
 
 `pinned_tables` applies a pin to a proxy's tables, and `pin_targets` finds the past table that a pin
 names.
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from .controller import Controller
 
-STORE_INTERVAL = 10.0  # seconds between two writes of all pins, which update their stored ages
+STORE_INTERVAL = 10.0  # seconds between two writes of all pins with their current ages
 GOSSIP_INTERVAL = 2.0  # seconds between two announcements of all pins to other controllers
 MAX_PINS_PER_DATAGRAM = 6
 NOTE_KEY = "pins"  # the table log's key for the pins
@@ -25,17 +25,17 @@
 class PinControl:
     """Holds the pins, stores them on disk and exchanges them with other controllers.
 
-    `boot` is a byte string that no other start of this controller has used.
+    `boot` is a byte string that identifies this start of the controller.
     """
 
-    def __init__(self, controller: "Controller", log: TableLog, boot: bytes) -> None:
+    def __init__(self, controller: "Controller", table_log: TableLog, boot: bytes) -> None:
         self._controller = controller
-        self._log = log
+        self._table_log = table_log
         in_fleet = controller.own_settings["peer"] is not None
         suffix = "-" + blake3(boot).hexdigest()[:4] if in_fleet else ""
         self.pins = Pins(controller.own_settings["name"], suffix)
-        self._stored_at = 0.0
-        self._announced_at = 0.0
+        self._stored_at = 0.0  # seconds on the loop's clock
+        self._announced_at = 0.0  # seconds on the loop's clock
 
     def restore(self, now: float, notes: Mapping[str, bytes]) -> None:
         """Load the pins that an earlier start has stored. Raises ValueError for malformed pins."""
@@ -44,28 +44,28 @@
     def log_active_pins(self, now: float) -> None:
         """Log each pin in force with its remaining seconds."""
         for active in self.pins.unended().values():
-            left = round(active.expires_at - now, 1)
-            self._controller.log("tables pinned", pin=active.pin.id, left=left)
+            remaining = round(active.expires_at - now, 1)
+            self._controller.log("tables pinned", pin=active.pin.id, left=remaining)
 
-    def expire(self, now: float) -> None:
+    def expire_pins(self, now: float) -> None:
         """End the pins that have expired."""
         for pin_id in self.pins.expire(now):
             self._controller.log("pin expired", pin=pin_id)
-            self.store(now)
+            self.store_pins(now)
 
-    def refresh(self, now: float) -> None:
+    def store_and_announce_when_due(self, now: float) -> None:
         """Store and announce the pins when their intervals have passed."""
         if self.pins.by_id and now - self._stored_at >= STORE_INTERVAL:
-            self.store(now)
+            self.store_pins(now)
         if self.pins.by_id and now - self._announced_at >= GOSSIP_INTERVAL:
-            self.announce(now)
+            self.announce_pins(now)
 
-    def store(self, now: float) -> None:
+    def store_pins(self, now: float) -> None:
         """Append the pins, with their current ages, to the table log."""
         self._stored_at = now
-        self._log.record_note(NOTE_KEY, encode_pins(self.pins.snapshot(now)))
+        self._table_log.record_note(NOTE_KEY, encode_pins(self.pins.snapshot(now)))
 
-    def announce(self, now: float) -> None:
+    def announce_pins(self, now: float) -> None:
         """Send all pins to the other controllers."""
         self._announced_at = now
         if not self._controller.gossip:
@@ -77,18 +77,18 @@
 
     def commit_change(self, now: float) -> None:
         """Store and announce an operator's change, before the operator receives an answer."""
-        self.store(now)
-        self.announce(now)
-        self._log.flush(now)
+        self.store_pins(now)
+        self.announce_pins(now)
+        self._table_log.flush(now)
 
-    def receive(self, now: float, payload: bytes) -> bool:
+    def merge_received_pins(self, now: float, payload: bytes) -> bool:
         """Merge another controller's pins. Return whether any pin changed. Raises ValueError."""
         if not self.pins.merge(now, decode_pins(payload)):
             return False
-        self.store(now)
+        self.store_pins(now)
         return True
 
-    def pin_of(self, name: str, zone: str) -> ActivePin | None:
+    def active_pin(self, name: str, zone: str) -> ActivePin | None:
         """Return the pin that applies to a proxy or view now, or None."""
         if not self.pins.by_id:
             return None
--- a/peatlead/controller/pin_targets.py
+++ b/peatlead/controller/pin_targets.py
@@ -1,9 +1,10 @@
-"""Pin targets: the past tables that pins hold proxies to.
+"""Pin targets: the past tables that pinned proxies are held to.
 
 A target is looked up once for each pin and proxy and then stored, also on disk, so that a restart
-does not change the target. The history of a proxy may be known only to its former owner. Therefore
-every controller announces the targets that it knows after each change of the pins. Of several
-targets the one with the highest version is used, because its controller owned the proxy last.
+does not change the target. Possibly only the former owner of a proxy knows the proxy's history.
+Therefore every controller announces the targets that it knows after each change of the pins. Of
+several targets for a proxy the target with the highest version is used, because the controller that
+announced it owned the proxy last.
 """
 
 from collections.abc import Callable
@@ -22,7 +23,7 @@
     from .controller import Controller
 
 MAX_ANNOUNCEMENTS_PER_ROUND = 20  # targets sent in one round of the planner's timer
-MAX_PACKED_BYTES = 60_000  # of a compressed announcement, which must fit into a datagram
+MAX_PACKED_BYTES = 60_000  # a compressed announcement must fit into a datagram
 MAX_UNPACKED_BYTES = 1 << 20  # of a decompressed announcement
 MAX_ANNOUNCED_TARGETS = 100_000  # stored targets that other controllers have announced
 NOTE_PREFIX = "wish/"  # the table log's keys for targets are wish/PIN/PROXY
@@ -31,7 +32,7 @@
 """Pin id and proxy name."""
 
 AnnouncementBody = tuple[str, str, int, int, dict[str, int]]
-"""The encoded form: pin id, proxy, epoch and serial of the version, lines."""
+"""An announcement: pin id, proxy, epoch and serial of the version, lines."""
 
 
 class PastTable(NamedTuple):
@@ -49,8 +50,8 @@
 
 def read_announcement(payload: bytes) -> tuple[TargetKey, PastTable]:
     """Decode another controller's target. Raises ZstdError, MsgspecError or ValueError."""
-    plain = zstandard.ZstdDecompressor().decompress(payload, max_output_size=MAX_UNPACKED_BYTES)
-    pin_id, name, epoch, serial, lines = msgspec.msgpack.decode(plain, type=AnnouncementBody)
+    encoded = zstandard.ZstdDecompressor().decompress(payload, max_output_size=MAX_UNPACKED_BYTES)
+    pin_id, name, epoch, serial, lines = msgspec.msgpack.decode(encoded, type=AnnouncementBody)
     for line in lines:
         parse_line_key(line)
     return (pin_id, name), PastTable(Version(epoch, serial), lines)
@@ -70,38 +71,40 @@
         controller: "Controller",
         pins: Pins,
         store: Store,
-        log: TableLog,
+        table_log: TableLog,
         wall_clock: Callable[[], float],
     ) -> None:
         self._controller = controller
         self._pins = pins
         self._store = store
-        self._log = log
+        self._table_log = table_log
         self._wall_clock = wall_clock
-        self._lines: dict[TargetKey, LineWeights] = {}  # the lines that a pin holds a proxy to
-        self.unknown: set[TargetKey] = set()  # no past table was found: held to the current table
-        self.announced_targets: dict[TargetKey, PastTable] = {}  # by other controllers
-        self._sent: dict[TargetKey, bool] = {}  # whether each own target was announced
+        self._target_lines: dict[TargetKey, LineWeights] = {}  # the lines of each target
+        # Targets that were not found; their proxies are held to the current tables.
+        self.unknown_targets: set[TargetKey] = set()
+        self.announced_targets: dict[TargetKey, PastTable] = {}  # received from other controllers
+        # Whether each scheduled announcement was sent.
+        self._announced: dict[TargetKey, bool] = {}
 
     def restore(self) -> None:
         """Load the targets that an earlier start has stored. Raises MsgspecError or ValueError."""
-        for key in [key for key in self._log.notes if key.startswith(NOTE_PREFIX)]:
+        for key in [key for key in self._table_log.notes if key.startswith(NOTE_PREFIX)]:
             _, pin_id, name = key.split("/", 2)
             if pin_id in self._pins.by_id:
-                lines = msgspec.msgpack.decode(self._log.notes[key], type=LineWeights)
-                self._lines[pin_id, name] = lines
+                lines = msgspec.msgpack.decode(self._table_log.notes[key], type=LineWeights)
+                self._target_lines[pin_id, name] = lines
             else:
-                self._log.record_note(key, None)
+                self._table_log.record_note(key, None)
 
-    def lines(self, active: ActivePin, name: str) -> LineWeights:
+    def target_lines(self, active: ActivePin, name: str) -> LineWeights:
         """Return the lines that a pin holds a proxy to; the first call looks them up."""
         key = active.pin.id, name
-        if key not in self._lines:
-            self._store_target(key, self._look_up(active, name))
-        return self._lines[key]
+        if key not in self._target_lines:
+            self._store_target(key, self._find_target_lines(active, name))
+        return self._target_lines[key]
 
-    def find(self, active: ActivePin, name: str) -> PastTable | None:
-        """Return the past table that a pin names for a proxy, or None if it is not known here."""
+    def find_past_table(self, active: ActivePin, name: str) -> PastTable | None:
+        """Return the past table that a pin names for a proxy, or None if it is not stored here."""
         history = self._store.histories.get(name)
         if history is None or history.newest_version == NO_VERSION:
             return None
@@ -119,11 +122,11 @@
         except UnknownVersionError:
             return None
 
-    def announce_known(self) -> None:
-        """Schedule the known targets for sending, first the targets of proxies not joined here.
+    def schedule_announcements(self) -> None:
+        """Schedule announcements of the known targets, first for proxies that are not joined here.
 
-        Targets of joined proxies are sent too: after a freeze a controller does not know yet which
-        of its proxies have joined another controller.
+        Targets of joined proxies are announced too: after a stall a controller does not know yet
+        which of its proxies have joined another controller.
         """
         if not self._controller.gossip:
             return
@@ -132,26 +135,26 @@
             if active.pin.target != "back":
                 continue
             for name in sorted(self._store.histories, key=joined.__contains__):
-                self._sent.setdefault((active.pin.id, name), False)
+                self._announced.setdefault((active.pin.id, name), False)
 
     def send_announcements(self) -> None:
-        """Send some of the scheduled targets to the other controllers."""
+        """Send up to MAX_ANNOUNCEMENTS_PER_ROUND of the scheduled announcements."""
         gossip = self._controller.gossip
         if gossip is None:
             return
-        due = [key for key, sent in self._sent.items() if not sent]
+        due = [key for key, announced in self._announced.items() if not announced]
         for key in due[:MAX_ANNOUNCEMENTS_PER_ROUND]:
-            self._sent[key] = True
+            self._announced[key] = True
             pin_id, name = key
             active = self._pins.by_id.get(pin_id)
-            past = self.find(active, name) if active else None
+            past = self.find_past_table(active, name) if active else None
             if past is None:
                 continue
             payload = write_announcement(key, past)
             if len(payload) < MAX_PACKED_BYTES:
                 gossip.broadcast_pin_target(payload)
 
-    def receive(self, payload: bytes) -> None:
+    def receive_announcement(self, payload: bytes) -> None:
         """Store another controller's target if it has a newer version than the known target."""
         try:
             key, past = read_announcement(payload)
@@ -165,30 +168,32 @@
         if past.version <= (known.version if known else NO_VERSION):
             return
         self.announced_targets[key] = past
-        own = self.find(self._pins.by_id[pin_id], name)
-        if key in self._lines and (own is None or own.version < past.version):
+        own = self.find_past_table(self._pins.by_id[pin_id], name)
+        if key in self._target_lines and (own is None or own.version < past.version):
             self._store_target(key, past.items)
-            self.unknown.discard(key)
+            self.unknown_targets.discard(key)
 
-    def forget_ended(self) -> None:
+    def forget_ended_pins(self) -> None:
         """Drop the targets of pins that are no longer known."""
-        held = self._pins.by_id
-        self._sent = {key: sent for key, sent in self._sent.items() if key[0] in held}
+        known_pins = self._pins.by_id
+        self._announced = {
+            key: announced for key, announced in self._announced.items() if key[0] in known_pins
+        }
         self.announced_targets = {
-            key: past for key, past in self.announced_targets.items() if key[0] in held
+            key: past for key, past in self.announced_targets.items() if key[0] in known_pins
         }
-        for key in [key for key in self._lines if key[0] not in held]:
-            del self._lines[key]
-            self._log.record_note(note_key(key), None)
-        self.unknown = {key for key in self.unknown if key[0] in held}
+        for key in [key for key in self._target_lines if key[0] not in known_pins]:
+            del self._target_lines[key]
+            self._table_log.record_note(note_key(key), None)
+        self.unknown_targets = {key for key in self.unknown_targets if key[0] in known_pins}
 
-    def _look_up(self, active: ActivePin, name: str) -> LineWeights:
+    def _find_target_lines(self, active: ActivePin, name: str) -> LineWeights:
         key = active.pin.id, name
-        candidates = [self.find(active, name), self.announced_targets.get(key)]
+        candidates = [self.find_past_table(active, name), self.announced_targets.get(key)]
         known = [past for past in candidates if past is not None]
         if known:
             return line_items(max(known, key=lambda past: past.version).items)
-        self.unknown.add(key)
+        self.unknown_targets.add(key)
         self._controller.log(
             "pin target not known: proxy held to its current table", pin=active.pin.id, proxy=name
         )
@@ -196,5 +201,5 @@
         return line_items(history.items) if history else {}
 
     def _store_target(self, key: TargetKey, lines: LineWeights) -> None:
-        self._lines[key] = lines
-        self._log.record_note(note_key(key), msgspec.msgpack.encode(lines))
+        self._target_lines[key] = lines
+        self._table_log.record_note(note_key(key), msgspec.msgpack.encode(lines))
--- a/peatlead/controller/pinned_tables.py
+++ b/peatlead/controller/pinned_tables.py
@@ -1,6 +1,6 @@
-"""The tables of pinned proxies: past tables, as far as the guard allows them now.
+"""Computes and sends the tables of pinned proxies: past tables, restricted by the guard.
 
-A proxy without a pin gets the planned tables unchanged.
+Proxies without a pin get the planned tables unchanged.
 """
 
 from typing import TYPE_CHECKING, NamedTuple
@@ -18,48 +18,49 @@
 if TYPE_CHECKING:
     from .controller import Controller
 
-MAX_CHANNEL_FRACTION = 0.15  # of the channel's size; above, pin changes wait for the planner's
+MAX_CHANNEL_FRACTION = 0.15  # of the channel's maximum size; pin changes wait while it is fuller
 MIN_LISTED_WEIGHT = 1e-9  # avoids a division by a listed weight of zero
 UNLISTED_ENDPOINT = -1  # the number for an address that no list has named
 
 ItemChanges = dict[str, int | None]
-"""New value by key; None removes the item."""
+"""New values of items, by key; None removes the item."""
 
 
 class PhaseChange(NamedTuple):
-    """A listed endpoint's phase before (None for a new endpoint) and after a change."""
+    """A change of a listed endpoint's phase; `before` is None for a new endpoint."""
 
     before: str | None
     after: str
 
 
 class SentChange(NamedTuple):
-    """The last change that was sent for a pin, and when, in seconds on the loop's clock."""
+    """The last changes sent to a pinned proxy, and when, in seconds on the loop's clock."""
 
-    at: float
+    sent_at: float
     items: ItemChanges | None
 
 
-NEVER_CHANGED = SentChange(-1e9, None)
+NO_CHANGE_SENT = SentChange(-1e9, None)
 
 
 class EndpointFacts:
-    """The facts about endpoints that the guard needs, updated by the controller's events."""
+    """Holds the facts about endpoints that the guard needs."""
 
     def __init__(self, controller: "Controller") -> None:
         self._controller = controller
-        self.by_address: dict[str, int] = {}  # endpoint, by address
+        self.endpoint_by_address: dict[str, int] = {}  # endpoint, by address
         self._phases: dict[int, str] = {}
         self._withdrawn: set[int] = set()
         # The greatest fraction of an endpoint's listed weight in any table.
         self._fractions: dict[int, float] = {}
-        self._fractions_as_of = -1  # the publisher's change count when `_fractions` was computed
+        # The publisher's change count when `_fractions` was computed.
+        self._fractions_change_count = -1
 
     def store_entry(self, endpoint: int, entry: ListedEndpoint) -> PhaseChange | None:
         """Store a list entry. Return the endpoint's change of phase, or None."""
         for address in (entry.address, entry.address6):
             if address:
-                self.by_address[address] = endpoint
+                self.endpoint_by_address[address] = endpoint
         before = self._phases.get(endpoint)
         if before == entry.phase:
             return None
@@ -73,11 +74,11 @@
         else:
             self._withdrawn.discard(endpoint)
 
-    def context(self) -> GuardContext:
+    def guard_context(self) -> GuardContext:
         """Return the current facts about all endpoints."""
         publisher = self._controller.publisher
-        if self._fractions_as_of != publisher.change_count:
-            self._fractions_as_of = publisher.change_count
+        if self._fractions_change_count != publisher.change_count:
+            self._fractions_change_count = publisher.change_count
             self._fractions = self._compute_fractions()
         return GuardContext(self._phases, self._withdrawn, self._fractions)
 
@@ -107,7 +108,7 @@
         self._store = store
         self._endpoints = endpoints
         self.applied_pins: dict[str, str] = {}  # id of the pin last applied, by proxy
-        self._sent: dict[str, SentChange] = {}  # by proxy
+        self._last_changes: dict[str, SentChange] = {}  # by proxy
         # The endpoints in any table, and the ramping endpoints among them, as of the last round.
         self._endpoint_sets: tuple[frozenset[int], frozenset[int]] | None = None
 
@@ -115,14 +116,14 @@
         self, name: str, zone: str, request_class: str, planned: EndpointWeights
     ) -> EndpointWeights:
         """Return the weights that a proxy should hold, given the planned weights."""
-        active = self._control.pin_of(name, zone)
+        active = self._control.active_pin(name, zone)
         if active is None:
             return planned
-        target = self._targets.lines(active, name)
-        weights: EndpointWeights = self.guarded(target, request_class, planned).weights
+        target = self._targets.target_lines(active, name)
+        weights: EndpointWeights = self.guarded_table(target, request_class, planned).weights
         return weights
 
-    def guarded(
+    def guarded_table(
         self, target: LineWeights, request_class: str, planned: EndpointWeights
     ) -> GuardedTable:
         """Return the past table of a request class as far as the guard allows it."""
@@ -130,11 +131,11 @@
         for key, value in target.items():
             line_class, _, address, _ = parse_line_key(key)
             if line_class == request_class:
-                endpoint = self._endpoints.by_address.get(address, UNLISTED_ENDPOINT)
+                endpoint = self._endpoints.endpoint_by_address.get(address, UNLISTED_ENDPOINT)
                 past[endpoint] = value / WEIGHT_SCALE
         if not past:  # the target has no lines of this request class
             return GuardedTable(dict(planned), {}, ())
-        table: GuardedTable = guard(past, planned, self._endpoints.context())
+        table: GuardedTable = guard(past, planned, self._endpoints.guard_context())
         return table
 
     def items_of_table(self, request_class: str, weights: EndpointWeights) -> LineWeights:
@@ -149,60 +150,62 @@
 
     def pending_changes(self, name: str, number: int) -> ItemChanges:
         """Return the changes from the lines last sent to a proxy to the lines it should hold."""
-        items: TableItems | None = self._controller.recipients.items_of(number)
+        items: TableItems | None = self._controller.recipients.current_lines(number)
         if items is None:
             return {}
         history = self._store.histories.get(name)
         pending: ItemChanges = changes(line_items(history.items) if history else {}, items)
         return pending
 
-    def enforce(self, now: float) -> None:
-        """Send pinned tables, or planned tables after a pin, to proxies whose lines have changed.
+    def send_changes(self, now: float) -> None:
+        """Send the changes of pinned proxies, and of proxies whose pin has ended.
 
-        Proxies wait while the channel is busy, unless the set of endpoints in tables, or the set of
-        ramping endpoints, has changed.
+        The changes wait while the channel is busy, unless the set of endpoints in tables or the set
+        of ramping endpoints has changed.
         """
         urgent = self._endpoint_sets_changed()
         if not urgent and self._channel_is_busy():
             return
         for number, name, zone in self._controller.recipients.all_recipients():
-            active = self._control.pin_of(name, zone)
+            active = self._control.active_pin(name, zone)
             if active is not None or name in self.applied_pins:
-                self._enforce_on(now, number, name, active)
+                self._send_recipient_changes(now, number, name, active)
             if not urgent and self._channel_is_busy():
                 break
         self._controller.message_pump.send_due()
 
     def _endpoint_sets_changed(self) -> bool:
-        fractions = self._endpoints.context().fractions
+        fractions = self._endpoints.guard_context().fractions
         ramping = frozenset(
             endpoint for endpoint, fraction in fractions.items() if fraction < RAMPED_FRACTION
         )
-        before = self._endpoint_sets
+        previous_sets = self._endpoint_sets
         self._endpoint_sets = frozenset(fractions), ramping
-        return self._endpoint_sets != before
+        return self._endpoint_sets != previous_sets
 
     def _channel_is_busy(self) -> bool:
         channel = self._controller.channel
         return bool(channel.size > MAX_CHANNEL_FRACTION * channel.max_size)
 
-    def _enforce_on(self, now: float, number: int, name: str, active: ActivePin | None) -> None:
+    def _send_recipient_changes(
+        self, now: float, number: int, name: str, active: ActivePin | None
+    ) -> None:
         pending = self.pending_changes(name, number)
         if not pending:
-            self._sent.pop(name, None)
+            self._last_changes.pop(name, None)
             if active is None:
-                del self.applied_pins[name]  # holds the planned table again
+                del self.applied_pins[name]  # the proxy has the planned tables again
             else:
                 self.applied_pins[name] = active.pin.id
             return
-        last = self._sent.get(name, NEVER_CHANGED)
+        last_change = self._last_changes.get(name, NO_CHANGE_SENT)
         removes_endpoint = any(value is None for value in pending.values())
-        # A sent change may not have arrived yet: a slow proxy must not receive it in every round.
-        if pending != last.items and (removes_endpoint or now - last.at >= REPUBLISH_INTERVAL):
-            self._sent[name] = SentChange(now, pending)
-            operations: Operations = {
-                (PIN_CHECK, key): True for key in pending
-            }  # only marks the lines as changed
+        # The last change may not have been applied yet: it is not sent again in every round.
+        if pending != last_change.items and (
+            removes_endpoint or now - last_change.sent_at >= REPUBLISH_INTERVAL
+        ):
+            self._last_changes[name] = SentChange(now, pending)
+            operations: Operations = {(PIN_CHECK, key): True for key in pending}
             self._controller.channel.enqueue(
                 now, number, operations, (), (self._cause(name, active),)
             )
--- a/peatlead/controller/planner_settings.py
+++ b/peatlead/controller/planner_settings.py
@@ -22,11 +22,12 @@
 )
 
 
-def planner_settings(settings: Settings, controller: Settings, views: int) -> dict[str, Any]:
+def planner_settings(settings: Settings, controller: Settings, view_count: int) -> dict[str, Any]:
     """Return the settings of one controller's planner.
 
-    `controller` is the controller's entry in the settings, and `views` is the number of DNS views.
-    Every DNS view connects to all controllers of a fleet, and every gRPC proxy to one controller.
+    `controller` is the controller's entry in the settings, and `view_count` is the number of DNS
+    views. Every DNS view connects to all controllers of a fleet, and every gRPC proxy to one
+    controller.
     """
     controller_count = len(settings["steward"]) if controller["peer"] else 1
     zones = {zone["name"]: number for number, zone in enumerate(settings["zone"])}
@@ -42,9 +43,9 @@
         "standing": 0,
         "probing": True,
         "report_fields": ["util"],
-        "tries_told": not views,
+        "tries_told": not view_count,
         "peer_notes": controller_count > 1,
-        **proxy_settings(settings["grpc"], views, views * controller_count),
+        **proxy_settings(settings["grpc"], view_count, view_count * controller_count),
         **choice_settings(settings["choices"]),
         "req_kinds": [
             request_class_settings(request_class, zones)
@@ -53,13 +54,13 @@
     }
 
 
-def proxy_settings(grpc: Settings, views: int, view_connections: int) -> dict[str, Any]:
+def proxy_settings(grpc: Settings, view_count: int, view_connections: int) -> dict[str, Any]:
     """Return the settings that depend on the number of gRPC proxies."""
     proxies = grpc["proxies"]
     return {
         "proxies": view_connections + proxies,
         "pick": grpc["pick"] if proxies else "random",
-        "fails_to_shun": grpc["fails_to_shun"] if proxies and not views else 0,
+        "fails_to_shun": grpc["fails_to_shun"] if proxies and not view_count else 0,
     }
 
 
--- a/peatlead/controller/propagation.py
+++ b/peatlead/controller/propagation.py
@@ -1,4 +1,4 @@
-"""Traces how the removal of an endpoint propagates to its holders, and stores recent events.
+"""Traces how removals of endpoints propagate to their holders, and stores recent events.
 
 A `Withdrawal` begins when commands remove an endpoint from a holder (a DNS view or proxy). Each
 holder passes through these stages: the message with the removal has left the channel
@@ -31,9 +31,9 @@
 
 
 class EndpointEvent(NamedTuple):
-    """An event of an endpoint: the time on the loop's clock in seconds, and a text."""
+    """A text about an endpoint, and when the event occurred, in seconds on the loop's clock."""
 
-    at: float
+    occurred_at: float
     text: str
 
 
@@ -64,13 +64,13 @@
 
 
 class PropagationTrace:
-    """Follows withdrawals. Endpoints and holders are identified by the planner's numbers."""
+    """Traces withdrawals. Endpoints and holders are identified by the planner's numbers."""
 
     def __init__(self) -> None:
         self.events: OrderedDict[int, deque[EndpointEvent]] = OrderedDict()  # by endpoint
         self.active: OrderedDict[int, Withdrawal] = OrderedDict()  # by endpoint
         self.finished: dict[int, deque[Withdrawal]] = {}  # by endpoint
-        # Endpoints that each holder still has to lose; the inner dict is an ordered set.
+        # By holder, the endpoints that the holder still has to lose, as an ordered set.
         self.pending: dict[int, dict[int, bool]] = {}
         self.dropped_count = 0  # withdrawals dropped before they were finished
 
@@ -84,7 +84,7 @@
         events.append(EndpointEvent(now, text))
 
     def begin_withdrawal(self, now: float, endpoint: int, holder: int) -> None:
-        """Start to follow the removal of an endpoint from a holder."""
+        """Start to trace the removal of an endpoint from a holder."""
         withdrawal = self.active.get(endpoint)
         if withdrawal is None:
             if len(self.active) >= MAX_ACTIVE_WITHDRAWALS:
@@ -119,7 +119,7 @@
                 self.finish_holder(endpoint, holder)
 
     def holder_left(self, now: float, holder: int) -> None:
-        """Record that a holder has disconnected, and stop to follow it in all withdrawals."""
+        """Record that a holder has disconnected, and remove it from all withdrawals."""
         for endpoint, withdrawal in list(self.pending_withdrawals(holder)):
             withdrawal.disconnected_count += 1
             self.finish_holder(endpoint, holder)
@@ -131,7 +131,8 @@
             withdrawals.append(self.active[endpoint])
         return {
             "notes": [
-                [round(now - event.at, 3), event.text] for event in self.events.get(endpoint, ())
+                [round(now - event.occurred_at, 3), event.text]
+                for event in self.events.get(endpoint, ())
             ],
             "losses": [withdrawal.summary(now) for withdrawal in withdrawals],
         }
@@ -142,7 +143,7 @@
             yield endpoint, self.active[endpoint]
 
     def finish_holder(self, endpoint: int, holder: int) -> None:
-        """Stop to follow a holder; without further holders the withdrawal is finished."""
+        """Remove a holder from a withdrawal; a withdrawal without holders is finished."""
         withdrawal = self.active[endpoint]
         del withdrawal.progress[holder]
         self.remove_pending(endpoint, holder)
@@ -155,7 +156,7 @@
             )
 
     def drop_withdrawal(self, endpoint: int) -> None:
-        """Drop a withdrawal that is not finished."""
+        """Drop an active withdrawal before it is finished."""
         self.dropped_count += 1
         for holder in self.active.pop(endpoint).progress:
             self.remove_pending(endpoint, holder)
--- a/peatlead/controller/proxies.py
+++ b/peatlead/controller/proxies.py
@@ -1,4 +1,4 @@
-"""The joined gRPC proxies: the state that each proxy should hold, and what it has acknowledged.
+"""Manages the joined gRPC proxies: what each proxy should hold, and what it has acknowledged.
 
 `Proxies` implements `grpc.handler.ProxyHandler`, the interface that the gRPC server calls.
 """
@@ -31,7 +31,7 @@
 NUMBER_PREFIX = "proxy:"  # a proxy's number is the hash of this prefix and its name
 INITIAL_TABLE = "held"  # first part of the id of a table that a proxy held when it joined
 REPORT_PHASES = 997  # a proxy's number modulo this gives its phase, which scatters report intervals
-MEAN_PHASE = 0.5  # phase of a proxy that has not joined
+MEAN_PHASE = 0.5  # phase of the report interval of a proxy that has not joined
 
 AddressAndPort = tuple[str, int]
 
@@ -41,22 +41,22 @@
     """What a session has acknowledged, and the causes of its next version."""
 
     acknowledged: Version = NO_VERSION  # the newest version that the proxy has applied
-    # Causes of the changes that were not sent yet; used as an ordered set.
+    # Causes of the changes that have not been sent yet; used as an ordered set.
     causes: dict[str, None] = field(default_factory=dict)
 
 
-def changed_parts(kinds: Iterable[str]) -> set[str]:
+def changed_parts(operation_kinds: Iterable[str]) -> set[str]:
     """Return the parts of a proxy's tables that operations of these kinds change."""
     parts: set[str] = set()
-    for kind in kinds:
+    for kind in operation_kinds:
         parts.update(("level", "retry") if kind == "level" else ("line",))
     return parts
 
 
-def is_relevant(session: Session, operation: tuple[Any, ...]) -> bool:
+def changes_proxy(session: Session, operation: tuple[Any, ...]) -> bool:
     """Return whether an operation changes anything for a proxy.
 
-    Only the withdrawal of an endpoint that is in none of the proxy's tables changes nothing.
+    The withdrawal of an endpoint that is in none of the proxy's tables changes nothing.
     """
     return operation[0] != "withdrawn" or any(
         operation[1] in table for table in session.state.tables.values()
@@ -92,7 +92,7 @@
             settings["grpc"]["connections_most"],
             controller.zone_names,
         )
-        self.by_number: dict[int, Session] = {}
+        self.by_number: dict[int, Session] = {}  # by the proxy's number
         self._progress: dict[Session, ProxyProgress] = {}
         self._endpoint_by_address: dict[str, int] = {}
         self.nack_count = 0  # versions that proxies have rejected (NACK)
@@ -161,11 +161,11 @@
         phase = MEAN_PHASE
         if session is not None:
             phase = session.number % REPORT_PHASES / (REPORT_PHASES - 1)
-        interval: float = self._controller.overload.report_interval_of(phase)
+        interval: float = self._controller.overload.proxy_report_interval(phase)
         return interval
 
     def on_nack(self, session: Session, nack: Nack) -> None:
-        """Log that a proxy has rejected a version."""
+        """Count and log a version that a proxy has rejected."""
         self.nack_count += 1
         self._controller.log(
             "assignment refused", proxy=session.node.name, version=nack.version, why=nack.text
@@ -181,7 +181,7 @@
             progress.acknowledged = max(progress.acknowledged, version)
 
     def on_response_sent(self, session: Session, version: Version, parts: Collection[str]) -> None:
-        """Store a version of parts of a proxy's tables that is being sent, with its causes."""
+        """Record a version of parts of a proxy's tables that is being sent, with its causes."""
         if "line" in parts:
             self._controller.propagation.version_sent(session.number, version)
         name = session.node.name
@@ -218,16 +218,17 @@
             if address:
                 self._endpoint_by_address[address] = endpoint
 
-    def apply(self, number: int, message: Message) -> Session | None:
+    def apply(self, subscriber: int, message: Message) -> Session | None:
         """Apply a message that has left the channel, and mark the session's changed parts.
 
         Return the proxy's session, or None if the proxy has left or if a pin cancels all changes.
         """
-        session = self.by_number.get(number)
+        session = self.by_number.get(subscriber)
         if session is None:
             return None
         pinned = (
-            self._controller.publication.pin_of(session.node.name, session.node.zone) is not None
+            self._controller.publication.active_pin(session.node.name, session.node.zone)
+            is not None
         )
         before = all_items(session) if pinned and session.ready else None
         session.state.apply(message.operations)
@@ -236,7 +237,9 @@
         if unchanged and not self._has_pending_changes(session):
             return None
         self._add_causes(session, message)
-        operations = [op[0] for op in message.operations if is_relevant(session, op)]
+        operations = [
+            operation[0] for operation in message.operations if changes_proxy(session, operation)
+        ]
         if pinned or operations:
             session.on_tables_changed(PARTS if pinned else changed_parts(operations))
         return session
--- a/peatlead/controller/proxy_admission.py
+++ b/peatlead/controller/proxy_admission.py
@@ -1,4 +1,4 @@
-"""Admission of proxies: a proxy joins here, waits, or is redirected to another controller."""
+"""Admission of proxies: a connecting proxy joins, must wait, or is redirected to its owner."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING, NamedTuple
@@ -41,7 +41,7 @@
 
 
 class ProxyAdmission:
-    """Decides on joins, and redirects joined proxies whose owner has changed.
+    """Decides whether connecting proxies may join, and redirects proxies whose owner has changed.
 
     `ownership` and `member_info` come from the fleet's gossip; they are None without a fleet.
     """
@@ -61,7 +61,7 @@
 
     def admit(self, node: ProxyNode) -> Admission:
         """Decide on a proxy that has connected."""
-        # The proxy or this controller may have lost the newest epoch, so the greater epoch counts.
+        # The proxy or this controller may know only an older epoch: the greater epoch is used.
         newest_epoch = max(node.epoch, self._controller.publication.newest_epoch(node.name))
         now = self._controller.loop.time()
         without_table = not any(node.held.values())
--- a/peatlead/controller/publication.py
+++ b/peatlead/controller/publication.py
@@ -1,4 +1,4 @@
-"""The published tables of a controller: versions in memory and on disk, and the effect of pins.
+"""Publishes the tables of a controller: applies pins, and stores versions in memory and on disk.
 
 `Publication` turns the planned state (`view_state.ViewState`) into the state that is sent. The
 tables of a pinned proxy pass through the guard; all other tables are sent as planned. Each version
@@ -31,7 +31,7 @@
 if TYPE_CHECKING:
     from .controller import Controller
 
-START_COUNT_NOTE = "boots"  # the table log's key for the number of starts
+START_COUNT_NOTE = "boots"  # the table log's key for the number of the controller's starts
 ZONE_SERIAL_NOTE = "zone serial"  # the table log's key for the zone's newest serial
 
 Causes = Sequence[str]
@@ -43,7 +43,7 @@
 
     `log_folder` is the folder of the table log, or None to store nothing. `wall_clock()` returns
     the time of day, for timestamps that people read. `table_settings` are the settings under
-    `tables`. `boot` is a byte string that no other start of this controller has used.
+    `tables`. `boot` is a byte string that identifies this start of the controller.
     """
 
     def __init__(
@@ -56,31 +56,31 @@
     ) -> None:
         self._controller = controller
         self._wall_clock = wall_clock
-        self._start_count = 1  # number of this start, used as the epoch of DNS views' versions
+        self._start_count = 1  # starts so far, used as the epoch of DNS views' versions
         self.store = create_store(table_settings)
-        self.log = TableLog(
+        self.table_log = TableLog(
             log_folder,
             self.store,
             controller.log,
             table_settings["sync_every"],
             disk_bytes_max=int(table_settings["disk_most"]),
         )
-        self.causes = ChangeCauses(self.name_of, self._listed_weight_of)
+        self.causes = ChangeCauses(self.endpoint_name, self._listed_weight)
         self._endpoint_facts = EndpointFacts(controller)
-        self._pin_control = PinControl(controller, self.log, boot)
-        self.targets = PinTargets(controller, self.pins, self.store, self.log, wall_clock)
+        self._pin_control = PinControl(controller, self.table_log, boot)
+        self.pin_targets = PinTargets(controller, self.pins, self.store, self.table_log, wall_clock)
         self._pinned_tables = PinnedTables(
-            controller, self._pin_control, self.targets, self.store, self._endpoint_facts
+            controller, self._pin_control, self.pin_targets, self.store, self._endpoint_facts
         )
         self._queries = self._create_queries()
 
     def _create_queries(self) -> TableQueries:
         """Create the handler of operators' queries and commands."""
-        formatter = ItemFormatter(self._endpoint_facts.by_address, self.name_of)
+        formatter = ItemFormatter(self._endpoint_facts.endpoint_by_address, self.endpoint_name)
         commands = PinCommands(
             self._controller,
             self._pin_control,
-            self.targets,
+            self.pin_targets,
             self._pinned_tables,
             self.store,
             formatter,
@@ -100,9 +100,9 @@
     @property
     def announced_targets(self) -> dict[TargetKey, PastTable]:
         """The pin targets that other controllers have announced."""
-        return self.targets.announced_targets
+        return self.pin_targets.announced_targets
 
-    def name_of(self, endpoint: int) -> str:
+    def endpoint_name(self, endpoint: int) -> str:
         """Return the name of a listed endpoint."""
         name: str = self._controller.registry.entries[endpoint].name
         return name
@@ -110,72 +110,72 @@
     # Life cycle.
 
     def restore(self, now: float) -> None:
-        """Read the stored tables and pins of earlier starts, then start to write the table log."""
-        for file, reason in self.log.restore():
-            self._controller.log("tables: part of the log not taken", file=file, why=reason)
-        notes = self.log.notes
+        """Restore the tables and pins of earlier starts, then start to write the table log."""
+        for file, reason in self.table_log.restore():
+            self._controller.log("part of the table log not restored", file=file, why=reason)
+        notes = self.table_log.notes
         self._start_count = int(notes.get(START_COUNT_NOTE, b"0")) + 1
-        self.log.record_note(START_COUNT_NOTE, b"%d" % self._start_count)
+        self.table_log.record_note(START_COUNT_NOTE, b"%d" % self._start_count)
         try:
             self._pin_control.restore(now, notes)
-            self.targets.restore()
+            self.pin_targets.restore()
         except (ValueError, msgspec.MsgspecError) as error:
-            self._controller.log("tables: pins not taken", why=str(error))
-        self.log.start(now)
-        self.targets.announce_known()  # no other controller may know these targets
+            self._controller.log("stored pins not restored", why=str(error))
+        self.table_log.start(now)
+        self.pin_targets.schedule_announcements()  # no other controller may know these targets
         self._pin_control.log_active_pins(now)
 
     def tick(self, now: float) -> None:
         """Do the periodic work on pins and the table log, in each round of the planner's timer."""
-        self._pin_control.expire(now)
-        self.targets.forget_ended()
-        self._pin_control.refresh(now)
-        self.targets.send_announcements()
+        self._pin_control.expire_pins(now)
+        self.pin_targets.forget_ended_pins()
+        self._pin_control.store_and_announce_when_due(now)
+        self.pin_targets.send_announcements()
         if self.pins.by_id or self.applied_pins:
-            self._pinned_tables.enforce(now)
-        self.log.flush(now)
+            self._pinned_tables.send_changes(now)
+        self.table_log.flush(now)
 
     def stop(self, now: float) -> None:
         """Write all pending records and close the table log."""
         if self.pins.by_id:
-            self._pin_control.store(now)
-        self.log.flush(now)
+            self._pin_control.store_pins(now)
+        self.table_log.flush(now)
         try:
-            self.log.close()
+            self.table_log.close()
         except OSError as error:
             self._controller.log("table log write failed", why=error.strerror)
 
     def zone_serial(self) -> int:
         """Return the stored serial of the DNS zone, or 0 if none is stored."""
-        stored: bytes = self.log.notes.get(ZONE_SERIAL_NOTE, b"0")
+        stored: bytes = self.table_log.notes.get(ZONE_SERIAL_NOTE, b"0")
         return int(stored) if stored.isdigit() else 0
 
     def store_zone_serial(self, serial: int) -> None:
         """Store the DNS zone's newest serial."""
-        self.log.record_note(ZONE_SERIAL_NOTE, b"%d" % serial)
-        self.log.flush(self._controller.loop.time())
+        self.table_log.record_note(ZONE_SERIAL_NOTE, b"%d" % serial)
+        self.table_log.flush(self._controller.loop.time())
 
     # Other controllers.
 
     def receive_pins(self, payload: bytes) -> None:
         """Merge the pins that another controller has sent."""
         try:
-            changed = self._pin_control.receive(self._controller.loop.time(), payload)
+            changed = self._pin_control.merge_received_pins(self._controller.loop.time(), payload)
         except ValueError as error:
             self._controller.log("pins refused", why=str(error))
             return
         if changed:
-            self.targets.announce_known()
+            self.pin_targets.schedule_announcements()
             self._controller.log("pins received", standing=sorted(self.pins.unended()))
 
     def receive_target(self, payload: bytes) -> None:
         """Store a pin target that another controller has announced."""
-        self.targets.receive(payload)
+        self.pin_targets.receive_announcement(payload)
 
     # Versions.
 
     def record_join(self, name: str, epoch: int, lines: LineWeights) -> None:
-        """Commit the lines that a proxy held when it joined; a rollback can restore them."""
+        """Commit the lines that a proxy held when it joined, so that a rollback can use them."""
         history = self.store.history(name)
         version = Version(epoch, 0)
         if version > history.newest_version:
@@ -190,7 +190,7 @@
     def record_sent(
         self, name: str, version: Version, parts: Collection[str], items: TableItems, causes: Causes
     ) -> None:
-        """Commit a version of these parts of a proxy's tables; `items` are their new contents."""
+        """Commit a version of some parts of a proxy's tables; `items` has their new contents."""
         history = self.store.history(name)
         if version <= history.newest_version:
             return  # sent on a stream that a newer stream has replaced
@@ -200,7 +200,7 @@
         self._commit(name, version, causes, changes(before, items))
 
     def record_view(self, name: str, items: LineWeights, causes: Causes) -> None:
-        """Commit the tables of a DNS view that answers use from now on."""
+        """Commit the items of a DNS view that its answers use from now on, if they have changed."""
         history = self.store.history(name)
         changed_items = changes(history.items, items)
         if changed_items:
@@ -214,7 +214,7 @@
     def record_leave(self, name: str) -> None:
         """Record that a proxy has left; its history is kept for a limited time."""
         self.store.mark_disconnected(name)
-        self.log.record_disconnect(name)
+        self.table_log.record_disconnect(name)
 
     # Tables.
 
@@ -226,9 +226,9 @@
         """Record whether an endpoint is withdrawn."""
         self._endpoint_facts.set_withdrawn(endpoint, withdrawn)
 
-    def pin_of(self, name: str, zone: str) -> ActivePin | None:
+    def active_pin(self, name: str, zone: str) -> ActivePin | None:
         """Return the pin that applies to a proxy or view now, or None."""
-        return self._pin_control.pin_of(name, zone)
+        return self._pin_control.active_pin(name, zone)
 
     def effective_weights(
         self, name: str, zone: str, request_class: str, planned: EndpointWeights
@@ -251,16 +251,16 @@
         return self._queries.answer(question)
 
     def proxy_versions(self) -> list[Answer]:
-        """Return the last sent and the last acknowledged version of each proxy."""
+        """Return the last sent and the last acknowledged version of each proxy and view."""
         return self._queries.proxy_versions()
 
     def _commit(
         self, name: str, version: Version, causes: Causes, changed: Mapping[str, Any]
     ) -> None:
         entry = self.store.commit(name, version, self._wall_clock(), causes, changed)
-        self.log.record_version(name, entry)
+        self.table_log.record_version(name, entry)
 
-    def _listed_weight_of(self, endpoint: int) -> float:
+    def _listed_weight(self, endpoint: int) -> float:
         weight: float = self._controller.endpoint_lists.weights.get(endpoint, 0.0)
         return weight
 
--- a/peatlead/controller/published_items.py
+++ b/peatlead/controller/published_items.py
@@ -19,7 +19,7 @@
 """The endpoint lines among a proxy's items: weight in thousandths, by key."""
 
 EndpointWeights = dict[int, float]
-"""One planned table: weight, by endpoint."""
+"""The weights of one table, by endpoint."""
 
 
 def line_items(items: Mapping[str, Any]) -> LineWeights:
@@ -41,25 +41,25 @@
 class ItemFormatter:
     """Converts items to the JSON objects that operators see.
 
-    `endpoint_by_address` is the current index of listed addresses; `name_of` returns an endpoint's
-    name.
+    `endpoint_by_address` is the current index of listed addresses. `endpoint_name` returns an
+    endpoint's name.
     """
 
     def __init__(
-        self, endpoint_by_address: Mapping[str, int], name_of: Callable[[int], str]
+        self, endpoint_by_address: Mapping[str, int], endpoint_name: Callable[[int], str]
     ) -> None:
         self._endpoint_by_address = endpoint_by_address
-        self._name_of = name_of
+        self._endpoint_name = endpoint_name
 
     def item(self, key: str, value: Any) -> dict[str, Any]:
-        """Return one item, with the endpoint's name and the weight in the unit of the list."""
+        """Return one item, with the endpoint's name and the weight in the endpoint list's unit."""
         if not key.startswith(LINE_PREFIX):
             return {"item": key, "value": value}
         request_class, zone, address, _ = parse_line_key(key)
         endpoint = self._endpoint_by_address.get(address)
         return {
             "item": f"line/{request_class}",
-            "host": self._name_of(endpoint) if endpoint is not None else address,
+            "host": self._endpoint_name(endpoint) if endpoint is not None else address,
             "zone": zone,
             "value": None if value is None else value / WEIGHT_SCALE,
         }
@@ -67,7 +67,7 @@
     def difference(
         self, before: Mapping[str, Any], after: Mapping[str, Any]
     ) -> list[dict[str, Any]]:
-        """Return the items that differ, with a line's fraction of its class before and after."""
+        """Return the items that differ, with a line's weight fraction before and after."""
         fractions_before = weight_fractions(before)
         fractions_after = weight_fractions(after)
         return [
--- a/peatlead/controller/publisher.py
+++ b/peatlead/controller/publisher.py
@@ -22,7 +22,7 @@
 
     messages: Messages
     nonces: dict[int, list[int]]  # nonces to acknowledge, by subscriber
-    others: list[interface.Command]  # commands for the controller itself
+    local_commands: list[interface.Command]  # commands for the controller itself
 
 
 class Publisher:
@@ -35,43 +35,46 @@
 
     def __init__(self) -> None:
         self.tables: dict[int, dict[int, float]] = {}  # weights of endpoints, by table
-        self.subscribers: dict[int, set[int]] = {}  # by table
+        self.table_subscribers: dict[int, set[int]] = {}  # by table
         # Table of each request class, by subscriber.
         self.assigned_tables: dict[int, dict[int, int]] = {}
-        self.joined: set[int] = set()
-        self.unassigned: set[int] = set()  # joined, without a table from this controller
-        self.enforcing: set[int] = set()  # joined, and enforcing admission themselves
-        # Weight of each endpoint in each table that names it.
+        self.joined_subscribers: set[int] = set()  # views and proxies that may be sent messages
+        # Joined subscribers without a table from this controller.
+        self.unassigned_subscribers: set[int] = set()
+        # Joined subscribers that enforce admission themselves.
+        self.enforcing_subscribers: set[int] = set()
+        # Weights in the tables that name an endpoint, by endpoint and table.
         self.weights_of_endpoint: dict[int, dict[int, float]] = {}
         self.change_count = 0  # changes to table entries so far
         # Subscribers that were sent the withdrawal of an ejected endpoint, by endpoint.
-        self.notified: dict[int, set[int]] = {}
-        self.ejected: dict[int, set[int]] = {}  # subscriber -> endpoints ejected since it joined
+        self.notified_subscribers: dict[int, set[int]] = {}
+        # Endpoints whose withdrawal was sent to a subscriber, by subscriber.
+        self.ejected_endpoints: dict[int, set[int]] = {}
         # (admitted fraction, retry policy), by request class.
         self.admissions: dict[int, tuple[float, str]] = {}
 
     def join(self, subscriber: int, enforces_admission: bool = False) -> None:
         """Add a subscriber; `enforces_admission` tells whether it enforces admission itself."""
-        self.joined.add(subscriber)
-        self.unassigned.add(subscriber)
-        self.ejected[subscriber] = set()
+        self.joined_subscribers.add(subscriber)
+        self.unassigned_subscribers.add(subscriber)
+        self.ejected_endpoints[subscriber] = set()
         if enforces_admission:
-            self.enforcing.add(subscriber)
+            self.enforcing_subscribers.add(subscriber)
 
     def leave(self, subscriber: int) -> None:
         """Remove a subscriber; a subscriber that has not joined is ignored."""
-        self.joined.discard(subscriber)
-        self.enforcing.discard(subscriber)
-        self.unassigned.discard(subscriber)
-        self.ejected.pop(subscriber, None)
+        self.joined_subscribers.discard(subscriber)
+        self.enforcing_subscribers.discard(subscriber)
+        self.unassigned_subscribers.discard(subscriber)
+        self.ejected_endpoints.pop(subscriber, None)
         for table in self.assigned_tables.pop(subscriber, {}).values():
-            self.subscribers[table].discard(subscriber)
+            self.table_subscribers[table].discard(subscriber)
 
     def forget_endpoint(self, endpoint: int) -> None:
-        """Drop the state of an endpoint that is gone and in no table."""
+        """Drop the state of an endpoint that is no longer listed and in no table."""
         self.weights_of_endpoint.pop(endpoint, None)
-        for subscriber in self.notified.pop(endpoint, ()):
-            self.ejected.get(subscriber, set()).discard(endpoint)
+        for subscriber in self.notified_subscribers.pop(endpoint, ()):
+            self.ejected_endpoints.get(subscriber, set()).discard(endpoint)
 
     def route(self, commands: Iterable[interface.Command]) -> RoutedCommands:
         """Apply a batch's commands to the tables, and return the messages that follow."""
@@ -84,9 +87,9 @@
                 for endpoint in list(self.tables.get(command.table, ())):
                     self.set_entry(messages, command.table, endpoint, 0.0)
             elif isinstance(command, interface.AssignTable):
-                self.assign(messages, command)
+                self.assign_table(messages, command)
             elif isinstance(command, interface.WithdrawEndpoint):
-                for subscriber in self.affected_by(command):
+                for subscriber in self.subscribers_to_notify(command):
                     messages.setdefault(subscriber, {})[WITHDRAWN, command.endpoint] = (
                         command.withdrawn
                     )
@@ -95,42 +98,49 @@
             else:
                 if isinstance(command, interface.SetAdmission):
                     self.set_admission(messages, command)
-                routed.others.append(command)
+                routed.local_commands.append(command)
         return routed
 
     def request_acknowledgement(
         self, routed: RoutedCommands, command: interface.RequestAcknowledgement
     ) -> None:
-        """Add a nonce to the batch's messages so far, or to a message for every subscriber."""
-        for subscriber in sorted(self.joined if command.all_proxies else routed.messages):
+        """Request an acknowledgement of the batch's messages so far, or of all subscribers."""
+        for subscriber in sorted(
+            self.joined_subscribers if command.all_proxies else routed.messages
+        ):
             routed.messages.setdefault(subscriber, {})
             routed.nonces.setdefault(subscriber, []).append(command.nonce)
 
-    def affected_by(self, command: interface.WithdrawEndpoint) -> set[int]:
+    def subscribers_to_notify(self, command: interface.WithdrawEndpoint) -> set[int]:
         """Return the subscribers that must be sent a withdrawal or a restoration.
 
-        A withdrawal is sent to subscribers that don't enforce admission, and to subscribers without
-        a table from this controller, as far as the command names them. All other subscribers lose
-        the endpoint's table entry instead; a withdrawal as well would only fill the channel. A
-        restoration is sent to the subscribers that were sent the withdrawal.
+        A withdrawal is sent to all subscribers that don't enforce admission, and to those
+        subscribers without a table from this controller that the command names (None names all).
+        All other subscribers lose the endpoint's table entry instead; an additional withdrawal
+        would only fill the channel. A restoration is sent to the subscribers that were sent the
+        withdrawal.
         """
         endpoint = command.endpoint
         if not command.withdrawn:
-            restored = self.notified.pop(endpoint, set()) & self.joined
+            restored = self.notified_subscribers.pop(endpoint, set()) & self.joined_subscribers
             for subscriber in restored:
-                self.ejected[subscriber].discard(endpoint)
+                self.ejected_endpoints[subscriber].discard(endpoint)
             return restored
         notify = command.notify
-        unassigned = self.unassigned if notify is None else self.unassigned.intersection(notify)
-        notified = unassigned | (self.joined - self.enforcing)
-        self.notified.setdefault(endpoint, set()).update(notified)
+        unassigned = (
+            self.unassigned_subscribers
+            if notify is None
+            else self.unassigned_subscribers.intersection(notify)
+        )
+        notified = unassigned | (self.joined_subscribers - self.enforcing_subscribers)
+        self.notified_subscribers.setdefault(endpoint, set()).update(notified)
         to_notify = {
             subscriber
-            for subscriber in notified & self.joined
-            if endpoint not in self.ejected[subscriber]
+            for subscriber in notified & self.joined_subscribers
+            if endpoint not in self.ejected_endpoints[subscriber]
         }
         for subscriber in to_notify:
-            self.ejected[subscriber].add(endpoint)
+            self.ejected_endpoints[subscriber].add(endpoint)
         return to_notify
 
     def set_admission(self, messages: Messages, command: interface.SetAdmission) -> None:
@@ -138,7 +148,7 @@
         admission = (command.fraction, command.retry_policy)
         for request_class in command.request_classes:
             self.admissions[request_class] = admission
-            for subscriber in self.enforcing:
+            for subscriber in self.enforcing_subscribers:
                 set_operation(
                     messages.setdefault(subscriber, {}), (ADMISSION, request_class), admission
                 )
@@ -153,10 +163,10 @@
         if weight:
             entries[endpoint] = weight
             tables[table] = weight
-        for subscriber in self.subscribers.get(table, ()):
+        for subscriber in self.table_subscribers.get(table, ()):
             set_operation(messages.setdefault(subscriber, {}), (ENTRY, table, endpoint), weight)
 
-    def assign(self, messages: Messages, command: interface.AssignTable) -> None:
+    def assign_table(self, messages: Messages, command: interface.AssignTable) -> None:
         """Assign a table to request classes of a proxy, and send the proxy the whole table.
 
         The proxy drops a table that is no longer assigned to any of its request classes. Otherwise
@@ -164,15 +174,15 @@
         """
         proxy, table = command.proxy, command.table
         operations = messages.setdefault(proxy, {})
-        self.unassigned.discard(proxy)
+        self.unassigned_subscribers.discard(proxy)
         assigned = self.assigned_tables.setdefault(proxy, {})
         for request_class in command.request_classes:
             previous = assigned.get(request_class)
             assigned[request_class] = table
             set_operation(operations, (ASSIGNMENT, request_class), table)
             if previous is not None and previous not in assigned.values():
-                self.subscribers[previous].discard(proxy)
+                self.table_subscribers[previous].discard(proxy)
                 set_operation(operations, (UNASSIGNED_TABLE, previous), True)
-        self.subscribers.setdefault(table, set()).add(proxy)
+        self.table_subscribers.setdefault(table, set()).add(proxy)
         for endpoint, weight in self.tables.get(table, {}).items():
             set_operation(operations, (ENTRY, table, endpoint), weight)
--- a/peatlead/controller/recipients.py
+++ b/peatlead/controller/recipients.py
@@ -1,4 +1,7 @@
-"""The recipients of published tables: the DNS views of the settings and the joined proxies."""
+"""The recipients of published tables: the DNS views of the settings and the joined proxies.
+
+`publisher` and `channel` call them subscribers and know only their numbers.
+"""
 
 from typing import TYPE_CHECKING, NamedTuple
 
@@ -8,7 +11,7 @@
     from ..grpc.session import Session
     from .controller import Controller
 
-VIEW_PREFIX = "view:"  # starts the recipient name of a DNS view
+VIEW_PREFIX = "view:"  # prefix of a DNS view's name as a recipient
 
 
 class Recipient(NamedTuple):
@@ -42,24 +45,24 @@
         proxies = self._controller.proxies
         return views + (proxies.all_recipients() if proxies else [])
 
-    def zone_of(self, name: str) -> str:
-        """Return the zone of the recipient with this name, or an empty string without one."""
+    def recipient_zone(self, name: str) -> str:
+        """Return the zone of the recipient with this name, or "" if there is no such recipient."""
         return next(
             (recipient.zone for recipient in self.all_recipients() if recipient.name == name), ""
         )
 
-    def session_of(self, number: int) -> "Session | None":
+    def proxy_session(self, subscriber: int) -> "Session | None":
         """Return a proxy's session, or None for a view or a proxy that has left."""
         proxies = self._controller.proxies
-        return proxies.by_number.get(number) if proxies else None
+        return proxies.by_number.get(subscriber) if proxies else None
 
-    def planned_tables(self, number: int) -> list[PlannedTable]:
+    def planned_tables(self, subscriber: int) -> list[PlannedTable]:
         """Return the planned tables of a recipient."""
-        view = self._controller.views.by_number.get(number)
+        view = self._controller.views.by_number.get(subscriber)
         if view is not None:
             return self._controller.dns_publication.planned_tables(view)
         proxies = self._controller.proxies
-        session = self.session_of(number)
+        session = self.proxy_session(subscriber)
         if proxies is None or session is None:
             return []
         return [
@@ -67,21 +70,21 @@
             for request_class, index in proxies.server.class_indices.items()
         ]
 
-    def items_of(self, number: int) -> TableItems | None:
-        """Return the lines that a recipient should have now, or None while they are not known."""
-        view = self._controller.views.by_number.get(number)
+    def current_lines(self, subscriber: int) -> TableItems | None:
+        """Return the lines that a recipient should hold now, or None while they are not known."""
+        view = self._controller.views.by_number.get(subscriber)
         if view is not None:
-            return self._controller.dns_publication.items_of(view)
-        session = self.session_of(number)
+            return self._controller.dns_publication.view_items(view)
+        session = self.proxy_session(subscriber)
         items: TableItems | None = session.items("line") if session else None
         return items
 
-    def holds(self, number: int, endpoint: int) -> bool:
-        """Return whether any table that was sent to a recipient names an endpoint."""
-        view = self._controller.views.by_number.get(number)
-        session = self.session_of(number)
+    def holds(self, subscriber: int, endpoint: int) -> bool:
+        """Return whether any table of a recipient names an endpoint."""
+        view = self._controller.views.by_number.get(subscriber)
+        session = self.proxy_session(subscriber)
         if view is not None:
-            state = self._controller.dns_publication.state_of(view)
+            state = self._controller.dns_publication.view_state(view)
         elif session is not None:
             state = session.state
         else:
--- a/peatlead/controller/table_queries.py
+++ b/peatlead/controller/table_queries.py
@@ -19,8 +19,8 @@
     from .controller import Controller
     from .publication import Publication
 
-MAX_VERSIONS_SHOWN = 500  # versions in one answer
-DEFAULT_VERSIONS_SHOWN = 50  # versions in an answer if the question gives no number
+MAX_VERSIONS_SHOWN = 500  # in one answer to `log`
+DEFAULT_VERSIONS_SHOWN = 50  # in an answer to `log` if the question gives no number
 END_OF_TIME = 1e12  # Unix time in seconds, later than all versions
 
 
@@ -46,7 +46,7 @@
             "pin": commands.pin,
             "resume": commands.resume,
             "status": self.status,
-            "ends": self.ends,
+            "ends": self.last_versions,
         }
 
     def answer(self, question: Question) -> Answer:
@@ -65,7 +65,7 @@
         """Return the newest versions published in a time range, of one proxy or of all proxies."""
         name = arguments.get("proxy") or None
         if name:
-            name, _ = self._history_of(name)
+            name, _ = self._find_history(name)
         since = float(arguments.get("since") or 0.0)
         until = float(arguments.get("until") or END_OF_TIME)
         published = self._publication.store.entries_between(since, until, name)
@@ -88,11 +88,13 @@
 
     def show(self, arguments: Arguments) -> Answer:
         """Return a proxy's items at a version, by default at the newest version."""
-        name, history = self._history_of(arguments["proxy"])
-        asked_version = arguments.get("version")
-        version = parse_version(asked_version) if asked_version else history.newest_version
+        name, history = self._find_history(arguments["proxy"])
+        requested_version = arguments.get("version")
+        version = parse_version(requested_version) if requested_version else history.newest_version
         items = history.items_at_version(version)
-        active = self._publication.pin_of(name, self._controller.recipients.zone_of(name))
+        active = self._publication.active_pin(
+            name, self._controller.recipients.recipient_zone(name)
+        )
         return {
             "proxy": name,
             "version": str(version),
@@ -103,14 +105,14 @@
 
     def diff(self, arguments: Arguments) -> Answer:
         """Return the differences between two versions of a proxy's tables."""
-        name, history = self._history_of(arguments["proxy"])
+        name, history = self._find_history(arguments["proxy"])
         versions = [parse_version(arguments[side]) for side in ("one", "other")]
         if NO_VERSION in versions:
             raise PinError("expected two versions, EPOCH.SERIAL each")
         before, after = (history.items_at_version(version) for version in versions)
         return {"proxy": name, "changes": self._formatter.difference(before, after)}
 
-    def ends(self, _: Arguments) -> Answer:
+    def last_versions(self, _: Arguments) -> Answer:
         """Return each joined proxy's last sent version, its digest and its age in seconds."""
         now = self._wall_clock()
         last_versions = {}
@@ -129,7 +131,7 @@
         """Return the state of the store, the table log on disk and the pins."""
         now = self._controller.loop.time()
         store = self._publication.store
-        log = self._publication.log
+        log = self._publication.table_log
         pins = self._publication.pins
         return {
             "steward": self._controller.own_settings["name"],
@@ -146,14 +148,14 @@
         }
 
     def proxy_versions(self) -> list[Answer]:
-        """Return the last sent and the last acknowledged version of each proxy.
+        """Return the last sent and the last acknowledged version of each proxy and view.
 
         The two versions differ while a proxy has not acknowledged a change.
         """
         proxies = []
         for number, name, zone in self._controller.recipients.all_recipients():
             history = self._publication.store.histories.get(name)
-            active = self._publication.pin_of(name, zone)
+            active = self._publication.active_pin(name, zone)
             sent = history.newest_version if history else NO_VERSION
             proxies.append(
                 {
@@ -171,7 +173,7 @@
         acknowledged = proxies.acknowledged_version(number) if proxies else None
         return sent if acknowledged is None else acknowledged
 
-    def _history_of(self, name: str) -> tuple[str, History]:
+    def _find_history(self, name: str) -> tuple[str, History]:
         histories = self._publication.store.histories
         for published_name in (name, f"{VIEW_PREFIX}{name}"):
             if published_name in histories:
@@ -181,10 +183,10 @@
     def _pin_status(self, now: float, active: ActivePin) -> Answer:
         pin = active.pin
         recipients = self._controller.recipients.all_recipients()
-        pins_in_force = [self._publication.pin_of(name, zone) for _, name, zone in recipients]
-        held_here = sum(found is not None and found.pin.id == pin.id for found in pins_in_force)
+        active_pins = [self._publication.active_pin(name, zone) for _, name, zone in recipients]
+        held_here = sum(found is not None and found.pin.id == pin.id for found in active_pins)
         covered = sum(active.covers(now, name, zone) for _, name, zone in recipients)
-        unknown = self._publication.targets.unknown
+        unknown = self._publication.pin_targets.unknown_targets
         return {
             "pin": pin.id,
             "whom": pin.scope,
--- a/peatlead/controller/view_state.py
+++ b/peatlead/controller/view_state.py
@@ -33,7 +33,7 @@
                 self.withdrawn.add(key[1])
             elif key[0] == WITHDRAWN:
                 self.withdrawn.discard(key[1])
-            # PIN_CHECK changes nothing here: it only marks the entry as affected by a pin.
+            # PIN_CHECK changes no state: it only causes the entry to be compared with the pin.
 
     def weights(self, request_class: int) -> dict[int, float]:
         """Return the weights of endpoints for a request class, without ejected endpoints."""
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -116,7 +116,7 @@
             code, output = await run_tables_command(
                 "rollback", "--proxy", "view:desk0", "--to", first_version, "--dry", *ns1
             )
-            self.assertIn("not as it was: h0 drains", output)
+            self.assertIn("not restored as pinned: h0 drains", output)
             code, output = await run_tables_command(
                 "rollback", "--proxy", "view:desk0", "--to", first_version, "--over", "0", *ns1
             )
--- a/tests/compatibility/test_mixed_fleet.py
+++ b/tests/compatibility/test_mixed_fleet.py
@@ -359,7 +359,8 @@
                 "ns1", lambda answer: "p0" in answer["owned"], ask="fleet", do="status"
             )
             self.assertGreater(fleet["owned"]["p0"][0], epoch)
-            self.assertNotIn("not taken", pair.log("ns1"))
+            self.assertNotIn("not taken", pair.log("ns1"))  # text of the old version
+            self.assertNotIn("not restored", pair.log("ns1"))
             await proxy.finish()
 
         self.run_case(case)
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -432,7 +432,9 @@
                 answers, log_events = run_controller(self.folder, name, case)
                 expected = self.expected["tables"][name]
                 errors = [
-                    event for event in log_events if "not taken" in event[0] or "failed" in event[0]
+                    event
+                    for event in log_events
+                    if "not restored" in event[0] or "failed" in event[0]
                 ]
                 self.assertEqual(errors, [])
                 self.assertEqual(
--- a/tests/controller/test_health_checks.py
+++ b/tests/controller/test_health_checks.py
@@ -23,7 +23,7 @@
         async def case(world):
             controller = await world.start_controller()
             await until(lambda: world.answered_endpoints(controller))
-            controller.health_checks.admission = {0: 0.4, 1: 1.0}
+            controller.health_checks.admitted_fractions = {0: 0.4, 1: 1.0}
             now = asyncio.get_running_loop().time
             await until(
                 lambda: all(
--- a/tests/controller/test_overload.py
+++ b/tests/controller/test_overload.py
@@ -62,7 +62,7 @@
                     self.report_counts[proxy] = self.report_counts.get(proxy, 0) + 1
                     phase = proxy * 619 % 997 / 996
                     self.next_report_at[proxy] += (
-                        self.overload.report_interval_of(phase)
+                        self.overload.proxy_report_interval(phase)
                         if self.follow_interval
                         else self.overload.configured_interval
                     )
@@ -125,7 +125,7 @@
         self.assertEqual(
             (
                 simulation.overload.headroom,
-                simulation.overload.interval,
+                simulation.overload.report_interval,
                 simulation.overload.gather_window,
             ),
             (1.0, 1.0, 0.0),
@@ -159,7 +159,7 @@
         for late in [0.0] * 5 + [9.0] + [0.0] * 40:
             now += 0.1
             control.decide(now, [TimerLateness(late, 10)])
-        self.assertEqual((control.headroom, control.interval), (1.0, 1.0))
+        self.assertEqual((control.headroom, control.report_interval), (1.0, 1.0))
 
     @given(
         st.lists(
--- a/tests/controller/test_pinned_tables.py
+++ b/tests/controller/test_pinned_tables.py
@@ -119,7 +119,8 @@
             pin = ask(controller, "pin", whom="all", over=0.0)["pin"]
             await until(lambda: controller.publication.applied_pins)
             versions = controller.publication.store.entry_count
-            controller.publication.log.close = lambda: None  # a killed controller closes nothing
+            # A killed controller closes nothing.
+            controller.publication.table_log.close = lambda: None
             controller.stop()
             await asyncio.sleep(0.05)  # until the loop has closed its sockets
             restarted = await world.start_controller()
