--- a/peatlead/controller/pinned_tables.py
+++ b/peatlead/controller/pinned_tables.py
@@ -52,9 +52,9 @@
         self._phases: dict[int, str] = {}
         self._withdrawn: set[int] = set()
         # The greatest fraction of an endpoint's listed weight in any table.
-        self._fractions: dict[int, float] = {}
-        # The publisher's change count when `_fractions` was computed.
-        self._fractions_change_count = -1
+        self._weight_fractions: dict[int, float] = {}
+        # The publisher's change count when `_weight_fractions` was computed.
+        self._weight_fractions_change_count = -1
 
     def store_entry(self, endpoint: int, entry: ListedEndpoint) -> PhaseChange | None:
         """Store a list entry. Return the endpoint's change of phase, or None."""
@@ -77,12 +77,12 @@
     def guard_context(self) -> GuardContext:
         """Return the current facts about all endpoints."""
         publisher = self._controller.publisher
-        if self._fractions_change_count != publisher.change_count:
-            self._fractions_change_count = publisher.change_count
-            self._fractions = self._compute_fractions()
-        return GuardContext(self._phases, self._withdrawn, self._fractions)
+        if self._weight_fractions_change_count != publisher.change_count:
+            self._weight_fractions_change_count = publisher.change_count
+            self._weight_fractions = self._compute_weight_fractions()
+        return GuardContext(self._phases, self._withdrawn, self._weight_fractions)
 
-    def _compute_fractions(self) -> dict[int, float]:
+    def _compute_weight_fractions(self) -> dict[int, float]:
         listed = self._controller.endpoint_lists.weights
         return {
             endpoint: max(tables.values()) / max(MIN_LISTED_WEIGHT, listed.get(endpoint, 1.0))
--- a/tests/controller/connections.py
+++ b/tests/controller/connections.py
@@ -11,7 +11,7 @@
 
 
 class ReceivedBytes(Stream):
-    """Collects all received bytes in `received_bytes`; the future `end_reason` completes at the end."""
+    """Collects all received bytes. `end_reason` is a future: why the connection has ended."""
 
     def __init__(self):
         super().__init__()
@@ -31,7 +31,7 @@
     return len(wire).to_bytes(2, "big") + wire
 
 
-async def dial(world, name="ns1"):
+async def connect_tcp(world, name="ns1"):
     """A TCP connection to a controller's DNS port."""
     address = {"ns1": "127.1.0.1", "ns2": "127.1.0.2"}[name]
     _, stream = await asyncio.get_running_loop().create_connection(
--- a/tests/controller/test_channel.py
+++ b/tests/controller/test_channel.py
@@ -31,7 +31,7 @@
     @given(st.lists(COMMANDS, max_size=10), st.integers(0, 2**31))
     def test_views_reach_the_commanded_state_through_a_slow_channel(self, batches, seed):
         rng, channel, publisher = random.Random(seed), Channel(40.0, 3.0, 1000.0), Publisher()
-        states, tables, assigned, withdrawn, now = (
+        states, tables, assigned_tables, withdrawn, now = (
             {view: ViewState() for view in range(3)},
             {},
             {},
@@ -49,7 +49,7 @@
                 elif type(command) is interface.ClearTable:
                     tables[command.table] = {}
                 elif type(command) is interface.AssignTable:
-                    assigned[command.proxy] = command.table
+                    assigned_tables[command.proxy] = command.table
                 else:
                     (withdrawn.add if command.withdrawn else withdrawn.discard)(command.endpoint)
             now += rng.random()
@@ -58,15 +58,15 @@
         for view, message in channel.take_due(1e9):
             states[view].apply(message.operations)
         for view, state in states.items():
-            expected = {
+            expected_weights = {
                 endpoint: weight
-                for endpoint, weight in tables.get(assigned.get(view), {}).items()
+                for endpoint, weight in tables.get(assigned_tables.get(view), {}).items()
                 if weight and endpoint not in withdrawn
             }
-            self.assertEqual(state.weights(0), expected)
+            self.assertEqual(state.weights(0), expected_weights)
         self.assertEqual(channel.size, 0.0)
 
-    def test_messages_are_paced_and_waiting_ones_are_merged(self):
+    def test_messages_are_paced_and_waiting_messages_are_merged(self):
         channel = Channel(10.0, 6.0, 100.0)
         channel.enqueue(0.0, 1, {("line", 0, 1): 1.0})
         for weight in range(50):
@@ -87,7 +87,7 @@
         self.assertEqual(state.weights(0), {})
 
     def test_removals_are_sent_first_without_starving_other_messages(self):
-        # Withdrawals must not wait behind all messages that were queued before them.
+        # Withdrawals must not wait for all messages that were queued before them.
         channel = Channel(1e9, 6.0, 1e6)
         for view in range(40):
             channel.enqueue(0.0, view, {("line", view, 1): 1.0})
--- a/tests/controller/test_dns_controller.py
+++ b/tests/controller/test_dns_controller.py
@@ -9,7 +9,7 @@
 from peatlead.net.http import connect
 
 from ..standin_fleet import run_with_standins, until
-from .connections import dial, start_resolver
+from .connections import connect_tcp, start_resolver
 
 
 class ListToAnswerTest(unittest.TestCase):
@@ -149,7 +149,7 @@
                 reason = await asyncio.wait_for(controller.ended, 10)
             record = dict(world.log)["decide failed"]
             with self.assertRaises(OSError):
-                await dial(world)
+                await connect_tcp(world)
             return reason, record["error"], bool(record["at"])
 
         self.assertEqual(
--- a/tests/controller/test_dns_over_tcp.py
+++ b/tests/controller/test_dns_over_tcp.py
@@ -7,7 +7,7 @@
 import dns.rcode
 
 from ..standin_fleet import run_with_standins, until
-from .connections import dial, framed_query
+from .connections import connect_tcp, framed_query
 
 
 class DnsOverTcpTest(unittest.TestCase):
@@ -15,7 +15,7 @@
         async def case(world):
             controller = await world.start_controller()
             await until(lambda: world.answered_endpoints(controller))
-            stream = await dial(world)
+            stream = await connect_tcp(world)
             names = ["desk0.api.example.org", "example.com", "desk1.api.example.org"]
             data = b"".join(map(framed_query, names))
             for start in range(0, len(data), 7):
@@ -46,7 +46,7 @@
             world.settings["dns"]["tcp_idle"], world.settings["dns"]["tcp_most"] = 0.3, 3
             controller = await world.start_controller()
             await until(lambda: world.answered_endpoints(controller))
-            streams = [await dial(world) for _ in range(4)]
+            streams = [await connect_tcp(world) for _ in range(4)]
             await until(lambda: controller.dns_server.connections.evicted_count == 1)
             await until(lambda: streams[0].end_reason.done())
             streams[1].send(b"\x00\x05abcde")
--- a/tests/controller/test_many_proxies.py
+++ b/tests/controller/test_many_proxies.py
@@ -1,6 +1,6 @@
 """The gRPC server under mass reconnection, slow readers and hostile peers.
 
-`peatlead.benchmarks.herd` runs the same load at full size.
+`peatlead.benchmarks.herd` simulates a mass reconnection of many more proxies.
 """
 
 import asyncio
@@ -52,7 +52,7 @@
 class HostilePeersTest(unittest.IsolatedAsyncioTestCase):
     """Each attack ends the connection after a bounded number of bytes and leaves no state."""
 
-    def start(self):
+    def start_connection(self):
         """Return a server-side connection and the transport that it writes to."""
         self.calls = []
         transport = InMemoryTransport()
@@ -60,7 +60,7 @@
         connection.connection_made(transport)
         return connection, transport
 
-    def feed(self, connection, data):
+    def feed_until_closed(self, connection, data):
         """Pass data to a connection until it closes; return the number of accepted bytes."""
         for start in range(0, len(data), 16384):
             if connection.transport.is_closing():
@@ -70,14 +70,14 @@
 
     def repetitions_until_closed(self, first, repeated, limit=3000):
         """Return how often `repeated(number)` was accepted before the connection ended."""
-        connection, transport = self.start()
-        self.feed(connection, first)
+        connection, transport = self.start_connection()
+        self.feed_until_closed(connection, first)
         for number in range(limit):
             if transport.closed:
                 connection.connection_lost(None)
                 self.assertEqual(connection.calls, {})
                 return number
-            self.feed(connection, repeated(number))
+            self.feed_until_closed(connection, repeated(number))
         self.fail("the connection was never closed")
 
     async def test_an_endless_header_block_ends_the_connection(self):
@@ -93,14 +93,16 @@
     async def test_a_header_block_that_expands_to_megabytes_ends_the_connection(self):
         client = client_connection()
         client.send_headers(1, HEADERS)
-        whole = client.data_to_send()
+        client_bytes = client.data_to_send()
         # HPACK (RFC 7541): a long value enters the dynamic table; each further byte repeats it.
         value = b"\x40\x01a" + b"\x7f\xa1\x1e" + b"x" * 4000
         block = value + b"\xbe" * 8000
-        connection, transport = self.start()
-        self.feed(connection, whole)
+        connection, transport = self.start_connection()
+        self.feed_until_closed(connection, client_bytes)
         self.assertEqual((len(self.calls), transport.closed), (1, False))
-        self.feed(connection, HeadersFrame(3, block, flags=["END_HEADERS"]).serialize())
+        self.feed_until_closed(
+            connection, HeadersFrame(3, block, flags=["END_HEADERS"]).serialize()
+        )
         self.assertEqual((len(self.calls), transport.closed), (1, True))
         self.assertLess(MAX_HEADER_LIST, 65536)
 
@@ -117,10 +119,10 @@
     async def test_a_flood_of_window_updates_ends_the_connection(self):
         client = client_connection()
         client.send_headers(1, HEADERS)
-        whole = client.data_to_send()
+        client_bytes = client.data_to_send()
         self.assertLess(
             self.repetitions_until_closed(
-                whole, lambda number: WindowUpdateFrame(0, window_increment=1).serialize()
+                client_bytes, lambda number: WindowUpdateFrame(0, window_increment=1).serialize()
             ),
             300,
         )
@@ -139,10 +141,10 @@
     async def test_a_flood_of_reset_streams_ends_the_connection(self):
         client = client_connection()
         self.repetitions_until_closed(
-            client.data_to_send(), lambda number: self.opened_and_reset(client, 2 * number + 1)
+            client.data_to_send(), lambda number: self.open_and_reset_stream(client, 2 * number + 1)
         )
 
-    def opened_and_reset(self, client, number):
+    def open_and_reset_stream(self, client, number):
         """The bytes that open a stream and reset it."""
         client.send_headers(number, HEADERS)
         client.reset_stream(number)
@@ -152,8 +154,8 @@
         client = client_connection()
         client.update_settings({h2.settings.SettingCodes.INITIAL_WINDOW_SIZE: 1})
         client.send_headers(1, HEADERS)
-        connection, transport = self.start()
-        self.feed(connection, client.data_to_send())
+        connection, transport = self.start_connection()
+        self.feed_until_closed(connection, client.data_to_send())
         (call,) = self.calls
         sent = 0
         while call.send(b"x" * 100_000):
@@ -165,10 +167,10 @@
     async def test_output_to_a_closing_connection_is_dropped_without_error(self):
         client = client_connection()
         client.send_headers(1, HEADERS)
-        connection, transport = self.start()
-        self.feed(connection, client.data_to_send())
+        connection, transport = self.start_connection()
+        self.feed_until_closed(connection, client.data_to_send())
         (call,) = self.calls
-        self.feed(connection, GoAwayFrame(0).serialize())
+        self.feed_until_closed(connection, GoAwayFrame(0).serialize())
         self.assertTrue(transport.closed and not call.is_closed)
         call.send(b"an order")
         call.finish(14, "moved")
@@ -185,14 +187,14 @@
             1,
             frame(discovery_pb2.DiscoveryRequest(type_url=ASSIGNMENT_TYPE_URL).SerializeToString()),
         )
-        whole = client.data_to_send()
+        client_bytes = client.data_to_send()
         for _ in range(400):
-            connection, _ = self.start()
-            data = bytearray(whole)
+            connection, _ = self.start_connection()
+            data = bytearray(client_bytes)
             for _ in range(rng.randrange(1, 8)):
                 start = rng.randrange(len(data))
                 data[start : start + rng.randrange(3)] = rng.randbytes(rng.randrange(3))
-            self.feed(connection, bytes(data))
+            self.feed_until_closed(connection, bytes(data))
             connection.connection_lost(None)
             self.assertEqual(connection.calls, {})
 
@@ -208,37 +210,40 @@
                 handler(event),
             )
             grpc_address = "127.1.0.1", world.port + 2
-            first = [SimulatedProxy(number, grpc_address) for number in range(36)]
-            await asyncio.gather(*(agent.connect() for agent in first))
-            await until(lambda: all(agent.observations for agent in first))
-            for agent in first:  # all proxies reconnect
-                agent.connection.abort("herd")
-            again = [SimulatedProxy(number, grpc_address) for number in range(36)]
+            initial_proxies = [SimulatedProxy(number, grpc_address) for number in range(36)]
+            await asyncio.gather(*(proxy.connect() for proxy in initial_proxies))
+            await until(lambda: all(proxy.observations for proxy in initial_proxies))
+            for proxy in initial_proxies:  # all proxies reconnect
+                proxy.connection.abort("herd")
+            reconnected = [SimulatedProxy(number, grpc_address) for number in range(36)]
             world.phases.update(
                 {plan.name: "draining" for plan in world.plans if plan.zone == "south"}
             )
             world.write_list()
-            await asyncio.gather(*(agent.connect() for agent in again))
-            slow, reading = again[::3], [agent for number, agent in enumerate(again) if number % 3]
-            for agent in slow:
-                agent.connection.transport.pause_reading()
+            await asyncio.gather(*(proxy.connect() for proxy in reconnected))
+            slow_readers, readers = (
+                reconnected[::3],
+                [proxy for number, proxy in enumerate(reconnected) if number % 3],
+            )
+            for proxy in slow_readers:
+                proxy.connection.transport.pause_reading()
             drained = {plan.address for plan in world.plans if plan.zone == "south"}
             await until(
                 lambda: all(
-                    agent.observations and not drained & agent.addresses for agent in reading
+                    proxy.observations and not drained & proxy.addresses for proxy in readers
                 )
             )
-            self.assertTrue(all(agent.addresses for agent in reading))
-            loads = reading[0].connection.call(LOAD_REPORTING_PATH, "peatlead")
-            request = self.report(reading[0])
-            loads.send(request)
+            self.assertTrue(all(proxy.addresses for proxy in readers))
+            load_stream = readers[0].connection.call(LOAD_REPORTING_PATH, "peatlead")
+            request = self.load_report(readers[0])
+            load_stream.send(request)
             for _ in range(300):
-                loads.send(request)
+                load_stream.send(request)
             await until(lambda: controller.overload.shed_counts["reports early"] > 250)
             await until(lambda: received)
-            read = sum(event.attempts for event in received)
-            self.assertLess(read, 20 * 7)
-            # However often the list changes, only the newest state waits for a slow reader.
+            accepted_attempts = sum(event.attempts for event in received)
+            self.assertLess(accepted_attempts, 20 * 7)
+            # Only the newest state may be queued for a slow reader, however often the list changes.
             for change in range(20):
                 world.phases["h0"] = "draining" if change % 2 else "ready"
                 world.write_list()
@@ -250,57 +255,61 @@
             ]
             self.assertTrue(calls and all(call.backlog_size < 10_000 for call in calls))
             self.assertEqual(len(controller.proxies.server.sessions), 36)
-            for agent in slow:
-                agent.connection.transport.resume_reading()
+            for proxy in slow_readers:
+                proxy.connection.transport.resume_reading()
             world.phases["h0"] = "ready"
             world.write_list()
             await until(
-                lambda: all(agent.addresses and not drained & agent.addresses for agent in again)
+                lambda: all(
+                    proxy.addresses and not drained & proxy.addresses for proxy in reconnected
+                )
             )
-            for agent in again:
-                agent.connection.abort("over")
+            for proxy in reconnected:
+                proxy.connection.abort("over")
 
         run_with_standins(case, script=GRPC_SCRIPT)
 
-    def report(self, agent):
-        """A load report with an unlisted endpoint, overflowing counts and a negative interval."""
+    def load_report(self, proxy):
+        """A load report of a proxy, with an unlisted endpoint, huge counts and a negative interval."""
         request = lrs_pb2.LoadStatsRequest()
-        request.node.id = f"agent{agent.number}"
+        request.node.id = f"agent{proxy.number}"
         cluster = request.cluster_stats.add(cluster_name="look")
         cluster.load_report_interval.FromMilliseconds(1000)
         locality = cluster.upstream_locality_stats.add()
         for address, count in (
-            (min(agent.addresses), 7),
+            (min(proxy.addresses), 7),
             ("203.0.113.9", 7),
             ("127.10.9.2", 2**62),
         ):
             endpoint = locality.upstream_endpoint_stats.add(total_successful_requests=count)
             endpoint.address.socket_address.address = address
-            endpoint.address.socket_address.port_value = agent.controller[1] - 2
+            endpoint.address.socket_address.port_value = proxy.controller[1] - 2
         dropped = request.cluster_stats.add(cluster_name="file", total_dropped_requests=2**63)
         dropped.load_report_interval.FromNanoseconds(-5_000_000_000)
         return request.SerializeToString()
 
     def test_a_batch_longer_than_a_timer_round_causes_no_burst_of_rounds(self):
         async def case(world):
-            controller, fired = await world.start_controller(), []
+            controller, timer_batches = await world.start_controller(), []
             loop, decide_batch = asyncio.get_running_loop(), controller.planner.decide
 
             def decide(now, events):
-                ticks = sum(type(event) is interface.TimerFired for event in events)
-                if ticks:
-                    fired.append((loop.time(), ticks))
-                    if len(fired) == 3:
+                timer_events = sum(type(event) is interface.TimerFired for event in events)
+                if timer_events:
+                    timer_batches.append((loop.time(), timer_events))
+                    if len(timer_batches) == 3:
                         end = loop.time() + 0.55
                         while loop.time() < end:
                             pass
                 return decide_batch(now, events)
 
             controller.planner.decide = decide
-            await until(lambda: len(fired) >= 12)
-            self.assertEqual({ticks for _, ticks in fired}, {1})
-            gaps = [after - before for (before, _), (after, _) in zip(fired, fired[1:])]
-            self.assertGreater(min(gaps), 0.09)  # seconds: no two rounds in a row
+            await until(lambda: len(timer_batches) >= 12)
+            self.assertEqual({timer_events for _, timer_events in timer_batches}, {1})
+            gaps = [
+                after - before for (before, _), (after, _) in zip(timer_batches, timer_batches[1:])
+            ]
+            self.assertGreater(min(gaps), 0.09)  # seconds: no round follows another without a pause
             self.assertGreater(controller.overload.mean_lateness, 0.0)
 
         run_with_standins(case, script=GRPC_SCRIPT)
--- a/tests/controller/test_operator_queries.py
+++ b/tests/controller/test_operator_queries.py
@@ -8,7 +8,7 @@
 
 
 class OperatorQueriesTest(unittest.TestCase):
-    def test_answer_status_and_malformed_questions(self):
+    def test_answer_and_status_queries_succeed_and_malformed_questions_get_errors(self):
         async def case(world):
             controller = await world.start_controller()
             await until(lambda: len(world.answered_endpoints(controller)) == 4)
--- a/tests/controller/test_overload.py
+++ b/tests/controller/test_overload.py
@@ -34,7 +34,7 @@
             {},
             {},
         )
-        self.read, self.sent, self.late, self.commands, self.backlog = (
+        self.read_counts, self.sent_count, self.lateness, self.commands, self.backlog = (
             [0] * proxies,
             0,
             0.0,
@@ -42,20 +42,20 @@
             0.0,
         )
 
-    def run(self, seconds, extra=0.0):
-        """Simulate a time; `extra` is the fraction of the time that other work takes."""
+    def run(self, seconds, other_work=0.0):
+        """Simulate a time; `other_work` is the fraction of the time that other work takes."""
         for _ in range(round(seconds * 10)):
             self.now += 0.1
-            spent = extra * 0.1
+            spent = other_work * 0.1
             for proxy in range(self.proxies):
                 while self.next_report_at[proxy] <= self.now:
-                    self.sent += 1
+                    self.sent_count += 1
                     if self.overload.accepts_report(
                         self.next_report_at[proxy],
                         self.last_read_at.get(proxy),
                         self.report_counts.get(proxy, 0),
                     ):
-                        self.read[proxy] += 1
+                        self.read_counts[proxy] += 1
                         self.last_read_at[proxy] = self.next_report_at[proxy]
                         self.overload.decide(self.now, [ReportsRead(1, self.cost)])
                         spent += self.cost
@@ -67,9 +67,9 @@
                         else self.overload.configured_interval
                     )
             self.backlog = max(0.0, self.backlog + spent - 0.1)
-            self.late = self.backlog
+            self.lateness = self.backlog
             self.commands += self.overload.decide(
-                self.now, [TimerLateness(self.late, self.proxies)]
+                self.now, [TimerLateness(self.lateness, self.proxies)]
             )
 
 
@@ -77,7 +77,7 @@
     def test_with_headroom_all_reports_are_read_without_commands(self):
         simulation = SimulatedProxies(100, 0.0005)
         simulation.run(20)
-        self.assertEqual(sum(simulation.read), simulation.sent)
+        self.assertEqual(sum(simulation.read_counts), simulation.sent_count)
         self.assertEqual((simulation.commands, simulation.overload.headroom), ([], 1.0))
 
     def test_many_proxies_get_a_longer_interval_and_nearly_all_reports_are_read(self):
@@ -92,17 +92,19 @@
             intervals,
         )
         self.assertLess(len(intervals), 6)
-        before, sent = sum(simulation.read), simulation.sent
+        read_before, sent_before = sum(simulation.read_counts), simulation.sent_count
         simulation.run(30)
-        self.assertGreater((sum(simulation.read) - before) / (simulation.sent - sent), 0.9)
-        self.assertLess(simulation.late, overload.SEVERE_LATENESS)
+        self.assertGreater(
+            (sum(simulation.read_counts) - read_before) / (simulation.sent_count - sent_before), 0.9
+        )
+        self.assertLess(simulation.lateness, overload.SEVERE_LATENESS)
 
     def test_reports_are_shed_evenly_over_proxies_that_ignore_the_interval(self):
         simulation = SimulatedProxies(3000, 0.0004, follow_interval=False)
         simulation.run(60)
-        self.assertLess(simulation.late, overload.SEVERE_LATENESS)
-        self.assertGreater(min(simulation.read), 0)
-        self.assertLessEqual(max(simulation.read), 3 * min(simulation.read) + 3)
+        self.assertLess(simulation.lateness, overload.SEVERE_LATENESS)
+        self.assertGreater(min(simulation.read_counts), 0)
+        self.assertLessEqual(max(simulation.read_counts), 3 * min(simulation.read_counts) + 3)
         self.assertGreater(
             simulation.overload.shed_counts["reports"]
             + simulation.overload.shed_counts["reports early"],
@@ -112,7 +114,7 @@
     def test_other_load_lowers_the_headroom_until_it_ends(self):
         simulation = SimulatedProxies(500, 0.0004)
         simulation.run(10)
-        simulation.run(10, extra=1.05)
+        simulation.run(10, other_work=1.05)
         self.assertLess(simulation.overload.headroom, 0.2)
         self.assertTrue(
             any(
@@ -133,18 +135,18 @@
 
     def test_a_flooding_proxy_does_not_affect_the_others(self):
         control = OverloadControl(1.0, lambda low, high: low)
-        last_read_at, read, others, now = None, 0, 0, 0.0
+        last_read_at, read_count, accepted_from_others, now = None, 0, 0, 0.0
         for step in range(2000):  # 100 reports per second for 20 s
             now += 0.01
             if control.accepts_report(now, last_read_at, step):
-                read, last_read_at = read + 1, now
+                read_count, last_read_at = read_count + 1, now
                 control.decide(now, [ReportsRead(1, 0.0004)])
             if step % 100 == 0:
-                others += control.accepts_report(now, now - 1.0, step // 100)
+                accepted_from_others += control.accepts_report(now, now - 1.0, step // 100)
             if step % 10 == 0:
                 control.decide(now, [TimerLateness(0.0, 2)])
-        self.assertLessEqual(read, 20 / overload.EARLY_REPORT_FRACTION + 1)
-        self.assertEqual((others, control.read_fraction), (20, 1.0))
+        self.assertLessEqual(read_count, 20 / overload.EARLY_REPORT_FRACTION + 1)
+        self.assertEqual((accepted_from_others, control.read_fraction), (20, 1.0))
 
     @given(st.integers(1, 400), st.floats(0.01, 1.0))
     def test_the_read_fraction_is_spread_evenly_over_reports(self, count, fraction):
--- a/tests/controller/test_pinned_tables.py
+++ b/tests/controller/test_pinned_tables.py
@@ -13,7 +13,8 @@
 from ..standin_fleet import run_with_standins, until
 
 
-def ask(controller, do, **args):
+def ask_tables(controller, do, **args):
+    """Return a controller's answer to a `tables` question."""
     return controller.publication.answer(Question("tables", do=do, args=args))
 
 
@@ -24,11 +25,11 @@
         async def case(world):
             controller = await world.start_controller()
             await until(lambda: len(world.answered_endpoints(controller)) == 4)
-            before = ask(controller, "show", proxy="desk0")["version"]
+            version_before = ask_tables(controller, "show", proxy="desk0")["version"]
             world.phases["h0"] = "draining"
             world.write_list()
             await until(lambda: world.answered_endpoints(controller) == {"h1", "h2", "h3"})
-            log = ask(controller, "log", proxy="desk0")["versions"]
+            log = ask_tables(controller, "log", proxy="desk0")["versions"]
             self.assertTrue(
                 any(
                     "h0" in cause and "drains" in cause
@@ -37,59 +38,59 @@
                 ),
                 log,
             )
-            diff = ask(controller, "diff", proxy="desk0", one=before, other=log[-1]["version"])[
-                "changes"
-            ]
+            diff = ask_tables(
+                controller, "diff", proxy="desk0", one=version_before, other=log[-1]["version"]
+            )["changes"]
             self.assertIn(("h0", None), [(change["host"], change["value"]) for change in diff])
-            dry = ask(
+            dry_run = ask_tables(
                 controller,
                 "pin",
                 dry=True,
                 whom="proxy",
                 which="view:desk0",
                 target="version",
-                to=before,
+                to=version_before,
             )
-            self.assertEqual(dry["each"][0]["taken"], {"h0": "drains"})
+            self.assertEqual(dry_run["each"][0]["taken"], {"h0": "drains"})
             self.assertFalse(controller.publication.pins.by_id)
-            ask(
+            ask_tables(
                 controller,
                 "pin",
                 whom="proxy",
                 which="view:desk0",
                 target="version",
-                to=before,
+                to=version_before,
                 over=0.0,
             )
             world.phases["h1"] = "draining"
             world.write_list()
             await until(lambda: world.answered_endpoints(controller) == {"h2", "h3"})
-            self.assertEqual(ask(controller, "show", proxy="desk0")["pinned by"], "ns1-1")
+            self.assertEqual(ask_tables(controller, "show", proxy="desk0")["pinned by"], "ns1-1")
 
         run_with_standins(case)
 
-    def test_a_rollback_to_before_the_removal_of_a_zone(self):
+    def test_a_rollback_to_a_drained_zone_keeps_the_planned_endpoints(self):
         async def case(world):
             controller = await world.start_controller()
             await until(lambda: len(world.answered_endpoints(controller)) == 4)
-            before = ask(controller, "show", proxy="desk1")["version"]
+            version_before = ask_tables(controller, "show", proxy="desk1")["version"]
             world.phases.update(h1="draining", h3="draining")  # all endpoints of desk1's zone
             world.write_list()
             await until(lambda: world.answered_endpoints(controller, "desk1") == {"h0", "h2"})
-            ask(
+            ask_tables(
                 controller,
                 "pin",
                 whom="proxy",
                 which="view:desk1",
                 target="version",
-                to=before,
+                to=version_before,
                 over=0.0,
             )
             await until(lambda: controller.publication.applied_pins)
-            dry = ask(
+            dry_run = ask_tables(
                 controller, "pin", dry=True, whom="zone", which="south", target="back", to="60"
             )
-            self.assertFalse(dry.get("error"))
+            self.assertFalse(dry_run.get("error"))
             self.assertEqual(world.answered_endpoints(controller, "desk1"), {"h0", "h2"})
 
         run_with_standins(case)
@@ -100,15 +101,15 @@
             world.write_list()
             controller = await world.start_controller()
             await until(lambda: len(world.answered_endpoints(controller)) == 3)
-            pin = ask(controller, "pin", whom="all", over=0.0, by="test")["pin"]
+            pin = ask_tables(controller, "pin", whom="all", over=0.0, by="test")["pin"]
             world.phases["h3"] = "ready"
             world.write_list()
             number = controller.views.by_name["desk0"].number
             await until(lambda: len(controller.planned_tables(number)[0][1]) == 4)
-            self.assertEqual(len(ask(controller, "show", proxy="desk0")["items"]), 3)
-            self.assertEqual(ask(controller, "status")["pins"][0]["by"], "test")
-            ask(controller, "resume", pin=pin, over=0.0)
-            await until(lambda: len(ask(controller, "show", proxy="desk0")["items"]) == 4)
+            self.assertEqual(len(ask_tables(controller, "show", proxy="desk0")["items"]), 3)
+            self.assertEqual(ask_tables(controller, "status")["pins"][0]["by"], "test")
+            ask_tables(controller, "resume", pin=pin, over=0.0)
+            await until(lambda: len(ask_tables(controller, "show", proxy="desk0")["items"]) == 4)
 
         run_with_standins(case)
 
@@ -116,18 +117,18 @@
         async def case(world):
             controller = await world.start_controller()
             await until(lambda: len(world.answered_endpoints(controller)) == 4)
-            pin = ask(controller, "pin", whom="all", over=0.0)["pin"]
+            pin = ask_tables(controller, "pin", whom="all", over=0.0)["pin"]
             await until(lambda: controller.publication.applied_pins)
-            versions = controller.publication.store.entry_count
+            version_count = controller.publication.store.entry_count
             # A killed controller closes nothing.
             controller.publication.table_log.close = lambda: None
             controller.stop()
             await asyncio.sleep(0.05)  # until the loop has closed its sockets
             restarted = await world.start_controller()
             self.assertIn(pin, restarted.publication.pins.unended())
-            self.assertGreaterEqual(restarted.publication.store.entry_count, versions)
+            self.assertGreaterEqual(restarted.publication.store.entry_count, version_count)
             await until(lambda: len(world.answered_endpoints(restarted)) == 4)
-            self.assertEqual(ask(restarted, "status")["pins"][0]["target not known"], [])
+            self.assertEqual(ask_tables(restarted, "status")["pins"][0]["target not known"], [])
 
         run_with_standins(case)
 
@@ -135,13 +136,13 @@
         # After a restart an older list must not bring a drained endpoint back into answers.
         async def case(world):
             controller = await world.start_controller()
-            old = (world.folder / "nodes.json").read_bytes()
+            old_list = (world.folder / "nodes.json").read_bytes()
             world.phases["h0"] = "draining"
             world.write_list()
             await until(lambda: world.answered_endpoints(controller) == {"h1", "h2", "h3"})
             controller.stop()
             await asyncio.sleep(0.05)
-            world.write_list(old)
+            world.write_list(old_list)
             restarted = await world.start_controller()
             await until(lambda: any(event == "older list ignored" for event, _ in world.log))
             await until(lambda: world.answered_endpoints(restarted) == {"h1", "h2", "h3"})
@@ -162,7 +163,7 @@
                 ("diff", {"proxy": "desk0", "one": "", "other": ""}),
                 ("log", {"since": "x"}),
             ):
-                self.assertIn("error", ask(controller, do, **args), (do, args))
+                self.assertIn("error", ask_tables(controller, do, **args), (do, args))
             self.assertFalse(controller.publication.pins.by_id)
 
         run_with_standins(case)
@@ -182,10 +183,10 @@
 
     def play_without_breach(self, text, seed=1, pins=1):
         """Play a script, and check that no invariant is broken and how many pins were made."""
-        played = play_scenario(text, seed)
-        self.assertEqual(played.problems, [])
-        self.assertEqual(len([row for row in played.rows if row.kind == "pin"]), pins)
-        return played
+        result = play_scenario(text, seed)
+        self.assertEqual(result.problems, [])
+        self.assertEqual(len([row for row in result.rows if row.kind == "pin"]), pins)
+        return result
 
     def test_a_rollback_to_before_a_release_whose_old_endpoints_are_gone(self):
         self.play_without_breach(
@@ -200,18 +201,18 @@
         )
 
     def test_the_history_of_a_former_owner_is_used(self):
-        played = self.play_without_breach(
+        result = self.play_without_breach(
             "release(at = 2, length = 4, part = 0.4)\n"
             "steward_frozen(at = 5, length = 3, steward = 1)\n"
             "rollback(at = 9, length = 5, back = 6, over = 1)"
         )
-        moved = {
+        moved_proxies = {
             row.agent
-            for row in played.rows
+            for row in result.rows
             if row.kind == "stream" and row.what == "lost" and row.at < 12
         }
-        self.assertTrue(moved)  # proxies that have a new owner
-        self.assertEqual([event for _, _, event, _ in played.logs if "not known" in event], [])
+        self.assertTrue(moved_proxies)  # proxies that have a new owner
+        self.assertEqual([event for _, _, event, _ in result.logs if "not known" in event], [])
 
     def test_malformed_target_messages_are_refused(self):
         async def case(world):
@@ -244,9 +245,9 @@
         )
 
     def test_after_the_pin_ends_all_proxies_are_on_the_planners_tables(self):
-        played = self.play_without_breach(
+        result = self.play_without_breach(
             "rollback(at = 3, length = 4, back = 0, over = 1)\n"
             "release(at = 4, length = 6, part = 0.4)"
         )
-        held = {row.agent: row for row in played.rows if row.kind == "held"}
-        self.assertEqual(len(held), 10)
+        held_rows = {row.agent: row for row in result.rows if row.kind == "held"}
+        self.assertEqual(len(held_rows), 10)
--- a/tests/controller/test_propagation.py
+++ b/tests/controller/test_propagation.py
@@ -105,18 +105,18 @@
     def test_a_drain_is_traced_to_the_last_proxy(self):
         async def case(world):
             controller = await world.start_controller()
-            agents = [SimulatedProxy(number, ("127.1.0.1", world.port + 2)) for number in range(6)]
-            await asyncio.gather(*(agent.connect() for agent in agents))
-            await until(lambda: all(len(agent.addresses) > 1 for agent in agents))
+            proxies = [SimulatedProxy(number, ("127.1.0.1", world.port + 2)) for number in range(6)]
+            await asyncio.gather(*(proxy.connect() for proxy in proxies))
+            await until(lambda: all(len(proxy.addresses) > 1 for proxy in proxies))
             name, address = next(
                 (plan.name, plan.address)
                 for plan in world.plans
-                if any(plan.address in agent.addresses for agent in agents)
+                if any(plan.address in proxy.addresses for proxy in proxies)
             )
-            holders = sum(address in agent.addresses for agent in agents)
+            holders = sum(address in proxy.addresses for proxy in proxies)
             world.phases[name] = "draining"
             world.write_list()
-            await until(lambda: not any(address in agent.addresses for agent in agents))
+            await until(lambda: not any(address in proxy.addresses for proxy in proxies))
             index = controller.registry.numbers[name]
             await until(lambda: index not in controller.propagation.active)
             answer = await ask_once(
@@ -127,11 +127,11 @@
             withdrawal = answer["losses"][-1]
             self.assertGreaterEqual(withdrawal["without it"], holders)
             self.assertEqual(withdrawal["still to go"], 0)
-            proxy = await ask_once(
+            proxy_answer = await ask_once(
                 controller.own_settings["control"], {"ask": "why", "host": "agent3"}
             )
-            self.assertEqual((proxy["zone"], proxy["losses under way"]), ("a", []))
-            self.assertNotIn(name, proxy["lines"]["look"])
+            self.assertEqual((proxy_answer["zone"], proxy_answer["losses under way"]), ("a", []))
+            self.assertNotIn(name, proxy_answer["lines"]["look"])
             self.assertIn(
                 "expected a host",
                 (
@@ -140,7 +140,7 @@
                     )
                 )["error"],
             )
-            for agent in agents:
-                agent.connection.abort("over")
+            for proxy in proxies:
+                proxy.connection.abort("over")
 
         run_with_standins(case, script=GRPC_SCRIPT)
