--- a/peatlead/cli/lab.py
+++ b/peatlead/cli/lab.py
@@ -57,8 +57,8 @@
     result = play_day(load_scenario(script, seed, kind), seed, planner)
     if result.report is not None:
         print_report(result.report, f"simulated, seed {seed}")
-    for finding in result.problems:
-        click.echo(f"found: {finding}")
+    for problem in result.problems:
+        click.echo(f"problem: {problem}")
     click.echo(
         f"digest {result.digest}, {result.events} events, {result.seconds:.1f} simulated seconds"
     )
@@ -67,9 +67,10 @@
 
 @contextmanager
 def progress(label: str, total: int) -> Iterator[tuple[PrintLine, ReportProgress]]:
-    """Yield functions `(print_line, report_progress)` that show the progress of `total` tasks.
+    """Yield functions `(print_line, report_progress)` for a run of `total` tasks.
 
-    On a terminal they show a progress bar with the remaining time, otherwise only printed lines.
+    On a terminal a progress bar shows the finished tasks and the remaining time; elsewhere only the
+    printed lines are shown.
     """
     if not sys.stderr.isatty():
         yield click.echo, lambda done, note: None
@@ -118,13 +119,13 @@
     from ..lab.hunt import search_seeds
 
     with progress(f"searching {kind} scenarios", last - first) as (print_line, report_progress):
-        finds, played_count = search_seeds(
+        failing_seeds, played_count = search_seeds(
             range(first, last), kind, length, workers, print_line, most, report_progress
         )
-    for find in finds:
-        click.echo(f"\n# seed {find.seed}: {'; '.join(find.problems[:3])}\n{find.script}")
-    click.echo(f"{played_count} {kind} scenarios played, {len(finds)} failed")
-    sys.exit(1 if finds else 0)
+    for failing in failing_seeds:
+        click.echo(f"\n# seed {failing.seed}: {'; '.join(failing.problems[:3])}\n{failing.script}")
+    click.echo(f"{played_count} {kind} scenarios played, {len(failing_seeds)} failed")
+    sys.exit(1 if failing_seeds else 0)
 
 
 @lab.command(
--- a/peatlead/cli/scenarios.py
+++ b/peatlead/cli/scenarios.py
@@ -115,10 +115,10 @@
     from ..scenario.kinds import play_cases
 
     try:
-        kept = asyncio.run(play_cases(Path(out), only, at_once, click.echo))
+        all_rules_kept = asyncio.run(play_cases(Path(out), only, at_once, click.echo))
     except KeyError:
         raise click.ClickException(f"--only: expected the name of a case, got {only!r}") from None
-    sys.exit(0 if kept else 1)
+    sys.exit(0 if all_rules_kept else 1)
 
 
 @main.command()
--- a/peatlead/controller/channel.py
+++ b/peatlead/controller/channel.py
@@ -71,7 +71,7 @@
         self.overflow_count += self.size > self.max_size
 
     def choose_lane(self, subscriber: int, message: Message) -> None:
-        """Move a subscriber to the lane of its message; within the same lane it keeps its place."""
+        """Move a subscriber to the end of its message's lane, unless it is already in that lane."""
         urgent = bool(removed_endpoints(message.operations))
         lane, other_lane = (self.urgent, self.normal) if urgent else (self.normal, self.urgent)
         other_lane.pop(subscriber, None)
--- a/peatlead/controller/controller.py
+++ b/peatlead/controller/controller.py
@@ -285,7 +285,7 @@
     # Command handlers.
 
     def _fetch_endpoints(self, _: interface.FetchEndpoints) -> None:
-        self.endpoint_lists.fetch_soon()
+        self.endpoint_lists.schedule_fetch()
 
     def _send_gossip(self, command: interface.SendGossip) -> None:
         if self.gossip:
--- a/peatlead/controller/endpoint_lists.py
+++ b/peatlead/controller/endpoint_lists.py
@@ -26,7 +26,7 @@
         self._controller = controller
         self._cache = EndpointCache(cache_path)
         self.source = create_source(controller.settings["node_list"], self.receive, controller.log)
-        self.weights: dict[int, float] = {}  # endpoint -> its listed weight
+        self.weights: dict[int, float] = {}  # listed weights, by endpoint
 
     def restore(self) -> None:
         """Load the list that an earlier start has stored, if any."""
@@ -37,7 +37,7 @@
         else:
             self._controller.log("no stored endpoint list", why=reason)
 
-    def fetch_soon(self) -> None:
+    def schedule_fetch(self) -> None:
         """Read the whole list again, in the next iteration of the event loop."""
         loop = self._controller.loop
         loop.call_soon(lambda: self.source.fetch(loop.time()))
--- a/peatlead/controller/pin_control.py
+++ b/peatlead/controller/pin_control.py
@@ -18,7 +18,7 @@
 STORE_INTERVAL = 10.0  # seconds between two writes of all pins with their current ages
 GOSSIP_INTERVAL = 2.0  # seconds between two announcements of all pins to other controllers
 MAX_PINS_PER_DATAGRAM = 6
-NOTE_KEY = "pins"  # the table log's key for the pins
+PINS_NOTE = "pins"  # the table log's key for the pins
 NO_PINS = b"\x90"  # an empty list in MessagePack
 
 
@@ -39,7 +39,7 @@
 
     def restore(self, now: float, notes: Mapping[str, bytes]) -> None:
         """Load the pins that an earlier start has stored. Raises ValueError for malformed pins."""
-        self.pins.merge(now, decode_pins(notes.get(NOTE_KEY, NO_PINS)))
+        self.pins.merge(now, decode_pins(notes.get(PINS_NOTE, NO_PINS)))
 
     def log_active_pins(self, now: float) -> None:
         """Log each pin in force with its remaining seconds."""
@@ -63,7 +63,7 @@
     def store_pins(self, now: float) -> None:
         """Append the pins, with their current ages, to the table log."""
         self._stored_at = now
-        self._table_log.record_note(NOTE_KEY, encode_pins(self.pins.snapshot(now)))
+        self._table_log.record_note(PINS_NOTE, encode_pins(self.pins.snapshot(now)))
 
     def announce_pins(self, now: float) -> None:
         """Send all pins to the other controllers."""
--- a/peatlead/controller/pin_targets.py
+++ b/peatlead/controller/pin_targets.py
@@ -26,7 +26,7 @@
 MAX_PACKED_BYTES = 60_000  # a compressed announcement must fit into a datagram
 MAX_UNPACKED_BYTES = 1 << 20  # of a decompressed announcement
 MAX_ANNOUNCED_TARGETS = 100_000  # stored targets that other controllers have announced
-NOTE_PREFIX = "wish/"  # the table log's keys for targets are wish/PIN/PROXY
+TARGET_NOTE_PREFIX = "wish/"  # the table log's keys for targets are wish/PIN/PROXY
 
 TargetKey = tuple[str, str]
 """Pin id and proxy name."""
@@ -42,10 +42,10 @@
     items: TableItems
 
 
-def note_key(key: TargetKey) -> str:
+def target_note_key(key: TargetKey) -> str:
     """Return the table log's key of a stored target."""
     pin_id, name = key
-    return f"{NOTE_PREFIX}{pin_id}/{name}"
+    return f"{TARGET_NOTE_PREFIX}{pin_id}/{name}"
 
 
 def read_announcement(payload: bytes) -> tuple[TargetKey, PastTable]:
@@ -88,7 +88,7 @@
 
     def restore(self) -> None:
         """Load the targets that an earlier start has stored. Raises MsgspecError or ValueError."""
-        for key in [key for key in self._table_log.notes if key.startswith(NOTE_PREFIX)]:
+        for key in [key for key in self._table_log.notes if key.startswith(TARGET_NOTE_PREFIX)]:
             _, pin_id, name = key.split("/", 2)
             if pin_id in self._pins.by_id:
                 lines = msgspec.msgpack.decode(self._table_log.notes[key], type=LineWeights)
@@ -184,7 +184,7 @@
         }
         for key in [key for key in self._target_lines if key[0] not in known_pins]:
             del self._target_lines[key]
-            self._table_log.record_note(note_key(key), None)
+            self._table_log.record_note(target_note_key(key), None)
         self.unknown_targets = {key for key in self.unknown_targets if key[0] in known_pins}
 
     def _find_target_lines(self, active: ActivePin, name: str) -> LineWeights:
@@ -202,4 +202,4 @@
 
     def _store_target(self, key: TargetKey, lines: LineWeights) -> None:
         self._target_lines[key] = lines
-        self._table_log.record_note(note_key(key), msgspec.msgpack.encode(lines))
+        self._table_log.record_note(target_note_key(key), msgspec.msgpack.encode(lines))
--- a/peatlead/controller/proxies.py
+++ b/peatlead/controller/proxies.py
@@ -218,22 +218,22 @@
             if address:
                 self._endpoint_by_address[address] = endpoint
 
-    def apply(self, subscriber: int, message: Message) -> Session | None:
+    def apply(self, number: int, message: Message) -> Session | None:
         """Apply a message that has left the channel, and mark the session's changed parts.
 
         Return the proxy's session, or None if the proxy has left or if a pin cancels all changes.
         """
-        session = self.by_number.get(subscriber)
+        session = self.by_number.get(number)
         if session is None:
             return None
         pinned = (
             self._controller.publication.active_pin(session.node.name, session.node.zone)
             is not None
         )
-        before = all_items(session) if pinned and session.ready else None
+        items_before = all_items(session) if pinned and session.ready else None
         session.state.apply(message.operations)
         self._copy_admission(session)
-        unchanged = before is not None and before == all_items(session)
+        unchanged = items_before is not None and items_before == all_items(session)
         if unchanged and not self._has_pending_changes(session):
             return None
         self._add_causes(session, message)
--- a/peatlead/controller/publisher.py
+++ b/peatlead/controller/publisher.py
@@ -54,7 +54,7 @@
         self.admissions: dict[int, tuple[float, str]] = {}
 
     def join(self, subscriber: int, enforces_admission: bool = False) -> None:
-        """Add a subscriber; `enforces_admission` tells whether it enforces admission itself."""
+        """Add a subscriber that enforces admission itself, or leaves it to the endpoints."""
         self.joined_subscribers.add(subscriber)
         self.unassigned_subscribers.add(subscriber)
         self.ejected_endpoints[subscriber] = set()
--- a/peatlead/controller/token_bucket.py
+++ b/peatlead/controller/token_bucket.py
@@ -1,4 +1,4 @@
-"""A token bucket whose rate may change from call to call."""
+"""A token bucket whose rate may change with each call."""
 
 
 class TokenBucket:
