--- a/peatlead/cli/lab.py
+++ b/peatlead/cli/lab.py
@@ -39,7 +39,7 @@
     return scenario
 
 
-KIND = click.option(
+KIND_OPTION = click.option(
     "--kind", type=click.Choice(("fleet", "dns")), default="fleet", help="kind of random scenarios"
 )
 
@@ -48,7 +48,7 @@
 @click.argument("script", type=click.Path(), required=False)
 @click.option("--seed", type=int, default=1)
 @click.option("--planner", type=click.Choice((*PLANNERS, "home", "oracle")), default="shards")
-@KIND
+@KIND_OPTION
 def lab_run(script: Optional[str], seed: int, planner: str, kind: str) -> None:
     """Play a day script, or a random scenario made from the seed, in simulated time."""
     from ..invariants.report import print_report
@@ -57,8 +57,8 @@
     result = play_day(load_scenario(script, seed, kind), seed, planner)
     if result.report is not None:
         print_report(result.report, f"simulated, seed {seed}")
-    for finding in result.problems:
-        click.echo(f"found: {finding}")
+    for problem in result.problems:
+        click.echo(f"problem: {problem}")
     click.echo(
         f"digest {result.digest}, {result.event_count} events, "
         f"{result.end_time:.1f} simulated seconds"
@@ -68,9 +68,10 @@
 
 @contextmanager
 def progress(label: str, total: int) -> Iterator[tuple[PrintLine, ReportProgress]]:
-    """Yield functions `(print_line, report_progress)` that show the progress of `total` tasks.
+    """Yield functions `(print_line, report_progress)` for a run of `total` tasks.
 
-    On a terminal they show a progress bar with the remaining time, otherwise only printed lines.
+    On a terminal a progress bar shows the finished tasks and the remaining time; elsewhere only the
+    printed lines are shown.
     """
     if not sys.stderr.isatty():
         yield click.echo, lambda done, note: None
@@ -111,7 +112,7 @@
 @click.option(
     "--length", type=float, default=20.0, help="length of each scenario in simulated seconds"
 )
-@KIND
+@KIND_OPTION
 def lab_hunt(
     first: int, last: int, workers: Optional[int], most: int, length: float, kind: str
 ) -> None:
@@ -119,13 +120,13 @@
     from ..lab.hunt import search_seeds
 
     with progress(f"searching {kind} scenarios", last - first) as (print_line, report_progress):
-        finds, played_count = search_seeds(
+        failing_seeds, played_count = search_seeds(
             range(first, last), kind, length, workers, print_line, most, report_progress
         )
-    for find in finds:
-        click.echo(f"\n# seed {find.seed}: {'; '.join(find.problems[:3])}\n{find.script}")
-    click.echo(f"{played_count} {kind} scenarios played, {len(finds)} failed")
-    sys.exit(1 if finds else 0)
+    for failing in failing_seeds:
+        click.echo(f"\n# seed {failing.seed}: {'; '.join(failing.problems[:3])}\n{failing.script}")
+    click.echo(f"{played_count} {kind} scenarios played, {len(failing_seeds)} failed")
+    sys.exit(1 if failing_seeds else 0)
 
 
 @lab.command(
@@ -140,7 +141,7 @@
     help="a day script; by default a random scenario made from the seed",
 )
 @click.option("--seed", type=int, default=1)
-@KIND
+@KIND_OPTION
 def lab_replay(what: str, script: Optional[str], seed: int, kind: str) -> None:
     """Play a scenario again and print all events of a request, proxy, view, endpoint or address."""
     from ..lab.day import play_day
@@ -163,7 +164,7 @@
         raise click.ClickException(f"{path}:1: expected a readable study: {error}") from None
 
 
-BASE = click.option(
+RESULTS_OPTION = click.option(
     "--results",
     "base",
     type=click.Path(),
@@ -175,7 +176,7 @@
 @lab.command(name="study")
 @click.argument("file", type=click.Path())
 @click.option("--workers", type=int)
-@BASE
+@RESULTS_OPTION
 def lab_study(file: str, workers: Optional[int], base: str) -> None:
     """Play the cells of a study that have no results yet; can be stopped and run again."""
     from ..lab.study import Results, run_study
@@ -191,7 +192,7 @@
 @lab.command(name="compare")
 @click.argument("file", type=click.Path())
 @click.argument("figure")
-@BASE
+@RESULTS_OPTION
 def lab_compare(file: str, figure: str, base: str) -> None:
     """Compare FIGURE with the first variant and policy: paired differences, 95% intervals."""
     from ..lab.study import Results, compare_paired
@@ -218,7 +219,7 @@
 @lab.command(name="report")
 @click.argument("file", type=click.Path())
 @click.argument("out", type=click.Path(dir_okay=False))
-@BASE
+@RESULTS_OPTION
 def lab_report(file: str, out: Optional[str], base: str) -> None:
     """Write a study's tables and charts to one HTML file."""
     from ..lab.report import write_report
--- a/peatlead/controller/channel.py
+++ b/peatlead/controller/channel.py
@@ -33,8 +33,8 @@
     """
 
     def __init__(self, rate: float, overhead: float, max_size: float) -> None:
-        self.rate = rate
-        self.overhead = overhead
+        self.rate = rate  # operations per second
+        self.overhead = overhead  # operations per message
         self.max_size = max_size
         self.queue: dict[int, Message] = {}  # queued messages by subscriber
         self.urgent: Lane = OrderedDict()  # subscribers whose message removes an endpoint
@@ -71,13 +71,13 @@
         self.overflow_count += self.size > self.max_size
 
     def choose_lane(self, subscriber: int, message: Message) -> None:
-        """Move a subscriber to the lane of its message; within the same lane it keeps its place."""
+        """Move a subscriber to the end of its message's lane, unless it is already in that lane."""
         urgent = bool(removed_endpoints(message.operations))
-        lane, other = (self.urgent, self.normal) if urgent else (self.normal, self.urgent)
-        other.pop(subscriber, None)
+        lane, other_lane = (self.urgent, self.normal) if urgent else (self.normal, self.urgent)
+        other_lane.pop(subscriber, None)
         lane.setdefault(subscriber, True)
 
-    def forget(self, subscriber: int) -> None:
+    def forget_subscriber(self, subscriber: int) -> None:
         """Drop the queued message of a subscriber that has left."""
         message = self.queue.pop(subscriber, None)
         self.urgent.pop(subscriber, None)
