--- a/peatlead/planner/channel_budget.py
+++ b/peatlead/planner/channel_budget.py
@@ -50,8 +50,8 @@
         """Return whether withdrawals of `entries` more may be sent to waiting proxies.
 
         A few withdrawals may always be sent. Filling the queue with withdrawals would delay the
-        tables that those proxies wait for. `total_entries` is the size of all such withdrawals in this
-        batch, including these `entries`.
+        tables that those proxies wait for. `total_entries` is the size of all such withdrawals of
+        this batch, including these `entries`.
         """
         limit = self.context.settings["queue_most"]
         return bool(
--- a/peatlead/planner/class_admission.py
+++ b/peatlead/planner/class_admission.py
@@ -85,16 +85,16 @@
         work = self.demand.work()
         total_work = fsum(work)
         relative_values = self._relative_values(work)
-        lowest = relative_values.index(min(relative_values))
-        if relative_values[lowest] >= 1:
+        lowest_class = relative_values.index(min(relative_values))
+        if relative_values[lowest_class] >= 1:
             return [self.load_shedding.admitted_fraction] * len(work)
         excess_work = total_work * (1 - self.load_shedding.admitted_fraction)
-        removed_work = min(excess_work, work[lowest] * (1 - MIN_CLASS_FRACTION))
+        removed_work = min(excess_work, work[lowest_class] * (1 - MIN_CLASS_FRACTION))
         other_fraction = 1 - (excess_work - removed_work) / max(
-            MIN_DIVISOR, total_work - work[lowest]
+            MIN_DIVISOR, total_work - work[lowest_class]
         )
         fractions = [other_fraction] * len(work)
-        fractions[lowest] = 1 - removed_work / work[lowest]
+        fractions[lowest_class] = 1 - removed_work / work[lowest_class]
         return fractions
 
     def _relative_values(self, work: list[float]) -> list[float]:
--- a/peatlead/planner/load_statistics.py
+++ b/peatlead/planner/load_statistics.py
@@ -95,20 +95,20 @@
         """
         failing = []
         for endpoint in self.context.endpoints.values():
-            by_zone = [
+            zone_counts = [
                 self._decayed_counts(counts)
                 for zone, counts in endpoint.counts_by_zone.items()
                 if (zone, endpoint.zone) not in bad_paths
             ]
-            own_counts = all_counts = sum_counts(by_zone)
+            own_counts = all_counts = sum_counts(zone_counts)
             endpoint.own_attempts = own_counts.attempts
             if endpoint.phase == READY and own_counts.errors >= MIN_GOSSIP_ERRORS:
                 failing.append(FailingEndpoint(endpoint.name, own_counts))
             if endpoint.counts_by_peer:
-                by_peer = [
+                peer_counts = [
                     self._decayed_counts(counts) for counts in endpoint.counts_by_peer.values()
                 ]
-                all_counts = sum_counts(by_zone + by_peer)
+                all_counts = sum_counts(zone_counts + peer_counts)
             endpoint.attempts, endpoint.errors, endpoint.latency_sum = all_counts
         return failing
 
--- a/peatlead/planner/outlier_detection.py
+++ b/peatlead/planner/outlier_detection.py
@@ -195,7 +195,7 @@
     A deep health check may time out at a busy endpoint. The number is so high that as many
     consecutive checks of the median endpoint rarely fail.
     """
-    lowest, highest = CHECK_FAILURE_RATE_RANGE
+    min_rate, max_rate = CHECK_FAILURE_RATE_RANGE
     median_rate = median([endpoint.check_failure_rate for endpoint in ready])
-    required = log(MAX_CHANCE_OF_FAILED_CHECKS) / log(min(highest, max(lowest, median_rate)))
+    required = log(MAX_CHANCE_OF_FAILED_CHECKS) / log(min(max_rate, max(min_rate, median_rate)))
     return max(MIN_FAILED_CHECKS, required)
--- a/peatlead/planner/rendezvous.py
+++ b/peatlead/planner/rendezvous.py
@@ -74,8 +74,8 @@
     The first mask selects the lower word of each lane. The second mask selects the bits that stay
     within their own lane when they are shifted by `MIX_SHIFT`.
     """
-    ones = ((1 << LANE_BITS * lanes) - 1) // ((1 << LANE_BITS) - 1)
-    return ones * WORD_MASK, ones * (WORD_MASK >> MIX_SHIFT)
+    one_per_lane = ((1 << LANE_BITS * lanes) - 1) // ((1 << LANE_BITS) - 1)
+    return one_per_lane * WORD_MASK, one_per_lane * (WORD_MASK >> MIX_SHIFT)
 
 
 def sort_by_name(endpoints: Iterable[EndpointT]) -> list[EndpointT]:
--- a/peatlead/planner/zone_paths.py
+++ b/peatlead/planner/zone_paths.py
@@ -73,14 +73,15 @@
         local_latency = median(latencies.get(zone, ()))
         if not local_latency:
             return
-        for other_zone, measured in latencies.items():
+        for other_zone, endpoint_latencies in latencies.items():
             path, now = (zone, other_zone), self.context.now
             state = self.path_states.get(path, UNKNOWN_PATH)
             if (
                 other_zone != zone
                 and now >= state.bad_until
-                and len(measured) > 1
-                and sorted(measured)[len(measured) // FASTEST_FRACTION_DIVISOR] - local_latency
+                and len(endpoint_latencies) > 1
+                and sorted(endpoint_latencies)[len(endpoint_latencies) // FASTEST_FRACTION_DIVISOR]
+                - local_latency
                 > MAX_EXTRA_LATENCY * self.demand.mean_target()
             ):
                 repeated = now - state.bad_until < REPEATED_BAD_PATH_WINDOW
@@ -123,12 +124,12 @@
         for path in sorted(self.bad_paths):
             if path[0] != own_zone:
                 continue
-            rates = [
+            failure_rates = [
                 endpoint.check_failure_rate
                 for endpoint in self.context.endpoints.values()
                 if endpoint.zone == path[1]
             ]
-            if median(rates) > MAX_CHECK_FAILURE_RATE:
+            if median(failure_rates) > MAX_CHECK_FAILURE_RATE:
                 state = self.path_states[path]
                 bad_until = max(
                     state.bad_until, self.context.now + 2 * self.load_statistics.reporting_cycle
--- a/peatlead/tables/digest.py
+++ b/peatlead/tables/digest.py
@@ -49,7 +49,7 @@
     __slots__ = ("total",)
 
     def __init__(self, items: Optional[Mapping[str, ItemValue]] = None) -> None:
-        self.total = 0
+        self.total = 0  # sum of the items' hashes, modulo `MODULUS`
         for key, value in (items or {}).items():
             self.update(key, None, value)
 
--- a/peatlead/tables/history.py
+++ b/peatlead/tables/history.py
@@ -123,18 +123,23 @@
 
         `name` limits the result to one proxy.
         """
-        remaining: dict[str, Iterator[HistoryEntry]] = {
+        remaining_entries: dict[str, Iterator[HistoryEntry]] = {
             proxy: iter(history.entries) for proxy, history in self.histories.items()
         }
         selected = []
         for proxy, version in self.publication_order:
-            if proxy not in remaining or name not in (None, proxy):
+            if proxy not in remaining_entries or name not in (None, proxy):
                 continue
             entry = next(
-                (candidate for candidate in remaining[proxy] if candidate.version >= version), None
+                (
+                    candidate
+                    for candidate in remaining_entries[proxy]
+                    if candidate.version >= version
+                ),
+                None,
             )
             if entry is not None and entry.version > version:  # the entry of `version` was dropped
-                remaining[proxy] = chain((entry,), remaining[proxy])
+                remaining_entries[proxy] = chain((entry,), remaining_entries[proxy])
             elif entry is not None and since <= entry.published_at <= until:
                 selected.append(StoredEntry(proxy, entry))
         return selected
