--- a/peatlead/planner/channel_backlog.py
+++ b/peatlead/planner/channel_backlog.py
@@ -117,6 +117,7 @@
             self._drop_oldest_batch()
 
     def _drop_oldest_batch(self) -> None:
+        """Drop the oldest batch and subtract its entries."""
         self.unacknowledged_entries -= sum(self.batches.popleft().entries.values())
         if not self.batches:
             self.unacknowledged_entries = 0.0  # removes rounding errors
--- a/peatlead/tables/guard.py
+++ b/peatlead/tables/guard.py
@@ -90,7 +90,7 @@
         unpinned = tuple(endpoint for endpoint in planned if endpoint not in pinned)
         return GuardedTable(dict(planned), restricted, unpinned)
     ramping += [endpoint for endpoint in weights if endpoint not in ramped]
-    _limit_ramping(weights, ramping, planned)
+    _set_ramping_weights(weights, ramping, planned)
     return GuardedTable(weights, restricted, added)
 
 
@@ -130,7 +130,7 @@
     return reason
 
 
-def _limit_ramping(weights: dict[int, float], ramping: Collection[int], planned: Table) -> None:
+def _set_ramping_weights(weights: dict[int, float], ramping: Collection[int], planned: Table) -> None:
     """Set the weights of ramping endpoints, limited to their fraction of the planner's table."""
     ramped_weight = fsum(weight for endpoint, weight in weights.items() if endpoint not in ramping)
     planned_ramped_weight = fsum(
--- a/peatlead/tables/pin.py
+++ b/peatlead/tables/pin.py
@@ -84,7 +84,7 @@
 def share_fraction(pin: Pin) -> float:
     """Return the fraction of proxies that a PinScope.SHARE pin selects.
 
-    The fraction is 0 where `scope_argument` is not a number.
+    The fraction is 0 if `scope_argument` is not a number.
     """
     try:
         return float(pin.scope_argument)
--- a/peatlead/wire/event_translator.py
+++ b/peatlead/wire/event_translator.py
@@ -45,7 +45,7 @@
         return TRANSLATORS[type(record)](self, record)
 
     def load_report(self, values: tuple[float, ...]) -> Optional[LoadReport]:
-        """Return the metrics by name, or None where the record has no load report."""
+        """Return the metrics by name, or None if the record has no load report."""
         return dict(zip(self.report_fields, values)) if values else None
 
     def endpoint(self, entry: event_records.TopologyEntry) -> interface.Endpoint:
