--- a/peatlead/tables/guard.py
+++ b/peatlead/tables/guard.py
@@ -130,7 +130,9 @@
     return reason
 
 
-def _set_ramping_weights(weights: dict[int, float], ramping: Collection[int], planned: Table) -> None:
+def _set_ramping_weights(
+    weights: dict[int, float], ramping: Collection[int], planned: Table
+) -> None:
     """Set the weights of ramping endpoints, limited to their fraction of the planner's table."""
     ramped_weight = fsum(weight for endpoint, weight in weights.items() if endpoint not in ramping)
     planned_ramped_weight = fsum(
