--- a/peatlead/net/streams.py
+++ b/peatlead/net/streams.py
@@ -173,11 +173,11 @@
         Only the new data is searched for newlines, so that the cost of a line that arrives in many
         small pieces stays linear.
         """
-        first, *rest = data.split(b"\n")
-        self.partial_line += first
-        if rest:
-            complete_lines = [bytes(self.partial_line), *rest[:-1]]
-            self.partial_line = bytearray(rest[-1])
+        first_piece, *later_pieces = data.split(b"\n")
+        self.partial_line += first_piece
+        if later_pieces:
+            complete_lines = [bytes(self.partial_line), *later_pieces[:-1]]
+            self.partial_line = bytearray(later_pieces[-1])
             for line in complete_lines:
                 self.line_received(line)
         if len(self.partial_line) > self.max_line_bytes:
--- a/peatlead/platform/clock.py
+++ b/peatlead/platform/clock.py
@@ -32,11 +32,11 @@
     def now(self) -> float:
         """Return the Unix time in seconds; a step of the wall clock is recorded and logged."""
         wall_time = self.unix_time()
-        previous = self.offsets[-1]
+        previous_offset = self.offsets[-1]
         offset = wall_time - self.loop_time()
-        if abs(offset - previous) > MIN_STEP:
+        if abs(offset - previous_offset) > MIN_STEP:
             self.offsets.append(offset)
-            self.log("wall clock stepped", by=round(offset - previous, 3))
+            self.log("wall clock stepped", by=round(offset - previous_offset, 3))
         return wall_time
 
     def age(self, started_at: float) -> float:
--- a/tests/platform/test_configuration.py
+++ b/tests/platform/test_configuration.py
@@ -74,22 +74,24 @@
         request_classes = [{**SETTINGS["req_kinds"][0], "name": "quote"}]
 
         async def case(platform):
-            other = await PlatformFixture(
+            other_platform = await PlatformFixture(
                 endpoints=2, req_kinds=request_classes, zones=["z1", "z0"], proxies=9
             ).start()
-            first, second = (
+            proxy, other_proxy = (
                 await platform.connect_proxy_with_table(3, bootstrap_only=False),
-                await other.connect_proxy(8, zone="z1"),
+                await other_platform.connect_proxy(8, zone="z1"),
             )
-            await until(lambda: whole_tables(second))
-            self.assertIsNone(first.end_reason)
+            await until(lambda: whole_tables(other_proxy))
+            self.assertIsNone(proxy.end_reason)
             self.assertEqual(
-                (platform.controller.class_names, other.controller.class_names),
+                (platform.controller.class_names, other_platform.controller.class_names),
                 (["read", "pay"], ["quote"]),
             )
-            self.assertEqual(other.controller.proxy_sessions[8].zone, 0)
-            second.send_message(msg="demand", node=8, route="pay", total=1, errors=0, interval=1000)
-            await until(lambda: other.controller.listener.counts.get("unknown name"))
-            other.stop()
+            self.assertEqual(other_platform.controller.proxy_sessions[8].zone, 0)
+            other_proxy.send_message(
+                msg="demand", node=8, route="pay", total=1, errors=0, interval=1000
+            )
+            await until(lambda: other_platform.controller.listener.counts.get("unknown name"))
+            other_platform.stop()
 
         run_with_platform(case)
--- a/tests/platform/test_push.py
+++ b/tests/platform/test_push.py
@@ -26,12 +26,16 @@
             )
             return proxy.messages[[part.get("full") for part in proxy.messages].index(True) :]
 
-        first, *rest = run_with_platform(case)
+        table_message, *later_messages = run_with_platform(case)
         self.assertEqual(
-            sorted(name for name, _ in first["endpoints"]), ["s-0", "s-1", "s-2", "s-3"]
+            sorted(name for name, _ in table_message["endpoints"]), ["s-0", "s-1", "s-2", "s-3"]
+        )
+        self.assertNotIn(
+            "restore", {key for part in (table_message, *later_messages) for key in part}
+        )
+        self.assertEqual(
+            [part["admit"] for part in (table_message, *later_messages) if "admit" in part], [1.0]
         )
-        self.assertNotIn("restore", {key for part in (first, *rest) for key in part})
-        self.assertEqual([part["admit"] for part in (first, *rest) if "admit" in part], [1.0])
 
     def test_request_classes_limited_to_their_zone_have_a_separate_table(self):
         async def case(platform):
@@ -164,7 +168,7 @@
 class Failures(unittest.TestCase):
     def test_a_message_that_cannot_be_composed_ends_its_stream_and_the_planner_keeps_running(self):
         async def case(platform):
-            proxy, other = (
+            proxy, other_proxy = (
                 await platform.connect_proxy_with_table(0),
                 await platform.connect_proxy_with_table(1),
             )
@@ -175,7 +179,7 @@
                 )
             )
             platform.discovery.publish(instance(1, "z1", "leaving"))
-            await until(lambda: proxy.end_reason and "s-1" in removed_endpoints(other))
+            await until(lambda: proxy.end_reason and "s-1" in removed_endpoints(other_proxy))
             platform.controller.push_composer.table_updates = table_updates
             new_stream = await platform.connect_proxy_with_table(0)
             batches_before = platform.controller.batch_count
--- a/tests/standin_fleet.py
+++ b/tests/standin_fleet.py
@@ -74,9 +74,9 @@
     The factor of three keeps tests from failing on a busy machine.
     """
     loop = asyncio.get_running_loop()
-    end = loop.time() + 3 * timeout
+    deadline = loop.time() + 3 * timeout
     while not condition():
-        if loop.time() > end:
+        if loop.time() > deadline:
             raise AssertionError(f"condition still false after {3 * timeout} s")
         await asyncio.sleep(0.01)
 
