--- a/peatlead/dns/query.py
+++ b/peatlead/dns/query.py
@@ -29,7 +29,7 @@
     max_size: int  # of the response, in bytes
 
     def relative_labels(self, zone: dns.name.Name) -> list[str]:
-        """Return the labels of the question's name without those of the zone, in lower case."""
+        """Return the labels of the question's name before the zone's own, in lower case."""
         labels = self.question.name.relativize(zone).labels
         return [label.decode("ascii", "replace").lower() for label in labels]
 
--- a/peatlead/dns/warmup_thinning.py
+++ b/peatlead/dns/warmup_thinning.py
@@ -110,7 +110,7 @@
         return changed_pools
 
     def update_rates(self, rates: Iterable[tuple[ViewKey, float]]) -> set[ViewKey]:
-        """Update the views' rates; return those of the views that have a table."""
+        """Update the rates of views; return the updated views that have a table."""
         affected_views = set()
         for view, rate in rates:
             self.rates[view] = max(MIN_RATE, rate, self.rates.get(view, 0.0) * RATE_DECAY)
@@ -134,7 +134,8 @@
     def find_ramping_endpoints(self, affected_views: Iterable[ViewKey]) -> set[int]:
         """Return the endpoints below their full weight in some table.
 
-        Only the endpoints that were ramping before and those of affected views are checked.
+        Only the endpoints in tables of affected views and the endpoints that were ramping before
+        are checked.
         """
         candidates = self.ramping_endpoints.union(*(self.tables[view] for view in affected_views))
         return {endpoint for endpoint in candidates if self.is_ramping(endpoint)}
@@ -152,9 +153,10 @@
 
         Views with few requests are selected first. Neither the rate of one selected view nor the
         mean rate that all selected views send to the endpoint exceeds the planned rate, which is
-        the rate that the tables assign to the endpoint. The upper rate, `UPPER_RATE_SIGMAS` above
-        the mean, stays below `MAX_UPPER_RATE` times the planned rate. The planner keeps the planned
-        rate below a third of the rate that overloads the endpoint.
+        the rate that the tables assign to the endpoint. The upper rate, which is
+        `UPPER_RATE_SIGMAS` standard deviations above the mean rate, is at most `MAX_UPPER_RATE`
+        times the planned rate. The planner keeps the planned rate below a third of the rate that
+        overloads the endpoint.
         """
         planned_rate = 0.0
         candidates = []
--- a/peatlead/dns/zone_contents.py
+++ b/peatlead/dns/zone_contents.py
@@ -68,7 +68,7 @@
 ) -> None:
     """Add the address records of a name server or of an endpoint.
 
-    `labels` are the labels of `name` without those of the zone; there is at least one.
+    `labels` are the labels of `name` before the zone's own labels; there is at least one.
     """
     rtype = dns.rdatatype.to_text(rdtype)
     if len(labels) == 1:
--- a/peatlead/fleet/gossip.py
+++ b/peatlead/fleet/gossip.py
@@ -141,7 +141,7 @@
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def leave(self) -> None:
-        """Tells the other controllers that this one stops, and closes the socket."""
+        """Tells the other controllers that this controller stops, and closes the socket."""
         if self.transport is None:
             return
         self.handle_events([Leave()])
--- a/peatlead/fleet/member_table.py
+++ b/peatlead/fleet/member_table.py
@@ -134,6 +134,7 @@
         return self.suspicion_timeout * max(1.0, log2(len(self.members)) / 2)
 
     def _set_suspicion(self, now: float, member: Member) -> None:
+        """Starts the timeout of a suspected member, and clears the timeout of any other."""
         suspected = member.info.state == MemberState.SUSPECT
         member.suspect_until = now + self.suspicion_duration() if suspected else None
 
@@ -160,6 +161,7 @@
     # This member's own fact.
 
     def _refute_if_wrong(self, info: MemberInfo) -> None:
+        """Refutes a received fact on this member if other members would believe it wrongly."""
         declared_inactive = (
             info.state != MemberState.ALIVE and info.incarnation >= self.own_info.incarnation
         )
@@ -208,5 +210,6 @@
         return facts
 
     def _dissemination_order(self, member: Member) -> tuple[bool, int, str]:
+        """Returns the sort key of a fact: this member's own first, then the least often sent."""
         name = member.info.name
         return name != self.own_info.name, member.times_sent, name
--- a/peatlead/fleet/membership.py
+++ b/peatlead/fleet/membership.py
@@ -202,6 +202,7 @@
     # Probes.
 
     def _probe_next(self) -> None:
+        """Pings the next member of the round; starts a new round when the last one is complete."""
         peer_names = self.table.live_peer_names()
         self.probe_queue = [name for name in self.probe_queue if name in peer_names]
         if not self.probe_queue:
@@ -226,6 +227,7 @@
         self._send(seed, Ping(number, facts))
 
     def _on_probe_timeout(self, number: int, probe: Probe) -> None:
+        """Asks helpers to ping the member after a direct ping, else suspects the member."""
         del self.probes[number]
         member = self.live_members().get(probe.name)
         if member is None:
@@ -298,6 +300,7 @@
     # This member.
 
     def _on_status(self, load: int, draining: bool) -> None:
+        """Announces a changed status of this member, at its next incarnation."""
         if (load, draining) == (self.own_info.load, self.own_info.draining):
             return
         next_incarnation = self.own_info.incarnation + 1
--- a/peatlead/fleet/messages.py
+++ b/peatlead/fleet/messages.py
@@ -13,7 +13,7 @@
 
 
 class MemberState(StrEnum):
-    """Believed state of a member: those of SWIM (section 4.2) and a voluntary leave."""
+    """Believed state of a member: the states of SWIM (section 4.2), and left voluntarily."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
--- a/peatlead/fleet/ownership.py
+++ b/peatlead/fleet/ownership.py
@@ -88,7 +88,9 @@
         self.own_name = own_name
         self.max_admission_rate = max_admission_rate
         self.rng = rng
-        self.controllers: dict[str, ControllerStatus] = {}  # live ones by name, this one included
+        self.controllers: dict[
+            str, ControllerStatus
+        ] = {}  # live controllers by name, including this one
         # When a controller last joined, left or changed its draining state.
         self.membership_changed_at = 0.0
         self.draining = False  # whether this controller redirects all its proxies to others
@@ -99,7 +101,7 @@
         self.next_redirects_at = 0.0
 
     def update_controllers(self, now: float, controllers: Mapping[str, ControllerStatus]) -> None:
-        """Sets the controllers that are live now, this one included."""
+        """Sets the controllers that are live now, including this controller."""
         if controllers.keys() != self.controllers.keys() or any(
             controllers[name].draining != self.controllers[name].draining for name in controllers
         ):
--- a/peatlead/grpc/discovery.py
+++ b/peatlead/grpc/discovery.py
@@ -32,14 +32,14 @@
 class Subscription:
     """The state of one resource type on the stream."""
 
-    __slots__ = ("names", "nonce", "sent_resources", "dirty", "requested")
+    __slots__ = ("names", "nonce", "sent_resources", "dirty", "request_received")
 
     def __init__(self) -> None:
         self.names: tuple[str, ...] = ()  # subscribed names; empty for all resources
         self.nonce = ""  # of the response that awaits its ACK or NACK, else empty
         self.sent_resources: Optional[SentResources] = None
         self.dirty = False  # whether the resources may have changed since the last response
-        self.requested = False  # whether the first request has arrived
+        self.request_received = False  # whether the first request has arrived
 
 
 class Nack(NamedTuple):
@@ -89,10 +89,10 @@
                 return []  # the request answers a response that a newer one has replaced
             self._handle_acknowledgement(subscription, request)
         names = tuple(sorted(set(request.resource_names)))[:MAX_SUBSCRIPTIONS]
-        if names != subscription.names or not subscription.requested:
+        if names != subscription.names or not subscription.request_received:
             subscription.names = names
             subscription.dirty = True
-            subscription.requested = True
+            subscription.request_received = True
         return self._due_responses(type_url, subscription)
 
     def _handle_acknowledgement(self, subscription: Subscription, request: Message) -> None:
@@ -114,6 +114,7 @@
         return self._due_responses(type_url, subscription)
 
     def _due_responses(self, type_url: str, subscription: Subscription) -> list[Message]:
+        """Returns the response to send now, if any, in a list."""
         if not subscription.dirty or subscription.nonce:
             return []
         resources = self.get_resources(type_url, subscription.names)
--- a/peatlead/grpc/http2.py
+++ b/peatlead/grpc/http2.py
@@ -218,6 +218,7 @@
             self._on_call_data(call, event.data)
 
     def _on_call_data(self, call: Call, data: bytes) -> None:
+        """Passes the complete messages to the call; an invalid message ends the call."""
         try:
             messages = call.deframer.feed(data)
         except FramingError as error:
@@ -402,7 +403,7 @@
 ) -> Connection:
     """Connects as a client, from the address `local_host` if given, within `timeout` seconds.
 
-    The pings are those of `Connection`. Raises OSError or asyncio.TimeoutError.
+    See `Connection` for the ping interval and timeout. Raises OSError or asyncio.TimeoutError.
     """
     _, connection = await with_timeout(
         timeout,
--- a/peatlead/grpc/incremental.py
+++ b/peatlead/grpc/incremental.py
@@ -71,7 +71,7 @@
         "digest",
         "in_flight",
         "nonce",
-        "requested",
+        "request_received",
         "dirty",
         "rejected_items",
         "full_resyncs",
@@ -84,7 +84,7 @@
         self.digest = Digest()  # of the held items
         self.in_flight: Optional[InFlight] = None
         self.nonce = ""  # of the response in flight
-        self.requested = False  # whether the first request has arrived
+        self.request_received = False  # whether the first request has arrived
         self.dirty = False  # whether the items may have changed since the last response
         self.rejected_items: Optional[Items] = None  # items that the last NACK rejected
         self.full_resyncs = 0  # consecutive responses with the full state
@@ -92,7 +92,7 @@
 
     def start(self, request: Message) -> None:
         """Stores the items that the proxy reports with its first request."""
-        self.requested = True
+        self.request_received = True
         self.dirty = True
         self.held_items = decode_initial_versions(request)
         self.digest = Digest(self.held_items)
@@ -153,7 +153,7 @@
         if type_url not in PART_BY_TYPE:
             return []
         subscription = self.subscriptions.setdefault(type_url, Subscription())
-        if not subscription.requested:
+        if not subscription.request_received:
             subscription.start(request)
         subscription.subscribe(request)
         in_flight = subscription.in_flight
@@ -168,7 +168,7 @@
         subscription.in_flight = None
         subscription.nonce = ""
         if request.HasField("error_detail"):
-            self._reject(subscription, in_flight, request)
+            self._handle_nack(subscription, in_flight, request)
             return
         subscription.held_items = in_flight.items
         subscription.digest = in_flight.digest
@@ -176,7 +176,10 @@
         subscription.rejected_items = None
         self.acks.append((request.type_url, in_flight.version))
 
-    def _reject(self, subscription: Subscription, in_flight: InFlight, request: Message) -> None:
+    def _handle_nack(
+        self, subscription: Subscription, in_flight: InFlight, request: Message
+    ) -> None:
+        """Prepares a full resync after a mismatch of states; other rejections are only stored."""
         text = request.error_detail.message[:MAX_ERROR_TEXT]
         self.nacks.append(Nack(request.type_url, str(in_flight.version), text))
         if text in MISMATCH_ERRORS and subscription.full_resyncs < MAX_FULL_RESYNCS:
@@ -194,6 +197,7 @@
         return self._due_responses(type_url, subscription)
 
     def _due_responses(self, type_url: str, subscription: Subscription) -> list[Message]:
+        """Returns the response to send now, if any, in a list."""
         if not subscription.dirty or subscription.in_flight is not None:
             return []
         items = self.get_items(PART_BY_TYPE[type_url])
--- a/peatlead/grpc/load_aggregation.py
+++ b/peatlead/grpc/load_aggregation.py
@@ -73,7 +73,7 @@
         utilization_reports: int,
         window: float,
     ) -> None:
-        """Adds one proxy's report on an endpoint; the arguments are those of EndpointTotals."""
+        """Adds one proxy's report on an endpoint; see `EndpointTotals` for the arguments."""
         totals = self.endpoint_totals.get((endpoint, zone))
         if totals is None:
             self.endpoint_totals[endpoint, zone] = EndpointTotals(
--- a/peatlead/grpc/proxy_node.py
+++ b/peatlead/grpc/proxy_node.py
@@ -59,6 +59,7 @@
 
 
 def _read_epoch(request: Any, metadata: Any) -> int:
+    """Returns the newest epoch in the version and metadata of a request; 0 without any."""
     epoch: int = parse_version(getattr(request, "version_info", "")).epoch
     if "epoch" in metadata:
         epoch = max(epoch, int(metadata["epoch"].number_value))
--- a/peatlead/grpc/resources.py
+++ b/peatlead/grpc/resources.py
@@ -116,6 +116,7 @@
 
 
 def _admitted_fraction(policy: Any) -> float:
+    """Returns the fraction of the requests that pass all drop rules of a policy."""
     admitted = 1.0
     for drop in policy.drop_overloads:
         percentage = drop.drop_percentage
--- a/peatlead/grpc/session.py
+++ b/peatlead/grpc/session.py
@@ -212,7 +212,7 @@
         self.send_stale_types()
 
     def send_stale_types(self) -> None:
-        """Sends the changed resource types while the call has no backlog."""
+        """Sends the resource types that have changed, while the call has no backlog."""
         for type_url in self.PARTS_BY_TYPE_URL:
             if type_url in self.stale_types and self.call.idle and self.discovery is not None:
                 self.stale_types.discard(type_url)
