--- a/peatlead/cli/controller.py
+++ b/peatlead/cli/controller.py
@@ -64,9 +64,9 @@
     from ..scenario.plain import PlainPlanner
 
     logger = structlog.get_logger().bind(steward=name)
-    make_planner = {"shards": Planner, "plain": PlainPlanner}[planner]
+    create_planner = {"shards": Planner, "plain": PlainPlanner}[planner]
     controller = Controller(
-        settings, name, logger.info, make_planner, state, boot=os.urandom(8), wall_clock=time.time
+        settings, name, logger.info, create_planner, state, boot=os.urandom(8), wall_clock=time.time
     )
     loop = asyncio.get_running_loop()
     for signal_number in (signal.SIGTERM, signal.SIGINT):
--- a/peatlead/controller/endpoint_lists.py
+++ b/peatlead/controller/endpoint_lists.py
@@ -65,21 +65,21 @@
 
     def _update_endpoint(self, now: float, endpoint: interface.Endpoint, list_version: int) -> None:
         controller = self._controller
-        index = endpoint.id
-        entry = controller.registry.entries[index]
-        self.weights[index] = entry.weight
-        change = controller.publication.endpoint_listed(index, entry)
-        if change is not None:
+        number = endpoint.id
+        entry = controller.registry.entries[number]
+        self.weights[number] = entry.weight
+        phase_change = controller.publication.endpoint_listed(number, entry)
+        if phase_change is not None:
             causes = controller.publication.causes
-            causes.note_phase_changes({index: change}, list_version)
-            controller.propagation.record_event(now, index, causes.last_events[index])
-        controller.answers.set_endpoint(index, entry.name, entry.address, entry.address6)
+            causes.note_phase_changes({number: phase_change}, list_version)
+            controller.propagation.record_event(now, number, causes.last_events[number])
+        controller.answers.set_endpoint(number, entry.name, entry.address, entry.address6)
         if controller.proxies:
-            controller.proxies.endpoint_listed(index, entry)
+            controller.proxies.endpoint_listed(number, entry)
         if endpoint.phase == interface.EndpointPhase.READY:
-            controller.answers.resolvable_endpoints.add(index)
+            controller.answers.resolvable_endpoints.add(number)
         else:
-            controller.answers.resolvable_endpoints.discard(index)
+            controller.answers.resolvable_endpoints.discard(number)
 
     def _store(self, endpoint_list: EndpointList) -> None:
         try:
--- a/peatlead/controller/publication.py
+++ b/peatlead/controller/publication.py
@@ -212,14 +212,14 @@
             self._commit(name, Version(self._start_count, serial), causes, changed_items)
 
     def record_leave(self, name: str) -> None:
-        """Record that a proxy has left; its history is kept for a limited time."""
+        """Record that a proxy has left; its history is kept within the limits of the store."""
         self.store.mark_disconnected(name)
         self.table_log.record_disconnect(name)
 
     # Tables.
 
     def endpoint_listed(self, endpoint: int, entry: ListedEndpoint) -> PhaseChange | None:
-        """Store a list entry. Return the endpoint's change of phase, or None."""
+        """Store the facts of a list entry. Return the endpoint's change of phase, or None."""
         return self._endpoint_facts.store_entry(endpoint, entry)
 
     def endpoint_withdrawn(self, endpoint: int, withdrawn: bool) -> None:
--- a/peatlead/controller/recipients.py
+++ b/peatlead/controller/recipients.py
@@ -80,7 +80,7 @@
         return items
 
     def holds(self, subscriber: int, endpoint: int) -> bool:
-        """Return whether any table of a recipient names an endpoint."""
+        """Return whether any table that was sent to a recipient names an endpoint."""
         view = self._controller.views.by_number.get(subscriber)
         session = self.proxy_session(subscriber)
         if view is not None:
--- a/tests/controller/test_dns_controller.py
+++ b/tests/controller/test_dns_controller.py
@@ -41,7 +41,7 @@
             await until(lambda: "h1" not in world.answered_endpoints(controller), 15.0)
             self.assertIn(
                 "endpoint 1 ejected: failed health checks",
-                [more.get("text") for _, more in world.log],
+                [fields.get("text") for _, fields in world.log],
             )
 
         run_with_standins(case)
@@ -68,12 +68,13 @@
                         asyncio.ensure_future(send_request(plan.address))
                     await asyncio.sleep(0.05)
 
-            task = asyncio.ensure_future(send_requests())
+            sending_task = asyncio.ensure_future(send_requests())
             await until(lambda: "h1" not in world.answered_endpoints(controller), 15.0)
-            task.cancel()
+            sending_task.cancel()
             await asyncio.sleep(0.3)
             self.assertIn(
-                "endpoint 1 ejected: high error rate", [more.get("text") for _, more in world.log]
+                "endpoint 1 ejected: high error rate",
+                [fields.get("text") for _, fields in world.log],
             )
 
         run_with_standins(case, deep=False)
@@ -147,10 +148,10 @@
                 controller.planner, "end_round", side_effect=ZeroDivisionError("planted")
             ):
                 reason = await asyncio.wait_for(controller.ended, 10)
-            record = dict(world.log)["decide failed"]
+            log_fields = dict(world.log)["decide failed"]
             with self.assertRaises(OSError):
                 await connect_tcp(world)
-            return reason, record["error"], bool(record["at"])
+            return reason, log_fields["error"], bool(log_fields["at"])
 
         self.assertEqual(
             run_with_standins(case),
--- a/tests/controller/test_propagation.py
+++ b/tests/controller/test_propagation.py
@@ -117,8 +117,8 @@
             world.phases[name] = "draining"
             world.write_list()
             await until(lambda: not any(address in proxy.addresses for proxy in proxies))
-            index = controller.registry.numbers[name]
-            await until(lambda: index not in controller.propagation.active)
+            endpoint = controller.registry.numbers[name]
+            await until(lambda: endpoint not in controller.propagation.active)
             answer = await ask_once(
                 controller.own_settings["control"], {"ask": "why", "host": name}
             )
