--- a/peatlead/fleet/member_table.py
+++ b/peatlead/fleet/member_table.py
@@ -16,7 +16,7 @@
 MAX_MEMBERS = 500
 MAX_FACTS = 12  # in one message; keeps a datagram below 1200 bytes
 RETRANSMIT_FACTOR = 3  # a fact is sent this factor times log2(members) times
-FORGET_DELAY = 60.0  # seconds that a dead or departed member is kept, so that old facts are ignored
+FORGET_DELAY = 60.0  # seconds that a dead or departed member is kept, to recognize old facts on it
 
 PRECEDENCE: dict[str, int] = {  # at the same incarnation, the greater value overrides the lower
     MemberState.ALIVE: 0,
@@ -24,16 +24,16 @@
     MemberState.DEAD: 2,
     MemberState.LEFT: 3,
 }
-REACHABLE_STATES = (MemberState.ALIVE, MemberState.SUSPECT)
+LIVE_STATES = (MemberState.ALIVE, MemberState.SUSPECT)
 INACTIVE_STATES = (MemberState.DEAD, MemberState.LEFT)
 
 
 class StateChanged(NamedTuple):
-    """Action: the believed state of a member has changed; `before` is None for a new member."""
+    """Action: the believed state of a member has changed; `old_state` is None for a new member."""
 
     name: str
-    before: Optional[str]
-    after: str
+    old_state: Optional[str]
+    new_state: str
 
 
 @dataclass(slots=True)
@@ -54,41 +54,44 @@
 
 
 class MemberTable:
-    """All known members by name, including this one (`me`).
+    """All known members by name, including this one (`own_info`).
 
     `suspicion_timeout`: seconds until a suspected member is declared dead, in a fleet of up to
     four members; the time grows with the logarithm of the number of members.
     """
 
-    def __init__(self, me: MemberInfo, suspicion_timeout: float) -> None:
-        self.me = me
-        self.members = {me.name: Member(me, 0.0)}
+    def __init__(self, own_info: MemberInfo, suspicion_timeout: float) -> None:
+        self.own_info = own_info
+        self.members = {own_info.name: Member(own_info, 0.0)}
         self.suspicion_timeout = suspicion_timeout
 
-    def reachable(self) -> dict[str, MemberInfo]:
+    def live_members(self) -> dict[str, MemberInfo]:
         """Returns the members that are alive or suspected, sorted by name."""
         return {
             name: member.info
             for name, member in sorted(self.members.items())
-            if member.info.state in REACHABLE_STATES
+            if member.info.state in LIVE_STATES
         }
 
-    def peers(self) -> list[str]:
+    def live_peer_names(self) -> list[str]:
         """Returns the names of the reachable members except this one."""
-        return [name for name in self.reachable() if name != self.me.name]
+        return [name for name in self.live_members() if name != self.own_info.name]
 
-    def at_address(self, address: Address) -> list[Member]:
+    def find_by_address(self, address: Address) -> list[Member]:
         """Returns the members with this gossip address, in any state."""
         return [member for member in self.members.values() if member.info.address == address]
 
     # Merging facts.
 
     def merge(self, now: float, info: MemberInfo) -> Optional[StateChanged]:
-        """Stores a fact if it is newer than the known one; refutes a wrong fact on this member."""
+        """Stores a fact if it is newer than the known one; refutes a wrong fact on this member.
+
+        Returns the change of the member's state, if any.
+        """
         info = msgspec.structs.replace(
             info, address=tuple(info.address), proxy_address=tuple(info.proxy_address)
         )
-        if info.name == self.me.name:
+        if info.name == self.own_info.name:
             self._refute_if_wrong(info)
             return None
         known = self.members.get(info.name)
@@ -107,17 +110,17 @@
         return StateChanged(info.name, None, info.state)
 
     def _replace(self, now: float, known: Member, info: MemberInfo) -> Optional[StateChanged]:
-        before = known.info.state
-        if before in INACTIVE_STATES and info.state == MemberState.SUSPECT:
+        old_state = known.info.state
+        if old_state in INACTIVE_STATES and info.state == MemberState.SUSPECT:
             # A member that is suspected at a later incarnation than its death is alive again.
             info = msgspec.structs.replace(info, state=MemberState.ALIVE)
         known.info = info
         known.times_sent = 0
         self._set_suspicion(now, known)
-        if info.state == before:
+        if info.state == old_state:
             return None
         known.state_since = now
-        return StateChanged(info.name, before, info.state)
+        return StateChanged(info.name, old_state, info.state)
 
     # Suspicion.
 
@@ -139,7 +142,10 @@
                 member.suspect_until = now + self.suspicion_duration()
 
     def expire(self, now: float) -> Iterable[StateChanged]:
-        """Declares suspects dead after their timeout, and forgets members that left long ago."""
+        """Declares suspects dead after their timeout; forgets members that died or left long ago.
+
+        Yields the changes of state.
+        """
         for member in list(self.members.values()):
             if member.suspect_until is not None and now >= member.suspect_until:
                 dead = msgspec.structs.replace(member.info, state=MemberState.DEAD)
@@ -153,48 +159,52 @@
 
     def _refute_if_wrong(self, info: MemberInfo) -> None:
         declared_inactive = (
-            info.state != MemberState.ALIVE and info.incarnation >= self.me.incarnation
+            info.state != MemberState.ALIVE and info.incarnation >= self.own_info.incarnation
         )
-        if declared_inactive and self.me.state != MemberState.LEFT:
+        if declared_inactive and self.own_info.state != MemberState.LEFT:
             self.refute(info.incarnation)
-        elif info.incarnation > self.me.incarnation:
-            # The fact is of an earlier start of this member, whose incarnation it no longer knows.
+        elif info.incarnation > self.own_info.incarnation:
+            # The fact dates from before a restart, in which this member lost its incarnation.
             self.refute(info.incarnation)
 
     def refute(self, incarnation: int) -> None:
-        """Declares this member alive, at an incarnation above `incarnation`."""
-        next_incarnation = max(incarnation, self.me.incarnation) + 1
-        self.update_me(
-            msgspec.structs.replace(self.me, incarnation=next_incarnation, state=MemberState.ALIVE)
+        """Declares this member alive, at an incarnation above `incarnation` and its own."""
+        next_incarnation = max(incarnation, self.own_info.incarnation) + 1
+        self.update_own_info(
+            msgspec.structs.replace(
+                self.own_info, incarnation=next_incarnation, state=MemberState.ALIVE
+            )
         )
 
-    def update_me(self, info: MemberInfo) -> None:
+    def update_own_info(self, info: MemberInfo) -> None:
         """Replaces the fact on this member, and restarts its dissemination."""
-        self.me = info
+        self.own_info = info
         member = self.members[info.name]
         member.info = info
         member.times_sent = 0
 
     # Dissemination.
 
-    def next_facts(self, everything: bool = False) -> list[MemberInfo]:
+    def next_facts(self, include_disseminated: bool = False) -> list[MemberInfo]:
         """Returns the facts for the next message: this member's own, then the least often sent.
 
-        `everything`: includes facts that have reached their number of retransmissions, for a
-        receiver that has just joined.
+        `include_disseminated`: whether to include facts that were already sent as often as the
+        limit allows; a receiver that has just joined needs these facts too.
         """
         limit = RETRANSMIT_FACTOR * ceil(log2(len(self.members) + 1))
         pending = (
-            known for known in self.members.values() if everything or known.times_sent < limit
+            member
+            for member in self.members.values()
+            if include_disseminated or member.times_sent < limit
         )
         chosen = sorted(pending, key=self._dissemination_order)[:MAX_FACTS]
         for member in chosen:
             member.times_sent += 1
         facts = [member.info for member in chosen]
-        if not any(info.name == self.me.name for info in facts):
-            return [self.me, *facts[: MAX_FACTS - 1]]
+        if not any(info.name == self.own_info.name for info in facts):
+            return [self.own_info, *facts[: MAX_FACTS - 1]]
         return facts
 
     def _dissemination_order(self, member: Member) -> tuple[bool, int, str]:
         name = member.info.name
-        return name != self.me.name, member.times_sent, name
+        return name != self.own_info.name, member.times_sent, name
--- a/peatlead/standin/xds_proxies.py
+++ b/peatlead/standin/xds_proxies.py
@@ -1,8 +1,8 @@
 """Stand-in proxies, which apply assignments from a controller, send requests and report loads.
 
-A proxy follows one discovery stream. It applies only assignments that are newer than the newest
-(epoch, serial) it has applied; older ones are recorded and ignored. It continues to read abandoned
-streams, so that late messages of a frozen controller are recorded and shown to have no effect.
+A proxy follows one discovery stream. It applies only assignments that are newer than its fence, a
+pair (epoch, serial); older ones are recorded and ignored. It still reads abandoned streams, so that
+late messages of a frozen controller are recorded and shown to have no effect.
 """
 
 import asyncio
@@ -240,7 +240,7 @@
         ended: asyncio.Future[dict[str, str]],
     ) -> None:
         """Report loads until the stream ends or the controller stops responding."""
-        self._read_hints(call.peer_metadata)
+        self._store_preferred_controllers(call.peer_metadata)
         self.recorder.row("stream", self.loop.time(), self.plan.name, controller, "joined")
         self._start_task(self._report_loads(connection))
         await self._wait_for_end(connection, ended)
@@ -261,9 +261,9 @@
     def _abandon(self, connection: Connection) -> None:
         """Stop following a connection, but read it for ABANDONED_READ_TIME more."""
         self.abandoned_connections.append(connection)
-        self.loop.call_later(ABANDONED_READ_TIME, connection.abort, "given up")
+        self.loop.call_later(ABANDONED_READ_TIME, connection.abort, "stream abandoned")
 
-    def _read_hints(self, metadata: dict[str, str]) -> None:
+    def _store_preferred_controllers(self, metadata: dict[str, str]) -> None:
         """Store the controllers from the metadata `peatlead-controllers`: "NAME=HOST:PORT,..."."""
         self.preferred_controllers = []
         for item in filter(None, metadata.get("peatlead-controllers", "").split(",")):
@@ -277,7 +277,7 @@
     def _send_first_requests(self, call: Call, hops: int) -> None:
         # Each connection needs an epoch of its own: an earlier controller may only be slow and
         # could still use the previous epoch. Every connection attempt therefore advances the fence.
-        self.fence = Fence((self.fence.newest[0] + 1, PAST_ALL_SERIALS))
+        self.fence = Fence((self.fence.newest_version[0] + 1, PAST_ALL_SERIALS))
         if self.plan.incremental:
             self._send_first_deltas(call, hops)
             return
@@ -301,7 +301,7 @@
 
     def _send_first_deltas(self, call: Call, hops: int) -> None:
         """Subscribe to all parts of the tables, and send the versions of the held items."""
-        self.replica.reject_up_to(Version(*self.fence.newest))
+        self.replica.reject_up_to(Version(*self.fence.newest_version))
         for type_url, part in PART_BY_TYPE.items():
             request = discovery_pb2.DeltaDiscoveryRequest(
                 type_url=type_url, resource_names_subscribe=["*"]
@@ -316,7 +316,7 @@
         request.node.locality.zone = self.plan.zone
         request.node.metadata.update(
             {
-                "epoch": self.fence.newest[0],
+                "epoch": self.fence.newest_version[0],
                 "rate": self.plan.rate,
                 "hops": hops,
                 "avoid": [
@@ -348,7 +348,7 @@
         )
         try:
             self._apply(response)
-            self.fence = self.fence.advanced_to(*version)
+            self.fence = self.fence.after_update(*version)
             outcome = AssignmentOutcome.APPLIED
         except ValueError as error:
             answer.error_detail.code = INVALID_ARGUMENT
@@ -399,7 +399,7 @@
 
     def _use_applied_delta(self, controller: str, version: Version, part: str) -> None:
         """Use the new state of the replica for requests, and record it."""
-        self.fence = self.fence.advanced_to(*version)
+        self.fence = self.fence.after_update(*version)
         self._rebuild_tables()
         self._record_assignment(controller, version, AssignmentOutcome.APPLIED)
         # Only deltas with entries change the recorded digest; admissions and policies do not.
@@ -479,7 +479,7 @@
         if tasks:
             await asyncio.wait(tasks, timeout=FINISH_TIMEOUT)
         for connection in self.abandoned_connections:
-            connection.abort("the day is over")
+            connection.abort("proxy finished")
 
 
 class ProxyGroup:
--- a/tests/fleet/test_gossip.py
+++ b/tests/fleet/test_gossip.py
@@ -27,11 +27,11 @@
                 port, script=script, extra_script=f"fleet(keys = [{KEY.hex()!r}])"
             )
             controllers = fleet_settings["steward"]
-            for index, me in enumerate(controllers):
+            for index, own_settings in enumerate(controllers):
                 nodes.append(
                     GossipNode(
                         fleet_settings,
-                        me,
+                        own_settings,
                         random.Random(index),
                         bytes([index]) * 8,
                         lambda: 0,
