--- a/peatlead/cli/lab.py
+++ b/peatlead/cli/lab.py
@@ -66,7 +66,7 @@
 
 
 @contextmanager
-def progress(label: str, total: int) -> Iterator[tuple[PrintLine, ReportProgress]]:
+def show_progress(label: str, total: int) -> Iterator[tuple[PrintLine, ReportProgress]]:
     """Yield functions `(print_line, report_progress)` for a run of `total` tasks.
 
     On a terminal a progress bar shows the finished tasks and the remaining time; elsewhere only the
@@ -118,7 +118,10 @@
     """Play the scenarios of a range of seeds and print those that fail as day scripts."""
     from ..lab.hunt import search_seeds
 
-    with progress(f"searching {kind} scenarios", last - first) as (print_line, report_progress):
+    with show_progress(f"searching {kind} scenarios", last - first) as (
+        print_line,
+        report_progress,
+    ):
         failing_seeds, played_count = search_seeds(
             range(first, last), kind, length, workers, print_line, most, report_progress
         )
@@ -181,7 +184,7 @@
     from ..lab.study import Results, run_study
 
     study, results = load_study(file), Results(base)
-    with progress(
+    with show_progress(
         study.parameters["name"],
         len(study.cells()) - len(results.finished_cells(study.parameters["name"])),
     ) as (print_line, report_progress):
--- a/peatlead/controller/channel.py
+++ b/peatlead/controller/channel.py
@@ -37,8 +37,8 @@
         self.overhead = overhead  # operations per message
         self.max_size = max_size
         self.queue: dict[int, Message] = {}  # queued messages by subscriber
-        self.urgent: Lane = OrderedDict()  # subscribers whose message removes an endpoint
-        self.normal: Lane = OrderedDict()  # all other subscribers with a queued message
+        self.urgent_lane: Lane = OrderedDict()  # subscribers whose message removes an endpoint
+        self.normal_lane: Lane = OrderedDict()  # all other subscribers with a queued message
         self.urgent_run = 0  # urgent messages sent in a row
         self.free_at = 0.0  # when the next message may leave, in seconds on the loop's clock
         self.size = 0.0  # queued operations, with the overhead of each message
@@ -73,15 +73,17 @@
     def choose_lane(self, subscriber: int, message: Message) -> None:
         """Move a subscriber to the end of its message's lane, unless it is already in that lane."""
         urgent = bool(removed_endpoints(message.operations))
-        lane, other_lane = (self.urgent, self.normal) if urgent else (self.normal, self.urgent)
+        lane, other_lane = (
+            (self.urgent_lane, self.normal_lane) if urgent else (self.normal_lane, self.urgent_lane)
+        )
         other_lane.pop(subscriber, None)
         lane.setdefault(subscriber, True)
 
     def forget_subscriber(self, subscriber: int) -> None:
         """Drop the queued message of a subscriber that has left."""
         message = self.queue.pop(subscriber, None)
-        self.urgent.pop(subscriber, None)
-        self.normal.pop(subscriber, None)
+        self.urgent_lane.pop(subscriber, None)
+        self.normal_lane.pop(subscriber, None)
         if message is not None:
             self.size -= self.overhead + len(message.operations)
 
@@ -92,11 +94,11 @@
 
     def next_subscriber(self) -> int:
         """Remove the next subscriber from its lane and return it; the queue must not be empty."""
-        if self.urgent and (self.urgent_run < MAX_URGENT_RUN or not self.normal):
+        if self.urgent_lane and (self.urgent_run < MAX_URGENT_RUN or not self.normal_lane):
             self.urgent_run += 1
-            return self.urgent.popitem(last=False)[0]
+            return self.urgent_lane.popitem(last=False)[0]
         self.urgent_run = 0
-        return self.normal.popitem(last=False)[0]
+        return self.normal_lane.popitem(last=False)[0]
 
     def take_due(self, now: float, limit: int = UNLIMITED) -> list[tuple[int, Message]]:
         """Dequeue up to `limit` messages that may leave now; return (subscriber, message) pairs."""
--- a/peatlead/controller/control_socket.py
+++ b/peatlead/controller/control_socket.py
@@ -55,18 +55,18 @@
 class OperatorConnection(LineStream):
     """One operator's connection."""
 
-    def __init__(self, control: "ControlSocket") -> None:
+    def __init__(self, control_socket: "ControlSocket") -> None:
         super().__init__(IDLE_TIMEOUT, MAX_QUESTION_BYTES, MAX_UNSENT_BYTES)
-        self._control = control
+        self._control_socket = control_socket
 
     def opened(self) -> None:
         """Register the connection."""
-        self._control.connections.add(self)
+        self._control_socket.connections.add(self)
 
     def ended(self, reason: str) -> None:
         """Unregister the connection."""
-        self._control.connections.remove(self)
-        self._control.feeds.pop(self, None)
+        self._control_socket.connections.remove(self)
+        self._control_socket.feeds.pop(self, None)
 
     def line_received(self, data: bytes) -> None:
         """Answer a question."""
@@ -78,10 +78,10 @@
             )
             return
         if question.ask == FEED:
-            self._control.feeds[self] = True
+            self._control_socket.feeds[self] = True
             self._send_answer({"feed": "begun"})
         else:
-            self._send_answer(self._control.reply(question))
+            self._send_answer(self._control_socket.reply(question))
 
     def _send_answer(self, message: Answer) -> None:
         self.send(encode_line(message))
--- a/peatlead/controller/dns_publication.py
+++ b/peatlead/controller/dns_publication.py
@@ -35,7 +35,7 @@
         self._service_labels: list[str] = [service["label"] for service in settings["service"]]
         self._request_classes = service_request_classes(settings)  # by service
         views = controller.views.views
-        self._states = [ViewState() for _ in views]
+        self._view_states = [ViewState() for _ in views]
         self.thinning = WarmupThinning(
             {
                 (view.index, service): view.rate
@@ -51,11 +51,11 @@
 
     def view_state(self, view: View) -> ViewState:
         """Return a view's state after all messages that have left the channel."""
-        return self._states[view.index]
+        return self._view_states[view.index]
 
     def planned_tables(self, view: View) -> list[PlannedTable]:
         """Return the planned tables of a view, by service."""
-        state = self._states[view.index]
+        state = self._view_states[view.index]
         return [
             PlannedTable(label, state.weights(request_classes[0]))
             for label, request_classes in zip(self._service_labels, self._request_classes)
@@ -67,7 +67,7 @@
 
     def apply(self, now: float, view: View, message: Message) -> list[EndpointWeights]:
         """Apply a message that has left the channel. Return the view's tables, by service."""
-        self._states[view.index].apply(message.operations)
+        self._view_states[view.index].apply(message.operations)
         self._controller.propagation.version_applied(now, view.number)
         tables = self._effective_tables(view)
         self._controller.publication.record_view(
--- a/peatlead/controller/endpoint_registry.py
+++ b/peatlead/controller/endpoint_registry.py
@@ -12,8 +12,8 @@
 class ProcessStart(NamedTuple):
     """When an endpoint's process started, in seconds on the list's and on the loop's clock."""
 
-    listed: float
-    local: float
+    listed_start: float
+    local_start: float
 
 
 class EndpointRegistry:
@@ -78,7 +78,7 @@
             cell=entry.pod,
             phase=entry.phase,
             weight=entry.weight,
-            started_at=self.started_at(entry, written, now),
+            started_at=self.local_start_time(entry, written, now),
         )
 
     def log_unknown_zone(self, entry: ListedEndpoint) -> None:
@@ -86,7 +86,7 @@
         reason = f"zone {entry.zone!r} is not in the settings"
         self.log("list entry left out", host=entry.name, why=reason)
 
-    def started_at(self, entry: ListedEndpoint, written: float, now: float) -> float:
+    def local_start_time(self, entry: ListedEndpoint, written: float, now: float) -> float:
         """Return when an endpoint's process started, in seconds on the controller's clock.
 
         Of the list, only the difference between `written` and the entry's start time is used, so
@@ -94,10 +94,10 @@
         list that names it; otherwise each new list would shift the start time.
         """
         start = self.process_starts.get(entry.name)
-        if start is None or start.listed != entry.started:
+        if start is None or start.listed_start != entry.started:
             start = ProcessStart(entry.started, now - self.initial_age(entry, written))
             self.process_starts[entry.name] = start
-        return start.local
+        return start.local_start
 
     def initial_age(self, entry: ListedEndpoint, written: float) -> float:
         """Return the age in seconds of a process that is listed for the first time."""
--- a/peatlead/controller/operator_queries.py
+++ b/peatlead/controller/operator_queries.py
@@ -202,7 +202,7 @@
     def _explain_proxy(self, name: str, proxies: Proxies, session: Session) -> Answer:
         controller = self._controller
         endpoint_name = controller.publication.endpoint_name
-        pending_endpoints = controller.propagation.pending.get(session.number, ())
+        pending_endpoints = controller.propagation.pending_endpoints.get(session.number, ())
         return {
             "proxy": name,
             "steward": controller.own_settings["name"],
--- a/peatlead/controller/pin_commands.py
+++ b/peatlead/controller/pin_commands.py
@@ -68,16 +68,16 @@
     def __init__(
         self,
         controller: "Controller",
-        control: PinControl,
-        targets: PinTargets,
-        tables: PinnedTables,
+        pin_control: PinControl,
+        pin_targets: PinTargets,
+        pinned_tables: PinnedTables,
         store: HistoryStore,
         formatter: ItemFormatter,
     ) -> None:
         self._controller = controller
-        self._control = control
-        self._targets = targets
-        self._tables = tables
+        self._pin_control = pin_control
+        self._pin_targets = pin_targets
+        self._pinned_tables = pinned_tables
         self._store = store
         self._formatter = formatter
 
@@ -90,9 +90,9 @@
         request = read_pin_request(arguments)
         if arguments.get("dry"):
             return self._dry_run(now, request)
-        pin = self._control.pins.make(now, **request._asdict())
-        self._targets.schedule_announcements()
-        self._control.commit_change(now)
+        pin = self._pin_control.pins.make(now, **request._asdict())
+        self._pin_targets.schedule_announcements()
+        self._pin_control.commit_change(now)
         self._controller.log(
             "tables pinned",
             pin=pin.id,
@@ -108,8 +108,8 @@
         """End a pin. Raises PinError."""
         now = self._controller.loop.time()
         rollout_duration = None if arguments.get("over") is None else float(arguments["over"])
-        pin = self._control.pins.resume(now, arguments["pin"], rollout_duration)
-        self._control.commit_change(now)
+        pin = self._pin_control.pins.resume(now, arguments["pin"], rollout_duration)
+        self._pin_control.commit_change(now)
         self._controller.log("pin ended by operator", pin=pin.id, by=author(arguments))
         return {"pin": pin.id, "over": pin.rollout_duration}
 
@@ -132,7 +132,7 @@
         }
 
     def _dry_run_recipient(self, active: ActivePin, number: int, name: str) -> Answer:
-        past = self._targets.find_past_table(active, name)
+        past = self._pin_targets.find_past_table(active, name)
         answer: Answer = {
             "proxy": name,
             "known": past is not None,
@@ -144,11 +144,13 @@
             return answer
         after: LineWeights = {}
         for request_class, planned in self._controller.recipients.planned_tables(number):
-            table = self._tables.guarded_table(line_items(past.items), request_class, planned)
-            after.update(self._tables.items_of_table(request_class, table.weights))
+            table = self._pinned_tables.guarded_table(
+                line_items(past.items), request_class, planned
+            )
+            after.update(self._pinned_tables.items_of_table(request_class, table.weights))
             self._add_guard_result(answer, table)
         published = line_items(self._store.histories[name].items)
-        answer["changes"] = self._formatter.difference(published, after)
+        answer["changes"] = self._formatter.describe_difference(published, after)
         return answer
 
     def _add_guard_result(self, answer: Answer, table: GuardedTable) -> None:
--- a/peatlead/controller/pinned_tables.py
+++ b/peatlead/controller/pinned_tables.py
@@ -97,14 +97,14 @@
     def __init__(
         self,
         controller: "Controller",
-        control: PinControl,
-        targets: PinTargets,
+        pin_control: PinControl,
+        pin_targets: PinTargets,
         store: HistoryStore,
         endpoints: EndpointFacts,
     ) -> None:
         self._controller = controller
-        self._control = control
-        self._targets = targets
+        self._pin_control = pin_control
+        self._pin_targets = pin_targets
         self._store = store
         self._endpoints = endpoints
         self.applied_pins: dict[str, str] = {}  # id of the pin last applied, by proxy
@@ -116,10 +116,10 @@
         self, name: str, zone: str, request_class: str, planned: EndpointWeights
     ) -> EndpointWeights:
         """Return the weights that a proxy should hold, given the planned weights."""
-        active = self._control.active_pin(name, zone)
+        active = self._pin_control.active_pin(name, zone)
         if active is None:
             return planned
-        target = self._targets.target_lines(active, name)
+        target = self._pin_targets.target_lines(active, name)
         weights: EndpointWeights = self.guarded_table(target, request_class, planned).weights
         return weights
 
@@ -167,7 +167,7 @@
         if not urgent and self._channel_is_busy():
             return
         for number, name, zone in self._controller.recipients.all_recipients():
-            active = self._control.active_pin(name, zone)
+            active = self._pin_control.active_pin(name, zone)
             if active is not None or name in self.applied_pins:
                 self._send_recipient_changes(now, number, name, active)
             if not urgent and self._channel_is_busy():
--- a/peatlead/controller/propagation.py
+++ b/peatlead/controller/propagation.py
@@ -68,10 +68,10 @@
 
     def __init__(self) -> None:
         self.events: OrderedDict[int, deque[EndpointEvent]] = OrderedDict()  # by endpoint
-        self.active: OrderedDict[int, Withdrawal] = OrderedDict()  # by endpoint
-        self.finished: dict[int, deque[Withdrawal]] = {}  # by endpoint
+        self.active_withdrawals: OrderedDict[int, Withdrawal] = OrderedDict()  # by endpoint
+        self.finished_withdrawals: dict[int, deque[Withdrawal]] = {}  # by endpoint
         # By holder, the endpoints that the holder still has to lose, as an ordered set.
-        self.pending: dict[int, dict[int, bool]] = {}
+        self.pending_endpoints: dict[int, dict[int, bool]] = {}
         self.dropped_count = 0  # withdrawals dropped before they were finished
 
     def record_event(self, now: float, endpoint: int, text: str) -> None:
@@ -85,14 +85,14 @@
 
     def begin_withdrawal(self, now: float, endpoint: int, holder: int) -> None:
         """Start to trace the removal of an endpoint from a holder."""
-        withdrawal = self.active.get(endpoint)
+        withdrawal = self.active_withdrawals.get(endpoint)
         if withdrawal is None:
-            if len(self.active) >= MAX_ACTIVE_WITHDRAWALS:
-                self.drop_withdrawal(next(iter(self.active)))
-            withdrawal = self.active[endpoint] = Withdrawal(now)
+            if len(self.active_withdrawals) >= MAX_ACTIVE_WITHDRAWALS:
+                self.drop_withdrawal(next(iter(self.active_withdrawals)))
+            withdrawal = self.active_withdrawals[endpoint] = Withdrawal(now)
         if holder not in withdrawal.progress:
             withdrawal.progress[holder] = Stage.COMMANDED
-            self.pending.setdefault(holder, {})[endpoint] = True
+            self.pending_endpoints.setdefault(holder, {})[endpoint] = True
 
     def message_dequeued(self, holder: int) -> None:
         """Record that a holder's message has left the channel."""
@@ -126,9 +126,9 @@
 
     def status(self, now: float, endpoint: int) -> dict[str, list[object]]:
         """Return the recent events and withdrawals of an endpoint as operators see them."""
-        withdrawals = list(self.finished.get(endpoint, ()))
-        if endpoint in self.active:
-            withdrawals.append(self.active[endpoint])
+        withdrawals = list(self.finished_withdrawals.get(endpoint, ()))
+        if endpoint in self.active_withdrawals:
+            withdrawals.append(self.active_withdrawals[endpoint])
         return {
             "notes": [
                 [round(now - event.occurred_at, 3), event.text]
@@ -139,34 +139,37 @@
 
     def pending_withdrawals(self, holder: int) -> Iterator[tuple[int, Withdrawal]]:
         """Yield the endpoints that a holder still has to lose, with their withdrawals."""
-        for endpoint in self.pending.get(holder, ()):
-            yield endpoint, self.active[endpoint]
+        for endpoint in self.pending_endpoints.get(holder, ()):
+            yield endpoint, self.active_withdrawals[endpoint]
 
     def finish_holder(self, endpoint: int, holder: int) -> None:
         """Remove a holder from a withdrawal; a withdrawal without holders is finished."""
-        withdrawal = self.active[endpoint]
+        withdrawal = self.active_withdrawals[endpoint]
         del withdrawal.progress[holder]
-        self.remove_pending(endpoint, holder)
+        self.remove_pending_endpoint(endpoint, holder)
         if not withdrawal.progress:
-            del self.active[endpoint]
-            if len(self.finished) >= MAX_ENDPOINTS and endpoint not in self.finished:
-                self.finished.pop(next(iter(self.finished)))
-            self.finished.setdefault(endpoint, deque(maxlen=MAX_FINISHED_PER_ENDPOINT)).append(
-                withdrawal
-            )
+            del self.active_withdrawals[endpoint]
+            if (
+                len(self.finished_withdrawals) >= MAX_ENDPOINTS
+                and endpoint not in self.finished_withdrawals
+            ):
+                self.finished_withdrawals.pop(next(iter(self.finished_withdrawals)))
+            self.finished_withdrawals.setdefault(
+                endpoint, deque(maxlen=MAX_FINISHED_PER_ENDPOINT)
+            ).append(withdrawal)
 
     def drop_withdrawal(self, endpoint: int) -> None:
         """Drop an active withdrawal before it is finished."""
         self.dropped_count += 1
-        for holder in self.active.pop(endpoint).progress:
-            self.remove_pending(endpoint, holder)
+        for holder in self.active_withdrawals.pop(endpoint).progress:
+            self.remove_pending_endpoint(endpoint, holder)
 
-    def remove_pending(self, endpoint: int, holder: int) -> None:
+    def remove_pending_endpoint(self, endpoint: int, holder: int) -> None:
         """Remove an endpoint from the endpoints that a holder still has to lose."""
-        endpoints = self.pending[holder]
+        endpoints = self.pending_endpoints[holder]
         del endpoints[endpoint]
         if not endpoints:
-            del self.pending[holder]
+            del self.pending_endpoints[holder]
 
 
 def is_applied(progress: Progress, version: Optional[Version]) -> bool:
--- a/peatlead/controller/proxies.py
+++ b/peatlead/controller/proxies.py
@@ -84,7 +84,7 @@
         self._controller = controller
         self._port: int = settings["dns"]["port"]  # the port of all endpoints
         self.load_aggregator = LoadAggregator()
-        self.admission = ProxyAdmission(controller, ownership, member_info)
+        self.proxy_admission = ProxyAdmission(controller, ownership, member_info)
         self.server = GrpcServer(
             self,
             controller.own_settings["name"],
@@ -102,11 +102,11 @@
 
     def admit(self, node: ProxyNode) -> Admission:
         """Return whether a proxy that has connected may join."""
-        return self.admission.admit(node)
+        return self.proxy_admission.admit(node)
 
     def failover_metadata(self, node: ProxyNode) -> Metadata:
         """Return metadata that tells a joined proxy where to connect if this controller ends."""
-        return self.admission.failover_metadata(node)
+        return self.proxy_admission.failover_metadata(node)
 
     def on_join(self, session: Session) -> None:
         """Register an admitted proxy and report it to the planner."""
@@ -136,7 +136,7 @@
         controller.publisher.leave(session.number)
         self.load_aggregator.forget_proxy(session.number)
         controller.publication.record_leave(session.node.name)
-        self.admission.forget_proxy(session.node.name)
+        self.proxy_admission.forget_proxy(session.node.name)
         controller.proxy_left(session.number)
 
     def accepts_report(self, session: Session, now: float) -> bool:
@@ -266,12 +266,12 @@
 
     def redirect_proxies(self, now: float) -> None:
         """Redirect some of the joined proxies that another controller should own."""
-        self.admission.redirect_proxies(now, self.server)
+        self.proxy_admission.redirect_proxies(now, self.server)
 
     def explain_ownership(self, name: str) -> OwnershipReport:
         """Return the facts that decide which controller owns a proxy."""
         session = self.server.sessions.get(name)
-        return self.admission.explain(name, session.admitted_at if session else None)
+        return self.proxy_admission.explain(name, session.admitted_at if session else None)
 
     def status(self) -> dict[str, int]:
         """Return the counts that operators see."""
@@ -279,9 +279,9 @@
             "joined": len(self.server.sessions),
             "acks": self.ack_count,
             "refusals": self.nack_count,
-            "moved": self.admission.joined_redirects,
-            "sent on": self.admission.admission_redirects,
-            "paced": self.admission.delayed_joins,
+            "moved": self.proxy_admission.joined_redirects,
+            "sent on": self.proxy_admission.admission_redirects,
+            "paced": self.proxy_admission.delayed_joins,
             "connections": len(self.server.connections.streams),
         }
 
--- a/peatlead/controller/published_items.py
+++ b/peatlead/controller/published_items.py
@@ -51,7 +51,7 @@
         self._endpoint_by_address = endpoint_by_address
         self._endpoint_name = endpoint_name
 
-    def item(self, key: str, value: Any) -> dict[str, Any]:
+    def describe_item(self, key: str, value: Any) -> dict[str, Any]:
         """Return one item, with the endpoint's name and the weight in the endpoint list's unit."""
         if not key.startswith(LINE_PREFIX):
             return {"item": key, "value": value}
@@ -64,7 +64,7 @@
             "value": None if value is None else value / WEIGHT_SCALE,
         }
 
-    def difference(
+    def describe_difference(
         self, before: Mapping[str, Any], after: Mapping[str, Any]
     ) -> list[dict[str, Any]]:
         """Return the items that differ, with a line's weight fraction before and after."""
@@ -72,8 +72,8 @@
         fractions_after = weight_fractions(after)
         return [
             {
-                **self.item(key, after.get(key)),
-                "before": self.item(key, before.get(key))["value"],
+                **self.describe_item(key, after.get(key)),
+                "before": self.describe_item(key, before.get(key))["value"],
                 "part before": fractions_before.get(key),
                 "part after": fractions_after.get(key),
             }
--- a/peatlead/controller/table_queries.py
+++ b/peatlead/controller/table_queries.py
@@ -99,7 +99,7 @@
             "proxy": name,
             "version": str(version),
             "digest": history.digest_of_version(version) or str(history.digest),
-            "items": [self._formatter.item(key, items[key]) for key in sorted(items)],
+            "items": [self._formatter.describe_item(key, items[key]) for key in sorted(items)],
             "pinned by": active.pin.id if active else None,
         }
 
@@ -110,7 +110,7 @@
         if NO_VERSION in versions:
             raise PinError("expected two versions, EPOCH.SERIAL each")
         before, after = (history.items_at_version(version) for version in versions)
-        return {"proxy": name, "changes": self._formatter.difference(before, after)}
+        return {"proxy": name, "changes": self._formatter.describe_difference(before, after)}
 
     def last_versions(self, _: Arguments) -> Answer:
         """Return each joined proxy's last sent version, its digest and its age in seconds."""
--- a/tests/controller/test_channel.py
+++ b/tests/controller/test_channel.py
@@ -107,7 +107,9 @@
         channel.enqueue(0.0, 3, {("line", 0, 1): 0.0})
         channel.forget_subscriber(3)
         self.assertEqual([view for view, _ in channel.take_due(1.0)], [1, 2])
-        self.assertEqual((len(channel.urgent), len(channel.normal), channel.size), (0, 0, 0.0))
+        self.assertEqual(
+            (len(channel.urgent_lane), len(channel.normal_lane), channel.size), (0, 0, 0.0)
+        )
 
     def test_take_due_returns_at_most_the_given_number_of_messages(self):
         channel = Channel(1e9, 6.0, 1e6)
--- a/tests/controller/test_propagation.py
+++ b/tests/controller/test_propagation.py
@@ -26,13 +26,13 @@
         trace.version_applied(1.2, 70, Version(1, 3))  # sent before the message left the channel
         trace.version_sent(70, Version(1, 4))
         trace.version_applied(1.3, 70, Version(1, 3))
-        self.assertIn(5, trace.active)
+        self.assertIn(5, trace.active_withdrawals)
         trace.version_applied(1.5, 70, Version(1, 4))
         (withdrawal,) = trace.status(2.0, 5)["losses"]
         self.assertEqual(
             (withdrawal["holders"], withdrawal["without it"], withdrawal["last s"]), (1, 1, 0.5)
         )
-        self.assertEqual((trace.active, trace.pending), ({}, {}))
+        self.assertEqual((trace.active_withdrawals, trace.pending_endpoints), ({}, {}))
 
     def test_disconnected_holders_are_counted_separately(self):
         trace = PropagationTrace()
@@ -73,20 +73,20 @@
                 trace.holder_left(float(now), holder)
             pairs = {
                 (endpoint, holder)
-                for endpoint, withdrawal in trace.active.items()
+                for endpoint, withdrawal in trace.active_withdrawals.items()
                 for holder in withdrawal.progress
             }
             self.assertEqual(
                 pairs,
                 {
                     (endpoint, holder)
-                    for holder, endpoints in trace.pending.items()
+                    for holder, endpoints in trace.pending_endpoints.items()
                     for endpoint in endpoints
                 },
             )
         for holder in range(7):
             trace.holder_left(999.0, holder)
-        self.assertEqual((trace.active, trace.pending), ({}, {}))
+        self.assertEqual((trace.active_withdrawals, trace.pending_endpoints), ({}, {}))
 
     def test_the_state_is_bounded(self):
         trace = PropagationTrace()
@@ -95,7 +95,7 @@
             for now in range(30):
                 trace.record_event(float(now), endpoint, "again")
         self.assertEqual(
-            (len(trace.active), trace.dropped_count, len(trace.pending[1])),
+            (len(trace.active_withdrawals), trace.dropped_count, len(trace.pending_endpoints[1])),
             (propagation.MAX_ACTIVE_WITHDRAWALS, 50, propagation.MAX_ACTIVE_WITHDRAWALS),
         )
         self.assertEqual(len(trace.status(99.0, 7)["notes"]), propagation.MAX_EVENTS_PER_ENDPOINT)
@@ -118,7 +118,7 @@
             world.write_list()
             await until(lambda: not any(address in proxy.addresses for proxy in proxies))
             endpoint = controller.registry.numbers[name]
-            await until(lambda: endpoint not in controller.propagation.active)
+            await until(lambda: endpoint not in controller.propagation.active_withdrawals)
             answer = await ask_once(
                 controller.own_settings["control"], {"ask": "why", "host": name}
             )
--- a/tests/controller/test_published_items.py
+++ b/tests/controller/test_published_items.py
@@ -30,22 +30,23 @@
 
     def test_an_item_names_the_endpoint_and_the_weight_as_listed(self):
         self.assertEqual(
-            self.formatter.item(NORTH_LINE, 500),
+            self.formatter.describe_item(NORTH_LINE, 500),
             {"item": "line/look", "host": "h7", "zone": "north", "value": 0.5},
         )
 
     def test_an_unlisted_endpoint_is_named_by_its_address(self):
-        self.assertEqual(self.formatter.item(SOUTH_LINE, None)["host"], "10.0.0.2")
+        self.assertEqual(self.formatter.describe_item(SOUTH_LINE, None)["host"], "10.0.0.2")
 
     def test_items_other_than_lines_are_not_converted(self):
         self.assertEqual(
-            self.formatter.item("retry/look", "once"), {"item": "retry/look", "value": "once"}
+            self.formatter.describe_item("retry/look", "once"),
+            {"item": "retry/look", "value": "once"},
         )
 
     def test_a_difference_has_both_values_and_fractions(self):
         after = {NORTH_LINE: 500, FILE_LINE: 1000}
         self.assertEqual(
-            self.formatter.difference(line_items(ITEMS), after),
+            self.formatter.describe_difference(line_items(ITEMS), after),
             [
                 {
                     "item": "line/look",
