--- a/peatlead/controller/endpoint_lists.py
+++ b/peatlead/controller/endpoint_lists.py
@@ -1,4 +1,4 @@
-"""Endpoint lists: received from a source, stored on disk, and passed to the controller's parts."""
+"""Receives endpoint lists from a source, stores them, and updates the controller's parts."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
@@ -17,7 +17,7 @@
 class EndpointLists:
     """Receives endpoint lists and updates the controller's parts.
 
-    `cache_path` is the file that stores the last whole list, or None to store nothing.
+    `cache_path` is the file for the last list of scope WHOLE, or None to store nothing.
     """
 
     def __init__(
@@ -26,7 +26,7 @@
         self._controller = controller
         self._cache = EndpointCache(cache_path)
         self.source = create_source(controller.settings["node_list"], self.receive, controller.log)
-        self.weights: dict[int, float] = {}  # endpoint -> its listed weight
+        self.weights: dict[int, float] = {}  # listed weights, by endpoint
 
     def restore(self) -> None:
         """Load the list that an earlier start has stored, if any."""
@@ -37,13 +37,13 @@
         else:
             self._controller.log("no stored endpoint list", why=reason)
 
-    def fetch_soon(self) -> None:
+    def schedule_fetch(self) -> None:
         """Read the whole list again, in the next iteration of the event loop."""
         loop = self._controller.loop
         loop.call_soon(lambda: self.source.fetch(loop.time()))
 
     def receive(self, endpoint_list: EndpointList) -> None:
-        """Handle a list from the source."""
+        """Update the controller's parts from a list, and submit the list to the planner."""
         controller = self._controller
         now = controller.loop.time()
         update = controller.registry.endpoint_update(endpoint_list, now)
--- a/peatlead/platform/endpoint_tracker.py
+++ b/peatlead/platform/endpoint_tracker.py
@@ -79,7 +79,7 @@
             name = self.endpoint_name(endpoint)
             self.forgotten_names.pop(name, None)
             self.forgotten_names[name] = True
-            self.registry.forget(endpoint)
+            self.registry.forget_endpoint(endpoint)
             self.possibly_ejected.discard(endpoint)
         while len(self.forgotten_names) > MAX_FORGOTTEN_NAMES:
             del self.forgotten_names[next(iter(self.forgotten_names))]
--- a/tests/controller/connections.py
+++ b/tests/controller/connections.py
@@ -11,18 +11,18 @@
 
 
 class ReceivedBytes(Stream):
-    """Collects all received bytes in `received_bytes`; the future `over` completes at the end."""
+    """Collects all received bytes. `end_reason` is a future: why the connection has ended."""
 
     def __init__(self):
         super().__init__()
         self.received_bytes = b""
-        self.over = asyncio.get_running_loop().create_future()
+        self.end_reason = asyncio.get_running_loop().create_future()
 
     def received(self, data):
         self.received_bytes += data
 
     def ended(self, reason):
-        self.over.set_result(reason)
+        self.end_reason.set_result(reason)
 
 
 def framed_query(name="api.example.org"):
@@ -31,7 +31,7 @@
     return len(wire).to_bytes(2, "big") + wire
 
 
-async def dial(world, name="ns1"):
+async def connect_tcp(world, name="ns1"):
     """A TCP connection to a controller's DNS port."""
     address = {"ns1": "127.1.0.1", "ns2": "127.1.0.2"}[name]
     _, stream = await asyncio.get_running_loop().create_connection(
@@ -44,6 +44,6 @@
     """A stand-in resolver of a kind that queries these servers and is closed with the world."""
     addresses = [(server, world.port) for server in servers]
     resolver = Resolver(kind, "127.20.9.1", addresses, world.random, MemoryRecorder())
-    await resolver.begin()
+    await resolver.open()
     world.cleanups.append(resolver.close)
     return resolver
--- a/tests/controller/test_dns_controller.py
+++ b/tests/controller/test_dns_controller.py
@@ -9,7 +9,7 @@
 from peatlead.net.http import connect
 
 from ..standin_fleet import run_with_standins, until
-from .connections import dial, start_resolver
+from .connections import connect_tcp, start_resolver
 
 
 class ListToAnswerTest(unittest.TestCase):
@@ -149,7 +149,7 @@
                 reason = await asyncio.wait_for(controller.ended, 10)
             record = dict(world.log)["decide failed"]
             with self.assertRaises(OSError):
-                await dial(world)
+                await connect_tcp(world)
             return reason, record["error"], bool(record["at"])
 
         self.assertEqual(
@@ -169,10 +169,10 @@
             world.write_list()
             controller.dns_server.fresh_until = loop.time() - 5.0
             wire = dns.message.make_query("api.example.org", "A").to_wire()
-            before = controller.dns_server.unanswered
+            before = controller.dns_server.unanswered_count
             resolver.transport.sendto(wire, ("127.1.0.1", world.port))
             await until(
-                lambda: controller.dns_server.unanswered > before
+                lambda: controller.dns_server.unanswered_count > before
                 or controller.dns_server.fresh_until > loop.time()
             )
             await until(lambda: controller.dns_server.fresh_until > loop.time())
