--- a/peatlead/controller/answer_freshness.py
+++ b/peatlead/controller/answer_freshness.py
@@ -31,7 +31,7 @@
         return bool(self._dns_server.fresh_until >= self._controller.loop.time())
 
     def detect_stall(self, now: float) -> None:
-        """Read the endpoint list again if this controller has stalled until a renewal expired."""
+        """If the last renewal has expired in a stall, log that and read the endpoint list again."""
         stalled = 0 < self._dns_server.fresh_until < now
         if not stalled or self._recovering:
             return
--- a/peatlead/controller/publisher.py
+++ b/peatlead/controller/publisher.py
@@ -104,7 +104,7 @@
     def request_acknowledgement(
         self, routed: RoutedCommands, command: interface.RequestAcknowledgement
     ) -> None:
-        """Request an acknowledgement of the batch's messages so far, or of all subscribers."""
+        """Add a nonce to the batch's messages so far, or to messages to all subscribers."""
         for subscriber in sorted(
             self.joined_subscribers if command.all_proxies else routed.messages
         ):
