--- a/peatlead/controller/proxies.py
+++ b/peatlead/controller/proxies.py
@@ -230,7 +230,7 @@
             self._controller.publication.active_pin(session.node.name, session.node.zone)
             is not None
         )
-        items_before = all_items(session) if pinned and session.ready else None
+        items_before = all_items(session) if pinned and session.has_tables else None
         session.state.apply(message.operations)
         self._copy_admission(session)
         unchanged = items_before is not None and items_before == all_items(session)
--- a/peatlead/dns/answers.py
+++ b/peatlead/dns/answers.py
@@ -82,9 +82,9 @@
         self.sources = [[AnswerSource() for _ in self.services] for _ in views.views]
         self.cache = AnswerCache()
         self.records: dict[tuple[int, int, int], bytes] = {}  # by endpoint, address family and TTL
-        self.change_count = 0  # changes of any answer's content
+        self.change_count = 0  # changes of endpoints and pools
         self.serial = 1
-        self.transfer: Transfer | None = None  # set if secondaries are configured
+        self.transfer: Transfer | None = None  # set by `Secondaries`, if any are configured
         self.counts = dict.fromkeys(COUNTERS, 0)
 
     @property
@@ -94,13 +94,13 @@
 
     def set_endpoint(self, endpoint: int, name: str, ipv4: str, ipv6: str) -> None:
         """Set an endpoint's name and addresses; an address is empty if the endpoint has none."""
-        old = self.endpoints.get(endpoint)
-        new = EndpointAddresses(name, ipv4, ipv6)
-        if old is not None:
-            if old.name == name and old.by_family == new.by_family:
+        old_addresses = self.endpoints.get(endpoint)
+        new_addresses = EndpointAddresses(name, ipv4, ipv6)
+        if old_addresses is not None:
+            if old_addresses.name == name and old_addresses.by_family == new_addresses.by_family:
                 return
-            self.endpoint_by_label.pop(old.name, None)
-        self.endpoints[endpoint] = new
+            self.endpoint_by_label.pop(old_addresses.name, None)
+        self.endpoints[endpoint] = new_addresses
         self.change_count += 1
         self.endpoint_by_label[name] = endpoint
         self.records = {key: value for key, value in self.records.items() if key[0] != endpoint}
@@ -138,9 +138,9 @@
         self.counts["asked"] += 1
         prepared_answers = self.cache.by_transport[tcp].get(peer)
         if prepared_answers is not None:
-            prepared = prepared_answers.get(data[2:])
-            if prepared is not None and prepared.source.weights:
-                return data[:2] + prepared.next_answer()
+            prepared_answer = prepared_answers.get(data[2:])
+            if prepared_answer is not None and prepared_answer.source.weights:
+                return data[:2] + prepared_answer.next_answer()
         return self.answer_unprepared(data, peer, tcp)
 
     def cycle(self, source: AnswerSource, family: int) -> AnswerCycle:
@@ -250,8 +250,8 @@
     def answer_service(self, query: Query, target: Target) -> bytes:
         """Answer a query about a service's name."""
         rdtype = query.question.rdtype
-        has_type = rdtype == dns.rdatatype.SRV if target.is_srv else rdtype in FAMILIES
-        if not has_type:
+        type_exists = rdtype == dns.rdatatype.SRV if target.is_srv else rdtype in FAMILIES
+        if not type_exists:
             return self.answer_negatively(query)
         if target.view is None:
             return self.refuse(query)
@@ -280,15 +280,15 @@
 
         The question is copied from the query, so that the case of its name is preserved.
         """
-        empty = query.response.to_wire()  # header, question and OPT record
+        empty_response = query.response.to_wire()  # header, question and OPT record
         question = question_bytes(query.data)
-        head = empty[ID_BYTES:HEADER_BYTES] + question
-        tail = empty[HEADER_BYTES + len(question) :]
-        prepared = PreparedAnswer(self, source, family, head, tail, query.max_size)
+        head = empty_response[ID_BYTES:HEADER_BYTES] + question
+        tail = empty_response[HEADER_BYTES + len(question) :]
+        prepared_answer = PreparedAnswer(self, source, family, head, tail, query.max_size)
         if self.prepared_count >= self.settings["prepared_most"]:
             self.flush()
-        self.cache.add(query.data, query.peer, query.tcp, prepared)
-        return prepared
+        self.cache.add(query.data, query.peer, query.tcp, prepared_answer)
+        return prepared_answer
 
     def answer_srv(self, query: Query, source: AnswerSource) -> bytes:
         """Answer with SRV records for all endpoints, and with their addresses if they fit.
@@ -326,7 +326,7 @@
         return self.encode_response(query)
 
     def answer_negatively(self, query: Query) -> bytes:
-        """Give a negative answer, which has the SOA record (RFC 2308 section 3)."""
+        """Give a negative answer, with only the zone's SOA record (RFC 2308 section 3)."""
         add_record(query.response.authority, self.zone, NEGATIVE_TTL, "SOA", self.soa_text())
         return self.encode_response(query)
 
--- a/tests/seeded_faults.py
+++ b/tests/seeded_faults.py
@@ -26,7 +26,7 @@
     original = StandInProxy.receive_response
 
     def receive_response(self, call, controller, data):
-        self.current = call
+        self.current_call = call
         original(self, call, controller, data)
 
     with (
@@ -114,7 +114,7 @@
 
 
 def channel_rate_ignored():
-    """Every table is published again in each round, whatever the capacity of the channel."""
+    """Every table is published again in each round, even if the channel is full."""
     from peatlead.planner.planner import Planner
 
     original = Planner.on_timer
--- a/tests/standin_fleet.py
+++ b/tests/standin_fleet.py
@@ -1,4 +1,4 @@
-"""Test support: settings, and a small fleet of stand-in endpoints and controllers."""
+"""Fixtures for tests: settings, and a small fleet of stand-in endpoints and controllers."""
 
 import asyncio
 import json
@@ -13,7 +13,7 @@
 from peatlead.planner.planner import Planner
 from peatlead.scenario.runner import free_port
 from peatlead.settings import load_settings
-from peatlead.standin.hosts import EndpointPlan, Pods, StandInEndpoint
+from peatlead.standin.hosts import EndpointPlan, PodRequestIds, StandInEndpoint
 
 hypothesis_settings.register_profile("steady", derandomize=True, deadline=None, max_examples=60)
 hypothesis_settings.load_profile("steady")  # property tests give the same result on every run
@@ -87,7 +87,7 @@
     def __init__(self):
         self.rows = []
 
-    def row(self, kind, at, *fields):
+    def write_row(self, kind, at, *fields):
         self.rows.append((kind, at, *fields))
 
     def rows_of_kind(self, kind):
@@ -107,17 +107,17 @@
         self.recorder = MemoryRecorder()
         self.settings = settings(self.port, f"{folder}/nodes.json", script)
         self.random = Random(4)
-        self.pods = Pods()
+        self.pod_request_ids = PodRequestIds()
         self.endpoints = []  # StandInEndpoint objects
         self.controllers = []
         self.log = []  # (event, fields) of all controllers
-        self.cleanups = []  # functions that `stop` calls
-        self.plans = [self._plan(number, deep, cold) for number in range(endpoints)]
+        self.cleanups = []  # functions that `stop` calls at its end
+        self.plans = [self._make_plan(number, deep, cold) for number in range(endpoints)]
         self.phases = {plan.name: "ready" for plan in self.plans}  # in the list, by name
         self.list_version = 0
-        self.extra_entries = []  # entries of the list that are no stand-in endpoints
+        self.extra_entries = []  # further entries of the list, without a stand-in endpoint
 
-    def _plan(self, number, deep, cold):
+    def _make_plan(self, number, deep, cold):
         return EndpointPlan(
             name=f"h{number}",
             zone=ZONES[number % 2],
@@ -138,8 +138,10 @@
     async def start(self):
         """Start the endpoints and write the first list."""
         for plan in self.plans:
-            self.endpoints.append(StandInEndpoint(plan, self.random, self.recorder, self.pods))
-            await self.endpoints[-1].begin()
+            self.endpoints.append(
+                StandInEndpoint(plan, self.random, self.recorder, self.pod_request_ids)
+            )
+            await self.endpoints[-1].open()
         self.write_list()
         return self
 
@@ -166,9 +168,9 @@
         new_path.write_bytes(json.dumps(document).encode() if data is None else data)
         new_path.replace(path)
 
-    async def change_list_repeatedly(self, times, interval):
-        """Change phases `times` times; at the end h1 is draining and all others are ready."""
-        for number in range(times):
+    async def change_list_repeatedly(self, change_count, interval):
+        """Change `change_count` phases, one every `interval` seconds; finally only h1 drains."""
+        for number in range(change_count):
             name = f"h{number % 3 + 1}"
             self.phases[name] = "draining" if self.phases[name] == "ready" else "ready"
             self.write_list()
@@ -189,19 +191,19 @@
         await controller.start()
         return controller
 
-    def answered_endpoints(self, controller, view="desk0", queries=24):
+    def answered_endpoints(self, controller, view="desk0", query_count=24):
         """Return the names of the endpoints in the answers to a view's client.
 
         An address that belongs to no endpoint is returned as it is.
         """
         client = CLIENT_OF_VIEW[view]
         addresses = set()
-        for _ in range(queries):
+        for _ in range(query_count):
             query = dns.message.make_query("api.example.org", "A").to_wire()
             answer = dns.message.from_wire(controller.answers.respond(query, client))
             addresses |= {str(record) for rrset in answer.answer for record in rrset}
-        name_of = {plan.address: plan.name for plan in self.plans}
-        return {name_of.get(address, address) for address in addresses}
+        names_by_address = {plan.address: plan.name for plan in self.plans}
+        return {names_by_address.get(address, address) for address in addresses}
 
     def stop(self):
         """Stop controllers and endpoints, then call the cleanup functions."""
