--- a/tests/compatibility/test_lab_digests.py
+++ b/tests/compatibility/test_lab_digests.py
@@ -1,9 +1,12 @@
-"""Decisions stay equal: digests of what planners hear and order, over twenty short days of the lab.
+"""Planner decisions stay the same: digests of the planner's events and commands in 20 short days.
 
-The digests stand in tests/data/lab_digests.json. They hold no name of a type or field: an event or order counts as
-its kind's place in the adapter below and its values, and a message of the planner's log in the wording of the version
-that wrote the file. A change of names alone leaves them as they are. Where
-decisions are meant to change, write them anew in the same commit and say there what changed:
+A change of behaviour in the planner, the controller, the stand-ins or the lab changes a digest.
+tests/data/lab_digests.json holds the expected digests. They do not depend on names of types and
+fields: an event or command is represented by its position in INTERFACE_TYPES and its values, and a
+log message of the planner by the wording of the version that wrote the file.
+
+Where a change of decisions is intended, write the file again in the same commit, and describe the
+change in its message:
 
     python -m tests.compatibility.test_lab_digests write
 """
@@ -25,13 +28,13 @@
 from peatlead.lab.day import play_day
 from peatlead.lab.random_scenario import draw_scenario
 
-# The adapter, with the imports above: all that is known here of names inside the program.
+# Only the imports above and this section use names from inside the program.
 
 PLANNERS, PLANNER = lab_day.PLANNERS, "shards"
-ORDERED_BY = "decide"  # the planner's method: (now, events) -> orders
-KINDS = tuple(
+DECIDE_METHOD = "decide"  # the planner's method: (now, events) -> commands
+INTERFACE_TYPES = tuple(
     getattr(interface, name)
-    for name in (  # places are for good: new kinds go to the end
+    for name in (  # positions never change: new types are added at the end
         "Endpoint",
         "EndpointUpdate",
         "ProxyConnected",
@@ -62,8 +65,8 @@
 )
 
 
-# The pattern of each message of the planner's log, and the message in its recorded wording with the same values.
-MESSAGES = (
+# For each log message of the planner: its pattern, and its recorded wording with the same values.
+MESSAGE_PATTERNS = (
     (r"admitted fractions by request class: (\[.*\])", r"levels \1"),
     (r"endpoint (\d+) traffic fraction set to (\S+)", r"host \1 reach \2"),
     (r"endpoint (\d+) ejected: failed health checks", r"host \1 dropped: probes"),
@@ -76,8 +79,8 @@
 
 
 def recorded_text(text):
-    """A message of the planner in its recorded wording; any other text unchanged."""
-    for pattern, recorded in MESSAGES:
+    """Return a log message of the planner in its recorded wording, and any other text unchanged."""
+    for pattern, recorded in MESSAGE_PATTERNS:
         match = re.fullmatch(pattern, text)
         if match:
             return match.expand(recorded)
@@ -85,7 +88,7 @@
 
 
 def with_recorded_texts(commands):
-    """The same commands, with log messages in their recorded wording."""
+    """Return the commands with log messages in their recorded wording."""
     return type(commands)(
         interface.LogMessage(recorded_text(command.text))
         if type(command) is interface.LogMessage
@@ -95,113 +98,125 @@
 
 
 def recorded_canonical_form(commands):
-    """What the lab puts into its digest of the day, with log messages in their recorded wording."""
+    """Return the canonical form of commands with log messages in their recorded wording."""
     return canonical_form(with_recorded_texts(commands))
 
 
 def play(kind, seed):
-    """(the lab's own digest of the day, events in the world, what was found wrong)."""
+    """Play a random day; returns the lab's own digest of it, its number of events, its problems."""
     with mock.patch.object(lab_day, "canonical_form", recorded_canonical_form):
-        played = play_day(draw_scenario(seed, kind, LENGTH), seed, PLANNER)
+        played = play_day(draw_scenario(seed, kind, DAY_LENGTH), seed, PLANNER)
     return played.digest, played.event_count, played.problems
 
 
-# The end of the adapter.
+# End of the section that uses names from inside the program.
 
 ROOT = Path(__file__).parents[2]
 DATA = ROOT / "tests" / "data" / "lab_digests.json"
-LENGTH = 4.0  # seconds of a day
+DAY_LENGTH = 4.0  # simulated seconds
 DAYS = tuple((kind, seed) for kind in ("fleet", "dns") for seed in range(10))
-FEW = (("fleet", 1), ("dns", 1))  # played in processes of their own, under two hash seeds
-
-
-def plain(value):
-    """A value without names: the kinds of the interface by their places."""
-    kind = type(value)
-    if kind in KINDS:
-        return ("kind", KINDS.index(kind), *map(plain, tuple(value)))
-    if kind in (tuple, list):
-        return tuple(map(plain, value))
-    if kind is dict:
-        return ("map", *sorted((plain(key), plain(one)) for key, one in value.items()))
-    if kind in (set, frozenset):
-        return ("set", *sorted(map(plain, value)))
-    if value is None or kind in (bool, int, float, str, bytes):
+SAMPLE_DAYS = (("fleet", 1), ("dns", 1))  # played in child processes with two hash seeds
+
+
+def without_names(value):
+    """Return a value in which positions in INTERFACE_TYPES replace the types of the interface."""
+    value_type = type(value)
+    if value_type in INTERFACE_TYPES:
+        return ("kind", INTERFACE_TYPES.index(value_type), *map(without_names, tuple(value)))
+    if value_type in (tuple, list):
+        return tuple(map(without_names, value))
+    if value_type is dict:
+        return (
+            "map",
+            *sorted((without_names(key), without_names(item)) for key, item in value.items()),
+        )
+    if value_type in (set, frozenset):
+        return ("set", *sorted(map(without_names, value)))
+    if value is None or value_type in (bool, int, float, str, bytes):
         return value
-    raise TypeError(f"no plain form of {kind.__name__}")
+    raise TypeError(f"expected an event, a command or plain values, got {value_type.__name__}")
 
 
 def digests(kind, seed):
-    """{"events", "orders": digests, "decides": how many, "day": the lab's own digest}."""
-    events, orders, many = blake3(), blake3(), 0
-    real = PLANNERS[PLANNER]
-
-    def watched(facts, seed):
-        planner = real(facts, seed)
-        decide = getattr(planner, ORDERED_BY)
-
-        def noted(now, heard):
-            nonlocal many
-            many += 1
-            events.update(repr((now, plain(heard))).encode())
-            ordered = decide(now, heard)
-            orders.update(repr((now, plain(with_recorded_texts(ordered)))).encode())
-            return ordered
-
-        setattr(planner, ORDERED_BY, noted)
+    """Play a day; returns digests of the planner's events and commands, and the lab's own digest.
+
+    The key "decides" is the number of planner decisions. Raises AssertionError if the day has
+    problems.
+    """
+    events_digest, commands_digest, decision_count = blake3(), blake3(), 0
+    original_planner = PLANNERS[PLANNER]
+
+    def create_observed_planner(settings, seed):
+        planner = original_planner(settings, seed)
+        decide = getattr(planner, DECIDE_METHOD)
+
+        def observed_decide(now, events):
+            nonlocal decision_count
+            decision_count += 1
+            events_digest.update(repr((now, without_names(events))).encode())
+            commands = decide(now, events)
+            commands_digest.update(
+                repr((now, without_names(with_recorded_texts(commands)))).encode()
+            )
+            return commands
+
+        setattr(planner, DECIDE_METHOD, observed_decide)
         return planner
 
-    with mock.patch.dict(PLANNERS, {PLANNER: watched}):
-        day, _, wrong = play(kind, seed)
-    if wrong:
-        raise AssertionError((kind, seed, wrong))
+    with mock.patch.dict(PLANNERS, {PLANNER: create_observed_planner}):
+        day_digest, _, problems = play(kind, seed)
+    if problems:
+        raise AssertionError((kind, seed, problems))
     return {
-        "events": events.hexdigest(16),
-        "orders": orders.hexdigest(16),
-        "decides": many,
-        "day": day,
+        "events": events_digest.hexdigest(16),
+        "orders": commands_digest.hexdigest(16),
+        "decides": decision_count,
+        "day": day_digest,
     }
 
 
 def write():
+    """Write the file of expected digests with the running version of the program."""
     DATA.parent.mkdir(exist_ok=True)
-    found = {f"{kind} {seed}": digests(kind, seed) for kind, seed in DAYS}
-    DATA.write_text(json.dumps({"length": LENGTH, "days": found}, indent=1) + "\n")
+    digests_by_day = {f"{kind} {seed}": digests(kind, seed) for kind, seed in DAYS}
+    DATA.write_text(json.dumps({"length": DAY_LENGTH, "days": digests_by_day}, indent=1) + "\n")
 
 
-class Decisions(unittest.TestCase):
+class LabDigestsTest(unittest.TestCase):
     def setUp(self):
-        self.kept = json.loads(DATA.read_text())
+        self.expected = json.loads(DATA.read_text())
 
-    def test_twenty_days_of_the_lab_are_decided_as_they_were(self):
-        self.assertEqual(self.kept["length"], LENGTH)
-        self.assertEqual(list(self.kept["days"]), [f"{kind} {seed}" for kind, seed in DAYS])
+    def test_decisions_in_all_days_have_the_expected_digests(self):
+        self.assertEqual(self.expected["length"], DAY_LENGTH)
+        self.assertEqual(list(self.expected["days"]), [f"{kind} {seed}" for kind, seed in DAYS])
         for kind, seed in DAYS:
             with self.subTest(kind=kind, seed=seed):
-                self.assertEqual(digests(kind, seed), self.kept["days"][f"{kind} {seed}"])
+                self.assertEqual(digests(kind, seed), self.expected["days"][f"{kind} {seed}"])
 
     def test_digests_do_not_depend_on_the_hash_seed(self):
-        wanted = {f"{kind} {seed}": self.kept["days"][f"{kind} {seed}"] for kind, seed in FEW}
+        expected = {
+            f"{kind} {seed}": self.expected["days"][f"{kind} {seed}"] for kind, seed in SAMPLE_DAYS
+        }
         for hash_seed in ("1", "2"):
-            said = subprocess.run(
-                [sys.executable, "-m", "tests.compatibility.test_lab_digests", "few"],
+            output = subprocess.run(
+                [sys.executable, "-m", "tests.compatibility.test_lab_digests", "sample"],
                 cwd=ROOT,
                 check=True,
                 capture_output=True,
                 text=True,
                 env={**os.environ, "PYTHONHASHSEED": hash_seed},
             ).stdout
-            self.assertEqual(json.loads(said), wanted, hash_seed)
+            self.assertEqual(json.loads(output), expected, hash_seed)
 
     def test_days_of_different_seeds_differ_and_all_have_decisions(self):
-        days = self.kept["days"].values()
-        self.assertEqual(len({one["orders"] for one in days}), len(DAYS))
-        self.assertTrue(all(one["decides"] > 50 for one in days))
+        days = self.expected["days"].values()
+        self.assertEqual(len({day["orders"] for day in days}), len(DAYS))
+        self.assertTrue(all(day["decides"] > 50 for day in days))
 
-    def test_the_plain_form_holds_no_names(self):
-        line = KINDS[14](1, 2, 0.5)
+    def test_digested_values_contain_no_names(self):
+        set_entry = INTERFACE_TYPES[14](1, 2, 0.5)
         self.assertEqual(
-            plain([line, {"b": 1, "a": None}]),
+            without_names([set_entry, {"b": 1, "a": None}]),
             (("kind", 14, 1, 2, 0.5), ("map", ("a", None), ("b", 1))),
         )
 
@@ -209,7 +224,7 @@
 if __name__ == "__main__":
     if sys.argv[1:] == ["write"]:
         write()
-    elif sys.argv[1:] == ["few"]:
-        print(json.dumps({f"{kind} {seed}": digests(kind, seed) for kind, seed in FEW}))
+    elif sys.argv[1:] == ["sample"]:
+        print(json.dumps({f"{kind} {seed}": digests(kind, seed) for kind, seed in SAMPLE_DAYS}))
     else:
-        sys.exit("expected: write")
+        sys.exit("usage: python -m tests.compatibility.test_lab_digests write")
--- a/tests/compatibility/test_mixed_fleet.py
+++ b/tests/compatibility/test_mixed_fleet.py
@@ -1,12 +1,13 @@
-"""A controller of an earlier version and one of this version in one fleet, and a start on stored state.
+"""Rolling updates: controllers of an earlier version and of this one share a fleet and stored state.
 
 The earlier version is taken from the repository's history (EARLIER_COMMIT) and run as a process, so
-these tests need a clone that contains that commit. Messages between controllers contain names (the
-kind of a message, the fields of a pin): a rename that changes such a name fails here. A change of
-them that is meant rules out rolling updates from the earlier version and must be announced.
+these tests need a clone that contains that commit. Messages between controllers contain names, such
+as the kind of a message and the fields of a pin; the tests fail if such a name changes. An intended
+change of these names makes rolling updates from the earlier version impossible and must be
+announced.
 
-Don't adapt these tests to a changed format. Move EARLIER_COMMIT forward only when all deployments run
-a later version.
+Do not adapt these tests to a changed format. Move EARLIER_COMMIT forward only when all deployments
+run a later version.
 """
 
 import asyncio
@@ -34,7 +35,7 @@
 
 
 def start_proxy(world, name):
-    """Starts a stand-in proxy that follows one of the two controllers and sends requests."""
+    """Start a stand-in proxy that follows one of the two controllers and sends requests."""
     controllers = [[address, world.port + 2] for address in CONTROLLER_ADDRESSES.values()]
     proxy = StandInProxy(
         ProxyPlan(name, "north", "127.60.9.1", controllers, world.port, 5.0, REQUEST_CLASSES),
@@ -47,7 +48,7 @@
 
 
 def addresses_by_class(proxy):
-    """The endpoint addresses that a proxy holds, by request class."""
+    """Return the endpoint addresses that a proxy holds, by request class."""
     return {
         request_class: {entry.address for entry in entries}
         for request_class, entries in proxy.entries.items()
@@ -55,7 +56,7 @@
 
 
 def fail_requests(world, endpoint):
-    """Lets all requests to a stand-in endpoint fail."""
+    """Let all requests to a stand-in endpoint fail."""
     world.endpoints[endpoint].inject_fault("errors", 1.0)
 
 
@@ -95,7 +96,7 @@
         world.cleanups.append(self.kill_all)
 
     def start(self, name, source_root):
-        """Starts a controller; `source_root` is the folder that contains its `peatlead` package."""
+        """Start a controller; `source_root` is the folder that contains its `peatlead` package."""
         with open(self.world.folder / f"{name}.log", "ab") as log:
             self.processes[name] = subprocess.Popen(
                 [
@@ -133,7 +134,7 @@
         return await ask_once((CONTROLLER_ADDRESSES[name], self.world.port + 1), question, 10.0)
 
     async def wait_for_answer(self, name, condition, **question):
-        """Repeats a question to a controller until the answer meets a condition; returns the answer."""
+        """Repeat a question to a controller until the answer meets a condition; returns the answer."""
         loop, answer = asyncio.get_running_loop(), None
         deadline = loop.time() + 3 * TIMEOUT
         while loop.time() < deadline:
@@ -150,7 +151,7 @@
         )
 
     async def wait_until_running(self, *names):
-        """Waits until each controller has the list of endpoints and sees all of them alive."""
+        """Wait until each controller has the endpoint list and considers all of `names` alive."""
         for name in names:
             await self.wait_for_answer(name, lambda answer: answer.get("hosts") == 4, ask="status")
             await self.wait_for_answer(
@@ -281,7 +282,7 @@
                 do="status",
             )
             self.assertTrue(all(addresses_by_class(proxy)["look"] for proxy in proxies))
-            # Now the earlier controller takes over from the newer one.
+            # The earlier controller takes over all proxies from the newer one.
             pair.start("ns1", self.earlier_root)
             await pair.wait_until_running("ns1", "ns2")
             await pair.wait_for_answer(
--- a/tests/compatibility/test_recorded_messages.py
+++ b/tests/compatibility/test_recorded_messages.py
@@ -1,4 +1,7 @@
-"""The recorded wording of the planner's log messages, in which test_lab_digests.py compares them."""
+"""Each log message of the planner is converted to its wording in tests/data/lab_digests.json.
+
+Without the conversion, a new wording would change the digests of test_lab_digests.py.
+"""
 
 import re
 import unittest
@@ -7,7 +10,7 @@
 from peatlead.lab.canonical_form import canonical_form
 from peatlead.planner.endpoint_state import DatedCounts
 from tests.compatibility.test_lab_digests import (
-    MESSAGES,
+    MESSAGE_PATTERNS,
     recorded_canonical_form,
     recorded_text,
     with_recorded_texts,
@@ -32,20 +35,20 @@
         self.ready = self.planner.fleet_load.ready_endpoints()
 
     def assert_logs(self, text, act, *arguments, **options):
-        """The planner logs only `text` while `act` runs, and `text` has its recorded wording."""
+        """Check that `act` logs only `text`, and that `text` is converted to its recorded wording."""
         self.planner.commands = []
         act(*arguments, **options)
         [message] = of_type(self.planner.commands, interface.LogMessage)
         self.assertEqual(message.text, text)
         self.assertEqual(recorded_text(message.text), RECORDED[text])
 
-    def test_admissions(self):
+    def test_admission_message_has_its_recorded_wording(self):
         self.planner.load_shedding.admitted_fraction = 0.5
         self.assert_logs(
             "admitted fractions by request class: [0.19, 1.0]", self.planner.publish_admissions
         )
 
-    def test_traffic_fractions(self):
+    def test_traffic_fraction_message_has_its_recorded_wording(self):
         relief = self.planner.load_relief
         self.assert_logs(
             "endpoint 5 traffic fraction set to 0.75", relief.relieve, self.ready[5], self.ready
@@ -55,7 +58,7 @@
             "endpoint 5 traffic fraction set to 1.0", relief.restore_traffic_if_due, self.ready[5]
         )
 
-    def test_ejections(self):
+    def test_ejection_messages_have_their_recorded_wording(self):
         eject = self.planner.outlier_detection.eject
         self.assert_logs(
             "endpoint 3 ejected: failed health checks",
@@ -72,7 +75,7 @@
             by_checks=False,
         )
 
-    def test_slow_paths(self):
+    def test_slow_path_message_has_its_recorded_wording(self):
         for duration in ("10.0", "20.0"):
             for endpoint in self.planner.endpoints.values():
                 latency_sum = 10.0 if endpoint.zone else 1.0
@@ -83,14 +86,16 @@
             )
             self.planner.now += 15.0
 
-    def test_every_pattern_gives_the_recorded_wording(self):
+    def test_each_message_matches_exactly_one_pattern(self):
         for text, recorded in RECORDED.items():
             self.assertEqual(recorded_text(text), recorded)
-            self.assertEqual(sum(bool(re.fullmatch(pattern, text)) for pattern, _ in MESSAGES), 1)
-        for pattern, _ in MESSAGES:
+            self.assertEqual(
+                sum(bool(re.fullmatch(pattern, text)) for pattern, _ in MESSAGE_PATTERNS), 1
+            )
+        for pattern, _ in MESSAGE_PATTERNS:
             self.assertTrue(any(re.fullmatch(pattern, text) for text in RECORDED), pattern)
 
-    def test_any_other_text_is_unchanged(self):
+    def test_a_text_that_matches_no_pattern_is_unchanged(self):
         variants = [
             variant
             for text in RECORDED
@@ -112,7 +117,7 @@
         ):
             self.assertEqual(recorded_text(text), text)
 
-    def test_only_log_messages_change_and_their_order_stays(self):
+    def test_conversion_changes_only_log_messages_and_keeps_the_order(self):
         set_timer, fetch = interface.SetTimer(1, 0.5), interface.FetchEndpoints()
         unknown = interface.LogMessage("unknown")
         commands = [
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -1,4 +1,4 @@
-"""Data that an earlier version stored stays readable, and a controller continues from it.
+"""Data that an earlier version stored can be read, and a controller continues from it.
 
 tests/data/stored/ holds what three controllers left in a short simulated day: their state folders
 (endpoint lists, table logs with versions, a restart, pins and notes), the settings, the recording of
@@ -41,19 +41,19 @@
 
 
 class StoredTables:
-    """A controller's table log, read from its folder; versions and notes can be appended."""
+    """A controller's table log, read from its folder, to which versions and notes can be appended."""
 
     def __init__(self, folder):
         self.events = []
         self.log = TableLog(
             folder,
             HistoryStore(age_max=1e12),
-            lambda event, **more: self.events.append((event, more)),
+            lambda event, **fields: self.events.append((event, fields)),
         )
         self.problems = self.log.restore()
 
     def newest_versions(self):
-        """Returns the newest version of each proxy as (epoch, serial)."""
+        """Return the newest version of each proxy as (epoch, serial)."""
         return {
             name: tuple(history.newest_version)
             for name, history in self.log.store.histories.items()
@@ -88,7 +88,7 @@
     def segment_numbers(self):
         return sorted(self.log.segment_sizes)
 
-    def publish(self, name, epoch, serial, changed):
+    def record_version(self, name, epoch, serial, changed):
         self.log.record_version(
             name, self.log.store.commit(name, Version(epoch, serial), 99.0, ("test",), changed)
         )
@@ -120,7 +120,7 @@
 
 
 def read_recording(folder):
-    """Returns the rows as [kind, at, values], and the values of the checker's report without texts."""
+    """Return the rows as [kind, at, values], and the values of the checker's report without texts."""
     recording = read_folder(folder)
     settings = load_settings("settings.star", (folder / "settings.star").read_text())
     report = check(
@@ -163,7 +163,7 @@
 
 
 def play_missing_cells(path):
-    """Plays the cells of the study that the results file lacks; returns their number."""
+    """Play the cells of the study that the results file lacks; returns their number."""
     results = Results(str(path))
     try:
         return run_study(Study("study", STUDY), results, workers=1, print_line=lambda line: None)
@@ -172,18 +172,21 @@
 
 
 def run_controller(folder, name, case, secondaries=()):
-    """Starts a simulated controller on a stored state folder and runs `case(ask)`.
+    """Start a simulated controller on a stored state folder and run `case(ask)`.
 
     `ask` sends a question to the control socket. Returns the result of `case` and the log events.
     """
-    world, log_events = Simulation(7), []
+    simulation, log_events = Simulation(7), []
     text = (folder / "settings.star").read_text()
     settings = load_settings("settings.star", text)
     settings["node_list"]["path"] = str(folder / "away.json")
     settings["tables"]["sync_every"] = 1e9
     settings["dns"]["secondaries"] = list(secondaries)
     controller_settings = next(entry for entry in settings["steward"] if entry["name"] == name)
-    controller_process, client_process = world.add_process(name), world.add_process("asker")
+    controller_process, client_process = (
+        simulation.add_process(name),
+        simulation.add_process("asker"),
+    )
 
     controllers = []
 
@@ -192,17 +195,17 @@
             Controller(
                 settings,
                 name,
-                lambda event, **more: log_events.append((event, more)),
+                lambda event, **fields: log_events.append((event, fields)),
                 Planner,
                 str(folder / "state"),
                 boot=b"12345678",
-                wall_clock=lambda: 1000.0 + world.now,
+                wall_clock=lambda: 1000.0 + simulation.now,
             )
         )
         await controllers[0].start()
         await controllers[0].ended
 
-    world.at(0.0, controller_process, lambda: controller_process.create_task(serve()))
+    simulation.at(0.0, controller_process, lambda: controller_process.create_task(serve()))
 
     async def ask_questions():
         await asyncio.sleep(6.0)
@@ -213,18 +216,18 @@
         await asyncio.sleep(1.0)
         return result
 
-    return play(world, client_process, ask_questions(), 60.0), log_events
+    return play(simulation, client_process, ask_questions(), 60.0), log_events
 
 
 def write_data(folder):
-    """Writes the data of a new folder with the running version of the program."""
+    """Write the data of a new folder with the running version of the program."""
     with tempfile.TemporaryDirectory() as temporary:
         temporary, folder = Path(temporary), Path(folder)
         script = load_day("stored", DAY)
-        world = Simulation(script["day"]["seed"])
-        day = SimulatedDay(world, script, temporary)
+        simulation = Simulation(script["day"]["seed"])
+        day = SimulatedDay(simulation, script, temporary)
         day.place_addresses()
-        play(world, world.add_process("day"), day.play(), 200.0)
+        play(simulation, simulation.add_process("day"), day.play(), 200.0)
         shutil.rmtree(folder, ignore_errors=True)
         (folder / "record").mkdir(parents=True)
         shutil.copytree(temporary / "state", folder / "state")
@@ -239,16 +242,16 @@
             )
         rows = sorted(day.recorder.rows, key=lambda row: row.at)
         for number in range(2):
-            record = Recorder(folder / "record" / f"part{number}.rec")
+            recorder = Recorder(folder / "record" / f"part{number}.rec")
             for row in rows[number::2]:
-                record.write_row(row.kind, row.at, *row.fields.values())
+                recorder.write_row(row.kind, row.at, *row.fields.values())
             if number == 1:
                 # An incomplete row, as a killed writer leaves it.
-                record.compressor.write(b"\0\0\0\x40half a row")
-                record.flush()
-                record.file.close()
+                recorder.compressor.write(b"\0\0\0\x40half a row")
+                recorder.flush()
+                recorder.file.close()
             else:
-                record.close()
+                recorder.close()
         study = Study("study", STUDY)
         results = Results(str(folder / "results.sqlite"))
         for case, variant, policy, seed in study.cells():
@@ -299,7 +302,7 @@
 
 
 def as_json(value):
-    """Returns a value as it is after encoding to JSON and decoding."""
+    """Return a value as it is after encoding to JSON and decoding."""
     return json.loads(json.dumps(value))
 
 
@@ -346,7 +349,7 @@
         self.expected = json.loads((DATA / "expected.json").read_text())
 
     def assert_same_json(self, found, expected):
-        """Checks that values are equal and of the same types (1 is not 1.0)."""
+        """Check that values are equal and of the same types (1 is not 1.0)."""
         found = as_json(found)
         self.assertEqual(found, expected)
         self.assertEqual(json.dumps(found, sort_keys=True), json.dumps(expected, sort_keys=True))
@@ -358,11 +361,11 @@
         self.assertGreater(len(tables["segments"]), 2)  # each start begins a new segment
         self.assertTrue(tables["pins"] and tables["held"])
         self.assertEqual(set(tables["notes"]), {"boots", "zone serial"})
-        with_several_versions = [
+        proxies_with_several_versions = [
             name for name, history in tables["proxies"].items() if len(history["versions"]) > 2
         ]
-        self.assertTrue(any(name.startswith("view:") for name in with_several_versions))
-        self.assertTrue(any(name.startswith("agent") for name in with_several_versions))
+        self.assertTrue(any(name.startswith("view:") for name in proxies_with_several_versions))
+        self.assertTrue(any(name.startswith("agent") for name in proxies_with_several_versions))
         self.assertTrue(self.expected["tables"]["ns3"]["gone"])
         self.assertTrue(self.expected["record"]["report"]["torn"] > 0)
         self.assertTrue(self.expected["results"]["broken"])
@@ -403,8 +406,8 @@
         tables.start()
         for name, (epoch, serial) in before.items():
             with self.assertRaises(ValueError):
-                tables.publish(name, epoch, serial, {"level/k": 1})
-            tables.publish(name, epoch, serial + 1, {"level/k": 7})
+                tables.record_version(name, epoch, serial, {"level/k": 1})
+            tables.record_version(name, epoch, serial + 1, {"level/k": 7})
         tables.record_note("zone serial", b"2026120208")
         tables.close()
         reread = StoredTables(folder)
@@ -456,7 +459,7 @@
                 self.check_folder_after_run(name, expected)
 
     def check_folder_after_run(self, name, expected):
-        """Checks the state folder after the run of a controller."""
+        """Check the state folder after the run of a controller."""
         tables = StoredTables(self.folder / "state" / f"tables-{name}")
         boots = int(expected["notes"]["boots"]) + 1
         self.assertEqual(tables.problems, [])
@@ -466,13 +469,13 @@
         newest = tables.newest_versions()
         for proxy, history in expected["proxies"].items():
             self.assertGreaterEqual(newest[proxy], tuple(history["newest"]))
-        with_new_versions = {
+        proxies_with_new_versions = {
             proxy
             for proxy, history in expected["proxies"].items()
             if newest[proxy] > tuple(history["newest"])
         }
-        self.assertTrue(with_new_versions)
-        self.assertEqual({newest[proxy][0] for proxy in with_new_versions}, {boots})
+        self.assertTrue(proxies_with_new_versions)
+        self.assertEqual({newest[proxy][0] for proxy in proxies_with_new_versions}, {boots})
         pinned_items = {
             key: msgspec.msgpack.decode(value)
             for key, value in tables.notes().items()
