--- a/peatlead/invariants/availability.py
+++ b/peatlead/invariants/availability.py
@@ -6,7 +6,7 @@
 from .record import Row
 
 Subscriber = tuple[str, str]  # (controller or PROXY_REPORTS, view or proxy)
-PROXY_REPORTS = "agents"  # replaces the controller's name in the Subscriber of a proxy
+PROXY_REPORTS = "agents"  # in the Subscriber of a proxy, in place of a controller
 
 
 class AvailabilityCheck:
@@ -20,15 +20,15 @@
     def __init__(self, rows: RowsByKind) -> None:
         self.longest_gap = 0.0  # seconds
         self.longest_gap_subscriber: Optional[Subscriber] = None
-        self.empty_since: dict[Subscriber, float] = {}
-        self.empty_answers_since: dict[Subscriber, float] = {}
-        self.supplied_proxies: set[str] = set()
+        self.empty_since: dict[Subscriber, float] = {}  # start time in seconds
+        self.empty_answers_since: dict[Subscriber, float] = {}  # start time in seconds
+        self.supplied_proxies: set[str] = set()  # with an entry in each table
         self.proxies = {row.agent for row in rows["stream"]}
         for row in rows_by_time(rows, ("answer", "message", "steward", "stream", "order")):
             self.process_row(row)
-        last = max((row.at for row in rows["message"] + rows["answer"]), default=0.0)
+        end_time = max((row.at for row in rows["message"] + rows["answer"]), default=0.0)
         for subscriber, since in self.empty_since.items():
-            self.record_gap(last - since, subscriber)
+            self.record_gap(end_time - since, subscriber)
 
     def record_gap(self, gap: float, subscriber: Subscriber) -> None:
         """Store a gap without entries, in seconds, if it is the longest."""
@@ -61,7 +61,10 @@
             self.empty_answers_since = {}
 
     def process_assignment(self, row: Row) -> None:
-        """Start or end a proxy's gap; `least` is the number of entries in its shortest table."""
+        """Start or end a proxy's gap at an assignment.
+
+        The field `least` is the number of entries in the proxy's shortest table.
+        """
         if row.done != "applied":
             return
         subscriber = PROXY_REPORTS, row.agent
@@ -75,7 +78,7 @@
     def process_message(self, row: Row) -> None:
         """Start or end a view's gap at a message that left the channel.
 
-        Messages to proxies are ignored: proxies record what they hold themselves.
+        Messages to proxies are ignored: proxies record the size of their tables themselves.
         """
         if row.view in self.proxies:
             return
@@ -100,7 +103,7 @@
     """Return the longest time that a view or proxy had no endpoint."""
     check = AvailabilityCheck(rows)
     limit = limits["bare_most"]
-    summary = f"longest {check.longest_gap:.2f} s of {limit} s"
+    summary = f"longest gap {check.longest_gap:.2f} s, limit {limit} s"
     if check.longest_gap_subscriber:
         summary += f" ({check.longest_gap_subscriber[1]} at {check.longest_gap_subscriber[0]})"
     return make_finding("1 a line to pick", check.longest_gap / limit, summary)
--- a/peatlead/invariants/channel.py
+++ b/peatlead/invariants/channel.py
@@ -8,11 +8,14 @@
 
 
 def check_channel(rows: RowsByKind, limits: Limits) -> Finding:
-    """Return the longest queue, the most messages to one subscriber, and the channel's rate."""
+    """Return how near the queue and the messages to one subscriber came to their limits.
+
+    The summary also contains the channel's maximum rate, for which there is no rule.
+    """
     messages = rows["message"]
-    max_queue_fraction = 0.0  # of the queue's limit
-    most_messages = 0
-    max_rate_fraction = 0.0  # of the configured rate
+    max_queue_fraction = 0.0  # longest queue / the queue's limit
+    max_messages = 0
+    max_rate_fraction = 0.0  # highest rate / the configured rate
     recent_messages: defaultdict[tuple[str, str], deque[float]] = defaultdict(deque)
     recent_entries: defaultdict[str, deque[tuple[float, float]]] = defaultdict(deque)
     for row in messages:
@@ -21,7 +24,7 @@
         message_times.append(row.at)
         while row.at - message_times[0] > limits["messages_span"]:
             message_times.popleft()
-        most_messages = max(most_messages, len(message_times))
+        max_messages = max(max_messages, len(message_times))
         sent_entries = recent_entries[row.steward]
         sent_entries.append((row.at, row.lines + limits["message_head"]))
         while row.at - sent_entries[0][0] > RATE_WINDOW:
@@ -30,12 +33,12 @@
             max_rate_fraction, sum(count for _, count in sent_entries) / limits["channel_rate"]
         )
     limit = limits["messages_most"]
-    message_fraction = most_messages / limit if limit else 0.0
+    max_messages_fraction = max_messages / limit if limit else 0.0
     summary = (
-        f"deepest {max_queue_fraction:.2f} of the limit, {most_messages} messages to one view in "
-        f"{limits['messages_span']:.0f} s, pace {max_rate_fraction:.2f} of what was told, "
-        f"{len(messages)} messages"
+        f"longest queue {max_queue_fraction:.2f} of its limit, "
+        f"{max_messages} messages to one view in {limits['messages_span']:.0f} s, "
+        f"rate up to {max_rate_fraction:.2f} of the configured rate, {len(messages)} messages"
     )
     return make_finding(
-        "5 the queue stays short", max(max_queue_fraction, message_fraction), summary
+        "5 the queue stays short", max(max_queue_fraction, max_messages_fraction), summary
     )
--- a/peatlead/invariants/controller_knowledge.py
+++ b/peatlead/invariants/controller_knowledge.py
@@ -1,4 +1,7 @@
-"""Whether a controller could know of a change: it ran while a correct endpoint list showed it."""
+"""Decides whether a controller could know of a change in the endpoint list.
+
+A controller could know of a change if it ran while a correct list showed the change.
+"""
 
 from collections import defaultdict
 
@@ -19,18 +22,18 @@
 
     def __init__(self, rows: RowsByKind) -> None:
         lists = rows["list"]
-        last = max(
+        end_time = max(
             (row.at for kind in ("list", "held", "try", "steward") for row in rows[kind]),
             default=0.0,
         )
-        ends = [row.at for row in lists[1:]] + [last]
+        list_ends = [row.at for row in lists[1:]] + [end_time]
         self.accurate_periods: list[Interval] = [
-            (row.at, end) for row, end in zip(lists, ends) if row.told
+            (row.at, end) for row, end in zip(lists, list_ends) if row.told
         ]
         self.answering_controllers = sorted(
             {row.steward for row in rows["answer"] if row.rcode != "none"}
         )
-        self.absences = find_absences(rows["steward"], last)
+        self.absences = find_absences(rows["steward"], end_time)
 
     def any_could_know(self, since: float, now: float) -> bool:
         """Whether a controller that runs `now` and answers could know of a change at `since`.
@@ -58,16 +61,16 @@
         return False
 
 
-def find_absences(events: list[Row], last: float) -> defaultdict[str, list[Interval]]:
+def find_absences(events: list[Row], end_time: float) -> defaultdict[str, list[Interval]]:
     """Return the intervals in which each controller was killed or frozen.
 
-    An absence without an end lasts until `last`.
+    An absence without an end lasts until `end_time`.
     """
     found: defaultdict[str, list[Interval]] = defaultdict(list)
     for row in events:
         intervals = found[row.steward]
         if row.what in ABSENCE_EVENTS:
-            intervals.append((row.at, last))
+            intervals.append((row.at, end_time))
         elif row.what in RETURN_EVENTS and intervals:
             intervals[-1] = intervals[-1][0], row.at
     return found
--- a/peatlead/invariants/drains.py
+++ b/peatlead/invariants/drains.py
@@ -19,7 +19,7 @@
 
 
 class ProxyConnections:
-    """The time since which each proxy has been connected to a running controller."""
+    """Follows the proxies' connections to controllers, and which controllers run."""
 
     def __init__(self) -> None:
         self.controllers: dict[str, str] = {}  # by proxy
@@ -47,7 +47,7 @@
             del self.controllers[row.agent]
 
     def connected_since(self, proxy: str, now: float) -> float:
-        """Return the start of a proxy's connection, or `now` without a running controller."""
+        """Return when a proxy was connected to its running controller, or `now` if it has none."""
         controller = self.controllers.get(proxy)
         if controller is None or controller in self.absent_controllers:
             return now
@@ -61,9 +61,9 @@
         self.grace = grace  # seconds
         self.knowledge = knowledge
         self.connections = ProxyConnections()
-        self.removed_at: dict[str, float] = {}  # by address
+        self.removed_at: dict[str, float] = {}  # start of the drain or removal, by address
         self.newest_version = 0
-        self.max_grace_fraction = 0.0  # longest time from a removal to an attempt / grace
+        self.max_grace_fraction = 0.0  # longest time from a removal to an attempt, / grace
         self.breaches: list[str] = []
         self.late_sends: defaultdict[str, dict[str, float]] = defaultdict(
             lambda: {"sends": 0, "after grace": 0, "worst": 0.0}
@@ -117,10 +117,10 @@
 def check_drains(
     rows: RowsByKind, limits: Limits, knowledge: ControllerKnowledge
 ) -> tuple[Finding, dict[str, dict[str, float]]]:
-    """Return the latest send after a drain, and the sends after the grace by resolver kind."""
+    """Return the finding for the drain rule, and counts of late sends by resolver kind."""
     grace = limits["drain_grace"]
     check = DrainCheck(rows, grace, knowledge)
-    summary = f"last send {check.max_grace_fraction * grace:.2f} s of {grace} s"
+    summary = f"latest send {check.max_grace_fraction * grace:.2f} s after a drain, grace {grace} s"
     if check.breaches:
         summary += ": " + ", ".join(check.breaches[:MAX_LISTED_BREACHES])
     drain_finding = make_finding(
--- a/peatlead/invariants/effects.py
+++ b/peatlead/invariants/effects.py
@@ -10,7 +10,7 @@
 
 
 def check_effects(rows: RowsByKind) -> Finding:
-    """Find requests that took effect more than once; replayable requests may."""
+    """Find requests that took effect more than once, except replayable requests."""
     effect_counts = Counter(
         (row.req, row.repeat) for row in rows["effect"] if row.repeat != "replayable"
     )
@@ -19,15 +19,15 @@
     ]
     summary = f"{len(effect_counts)} effects, none twice"
     if repeated:
-        named = repeated[:MAX_LISTED_BREACHES]
+        listed = repeated[:MAX_LISTED_BREACHES]
         summary = ", ".join(
-            f"{request} ({repeat}) {count} times" for request, repeat, count in named
+            f"{request} ({repeat}) {count} times" for request, repeat, count in listed
         )
     return make_finding("2 no effect twice", float(len(repeated)), summary, len(repeated))
 
 
 class AssignmentCheck:
-    """Counts how proxies handled the assignments of several controllers."""
+    """Counts how proxies handled assignments, and epochs that several controllers used."""
 
     def __init__(self, assignments: list[Row]) -> None:
         self.newest_applied: dict[str, Version] = {}  # by proxy
@@ -59,9 +59,9 @@
     check = AssignmentCheck(rows_by_time(rows, ["order"]))
     breaches = check.applied_twice + check.applied_late + check.shared_epochs
     summary = (
-        f"{len(rows['order'])} orders: {check.applied_twice} applied twice, "
+        f"{len(rows['order'])} assignments: {check.applied_twice} applied twice, "
         f"{check.applied_late} old ones applied of "
         f"{check.ignored + check.applied_late} that arrived, "
-        f"{check.refused} refused, {check.shared_epochs} of an epoch that two owners gave"
+        f"{check.refused} refused, {check.shared_epochs} with an epoch of another controller"
     )
     return make_finding("6 no order twice, none old", float(breaches), summary, breaches)
--- a/peatlead/invariants/findings.py
+++ b/peatlead/invariants/findings.py
@@ -11,7 +11,7 @@
 MAX_LISTED_BREACHES = 5  # breaches that a finding names one by one
 MAX_LIST_READ_DELAY = 0.25  # seconds until a controller, polling every 0.2 s, has read a new list
 DRAIN_BOUND_RESOLVERS = ("keeps", "agent")
-"""Resolver kinds under the drain rule; others may use expired answers (RFC 8767)."""
+"""Resolver kinds to which the drain rule applies; others may use expired answers (RFC 8767)."""
 
 
 class Finding(NamedTuple):
@@ -48,12 +48,12 @@
     """The findings and measurements of a day's recording."""
 
     findings: list[Finding]
-    service: dict[str, dict[str, Any]]  # `measure_service`
-    late_sends: dict[str, dict[str, float]]  # `check_drains`, by resolver kind
-    answers: dict[str, int]  # by resolver kind
+    service: dict[str, dict[str, Any]]  # result of `measure_service`, by request class
+    late_sends: dict[str, dict[str, float]]  # result of `check_drains`, by resolver kind
+    answers: dict[str, int]  # number of answers, by resolver kind
     failed_endpoints: list[FailedEndpoint]
     takeovers: list[Takeover]
-    rows: int
+    rows: int  # number of recorded rows
     torn_bytes: int  # incomplete rows at the end of files
 
     @property
@@ -81,9 +81,9 @@
 
 def readable_lists(lists: Sequence[Row]) -> list[Row]:
     """Return the correct endpoint lists that stayed long enough for a controller to read them."""
-    following: list[Optional[Row]] = [*lists[1:], None]
+    next_lists: list[Optional[Row]] = [*lists[1:], None]
     return [
         row
-        for row, after in zip(lists, following)
-        if row.told and (after is None or after.at - row.at >= MAX_LIST_READ_DELAY)
+        for row, next_list in zip(lists, next_lists)
+        if row.told and (next_list is None or next_list.at - row.at >= MAX_LIST_READ_DELAY)
     ]
--- a/peatlead/invariants/published_tables.py
+++ b/peatlead/invariants/published_tables.py
@@ -14,7 +14,7 @@
 )
 from .record import Row
 
-MAX_DELIVERY_TIME = 1.5  # seconds from a version's publication to its arrival at the proxy
+MAX_DELIVERY_TIME = 1.5  # seconds from the publication of a version until the proxy holds it
 GONE_CONFIRMATION_TIME = 5.0  # seconds that a gone endpoint may be kept while it answers
 
 
@@ -49,7 +49,7 @@
                 removals.setdefault(address, row.at)
 
     def seconds_past_grace(self, controller: str, address: str, now: float) -> float:
-        """Return for how many seconds past the grace an endpoint has been removed, 0 for none.
+        """Return by how many seconds the time since an endpoint's removal exceeds the grace, or 0.
 
         Only removals that the controller could know of count. An endpoint that was listed as gone
         but not as draining has GONE_CONFIRMATION_TIME seconds more.
@@ -107,8 +107,11 @@
         """Check the table that a proxy holds after it has applied a delta."""
         self.held[row.agent] = row
         if not row.sound:
-            self.violations.append(f"{row.agent}'s memory does not fit {row.epoch}.{row.serial}")
-        # Delayed messages on an abandoned stream arrive together, with the removal last.
+            self.violations.append(
+                f"{row.agent}'s table does not match the digest of {row.epoch}.{row.serial}"
+            )
+        # An abandoned stream delivers its delayed messages at once, and a later one may remove what
+        # an earlier one contains.
         if self.controllers.get(row.agent, row.steward) != row.steward:
             return
         seconds_past_grace = {
@@ -117,13 +120,16 @@
         }
         self.revived_endpoints += sum(seconds > 0 for seconds in seconds_past_grace.values())
         self.violations += [
-            f"{row.agent} was given {address} {seconds:.2f} s past the grace"
+            f"{row.agent} received {address} {seconds:.2f} s after the end of its drain grace"
             for address, seconds in seconds_past_grace.items()
             if seconds
         ]
 
     def compare_final_table(self, row: Row) -> None:
-        """Compare a controller's last publication with the last table of a proxy it still has."""
+        """Compare the last table that a controller published with the one that its proxy holds.
+
+        Proxies that are no longer connected to the controller are ignored.
+        """
         held = self.held.get(row.agent)
         if held is None or self.controllers.get(row.agent) != row.steward:
             return
@@ -145,8 +151,9 @@
     """Check that proxies end with the published tables and hold no drained endpoint."""
     check = PublishedTablesCheck(rows, limits["drain_grace"], knowledge)
     summary = (
-        f"{len(rows['held'])} deltas applied, {check.matching_final_tables} agents end on what was "
-        f"last published, {check.revived_endpoints} hosts revived, {len(rows['pin'])} pins"
+        f"{len(rows['held'])} deltas applied, {check.matching_final_tables} proxies end with "
+        f"the last published table, {check.revived_endpoints} removed endpoints came back, "
+        f"{len(rows['pin'])} pins"
     )
     summary += "".join(f"; {violation}" for violation in check.violations[:MAX_LISTED_BREACHES])
     return make_finding(
--- a/peatlead/invariants/record.py
+++ b/peatlead/invariants/record.py
@@ -57,7 +57,10 @@
 
 
 class Row(NamedTuple):
-    """One event. Its fields can be read as attributes, except those hidden by the tuple's own."""
+    """One event, whose fields can also be read as attributes.
+
+    Attributes of the tuple hide fields of the same name: `row.kind` is the kind of the row.
+    """
 
     kind: str
     at: float  # seconds on the machine's monotonic clock
@@ -135,7 +138,7 @@
 
 
 def read_folder(folder: Union[str, Path]) -> Recording:
-    """Return the rows of all `*.rec` files in a folder, by time."""
+    """Return the rows of all `*.rec` files in a folder, ordered by time."""
     rows: list[Row] = []
     torn_bytes = 0
     for path in sorted(Path(folder).glob("*.rec")):
--- a/peatlead/invariants/report.py
+++ b/peatlead/invariants/report.py
@@ -46,7 +46,7 @@
     """Return the table of rules with their findings."""
     table = make_table(
         f"{title}: rules checked on {report.rows} recorded rows",
-        ("rule", "nearest", "kept", "what was seen"),
+        ("rule", "fraction of limit", "kept", "summary"),
         justify_right=False,
     )
     for rule, fraction_of_limit, breaches, summary in report.findings:
@@ -56,10 +56,10 @@
 
 
 def service_table(report: Report) -> Table:
-    """Return the table of gains and of the outcomes of late and failed requests, by class."""
+    """Return the table of gains and of the counts of late and failed requests, by class."""
     table = make_table(
         "service: earned gain as a fraction of the gain of all requests",
-        ("request kind", "reqs", "service", *LOSS_OUTCOMES),
+        ("request class", "reqs", "service", *LOSS_OUTCOMES),
         justify_right=True,
     )
     for request_class, figures in report.service.items():
@@ -90,13 +90,13 @@
     """Return the table of times that proxies were without a controller, by cause."""
     table = make_table(
         "proxies of a killed, frozen or draining controller: seconds until reconnected",
-        ("what", "agents", "median", "99th", "worst"),
+        ("cause", "proxies", "median", "99th percentile", "maximum"),
         justify_right=True,
     )
     for cause in sorted({takeover.cause for takeover in takeovers}):
-        spans = sorted(takeover.duration for takeover in takeovers if takeover.cause == cause)
-        quantiles = [spans[int((len(spans) - 1) * quantile)] for quantile in QUANTILES]
-        table.add_row(cause, str(len(spans)), *(f"{span:.2f}" for span in quantiles))
+        durations = sorted(takeover.duration for takeover in takeovers if takeover.cause == cause)
+        quantiles = [durations[int((len(durations) - 1) * quantile)] for quantile in QUANTILES]
+        table.add_row(cause, str(len(durations)), *(f"{duration:.2f}" for duration in quantiles))
     return table
 
 
@@ -104,18 +104,18 @@
     """Return the table of times that failed endpoints were still answered and used, by fault."""
     table = make_table(
         "silent and hung endpoints: seconds from the fault to",
-        ("trouble", "hosts", "last answer: median, longest", "last attempt: median, longest"),
+        ("fault", "endpoints", "last answer: median, longest", "last attempt: median, longest"),
         justify_right=True,
     )
     for fault in sorted({endpoint.fault for endpoint in failed}):
         endpoints = [endpoint for endpoint in failed if endpoint.fault == fault]
         answers = sorted(endpoint.until_last_answer for endpoint in endpoints)
         attempts = sorted(endpoint.until_last_attempt for endpoint in endpoints)
-        spans = [
+        cells = [
             f"{sorted_seconds[len(sorted_seconds) // 2]:.1f}, {sorted_seconds[-1]:.1f}"
             for sorted_seconds in (answers, attempts)
         ]
-        table.add_row(fault, str(len(endpoints)), *spans)
+        table.add_row(fault, str(len(endpoints)), *cells)
     return table
 
 
--- a/peatlead/invariants/service.py
+++ b/peatlead/invariants/service.py
@@ -1,4 +1,4 @@
-"""Service to clients: gain by request class, and how long failed endpoints were still used."""
+"""Measures the gain by request class, and how long failed endpoints were still used."""
 
 from collections import Counter
 from typing import Any
--- a/peatlead/invariants/slow_start.py
+++ b/peatlead/invariants/slow_start.py
@@ -7,7 +7,7 @@
 from .findings import MAX_LISTED_BREACHES, Finding, Limits, RowsByKind, make_finding, readable_lists
 from .record import Row
 
-START_TOLERANCE = 0.2  # seconds between the listed start and the endpoint's own
+START_TOLERANCE = 0.2  # seconds by which a listed start may precede the start of the process
 
 
 class ListedStart(NamedTuple):
@@ -37,33 +37,33 @@
 def check_slow_start(rows: RowsByKind, limits: Limits, knowledge: ControllerKnowledge) -> Finding:
     """Return the largest load offered to a cold endpoint, as a fraction of the overload limit."""
     starts = listed_starts(rows["list"], limits["drain_grace"])
-    max_fraction = 0.0
-    max_endpoint: Optional[str] = None
+    max_load_fraction = 0.0
+    most_loaded_endpoint: Optional[str] = None
     overloaded: set[str] = set()
-    unknown_starts: set[str] = set()  # endpoints overloaded before their start could be known
+    overloaded_before_known: set[str] = set()  # no controller could know of their start
     for row in rows["cold"] + rows["tipped"]:
         known = start_was_known(row, starts[row.host], knowledge)
         if row.kind == "tipped":
-            (overloaded if known else unknown_starts).add(row.host)
-        elif known and row.part > max_fraction:
-            max_fraction = row.part
-            max_endpoint = row.host
-    summary = "no host was known to be cold"
+            (overloaded if known else overloaded_before_known).add(row.host)
+        elif known and row.part > max_load_fraction:
+            max_load_fraction = row.part
+            most_loaded_endpoint = row.host
+    summary = "no endpoint was known to be cold"
     if overloaded:
-        summary = f"tipped: {', '.join(sorted(overloaded)[:MAX_LISTED_BREACHES])}"
-        max_fraction = max(1.0, max_fraction)
-    elif max_endpoint:
-        summary = f"nearest {max_endpoint}"
-    if unknown_starts:
-        summary += f"; {len(unknown_starts)} tipped before their start could be known"
-    return make_finding("4 no cold host pushed over", max_fraction, summary, len(overloaded))
+        summary = f"overloaded: {', '.join(sorted(overloaded)[:MAX_LISTED_BREACHES])}"
+        max_load_fraction = max(1.0, max_load_fraction)
+    elif most_loaded_endpoint:
+        summary = f"nearest to the limit: {most_loaded_endpoint}"
+    if overloaded_before_known:
+        summary += f"; {len(overloaded_before_known)} overloaded before their start could be known"
+    return make_finding("4 no cold host pushed over", max_load_fraction, summary, len(overloaded))
 
 
 def start_was_known(row: Row, starts: list[ListedStart], knowledge: ControllerKnowledge) -> bool:
     """Whether the rule applied at a row: the start was listed and a controller could know of it."""
-    shown = [start for start in starts if start.started_at >= row.since - START_TOLERANCE]
+    known_starts = [start for start in starts if start.started_at >= row.since - START_TOLERANCE]
     return (
-        bool(shown)
-        and row.at > shown[0].applies_at
-        and knowledge.any_could_know(shown[0].listed_at, row.at)
+        bool(known_starts)
+        and row.at > known_starts[0].applies_at
+        and knowledge.any_could_know(known_starts[0].listed_at, row.at)
     )
--- a/peatlead/invariants/takeovers.py
+++ b/peatlead/invariants/takeovers.py
@@ -7,11 +7,11 @@
 
 FAILURE_EVENTS = ("killed", "frozen", "draining")
 RETURN_EVENTS = ("started", "woken")
-MIN_UNRESOLVED_WAIT = 5.0  # seconds; a proxy waiting longer at the end was never taken over
+MIN_UNRESOLVED_WAIT = 5.0  # seconds; shorter waits at the end of the recording are ignored
 
 
 class PendingTakeover(NamedTuple):
-    """A proxy without a controller: the cause, its time in seconds, and the controller."""
+    """Why and since when (in seconds) a proxy is without a controller, and its last controller."""
 
     cause: str
     since: float
@@ -38,7 +38,7 @@
                 if controller == row.steward:
                     self.pending.setdefault(proxy, PendingTakeover(row.what, row.at, row.steward))
         elif row.what in RETURN_EVENTS:
-            # The controller was frozen so briefly that these proxies stayed connected.
+            # These proxies stayed connected, because the controller was frozen only briefly.
             still_connected = [
                 proxy
                 for proxy, pending in self.pending.items()
@@ -62,10 +62,10 @@
 def find_takeovers(rows: RowsByKind) -> list[Takeover]:
     """Return the takeovers of all proxies; proxies that still wait at the end come last."""
     check = TakeoverCheck(rows)
-    last = max((row.at for row in rows["stream"]), default=0.0)
-    never = [
-        Takeover(f"{pending.cause}, never", last - pending.since)
+    end_time = max((row.at for row in rows["stream"]), default=0.0)
+    unresolved = [
+        Takeover(f"{pending.cause}, never", end_time - pending.since)
         for pending in check.pending.values()
-        if last - pending.since > MIN_UNRESOLVED_WAIT
+        if end_time - pending.since > MIN_UNRESOLVED_WAIT
     ]
-    return check.takeovers + never
+    return check.takeovers + unresolved
--- a/tests/invariants/test_checker.py
+++ b/tests/invariants/test_checker.py
@@ -1,4 +1,4 @@
-"""The checks of the rules, on recordings that break them."""
+"""Each check of a rule finds breaches, and no others, in small recordings."""
 
 import tempfile
 import unittest
@@ -54,7 +54,7 @@
             self.broken_rules(answer(1, ["a1"]), message(1), listed(0, "ready"), sent(2, "a1")), []
         )
 
-    def test_availability_view_without_entry_is_found(self):
+    def test_availability_view_without_entry_for_too_long_is_found(self):
         self.assertEqual(self.broken_rules(message(1, held=0), message(5.1, held=2)), ["1"])
         self.assertEqual(self.broken_rules(message(1, held=0), message(4.9, held=2)), [])
         self.assertEqual(
@@ -148,22 +148,24 @@
         )  # controllers that have a new endpoint in a table know that it is cold
         report = check_rows(*restart, row("cold", 12, "h1", 1.2, 9.0), row("tipped", 12, "h1", 9.0))
         self.assertTrue(report.all_rules_kept)
-        self.assertIn("1 tipped before", report.findings[3].summary)
+        self.assertIn("1 overloaded before", report.findings[3].summary)
         self.assertEqual(
             self.broken_rules(restart[0], row("tipped", 20, "h1", 15.0)), []
         )  # a start that no list showed
 
-    def test_channel_queue_and_message_limits(self):
+    def test_channel_queue_or_messages_above_their_limits_are_found(self):
         self.assertEqual(self.broken_rules(message(1, waiting=1001.0)), ["5"])
         self.assertEqual(self.broken_rules(*(message(at) for at in range(6))), ["5"])
         self.assertEqual(self.broken_rules(*(message(at * 4) for at in range(6))), [])
 
     def test_service_counts_gain_by_request_class(self):
-        reqs = [
-            row("req", 1, f"r{at}", "look", "desk0", "keeps", "first", outcome, 0.5, 1, gain)
-            for at, (outcome, gain) in enumerate((("done", 2.0), ("late", 0.2), ("timed out", 0.0)))
+        requests = [
+            row("req", 1, f"r{number}", "look", "desk0", "keeps", "first", outcome, 0.5, 1, gain)
+            for number, (outcome, gain) in enumerate(
+                (("done", 2.0), ("late", 0.2), ("timed out", 0.0))
+            )
         ]
-        self.assertAlmostEqual(check_rows(*reqs).service["look"]["part"], 2.2 / 6)
+        self.assertAlmostEqual(check_rows(*requests).service["look"]["part"], 2.2 / 6)
 
 
 class RecordingTest(unittest.TestCase):
