--- a/peatlead/fleet/membership.py
+++ b/peatlead/fleet/membership.py
@@ -46,8 +46,8 @@
 
 MAX_HELPERS = 2  # members asked for an indirect ping (k in the SWIM paper)
 STALL_INTERVALS = 3  # probe intervals without a tick after which this process counts as stalled
-RELAY_TIMEOUTS = 3  # ack timeouts that a helper waits for the answer to an indirect ping
-INDIRECT_TIMEOUTS = 2  # ack timeouts for an indirect answer, which travels twice as far
+RELAY_TIMEOUTS = 3  # helpers wait this multiple of the ack timeout for the answer to their ping
+INDIRECT_TIMEOUTS = 2  # multiple of the ack timeout for an indirect answer, which travels twice
 MAX_INCARNATION = 1 << 62  # greater than every incarnation in use
 
 
@@ -70,7 +70,7 @@
 
 
 class Leave(NamedTuple):
-    """Event: this member stops and announces that to the others."""
+    """Event: this member stops, and tells the others that it leaves."""
 
 
 class SendDatagram(NamedTuple):
@@ -93,7 +93,7 @@
 
 
 class Relay(NamedTuple):
-    """A ping on behalf of another member, to whose address the answer is passed on."""
+    """A ping that was sent for another member; the answer is forwarded to `requester`."""
 
     requester: Address
     number: int  # of the requester's `IndirectPing`
@@ -103,22 +103,22 @@
 class Membership:
     """The failure detector of one member.
 
-    `seeds`: addresses to ping while no reachable member has them. `probe_interval`: seconds
+    `seeds`: addresses to ping while no live member has them. `probe_interval`: seconds
     between probes. `ack_timeout`: seconds to wait for an answer. `suspicion_timeout`: seconds that
     a suspected member has to refute the suspicion (see `MemberTable`).
     """
 
     def __init__(
         self,
-        me: MemberInfo,
+        own_info: MemberInfo,
         seeds: Iterable[Address],
         rng: Random,
         probe_interval: float = 0.3,
         ack_timeout: float = 0.15,
         suspicion_timeout: float = 1.0,
     ) -> None:
-        self.table = MemberTable(me, suspicion_timeout)
-        self.seeds = [seed for seed in seeds if seed != me.address]
+        self.table = MemberTable(own_info, suspicion_timeout)
+        self.seeds = [seed for seed in seeds if seed != own_info.address]
         self.rng = rng
         self.probe_interval = probe_interval
         self.ack_timeout = ack_timeout
@@ -127,14 +127,14 @@
         self.probes: dict[int, Probe] = {}  # by ping number
         self.relays: dict[int, Relay] = {}  # by ping number
         self.next_probe_at = 0.0
-        self.last_tick: Optional[float] = None
+        self.last_tick_at: Optional[float] = None
         self.now = 0.0
         self.actions: list[Action] = []
 
     @property
-    def me(self) -> MemberInfo:
+    def own_info(self) -> MemberInfo:
         """The fact on this member."""
-        return self.table.me
+        return self.table.own_info
 
     @property
     def members(self) -> dict[str, Member]:
@@ -143,7 +143,7 @@
 
     def live_members(self) -> dict[str, MemberInfo]:
         """Returns the members that are alive or suspected, sorted by name."""
-        return self.table.reachable()
+        return self.table.live_members()
 
     def decide(self, now: float, events: Iterable[Event]) -> list[Action]:
         """Handles the events in order and returns the actions to carry out.
@@ -172,7 +172,7 @@
     def _on_tick(self) -> None:
         if self._has_stalled():
             self._recover_from_stall()
-        self.last_tick = self.now
+        self.last_tick_at = self.now
         for number, probe in list(self.probes.items()):
             if self.now >= probe.deadline:
                 self._on_probe_timeout(number, probe)
@@ -187,19 +187,22 @@
 
     def _has_stalled(self) -> bool:
         max_interval = STALL_INTERVALS * self.probe_interval
-        return self.last_tick is not None and self.now - self.last_tick > max_interval
+        return self.last_tick_at is not None and self.now - self.last_tick_at > max_interval
 
     def _recover_from_stall(self) -> None:
-        """Cancels all probes: answers may have arrived while this process was stalled."""
+        """Cancels all probes, since their deadlines may have passed only because of the stall.
+
+        Suspicions start again, and this member announces that it is alive.
+        """
         self.probes = {}
         self.relays = {}
         self.table.restart_suspicions(self.now)
-        self.table.refute(self.me.incarnation)
+        self.table.refute(self.own_info.incarnation)
 
     # Probes.
 
     def _probe_next(self) -> None:
-        peers = self.table.peers()
+        peers = self.table.live_peer_names()
         self.probe_queue = [name for name in self.probe_queue if name in peers]
         if not self.probe_queue:
             self.probe_queue = peers
@@ -212,14 +215,14 @@
         self._send(self.members[name].info.address, Ping(number, self.table.next_facts()))
 
     def _ping_seed(self) -> None:
-        """Pings one seed that no reachable member has, to join the fleet or heal a partition."""
-        known = {info.address for info in self.live_members().values()}
-        unknown = [seed for seed in self.seeds if seed not in known]
-        if not unknown:
+        """Pings one seed that is no live member's address, to join the fleet or end a partition."""
+        live_addresses = {info.address for info in self.live_members().values()}
+        missing_seeds = [seed for seed in self.seeds if seed not in live_addresses]
+        if not missing_seeds:
             return
         number = self._next_number()
-        seed = self.rng.choice(unknown)
-        facts = [self.me, *self.table.next_facts()[: MAX_FACTS - 1]]
+        seed = self.rng.choice(missing_seeds)
+        facts = [self.own_info, *self.table.next_facts()[: MAX_FACTS - 1]]
         self._send(seed, Ping(number, facts))
 
     def _on_probe_timeout(self, number: int, probe: Probe) -> None:
@@ -227,7 +230,7 @@
         member = self.live_members().get(probe.name)
         if member is None:
             return
-        helpers = [name for name in self.table.peers() if name != probe.name]
+        helpers = [name for name in self.table.live_peer_names() if name != probe.name]
         if helpers and not probe.indirect:
             self._probe_indirectly(number, member, helpers)
         elif member.state == MemberState.ALIVE:
@@ -258,17 +261,17 @@
                 self._on_indirect_ping(address, message)
 
     def _on_ping(self, address: Address, ping: Ping) -> None:
-        senders = self.table.at_address(address)
+        senders = self.table.find_by_address(address)
         corrections = self._corrections(senders, ping.facts)
-        facts = corrections + self.table.next_facts(everything=not senders)
+        facts = corrections + self.table.next_facts(include_disseminated=not senders)
         self._send(address, Ack(ping.number, facts[:MAX_FACTS]))
 
     @staticmethod
     def _corrections(senders: list[Member], facts: list[MemberInfo]) -> list[MemberInfo]:
         """Returns the facts on the sender of a ping that the sender has to refute.
 
-        These are facts that do not say that it is alive, and facts of a later incarnation than it
-        reports, from before a restart of the sender.
+        The sender has to refute a fact that does not say that the sender is alive. It also has to
+        refute a fact from before its restart, whose incarnation is later than the reported one.
         """
         incarnations = {info.name: info.incarnation for info in facts}
         return [
@@ -295,22 +298,24 @@
     # This member.
 
     def _on_status(self, load: int, draining: bool) -> None:
-        if (load, draining) == (self.me.load, self.me.draining):
+        if (load, draining) == (self.own_info.load, self.own_info.draining):
             return
-        next_incarnation = self.me.incarnation + 1
-        self.table.update_me(
+        next_incarnation = self.own_info.incarnation + 1
+        self.table.update_own_info(
             msgspec.structs.replace(
-                self.me, load=load, draining=draining, incarnation=next_incarnation
+                self.own_info, load=load, draining=draining, incarnation=next_incarnation
             )
         )
 
     def _on_leave(self) -> None:
-        next_incarnation = self.me.incarnation + 1
-        self.table.update_me(
-            msgspec.structs.replace(self.me, state=MemberState.LEFT, incarnation=next_incarnation)
+        next_incarnation = self.own_info.incarnation + 1
+        self.table.update_own_info(
+            msgspec.structs.replace(
+                self.own_info, state=MemberState.LEFT, incarnation=next_incarnation
+            )
         )
-        for name in self.table.peers()[:MAX_FACTS]:
-            self._send(self.members[name].info.address, Ping(0, [self.me]))
+        for name in self.table.live_peer_names()[:MAX_FACTS]:
+            self._send(self.members[name].info.address, Ping(0, [self.own_info]))
 
     # Actions.
 
--- a/peatlead/standin/xds_proxies.py
+++ b/peatlead/standin/xds_proxies.py
@@ -277,7 +277,7 @@
     def _send_first_requests(self, call: Call, hops: int) -> None:
         # Each connection needs an epoch of its own: an earlier controller may only be slow and
         # could still use the previous epoch. Every connection attempt therefore advances the fence.
-        self.fence = Fence((self.fence.newest[0] + 1, PAST_ALL_SERIALS))
+        self.fence = Fence((self.fence.newest_version[0] + 1, PAST_ALL_SERIALS))
         if self.plan.incremental:
             self._send_first_deltas(call, hops)
             return
@@ -301,7 +301,7 @@
 
     def _send_first_deltas(self, call: Call, hops: int) -> None:
         """Subscribe to all parts of the tables, and send the versions of the held items."""
-        self.replica.reject_up_to(Version(*self.fence.newest))
+        self.replica.reject_up_to(Version(*self.fence.newest_version))
         for type_url, part in PART_BY_TYPE.items():
             request = discovery_pb2.DeltaDiscoveryRequest(
                 type_url=type_url, resource_names_subscribe=["*"]
@@ -316,7 +316,7 @@
         request.node.locality.zone = self.plan.zone
         request.node.metadata.update(
             {
-                "epoch": self.fence.newest[0],
+                "epoch": self.fence.newest_version[0],
                 "rate": self.plan.rate,
                 "hops": hops,
                 "avoid": [
@@ -348,7 +348,7 @@
         )
         try:
             self._apply(response)
-            self.fence = self.fence.advanced_to(*version)
+            self.fence = self.fence.after_update(*version)
             outcome = AssignmentOutcome.APPLIED
         except ValueError as error:
             answer.error_detail.code = INVALID_ARGUMENT
@@ -399,7 +399,7 @@
 
     def _use_applied_delta(self, controller: str, version: Version, part: str) -> None:
         """Use the new state of the replica for requests, and record it."""
-        self.fence = self.fence.advanced_to(*version)
+        self.fence = self.fence.after_update(*version)
         self._rebuild_tables()
         self._record_assignment(controller, version, AssignmentOutcome.APPLIED)
         # Only deltas with entries change the recorded digest; admissions and policies do not.
