--- a/peatlead/scenario/context.py
+++ b/peatlead/scenario/context.py
@@ -1,4 +1,4 @@
-"""The state that all faults of a day share."""
+"""The objects that all faults of a day share."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Coroutine
@@ -11,7 +11,7 @@
 
 RNG_SEED_OFFSET = 1000  # added to the day's seed, which the fleet's layout uses unchanged
 
-Fault = dict[str, Any]  # the values of a call in a day script, and the builtin's name as "verb"
+Fault = dict[str, Any]  # values of a call in a day script; "verb" is the name of the builtin
 FaultPlayer = Callable[[Fault], Awaitable[None]]  # returns when the fault has ended
 
 
--- a/peatlead/scenario/controller_faults.py
+++ b/peatlead/scenario/controller_faults.py
@@ -12,7 +12,7 @@
 
 PUBLISHED_TABLES_TIMEOUT = 1.0  # seconds
 MIN_RANDOM_OUTAGE = 0.5  # seconds
-RANDOM_INTERVAL_FACTORS = (0.3, 1.7)  # range of intervals, relative to the mean interval
+RANDOM_INTERVAL_FACTORS = (0.3, 1.7)  # range of random intervals, as factors of the mean
 
 
 class ControllerEvent(StrEnum):
@@ -52,34 +52,34 @@
     async def kill(self, fault: Fault) -> None:
         """Kill a controller and start it again after the fault's length."""
         number = fault["steward"]
-        if not self._reserve(number):
+        if not self._reserve_controller(number):
             return
         self.controllers[number].kill()
         self.controllers[number].wait()
-        self._record(number, ControllerEvent.KILLED)
+        self._record_event(number, ControllerEvent.KILLED)
         await asyncio.sleep(fault["length"])
         self.start_controller(number)
-        self._record(number, ControllerEvent.STARTED)
+        self._record_event(number, ControllerEvent.STARTED)
         self._unavailable.discard(number)
 
     async def freeze(self, fault: Fault) -> None:
         """Freeze a controller for the fault's length, like a pause of its virtual machine."""
         number = fault["steward"]
-        if not self._reserve(number):
+        if not self._reserve_controller(number):
             return
         controller = self.controllers[number]
         controller.send_signal(signal.SIGSTOP)
-        self._record(number, ControllerEvent.FROZEN)
+        self._record_event(number, ControllerEvent.FROZEN)
         await asyncio.sleep(fault["length"])
         controller.send_signal(signal.SIGCONT)
-        self._record(number, ControllerEvent.RESUMED)
+        self._record_event(number, ControllerEvent.RESUMED)
         self._unavailable.discard(number)
 
     async def interrupt_at_random(self, fault: Fault) -> None:
         """Kill and freeze random controllers, but never the last available one."""
         rng = self.context.rng
         end = self.context.now() + fault["length"]
-        running = []
+        tasks = []
         while self.context.now() < end:
             available = [number for number in self.controllers if number not in self._unavailable]
             if len(available) > 1:
@@ -88,9 +88,9 @@
                     "length": rng.uniform(MIN_RANDOM_OUTAGE, fault["most"]),
                 }
                 play = self.freeze if rng.random() < fault["freezes"] else self.kill
-                running.append(self.context.create_task(play(single_fault)))
+                tasks.append(self.context.create_task(play(single_fault)))
             await asyncio.sleep(fault["every"] * rng.uniform(*RANDOM_INTERVAL_FACTORS))
-        await asyncio.gather(*running)
+        await asyncio.gather(*tasks)
 
     async def pin_older_tables(self, fault: Fault) -> None:
         """Pin older tables as an operator, through the first controller that answers."""
@@ -111,12 +111,12 @@
 
     async def drain(self, fault: Fault) -> None:
         """Drain a controller as an operator: it hands over all proxies that it owns."""
-        self._record(fault["steward"], ControllerEvent.DRAINING)
+        self._record_event(fault["steward"], ControllerEvent.DRAINING)
         question = {"ask": "fleet", "do": "drain"}
         await ask_once(self._control_address(fault["steward"]), question)
 
     async def record_published_tables(self) -> None:
-        """Record the version that each controller last published to each of its proxies."""
+        """Record the last version that each controller published to each of its proxies."""
         for number in self.controllers:
             if number in self._unavailable:
                 continue
@@ -133,7 +133,7 @@
                     "published", self.context.now(), address, proxy, epoch, serial, digest, age
                 )
 
-    def _reserve(self, number: int) -> bool:
+    def _reserve_controller(self, number: int) -> bool:
         """Reserve a controller for a fault and return True.
 
         Returns False if another fault affects the controller, or if it does not exist because a
@@ -144,7 +144,7 @@
         self._unavailable.add(number)
         return True
 
-    def _record(self, number: int, event: ControllerEvent) -> None:
+    def _record_event(self, number: int, event: ControllerEvent) -> None:
         """Record an event of a controller twice: by its name and by its address.
 
         The feed identifies a controller by name, resolvers and proxies by address.
@@ -153,11 +153,13 @@
             self.context.recorder.write_row("steward", self.context.now(), name, event.value)
 
     def _control_address(self, number: int) -> tuple[str, int]:
+        """Return the address of a controller's control socket."""
         address, port = self.context.fleet.controller_addresses[number]
         return address, port + 1
 
 
 def _pin_question(fault: Fault) -> dict[str, Any]:
+    """Return the question to the control socket that pins older tables."""
     selector, value = "share", str(fault["share"])
     if fault["zone"]:
         selector, value = "zone", fault["zone"]
--- a/peatlead/scenario/controller_feeds.py
+++ b/peatlead/scenario/controller_feeds.py
@@ -56,5 +56,5 @@
             )
 
 
-def _feed_client(take: Callable[[bytes], None]) -> Callable[[], ControlClient]:
-    return lambda: ControlClient({"ask": "feed"}, take)
+def _feed_client(on_message: Callable[[bytes], None]) -> Callable[[], ControlClient]:
+    return lambda: ControlClient({"ask": "feed"}, on_message)
--- a/peatlead/scenario/controller_settings.py
+++ b/peatlead/scenario/controller_settings.py
@@ -6,29 +6,29 @@
 from .fleet import DOMAIN, GRPC_PORT_OFFSET, RESOLVER_NETWORK, Fleet
 
 FLEET_KEY = "5a" * 32  # a test key, not a secret
-OPEN_VIEWS = 16  # in days with DNS clients
+OPEN_VIEWS = 16  # value of `open_views` in days with DNS clients
 REQUEST_CLASS_FIELDS = ("name", "response_target", "client_timeout", "gain", "repeat")
 
 
 def settings_script(fleet: Fleet, list_path: Path) -> str:
     """Return the settings script that all controllers of a fleet share."""
     lines = [f"zone(name = {zone!r})" for zone in fleet.zones]
-    lines.append(_dns(fleet))
-    lines.append(_limits(fleet))
+    lines.append(_dns_call(fleet))
+    lines.append(_limits_call(fleet))
     lines.append(f"node_list(path = {str(list_path)!r})")
     if fleet.proxies:
-        lines.append(_grpc(fleet))
+        lines.append(_grpc_call(fleet))
         lines.append(f"fleet(keys = [{FLEET_KEY!r}])")
     steering = fleet.scenario["steering"]
     lines.append(f"probes(port = {fleet.port}, deadline = {steering['probe_deadline']})")
     lines.append(f"choices(gone_is_advice = {steering['gone_is_advice']})")
-    lines += _request_classes(fleet)
-    lines += _controllers(fleet)
-    lines += _views(fleet)
+    lines += _request_class_calls(fleet)
+    lines += _controller_calls(fleet)
+    lines += _view_calls(fleet)
     return "\n".join(lines) + "\n"
 
 
-def _dns(fleet: Fleet) -> str:
+def _dns_call(fleet: Fleet) -> str:
     steering = fleet.scenario["steering"]
     open_views = OPEN_VIEWS if fleet.client_networks else 0
     return (
@@ -38,7 +38,7 @@
     )
 
 
-def _limits(fleet: Fleet) -> str:
+def _limits_call(fleet: Fleet) -> str:
     steering = fleet.scenario["steering"]
     endpoints = fleet.scenario["fleet"]
     return (
@@ -48,7 +48,7 @@
     )
 
 
-def _grpc(fleet: Fleet) -> str:
+def _grpc_call(fleet: Fleet) -> str:
     proxies = fleet.scenario["agents"]
     return (
         f"grpc(proxies = {len(fleet.proxies)}, pick = {proxies['pick']!r}, "
@@ -56,7 +56,7 @@
     )
 
 
-def _request_classes(fleet: Fleet) -> Iterator[str]:
+def _request_class_calls(fleet: Fleet) -> Iterator[str]:
     request_classes = fleet.scenario["kinds"]
     for request_class in request_classes:
         values = ", ".join(f"{name} = {request_class[name]!r}" for name in REQUEST_CLASS_FIELDS)
@@ -64,26 +64,29 @@
     yield f"service(label = 'api', kinds = {[kind['name'] for kind in request_classes]!r})"
 
 
-def _controllers(fleet: Fleet) -> Iterator[str]:
+def _controller_calls(fleet: Fleet) -> Iterator[str]:
     for number, (address, port) in enumerate(fleet.controller_addresses):
         zone = fleet.zones[number % len(fleet.zones)]
         yield (
             f"steward(name = 'ns{number + 1}', zone = {zone!r}, seed = {number + 1}, "
             f"listen = '{address}:{port}', control = '{address}:{port + 1}'"
-            f"{_proxy_addresses(fleet, address, port)})"
+            f"{_proxy_address_fields(fleet, address, port)})"
         )
 
 
-def _proxy_addresses(fleet: Fleet, address: str, port: int) -> str:
-    """Return a controller's addresses for proxies and peers, empty in a day without proxies."""
+def _proxy_address_fields(fleet: Fleet, address: str, port: int) -> str:
+    """Return the fields with a controller's addresses for proxies and peers, "" without proxies."""
     if not fleet.proxies:
         return ""
     peer = f", peer = '{address}:{port + 1}'" if fleet.scenario["agents"]["share"] else ""
     return f", grpc = '{address}:{port + GRPC_PORT_OFFSET}'{peer}"
 
 
-def _views(fleet: Fleet) -> Iterator[str]:
-    """Yield a view for each client network, without resolvers that several networks share."""
+def _view_calls(fleet: Fleet) -> Iterator[str]:
+    """Yield the call of a view for each client network.
+
+    Resolvers that several networks share are omitted, since they belong to no single view.
+    """
     resolvers = {
         resolver["name"]: resolver["address"]
         for resolver in fleet.resolvers
--- a/peatlead/scenario/endpoint_faults.py
+++ b/peatlead/scenario/endpoint_faults.py
@@ -8,9 +8,9 @@
 from .fleet import Plan
 from .standin_commands import EndpointCommand
 
-START_LISTING_DELAY = 0.3  # seconds from an endpoint's start until the list contains it
+START_LISTING_DELAY = 0.3  # seconds from an endpoint's start until the list shows the start
 DRAIN_LISTING_DELAY = 0.2  # seconds until the list marks an endpoint as draining
-POD_DOWNTIME = 1.0  # seconds
+POD_DOWNTIME = 1.0  # seconds from the stop of a pod's endpoints until their start
 
 
 class EndpointFaults:
@@ -51,29 +51,27 @@
         """Let endpoints neither answer nor reset connections, then restart them cold."""
         plans = await self._apply_for_duration(fault, EndpointCommand.SILENT, True, False)
         await self.context.standins.command_endpoints(plans, EndpointCommand.START)
-        self._list_as_started(plans)
-        self._mark_unaffected(plans)
+        self._list_as_just_started(plans)
+        self._end_fault(plans)
 
     async def hung(self, fault: Fault) -> None:
         """Let endpoints accept connections but never answer."""
-        self._mark_unaffected(
-            await self._apply_for_duration(fault, EndpointCommand.HUNG, True, False)
-        )
+        self._end_fault(await self._apply_for_duration(fault, EndpointCommand.HUNG, True, False))
 
     async def quick_errors(self, fault: Fault) -> None:
         """Let endpoints answer some requests with an error at once."""
         plans = await self._apply_for_duration(fault, EndpointCommand.ERRORS, fault["errors"], 0.0)
-        self._mark_unaffected(plans)
+        self._end_fault(plans)
 
     async def neighbour(self, fault: Fault) -> None:
         """Take some of the endpoints' CPU capacity, like other work on the same machine."""
         plans = await self._apply_for_duration(fault, EndpointCommand.STOLEN, fault["stolen"], 0.0)
-        self._mark_unaffected(plans)
+        self._end_fault(plans)
 
     async def lost_answers(self, fault: Fault) -> None:
         """Let endpoints process requests but lose some of the answers."""
         plans = await self._apply_for_duration(fault, EndpointCommand.LOST, fault["lost"], 0.0)
-        self._mark_unaffected(plans)
+        self._end_fault(plans)
 
     async def pauses(self, fault: Fault) -> None:
         """Pause endpoints repeatedly."""
@@ -84,7 +82,7 @@
                 plans, EndpointCommand.PAUSE, fault["pause"]
             )
             await asyncio.sleep(fault["every"])
-        self._mark_unaffected(plans)
+        self._end_fault(plans)
 
     async def pod_restart(self, fault: Fault) -> None:
         """Restart all endpoints of some pods at once, cold; they stay in the endpoint list."""
@@ -101,7 +99,7 @@
         for plan in plans:
             await self.context.standins.restart_endpoint(plan)
         await asyncio.sleep(START_LISTING_DELAY)
-        self._list_as_started(plans)
+        self._list_as_just_started(plans)
 
     async def release(self, fault: Fault) -> None:
         """Play a rolling release: each endpoint drains, stops and is replaced by a cold one."""
@@ -112,14 +110,14 @@
         for plan in plans:
             while len(running) >= at_once:
                 await asyncio.wait(running, return_when=asyncio.FIRST_COMPLETED)
-            task = self.context.create_task(self._replace(plan, fault["drain"]))
+            task = self.context.create_task(self._replace_endpoint(plan, fault["drain"]))
             running.add(task)
             task.add_done_callback(running.discard)
             await asyncio.sleep(interval)
         if running:
             await asyncio.wait(running)
 
-    async def _replace(self, plan: Plan, drain: float) -> None:
+    async def _replace_endpoint(self, plan: Plan, drain: float) -> None:
         """Drain an endpoint for `drain` seconds, stop it and start its successor.
 
         The successor has another name and address.
@@ -127,29 +125,29 @@
         standins = self.context.standins
         await standins.command_endpoints([plan], EndpointCommand.DRAINING)
         await asyncio.sleep(DRAIN_LISTING_DELAY)
-        self._list(plan, "draining", 0.0)
+        self._set_listed_phase(plan, "draining", 0.0)
         await standins.command_endpoints([plan], EndpointCommand.DRAIN)
         await asyncio.sleep(drain)
         await standins.command_endpoints([plan], EndpointCommand.STOP)
-        self._list(plan, "gone", 0.0)
+        self._set_listed_phase(plan, "gone", 0.0)
         successor = self.context.fleet.plan_successor(plan)
         await self.add_endpoint(successor)
         self.context.fleet.replace(plan, successor)
         started = self.context.now()
         await asyncio.sleep(START_LISTING_DELAY)
-        self._list(successor, "ready", started)
+        self._set_listed_phase(successor, "ready", started)
 
     async def _apply_for_duration(
-        self, fault: Fault, command: EndpointCommand, value: Any, after: Any
+        self, fault: Fault, command: EndpointCommand, value: Any, reset_value: Any
     ) -> list[Plan]:
-        """Choose endpoints, set `value` for the fault's length and then `after`.
+        """Choose endpoints, set a value by a command, and reset it after the fault's length.
 
-        Returns the plans of the chosen endpoints, which stay marked as affected.
+        Returns the plans of the chosen endpoints, which remain marked as affected.
         """
         plans = self._choose_endpoints(fault)
         await self.context.standins.command_endpoints(plans, command, value)
         await asyncio.sleep(fault["length"])
-        await self.context.standins.command_endpoints(plans, command, after)
+        await self.context.standins.command_endpoints(plans, command, reset_value)
         return plans
 
     def _choose_endpoints(self, fault: Fault) -> list[Plan]:
@@ -166,15 +164,17 @@
         self.context.record_fault(fault, chosen)
         return chosen
 
-    def _mark_unaffected(self, plans: list[Plan]) -> None:
-        """Let other faults affect these endpoints again."""
+    def _end_fault(self, plans: list[Plan]) -> None:
+        """Unmark endpoints as affected, so that other faults can choose them."""
         self._affected.difference_update(plan["name"] for plan in plans)
 
-    def _list(self, plan: Plan, phase: str, started: float) -> None:
+    def _set_listed_phase(self, plan: Plan, phase: str, started: float) -> None:
+        """Write the list with a new phase of an endpoint."""
         self.context.endpoint_list.set_entry(plan, phase, started)
         self.context.endpoint_list.write()
 
-    def _list_as_started(self, plans: list[Plan]) -> None:
+    def _list_as_just_started(self, plans: list[Plan]) -> None:
+        """Write the list with endpoints that are ready and started now."""
         for plan in plans:
             self.context.endpoint_list.set_entry(plan, "ready", self.context.now())
         self.context.endpoint_list.write()
--- a/peatlead/scenario/endpoint_list_file.py
+++ b/peatlead/scenario/endpoint_list_file.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-VERSIONS_BACK = 5  # how much older the version number of an outdated list is
+OUTDATED_VERSION_LAG = 5  # versions by which an outdated list is older
 GHOST_WEIGHT = 4.0  # weight of a listed endpoint that does not exist
 
 Entry = dict[str, Any]  # an endpoint in the file
@@ -36,7 +36,7 @@
 
 
 class ListFault(NamedTuple):
-    """A fault of the file: replaces its contents and may truncate the written data."""
+    """A fault of the file, which replaces its contents and may truncate the written data."""
 
     apply: Callable[[Contents], Contents]
     truncated: bool = False
@@ -45,8 +45,8 @@
 class EndpointListFile:
     """The known endpoints, and the file that lists them.
 
-    Each write is recorded as a row `list`, which contains whether the file was correct. The checker
-    does not require controllers to follow an incorrect list.
+    Each write is recorded as a row `list`, which also states whether the list was correct. The
+    checker does not require controllers to follow an incorrect list.
     """
 
     def __init__(self, path: Path, now: Callable[[], float], recorder: RowRecorder) -> None:
@@ -109,11 +109,11 @@
             case "list_torn":
                 self.fault = ListFault(lambda contents: contents, truncated=True)
             case "list_old":
-                self.fault = self._outdated()
+                self.fault = self._outdated_list()
             case "list_shrunk":
-                self.fault = self._incomplete(parameters["part"], rng)
+                self.fault = self._incomplete_list(parameters["part"], rng)
             case _:
-                self.fault = self._with_ghosts(parameters["ghosts"])
+                self.fault = self._list_with_ghosts(parameters["ghosts"])
         self.write()
 
     def end_fault(self) -> None:
@@ -121,23 +121,23 @@
         self.fault = None
         self.write()
 
-    def _outdated(self) -> ListFault:
+    def _outdated_list(self) -> ListFault:
         """Return a fault that lists all current endpoints as ready, with an older version."""
         ready = [dict(entry, phase="ready") for entry in self.endpoints.values()]
-        old = Contents(ready, max(0, self.version - VERSIONS_BACK))
-        return ListFault(lambda contents: old)
+        outdated = Contents(ready, max(0, self.version - OUTDATED_VERSION_LAG))
+        return ListFault(lambda contents: outdated)
 
-    def _incomplete(self, fraction: float, rng: Random) -> ListFault:
+    def _incomplete_list(self, fraction: float, rng: Random) -> ListFault:
         """Return a fault that omits a random fraction of the current endpoints."""
-        missing = {name for name in sorted(self.endpoints) if rng.random() < fraction}
+        omitted = {name for name in sorted(self.endpoints) if rng.random() < fraction}
 
         def apply(contents: Contents) -> Contents:
-            listed = [entry for entry in contents.endpoints if entry["name"] not in missing]
+            listed = [entry for entry in contents.endpoints if entry["name"] not in omitted]
             return Contents(listed, contents.version)
 
         return ListFault(apply)
 
-    def _with_ghosts(self, count: int) -> ListFault:
+    def _list_with_ghosts(self, count: int) -> ListFault:
         """Return a fault that adds endpoints that do not exist."""
         zones = sorted({entry["zone"] for entry in self.endpoints.values()})
         ghosts = [
--- a/peatlead/scenario/fleet.py
+++ b/peatlead/scenario/fleet.py
@@ -13,16 +13,16 @@
 ENDPOINT_NETWORK = "127.10"
 RESOLVER_NETWORK = "127.20"
 CONTROLLER_NETWORK = "127.1.0"
-MIN_RATE = 0.05  # requests per second
+MIN_RATE = 0.05  # requests per second of a network or proxy
 CLIENT_COUNT_RANGE = (2, 40)  # minimum and maximum per network
-GRPC_PORT_OFFSET = 2  # from a controller's DNS port; the port between is its control socket
+GRPC_PORT_OFFSET = 2  # added to a controller's DNS port; the control socket's offset is 1
 REQUEST_CLASS_FIELDS = ("name", "share", "response_target", "client_timeout", "gain", "repeat")
 
 Plan = dict[str, Any]
 
 
 class Fleet:
-    """The plans and addresses of everything that exists when a day begins."""
+    """The plans and addresses of the endpoints, controllers, clients and proxies of a day."""
 
     def __init__(self, scenario: dict[str, Any], port: int) -> None:
         self.scenario = scenario
--- a/peatlead/scenario/kinds.py
+++ b/peatlead/scenario/kinds.py
@@ -14,7 +14,7 @@
 from .script import load_day
 
 PLANNERS = ("shards", "plain")
-BASELINE_ADDRESSES = 32  # per answer: more than the days have endpoints
+BASELINE_ADDRESSES = 32  # per answer; the days have fewer endpoints
 DAY_LENGTH = 30  # seconds
 BASE_SCRIPT = f"day(length = {DAY_LENGTH}, seed = 3)\n"
 MIXED_CLIENTS = (
@@ -69,11 +69,11 @@
     the same time. Raises KeyError for an unknown case.
     """
     cases = {only: CASES[only]} if only else CASES
-    slots = asyncio.Semaphore(at_once)
+    day_limit = asyncio.Semaphore(at_once)
     reports: Reports = {}
 
     async def play_case(name: str, planner: str) -> None:
-        report = await _play(name, planner, folder, slots)
+        report = await _play_case(name, planner, folder, day_limit)
         reports[name, planner] = report
         echo(
             f"{name} ({planner}): service {report.service['whole']['part']:.4f}, "
@@ -89,13 +89,13 @@
     )
 
 
-async def _play(name: str, planner: str, folder: Path, slots: asyncio.Semaphore) -> Report:
+async def _play_case(name: str, planner: str, folder: Path, day_limit: asyncio.Semaphore) -> Report:
     """Play a case under a planner, and store and return its report."""
     scenario = load_day(name, BASE_SCRIPT + CASES[name])
     if planner == "plain":
         scenario["steering"]["addresses"] = BASELINE_ADDRESSES
     case_folder = folder / name.replace(" ", "-").replace(",", "") / planner
-    async with slots:
+    async with day_limit:
         report = await Day(scenario, case_folder, planner).play()
     (case_folder / "report.json").write_text(json.dumps(as_data(report), indent=1))
     return report
@@ -118,15 +118,16 @@
     )
     broken_rules = [finding.rule[0] for finding in baseline.findings if finding.breaches]
     return (
-        f"| {name} | {_service(planned)} | {_service(baseline)} | {_not_served(planned)} "
-        f"| {_not_served(baseline)} | {nearest} | {', '.join(broken_rules) or 'none'} |"
+        f"| {name} | {_format_service(planned)} | {_format_service(baseline)} "
+        f"| {_count_not_served(planned)} | {_count_not_served(baseline)} "
+        f"| {nearest} | {', '.join(broken_rules) or 'none'} |"
     )
 
 
-def _service(report: Report) -> str:
+def _format_service(report: Report) -> str:
     return f"{report.service['whole']['part']:.3f}"
 
 
-def _not_served(report: Report) -> int:
+def _count_not_served(report: Report) -> int:
     outcomes: dict[str, int] = report.service["whole"]["outcomes"]
     return sum(count for outcome, count in outcomes.items() if outcome not in ("done", "late"))
--- a/peatlead/scenario/plain.py
+++ b/peatlead/scenario/plain.py
@@ -14,7 +14,7 @@
     TimerFired,
 )
 
-TABLE = 0  # the number of the only table
+TABLE = 0  # number of the only table
 TICK_TIMER = 0  # timer number
 TICK_INTERVAL = 0.1  # seconds
 
@@ -25,7 +25,7 @@
     def __init__(self, settings: dict[str, Any], seed: int) -> None:
         self.request_classes = tuple(range(len(settings["req_kinds"])))
         self.weights: dict[int, float] = {}  # in the table, by endpoint
-        self.started = False  # whether the timer was set
+        self.timer_started = False
 
     def decide(self, now: float, events: Iterable[Event]) -> list[Command]:
         """Return the commands that follow from a batch of events."""
@@ -37,22 +37,22 @@
                 commands.append(AssignTable(event.proxy, TABLE, self.request_classes))
             elif type(event) is TimerFired:
                 commands.append(SetTimer(TICK_TIMER, TICK_INTERVAL))
-        if not self.started:
-            self.started = True
+        if not self.timer_started:
+            self.timer_started = True
             commands.append(SetTimer(TICK_TIMER, TICK_INTERVAL))
         return commands
 
     def _update_table(self, update: EndpointUpdate) -> list[Command]:
         """Return commands that make the table equal to the endpoint list."""
-        listed = {
+        ready_weights = {
             endpoint.id: endpoint.weight
             for endpoint in update.endpoints
             if endpoint.phase == "ready"
         }
         changes: list[Command] = [
-            SetEntry(TABLE, endpoint, listed.get(endpoint, 0.0))
-            for endpoint in sorted(self.weights.keys() | listed.keys())
-            if listed.get(endpoint) != self.weights.get(endpoint)
+            SetEntry(TABLE, endpoint, ready_weights.get(endpoint, 0.0))
+            for endpoint in sorted(self.weights.keys() | ready_weights.keys())
+            if ready_weights.get(endpoint) != self.weights.get(endpoint)
         ]
-        self.weights = listed
+        self.weights = ready_weights
         return changes
--- a/peatlead/scenario/processes.py
+++ b/peatlead/scenario/processes.py
@@ -21,7 +21,7 @@
     PROXIES = "agents"
 
 
-STANDIN_NETWORKS: dict[str, int] = {  # x in addresses 127.2.x.y; also part of the seeds
+STANDIN_NETWORKS: dict[str, int] = {  # third byte of the address, also used in the seed
     StandIn.ENDPOINTS: 1,
     StandIn.DNS_CLIENTS: 2,
     StandIn.PROXIES: 3,
--- a/peatlead/scenario/runner.py
+++ b/peatlead/scenario/runner.py
@@ -32,8 +32,8 @@
 PROXY_PROCESSES = 2
 STARTUP_DELAY = 3.0  # seconds from the start of the processes until they are checked
 REQUEST_DELAY = 0.2  # seconds from the command to begin requests until the first request
-INITIAL_AGE = 10_000  # seconds since the start of initial endpoints, so that they are warm
-STALE_FILES = ("*.rec", "*.log", "state/*")  # patterns of files of an earlier day
+INITIAL_AGE = 10_000  # seconds since the listed start of the first endpoints, which are warm
+STALE_FILES = ("*.rec", "*.log", "state/*")  # glob patterns of the files of an earlier day
 
 
 class Day:
@@ -100,7 +100,7 @@
     def _remove_stale_files(self) -> None:
         """Remove files of an earlier day from the folder.
 
-        Controllers would restore an earlier endpoint list and treat its endpoints as restarted.
+        Otherwise controllers would restore that day's list and treat its endpoints as restarted.
         """
         for pattern in STALE_FILES:
             for path in list(self.folder.glob(pattern)):
@@ -243,10 +243,10 @@
 
 
 async def _end_tasks(tasks: "list[asyncio.Task[None]]") -> None:
-    """Cancel the tasks that still run. Raises the first exception of a task that had ended."""
+    """Cancel the tasks that still run, and raise the first exception of the others."""
     for task in tasks:
         if not task.done():
             task.cancel()
-    for outcome in await asyncio.gather(*tasks, return_exceptions=True):
-        if isinstance(outcome, Exception) and not isinstance(outcome, asyncio.CancelledError):
-            raise outcome
+    for result in await asyncio.gather(*tasks, return_exceptions=True):
+        if isinstance(result, Exception) and not isinstance(result, asyncio.CancelledError):
+            raise result
--- a/peatlead/scenario/script.py
+++ b/peatlead/scenario/script.py
@@ -47,7 +47,7 @@
         key=lambda fault: fault["at"],
     )
     try:
-        _check(scenario)
+        _check_consistency(scenario)
     except ValueError as error:
         raise SettingsError(f"{name}:1: {error}") from None
     return scenario
@@ -63,7 +63,7 @@
     return {field: spec.default for field, spec in SETUP_BUILTINS[builtin].items()}
 
 
-def _check(scenario: Scenario) -> None:
+def _check_consistency(scenario: Scenario) -> None:
     """Raise ValueError if values of different calls contradict each other."""
     require_unique(scenario["fleet"]["zones"], "zone")
     require_unique([kind["name"] for kind in scenario["kinds"]], "request kind")
--- a/peatlead/scenario/standin_commands.py
+++ b/peatlead/scenario/standin_commands.py
@@ -29,7 +29,7 @@
 
 
 class StandInCommands:
-    """Sends commands to stand-ins and knows which process runs each of them."""
+    """Sends commands to the processes that run the stand-ins."""
 
     def __init__(self) -> None:
         self.endpoint_processes: list[Address] = []
@@ -37,11 +37,11 @@
         self.proxy_processes: list[Address] = []
         self._process_by_endpoint: dict[str, Address] = {}  # by endpoint name
         self._transport: asyncio.BaseTransport | None = None
-        self._sender: Any = None
+        self._client: Any = None
 
     async def open(self) -> None:
         """Open the socket for commands."""
-        self._transport, self._sender = await asyncio.get_running_loop().create_datagram_endpoint(
+        self._transport, self._client = await asyncio.get_running_loop().create_datagram_endpoint(
             CommandClient, local_addr=LOCAL_ADDRESS
         )
 
@@ -55,7 +55,7 @@
 
         Raises RuntimeError if the command failed, or TimeoutError if there was no reply.
         """
-        await self._sender.execute(process, command)
+        await self._client.execute(process, command)
 
     async def add_endpoint(self, plan: Plan) -> None:
         """Add an endpoint to the process of its pod."""
@@ -83,7 +83,7 @@
                 )
 
     async def add_clients(self, resolvers: list[Plan], networks: list[Plan]) -> None:
-        """Add the resolvers, and their networks of DNS clients to the same processes."""
+        """Add the resolvers, and each network of DNS clients to the process of its resolver."""
         names = sorted(resolver["name"] for resolver in resolvers)
 
         def resolver_process(resolver: str) -> Address:
--- a/peatlead/scenario/traffic_faults.py
+++ b/peatlead/scenario/traffic_faults.py
@@ -5,7 +5,7 @@
 from .context import DayContext, Fault, FaultPlayer
 from .standin_commands import EndpointCommand
 
-MIN_RATE_FACTOR = 0.1  # for networks of the other zones during a shift
+MIN_RATE_FACTOR = 0.1  # of the request rate of the other zones during a shift
 
 
 class TrafficFaults:
@@ -28,11 +28,13 @@
         """Increase the request rates of one zone's networks and decrease the others' in return."""
         zones = self.context.fleet.zones
         if fault["zone"]:
-            zone = zones.index(fault["zone"])
+            zone_index = zones.index(fault["zone"])
         else:
-            zone = self.context.rng.randrange(len(zones))
+            zone_index = self.context.rng.randrange(len(zones))
         networks = [plan["view"] for plan in self.context.fleet.client_networks]
-        in_zone = [name for number, name in enumerate(networks) if number % len(zones) == zone]
+        in_zone = [
+            name for number, name in enumerate(networks) if number % len(zones) == zone_index
+        ]
         in_other_zones = [name for name in networks if name not in in_zone]
         reduced_factor = max(
             MIN_RATE_FACTOR, 1 - (fault["times"] - 1) * len(in_zone) / max(1, len(in_other_zones))
