--- a/peatlead/lab/canonical_form.py
+++ b/peatlead/lab/canonical_form.py
@@ -1,8 +1,8 @@
 """Conversion of events and commands to plain values, for digests that do not depend on names.
 
-An event or command becomes the number of its type in `TYPES` and its field values in order, so that
-renaming types or fields does not change a digest. Numbers are never reused: new types are added at
-the end. No I/O.
+An event or command becomes the number of its type in `INTERFACE_TYPES` and its field values in
+order, so that renaming types or fields does not change a digest. Numbers are never reused: new
+types are added at the end. No I/O.
 """
 
 from enum import StrEnum
@@ -10,7 +10,7 @@
 
 from .. import interface
 
-TYPES: tuple[type, ...] = (
+INTERFACE_TYPES: tuple[type, ...] = (
     interface.Endpoint,
     interface.EndpointUpdate,
     interface.ProxyConnected,
@@ -38,14 +38,14 @@
     interface.SetTimer,
     interface.LogMessage,
 )
-NUMBERS = {value_type: number for number, value_type in enumerate(TYPES)}
+TYPE_NUMBERS = {value_type: number for number, value_type in enumerate(INTERFACE_TYPES)}
 
 
 def canonical_form(value: Any) -> Any:
     """Return a value as nested tuples of plain values. Raises TypeError for other types."""
     value_type = type(value)
-    if value_type in NUMBERS:
-        return ("kind", NUMBERS[value_type], *map(canonical_form, value))
+    if value_type in TYPE_NUMBERS:
+        return ("kind", TYPE_NUMBERS[value_type], *map(canonical_form, value))
     if value_type in (tuple, list):
         return tuple(map(canonical_form, value))
     if value_type is dict:
--- a/peatlead/lab/datagrams.py
+++ b/peatlead/lab/datagrams.py
@@ -38,13 +38,13 @@
         delay = links.delay(self.address[0], address[0])
         if delay is None or links.drop_datagram():
             return
-        due = self.simulation.now + links.with_random_reordering(delay)
-        self.simulation.schedule(due, None, self._arrive, bytes(data), address)
+        arrives_at = self.simulation.now + links.with_random_reordering(delay)
+        self.simulation.schedule(arrives_at, None, self._arrive, bytes(data), address)
 
     def _arrive(self, data: bytes, address: Address) -> None:
-        target = self.simulation.datagram_endpoints.get(address)
-        if target is not None and not target.closed:
-            target.loop.run_callback(target._deliver, (data, self.address))
+        receiver = self.simulation.datagram_endpoints.get(address)
+        if receiver is not None and not receiver.closed:
+            receiver.loop.run_callback(receiver._deliver, (data, self.address))
 
     def _deliver(self, data: bytes, source: Address) -> None:
         if not self.closed:
--- a/peatlead/lab/day.py
+++ b/peatlead/lab/day.py
@@ -1,8 +1,8 @@
 """Days on simulated time.
 
 `SimulatedDay` is the day of `peatlead.scenario.runner` with processes of a `Simulation` in place of
-operating system processes. Controllers, stand-ins and the day's driver run unchanged. Only starting,
-killing and freezing a process is implemented differently, and the recording is kept in memory.
+operating system processes. Controllers, stand-ins and the day's driver run unchanged. Only the
+start, the end and the freezing of processes differ, and the recording is kept in memory.
 """
 
 import asyncio
@@ -26,7 +26,7 @@
 from .simulation import Simulation, play
 
 PORT = 20_000
-# A day creates millions of short-lived objects and few reference cycles.
+# Collections are rare: a day creates millions of short-lived objects and few cycles.
 GC_THRESHOLDS = 50_000, 20, 100  # see gc.set_threshold()
 PLANNERS = {"shards": Planner, "plain": PlainPlanner, "home": HomePlanner}
 POLICIES = (*PLANNERS, "oracle")
@@ -52,7 +52,7 @@
 
 
 class SimulatedProcess:
-    """A process of the simulation with the interface of `subprocess.Popen` that a day needs."""
+    """A process of the simulation; has the methods of `subprocess.Popen` that a day calls."""
 
     def __init__(self, loop):
         self.loop, self.args = loop, ["", "", "", loop.name]
@@ -188,10 +188,10 @@
 
     def record_decisions(self, name, controller):
         """Add the commands of each planner decision to the digest, in canonical form."""
-        original = controller.planner.decide
+        original_decide = controller.planner.decide
 
         def decide(now, events):
-            commands = original(now, events)
+            commands = original_decide(now, events)
             self.simulation.record("decide", name, len(events), canonical_form(commands))
             return commands
 
@@ -214,20 +214,20 @@
     async def link_cut(self, fault):
         """Drop all packets between two zones or addresses, or in one direction only."""
         source, target, links = fault["one"], fault["other"], self.simulation.links
-        pairs = {(source, target)} | ({(target, source)} if fault["both"] else set())
-        links.cut |= pairs
+        cut_links = {(source, target)} | ({(target, source)} if fault["both"] else set())
+        links.cut |= cut_links
         await asyncio.sleep(fault["length"])
-        links.cut -= pairs
+        links.cut -= cut_links
 
     async def link_slow(self, fault):
         """Delay packets from one zone or address to another."""
-        pair = fault["one"], fault["other"]
-        self.simulation.links.extra_delay[pair] = fault["late"]
+        link = fault["one"], fault["other"]
+        self.simulation.links.extra_delay[link] = fault["late"]
         await asyncio.sleep(fault["length"])
-        self.simulation.links.extra_delay.pop(pair, None)
+        self.simulation.links.extra_delay.pop(link, None)
 
     async def datagrams_lost(self, fault):
-        """Lose a random part of all datagrams."""
+        """Lose a random fraction of all datagrams."""
         self.simulation.links.loss = fault["part"]
         await asyncio.sleep(fault["length"])
         self.simulation.links.loss = 0.0
@@ -291,7 +291,8 @@
 def play_day(scenario, seed, planner="shards", replacements=None, trace=False, timers=None):
     """Play a scenario in a simulation of its own and return a `DayResult`.
 
-    `seed` replaces the scenario's own seed. The same arguments give the same digest.
+    `seed` replaces the scenario's own seed, `timers` is the simulation's timer queue, and with `trace`
+    the events of the digest are kept. The same arguments give the same digest.
     """
     scenario = {**scenario, "day": {**scenario["day"], "seed": seed}}
     simulation = Simulation(seed, timers, trace)
@@ -305,7 +306,7 @@
         report = None
         try:
             report = play(simulation, loop, day.play(), scenario["day"]["length"] + 120.0)
-        except (RuntimeError, TimeoutError, asyncio.TimeoutError) as problem:
+        except (RuntimeError, TimeoutError, asyncio.TimeoutError) as error:
             if not simulation.failures:
-                simulation.report_failure(loop, problem, "day")
+                simulation.report_failure(loop, error, "day")
     return DayResult(report, simulation, day)
--- a/peatlead/lab/hunt.py
+++ b/peatlead/lab/hunt.py
@@ -10,7 +10,7 @@
 from .day import play_day
 from .random_scenario import as_script, draw_scenario
 
-MAX_FAILING_SEEDS = 5  # a search ends after this many
+MAX_FAILING_SEEDS = 5  # after which a search ends
 
 
 class FailingSeed(NamedTuple):
@@ -23,10 +23,10 @@
     script: str
 
 
-def symptoms(problems):
+def problem_types(problems):
     """Return the broken rules and the types of exceptions of a list of problems.
 
-    A reduced scenario reproduces a problem if they have a symptom in common.
+    A reduced scenario reproduces a failure if their problems have a type in common.
     """
     return {
         problem.split(":")[0]
@@ -58,19 +58,19 @@
     Returns the FailingSeeds with reduced scripts, and how many seeds were played. Calls
     `report_progress(done, note)` after each seed and `print_line(text)` with messages.
     """
-    failing, done, start = [], 0, time.perf_counter()
+    failing, played_count, start = [], 0, time.perf_counter()
     with multiprocessing.get_context("spawn").Pool(workers) as pool:
         for seed, problems, digest, _, _ in pool.imap_unordered(
             play_seed, ((seed, kind, length) for seed in seeds)
         ):
-            done += 1
+            played_count += 1
             report_progress(
-                done,
+                played_count,
                 note
-                := f"{len(failing)} failing seeds, {done / (time.perf_counter() - start):.1f} seeds/s",
+                := f"{len(failing)} failing seeds, {played_count / (time.perf_counter() - start):.1f} seeds/s",
             )
-            if done % 100 == 0:
-                print_line(f"{done} seeds, {note}")
+            if played_count % 100 == 0:
+                print_line(f"{played_count} seeds, {note}")
             if problems:
                 print_line(f"seed {seed} ({kind}): {problems[0]}")
                 failing.append(FailingSeed(seed, kind, problems, digest, ""))
@@ -84,33 +84,34 @@
             )
         )
         for found in sorted(failing)
-    ], done
+    ], played_count
 
 
-def shrink(scenario, seed, problems, play=play_day, tries=60):
-    """Return the scenario with fewer faults and a shorter length, with the same symptom.
+def shrink(scenario, seed, problems, play=play_day, max_plays=60):
+    """Return the scenario with fewer faults and a shorter length, with a problem of the same type.
 
-    Plays at most `tries` scenarios to remove faults, and three more to shorten the day.
+    Plays at most `max_plays` scenarios to remove faults, and three more to shorten the day.
     """
-    expected = symptoms(problems)
+    expected = problem_types(problems)
 
     def reproduces(candidate):
-        return bool(expected & symptoms(play(candidate, seed).problems))
+        return bool(expected & problem_types(play(candidate, seed).problems))
 
-    size = max(1, len(scenario["troubles"]) // 2)
-    while size and tries > 0:
-        start, removed = 0, False
-        while start < len(scenario["troubles"]) and tries > 0:
+    chunk_size = max(1, len(scenario["troubles"]) // 2)
+    while chunk_size and max_plays > 0:
+        start, any_removed = 0, False
+        while start < len(scenario["troubles"]) and max_plays > 0:
             candidate = {
                 **scenario,
-                "troubles": scenario["troubles"][:start] + scenario["troubles"][start + size :],
+                "troubles": scenario["troubles"][:start]
+                + scenario["troubles"][start + chunk_size :],
             }
-            tries -= 1
+            max_plays -= 1
             if reproduces(candidate):
-                scenario, removed = candidate, True
+                scenario, any_removed = candidate, True
             else:
-                start += size
-        size = size // 2 if not removed or size > 1 else 0
+                start += chunk_size
+        chunk_size = chunk_size // 2 if not any_removed or chunk_size > 1 else 0
     for fraction in (0.5, 0.7, 0.85):
         shorter = {
             **scenario,
--- a/peatlead/lab/links.py
+++ b/peatlead/lab/links.py
@@ -1,4 +1,4 @@
-"""The simulated network's links: delay, jitter, loss and cuts between addresses."""
+"""The links of the simulated network: delay, jitter, loss and cuts between addresses."""
 
 from random import Random
 
@@ -41,11 +41,11 @@
         return base * (1 + self.jitter * self.rng.random()) + extra
 
     def drop_datagram(self) -> bool:
-        """Return at random whether the next datagram is lost."""
+        """Return whether to lose the next datagram, at random."""
         return self.loss > 0.0 and self.rng.random() < self.loss
 
     def with_random_reordering(self, delay: float) -> float:
-        """Return a datagram's delay, at random longer so that later datagrams overtake it."""
+        """Return a datagram's delay, at random increased so that later datagrams overtake it."""
         if self.reordering and self.rng.random() < self.reordering:
             return delay * (1 + 10 * self.rng.random())
         return delay
--- a/peatlead/lab/members.py
+++ b/peatlead/lab/members.py
@@ -25,7 +25,7 @@
     """Members on a simulated network with delays, packet loss, cut links, kills and freezes.
 
     `cut` contains (source, target) pairs of names, `dead` and `frozen` contain names, and `loss` is
-    the probability that a datagram is lost. `timers` are arguments of `Membership`.
+    the probability that a datagram is lost. `timers` are keyword arguments of `Membership`.
     """
 
     def __init__(self, size, seed=1, loss=0.0, **timers):
@@ -38,8 +38,8 @@
 
     def start(self, name, seeds=("n0", "n1", "n2")):
         """Start a member, or restart it without state; it joins through the `seeds`."""
-        about = MemberInfo(name, (name, 1), "alive", 0)
-        self.nodes[name] = Membership(about, [(seed, 1) for seed in seeds], self.rng, **self.timers)
+        info = MemberInfo(name, (name, 1), "alive", 0)
+        self.nodes[name] = Membership(info, [(seed, 1) for seed in seeds], self.rng, **self.timers)
         self.dead.discard(name)
 
     def deliver(self, name, events):
@@ -59,13 +59,13 @@
         end = self.now + seconds
         while self.now < end:
             self.now = round(self.now + TICK_INTERVAL, 6)
-            due = sorted(
+            arriving = sorted(
                 datagram
                 for datagram in self.in_flight
                 if datagram[0] <= self.now and datagram[2] not in self.frozen
             )
-            self.in_flight = [datagram for datagram in self.in_flight if datagram not in due]
-            for _, source, target, data in due:
+            self.in_flight = [datagram for datagram in self.in_flight if datagram not in arriving]
+            for _, source, target, data in arriving:
                 if (
                     target in self.nodes
                     and target not in self.dead
@@ -80,13 +80,13 @@
                 after_tick()
 
     def member_states(self, member):
-        """Return the state of a member in the view of each running member, by name."""
+        """Return the state that each running member has stored for a member, by name."""
         return {
             name: node.members[member].info.state
             for name, node in self.nodes.items()
             if name not in self.dead and member in node.members
         }
 
-    def members_agree(self, live):
-        """Return whether each member of `live` considers exactly these members alive."""
-        return all(set(self.nodes[name].live_members()) == set(live) for name in live)
+    def members_agree(self, live_names):
+        """Return whether each member of `live_names` considers exactly these members alive."""
+        return all(set(self.nodes[name].live_members()) == set(live_names) for name in live_names)
--- a/peatlead/lab/policies.py
+++ b/peatlead/lab/policies.py
@@ -12,7 +12,7 @@
 class TablePlanner:
     """Base of planners with one table per zone of proxies.
 
-    Subclasses define `goal(zone)`, which returns the weights of a zone's table by endpoint id.
+    Subclasses define `target_weights(zone)`, which returns the weights of a zone's table by endpoint id.
     """
 
     def __init__(self, settings, seed):
@@ -20,12 +20,16 @@
             tuple(range(len(settings["req_kinds"]))),
             range(len(settings["zones"])),
         )
-        self.endpoints, self.tables, self.started = {}, {zone: {} for zone in self.zones}, False
+        self.endpoints, self.tables, self.timer_started = (
+            {},
+            {zone: {} for zone in self.zones},
+            False,
+        )
 
     def decide(self, now, events):
         """Return the commands that follow from a batch of events."""
-        commands = [] if self.started else [interface.SetTimer(0, TICK_INTERVAL)]
-        self.started = True
+        commands = [] if self.timer_started else [interface.SetTimer(0, TICK_INTERVAL)]
+        self.timer_started = True
         for event in events:
             if type(event) is interface.EndpointUpdate and event.scope != "unavailable":
                 if event.scope != "changes":
@@ -38,19 +42,19 @@
             elif type(event) is interface.TimerFired:
                 commands.append(interface.SetTimer(0, TICK_INTERVAL))
         for zone in self.zones:
-            commands += self.update_table(zone, self.goal(zone))
+            commands += self.update_table(zone, self.target_weights(zone))
         return commands
 
-    def update_table(self, zone, goal):
-        """Return commands that change a zone's table to the goal."""
-        old, self.tables[zone] = self.tables[zone], goal
+    def update_table(self, zone, target):
+        """Return commands that change a zone's table to the target weights."""
+        previous, self.tables[zone] = self.tables[zone], target
         return [
-            interface.SetEntry(zone, endpoint, goal.get(endpoint, 0.0))
-            for endpoint in sorted(old.keys() | goal.keys())
-            if goal.get(endpoint) != old.get(endpoint)
+            interface.SetEntry(zone, endpoint, target.get(endpoint, 0.0))
+            for endpoint in sorted(previous.keys() | target.keys())
+            if target.get(endpoint) != previous.get(endpoint)
         ]
 
-    def ready(self):
+    def ready_endpoints(self):
         """Return the listed endpoints that are ready."""
         return [endpoint for endpoint in self.endpoints.values() if endpoint.phase == "ready"]
 
@@ -58,9 +62,11 @@
 class HomePlanner(TablePlanner):
     """Uses all ready endpoints of the proxy's own zone, or of all zones if there are none."""
 
-    def goal(self, zone):
+    def target_weights(self, zone):
         """Return the listed weights of the zone's endpoints."""
-        in_zone = [endpoint for endpoint in self.ready() if endpoint.zone == zone] or self.ready()
+        in_zone = [
+            endpoint for endpoint in self.ready_endpoints() if endpoint.zone == zone
+        ] or self.ready_endpoints()
         return {endpoint.id: endpoint.weight for endpoint in in_zone}
 
 
@@ -72,15 +78,15 @@
 
     def __init__(self, settings, seed, capacities):
         super().__init__(settings, seed)
-        self.capacities, self.ids = capacities, {}
+        self.capacities, self.endpoint_ids = capacities, {}
 
-    def goal(self, zone):
+    def target_weights(self, zone):
         """Return the capacities as weights, or the listed weights if no endpoint has capacity."""
         capacities, weights = self.capacities(), {}
-        self.ids.update(
+        self.endpoint_ids.update(
             {endpoint.name.decode(): endpoint.id for endpoint in self.endpoints.values()}
         )
         for name, cores in capacities.items():
-            if name in self.ids and cores > 0:
-                weights[self.ids[name]] = round(cores, 1) or 0.1
-        return weights or {endpoint.id: endpoint.weight for endpoint in self.ready()}
+            if name in self.endpoint_ids and cores > 0:
+                weights[self.endpoint_ids[name]] = round(cores, 1) or 0.1
+        return weights or {endpoint.id: endpoint.weight for endpoint in self.ready_endpoints()}
--- a/peatlead/lab/process_loop.py
+++ b/peatlead/lab/process_loop.py
@@ -1,7 +1,7 @@
 """A simulated process: an asyncio event loop on simulated time.
 
-A process can be killed: its sockets are closed, peers see connection resets. It can also be frozen:
-no callbacks run, but its sockets still receive.
+A process can be killed: its sockets are closed and its peers see connection resets. A process can
+also be frozen: it runs no callbacks, but its sockets still receive.
 """
 
 import asyncio
@@ -19,7 +19,7 @@
     from .simulation import Simulation
 
 MAX_CALLBACK_CPU = 20.0  # CPU seconds, above which a callback is considered an endless loop
-MAX_TASKS = 4096  # number of stored tasks above which finished ones are removed
+MAX_TASKS = 4096  # stored tasks, above which finished ones are removed
 LOOPBACK = "127.0.0.1"
 
 Result = TypeVar("Result")
@@ -79,7 +79,7 @@
         self.frozen_until = 0.0  # simulated seconds
         # Callbacks that became due while the process was frozen.
         self.held_calls: deque[tuple[Callback, tuple[Any, ...]]] = deque()
-        self.slowness = 0.0  # delay in seconds of callbacks from call_soon()
+        self.call_soon_delay = 0.0  # seconds
         # A dict keeps the order of creation, in which kill() resets the connections.
         self.transports: dict[StreamTransport | DatagramTransport, bool] = {}
         self.tasks: list[asyncio.Task[Any]] = []
@@ -94,7 +94,7 @@
         self, callback: Callback, *args: Any, context: Context | None = None
     ) -> ScheduledCall:
         """See asyncio."""
-        handle = ScheduledCall(callback, args, context, self.simulation.now + self.slowness)
+        handle = ScheduledCall(callback, args, context, self.simulation.now + self.call_soon_delay)
         self.simulation.schedule(handle.at, self, handle)
         return handle
 
@@ -114,20 +114,20 @@
         """See asyncio."""
         return self.call_at(self.simulation.now + delay, callback, *args, context=context)
 
-    def run_callback(self, call: Callback, values: tuple[Any, ...]) -> None:
+    def run_callback(self, call: Callback, arguments: tuple[Any, ...]) -> None:
         """Run a callback now, or hold it while the process is frozen; drop it if it is dead."""
         simulation = self.simulation
         if self.dead:
             return
         if simulation.now < self.frozen_until:
-            self.held_calls.append((call, values))
+            self.held_calls.append((call, arguments))
             return
         if type(call) is ScheduledCall and call.callback is None:
             return  # cancelled
         if simulation.running is not self:
             simulation.switch_to(self)
         try:
-            call(*values)
+            call(*arguments)
         except Exception as error:
             simulation.report_failure(self, error, getattr(call, "__qualname__", repr(call)))
         cpu_time = time.process_time()
@@ -232,8 +232,8 @@
             return
         calls = self.held_calls
         self.held_calls = deque()
-        for call, values in calls:
-            self.simulation.schedule(self.simulation.now, self, call, *values)
+        for call, arguments in calls:
+            self.simulation.schedule(self.simulation.now, self, call, *arguments)
 
     # The network. Options that the simulation does not support are ignored.
 
--- a/peatlead/lab/random_scenario.py
+++ b/peatlead/lab/random_scenario.py
@@ -9,7 +9,7 @@
 
 from ..scenario.script import FAULT_BUILTINS, RESOLVER_KINDS, SETUP_BUILTINS, load_day
 
-FAULT_PROBABILITY = 0.35  # that a kind of fault is enabled for a seed
+FAULT_PROBABILITY = 0.35  # of each kind of fault, to be enabled for a seed
 
 EXCLUDED_FAULTS = ("fleet_drained",)
 
@@ -47,13 +47,13 @@
 
 
 def draw_faults(rng, kind, zones, length):
-    """Return the calls of random faults, in order of their start times."""
+    """Return the calls of random faults as Starlark source, ordered by start time."""
     faults = []
     for verb in sorted(FAULT_BUILTINS):
         if verb in EXCLUDED_FAULTS:
             continue
         if kind == "dns" and verb == "rollback":
-            continue  # these controllers form no fleet, so that a pin would affect one of them only
+            continue  # without a fleet of controllers, a pin would affect only one of them
         if kind == "fleet" and verb in ("burst", "shift"):
             continue
         if rng.random() >= FAULT_PROBABILITY:
--- a/peatlead/lab/report.py
+++ b/peatlead/lab/report.py
@@ -25,22 +25,24 @@
     from .study import bootstrap_interval
 
     combinations = [(variant, policy) for variant in study.variants for policy in study.policies]
-    chart_figure, axes = pyplot.subplots(figsize=(max(7.5, 1.1 * len(combinations)), 3.2))
-    value_maps = [
+    figure, axes = pyplot.subplots(figsize=(max(7.5, 1.1 * len(combinations)), 3.2))
+    values_by_combination = [
         results.values_by_seed(study.parameters["name"], metric, case, *combination)
         for combination in combinations
     ]
     for seed in (
-        sorted(set.intersection(*(set(values) for values in value_maps))) if value_maps else ()
+        sorted(set.intersection(*(set(values) for values in values_by_combination)))
+        if values_by_combination
+        else ()
     ):
         axes.plot(
             range(len(combinations)),
-            [values[seed] for values in value_maps],
+            [values[seed] for values in values_by_combination],
             color="0.85",
             linewidth=0.6,
             zorder=1,
         )
-    for position, values in enumerate(value_maps):
+    for position, values in enumerate(values_by_combination):
         if values:
             axes.scatter(
                 [position] * len(values),
@@ -67,15 +69,15 @@
     )
     axes.set_ylabel(metric)
     axes.set_title(case, fontsize=10)
-    chart_figure.tight_layout()
-    out = io.BytesIO()
-    chart_figure.savefig(out, format="png", dpi=110)
-    pyplot.close(chart_figure)
-    return "data:image/png;base64," + base64.b64encode(out.getvalue()).decode()
+    figure.tight_layout()
+    png = io.BytesIO()
+    figure.savefig(png, format="png", dpi=110)
+    pyplot.close(figure)
+    return "data:image/png;base64," + base64.b64encode(png.getvalue()).decode()
 
 
 def table(results, study, case):
-    """Return an HTML table of means, and of paired differences to the first combination."""
+    """Return an HTML table of means, with paired differences to the first combination."""
     combinations = [(variant, policy) for variant in study.variants for policy in study.policies]
     rows = [
         "<tr><th>figure</th><th>"
@@ -109,18 +111,18 @@
 def write_report(results, study, path):
     """Write the report of a study to a file."""
     parameters = study.parameters
-    parts = [
+    sections = [
         f"<h1>{html.escape(parameters['name'])}</h1><p>{html.escape(parameters['question'])}</p>",
         f"<p>{parameters['seeds']} seeds per cell; differences are to the first column, paired by seed, with 95% "
         "bootstrap intervals.</p>",
     ]
     for case in study.cases:
-        parts.append(f"<h2>{html.escape(case)}</h2>{table(results, study, case)}")
-        parts += [
+        sections.append(f"<h2>{html.escape(case)}</h2>{table(results, study, case)}")
+        sections += [
             f"<img src='{chart(results, study, metric, case)}'>" for metric in ("service", "rule4")
         ]
     problem_cells = results.cells_with_problems(parameters["name"])
-    parts.append(
+    sections.append(
         f"<h2>Rules broken or errors: {len(problem_cells)} days</h2><ul>"
         + "".join(
             f"<li>{html.escape(cell)}: {html.escape(problems[:300])}</li>"
@@ -128,9 +130,9 @@
         )
         + "</ul>"
     )
-    style = "body{font:14px sans-serif;max-width:60em;margin:2em}td,th{padding:3px 9px;border-bottom:1px solid #ddd}"
+    css = "body{font:14px sans-serif;max-width:60em;margin:2em}td,th{padding:3px 9px;border-bottom:1px solid #ddd}"
     with open(path, "w", encoding="utf-8") as file:
         file.write(
             f"<!doctype html><meta charset=utf-8><title>{html.escape(parameters['name'])}</title>"
-            f"<style>{style}</style>{''.join(parts)}{LIMITATIONS}"
+            f"<style>{css}</style>{''.join(sections)}{LIMITATIONS}"
         )
--- a/peatlead/lab/simulation.py
+++ b/peatlead/lab/simulation.py
@@ -74,7 +74,7 @@
         self.rng = Random(seed)
         self.now = 0.0  # simulated seconds
         self.timers = timers or HeapTimers[PendingCall]()
-        # Callbacks that are due now, in order of insertion. Most callbacks are due at once.
+        # Callbacks that are due now, in order of insertion; most callbacks are due at once.
         self.ready: deque[PendingCall] = deque()
         self.links = Links(self.rng)
         self.processes: dict[str, ProcessLoop] = {}
@@ -92,7 +92,7 @@
         self.cpu_time = time.process_time()
 
     def add_process(self, name: str) -> ProcessLoop:
-        """Add a process."""
+        """Add a process and return its event loop."""
         process = ProcessLoop(self, name)  # type: ignore[abstract]  # no threads, pipes etc.
         self.processes[name] = process
         return process
@@ -107,15 +107,15 @@
             self.trace.append((self.now, event, *fields))
 
     def schedule(
-        self, when: float, loop: ProcessLoop | None, call: Callable[..., object], *values: Any
+        self, when: float, loop: ProcessLoop | None, call: Callable[..., object], *arguments: Any
     ) -> None:
         """Schedule a callback of a process (None for the network) at a simulated time."""
         if when <= self.now:
-            self.ready.append((loop, call, values))
+            self.ready.append((loop, call, arguments))
         else:
-            self.timers.push(when, (loop, call, values))
+            self.timers.push(when, (loop, call, arguments))
 
-    at = schedule  # alias that tests/compatibility uses
+    at = schedule  # another name, which tests/compatibility uses
 
     def switch_to(self, loop: ProcessLoop | None) -> None:
         """Make a process's loop the running event loop of asyncio."""
@@ -129,20 +129,20 @@
         Timers that are due run before the callbacks in `ready`, because they were inserted earlier.
         The order is therefore that of a single queue ordered by (time, insertion).
         """
-        due = self.timers.peek()
-        if self.ready and (due is None or due > self.now):
-            loop, call, values = self.ready.popleft()
-        elif due is None or due > until:
+        next_due = self.timers.peek()
+        if self.ready and (next_due is None or next_due > self.now):
+            loop, call, arguments = self.ready.popleft()
+        elif next_due is None or next_due > until:
             self.now = max(self.now, until)
             return False
         else:
             earliest = self.timers.pop()
             assert earliest is not None  # peek() returned a time
-            self.now, (loop, call, values) = earliest
+            self.now, (loop, call, arguments) = earliest
         if loop is None:
-            call(*values)
+            call(*arguments)
         else:
-            loop.run_callback(call, values)
+            loop.run_callback(call, arguments)
         return True
 
     def free_port(self) -> int:
--- a/peatlead/lab/streams.py
+++ b/peatlead/lab/streams.py
@@ -15,10 +15,10 @@
 MAX_READ_BYTES = 65_536  # passed to a protocol at a time
 RECEIVE_BUFFER_BYTES = 4 << 20  # maximum size of received data that a process has not read
 CONNECTION_TIMEOUT = 30.0  # seconds until the kernel ends a connection over a cut link
-RETRANSMISSION_INTERVAL = 0.2  # seconds, over a cut link
+RETRANSMISSION_INTERVAL = 0.2  # seconds between attempts to send over a cut link
 
 
-def timed_out() -> TimeoutError:
+def timeout_error() -> TimeoutError:
     """Return the error of a connection that has timed out."""
     return TimeoutError(errno.ETIMEDOUT, "timed out")
 
@@ -104,7 +104,7 @@
         self.connected = connected
         delay = self.simulation.links.delay(local[0], remote[0])
         if delay is None:
-            self._fail_after(CONNECTION_TIMEOUT, timed_out())
+            self._fail_after(CONNECTION_TIMEOUT, timeout_error())
         else:
             self.simulation.schedule(self.simulation.now + delay, None, self._arrive)
 
@@ -113,7 +113,7 @@
         delay = self.simulation.links.delay(self.remote[0], self.local[0])
         if delay is None or listener is not None and listener.pending >= listener.backlog:
             # A listener with a full backlog drops the packet, so that the client times out.
-            self._fail_after(CONNECTION_TIMEOUT, timed_out())
+            self._fail_after(CONNECTION_TIMEOUT, timeout_error())
         elif listener is None:
             refused = ConnectionRefusedError(errno.ECONNREFUSED, "Connection refused")
             self._fail_after(delay, refused)
@@ -121,8 +121,8 @@
             listener.pending += 1
             remote_end = StreamTransport(listener.loop, self.remote, self.local)
             remote_end.listener = listener
-            due = self.simulation.now + delay
-            self.simulation.schedule(due, self.loop, self._connect, remote_end)
+            arrives_at = self.simulation.now + delay
+            self.simulation.schedule(arrives_at, self.loop, self._connect, remote_end)
 
     def _fail_after(self, seconds: float, error: OSError) -> None:
         self.simulation.schedule(self.simulation.now + seconds, self.loop, self._fail, error)
@@ -241,7 +241,7 @@
     # Sending.
 
     def _send(self) -> None:
-        """Send unsent data until the peer's receive buffer is full."""
+        """Send data until the peer's receive buffer is full, then end a closing connection."""
         while (
             self.unsent
             and self.peer is not None
@@ -256,6 +256,7 @@
             self._end(None)
 
     def _transmit(self, segment: Segment) -> None:
+        """Send a segment to the peer's kernel, later if the link is cut."""
         assert self.peer is not None
         now = self.simulation.now
         delay = self.simulation.links.delay(self.local[0], self.remote[0])
@@ -266,13 +267,13 @@
         self.simulation.schedule(self.last_arrival, None, self.peer._arrive, segment)
 
     def _retransmit_later(self, segment: Segment, deadline: float) -> None:
-        due = self.simulation.now + RETRANSMISSION_INTERVAL
-        self.simulation.schedule(due, None, self._retransmit, segment, deadline)
+        retransmit_at = self.simulation.now + RETRANSMISSION_INTERVAL
+        self.simulation.schedule(retransmit_at, None, self._retransmit, segment, deadline)
 
     def _retransmit(self, segment: Segment, deadline: float) -> None:
         is_cut = self.simulation.links.delay(self.local[0], self.remote[0]) is None
         if self.simulation.now >= deadline:
-            self.simulation.schedule(self.simulation.now, self.loop, self._end, timed_out())
+            self.simulation.schedule(self.simulation.now, self.loop, self._end, timeout_error())
         elif is_cut:
             self._retransmit_later(segment, deadline)
         else:
@@ -320,17 +321,18 @@
             buffer[: len(data)] = data
             self.protocol.buffer_updated(len(data))
             return
-        rest = memoryview(data)
-        while rest and not self.closed:
+        remaining = memoryview(data)
+        while remaining and not self.closed:
             buffer = self.protocol.get_buffer(-1)
-            size = min(len(buffer), len(rest), MAX_READ_BYTES)
-            buffer[:size] = rest[:size]
-            rest = rest[size:]
+            size = min(len(buffer), len(remaining), MAX_READ_BYTES)
+            buffer[:size] = remaining[:size]
+            remaining = remaining[size:]
             self.protocol.buffer_updated(size)
 
     # Closing.
 
     def _end(self, error: OSError | None) -> None:
+        """Mark this end as closed and schedule the protocol's `connection_lost`."""
         if not self.closed:
             self.closed = True
             self.simulation.schedule(self.simulation.now, self.loop, self._connection_lost, error)
--- a/peatlead/lab/study.py
+++ b/peatlead/lab/study.py
@@ -23,7 +23,7 @@
 from .day import POLICIES, play_day
 from .planner_constants import modules_with_constant, replaced_constants
 
-# Columns of the results. `rule1` to `rule5` are how near a day came to the limit of each rule.
+# Columns of the results. `rule1` to `rule5` are the highest value of a rule / its limit.
 METRICS = (
     "service",
     "worst_kind",
@@ -82,12 +82,12 @@
     """A checked study.
 
     `parameters` holds the values of `study(...)`, `cases` the scenarios by name, `variants` the
-    changes by name, and `policies` the names of policies.
+    changes by name, and `policies` the policies.
     """
 
     def __init__(self, name, source):
         calls = run_script(name, source, STUDY_BUILTINS)
-        study_calls = [values for called, values in calls if called == "study"]
+        study_calls = [values for builtin_name, values in calls if builtin_name == "study"]
         if len(study_calls) != 1:
             raise SettingsError(f"{name}:1: expected one call of study(), got {len(study_calls)}")
         self.parameters = study_calls[0]
@@ -108,10 +108,10 @@
             for scenario in self.cases.values():
                 try:
                     apply_changes(scenario, changes)
-                except (KeyError, ValueError) as problem:
+                except (KeyError, ValueError) as error:
                     raise SettingsError(
                         f"{name}:1: vary {variant}: expected day script fields or planner constants: "
-                        f"{problem}"
+                        f"{error}"
                     ) from None
 
     def cells(self):
@@ -283,10 +283,10 @@
     return len(jobs)
 
 
-def bootstrap_interval(differences, seed=1, part=0.95):
+def bootstrap_interval(differences, seed=1, confidence=0.95):
     """Return (mean, low, high) with the confidence interval of the mean by bootstrapping.
 
-    `part` is the confidence level. Returns None without differences.
+    `confidence` is the confidence level. Returns None without differences.
     """
     if not differences:
         return None
@@ -294,8 +294,12 @@
     means = sorted(
         statistics.fmean(rng.choices(differences, k=count)) for _ in range(BOOTSTRAP_SAMPLES)
     )
-    low = means[int(BOOTSTRAP_SAMPLES * (1 - part) / 2)]
-    return statistics.fmean(differences), low, means[int(BOOTSTRAP_SAMPLES * (1 + part) / 2) - 1]
+    low = means[int(BOOTSTRAP_SAMPLES * (1 - confidence) / 2)]
+    return (
+        statistics.fmean(differences),
+        low,
+        means[int(BOOTSTRAP_SAMPLES * (1 + confidence) / 2) - 1],
+    )
 
 
 def compare_paired(results, study, metric, base, other, case):
@@ -304,7 +308,7 @@
     `base` and `other` are (variant, policy). Returns None if no seed has both values.
     """
     base_values, other_values = (
-        results.values_by_seed(study, metric, case, *which) for which in (base, other)
+        results.values_by_seed(study, metric, case, *combination) for combination in (base, other)
     )
     differences = [
         other_values[seed] - base_values[seed]
--- a/peatlead/lab/timeline.py
+++ b/peatlead/lab/timeline.py
@@ -1,4 +1,4 @@
-"""Lists the recorded rows of a day that concern one request, proxy, view or endpoint. No I/O."""
+"""Lists the recorded rows of a day that mention one request, proxy, view or endpoint. No I/O."""
 
 
 def mentions(row, subject):
@@ -30,8 +30,10 @@
         if subject in str(fields.get("text", "")).split() or subject in fields.values()
     ]
     lines.sort()
-    shown = [f"{at - start:9.3f}  {text}" for at, text in lines[:max_lines]]
-    return shown + ([f"... and {len(lines) - max_lines} more"] if len(lines) > max_lines else [])
+    shown_lines = [f"{at - start:9.3f}  {text}" for at, text in lines[:max_lines]]
+    return shown_lines + (
+        [f"... and {len(lines) - max_lines} more"] if len(lines) > max_lines else []
+    )
 
 
 def describe(row, subject):
--- a/peatlead/lab/timer_wheel.py
+++ b/peatlead/lab/timer_wheel.py
@@ -124,7 +124,7 @@
     def _advance(self) -> None:
         """Advance by one tick, or skip ahead if the lowest level has no entries."""
         if not self.counts[0]:
-            self._skip()
+            self._skip_empty_slots()
             return
         self.tick += 1
         if self.tick % SLOTS == 0:
@@ -134,7 +134,7 @@
             slot.sort()
             self.due = slot  # a sorted list is a heap
 
-    def _skip(self) -> None:
+    def _skip_empty_slots(self) -> None:
         """Advance to the next slot of the lowest non-empty level, else to the overflow."""
         for level in range(1, LEVELS):
             if self.counts[level]:
@@ -146,9 +146,9 @@
     def _skip_to_next_slot(self, level: int) -> None:
         span = SLOTS**level
         self.tick = (self.tick // span + 1) * span
-        for higher in range(LEVELS - 1, 0, -1):
-            if self.tick % SLOTS**higher == 0:
-                self._move_slot_down(higher)
+        for reached_level in range(LEVELS - 1, 0, -1):
+            if self.tick % SLOTS**reached_level == 0:
+                self._move_slot_down(reached_level)
         for entry in self._take_slot(0):
             heapq.heappush(self.due, entry)
 
