--- a/peatlead/standin/dns_clients.py
+++ b/peatlead/standin/dns_clients.py
@@ -3,8 +3,8 @@
 Requests arrive at random times, independent of earlier responses (an open-loop load), and the
 latency of a request counts from the time at which it was due. A client retries failed requests as
 the repeat semantics of their class permit: replayable requests at the next address, uniqued
-requests at the same address, whose pod drops repeats, and other requests only if the attempt
-certainly did not run.
+requests at the same address, whose pod drops repeats, and other requests only if the endpoint
+certainly did not run them.
 
 The names of the fields of the msgspec types are the JSON keys of the commands.
 """
@@ -46,7 +46,10 @@
 
 
 class Habit(StrEnum):
-    """How a client orders the addresses of an answer; with any other text, as in the answer."""
+    """How a client orders the addresses of an answer.
+
+    A client with any other habit keeps the order of the answer.
+    """
 
     ANY = "any"  # in random order
     SORTED = "sorted"  # by address, like RFC 6724 rule 9
@@ -153,7 +156,7 @@
 
 
 def may_retry(request_class: RequestClass, outcome: str, sent: bool) -> bool:
-    """Whether a client retries after an attempt; `sent` is true if the endpoint may have got it."""
+    """Whether a client retries a request; `sent` is True if the endpoint may have received it."""
     if outcome in (Outcome.DONE, Outcome.SHED):
         return False  # a retry of a shed request would only add load
     never_ran = not sent or outcome in (Outcome.DENIED, Outcome.UNREACHABLE)
@@ -188,11 +191,12 @@
         ]
 
     def begin(self, start: float) -> None:
-        """Start the arrival of requests at a time of the event loop."""
-        first = start + self.rng.expovariate(self.rate)
-        self.loop.call_at(first, self._arrive, first)
+        """Let requests arrive from the event loop time `start`, in seconds, on."""
+        first_due = start + self.rng.expovariate(self.rate)
+        self.loop.call_at(first_due, self._start_due_requests, first_due)
 
-    def _arrive(self, due: float) -> None:
+    def _start_due_requests(self, due: float) -> None:
+        """Start the requests that are due, and schedule the next call."""
         if self.stopped:
             return
         now = self.loop.time()
@@ -200,7 +204,7 @@
         while due <= now and not self.stopped:
             self._start_request(due)
             due += self.rng.expovariate(self.rate)
-        self.loop.call_at(due, self._arrive, due)
+        self.loop.call_at(due, self._start_due_requests, due)
 
     def _start_request(self, due: float) -> None:
         self.request_count += 1
@@ -211,11 +215,11 @@
         request = Request(
             f"{self.id_prefix}-{self.request_count}", request_class, client, due, deadline
         )
-        task = self.loop.create_task(self._run(request))
+        task = self.loop.create_task(self._run_request(request))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _run(self, request: Request) -> None:
+    async def _run_request(self, request: Request) -> None:
         """Run a request with its retries, and record it."""
         attempts = 0
         outcome: str = Outcome.UNRESOLVED.value
@@ -225,7 +229,7 @@
             result = await self._attempt(request, attempts, address)
             address = result.address
             if result.outcome != Outcome.UNRESOLVED or not attempts:
-                outcome = result.outcome  # a retry that finds no address does not count
+                outcome = result.outcome  # a retry that finds no address keeps the outcome
             attempts += 1
             if not result.retry:
                 break
@@ -271,7 +275,7 @@
                 connection = await self._connect(request, address)
             sent = True
             self._record_attempt(request, address, number, Outcome.SENT.value, True)
-            outcome = await self._send(request, connection, number)
+            outcome = await self._send_request(request, connection, number)
             client.last_address = address
             client.keep_idle_connection(address, connection)
         except RequestFailedError as error:
@@ -284,7 +288,9 @@
         remote_address = (address, self.plan.port)
         return await connect(self.loop, remote_address, deadline, request.client.local_address)
 
-    async def _send(self, request: Request, connection: ClientConnection, number: int) -> str:
+    async def _send_request(
+        self, request: Request, connection: ClientConnection, number: int
+    ) -> str:
         """Send the request and return the outcome; raises RequestFailedError."""
         time_fraction = (
             self.rng.uniform(*ATTEMPT_TIME_FRACTION) if number < self.plan.retries else 1.0
@@ -302,7 +308,7 @@
     async def _choose_address(
         self, request: Request, number: int, required_address: Optional[str]
     ) -> tuple[Optional[str], Optional[ClientConnection]]:
-        """Return the address to try, None if none is known, and an idle connection to it."""
+        """Return the address to try, or None, and an idle connection to it, or None."""
         client = request.client
         if required_address is not None:
             return required_address, client.take_idle_connection(required_address)
--- a/peatlead/standin/endpoint_work.py
+++ b/peatlead/standin/endpoint_work.py
@@ -41,20 +41,20 @@
 class PodRequestIds:
     """The ids of recent uniqued requests, which the endpoints of a pod share."""
 
-    MAX_REQUESTS = 100_000  # per pod
+    MAX_REQUESTS = 100_000  # stored ids per pod
 
     def __init__(self) -> None:
-        self.seen: dict[int, dict[str, float]] = {}  # pod -> request id -> time
+        self.received_at: dict[int, dict[str, float]] = {}  # pod -> request id -> time in seconds
 
     def is_repeat(self, pod: int, request_id: str, now: float, window: float) -> bool:
-        """Whether the pod got a request in the last `window` seconds; if not, store its id."""
-        seen = self.seen.setdefault(pod, {})
-        for oldest in list(seen)[:2]:
-            if now - seen[oldest] > window or len(seen) > self.MAX_REQUESTS:
-                del seen[oldest]
-        repeat = request_id in seen and now - seen[request_id] <= window
+        """Whether the pod received a request in the last `window` seconds; if not, store its id."""
+        received_at = self.received_at.setdefault(pod, {})
+        for oldest in list(received_at)[:2]:
+            if now - received_at[oldest] > window or len(received_at) > self.MAX_REQUESTS:
+                del received_at[oldest]
+        repeat = request_id in received_at and now - received_at[request_id] <= window
         if not repeat:
-            seen[request_id] = now
+            received_at[request_id] = now
         return repeat
 
 
--- a/peatlead/standin/hosts.py
+++ b/peatlead/standin/hosts.py
@@ -1,8 +1,9 @@
 """Stand-in endpoints, which serve HTTP/1.1 requests with a queue and a number of cores.
 
-They start cold, can be overloaded while cold, drain, suffer injected faults, and drop repeated
-requests of a pod. Each has its own address. Work is simulated by timers instead of computation, so
-that one process can run many endpoints and the same code runs on simulated time.
+They start cold, can be overloaded while cold, drain, have injected faults, and drop repeated
+requests of a pod. Each endpoint has its own address. Work is simulated by timers
+instead of computation, so that one process can run many endpoints and the same code runs on
+simulated time.
 """
 
 import asyncio
@@ -28,13 +29,13 @@
 __all__ = ["Connection", "EndpointGroup", "EndpointPlan", "PodRequestIds", "StandInEndpoint"]
 
 IDLE_TIMEOUT = 30.0  # seconds without a byte until a connection is closed
-ADMISSION_LIFETIME = 5.0  # seconds after which the admission of a silent controller is ignored
+ADMISSION_LIFETIME = 5.0  # seconds after which a controller's admitted fraction is ignored
 HEALTH_CHECK_WORK = 0.004  # seconds of one core for a health check
-WORK_SPREAD = (0.6, 1.4)  # a request's work, as a factor of its class's mean
-MIN_CORES = 0.3  # available however much of the machine others use
+WORK_SPREAD = (0.6, 1.4)  # range of a request's work, as factors of the mean of its class
+MIN_CORES = 0.3  # that other work on the machine leaves to the endpoint
 MEASURE_INTERVAL = 1.0  # minimum seconds between measurements of utilization
 RATE_WINDOW = 2  # seconds over which the rate of done requests is measured
-MAX_RECENT_DONE = 400  # stored times of done requests
+MAX_RECENT_DONE = 400  # stored completion times
 LISTEN_BACKLOG = 512  # connections
 NO_COUNTS = RequestCounts(seconds=0)
 
@@ -70,20 +71,20 @@
         self.cold_since = now if cold else None
         self.queue: deque[Job] = deque()
         self.running = 0  # jobs being processed
-        self.held_connections: list[Connection] = []  # with a request that is not answered
+        self.unanswered_connections: list[Connection] = []  # whose request a fault holds back
         self.recent_work: deque[tuple[float, float]] = deque()  # (time, work) while cold
         self.recent_work_sum = 0.0
         self.busy_seconds = 0.0  # of all cores since the last measurement
         self.counts: dict[str, dict[str, RequestCounts]] = {}  # by network and request class
         self.recent_done: deque[float] = deque(maxlen=MAX_RECENT_DONE)
         self.utilization = 0.0  # fraction of the cores in use at the last measurement
-        self.measured_at = now
+        self.utilization_measured_at = now
 
     def _reset_faults(self) -> None:
         self.silent = False  # accepts connections but does not respond
         self.hung = False  # accepts requests but never finishes them
         self.draining = False
-        self.overloaded = False  # while cold; it then stops responding
+        self.overloaded = False  # was overloaded while cold, and no longer responds
         self.errors = 0.0  # fraction of requests answered with an error
         self.lost = 0.0  # fraction of responses lost
         self.stolen = 0.0  # fraction of the cores that others use
@@ -133,10 +134,12 @@
 
     def _measure_utilization(self, now: float) -> float:
         """Return the fraction of the cores in use, updated once per MEASURE_INTERVAL."""
-        if now - self.measured_at >= MEASURE_INTERVAL:
-            utilization = min(1.0, self.busy_seconds / (now - self.measured_at) / self.plan.cores)
+        if now - self.utilization_measured_at >= MEASURE_INTERVAL:
+            utilization = min(
+                1.0, self.busy_seconds / (now - self.utilization_measured_at) / self.plan.cores
+            )
             self.utilization = max(utilization, min(1.0, self.stolen))
-            self.measured_at = now
+            self.utilization_measured_at = now
             self.busy_seconds = 0.0
         return self.utilization
 
@@ -146,7 +149,7 @@
         """Handle a request or a health check."""
         now = self.loop.time()
         if self.silent or self.overloaded:
-            self.held_connections.append(connection)
+            self.unanswered_connections.append(connection)
         elif path.startswith("/load"):
             self._receive_health_check(connection, headers, now)
         else:
@@ -166,7 +169,7 @@
         job = Job(request_id, request_class, work, connection, now)
         if self.hung:  # only the maximum number of connections limits the held requests
             connection.job = job
-            self.held_connections.append(connection)
+            self.unanswered_connections.append(connection)
             return
         if len(self.queue) >= self.plan.room:
             self.counts_for(connection.network, request_class).rejected += 1
@@ -185,7 +188,7 @@
         return work
 
     def _shed_or_fail(self, connection: "Connection", request_class: str, now: float) -> bool:
-        """Count a request, and shed it or answer it with an error if it is to fail."""
+        """Count a request, and return True if it was shed or answered with an error."""
         counts = self.counts_for(connection.network, request_class)
         counts.arrived += 1
         if self.rng.random() >= self.admitted_fraction(request_class, now):
@@ -210,7 +213,7 @@
         if not self.plan.deep:
             self._answer_health_check(connection)
         elif self.hung:
-            self.held_connections.append(connection)
+            self.unanswered_connections.append(connection)
         elif len(self.queue) >= self.plan.room:
             connection.respond(503, [], b"full")
         else:
@@ -257,14 +260,14 @@
             self.running += 1
             speed = self.speed_fraction(now) * min(1.0, cores / max(1, round(cores)))
             duration = job.work / speed
-            self.loop.call_later(duration, self._finish, job, duration, self.boot_count)
+            self.loop.call_later(duration, self._finish_job, job, duration, self.boot_count)
 
-    def _finish(self, job: Job, duration: float, boot: int) -> None:
+    def _finish_job(self, job: Job, duration: float, boot: int) -> None:
         if boot != self.boot_count:
             return  # the process that started the job has ended
         now = self.loop.time()
         if now < self.paused_until:
-            self.loop.call_at(self.paused_until, self._finish, job, duration, boot)
+            self.loop.call_at(self.paused_until, self._finish_job, job, duration, boot)
             return
         self.running -= 1
         self.busy_seconds += duration
@@ -273,10 +276,10 @@
         if job.is_health_check:
             self._answer_health_check(job.connection)
         else:
-            self._complete(job, now)
+            self._complete_request(job, now)
         self.start_jobs()
 
-    def _complete(self, job: Job, now: float) -> None:
+    def _complete_request(self, job: Job, now: float) -> None:
         """Record the effect of a request and respond to it."""
         repeat_semantics = self.plan.repeat[job.request_class]
         if not job.repeat:
@@ -317,7 +320,7 @@
         body = msgspec.json.encode(CountReport(self.boot, classes, networks))
         connection.respond(200, [(LOAD_REPORT_HEADER, format_load_report(report))], body)
 
-    # Life and faults.
+    # Start, faults and stop.
 
     async def open(self) -> None:
         """Open the socket if it is not open yet."""
@@ -342,11 +345,11 @@
         elif fault == "heavy":
             self.heavy = HeavyRequests(*value) if value else None
             if not value:
-                self._release()
+                self._abort_unanswered_connections()
         else:
             setattr(self, fault, value)
             if not value:
-                self._release()
+                self._abort_unanswered_connections()
         self.start_jobs()
 
     def _drain(self) -> None:
@@ -355,11 +358,11 @@
             if connection.job is None:
                 connection.close()  # a client could use an idle connection after the drain grace
 
-    def _release(self) -> None:
+    def _abort_unanswered_connections(self) -> None:
         """Abort the connections whose requests were held while the endpoint was silent or hung."""
-        for connection in self.held_connections:
+        for connection in self.unanswered_connections:
             connection.abort("request was held by a fault")
-        self.held_connections = []
+        self.unanswered_connections = []
         self.loop.call_soon(self.start_jobs)
 
     def stop(self) -> None:
--- a/peatlead/standin/platform_discovery.py
+++ b/peatlead/standin/platform_discovery.py
@@ -18,7 +18,7 @@
         self.version = 1
         self.endpoints: dict[str, Endpoint] = {}
         self.changed_at: dict[str, int] = {}  # version of each endpoint's last change
-        self.drained_at: dict[str, float] = {}  # start of the drain or removal of each endpoint
+        self.drained_at: dict[str, float] = {}  # when each endpoint started to drain or was removed
         self.watches: list[DiscoveryAgent] = []  # connections with a pending request
 
     def update(self, endpoints: Iterable[Endpoint]) -> None:
@@ -36,23 +36,25 @@
 
     def answer_watches(self) -> None:
         """Answer all watches except those that wait for the next change."""
-        waiting = self.watches
+        pending_watches = self.watches
         self.watches = []
-        for watch in waiting:
+        for watch in pending_watches:
             self._answer(watch)
 
     def _answer(self, watch: "DiscoveryAgent") -> None:
         parameters = dict(
             pair.split("=") for pair in watch.path.partition("?")[2].split("&") if pair
         )
-        after = int(parameters.get("after", -1))
+        known_version = int(parameters.get("after", -1))
         changed = [
-            endpoint for name, endpoint in self.endpoints.items() if self.changed_at[name] > after
+            endpoint
+            for name, endpoint in self.endpoints.items()
+            if self.changed_at[name] > known_version
         ]
-        if after >= 0 and not changed and parameters.get("wait_ms") != "0":
+        if known_version >= 0 and not changed and parameters.get("wait_ms") != "0":
             self.watches.append(watch)
             return
-        answer = {"generation": self.version, "reset": after < 0, "instances": changed}
+        answer = {"generation": self.version, "reset": known_version < 0, "instances": changed}
         watch.respond(200, [], json.dumps(answer).encode())
 
 
--- a/peatlead/standin/platform_fleet.py
+++ b/peatlead/standin/platform_fleet.py
@@ -6,8 +6,8 @@
     fleet.drain_report()
 
 The fleet checks the drain rule on the tables of the proxies: a proxy must not be able to reach an
-endpoint that drains or has left for longer than the drain grace, counted from the list update or
-from the proxy's connection to its controller, whichever came later.
+endpoint for longer than the drain grace after it started to drain or left the list. The time is
+counted from the list update or from the proxy's connection to its controller, the later of both.
 """
 
 import asyncio
@@ -27,7 +27,7 @@
 CHECK_INTERVAL = 0.05  # seconds between checks of the channels and the tables
 ACKNOWLEDGE_DELAY = 0.05  # seconds from a message's arrival to its acknowledgement
 READY_TIMEOUT = 30.0  # seconds for a controller to answer its first probe
-REDIAL_INTERVAL = 0.01  # seconds until a proxy dials the next controller
+REDIAL_INTERVAL = 0.01  # seconds from a failed connection attempt to the next
 MAX_SOCKETS = 1024  # per controller
 DISCOVERY_ADDRESS = "127.4.2.1"
 
@@ -182,7 +182,7 @@
             await self.wait_until_ready(name)
         self._start_task(self._run_checks())
         for proxy in self.proxies:
-            self._start_task(self._dial(proxy, self._own_controller(proxy)))
+            self._start_task(self._connect(proxy, self._own_controller(proxy)))
 
     def restart(self, name: str) -> None:
         """Start a controller's process."""
@@ -256,7 +256,7 @@
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _dial(self, proxy: ProxyState, first_controller: str) -> None:
+    async def _connect(self, proxy: ProxyState, first_controller: str) -> None:
         """Connect a proxy to a controller, or to the next one that accepts the connection."""
         rank = self.controller_names.index(first_controller)
         while not self.stopped:
@@ -288,7 +288,7 @@
 
     def _return_to_own_controller(self, proxy: ProxyState, stream: ProxyStream) -> None:
         if self.streams.get(proxy) is stream and not self.stopped:
-            self._start_task(self._dial(proxy, self._own_controller(proxy)))
+            self._start_task(self._connect(proxy, self._own_controller(proxy)))
 
     def stream_ended(self, stream: ProxyStream) -> None:
         """Schedule a new connection of the proxy if the stream was its current one."""
@@ -298,7 +298,7 @@
             proxy.joined_at = None
             delay = self.rng.uniform(*self.plan.redial_delay)
             asyncio.get_running_loop().call_later(
-                delay, lambda: self._start_task(self._dial(proxy, stream.controller))
+                delay, lambda: self._start_task(self._connect(proxy, stream.controller))
             )
 
     # Checks.
@@ -308,11 +308,11 @@
         while not self.stopped:
             for channel in self.channels.values():
                 for message in channel.take_due(loop.time()):
-                    self._deliver(loop, message)
+                    self._deliver_message(loop, message)
             self._check_drains(loop.time())
             await asyncio.sleep(CHECK_INTERVAL)
 
-    def _deliver(
+    def _deliver_message(
         self, loop: asyncio.AbstractEventLoop, message: QueuedMessage[ProxyStream]
     ) -> None:
         stream = message.stream
--- a/peatlead/standin/proxy_requests.py
+++ b/peatlead/standin/proxy_requests.py
@@ -15,8 +15,8 @@
 from .proxy_stats import EndpointTally, LoadStats
 
 CONNECT_TIMEOUT = 0.7  # seconds
-ATTEMPT_TIME_FRACTION = 0.6  # of the remaining time, for an attempt that is not the last
-EJECTION_SPREAD = (0.6, 1.4)  # an ejection's duration as a multiple of the planned one
+ATTEMPT_TIME_FRACTION = 0.6  # of the remaining time, for all attempts except the last
+EJECTION_SPREAD = (0.6, 1.4)  # range of an ejection's duration, as factors of the planned one
 MAX_ATTEMPTS = {"never": 1, "unstarted": 2, "once": 2, "twice": 3}  # by retry policy
 PROXY_RESOLVER = "agent"  # resolver kind in the rows of proxies
 
@@ -27,7 +27,7 @@
     def __init__(self) -> None:
         self.entries: dict[str, list[WeightedEndpoint]] = {}
         self.admissions: dict[str, float] = {}  # admitted fraction of requests
-        self.retries: dict[str, str] = {}  # retry policy
+        self.retry_policies: dict[str, str] = {}
 
     def addresses(self) -> set[str]:
         """Return the addresses of all endpoints."""
@@ -42,7 +42,7 @@
     request_class: RequestClass
     due: float
     deadline: float
-    retry: str  # retry policy
+    retry_policy: str
     max_attempts: int
 
 
@@ -86,9 +86,11 @@
     def _build_request(
         self, request_id: str, request_class: RequestClass, due: float
     ) -> ProxyRequest:
-        retry = self.tables.retries.get(request_class.name, "unstarted")
+        retry_policy = self.tables.retry_policies.get(request_class.name, "unstarted")
         deadline = due + request_class.client_timeout
-        return ProxyRequest(request_id, request_class, due, deadline, retry, MAX_ATTEMPTS[retry])
+        return ProxyRequest(
+            request_id, request_class, due, deadline, retry_policy, MAX_ATTEMPTS[retry_policy]
+        )
 
     async def _run_attempts(self, request: ProxyRequest, tried_addresses: list[str]) -> str:
         """Try endpoints until the request ends, and return the outcome.
@@ -102,7 +104,7 @@
                 break
             tried_addresses.append(entry.address)
             outcome, may_have_run = await self._attempt(request, entry, len(tried_addresses))
-            if outcome == Outcome.DONE or (request.retry == "unstarted" and may_have_run):
+            if outcome == Outcome.DONE or (request.retry_policy == "unstarted" and may_have_run):
                 break
         return outcome
 
@@ -132,7 +134,10 @@
     def _choose_entry(
         self, request_class: str, tried_addresses: list[str]
     ) -> Optional[WeightedEndpoint]:
-        """Choose an untried endpoint at random by weight; an ejected one only without others."""
+        """Choose an untried entry at random by weight.
+
+        Ejected endpoints are chosen only if all untried ones are ejected.
+        """
         entries = self.tables.entries.get(request_class, ())
         untried = [entry for entry in entries if entry.address not in tried_addresses]
         now = self.loop.time()
@@ -143,8 +148,8 @@
         if not candidates:
             return None
         weights = [entry.weight for entry in candidates]
-        draws = 2 if self.plan.pick == TWO_CHOICES else 1
-        drawn = self.rng.choices(candidates, weights, k=draws)
+        draw_count = 2 if self.plan.pick == TWO_CHOICES else 1
+        drawn = self.rng.choices(candidates, weights, k=draw_count)
         return min(drawn, key=lambda entry: self.in_flight[entry.address])
 
     async def _attempt(
@@ -162,7 +167,7 @@
             )
             may_have_run = True
             self._record_sent(request, address, number)
-            response = await self._send(request, connection, number, start)
+            response = await self._send_request(request, connection, number, start)
             outcome = OUTCOME_BY_STATUS.get(response.status, Outcome.ERRORED.value)
             may_have_run = outcome not in (Outcome.DENIED, Outcome.SHED)
             _add_utilization(tally, response)
@@ -181,7 +186,7 @@
         deadline = min(request.deadline, start + CONNECT_TIMEOUT)
         return await connect(self.loop, (entry.address, entry.port), deadline, self.plan.local)
 
-    async def _send(
+    async def _send_request(
         self, request: ProxyRequest, connection: ClientConnection, number: int, start: float
     ) -> Response:
         time_fraction = ATTEMPT_TIME_FRACTION if number < request.max_attempts else 1.0
@@ -220,8 +225,8 @@
         tally.errors += 1
         self.failure_counts[address] += 1
         if self.plan.fails_to_shun and self.failure_counts[address] >= self.plan.fails_to_shun:
-            ejection = self.plan.shun_for * self.rng.uniform(*EJECTION_SPREAD)
-            self.ejected_until[address] = self.loop.time() + ejection
+            ejection_time = self.plan.shun_for * self.rng.uniform(*EJECTION_SPREAD)
+            self.ejected_until[address] = self.loop.time() + ejection_time
             self.failure_counts[address] = 0
 
     def _take_idle_connection(self, address: str) -> Optional[ClientConnection]:
--- a/peatlead/standin/resolvers.py
+++ b/peatlead/standin/resolvers.py
@@ -28,9 +28,7 @@
 ATTEMPT_TIMEOUT = 0.35  # seconds until the next server is queried
 MAX_ATTEMPTS = 4
 MAX_CACHED_ANSWERS = 10_000
-SLOWNESS_DECAY = (
-    0.7  # of the previous slowness, after a query without an answer; bounds the slowness
-)
+RESPONSE_TIME_DECAY = 0.7  # weight of the previous response time, after a query without an answer
 UDP_PAYLOAD = 1232  # bytes, in the EDNS option (DNS flag day 2020)
 CACHED_RCODES = ("NOERROR", "NXDOMAIN")
 
@@ -91,9 +89,11 @@
         self.recorder = recorder
         self.rotates = rotates  # whether the order of addresses changes between lookups
         self.cache: dict[CacheKey, CachedAnswer] = {}
-        self.queries: dict[CacheKey, asyncio.Task[Optional[CachedAnswer]]] = {}  # active
-        self.waiting: dict[tuple[Server, bytes], asyncio.Future[bytes]] = {}  # by message ID
-        self.slowness = dict.fromkeys(servers, 0.0)  # smoothed response time in seconds
+        self.active_queries: dict[CacheKey, asyncio.Task[Optional[CachedAnswer]]] = {}
+        self.pending_answers: dict[
+            tuple[Server, bytes], asyncio.Future[bytes]
+        ] = {}  # by message ID
+        self.response_times = dict.fromkeys(servers, 0.0)  # smoothed response time in seconds
 
     async def open(self) -> None:
         """Open the UDP socket for queries."""
@@ -106,7 +106,7 @@
 
     def datagram_received(self, data: bytes, peer: Any) -> None:
         """Pass an answer to the query that waits for it."""
-        waiter = self.waiting.get((peer, data[:2]))
+        waiter = self.pending_answers.get((peer, data[:2]))
         if waiter is not None and not waiter.done():
             waiter.set_result(data)
 
@@ -124,10 +124,12 @@
         cached = self.cache.get(key)
         if cached is not None and now < cached.expires_at:
             return self._order_addresses(cached)
-        if key not in self.queries:
-            task = self.queries[key] = self.loop.create_task(self._resolve(name, network, view))
-            task.add_done_callback(lambda _: self.queries.pop(key, None))
-        answer = await asyncio.shield(self.queries[key])
+        if key not in self.active_queries:
+            task = self.active_queries[key] = self.loop.create_task(
+                self._resolve(name, network, view)
+            )
+            task.add_done_callback(lambda _: self.active_queries.pop(key, None))
+        answer = await asyncio.shield(self.active_queries[key])
         if answer is not None:
             return self._order_addresses(answer)
         if (
@@ -150,7 +152,7 @@
         wire = query.to_wire()
         start = self.loop.time()
         for server in self._order_servers():
-            answer = await self._ask_timed(server, wire, query)
+            answer = await self._query_timed(server, wire, query)
             if answer is None:
                 continue
             rcode = dns.rcode.to_text(answer.rcode())
@@ -177,43 +179,43 @@
         )
 
     def _order_servers(self) -> list[Server]:
-        """Return the servers to query, fastest first, in random order if equally fast."""
+        """Return the servers to query: fastest first, equally fast ones in random order."""
         servers = sorted(
             self.servers,
-            key=lambda server: (round(self.slowness[server], 2), self.rng.random()),
+            key=lambda server: (round(self.response_times[server], 2), self.rng.random()),
         )
         return (servers * MAX_ATTEMPTS)[:MAX_ATTEMPTS]
 
-    async def _ask_timed(
+    async def _query_timed(
         self, server: Server, wire: bytes, query: dns.message.Message
     ) -> Optional[dns.message.Message]:
         """Query a server and update its smoothed response time."""
         start = self.loop.time()
-        answer = await self._ask(server, wire, query)
+        answer = await self._query_server(server, wire, query)
         duration = self.loop.time() - start
-        slowness = self.slowness[server]
+        response_time = self.response_times[server]
         if answer is None:
-            self.slowness[server] = ATTEMPT_TIMEOUT + slowness * SLOWNESS_DECAY
+            self.response_times[server] = ATTEMPT_TIMEOUT + response_time * RESPONSE_TIME_DECAY
         else:
-            self.slowness[server] = 0.7 * slowness + 0.3 * duration
+            self.response_times[server] = 0.7 * response_time + 0.3 * duration
         return answer
 
-    async def _ask(
+    async def _query_server(
         self, server: Server, wire: bytes, query: dns.message.Message
     ) -> Optional[dns.message.Message]:
         key = (server, wire[:2])
-        self.waiting[key] = self.loop.create_future()
+        self.pending_answers[key] = self.loop.create_future()
         self.transport.sendto(wire, server)
         try:
-            data = await with_timeout(ATTEMPT_TIMEOUT, self.waiting[key])
+            data = await with_timeout(ATTEMPT_TIMEOUT, self.pending_answers[key])
             answer: Optional[dns.message.Message] = dns.message.from_wire(data)
             if answer is not None and answer.flags & dns.flags.TC:
-                answer = await ask_over_tcp(self.loop, server, self.address, wire)
+                answer = await query_over_tcp(self.loop, server, self.address, wire)
             return answer if answer is not None and query.is_response(answer) else None
         except (TimeoutError, dns.exception.DNSException):
             return None
         finally:
-            self.waiting.pop(key, None)
+            self.pending_answers.pop(key, None)
 
     def cache_answer(self, name: str, network: str, addresses: list[str], ttl: int) -> CachedAnswer:
         """Cache an answer with a TTL in seconds, adjusted by the resolver's policy."""
@@ -274,7 +276,7 @@
             self.answer.set_result(None)
 
 
-async def ask_over_tcp(
+async def query_over_tcp(
     loop: asyncio.AbstractEventLoop, server: Server, local: str, wire: bytes
 ) -> Optional[dns.message.Message]:
     """Query a server over TCP from a local address; return None without an answer."""
--- a/peatlead/standin/secondary.py
+++ b/peatlead/standin/secondary.py
@@ -18,7 +18,7 @@
 
 from ..net.streams import Stream
 
-DONE = "done"  # outcome of a transfer that was applied
+DONE = "done"  # outcome of an applied transfer
 TRANSFER_IDLE_TIMEOUT = 5.0  # seconds without data until a transfer is aborted
 MESSAGE_LENGTH = struct.Struct(">H")  # before each message over TCP (RFC 1035 section 4.2.2)
 
@@ -90,8 +90,8 @@
         self.primary = primary
         self.zone = dns.zone.Zone(origin)  # the current version
         self.fetch_counts: dict[str, int] = {}  # by outcome
-        self.task: Optional[asyncio.Task[None]] = None
-        self.notified = False  # since the start of the current fetch
+        self.fetch_task: Optional[asyncio.Task[None]] = None
+        self.notified = False  # whether a NOTIFY arrived after the current fetch had started
 
     async def open(self) -> None:
         """Listen for NOTIFY."""
@@ -122,21 +122,21 @@
 
     def fetch(self) -> None:
         """Start a fetch of the current version, or repeat the active fetch when it ends."""
-        if self.task is not None and not self.task.done():
+        if self.fetch_task is not None and not self.fetch_task.done():
             self.notified = True
             return
-        self.task = self.loop.create_task(self._fetch_until_current())
+        self.fetch_task = self.loop.create_task(self._fetch_until_current())
 
     async def _fetch_until_current(self) -> None:
         self.notified = True
         while self.notified:
             self.notified = False
-            outcome = await self._transfer(self.serial)
+            outcome = await self._fetch_version(self.serial)
             if outcome != DONE:
-                outcome = await self._transfer(None)  # fetch the whole zone instead
+                outcome = await self._fetch_version(None)  # fetch the whole zone instead
             self.fetch_counts[outcome] = self.fetch_counts.get(outcome, 0) + 1
 
-    async def _transfer(self, serial: Optional[int]) -> str:
+    async def _fetch_version(self, serial: Optional[int]) -> str:
         """Fetch the changes since a serial, or the whole zone for None; return the outcome."""
         query: dns.message.Message
         query, _ = dns.xfr.make_query(self.zone, serial)
@@ -157,6 +157,6 @@
 
     def close(self) -> None:
         """Stop fetching and listening."""
-        if self.task is not None:
-            self.task.cancel()
+        if self.fetch_task is not None:
+            self.fetch_task.cancel()
         self.transport.close()
--- a/peatlead/standin/xds_proxies.py
+++ b/peatlead/standin/xds_proxies.py
@@ -2,7 +2,7 @@
 
 A proxy follows one discovery stream. It applies only assignments that are newer than its fence, a
 pair (epoch, serial); older ones are recorded and ignored. It still reads abandoned streams, so that
-late messages of a frozen controller are recorded and shown to have no effect.
+late messages of a frozen controller are recorded; they have no effect.
 """
 
 import asyncio
@@ -40,7 +40,7 @@
 
 JOIN_TIMEOUT = 1.0  # seconds for a controller to respond
 AVOID_DURATION = 5.0  # seconds for which a controller is avoided after it failed to respond
-PAST_ALL_SERIALS = 1 << 62  # greater than every serial
+PAST_ALL_SERIALS = 1 << 62  # greater than any serial of a controller
 ABANDONED_READ_TIME = 90.0  # seconds for which an abandoned stream is still read
 REJOIN_DELAY = (0.03, 0.15)  # seconds, random in this range
 PING_INTERVAL = 1.0  # seconds
@@ -120,17 +120,17 @@
         return self.tables.entries
 
     def begin(self, start: float) -> None:
-        """Connect to a controller, and start the arrival of requests at a time."""
-        self._start_task(self._follow())
-        first = start + self.rng.expovariate(self.plan.rate)
-        self.loop.call_at(first, self._arrive, first)
+        """Connect to a controller, and let requests arrive from the event loop time `start` on."""
+        self._start_task(self._follow_controllers())
+        first_due = start + self.rng.expovariate(self.plan.rate)
+        self.loop.call_at(first_due, self._start_due_requests, first_due)
 
     def _start_task(self, coroutine: Coroutine[Any, Any, None]) -> None:
         task = self.loop.create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def _arrive(self, due: float) -> None:
+    def _start_due_requests(self, due: float) -> None:
         """Start all requests that are due, and schedule the next one."""
         if self.stopped:
             return
@@ -142,29 +142,29 @@
             request_id = f"{self.plan.name}-{self.request_count}"
             self._start_task(self.request_sender.run(request_id, request_class, due))
             due += self.rng.expovariate(self.plan.rate)
-        self.loop.call_at(due, self._arrive, due)
+        self.loop.call_at(due, self._start_due_requests, due)
 
     # Streams.
 
-    async def _follow(self) -> None:
+    async def _follow_controllers(self) -> None:
         """Follow one controller after another until the proxy is stopped."""
-        hops = 0  # consecutive redirections
+        redirections = 0  # consecutive
         wait = 0.0
         target: Optional[Address] = None
         while not self.stopped:
             await asyncio.sleep(wait)
             address = target or self._choose_controller()
-            outcome, metadata = await self._join(address, hops)
+            outcome, metadata = await self._join_controller(address, redirections)
             wait = self.rng.uniform(*REJOIN_DELAY)
             target = None
             if outcome is JoinOutcome.REDIRECTED and metadata.get("peatlead-owner"):
                 target = parse_address(metadata["peatlead-owner"])
-                hops += 1
+                redirections += 1
                 wait = 0.0
             elif outcome is JoinOutcome.REDIRECTED:
                 wait = float(metadata.get("peatlead-wait", "0") or 0) or wait
             else:
-                hops = 0
+                redirections = 0
             if outcome is JoinOutcome.FAILED:
                 self.avoided_until[address] = self.loop.time() + AVOID_DURATION
 
@@ -181,7 +181,7 @@
         available = [address for address in controllers if address not in self.avoided_until]
         return self.rng.choice(available or controllers)
 
-    async def _join(self, address: Address, hops: int) -> JoinResult:
+    async def _join_controller(self, address: Address, redirections: int) -> JoinResult:
         """Connect to a controller, and follow its stream until the end."""
         controller = address[0]
         try:
@@ -191,7 +191,7 @@
         responded: asyncio.Future[dict[str, str]] = self.loop.create_future()
         ended: asyncio.Future[dict[str, str]] = self.loop.create_future()
         call = self._open_call(connection, controller, responded, ended)
-        self._send_first_requests(call, hops)
+        self._send_first_requests(call, redirections)
         await asyncio.wait(
             [responded, ended], timeout=JOIN_TIMEOUT, return_when=asyncio.FIRST_COMPLETED
         )
@@ -239,7 +239,7 @@
         controller: str,
         ended: asyncio.Future[dict[str, str]],
     ) -> None:
-        """Report loads until the stream ends or the controller stops responding."""
+        """Record the stream, and report loads until it ends or the controller stops responding."""
         self._store_preferred_controllers(call.peer_metadata)
         self.recorder.write_row("stream", self.loop.time(), self.plan.name, controller, "joined")
         self._start_task(self._report_loads(connection))
@@ -274,17 +274,17 @@
 
     # Requests on the discovery stream.
 
-    def _send_first_requests(self, call: Call, hops: int) -> None:
-        # Each connection needs an epoch of its own: an earlier controller may only be slow and
-        # could still use the previous epoch. Every connection attempt therefore advances the fence.
+    def _send_first_requests(self, call: Call, redirections: int) -> None:
+        # Each connection attempt advances the fence to a new epoch: the previous controller may
+        # only be slow, and could still send assignments with the previous epoch.
         self.fence = Fence((self.fence.newest_version[0] + 1, PAST_ALL_SERIALS))
         if self.plan.incremental:
-            self._send_first_deltas(call, hops)
+            self._send_first_deltas(call, redirections)
             return
         request = discovery_pb2.DiscoveryRequest(
             type_url=ASSIGNMENT_TYPE_URL, resource_names=self._class_names()
         )
-        self._describe_node(request, hops)
+        self._describe_node(request, redirections)
         held = {
             name: [
                 f"{endpoint.address}|{endpoint.port}|{endpoint.zone}|{endpoint.weight}"
@@ -294,31 +294,31 @@
         }
         request.node.metadata.update({"held": held})
         call.send(request.SerializeToString(deterministic=True))
-        routes = discovery_pb2.DiscoveryRequest(
+        route_request = discovery_pb2.DiscoveryRequest(
             type_url=ROUTE_TYPE_URL, resource_names=[ROUTE_CONFIGURATION_NAME]
         )
-        call.send(routes.SerializeToString())
+        call.send(route_request.SerializeToString())
 
-    def _send_first_deltas(self, call: Call, hops: int) -> None:
+    def _send_first_deltas(self, call: Call, redirections: int) -> None:
         """Subscribe to all parts of the tables, and send the versions of the held items."""
         self.replica.reject_up_to(Version(*self.fence.newest_version))
         for type_url, part in PART_BY_TYPE.items():
             request = discovery_pb2.DeltaDiscoveryRequest(
                 type_url=type_url, resource_names_subscribe=["*"]
             )
-            self._describe_node(request, hops)
+            self._describe_node(request, redirections)
             for key, value in self.replica.parts[part].items():
                 request.initial_resource_versions[resource_name(key)] = str(value)
             call.send(request.SerializeToString(deterministic=True))
 
-    def _describe_node(self, request: Any, hops: int) -> None:
+    def _describe_node(self, request: Any, redirections: int) -> None:
         request.node.id = self.plan.name
         request.node.locality.zone = self.plan.zone
         request.node.metadata.update(
             {
                 "epoch": self.fence.newest_version[0],
                 "rate": self.plan.rate,
-                "hops": hops,
+                "hops": redirections,
                 "avoid": [
                     self.controller_names[address]
                     for address in self.avoided_until
@@ -347,7 +347,7 @@
             resource_names=[ROUTE_CONFIGURATION_NAME] if is_routes else self._class_names(),
         )
         try:
-            self._apply(response)
+            self._apply_response(response)
             self.fence = self.fence.after_update(*version)
             outcome = AssignmentOutcome.APPLIED
         except ValueError as error:
@@ -357,11 +357,11 @@
         self._record_assignment(controller, version, outcome)
         call.send(answer.SerializeToString())
 
-    def _apply(self, response: Any) -> None:
+    def _apply_response(self, response: Any) -> None:
         """Apply a response completely. Raises ValueError, and changes nothing, if it is invalid."""
         if response.type_url == ROUTE_TYPE_URL:
             for resource in response.resources:
-                self.tables.retries = decode_routes(resource.value)
+                self.tables.retry_policies = decode_routes(resource.value)
             return
         assignments = [decode_assignment(resource.value) for resource in response.resources]
         for request_class, entries, admission in assignments:
@@ -417,16 +417,18 @@
         for key, fraction in self.replica.parts["level"].items():
             self.tables.admissions[key.partition("/")[2]] = cast(int, fraction) / MILLION
         for key, policy in self.replica.parts["retry"].items():
-            self.tables.retries[key.partition("/")[2]] = cast(str, policy)
+            self.tables.retry_policies[key.partition("/")[2]] = cast(str, policy)
         self.request_sender.close_unassigned()
 
     def _record_assignment(
         self, controller: str, version: Version, outcome: AssignmentOutcome
     ) -> None:
-        fewest = min((len(self.entries.get(name, ())) for name in self._class_names()), default=0)
+        min_entries = min(
+            (len(self.entries.get(name, ())) for name in self._class_names()), default=0
+        )
         now = self.loop.time()
         self.recorder.write_row(
-            "order", now, self.plan.name, controller, *version, outcome.value, fewest
+            "order", now, self.plan.name, controller, *version, outcome.value, min_entries
         )
 
     def _record_held(self, controller: str, version: Version) -> None:
@@ -460,9 +462,9 @@
             set_once(first_response, None)
 
         call.on_message = receive
-        first = lrs_pb2.LoadStatsRequest()
-        first.node.id = self.plan.name
-        call.send(first.SerializeToString())
+        first_request = lrs_pb2.LoadStatsRequest()
+        first_request.node.id = self.plan.name
+        call.send(first_request.SerializeToString())
         await asyncio.wait([first_response], timeout=JOIN_TIMEOUT)
         while (
             first_response.done()
--- a/tests/grpc/test_server.py
+++ b/tests/grpc/test_server.py
@@ -23,7 +23,9 @@
         async def case(world):
             controller = await world.start_controller()
             proxy = connect_proxy(world, controller_order=(1,))
-            await until(lambda: len(proxy.entries.get("look", ())) == 4 and proxy.tables.retries)
+            await until(
+                lambda: len(proxy.entries.get("look", ())) == 4 and proxy.tables.retry_policies
+            )
             received = []
             original = controller.planner.handlers[interface.EndpointStats]
             controller.planner.handlers[interface.EndpointStats] = lambda event: (
@@ -31,7 +33,9 @@
                 original(event),
             )
             await until(lambda: sum(event.attempts for event in received) > 5)
-            self.assertEqual(proxy.tables.retries, {"look": "unstarted", "file": "unstarted"})
+            self.assertEqual(
+                proxy.tables.retry_policies, {"look": "unstarted", "file": "unstarted"}
+            )
             await until(
                 lambda: [
                     row["held"] == row["sent"] != "0.0"
@@ -173,14 +177,16 @@
             controller = await world.start_controller()
             proxy = connect_proxy(world, controller_order=(1,))
             await until(lambda: len(proxy.entries.get("look", ())) == 4)
-            endpoints_before, original = dict(proxy.entries), proxy._apply
-            proxy._apply = lambda response: (_ for _ in ()).throw(ValueError("simulated error"))
+            endpoints_before, original = dict(proxy.entries), proxy._apply_response
+            proxy._apply_response = lambda response: (_ for _ in ()).throw(
+                ValueError("simulated error")
+            )
             world.phases["h1"] = "draining"
             world.write_list()
             await until(lambda: controller.proxies.nack_count)
             self.assertEqual(proxy.entries, endpoints_before)
             self.assertEqual(dict(world.log)["assignment refused"]["why"], "simulated error")
-            proxy._apply = original
+            proxy._apply_response = original
             await proxy.finish()
 
         run_fleet(case)
