--- a/peatlead/benchmarks/dns_fuzz.py
+++ b/peatlead/benchmarks/dns_fuzz.py
@@ -23,8 +23,8 @@
 MAX_EDNS_ANSWER = 1232  # bytes over UDP, to queries with EDNS
 MAX_PLAIN_UDP_ANSWER = 512  # bytes, RFC 1035 section 4.2.1
 OPT_RECORD = b"\x00\x00\x29"  # root name and type of the EDNS record (RFC 6891)
-COUNTS_OFFSET = 4  # bytes before the section counts in the header
-COUNTS_SIZE = 8  # bytes
+COUNTS_OFFSET = 4  # position of the section counts in the header, in bytes
+COUNTS_SIZE = 8  # size of the section counts, in bytes
 PEERS = ("127.100.0.9", "10.0.0.1", "2001:db8::1", "::ffff:127.100.1.1")
 NAMES = (
     "api.example.org",
@@ -108,7 +108,7 @@
 
 
 def find_error(query: bytes, answer: bytes | list[bytes], tcp: bool) -> str:
-    """Return what is wrong with an answer, "" if it is valid."""
+    """Return a description of the error in an answer, "" if the answer is valid."""
     if isinstance(answer, list):
         return "unexpected zone transfer"
     if len(answer) > max_answer_size(query, tcp) or answer[:2] != query[:2]:
--- a/peatlead/benchmarks/dns_speed.py
+++ b/peatlead/benchmarks/dns_speed.py
@@ -35,7 +35,7 @@
 CLIENTS = 3  # processes
 SOCKETS_PER_CLIENT = 8
 TABLE_ENTRIES = 12
-CODEC_ROUNDS = 2  # fewer than of the other servers, since the codec is far slower
+CODEC_ROUNDS = 2  # fewer rounds than for the other servers, since the codec is far slower
 ANSWERS_PER_VIEW = 20  # sent before memory is measured
 CHANGE_INTERVAL = 0.1  # seconds between changes of tables
 
@@ -176,8 +176,10 @@
     return Fixture(settings, answers, tables, rng)
 
 
-async def change_tables(fixture: Fixture, endpoints: int, rate: int, changed: list[int]) -> None:
-    """Replace an entry in `rate` tables per second; their views are added to `changed`."""
+async def change_tables(
+    fixture: Fixture, endpoints: int, rate: int, changed_views: list[int]
+) -> None:
+    """Replace an entry in `rate` tables per second; their views are added to `changed_views`."""
     _, answers, tables, rng = fixture
     while True:
         for _ in range(max(1, int(rate * CHANGE_INTERVAL))):
@@ -186,7 +188,7 @@
             table.pop(rng.choice(sorted(table)))
             table[rng.randrange(endpoints)] = 1.0
             answers.set_pool(view, 0, AnswerPool(dict(table), True, 2), table)
-            changed.append(view)
+            changed_views.append(view)
         await asyncio.sleep(CHANGE_INTERVAL)
 
 
@@ -242,15 +244,15 @@
     """Measure rates while `rate` tables per second change, and memory afterwards."""
     fixture = build_fixture(views, endpoints)
     ports = await open_servers(fixture)
-    changed: list[int] = []
-    changing = asyncio.create_task(change_tables(fixture, endpoints, rate, changed))
+    changed_views: list[int] = []
+    change_task = asyncio.create_task(change_tables(fixture, endpoints, rate, changed_views))
     rates = await measure_rates(ports, rounds, ClientLoad(seconds, window, views))
-    changing.cancel()
+    change_task.cancel()
     return {
         "views": views,
         "hosts": endpoints,
         "rounds": rounds,
-        "tables changed": len(changed),
+        "tables changed": len(changed_views),
         **compare(rates),
         "bytes per view": measure_memory(views, endpoints),
         "peak resident MB": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // 1024,
@@ -266,15 +268,15 @@
     tracemalloc.start()
     answers = build_fixture(views, endpoints).answers
     query = dns.message.make_query(QUERIED_NAME, "A").to_wire()
-    built = tracemalloc.get_traced_memory()[0]
+    bytes_before_answers = tracemalloc.get_traced_memory()[0]
     for view in range(views):
         for _ in range(ANSWERS_PER_VIEW):
             answers.respond(query, f"{view_network(view)}.9")
-    answered = tracemalloc.get_traced_memory()[0]
+    bytes_after_answers = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     return {
-        "settings, view and table": built // views,
-        "orders and prepared answers": (answered - built) // views,
+        "settings, view and table": bytes_before_answers // views,
+        "orders and prepared answers": (bytes_after_answers - bytes_before_answers) // views,
     }
 
 
--- a/peatlead/benchmarks/encoding.py
+++ b/peatlead/benchmarks/encoding.py
@@ -23,7 +23,7 @@
 def encode_with_protobuf(
     request_class: str, entries: Sequence[WeightedEndpoint], admitted_fraction: float
 ) -> bytes:
-    """Serialize an assignment with protobuf alone; the reference for `encode_assignment`."""
+    """Serialize an assignment with protobuf alone, as the reference for `encode_assignment`."""
     assignment = endpoint_pb2.ClusterLoadAssignment(cluster_name=request_class)
     for zone in sorted({entry.zone for entry in entries}):
         locality = assignment.endpoints.add()
@@ -60,9 +60,9 @@
             for table in tables:
                 encode("look", table, ADMITTED_FRACTION)
             microseconds[name].append((time.process_time() - start) / TABLES * 1e6)
-    best = {name: round(min(values), 1) for name, values in microseconds.items()}
-    ratio = round(best["plain"] / best["parts"], 2)
-    print(json.dumps({"us per table of 9 entries": best, "ratio": ratio}))
+    shortest = {name: round(min(values), 1) for name, values in microseconds.items()}
+    ratio = round(shortest["plain"] / shortest["parts"], 2)
+    print(json.dumps({"us per table of 9 entries": shortest, "ratio": ratio}))
 
 
 if __name__ == "__main__":
--- a/peatlead/benchmarks/grpc_fuzz.py
+++ b/peatlead/benchmarks/grpc_fuzz.py
@@ -36,7 +36,7 @@
 from ..grpc.server import DELTA_DISCOVERY_PATH, DISCOVERY_PATH, LOAD_REPORTING_PATH
 from ..net.in_memory_transport import InMemoryTransport
 
-WARM_UP = 2000  # inputs after which memory should no longer grow
+WARM_UP_ROUNDS = 2000  # after which memory should no longer grow
 CHUNK_SIZES = (1, 9, 100, 65536)  # bytes passed to the connection at once
 HELD_ENTRY = "10.0.0.1|80|a|1.0"
 HELD_RESOURCE = "xdstp://peatlead/envoy.config.endpoint.v3.LbEndpoint/look/a/10.0.0.1:80"
@@ -187,21 +187,21 @@
             (LOAD_REPORTING_PATH, DISCOVERY_PATH, DELTA_DISCOVERY_PATH), requests
         )
     ]
-    inputs = 0
-    warm_peak = None
+    rounds = 0  # each with one input of both kinds
+    peak_after_warm_up = None
     while time.monotonic() < end:
         decode_all(mutate(rng, rng.choice(requests)))
         stream = mutate(rng, rng.choice(streams))
         feed_stream(stream, rng.choice(CHUNK_SIZES))
-        inputs += 1
-        if inputs == WARM_UP:
-            warm_peak = peak_memory()
+        rounds += 1
+        if rounds == WARM_UP_ROUNDS:
+            peak_after_warm_up = peak_memory()
     return {
         "seconds": seconds,
         "seed": seed,
-        "inputs": 2 * inputs,
-        "peak KiB after 2,000 inputs": warm_peak,
-        "growth in KiB afterwards": peak_memory() - (warm_peak or 0),
+        "inputs": 2 * rounds,
+        "peak KiB after 2,000 inputs": peak_after_warm_up,
+        "growth in KiB afterwards": peak_memory() - (peak_after_warm_up or 0),
     }
 
 
--- a/peatlead/benchmarks/herd.py
+++ b/peatlead/benchmarks/herd.py
@@ -37,8 +37,8 @@
 
 CLIENT_PROCESSES = 4
 LISTEN = "127.1.0.1"
-START_DELAY = 2.5  # seconds until the controller is expected to serve
-IDLE_PERIOD = 5.0  # seconds measured before the withdrawal; three times as long after it
+START_DELAY = 2.5  # seconds from the controller's start until proxies connect
+IDLE_PERIOD = 5.0  # seconds of each idle measurement; the withdrawal is measured for 3 periods
 STOP_TIMEOUT = 10.0  # seconds for the controller to end
 DRAINED_ADDRESS = "127.10.0.1"  # of endpoint 0
 STATUS_FIELDS = ("slowest_decide", "channel", "burden")
@@ -128,7 +128,7 @@
         self.folder = tempfile.mkdtemp(prefix="peatlead-herd-")
         self.pipes: list[Pipe[Any, Any]] = []
         self.processes: list[multiprocessing.Process] = []
-        self.bytes_before: list[int] = []  # received by each proxy before the withdrawal
+        self.bytes_before_withdrawal: list[int] = []  # received by each proxy
         Path(self.folder, "settings.star").write_text(
             settings_text(self.port, self.folder, proxies)
         )
@@ -174,22 +174,22 @@
         cpu_before = self.controller_cpu()
         start = time.monotonic()
         self.start_proxies()
-        served_after = max(pipe.recv()[1] for pipe in self.pipes) - start
-        growth = resident_size(self.controller.pid) - memory_before
+        seconds_until_served = max(pipe.recv()[1] for pipe in self.pipes) - start
+        memory_growth = resident_size(self.controller.pid) - memory_before
         return {
             "proxies": self.proxies,
             "hosts": self.endpoints,
             "reports per second": abs(self.report_rate) * self.proxies,
-            "s until all are served": round(served_after, 2),
+            "s until all are served": round(seconds_until_served, 2),
             "CPU s": round(self.controller_cpu() - cpu_before, 2),
-            "KiB per proxy": round(growth * 1024 / self.proxies, 1),
+            "KiB per proxy": round(memory_growth * 1024 / self.proxies, 1),
         }
 
     def measure_idle(self) -> dict[str, Any]:
         """Return the controller's CPU utilization while nothing changes."""
         time.sleep(IDLE_PERIOD)
         cpu_before = self.controller_cpu()
-        self.bytes_before = self.ask(ProxyCommand.SIZES)
+        self.bytes_before_withdrawal = self.ask(ProxyCommand.SIZES)
         time.sleep(IDLE_PERIOD)
         return {
             "CPU utilization when idle": round(
@@ -198,12 +198,12 @@
         }
 
     def measure_withdrawal(self) -> dict[str, Any]:
-        """Drain endpoint 0; returns how many proxies it was withdrawn from, and after what time."""
+        """Drain endpoint 0; returns how many proxies it was withdrawn from, and the delays."""
         cpu_before = self.controller_cpu()
         drained_at = write_list(self.folder, 2, self.endpoints, (0,))
         time.sleep(3 * IDLE_PERIOD)
         withdrawal_times = self.ask(ProxyCommand.WITHDRAWN, DRAINED_ADDRESS)
-        received = sum(self.ask(ProxyCommand.SIZES)) - sum(self.bytes_before)
+        received = sum(self.ask(ProxyCommand.SIZES)) - sum(self.bytes_before_withdrawal)
         return {
             "proxies that held the endpoint": len(
                 [withdrawn_at for withdrawn_at in withdrawal_times if withdrawn_at != 0.0]
@@ -237,7 +237,7 @@
             process.terminate()
 
 
-def run(proxies: int, endpoints: int, rate: float) -> None:
+def measure_fleet(proxies: int, endpoints: int, rate: float) -> None:
     """Measure a fleet and print the figures as JSON."""
     fleet = LoopbackFleet(proxies, endpoints, rate)
     try:
@@ -255,7 +255,7 @@
 def main() -> None:
     """Measure with the arguments of the command line."""
     rate = float(sys.argv[3]) if len(sys.argv) > 3 else 0.0
-    run(int(sys.argv[1]), int(sys.argv[2]), rate)
+    measure_fleet(int(sys.argv[1]), int(sys.argv[2]), rate)
 
 
 if __name__ == "__main__":
--- a/peatlead/benchmarks/herd_agents.py
+++ b/peatlead/benchmarks/herd_agents.py
@@ -20,7 +20,7 @@
 CONCURRENT_DIALS = 50
 REQUEST_CLASSES = ("look", "file")
 ZONES = ("a", "b", "c")
-REPORT_PHASES = 97  # start offsets of the reports within their interval
+REPORT_PHASES = 97  # number of different start times of reports within an interval
 MIN_REPORT_INTERVAL = 60  # milliseconds
 IDLE_TIMEOUT = 30.0  # seconds without a command after which a process of proxies ends
 
@@ -85,18 +85,18 @@
             self.addresses = set().union(*self.addresses_by_class.values())
             self.observations.append(Observation(now, frozenset(self.addresses)))
 
-    async def send_load_reports(self, interval: float, obey: bool) -> None:
+    async def send_load_reports(self, interval: float, follow_requested_interval: bool) -> None:
         """Send load reports until the stream ends.
 
-        `interval` is in seconds. If `obey` is set, a longer interval that the controller asks for
-        is used instead.
+        `interval` is in seconds. With `follow_requested_interval`, a longer interval that the
+        controller asks for is used instead.
         """
         call = self.connection.call(LOAD_REPORTING_PATH, AUTHORITY)
         current_interval = interval
 
         def handle_load_response(data: bytes) -> None:
             nonlocal current_interval
-            if obey:
+            if follow_requested_interval:
                 response = lrs_pb2.LoadStatsResponse.FromString(data)
                 seconds = response.load_reporting_interval.ToMilliseconds() / 1000
                 current_interval = max(interval, seconds)
@@ -128,14 +128,14 @@
 
         Returns 0.0 if they never contained the address, None if they still do.
         """
-        containing = [
+        indexes_with_address = [
             index
             for index, observation in enumerate(self.observations)
             if address in observation.addresses
         ]
-        if not containing:
+        if not indexes_with_address:
             return 0.0
-        later = self.observations[containing[-1] + 1 :]
+        later = self.observations[indexes_with_address[-1] + 1 :]
         return later[0].at if later else None
 
 
@@ -156,9 +156,9 @@
     """Connect proxies, let them report, and answer commands until `ProxyCommand.END`."""
     proxies = [SimulatedProxy(number, controller) for number in numbers]
     pipe.send(("joined", await connect_proxies(proxies)))
-    reports = []
+    report_tasks = []
     if rate:
-        reports = [
+        report_tasks = [
             asyncio.create_task(proxy.send_load_reports(1 / abs(rate), rate > 0))
             for proxy in proxies
         ]
@@ -171,8 +171,8 @@
             pipe.send([proxy.received_bytes for proxy in proxies])
         elif command == ProxyCommand.WITHDRAWN:
             pipe.send([proxy.withdrawn_at(value) for proxy in proxies])
-    for report in reports:
-        report.cancel()
+    for task in report_tasks:
+        task.cancel()
 
 
 def run_proxies(
--- a/peatlead/benchmarks/herd_baseline.py
+++ b/peatlead/benchmarks/herd_baseline.py
@@ -18,12 +18,12 @@
         self.received_at = time.monotonic()
 
 
-def delay_percentiles(values: list[float]) -> dict[str, float]:
+def delay_percentiles(delays: list[float]) -> dict[str, float]:
     """Return the median, the 99th percentile and the maximum of delays, in milliseconds.
 
-    `values` is in seconds. Returns {} for no values.
+    `delays` is in seconds. Returns {} for no delays.
     """
-    ordered = sorted(values)
+    ordered = sorted(delays)
     if not ordered:
         return {}
     return {
@@ -33,7 +33,7 @@
     }
 
 
-async def send_to_all(streams: int, size: int) -> dict[str, float]:
+async def send_to_all(stream_count: int, size: int) -> dict[str, float]:
     """Send `size` bytes to each stream; returns the delays and the time of all writes, in ms."""
     loop = asyncio.get_running_loop()
     senders: list[Stream] = []
@@ -45,7 +45,7 @@
 
     server = await loop.create_server(Sender, LISTEN, 0, backlog=1024)
     host, port = server.sockets[0].getsockname()
-    for number in range(streams):
+    for number in range(stream_count):
         local = f"127.{60 + number // 250}.{number % 250}.2"
         _, receiver = await loop.create_connection(Receiver, host, port, local_addr=(local, 0))
         receivers.append(receiver)
@@ -63,6 +63,6 @@
     return {**arrivals, "to write": round(write_time * 1000, 1)}
 
 
-def measure_baseline(streams: int, size: int) -> dict[str, float]:
-    """Run `send_to_all` on an event loop of its own."""
-    return asyncio.run(send_to_all(streams, size))
+def measure_baseline(stream_count: int, size: int) -> dict[str, float]:
+    """Run `send_to_all` on an event loop of its own; returns its result."""
+    return asyncio.run(send_to_all(stream_count, size))
--- a/peatlead/benchmarks/lab_speed.py
+++ b/peatlead/benchmarks/lab_speed.py
@@ -14,7 +14,7 @@
 from ..lab.day import play_day
 from ..scenario.script import load_day
 
-PROFILED_SECONDS = 10  # simulated
+PROFILED_LENGTH = 10  # simulated seconds
 PROFILE_LINES = 25  # functions in the printed profile
 
 
@@ -35,7 +35,7 @@
 
 
 def load_size(size: Size) -> Any:
-    """Return the day script of a size, checked."""
+    """Return the scenario of a size."""
     return load_day(
         "speed",
         f"""
@@ -50,18 +50,18 @@
 def measure(name: str, size: Size) -> dict[str, Any]:
     """Play a day of one size; returns its speed and memory."""
     start = time.process_time()
-    played = play_day(load_size(size), 1)
+    result = play_day(load_size(size), 1)
     cpu_time = time.process_time() - start
-    requests = sum(row.kind == "req" for row in played.rows)
+    requests = sum(row.kind == "req" for row in result.rows)
     return {
         "hosts / agents": name,
         "requests per second": size.rate,
-        "simulated seconds": round(played.end_time, 1),
+        "simulated seconds": round(result.end_time, 1),
         "CPU seconds": round(cpu_time, 1),
-        "simulated seconds per CPU second": round(played.end_time / cpu_time, 2),
+        "simulated seconds per CPU second": round(result.end_time / cpu_time, 2),
         "us per request": round(cpu_time / requests * 1e6),
-        "deliveries": played.event_count,
-        "problems": played.problems,
+        "deliveries": result.event_count,
+        "problems": result.problems,
         "peak MB": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // 1024,
     }
 
@@ -69,7 +69,7 @@
 def profile() -> None:
     """Print a CPU profile of the smallest size."""
     profiler = cProfile.Profile()
-    size = SIZES["24 / 80"]._replace(length=PROFILED_SECONDS)
+    size = SIZES["24 / 80"]._replace(length=PROFILED_LENGTH)
     profiler.runcall(play_day, load_size(size), 1)
     pstats.Stats(profiler).sort_stats("tottime").print_stats(PROFILE_LINES)
 
--- a/peatlead/benchmarks/members.py
+++ b/peatlead/benchmarks/members.py
@@ -29,31 +29,33 @@
     cpu: float  # seconds, including the simulated network
 
 
-def seconds_until(net: MembershipNetwork, condition: Callable[[], bool]) -> float:
+def seconds_until(network: MembershipNetwork, condition: Callable[[], bool]) -> float:
     """Run until a condition holds, at most TIMEOUT; returns the simulated seconds."""
-    start = net.now
-    while not condition() and net.now - start < TIMEOUT:
-        net.run(POLL_INTERVAL)
-    return float(round(net.now - start, 2))
+    start = network.now
+    while not condition() and network.now - start < TIMEOUT:
+        network.run(POLL_INTERVAL)
+    return float(round(network.now - start, 2))
 
 
 def measure(size: int, seed: int) -> Measurement:
     """Start members, run them without a change, then kill and restart one of them."""
-    net = MembershipNetwork(size, seed)
-    joined = seconds_until(net, lambda: bool(net.members_agree(sorted(net.nodes))))
-    messages_before = net.messages_sent
-    bytes_before = net.bytes_sent
-    start = net.now
+    network = MembershipNetwork(size, seed)
+    joined = seconds_until(network, lambda: bool(network.members_agree(sorted(network.nodes))))
+    messages_before = network.messages_sent
+    bytes_before = network.bytes_sent
+    start = network.now
     cpu_before = time.process_time()
-    net.run(STEADY_TIME)
+    network.run(STEADY_TIME)
     cpu = time.process_time() - cpu_before
-    messages = net.messages_sent - messages_before
-    sent_bytes = net.bytes_sent - bytes_before
-    seconds = net.now - start
-    net.dead.add("n1")
-    death_known = seconds_until(net, lambda: set(net.member_states("n1").values()) == {"dead"})
-    net.start("n1")
-    rejoined = seconds_until(net, lambda: bool(net.members_agree(sorted(net.nodes))))
+    messages = network.messages_sent - messages_before
+    sent_bytes = network.bytes_sent - bytes_before
+    seconds = network.now - start
+    network.dead.add("n1")
+    death_known = seconds_until(
+        network, lambda: set(network.member_states("n1").values()) == {"dead"}
+    )
+    network.start("n1")
+    rejoined = seconds_until(network, lambda: bool(network.members_agree(sorted(network.nodes))))
     return Measurement(
         joined,
         death_known,
--- a/peatlead/benchmarks/paced_runs.py
+++ b/peatlead/benchmarks/paced_runs.py
@@ -13,7 +13,7 @@
 
 RESTART_TIME = 1.0  # seconds between an endpoint's drain and its return
 UTILIZATION = 0.5  # of a warm endpoint, when load is evenly distributed
-SETTLING_TICKS = 100  # run after a release
+SETTLING_TICKS = 100  # ticks of 0.1 s after a release
 
 Figures = dict[str, Union[int, float]]
 
@@ -41,7 +41,7 @@
         self.operations = 0  # sent to all proxies
         self.max_messages = 0  # to one proxy within `messages_span` seconds
         self.empty_proxies = 0  # proxies without entries, summed over the checks
-        self.max_batch_time = 0.0  # CPU seconds of one batch
+        self.max_batch_cpu_time = 0.0  # CPU seconds of one batch
         self.cpu_time = 0.0  # CPU seconds of all batches
         self.max_cold_load = 0.0  # of a cold endpoint, as a fraction of the overload threshold
         self.acknowledged: list[interface.Acknowledged] = []  # to be delivered with the next batch
@@ -56,7 +56,7 @@
         cpu_time, commands = self.decide_batch([*events, *self.acknowledged])
         self.acknowledged = []
         self.cpu_time += cpu_time
-        self.max_batch_time = max(self.max_batch_time, cpu_time)
+        self.max_batch_cpu_time = max(self.max_batch_cpu_time, cpu_time)
         routed = self.publisher.route(commands)
         for proxy in sorted(routed.messages):
             self.channel.enqueue(
@@ -97,19 +97,19 @@
 
     def check_loads(self) -> None:
         """Count proxies without entries, and update the maximum load of a cold endpoint."""
-        load: dict[int, float] = {}  # requests a second, by endpoint
+        loads: dict[int, float] = {}  # requests per second, by endpoint
         for view in self.views.values():
             entries = view.weights(0)
             total = sum(entries.values())
             self.empty_proxies += not entries
             for number, weight in entries.items():
-                load[number] = load.get(number, 0.0) + self.request_rate * weight / total
+                loads[number] = loads.get(number, 0.0) + self.request_rate * weight / total
         mean_load = self.request_rate * self.proxies / self.endpoints
         for endpoint in self.planner.endpoints.values():
             if endpoint.cold_since is not None and endpoint.phase == "ready":
                 warm_fraction = min(1.0, (self.now - endpoint.cold_since) / SETTINGS["warm_after"])
                 capacity = SETTINGS["cold_share"] + (1 - SETTINGS["cold_share"]) * warm_fraction
-                load_fraction = load.get(endpoint.id, 0.0) / mean_load * UTILIZATION
+                load_fraction = loads.get(endpoint.id, 0.0) / mean_load * UTILIZATION
                 load_fraction /= capacity * SETTINGS["tip_multiple"]
                 self.max_cold_load = max(self.max_cold_load, load_fraction)
 
@@ -121,18 +121,20 @@
         count = int(self.endpoints * REPLACED_FRACTION)
         start = self.now
         returning: list[tuple[float, int]] = []  # (time, endpoint)
-        drained = 0
-        while drained < count or returning:
+        drained_count = 0
+        while drained_count < count or returning:
             events: list[interface.Event] = [interface.TimerFired(0)]
-            due = min(count, int((self.now - start) / seconds * count) + 1)
-            if due > drained:
-                events.append(list_update(2, range(drained, due), "draining"))
-                returning += [(self.now + RESTART_TIME, number) for number in range(drained, due)]
-                drained = due
-            ready = [number for at, number in returning if at <= self.now]
-            if ready:
+            due_count = min(count, int((self.now - start) / seconds * count) + 1)
+            if due_count > drained_count:
+                events.append(list_update(2, range(drained_count, due_count), "draining"))
+                returning += [
+                    (self.now + RESTART_TIME, number) for number in range(drained_count, due_count)
+                ]
+                drained_count = due_count
+            returned = [number for at, number in returning if at <= self.now]
+            if returned:
                 returning = [(at, number) for at, number in returning if at > self.now]
-                events.append(list_update(2, ready, "ready", self.now))
+                events.append(list_update(2, returned, "ready", self.now))
             self.now += 0.1
             self.decide(events)
             if round(self.now * 10) % 5 == 0:
@@ -155,5 +157,5 @@
             "proxies without entries": self.empty_proxies,
             "max load of a cold endpoint / overload threshold": round(self.max_cold_load, 3),
             "CPU s": round(self.cpu_time, 2),
-            "longest batch ms": round(self.max_batch_time * 1000, 1),
+            "longest batch ms": round(self.max_batch_cpu_time * 1000, 1),
         }
--- a/peatlead/benchmarks/planner_runs.py
+++ b/peatlead/benchmarks/planner_runs.py
@@ -8,7 +8,7 @@
 from .. import interface
 
 ZONES = 3
-FIRST_PROXY = 2**32 - 1  # large and widely spaced, since the planner must allow any numbers
+FIRST_PROXY = 2**32 - 1  # proxy numbers are large and sparse, since the planner allows any
 PROXY_SPACING = 7919
 CHANNEL_RATE = 100.0  # operations per second and proxy
 REPLACED_FRACTION = 0.96  # of the endpoints, by a release
@@ -140,7 +140,7 @@
             cpu_times.append(self.decide([interface.TimerFired(0), *results]))
         return cpu_times
 
-    def statistics_round(self) -> float:
+    def run_statistics_round(self) -> float:
         """Deliver statistics of all endpoints; returns the CPU time of the next timer round."""
         self.now += 0.1
         self.decide(
@@ -158,7 +158,7 @@
         self.now += 0.1
         return self.decide_all([list_update(2, numbers, "draining")])
 
-    def release(self, steps: int = 30) -> list[float]:
+    def run_release(self, steps: int = 30) -> list[float]:
         """Replace nearly all endpoints, one step per second; returns the CPU time of each batch."""
         size = max(1, int(self.endpoints * REPLACED_FRACTION) // steps)
         cpu_times = []
@@ -178,7 +178,7 @@
     run = PlannerRun(planner_module, endpoints, proxies)
     joins = run.connect_proxies()
     ticks = run.run_ticks(40)
-    round_cpu_time = run.statistics_round()
+    round_cpu_time = run.run_statistics_round()
     withdrawal = run.withdraw([0])
     zone_lost = run.withdraw(range(0, endpoints, ZONES))
     release = measure_release(planner_module, endpoints, proxies)
@@ -200,4 +200,4 @@
     run = PlannerRun(planner_module, endpoints, proxies)
     run.connect_proxies()
     run.run_ticks(5)
-    return run.release()
+    return run.run_release()
--- a/peatlead/benchmarks/reality.py
+++ b/peatlead/benchmarks/reality.py
@@ -24,20 +24,20 @@
     """The result of one case in the lab."""
 
     name: str
-    service: float  # fraction of the possible value that was served
-    nearest: list[float]  # closest approach to the limit of each rule, 1 at the limit
+    service: float  # earned fraction of the gain of all requests
+    limit_fractions: list[float]  # highest value of each rule / its limit
     broken_rules: Any  # empty if no rule was broken
 
 
 def play_case(name: str) -> LabResult:
     """Play a case's day in the lab."""
     day = load_day(name, BASE_SCRIPT + CASES[name])
-    played = play_day(day, day["day"]["seed"])
+    result = play_day(day, day["day"]["seed"])
     return LabResult(
         name,
-        played.report.service["whole"]["part"],
-        [finding.fraction_of_limit for finding in played.report.findings],
-        played.problems,
+        result.report.service["whole"]["part"],
+        [finding.fraction_of_limit for finding in result.report.findings],
+        result.problems,
     )
 
 
@@ -53,7 +53,7 @@
     """
     service = report["service"]["whole"]["part"]
     on_sockets = ", ".join(f"{rule['nearest']:.2f}" for rule in report["rules"].values())
-    in_lab = ", ".join(f"{nearest:.2f}" for nearest in lab.nearest)
+    in_lab = ", ".join(f"{fraction:.2f}" for fraction in lab.limit_fractions)
     broken_mark = " !" if lab.broken_rules else ""
     return (
         f"| {lab.name} | {service:.3f} | {lab.service:.3f} | {lab.service - service:+.3f} | "
--- a/peatlead/benchmarks/tables_controllers.py
+++ b/peatlead/benchmarks/tables_controllers.py
@@ -17,7 +17,7 @@
 from ..tables.version import Version, line_key
 
 SERIES = 8  # of kills, which run in parallel with one controller each
-START_NETWORK = 90  # third byte of the address, above those of the series
+START_NETWORK = 90  # third byte of the address; the series have smaller ones
 STARTS = 5
 STARTED_EVENT = "controller started"  # in the controller's log
 SETTINGS = """
@@ -33,7 +33,7 @@
 
 
 class SeriesResult(NamedTuple):
-    """The result of a series of kills: the versions stored in the end, and errors found."""
+    """The result of a series of kills: the number of versions stored at the end, and the errors."""
 
     versions: int
     errors: list[str]
@@ -88,7 +88,7 @@
 
 
 def read_until_started(child: "subprocess.Popen[bytes]") -> list[dict[str, Any]]:
-    """Read the log events of a controller until it has started; returns them."""
+    """Read and return the log events of a controller until it has started."""
     assert child.stderr is not None
     events: list[dict[str, Any]] = []
     for line in child.stderr:
--- a/peatlead/benchmarks/tables_log.py
+++ b/peatlead/benchmarks/tables_log.py
@@ -19,14 +19,14 @@
 VERSIONS_READ = 50  # of each proxy
 VERSIONS_PER_FLUSH = 5
 MAX_WRITER_LIFETIME = 0.05  # seconds after its first version
-TORN = "torn"  # text in the reported reason for an incomplete last record
+INCOMPLETE_RECORD = "torn"  # text in the reported reason for an incomplete last record
 
 
 class ReadResult(NamedTuple):
     """The contents of a log after a kill."""
 
     newest_serial: int
-    torn: int  # incomplete last records
+    incomplete_records: int  # at the ends of files
     errors: list[str]
 
 
@@ -72,20 +72,20 @@
     """Read a log and check the order of its versions."""
     store = HistoryStore()
     problems = TableLog(folder, store, None).restore()
-    torn = sum(TORN in problem.reason for problem in problems)
-    errors = [problem.reason for problem in problems if TORN not in problem.reason]
+    incomplete_records = sum(INCOMPLETE_RECORD in problem.reason for problem in problems)
+    errors = [problem.reason for problem in problems if INCOMPLETE_RECORD not in problem.reason]
     for history in store.histories.values():
         versions = [entry.version for entry in history.entries]
         if versions != sorted(set(versions)):
             errors.append("versions out of order")
-    return ReadResult(newest_serial(store), torn, errors)
+    return ReadResult(newest_serial(store), incomplete_records, errors)
 
 
 def measure_kills(kills: int = 500) -> None:
     """Kill writers of one log at random times; prints how many written versions were lost."""
     rng = Random(3)
     lost = 0
-    torn = 0
+    incomplete_records = 0
     newest = 0
     errors: list[str] = []
     start = time.perf_counter()
@@ -94,12 +94,12 @@
             last_printed = kill_writer(folder, seed, rng.uniform(0.0, MAX_WRITER_LIFETIME))
             result = read_log(folder)
             newest = result.newest_serial
-            torn += result.torn
+            incomplete_records += result.incomplete_records
             errors += result.errors
             lost += max(0, last_printed - newest)
     print(
         f"{kills} kills in {time.perf_counter() - start:.0f} s: {newest} versions written, "
-        f"{lost} lost that were reported as written, {torn} incomplete last records, "
+        f"{lost} lost that were reported as written, {incomplete_records} incomplete last records, "
         f"{len(errors)} other errors {errors[:3]}"
     )
 
--- a/peatlead/benchmarks/tables_rollback.py
+++ b/peatlead/benchmarks/tables_rollback.py
@@ -9,8 +9,8 @@
 SETTLING_TIME = 3.0  # seconds after the rollback in which changes still count
 
 
-def day(duration: float) -> Any:
-    """Return the day script: 24 endpoints, 80 proxies, three controllers, a release, a rollback."""
+def load_rollback_day(duration: float) -> Any:
+    """Return a scenario with 24 endpoints, 80 proxies, three controllers, a release, a rollback."""
     return load_day(
         "back",
         f"""
@@ -24,11 +24,11 @@
     )
 
 
-def rollback_delays(played: Any, duration: float) -> list[float]:
+def rollback_delays(result: Any, duration: float) -> list[float]:
     """Return the seconds from the pin to each proxy's first change after it."""
-    pinned_at = next(row.at for row in played.rows if row.kind == "pin")
+    pinned_at = next(row.at for row in result.rows if row.kind == "pin")
     delays: dict[Any, float] = {}
-    for row in played.rows:
+    for row in result.rows:
         if row.kind == "held" and pinned_at < row.at < pinned_at + duration + SETTLING_TIME:
             delays.setdefault(row.agent, row.at - pinned_at)
     return list(delays.values())
@@ -40,14 +40,15 @@
         delays: list[float] = []
         broken_rules = 0
         for seed in range(1, seeds + 1):
-            played = play_day(day(duration), seed)
-            broken_rules += len(played.problems)
-            delays += rollback_delays(played, duration)
+            result = play_day(load_rollback_day(duration), seed)
+            broken_rules += len(result.problems)
+            delays += rollback_delays(result, duration)
         delays.sort()
         median = delays[int(len(delays) * 0.5)]
-        percentile = delays[int(len(delays) * 0.99)]
+        percentile_99 = delays[int(len(delays) * 0.99)]
         print(
             f"rollback over {duration:g} s: {len(delays)} proxies in {seeds} days changed; "
-            f"median {median:.3f} s, 99th percentile {percentile:.3f} s, max {delays[-1]:.3f} s; "
+            f"median {median:.3f} s, "
+            f"99th percentile {percentile_99:.3f} s, max {delays[-1]:.3f} s; "
             f"{broken_rules} rules broken"
         )
--- a/peatlead/benchmarks/tables_store.py
+++ b/peatlead/benchmarks/tables_store.py
@@ -45,12 +45,12 @@
     return states
 
 
-def build_histories(proxies: list[list[dict[str, int | None]]]) -> list[History]:
+def build_histories(changes_by_proxy: list[list[dict[str, int | None]]]) -> list[History]:
     """Return a history for each proxy, built from its successive changes."""
     histories = []
-    for proxy in proxies:
+    for proxy_changes in changes_by_proxy:
         history = History()
-        for index, change in enumerate(proxy):
+        for index, change in enumerate(proxy_changes):
             history.commit(Version(1, index + 1), float(index), (), change)
         histories.append(history)
     return histories
@@ -72,15 +72,18 @@
     rng = Random(1)
     for entries, proxies in SIZES:
         states = [draw_states(rng, VERSIONS, entries) for _ in range(proxies)]
-        changed = [[changes(old, new) for old, new in zip([{}, *each], each)] for each in states]
+        changed = [
+            [changes(old, new) for old, new in zip([{}, *proxy_states], proxy_states)]
+            for proxy_states in states
+        ]
         copies, copies_cost = measure_cost(
-            lambda: [[dict(state) for state in each] for each in states]  # noqa: B023
+            lambda: [[dict(state) for state in proxy_states] for proxy_states in states]  # noqa: B023
         )
         histories, histories_cost = measure_cost(lambda: build_histories(changed))  # noqa: B023
         start = time.perf_counter()
         correct = all(
-            history.items_at_version(Version(1, 2)) == each[1]
-            for history, each in zip(histories, copies)
+            history.items_at_version(Version(1, 2)) == proxy_states[1]
+            for history, proxy_states in zip(histories, copies)
         )
         restore_time = (time.perf_counter() - start) / len(histories)
         count = sum(map(len, states))
--- a/peatlead/benchmarks/tables_wire.py
+++ b/peatlead/benchmarks/tables_wire.py
@@ -23,7 +23,7 @@
 SIZES = ((24, 80), (82, 291), (300, 1000))  # endpoints, proxies
 TICK = 0.1  # seconds
 CHANNEL_RATE = 4000.0  # operations per second
-MESSAGE_OVERHEAD = 6.0  # operations that a message counts for beside its own
+MESSAGE_OVERHEAD = 6.0  # operations added to the size of each message
 RELEASE_STEPS = 4
 ENDPOINT_STRIDE = 12  # each step of a release replaces every 12th endpoint
 ANY_OVERHEAD = 8  # bytes of protobuf framing of an assignment in a response, without its type URL
@@ -95,7 +95,7 @@
 
 
 class WireCounts:
-    """The messages since the last row in both forms, and their waits in the channels in seconds."""
+    """Counts of the messages since the last row, in both forms, and their waits in seconds."""
 
     def __init__(self) -> None:
         self.messages = 0
@@ -125,13 +125,13 @@
         self.views: dict[int, ViewState] = {}
         self.streams: dict[int, IncrementalDiscovery] = {}
         self.last_sent: dict[int, Items] = {}  # by proxy
-        self.pinned: dict[int, Items] = {}  # by proxy, while all are held; else empty
+        self.pinned: dict[int, Items] = {}  # by proxy; empty without a pin
         self.acknowledged: list[interface.Event] = []  # to be delivered with the next batch
         self.counts = WireCounts()
         listed = tuple(map(endpoint, range(endpoints)))
         events: list[interface.Event] = [interface.EndpointUpdate("whole", 1, listed)]
         events += [self.connect(proxy) for proxy in range(proxies)]
-        self.play(events, 30.0)
+        self.run(events, 30.0)
         self.counts = WireCounts()
 
     def connect(self, proxy: int) -> interface.ProxyConnected:
@@ -139,7 +139,7 @@
         self.publisher.join(proxy, enforces_admission=True)
         self.views[proxy] = ViewState()
         stream = IncrementalDiscovery(
-            1, lambda part: self.items(proxy), "m", lambda version, parts: None
+            1, lambda part: self.expected_items(proxy), "m", lambda version, parts: None
         )
         stream.handle_request(
             discovery_pb2.DeltaDiscoveryRequest(
@@ -149,7 +149,7 @@
         self.streams[proxy] = stream
         return interface.ProxyConnected(proxy, proxy % 3, 3.0, True)
 
-    def items(self, proxy: int) -> Items:
+    def expected_items(self, proxy: int) -> Items:
         """Return the items that a proxy should hold."""
         if self.pinned:
             return self.pinned[proxy]
@@ -161,7 +161,7 @@
             for number, weight in self.views[proxy].weights(index).items()
         }
 
-    def play(self, events: list[interface.Event], seconds: float) -> None:
+    def run(self, events: list[interface.Event], seconds: float) -> None:
         """Run for some seconds, starting with a batch of events."""
         end = self.now + seconds
         while self.now < end:
@@ -173,8 +173,8 @@
                 nonces = routed.nonces.get(proxy, ())
                 self.commands.enqueue(self.now, proxy, routed.messages[proxy], nonces)
             self.deliver_commands()
-            self.empty_channel(self.deltas, self.counts.delta_waits)
-            self.empty_channel(self.whole_tables, self.counts.whole_waits)
+            self.drain_channel(self.deltas, self.counts.delta_waits)
+            self.drain_channel(self.whole_tables, self.counts.whole_waits)
             self.now = round(self.now + TICK, 6)
 
     def deliver_commands(self) -> None:
@@ -182,16 +182,16 @@
         channel = self.commands
         while channel.next_due_at is not None and channel.next_due_at < self.now + TICK:
             for proxy, message in channel.take_due(max(self.now, channel.next_due_at)):
-                left_at = max(self.now, channel.free_at)
+                sent_at = max(self.now, channel.free_at)
                 self.acknowledged += [
-                    interface.Acknowledged(proxy, nonce, left_at - message.enqueued_at)
+                    interface.Acknowledged(proxy, nonce, sent_at - message.enqueued_at)
                     for nonce in message.nonces
                 ]
-                self.counts.command_waits.append(left_at - message.enqueued_at)
+                self.counts.command_waits.append(sent_at - message.enqueued_at)
                 self.views[proxy].apply(message.operations)
                 self.send(proxy)
 
-    def empty_channel(self, channel: Channel, waits: list[float]) -> None:
+    def drain_channel(self, channel: Channel, waits: list[float]) -> None:
         """Take the messages due within this tick from a channel, and record their waits."""
         while channel.next_due_at is not None and channel.next_due_at < self.now + TICK:
             for _, message in channel.take_due(max(self.now, channel.next_due_at)):
@@ -199,20 +199,20 @@
 
     def send(self, proxy: int) -> None:
         """Send the items of a proxy in both forms if they have changed."""
-        items = self.items(proxy)
+        items = self.expected_items(proxy)
         if items == self.last_sent.get(proxy):
             return
         self.last_sent[proxy] = items
         self.counts.messages += 1
         self.send_delta(proxy)
-        self.send_whole(proxy, items)
+        self.send_whole_tables(proxy, items)
 
     def send_delta(self, proxy: int) -> None:
         """Send the changes of a proxy as a delta, and acknowledge it at once."""
         stream = self.streams[proxy]
         for response in stream.resources_changed(LB_ENDPOINT_TYPE_URL):
             entries = len(response.resources) + len(response.removed_resources)
-            self.offer(self.deltas, proxy, entries)
+            self.enqueue_entries(self.deltas, proxy, entries)
             self.counts.delta_entries += entries
             self.counts.delta_bytes += response.ByteSize()
             subscription = stream.subscriptions[LB_ENDPOINT_TYPE_URL]
@@ -222,7 +222,7 @@
             subscription.in_flight = None
             subscription.nonce = ""
 
-    def send_whole(self, proxy: int, items: Items) -> None:
+    def send_whole_tables(self, proxy: int, items: Items) -> None:
         """Send the tables of all request classes."""
         tables: dict[str, list[WeightedEndpoint]] = {name: [] for name in REQUEST_CLASSES}
         for key, weight in items.items():
@@ -234,16 +234,16 @@
             )
             self.counts.whole_bytes += size
         self.counts.whole_entries += len(items)
-        self.offer(self.whole_tables, proxy, len(items))
+        self.enqueue_entries(self.whole_tables, proxy, len(items))
 
-    def offer(self, channel: Channel, proxy: int, entries: int) -> None:
-        """Queue a message with the given number of placeholder operations."""
+    def enqueue_entries(self, channel: Channel, proxy: int, entries: int) -> None:
+        """Queue a message with one placeholder operation for each entry."""
         channel.enqueue(
             self.now, proxy, {(ADMISSION, number): (1.0, "") for number in range(entries)}
         )
 
     def pin(self, items: dict[int, Items]) -> None:
-        """Hold all proxies at the given items; {} ends this."""
+        """Pin the items of all proxies; {} ends the pin."""
         self.pinned = items
         for proxy in sorted(self.views):
             self.send(proxy)
@@ -266,9 +266,9 @@
     for step in range(RELEASE_STEPS):
         numbers = range(1 + step, fleet.endpoints, ENDPOINT_STRIDE)
         drained = tuple(endpoint(number, "draining") for number in numbers)
-        fleet.play([list_update(3 + step, drained)], 3.0)
+        fleet.run([list_update(3 + step, drained)], 3.0)
         started = tuple(endpoint(number, started_at=fleet.now) for number in numbers)
-        fleet.play([list_update(3 + step, started)], 17.0)
+        fleet.run([list_update(3 + step, started)], 17.0)
 
 
 def measure_wire() -> None:
@@ -277,16 +277,16 @@
     for endpoints, proxies in SIZES:
         fleet = WireFleet(endpoints, proxies)
         before = {proxy: dict(items) for proxy, items in fleet.last_sent.items()}
-        fleet.play([list_update(2, (endpoint(0, "draining"),))], 10.0)
+        fleet.run([list_update(2, (endpoint(0, "draining"),))], 10.0)
         fleet.print_row("an endpoint lost")
         play_release(fleet)
         fleet.print_row("a release of a third")
         fleet.pin(before)
-        fleet.play([], 20.0)
+        fleet.run([], 20.0)
         fleet.print_row("a rollback of both")
         fleet.pin({})
-        fleet.play([], 20.0)
+        fleet.run([], 20.0)
         fleet.counts = WireCounts()
         zone = tuple(endpoint(number, "draining") for number in range(endpoints) if number % 3 == 1)
-        fleet.play([list_update(9, zone)], 15.0)
+        fleet.run([list_update(9, zone)], 15.0)
         fleet.print_row("a zone lost")
--- a/tests/deploy/test_balancer_file.py
+++ b/tests/deploy/test_balancer_file.py
@@ -17,11 +17,12 @@
 
 
 def is_or_contains(listed, path):
+    """Return whether a listed file or folder is the path or contains it."""
     return path == listed or path.startswith(listed + "/")
 
 
 class BalancerFileTest(unittest.TestCase):
-    def test_policy_and_node_list_what_the_program_loads_and_nothing_else(self):
+    def test_policy_and_node_list_exactly_the_files_that_the_program_loads(self):
         deployment = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
         listed = deployment["policy"] + deployment["node"]
         output = subprocess.run(
@@ -33,6 +34,10 @@
         ).stdout
         loaded = {str(Path(line).relative_to(ROOT)) for line in output.splitlines()}
         modules = {path for path in loaded if not path.endswith("/__init__.py")}
-        unlisted = [path for path in modules if not any(is_or_contains(it, path) for it in listed)]
-        unused = [it for it in listed if not any(is_or_contains(it, path) for path in loaded)]
+        unlisted = [
+            path for path in modules if not any(is_or_contains(entry, path) for entry in listed)
+        ]
+        unused = [
+            entry for entry in listed if not any(is_or_contains(entry, path) for path in loaded)
+        ]
         self.assertEqual((sorted(unlisted), unused), ([], []))
--- a/tests/deploy/test_build.py
+++ b/tests/deploy/test_build.py
@@ -1,4 +1,4 @@
-"""deploy/build, run with a fake interpreter that records its calls."""
+"""deploy/build rebuilds incomplete and outdated environments; a fake interpreter records its calls."""
 
 import os
 import subprocess
@@ -24,7 +24,7 @@
             (root / "python3").chmod(0o755)
 
             def run(failing_command="nothing"):
-                """Returns the exit code and how many environments were created."""
+                """Run deploy/build; returns its exit code and how many environments it created."""
                 (root / "calls").write_text("")
                 completed = subprocess.run(
                     ["sh", "deploy/build"],
