--- a/tests/lab/test_day.py
+++ b/tests/lab/test_day.py
@@ -1,4 +1,4 @@
-"""Scenarios on simulated time, and the timeline of a request."""
+"""Requests are due independent of responses on simulated time, and the timeline of a request."""
 
 import unittest
 
@@ -10,7 +10,7 @@
 
 
 class SimulatedDayTest(unittest.TestCase):
-    def test_requests_stay_due_while_endpoints_pause(self):
+    def test_requests_become_due_while_endpoints_pause(self):
         day = load_day(
             "d",
             """
@@ -22,16 +22,16 @@
         )
         rows = [row for row in play_day(day, 1).rows if row.kind == "req"]
         due_times = sorted(row.due for row in rows)
-        # Requests were due during the pauses too.
+        # A gap in the due times would show that clients waited for paused endpoints.
         self.assertLess(
             max(later - earlier for earlier, later in zip(due_times, due_times[1:])), 1.0
         )
         self.assertGreater(max(row.at - row.due for row in rows), 1.0)
 
     def test_timeline_follows_one_request(self):
-        played = play_small(3)
-        request = next(row.req for row in played.rows if row.kind == "effect")
-        lines = timeline(played.rows, request)
+        result = play_small(3)
+        request = next(row.req for row in result.rows if row.kind == "effect")
+        lines = timeline(result.rows, request)
         self.assertTrue(
             any("effect" in line for line in lines)
             and any("outcome=done" in line for line in lines)
--- a/tests/lab/test_reproducibility.py
+++ b/tests/lab/test_reproducibility.py
@@ -52,10 +52,10 @@
         self.assertEqual(closed, list(range(50)))
 
     def test_use_of_the_wall_clock_changes_the_digest(self):
-        original = Planner.publish_admissions
+        original_publish_admissions = Planner.publish_admissions
 
         def publish_admissions(self):
-            original(self)
+            original_publish_admissions(self)
             self.context.rng.shuffle([time.perf_counter()] * (time.perf_counter_ns() % 5 + 2))
             self.commands.append(
                 __import__("peatlead.interface").interface.LogMessage(str(time.perf_counter_ns()))
--- a/tests/lab/test_simulated_streams.py
+++ b/tests/lab/test_simulated_streams.py
@@ -26,7 +26,7 @@
 
 
 class SimulatedStreamTest(unittest.TestCase):
-    def run_case(self, case, until=60.0, server=EchoStream):
+    def run_case(self, case, until=60.0, server_factory=EchoStream):
         simulation = Simulation(1)
         client_loop, server_loop = (
             simulation.add_process("client"),
@@ -34,7 +34,7 @@
         )
 
         async def main():
-            await server_loop.create_server(server, "b", 7)
+            await server_loop.create_server(server_factory, "b", 7)
             _, client = await client_loop.create_connection(
                 RecordingStream, "b", 7, local_addr=("a", 0)
             )
@@ -57,9 +57,9 @@
             server_loop.freeze(5.0)
             client.send(b"x")
             await asyncio.sleep(4.9)
-            before = client.data
+            data_while_frozen = client.data
             await asyncio.sleep(0.2)
-            return before, client.data
+            return data_while_frozen, client.data
 
         self.assertEqual(self.run_case(case), (b"", b"x"))
 
@@ -78,12 +78,12 @@
             simulation.links.cut = {("a", "b")}
             client.send(b"x")
             await asyncio.sleep(5)
-            before, simulation.links.cut = client.data, set()
+            data_while_cut, simulation.links.cut = client.data, set()
             await asyncio.sleep(1)
-            after, simulation.links.cut = client.data, {("a", "b")}
+            data_after_cut, simulation.links.cut = client.data, {("a", "b")}
             client.send(b"y")
             await asyncio.sleep(40)
-            return before, after, client.end_reason
+            return data_while_cut, data_after_cut, client.end_reason
 
         self.assertEqual(self.run_case(case), (b"", b"x", "TimeoutError"))
 
--- a/tests/lab/test_simulation_failures.py
+++ b/tests/lab/test_simulation_failures.py
@@ -1,4 +1,4 @@
-"""Failures of simulated processes that a simulation reports."""
+"""A simulation reports failures of its processes instead of ignoring them."""
 
 import asyncio
 import unittest
@@ -8,7 +8,7 @@
 
 
 class SimulationFailureTest(unittest.TestCase):
-    def failure_of(self, case):
+    def reported_failure(self, case):
         simulation = Simulation(1)
         loop = simulation.add_process("p")
         with self.assertRaises(RuntimeError) as caught:
@@ -20,7 +20,7 @@
             loop.call_soon(lambda: 1 / 0)
             await asyncio.sleep(1)
 
-        self.assertIn("ZeroDivisionError", self.failure_of(case))
+        self.assertIn("ZeroDivisionError", self.reported_failure(case))
 
     def test_an_unretrieved_exception_of_a_task_is_reported(self):
         async def case(loop, simulation):
@@ -30,7 +30,7 @@
         async def fail():
             raise LookupError("planted")
 
-        self.assertIn("planted", self.failure_of(case))
+        self.assertIn("planted", self.reported_failure(case))
 
     def test_a_callback_that_never_yields_is_reported(self):
         cpu_times = iter([0.0, 0.0, 0.0, 100.0, 100.0, 100.0, 100.0])
@@ -41,11 +41,11 @@
         with mock.patch(
             "peatlead.lab.process_loop.time.process_time", lambda: next(cpu_times, 100.0)
         ):
-            self.assertIn("did not yield", self.failure_of(case))
+            self.assertIn("did not yield", self.reported_failure(case))
 
     def test_a_killed_process_runs_no_more_callbacks(self):
         simulation, steps = Simulation(1), []
-        loop, other = simulation.add_process("p"), simulation.add_process("q")
+        loop, other_loop = simulation.add_process("p"), simulation.add_process("q")
 
         async def wait_and_clean_up():
             try:
@@ -59,5 +59,5 @@
             await asyncio.sleep(5)
 
         simulation.schedule(0.0, loop, lambda: loop.create_task(wait_and_clean_up()))
-        play(simulation, other, kill_process(), 20.0)
+        play(simulation, other_loop, kill_process(), 20.0)
         self.assertEqual(steps, [])
--- a/tests/lab/test_study.py
+++ b/tests/lab/test_study.py
@@ -1,4 +1,4 @@
-"""Studies: their cells, results file, report and statistics."""
+"""Studies: continued runs, policies, checks of the script, and confidence intervals."""
 
 import random
 import tempfile
@@ -69,6 +69,11 @@
 
     def test_confidence_intervals_contain_the_mean_and_shrink_with_samples(self):
         rng = random.Random(1)
-        few, many = ([rng.gauss(0.5, 1) for _ in range(count)] for count in (8, 200))
-        (_, low, high), (_, lower, higher) = bootstrap_interval(few), bootstrap_interval(many)
+        few_samples, many_samples = (
+            [rng.gauss(0.5, 1) for _ in range(count)] for count in (8, 200)
+        )
+        (_, low, high), (_, lower, higher) = (
+            bootstrap_interval(few_samples),
+            bootstrap_interval(many_samples),
+        )
         self.assertTrue(low < 0.5 < high and lower < 0.5 < higher and higher - lower < high - low)
--- a/tests/scenario/test_runner.py
+++ b/tests/scenario/test_runner.py
@@ -1,3 +1,5 @@
+"""Each fault of day scripts has a player, and faults of links are refused on real sockets."""
+
 import asyncio
 import tempfile
 import unittest
--- a/tests/standin/test_process.py
+++ b/tests/standin/test_process.py
@@ -1,4 +1,4 @@
-"""Commands to a stand-in process and their replies."""
+"""Commands to stand-in processes are executed once, and their errors reach the client."""
 
 import asyncio
 import signal
