--- a/peatlead/benchmarks/dns_fuzz.py
+++ b/peatlead/benchmarks/dns_fuzz.py
@@ -68,15 +68,15 @@
     ]
 
 
-def mutate(query: bytes, rng: random.Random, others: Sequence[bytes]) -> bytes:
+def mutate(query: bytes, rng: random.Random, other_queries: Sequence[bytes]) -> bytes:
     """Return a query after up to eight mutations."""
     data = bytearray(query)
     for _ in range(rng.choice((0, 1, 1, 2, 4, 8))):
-        mutate_once(data, rng, others)
+        mutate_once(data, rng, other_queries)
     return bytes(data)
 
 
-def mutate_once(data: bytearray, rng: random.Random, others: Sequence[bytes]) -> None:
+def mutate_once(data: bytearray, rng: random.Random, other_queries: Sequence[bytes]) -> None:
     """Apply one random mutation to a query.
 
     It flips a bit, sets a byte, truncates, duplicates bytes, splices the query with another, sets
@@ -93,7 +93,7 @@
     elif mutation == 3:
         data[offset:offset] = data[offset : offset + rng.randrange(64)]
     elif mutation == 4:
-        data[offset:] = rng.choice(others)[offset:]
+        data[offset:] = rng.choice(other_queries)[offset:]
     elif mutation == 5 and len(data) > COUNTS_OFFSET + COUNTS_SIZE:
         data[COUNTS_OFFSET + rng.randrange(COUNTS_SIZE)] = rng.randrange(256)
     elif mutation == 6:
--- a/peatlead/lab/hunt.py
+++ b/peatlead/lab/hunt.py
@@ -78,12 +78,16 @@
                     pool.terminate()
                     break
     return [
-        found._replace(
+        failing_seed._replace(
             script=as_script(
-                shrink(draw_scenario(found.seed, kind, length), found.seed, found.problems)
+                shrink(
+                    draw_scenario(failing_seed.seed, kind, length),
+                    failing_seed.seed,
+                    failing_seed.problems,
+                )
             )
         )
-        for found in sorted(failing)
+        for failing_seed in sorted(failing)
     ], played_count
 
 
--- a/peatlead/lab/simulation.py
+++ b/peatlead/lab/simulation.py
@@ -123,8 +123,8 @@
             self.running = loop
             set_running_loop(loop)
 
-    def step(self, until: float) -> bool:
-        """Run one callback. Returns False if no callback is due until the time `until`.
+    def step(self, end_time: float) -> bool:
+        """Run one callback. Returns False if no callback is due until `end_time`.
 
         Timers that are due run before the callbacks in `ready`, because they were inserted earlier.
         The order is therefore that of a single queue ordered by (time, insertion).
@@ -132,8 +132,8 @@
         next_due = self.timers.peek()
         if self.ready and (next_due is None or next_due > self.now):
             loop, call, arguments = self.ready.popleft()
-        elif next_due is None or next_due > until:
-            self.now = max(self.now, until)
+        elif next_due is None or next_due > end_time:
+            self.now = max(self.now, end_time)
             return False
         else:
             earliest = self.timers.pop()
@@ -158,18 +158,18 @@
 
 
 def play(
-    simulation: Simulation, loop: ProcessLoop, main: Coroutine[Any, Any, Result], until: float
+    simulation: Simulation, loop: ProcessLoop, main: Coroutine[Any, Any, Result], end_time: float
 ) -> Result:
     """Run a coroutine in a process until it is done, and return its result.
 
     Raises the coroutine's own exception, ProcessFailedError if any process failed, or TimeoutError
-    if the coroutine is not done at the simulated time `until`.
+    if the coroutine is not done at the simulated time `end_time`.
     """
     simulation.cpu_time = time.process_time()
     simulation.switch_to(loop)
     try:
         task = loop.create_task(main)
-        while not task.done() and not simulation.failures and simulation.step(until):
+        while not task.done() and not simulation.failures and simulation.step(end_time):
             pass
     finally:
         simulation.switch_to(None)
@@ -180,5 +180,5 @@
         cause = failure.problem if isinstance(failure.problem, BaseException) else None
         raise ProcessFailedError(failure.describe()) from cause
     if not task.done():
-        raise TimeoutError(f"not done after {until} simulated seconds")
+        raise TimeoutError(f"not done after {end_time} simulated seconds")
     return task.result()
--- a/peatlead/lab/timer_wheel.py
+++ b/peatlead/lab/timer_wheel.py
@@ -21,7 +21,7 @@
 
     def __len__(self) -> int: ...
 
-    def push(self, at: float, item: Item) -> None:
+    def push(self, due_time: float, item: Item) -> None:
         """Add an item that is due at a time."""
 
     def pop(self) -> tuple[float, Item] | None:
@@ -41,26 +41,26 @@
     def __len__(self) -> int:
         return len(self.heap)
 
-    def push(self, at: float, item: Item) -> None:
+    def push(self, due_time: float, item: Item) -> None:
         """Add an item that is due at a time."""
         self.last_insertion += 1
-        heapq.heappush(self.heap, (at, self.last_insertion, item))
+        heapq.heappush(self.heap, (due_time, self.last_insertion, item))
 
     def pop(self) -> tuple[float, Item] | None:
         """Remove the first item and return (time, item), or None if the queue is empty."""
         if not self.heap:
             return None
-        at, _, item = heapq.heappop(self.heap)
-        return at, item
+        due_time, _, item = heapq.heappop(self.heap)
+        return due_time, item
 
     def peek(self) -> float | None:
         """Return the time of the first item, or None if the queue is empty."""
         return self.heap[0][0] if self.heap else None
 
 
-def tick_containing(at: float) -> int:
+def tick_containing(due_time: float) -> int:
     """Return the tick that contains a time."""
-    return int(at * TICKS_PER_SECOND)
+    return int(due_time * TICKS_PER_SECOND)
 
 
 class WheelTimers(Generic[Item]):
@@ -86,19 +86,19 @@
     def __len__(self) -> int:
         return self.size
 
-    def push(self, at: float, item: Item) -> None:
+    def push(self, due_time: float, item: Item) -> None:
         """Add an item that is due at a time."""
         self.last_insertion += 1
         self.size += 1
-        self._insert((at, self.last_insertion, item))
+        self._insert((due_time, self.last_insertion, item))
 
     def pop(self) -> tuple[float, Item] | None:
         """Remove the first item and return (time, item), or None if the queue is empty."""
         if self.peek() is None:
             return None
         self.size -= 1
-        at, _, item = heapq.heappop(self.due)
-        return at, item
+        due_time, _, item = heapq.heappop(self.due)
+        return due_time, item
 
     def peek(self) -> float | None:
         """Return the time of the first item, or None if the queue is empty."""
--- a/peatlead/standin/xds_proxies.py
+++ b/peatlead/standin/xds_proxies.py
@@ -172,7 +172,7 @@
         """Return the first preferred controller that is not avoided, else a random controller."""
         now = self.loop.time()
         self.avoided_until = {
-            address: until for address, until in self.avoided_until.items() if now < until
+            address: end_time for address, end_time in self.avoided_until.items() if now < end_time
         }
         for address in self.preferred_controllers:
             if address not in self.avoided_until:
@@ -267,8 +267,8 @@
         """Store the controllers from the metadata `peatlead-controllers`: "NAME=HOST:PORT,..."."""
         self.preferred_controllers = []
         for item in filter(None, metadata.get("peatlead-controllers", "").split(",")):
-            name, _, text = item.partition("=")
-            address = parse_address(text)
+            name, _, address_text = item.partition("=")
+            address = parse_address(address_text)
             self.preferred_controllers.append(address)
             self.controller_names[address] = name
 
--- a/tests/compatibility/test_mixed_fleet.py
+++ b/tests/compatibility/test_mixed_fleet.py
@@ -294,7 +294,7 @@
             )
             for name in CONTROLLER_ADDRESSES:
                 self.assertNotIn("message refused", pair.log(name))
-                self.assertNotIn("wish refused", pair.log(name))
+                self.assertNotIn("wish refused", pair.log(name))  # text of the old version
                 self.assertNotIn("pin target refused", pair.log(name))
                 self.assertNotIn("pins refused", pair.log(name))
             for proxy in proxies:
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -348,11 +348,11 @@
         shutil.copytree(DATA, self.folder)
         self.expected = json.loads((DATA / "expected.json").read_text())
 
-    def assert_same_json(self, found, expected):
+    def assert_same_json(self, actual, expected):
         """Check that values are equal and of the same types (1 is not 1.0)."""
-        found = as_json(found)
-        self.assertEqual(found, expected)
-        self.assertEqual(json.dumps(found, sort_keys=True), json.dumps(expected, sort_keys=True))
+        actual = as_json(actual)
+        self.assertEqual(actual, expected)
+        self.assertEqual(json.dumps(actual, sort_keys=True), json.dumps(expected, sort_keys=True))
 
 
 class ReadStoredDataTest(StoredDataTestCase):
@@ -419,9 +419,9 @@
         self.assertEqual(reread.notes()["zone serial"], b"2026120208")
         self.assertEqual(max(reread.segment_numbers()), max(segments) + 1)
         for name, history in self.expected["tables"]["ns1"]["proxies"].items():
-            found = as_json(reread.proxies()[name])
-            self.assertEqual(found["versions"][:-1], history["versions"], name)
-            self.assertEqual(found["items"], {**history["items"], "level/k": 7})
+            actual = as_json(reread.proxies()[name])
+            self.assertEqual(actual["versions"][:-1], history["versions"], name)
+            self.assertEqual(actual["items"], {**history["items"], "level/k": 7})
 
     def test_a_controller_serves_the_stored_list_and_pins_with_greater_versions(self):
         async def case(ask):
@@ -524,12 +524,12 @@
         async def case(ask):
             return await ask(ask="tables", do="show", args={"proxy": "desk0"})
 
-        shown, _ = run_controller(self.folder, "ns2", case)
+        table, _ = run_controller(self.folder, "ns2", case)
         endpoint_names = {
             f"line/api/{host[1]}/{host[3]}:{PORT}": host[0]
             for host in self.expected["lists"]["ns2"]["hosts"]
         }
-        weights = {item["host"]: item["value"] for item in shown["items"]}
+        weights = {item["host"]: item["value"] for item in table["items"]}
         self.assertEqual(weights[endpoint_names[item_key]], 7 * pinned_items[key][item_key] / 1000)
 
 
--- a/tests/lab/test_simulated_streams.py
+++ b/tests/lab/test_simulated_streams.py
@@ -26,7 +26,7 @@
 
 
 class SimulatedStreamTest(unittest.TestCase):
-    def run_case(self, case, until=60.0, server_factory=EchoStream):
+    def run_case(self, case, end_time=60.0, server_factory=EchoStream):
         simulation = Simulation(1)
         client_loop, server_loop = (
             simulation.add_process("client"),
@@ -40,7 +40,7 @@
             )
             return await case(simulation, server_loop, client)
 
-        return play(simulation, client_loop, main(), until)
+        return play(simulation, client_loop, main(), end_time)
 
     def test_all_bytes_arrive_in_order(self):
         async def case(simulation, server_loop, client):
