--- a/peatlead/benchmarks/dns_fuzz.py
+++ b/peatlead/benchmarks/dns_fuzz.py
@@ -23,8 +23,8 @@
 MAX_EDNS_ANSWER = 1232  # bytes over UDP, to queries with EDNS
 MAX_PLAIN_UDP_ANSWER = 512  # bytes, RFC 1035 section 4.2.1
 OPT_RECORD = b"\x00\x00\x29"  # root name and type of the EDNS record (RFC 6891)
-COUNTS_OFFSET = 4  # bytes before the section counts in the header
-COUNTS_SIZE = 8  # bytes
+COUNTS_OFFSET = 4  # position of the section counts in the header, in bytes
+COUNTS_SIZE = 8  # size of the section counts, in bytes
 PEERS = ("127.100.0.9", "10.0.0.1", "2001:db8::1", "::ffff:127.100.1.1")
 NAMES = (
     "api.example.org",
@@ -68,15 +68,15 @@
     ]
 
 
-def mutate(query: bytes, rng: random.Random, others: Sequence[bytes]) -> bytes:
+def mutate(query: bytes, rng: random.Random, other_queries: Sequence[bytes]) -> bytes:
     """Return a query after up to eight mutations."""
     data = bytearray(query)
     for _ in range(rng.choice((0, 1, 1, 2, 4, 8))):
-        mutate_once(data, rng, others)
+        mutate_once(data, rng, other_queries)
     return bytes(data)
 
 
-def mutate_once(data: bytearray, rng: random.Random, others: Sequence[bytes]) -> None:
+def mutate_once(data: bytearray, rng: random.Random, other_queries: Sequence[bytes]) -> None:
     """Apply one random mutation to a query.
 
     It flips a bit, sets a byte, truncates, duplicates bytes, splices the query with another, sets
@@ -93,7 +93,7 @@
     elif mutation == 3:
         data[offset:offset] = data[offset : offset + rng.randrange(64)]
     elif mutation == 4:
-        data[offset:] = rng.choice(others)[offset:]
+        data[offset:] = rng.choice(other_queries)[offset:]
     elif mutation == 5 and len(data) > COUNTS_OFFSET + COUNTS_SIZE:
         data[COUNTS_OFFSET + rng.randrange(COUNTS_SIZE)] = rng.randrange(256)
     elif mutation == 6:
@@ -108,7 +108,7 @@
 
 
 def find_error(query: bytes, answer: bytes | list[bytes], tcp: bool) -> str:
-    """Return what is wrong with an answer, "" if it is valid."""
+    """Return a description of the error in an answer, "" if the answer is valid."""
     if isinstance(answer, list):
         return "unexpected zone transfer"
     if len(answer) > max_answer_size(query, tcp) or answer[:2] != query[:2]:
