--- a/peatlead/controller/endpoint_lists.py
+++ b/peatlead/controller/endpoint_lists.py
@@ -15,7 +15,7 @@
 
 
 class EndpointLists:
-    """Receives endpoint lists and updates the controller's parts.
+    """Passes received endpoint lists to the planner and to all parts that publish endpoints.
 
     `cache_path` is the file for the last list of scope WHOLE, or None to store nothing.
     """
--- a/peatlead/controller/overload.py
+++ b/peatlead/controller/overload.py
@@ -118,7 +118,7 @@
         self.now = 0.0
         self.commands: list[OverloadCommand] = []  # commands of the current call of `decide`
         self.headroom = 1.0
-        self.mean_lateness = 0.0  # of timers, in seconds
+        self.mean_lateness = 0.0  # seconds, moving average over the timers
         self.last_timer_at: Optional[float] = None  # when the last timer fired
         self.low_headroom_at = LONG_AGO  # when the headroom was last below 1
         self.report_cost = INITIAL_REPORT_COST  # mean seconds to process a report
@@ -153,7 +153,8 @@
         """Update the headroom, the report budget and the intervals from a timer's lateness."""
         self.update_report_rate()
         self.update_headroom(event.lateness)
-        # The budget is a fraction of the time, and applies whatever work has caused the lateness.
+        # The budget is in seconds of report processing per second. It depends only on the headroom,
+        # not on which work has delayed the timers.
         budget = max(MIN_REPORT_FRACTION, MAX_REPORT_FRACTION * self.headroom)
         required = self.report_rate * max(0.0, self.report_cost)
         self.read_fraction = min(1.0, budget / required) if required else 1.0
@@ -234,7 +235,7 @@
             return self.report_interval
         return self.report_interval * (1 + INTERVAL_SCATTER * (2 * phase - 1))
 
-    # Called for each report, join or query that arrives.
+    # Methods that are called for each report, join or query that arrives.
 
     def accepts_report(self, now: float, last_read_at: Optional[float], report_index: int) -> bool:
         """Return whether a load report should be processed.
--- a/peatlead/controller/pinned_tables.py
+++ b/peatlead/controller/pinned_tables.py
@@ -44,7 +44,7 @@
 
 
 class EndpointFacts:
-    """Holds the facts about endpoints that the guard needs."""
+    """Holds the state of the endpoints that the guard needs."""
 
     def __init__(self, controller: "Controller") -> None:
         self._controller = controller
@@ -75,7 +75,7 @@
             self._withdrawn.discard(endpoint)
 
     def guard_context(self) -> GuardContext:
-        """Return the current facts about all endpoints."""
+        """Return the current state of all endpoints."""
         publisher = self._controller.publisher
         if self._weight_fractions_change_count != publisher.change_count:
             self._weight_fractions_change_count = publisher.change_count
--- a/peatlead/controller/propagation.py
+++ b/peatlead/controller/propagation.py
@@ -24,7 +24,8 @@
     """The stage of a holder before a version with the removal was sent to it."""
 
     COMMANDED = "commanded"  # the message is queued in the channel
-    DEQUEUED = "dequeued"  # the message has left the channel; the next version contains the removal
+    # The message has left the channel. The next version sent to the holder contains the removal.
+    DEQUEUED = "dequeued"
 
 
 Progress = Union[Stage, Version]  # a holder's stage, or the sent version with the removal
@@ -45,7 +46,7 @@
     def __init__(self, started_at: float) -> None:
         self.started_at = started_at  # seconds on the loop's clock
         self.progress: dict[int, Progress] = {}  # by holder that still has the endpoint
-        self.applied_count = 0  # holders that have lost the endpoint
+        self.applied_count = 0  # number of holders that no longer have the endpoint
         self.disconnected_count = 0  # holders that disconnected before they lost the endpoint
         self.delays: list[float] = []  # seconds until each holder lost the endpoint
 
--- a/peatlead/controller/publication.py
+++ b/peatlead/controller/publication.py
@@ -219,7 +219,7 @@
     # Tables.
 
     def endpoint_listed(self, endpoint: int, entry: ListedEndpoint) -> PhaseChange | None:
-        """Store the facts of a list entry. Return the endpoint's change of phase, or None."""
+        """Store the data of a list entry. Return the endpoint's change of phase, or None."""
         return self._endpoint_facts.store_entry(endpoint, entry)
 
     def endpoint_withdrawn(self, endpoint: int, withdrawn: bool) -> None:
--- a/peatlead/dns/server.py
+++ b/peatlead/dns/server.py
@@ -115,7 +115,7 @@
         """Answer one query; the answer to a zone transfer may have several messages."""
         if self.loop.time() > self.server.fresh_until:
             self.server.unanswered_count += 1
-            self.abort("answers are out of date")  # the resolver asks another controller
+            self.abort("answers are out of date")  # makes the resolver ask another controller
             return
         answer = self.server.answers.respond(query, self.peer_address[0], True)
         if answer is None:
--- a/peatlead/dns/warmup_thinning.py
+++ b/peatlead/dns/warmup_thinning.py
@@ -59,7 +59,7 @@
 
     rate: float  # requests per second of the view
     view: Any
-    fraction: float  # of the view's requests that the endpoint gets at its full weight
+    fraction: float  # fraction of the view's requests that the endpoint gets at full weight
 
 
 class WarmupThinning(Generic[ViewKey]):
--- a/peatlead/fleet/authentication.py
+++ b/peatlead/fleet/authentication.py
@@ -186,7 +186,7 @@
     def _is_proven(self, datagram: Datagram) -> bool:
         """Returns whether the boot is proven already or the datagram echoes a valid challenge.
 
-        A valid challenge makes the boot the sender's proven one.
+        A valid challenge proves the boot, which replaces the sender's earlier boot.
 
         Raises AuthenticationError if the boot was replaced or there are too many senders.
         """
@@ -195,7 +195,7 @@
         if sender is not None and sender.boot == boot:
             return True
         if sender is not None and boot in sender.replaced_boots:
-            raise AuthenticationError("sender's boot was replaced by a later one")
+            raise AuthenticationError("sender's boot was replaced by a later boot")
         unanswered_challenges = self.issued_challenges.get(name, {}).get(boot, ())
         if not any(
             compare_digest(datagram.challenge, challenge) for challenge in unanswered_challenges
--- a/peatlead/fleet/gossip.py
+++ b/peatlead/fleet/gossip.py
@@ -156,7 +156,7 @@
     # Membership.
 
     def member_info(self, name: str) -> Optional[MemberInfo]:
-        """Returns the newest fact on a live controller, None for an unknown or failed one."""
+        """Returns the newest fact about a live controller, None for an unknown or failed one."""
         return self.membership.live_members().get(name)
 
     def _tick(self) -> None:
--- a/peatlead/fleet/member_table.py
+++ b/peatlead/fleet/member_table.py
@@ -16,7 +16,7 @@
 MAX_MEMBERS = 500
 MAX_FACTS = 12  # in one message; keeps a datagram below 1200 bytes
 RETRANSMIT_FACTOR = 3  # a fact is sent at most this factor times log2(members) times
-FORGET_DELAY = 60.0  # seconds that a dead or departed member is kept, to recognize old facts on it
+FORGET_DELAY = 60.0  # seconds; a dead or departed member is kept to recognize old facts
 
 PRECEDENCE: dict[str, int] = {  # at the same incarnation, the greater value overrides the lower
     MemberState.ALIVE: 0,
@@ -40,7 +40,7 @@
 class Member:
     """One known member."""
 
-    info: MemberInfo  # the newest fact on the member
+    info: MemberInfo  # the newest fact about the member
     state_since: float  # when the state last changed
     times_sent: int = 0  # number of messages that carried the fact
     suspect_until: Optional[float] = None  # when a suspected member is declared dead
@@ -84,7 +84,7 @@
     # Merging facts.
 
     def merge(self, now: float, info: MemberInfo) -> Optional[StateChanged]:
-        """Stores a fact if it is newer than the known one; refutes a wrong fact on this member.
+        """Stores a fact if it is newer than the known one; refutes a wrong fact about this member.
 
         Returns the change of the member's state, if any.
         """
@@ -161,7 +161,7 @@
     # This member's own fact.
 
     def _refute_if_wrong(self, info: MemberInfo) -> None:
-        """Refutes a received fact on this member if other members would believe it wrongly."""
+        """Refutes a received fact about this member if other members would believe it wrongly."""
         declared_inactive = (
             info.state != MemberState.ALIVE and info.incarnation >= self.own_info.incarnation
         )
@@ -181,7 +181,7 @@
         )
 
     def update_own_info(self, info: MemberInfo) -> None:
-        """Replaces the fact on this member, and restarts its dissemination."""
+        """Replaces the fact about this member, and restarts its dissemination."""
         self.own_info = info
         member = self.members[info.name]
         member.info = info
--- a/peatlead/fleet/membership.py
+++ b/peatlead/fleet/membership.py
@@ -5,7 +5,7 @@
 The algorithm is SWIM (Das, Gupta, Motivala 2002) with its suspicion mechanism. A member pings one
 other member at a time, in an order that is shuffled for each round. If a member answers neither
 the ping nor the indirect pings of two helpers, it is suspected. A suspected member is declared
-dead unless it refutes the suspicion in time by raising its incarnation. Probes carry facts on
+dead unless it refutes the suspicion in time by raising its incarnation. Probes carry facts about
 members (`member_table`).
 
 The entry point is `Membership.decide(now, events) -> actions`.
@@ -88,7 +88,7 @@
     """A ping that must be answered before `deadline`."""
 
     name: str  # of the pinged member
-    indirect: bool  # whether helpers have been asked to ping it too
+    indirect: bool  # whether other members have been asked to ping this member too
     deadline: float
 
 
@@ -133,7 +133,7 @@
 
     @property
     def own_info(self) -> MemberInfo:
-        """The fact on this member."""
+        """The fact about this member."""
         return self.table.own_info
 
     @property
@@ -270,7 +270,7 @@
 
     @staticmethod
     def _corrections(senders: list[Member], facts: list[MemberInfo]) -> list[MemberInfo]:
-        """Returns the facts on the sender of a ping that the sender has to refute.
+        """Returns the facts about the sender of a ping that the sender has to refute.
 
         The sender has to refute a fact that does not say that the sender is alive. It also has to
         refute a fact from before its restart, whose incarnation is later than the reported one.
--- a/peatlead/fleet/messages.py
+++ b/peatlead/fleet/messages.py
@@ -22,7 +22,7 @@
 
 
 class MemberInfo(msgspec.Struct, array_like=True, frozen=True):
-    """A fact on a member: its state and status at one incarnation."""
+    """A fact about a member: its state and status at one incarnation."""
 
     name: str
     address: Address  # of the member's gossip socket
--- a/peatlead/planner/class_admission.py
+++ b/peatlead/planner/class_admission.py
@@ -1,7 +1,8 @@
-"""Decides which request classes are cut when less is admitted, and publishes the admissions.
+"""Computes and publishes the admitted fraction and the retry policy of each request class.
 
-The class with the lowest value per unit of work is cut first if that is better than cutting all
-classes equally. The admitted fraction of all work is computed in load_shedding.py.
+The admitted fraction of all work is computed in load_shedding.py. While it is below 1, the class
+with the lowest value per unit of work is cut first, provided that its value per unit of work is
+below that of all classes together. Otherwise all classes are cut equally.
 """
 
 from math import fsum
@@ -26,7 +27,7 @@
 
 
 class ClassAdmission:
-    """The admitted fraction and the retry policy of each request class."""
+    """Computes the admissions of all request classes, and publishes those that have changed."""
 
     def __init__(
         self,
--- a/peatlead/planner/endpoint_state.py
+++ b/peatlead/planner/endpoint_state.py
@@ -67,7 +67,7 @@
         self.weight_fraction = 1.0  # published fraction of the weight
 
         # Relief.
-        self.traffic_fraction = 1.0  # fraction of the subscribers' requests to send here
+        self.traffic_fraction = 1.0  # fraction of the subscribers' requests to send to the endpoint
         self.excluded_proxies: set[int] = set()  # numbers of proxies whose tables omit the endpoint
         self.next_traffic_step_at = 0.0  # when the next step of traffic is restored
         self.relief_duration = INITIAL_RELIEF_DURATION  # seconds until a step is restored
--- a/peatlead/planner/endpoint_summary.py
+++ b/peatlead/planner/endpoint_summary.py
@@ -11,7 +11,8 @@
     phase: str
     usable: bool  # whether tables may name the endpoint
     weight_fraction: float  # published fraction of the listed weight, 0 to 1
-    traffic_fraction: float  # fraction of the subscribers' requests to send here, 0 to 1
+    # Fraction of the subscribers' requests to send to the endpoint, 0 to 1.
+    traffic_fraction: float
     cold_for: Optional[float]  # seconds since the start of the cold start; None if warm
     ejected_for: Optional[float]  # seconds until the ejection ends; None if not ejected
     attempts: float  # decayed count as of the last round
--- a/peatlead/planner/load_relief.py
+++ b/peatlead/planner/load_relief.py
@@ -14,11 +14,12 @@
 from .rendezvous import rank
 from .table_changes import TableChanges
 
-TRAFFIC_STEP = 0.25  # of the requests of the endpoint's subscribers
+TRAFFIC_STEP = 0.25  # fraction of the subscribers' requests that one step removes or restores
 MAX_RELIEF_STEPS = 3  # steps of traffic that may be removed
 MIN_RELIEF_INTERVAL = 5.0  # seconds until the reports show the effect of a relief
 MAX_RELIEF_DURATION = 60.0  # seconds until a step is restored
-RELIEF_RESET_INTERVAL = 30  # seconds without relief, after which the duration is reset
+# After this many seconds without relief or ejection, the next relief has the initial duration.
+RELIEF_RESET_INTERVAL = 30
 # Mean traffic fraction of the ready endpoints, below which they could not carry more traffic.
 MIN_MEAN_TRAFFIC_FRACTION = 0.8
 
@@ -70,7 +71,7 @@
             self.set_traffic_fraction(endpoint, min(1.0, endpoint.traffic_fraction + TRAFFIC_STEP))
 
     def set_traffic_fraction(self, endpoint: EndpointState, traffic_fraction: float) -> None:
-        """Exclude subscribers until the rest sends about this fraction of the endpoint's requests.
+        """Exclude subscribers until the other subscribers send about this fraction of the requests.
 
         The proxies in whose order the endpoint comes last are excluded first.
         """
--- a/peatlead/planner/load_shedding.py
+++ b/peatlead/planner/load_shedding.py
@@ -16,7 +16,7 @@
 MAX_UTILIZATION_SHARDED = 0.75  # the same if shards load the endpoints unevenly
 UPDATE_INTERVAL = 0.8  # seconds between two changes
 OVERLOAD_DELAY = 1.0  # additional seconds after a cut to the minimum
-MIN_REPORTING_ENDPOINTS = 3  # number of endpoints with attempts, required for a change
+MIN_REPORTING_ENDPOINTS = 3  # minimum number of endpoints with reported attempts for a change
 ADMISSION_MESSAGES_FRACTION = 0.7  # of each proxy's message limit, since a change is sent to all
 
 # Below this utilization, errors and high latency do not indicate a lack of capacity.
@@ -30,7 +30,7 @@
 IMPROVED_SEVERITY_FACTOR = 0.95
 SAFE_FACTOR = 0.85  # of the admitted fraction before an overload
 LOW_LATENCY_FACTOR = 0.7  # of the high latency ratio, below which more is admitted
-MIN_INCREASE = 0.02  # of all work, in each step above the safe fraction
+MIN_INCREASE = 0.02  # fraction of all work, added by a step above the safe fraction
 INCREASE_ROUNDS = 10  # rounds over which the reported spare capacity is put to use
 MIN_UTILIZATION = 0.4  # lower bound in the computation of the spare capacity
 
--- a/peatlead/planner/proxy_state.py
+++ b/peatlead/planner/proxy_state.py
@@ -33,8 +33,9 @@
 
         # What the tables were computed from, so that unchanged tables are not computed again.
         self.source_endpoints: dict[int, EndpointState] = {}  # endpoints of the shards, by id
-        self.seen_global_change_count = NEVER_WRITTEN  # of `TableChanges`, at the last computation
-        self.seen_change_count = NEVER_WRITTEN  # of `TableChanges`, at the last computation
+        # The counts of `TableChanges` when the tables were last computed.
+        self.seen_global_change_count = NEVER_WRITTEN
+        self.seen_change_count = NEVER_WRITTEN
         # Whether the tables have endpoints from outside the shards, so that every write computes
         # them again.
         self.has_endpoints_outside_shards = False
--- a/peatlead/planner/removals.py
+++ b/peatlead/planner/removals.py
@@ -66,8 +66,9 @@
     def _remove_entries(self, proxy: ProxyState, due: set[int]) -> None:
         """Remove the due endpoints from all tables of a proxy.
 
-        If a table becomes empty, or mostly cold while the channel has room, the proxy's tables are
-        written anew: otherwise the cold endpoints would receive the requests of the removed ones.
+        The proxy's tables are written anew if a table becomes empty, or if too much of a table's
+        weight is cold and the channel has room. Otherwise the cold endpoints would receive the
+        requests of the removed endpoints.
         """
         for group, entries in enumerate(proxy.entries):
             removed = [endpoint for endpoint in entries if endpoint in due]
@@ -78,7 +79,7 @@
                 self.writer.write(proxy)
 
     def _should_rewrite(self, entries: dict[int, float]) -> bool:
-        """Return whether a table is mostly cold and the channel has room for a new table."""
+        """Return whether too much of a table's weight is cold and the channel has room."""
         endpoints = self.context.endpoints
         return self.budget.has_room() and self.sharding.is_cold_heavy(
             [endpoints[endpoint] for endpoint in entries]
--- a/peatlead/planner/report_round.py
+++ b/peatlead/planner/report_round.py
@@ -2,7 +2,7 @@
 
 from .context import PlannerContext
 
-ROUND_DURATION = 0.2  # seconds, from the first report of a round until all have arrived
+ROUND_DURATION = 0.2  # seconds after a round's first report at which the round is complete
 NO_REPORT = float("inf")  # start time while no report of the round has arrived
 
 
@@ -19,7 +19,7 @@
         self.started_at = min(self.started_at, self.context.now)
 
     def is_complete(self) -> bool:
-        """Return whether all reports of the current round have arrived."""
+        """Return whether `ROUND_DURATION` has passed since the first report of the round."""
         return self.context.now - self.started_at >= ROUND_DURATION
 
     def end(self) -> None:
--- a/peatlead/planner/settings.py
+++ b/peatlead/planner/settings.py
@@ -27,15 +27,15 @@
     zone: int  # zone of this controller
     req_kinds: list[RequestClassSettings]  # request classes by number
     roster_mode: NotRequired[str]  # how the endpoint list is delivered, e.g. `LIST_ON_REQUEST`
-    gone_is_advice: NotRequired[bool]  # keep endpoints missing from the list while they answer
-    joins_own_zone: NotRequired[bool]  # proxies connect to controllers in their own zone
-    peer_notes: NotRequired[bool]  # controllers may send gossip messages
+    gone_is_advice: NotRequired[bool]  # whether unlisted endpoints are kept while they answer
+    joins_own_zone: NotRequired[bool]  # whether proxies connect to controllers of their own zone
+    peer_notes: NotRequired[bool]  # whether controllers may send gossip messages
 
     # Reports and health checks.
-    probing: NotRequired[bool]  # health checks are enabled
+    probing: NotRequired[bool]  # whether health checks are enabled
     report_fields: list[str]  # metrics in the load reports of endpoints
     sums_every: float  # seconds between two reports of a proxy's attempts
-    tries_told: NotRequired[bool]  # proxies report their attempts
+    tries_told: NotRequired[bool]  # whether proxies report their attempts
 
     # Proxies.
     pick: NotRequired[str]  # selection among the endpoints of a table, e.g. `PICK_LESS_LOADED`
--- a/peatlead/planner/shuffle_sharding.py
+++ b/peatlead/planner/shuffle_sharding.py
@@ -7,7 +7,7 @@
 
 Endpoints that have just started ("cold") must not make up a large part of a table: their weights
 are small, but a proxy distributes all of its requests over its table. Therefore warm endpoints from
-outside the shard are added to a mostly cold table.
+outside the shard are added to a table with too much cold weight.
 """
 
 from math import ceil, fsum
@@ -21,7 +21,7 @@
 from .statistics import cold_and_warm_weight
 from .zone_capacity import MIN_DIVISOR, ZoneCapacity
 
-MIN_ENDPOINTS_PER_ZONE = 1  # endpoints of a shard, from each zone that it may use
+MIN_ENDPOINTS_PER_ZONE = 1  # in a shard, for each zone with endpoints that the shard may use
 MAX_COLD_FRACTION = 0.2  # of a table's weight, at or above which warm endpoints are added
 # Maximum number of warm endpoints added to a table, or the table's size if that is larger.
 MAX_ADDED_WARM_ENDPOINTS = 24
@@ -46,7 +46,7 @@
 
 
 def missing_weight(members: list[EndpointState], shard_endpoints: list[EndpointState]) -> float:
-    """Return the weight of the warm endpoints that must be added to a mostly cold table.
+    """Return the weight of warm endpoints to add to a table with too much cold weight.
 
     With the added weight, the table has at least the weight of the whole shard, and its cold
     endpoints have at most `MAX_COLD_FRACTION` of the table's weight.
@@ -137,7 +137,8 @@
         if self.is_cold_heavy(members):
             proxy.has_endpoints_outside_shards = True
             members = members + self._warm_endpoints_to_add(proxy, group, members, shard_endpoints)
-        if not members:  # a table is not empty while endpoints are listed as ready
+        if not members:
+            # A table must not be empty while any endpoint of its pools is listed as ready.
             proxy.has_endpoints_outside_shards = True
             members = [endpoint for pool in shard.pools.values() for endpoint in pool]
         weights = {
@@ -159,7 +160,7 @@
         members: list[EndpointState],
         shard_endpoints: list[EndpointState],
     ) -> list[EndpointState]:
-        """Return warm endpoints to add to a mostly cold table, preferably from the proxy's zone.
+        """Return warm endpoints for a table with too much cold weight, the proxy's zone first.
 
         The added endpoints give the table the weight that it would have without cold endpoints. A
         higher weight would leave too few requests for the cold endpoints.
--- a/peatlead/planner/slow_start.py
+++ b/peatlead/planner/slow_start.py
@@ -12,8 +12,8 @@
 from .fleet_load import FleetLoad
 from .table_changes import TableChanges
 
-INITIAL_RAMP = 0.25  # of the weight, at the start of a ramp
-RAMP_STEP = 0.25  # of the weight, added by each step
+INITIAL_RAMP = 0.25  # fraction of the weight at the start of a ramp
+RAMP_STEP = 0.25  # fraction of the weight that each step adds
 RAMP_STEPS = 3  # number of steps after the start of a ramp
 STEP_INTERVAL = 10 / 3  # seconds between two steps
 COLD_LOAD_FRACTION = 0.3  # of the load that would overload a cold endpoint
--- a/peatlead/planner/table_changes.py
+++ b/peatlead/planner/table_changes.py
@@ -13,7 +13,7 @@
 
     def __init__(self) -> None:
         self.change_count = 0  # number of changes so far, of one endpoint or of all tables
-        # Changes so far that affect all tables: pools, plans, bad paths.
+        # Number of changes to endpoint pools, the zone plan or bad paths, which affect all tables.
         self.global_change_count = 0
         self.pending_proxies: set[int] = set()  # numbers of proxies whose tables may differ
         self.all_pending = False  # whether the tables of all proxies may differ
--- a/peatlead/planner/zone_capacity.py
+++ b/peatlead/planner/zone_capacity.py
@@ -17,7 +17,7 @@
 PLAN_INTERVAL = 2.0  # seconds between two computations of the plan
 # Of a density, relative to the highest density; a greater change replaces the plan.
 MIN_PLAN_CHANGE = 0.15
-MIN_CROSSING_PRICE = 0.02  # of a request's gain; below it no plan is needed
+MIN_CROSSING_PRICE = 0.02  # fraction of a request's gain; no plan is needed below this price
 MIN_PROXY_RATE = 0.1  # requests per second, lower bound of a proxy's rate in the plan
 MIN_SPARE_FRACTION = 1e-6  # of a zone's capacity, prevents a division by zero
 MIN_DIVISOR = 1e-9  # prevents a division by zero
--- a/peatlead/planner/zone_paths.py
+++ b/peatlead/planner/zone_paths.py
@@ -14,11 +14,13 @@
 from .statistics import median
 from .table_changes import TableChanges
 
-# Of the mean response target. A path is bad if it exceeds the local zone's latency by more.
+# Fraction of the mean response target. A path is bad if its latency exceeds the latency within the
+# zone of the proxies by more than this fraction.
 MAX_EXTRA_LATENCY = 0.3
 INITIAL_AVOIDANCE_DURATION = 10.0  # seconds, doubled each time that the path is bad again
 MAX_AVOIDANCE_DURATION = 60.0  # seconds
-# Seconds after the end of an avoidance within which the path counts as bad again.
+# Seconds after the end of an avoidance. If the path is bad again within this time, the next
+# avoidance takes twice as long.
 REPEATED_BAD_PATH_WINDOW = 30
 MIN_PATH_SUCCESSES = 0.5  # decayed; endpoints with fewer successful attempts are not considered
 FASTEST_FRACTION_DIVISOR = 4  # the latency of a path is that of the fastest quarter of endpoints
--- a/peatlead/platform/endpoint_watch.py
+++ b/peatlead/platform/endpoint_watch.py
@@ -23,7 +23,7 @@
 INITIAL_RETRY_DELAY = 0.05
 MAX_RETRY_DELAY = 0.5
 MAX_DOUBLINGS = 8  # of the retry delay; keeps the exponent small
-MAX_ERRORS_LOGGED = 5  # for the invalid entries of one list
+MAX_ERRORS_LOGGED = 5  # logged errors about invalid entries, for each list
 ENDPOINTS_PATH = "/v1/endpoints"
 HTTP_OK = 200
 
--- a/peatlead/platform/health_checks.py
+++ b/peatlead/platform/health_checks.py
@@ -9,8 +9,7 @@
 from .shared_types import Settings
 
 MAX_CONCURRENT_CHECKS = 24
-# With few file descriptors, one check may run for this number of descriptors; the connections of
-# proxies need the others.
+# File descriptors for each concurrent check; the connections of proxies need most descriptors.
 DESCRIPTORS_PER_CHECK = 16
 MAX_QUEUED_CHECKS = 1000
 CHECK_PATH = "/status/load"
--- a/peatlead/platform/restart_budget.py
+++ b/peatlead/platform/restart_budget.py
@@ -1,6 +1,6 @@
 """Limit on how often a failed planner is replaced before the controller stops."""
 
-MAX_RESTARTS = 3  # within WINDOW
+MAX_RESTARTS = 3  # restarts of the planner within WINDOW
 WINDOW = 60.0  # seconds
 
 
@@ -11,7 +11,7 @@
         self.failure_times: list[float] = []  # seconds on the loop's clock
 
     def record_failure(self, now: float) -> None:
-        """Record a failure and discard those that are older than the window."""
+        """Record a failure and discard the failures from before the window."""
         self.failure_times = [time for time in self.failure_times if time > now - WINDOW]
         self.failure_times.append(now)
 
--- a/peatlead/platform/sessions.py
+++ b/peatlead/platform/sessions.py
@@ -33,14 +33,15 @@
 # Maximum size of a line before the peer has joined; afterwards, the maximum is MAX_LINE_BYTES.
 MAX_HELLO_LINE_BYTES = 4096
 MAX_UNSENT_BYTES = 128 << 10  # buffered bytes that wait for the peer to read
-MAX_PENDING_LIVENESS_CHECKS = 8  # of one connection
+MAX_PENDING_LIVENESS_CHECKS = 8  # for each connection
 
 
 class Session(LineStream):
     """One connection, of a proxy, a collector or a peer that has not joined."""
 
     loop: asyncio.AbstractEventLoop
-    timeout_timer: asyncio.TimerHandle  # JOIN_TIMEOUT; after a refusal, REFUSAL_TIMEOUT
+    # Refuses the peer after JOIN_TIMEOUT, or aborts a refused connection after REFUSAL_TIMEOUT.
+    timeout_timer: asyncio.TimerHandle
 
     def __init__(self, listener: "SessionListener") -> None:
         super().__init__(max_line_bytes=MAX_HELLO_LINE_BYTES, max_unsent_bytes=MAX_UNSENT_BYTES)
--- a/peatlead/settings/schema.py
+++ b/peatlead/settings/schema.py
@@ -22,7 +22,7 @@
 )
 from .fields import REQUIRED, Field, Schema
 
-# Builtins that a script calls at most once. One with a required field must be called.
+# Builtins that a script calls at most once. A builtin with a required field must be called.
 SINGLE_BUILTINS: Schema = {
     "dns": {
         "zone": Field(domain, REQUIRED, "the zone that stewards answer for"),
--- a/peatlead/sources/file_watch.py
+++ b/peatlead/sources/file_watch.py
@@ -41,7 +41,7 @@
         self.unavailable_timeout: float = settings["patience"]  # seconds
         self.on_list = on_list
         self.log = log
-        self.last_stamp: FileStamp | None = None  # of the file when it was last read
+        self.last_stamp: FileStamp | None = None  # the file's stamp when the file was last read
         self.version: int | None = None  # of the last accepted list; None before the first
         self.unreadable_since: float | None = None  # seconds on the loop's clock
         self.reported_unavailable = False
--- a/peatlead/tables/change_causes.py
+++ b/peatlead/tables/change_causes.py
@@ -21,17 +21,17 @@
     EndpointPhase.GONE.value: "is gone",
 }
 
-Operation = tuple[Any, ...]  # an `OperationKind`, followed by the numbers of what is changed
+Operation = tuple[Any, ...]  # an `OperationKind`, then the numbers of the changed objects
 Operations = Mapping[Operation, Any]  # operation -> new value
 
 
 class OperationKind(StrEnum):
     """The kind of an operation in a message to a proxy: the first component of the operation."""
 
-    WITHDRAWAL = "withdrawn"  # of an endpoint from all tables
-    WEIGHT = "line"  # of an endpoint in a table
-    ADMISSION = "level"  # admitted fraction and retry policy of a request class
-    ASSIGNMENT = "bind"  # of a request class to a table
+    WITHDRAWAL = "withdrawn"  # ejects an endpoint from all tables, or restores it
+    WEIGHT = "line"  # sets the weight of an endpoint in a table
+    ADMISSION = "level"  # sets the admitted fraction and retry policy of a request class
+    ASSIGNMENT = "bind"  # assigns a table to a request class
 
 
 class EndpointEvent(NamedTuple):
