--- a/peatlead/dns/warmup_thinning.py
+++ b/peatlead/dns/warmup_thinning.py
@@ -26,9 +26,9 @@
 RAMPING_FRACTION = 0.999  # an endpoint below this fraction of its full weight is ramping
 MIN_RATE = 0.05  # requests per second; also assumed for idle views, which may become active
 UPPER_RATE_SIGMAS = 3.0  # standard deviations from the mean rate to the upper rate
-MAX_UPPER_RATE = 2.5  # as a multiple of the planned rate
-MAX_FAIR_SHARES_PER_ADDRESS = 0.25  # an address of an answer should carry at most this many
-MAX_CACHEABLE_FAIR_SHARES = 1.0  # answers to views with more requests get a TTL of 0
+MAX_UPPER_RATE = 2.5  # multiple of the planned rate
+MAX_FAIR_SHARES_PER_ADDRESS = 0.25  # intended maximum load of each address of an answer
+MAX_CACHEABLE_FAIR_SHARES = 1.0  # answers to views with a greater load get a TTL of 0
 RATE_DECAY = 0.9  # fraction of a view's rate that remains after a round without requests
 MIN_FAIR_RATE = 1e-9  # requests per second; avoids a division by zero
 
--- a/peatlead/fleet/member_table.py
+++ b/peatlead/fleet/member_table.py
@@ -161,7 +161,7 @@
     # This member's own fact.
 
     def _refute_if_wrong(self, info: MemberInfo) -> None:
-        """Refutes a received fact about this member if other members would believe it wrongly."""
+        """Refutes a received fact about this member if it is wrong and overrides its own fact."""
         declared_inactive = (
             info.state != MemberState.ALIVE and info.incarnation >= self.own_info.incarnation
         )
--- a/peatlead/planner/load_shedding.py
+++ b/peatlead/planner/load_shedding.py
@@ -31,7 +31,7 @@
 SAFE_FACTOR = 0.85  # of the admitted fraction before an overload
 LOW_LATENCY_FACTOR = 0.7  # of the high latency ratio, below which more is admitted
 MIN_INCREASE = 0.02  # fraction of all work, added by a step above the safe fraction
-INCREASE_ROUNDS = 10  # rounds over which the reported spare capacity is put to use
+INCREASE_ROUNDS = 10  # updates after which about all reported spare capacity is admitted
 MIN_UTILIZATION = 0.4  # lower bound in the computation of the spare capacity
 
 
@@ -50,7 +50,7 @@
         uses_shards = context.expected_proxies > COVERAGE
         self.max_utilization = MAX_UTILIZATION_SHARDED if uses_shards else MAX_UTILIZATION
         self.admitted_fraction = 1.0  # of all work
-        self.safe_fraction = 1.0  # admitted fraction that the fleet is known to carry
+        self.safe_fraction = 1.0  # minimum admitted fraction after an increase
         self.last_change_was_cut = False  # whether the last change was a cut
         self.overload_reported = False  # whether the last update showed an overload
         self.last_cut_severity = 0.0  # latency ratio plus error rate, at the last cut
--- a/peatlead/platform/endpoint_tracker.py
+++ b/peatlead/platform/endpoint_tracker.py
@@ -139,7 +139,7 @@
 def may_have_changed(entry: ListedEndpoint, previous_phase: Optional[str], is_change: bool) -> bool:
     """Return whether an endpoint may have been in another phase since the previous list.
 
-    An entry may stand for several changes: the endpoint may have left and returned in between.
+    One entry may combine several changes: the endpoint may have left and returned in between.
     """
     phases = {previous_phase, entry.phase}
     return bool(entry.started or is_change or phases - {None, EndpointPhase.READY})
