--- a/peatlead/planner/zone_capacity.py
+++ b/peatlead/planner/zone_capacity.py
@@ -113,8 +113,8 @@
     def _rates_by_zone(self, usable: list[EndpointState]) -> dict[int, float]:
         """Return the requests per second by zone of the proxies.
 
-        If proxies connect to controllers of their own zone, this controller has only some zones.
-        The rates of the other zones are estimated: the proxies of other controllers are assumed to
+        If proxies connect to controllers of their own zone, this controller has no proxies in some
+        zones. The rates of these zones are estimated: the proxies of other controllers are assumed to
         have the same rates as those of this controller, and to be distributed like the endpoints.
         """
         context = self.context
