--- a/peatlead/controller/answer_freshness.py
+++ b/peatlead/controller/answer_freshness.py
@@ -10,7 +10,8 @@
 if TYPE_CHECKING:
     from .controller import Controller
 
-# A renewal lasts for the `bare_most` seconds of the settings, divided by this number.
+# After a renewal, answers are permitted for the setting `bare_most` divided by this number. The
+# setting is the maximum time in seconds that a proxy may be without entries.
 FRESH_PERIODS_IN_BARE_LIMIT = 4
 
 
@@ -23,7 +24,7 @@
         self._fresh_duration: float = (
             controller.settings["limits"]["bare_most"] / FRESH_PERIODS_IN_BARE_LIMIT
         )
-        self._recovering = False  # whether answers are forbidden since a stall
+        self._recovering = False  # whether a stall was found and no renewal has followed
 
     @property
     def fresh(self) -> bool:
--- a/peatlead/controller/overload.py
+++ b/peatlead/controller/overload.py
@@ -50,7 +50,9 @@
 MIN_INTERVAL_CHANGE_GAP = 5.0  # seconds between two changes of the report interval
 INTERVAL_DECREASE_DELAY = 20.0  # seconds of full headroom before the interval is lowered
 INTERVAL_SCATTER = 0.25  # fraction by which a proxy's interval may differ from the common interval
-EARLY_REPORT_FRACTION = 0.4  # of the interval; an earlier report of the same proxy is dropped
+# A report is dropped if it arrives within this fraction of the report interval after the last
+# processed report of the same proxy.
+EARLY_REPORT_FRACTION = 0.4
 
 INITIAL_REPORT_COST = 0.0004  # seconds to process a report
 COST_SMOOTHING = 0.01  # weight of each report in the mean cost
--- a/peatlead/controller/propagation.py
+++ b/peatlead/controller/propagation.py
@@ -15,7 +15,8 @@
 from ..tables.version import Version
 
 MAX_EVENTS_PER_ENDPOINT = 20
-MAX_ENDPOINTS = 20_000  # endpoints with stored events, and endpoints with finished withdrawals
+# Maximum number of endpoints with stored events, and of endpoints with finished withdrawals.
+MAX_ENDPOINTS = 20_000
 MAX_ACTIVE_WITHDRAWALS = 500
 MAX_FINISHED_PER_ENDPOINT = 3  # finished withdrawals
 
@@ -71,7 +72,7 @@
         self.events: OrderedDict[int, deque[EndpointEvent]] = OrderedDict()  # by endpoint
         self.active_withdrawals: OrderedDict[int, Withdrawal] = OrderedDict()  # by endpoint
         self.finished_withdrawals: dict[int, deque[Withdrawal]] = {}  # by endpoint
-        # By holder, the endpoints that the holder still has to lose, as an ordered set.
+        # By holder, the endpoints whose removal the holder has not applied yet, as an ordered set.
         self.pending_endpoints: dict[int, dict[int, bool]] = {}
         self.dropped_count = 0  # withdrawals dropped before they were finished
 
@@ -96,7 +97,7 @@
             self.pending_endpoints.setdefault(holder, {})[endpoint] = True
 
     def message_dequeued(self, holder: int) -> None:
-        """Record that a holder's message has left the channel."""
+        """Record that the message to a holder (a DNS view or proxy) has left the channel."""
         for _, withdrawal in self.pending_withdrawals(holder):
             if withdrawal.progress[holder] is Stage.COMMANDED:
                 withdrawal.progress[holder] = Stage.DEQUEUED
@@ -166,7 +167,7 @@
             self.remove_pending_endpoint(endpoint, holder)
 
     def remove_pending_endpoint(self, endpoint: int, holder: int) -> None:
-        """Remove an endpoint from the endpoints that a holder still has to lose."""
+        """Remove an endpoint from the pending endpoints of a holder."""
         endpoints = self.pending_endpoints[holder]
         del endpoints[endpoint]
         if not endpoints:
--- a/peatlead/controller/proxies.py
+++ b/peatlead/controller/proxies.py
@@ -31,7 +31,7 @@
 NUMBER_PREFIX = "proxy:"  # a proxy's number is the hash of this prefix and its name
 INITIAL_TABLE = "held"  # first part of the id of a table that a proxy held when it joined
 REPORT_PHASES = 997  # a proxy's number modulo this gives its phase, which scatters report intervals
-MEAN_PHASE = 0.5  # phase of the report interval of a proxy that has not joined
+MEAN_PHASE = 0.5  # used for a proxy that has not joined; phases range from 0 to 1
 
 AddressAndPort = tuple[str, int]
 
--- a/peatlead/controller/publication.py
+++ b/peatlead/controller/publication.py
@@ -200,7 +200,7 @@
         self._commit(name, version, causes, changes(before, items))
 
     def record_view(self, name: str, items: LineWeights, causes: Causes) -> None:
-        """Commit the items of a DNS view that its answers use from now on, if they have changed."""
+        """Commit the new items of a DNS view as a version, if the items have changed."""
         history = self.store.history(name)
         changed_items = changes(history.items, items)
         if changed_items:
--- a/peatlead/planner/channel_budget.py
+++ b/peatlead/planner/channel_budget.py
@@ -13,9 +13,9 @@
 UPDATE_QUEUE_FRACTION = 0.25  # of the maximum queue, for updates that can be postponed
 TABLE_QUEUE_FRACTION = 0.4  # of the maximum queue, for whole tables
 UPDATE_MESSAGES_FRACTION = 0.5  # of a proxy's message limit, for updates that can be postponed
-# Of the maximum queue: withdrawals up to this size are always sent to unassigned proxies.
+# Withdrawals up to this fraction of the maximum queue are always sent to unassigned proxies.
 MIN_WITHDRAWAL_QUEUE_FRACTION = 0.02
-# Of the maximum queue: above this length no more withdrawals are sent to unassigned proxies.
+# Above this fraction of the maximum queue, no more withdrawals are sent to unassigned proxies.
 MAX_WITHDRAWAL_QUEUE_FRACTION = 0.5
 
 
--- a/peatlead/planner/context.py
+++ b/peatlead/planner/context.py
@@ -14,7 +14,7 @@
 # Value of the setting `roster_mode`: the endpoint list is sent on request.
 LIST_ON_REQUEST = "on_request"
 
-COVERAGE = 25.0  # proxies of this controller whose shards hold an endpoint, on average
+COVERAGE = 25.0  # mean number of this controller's proxies whose shards contain an endpoint
 
 
 class PlannerContext:
--- a/peatlead/planner/fleet_load.py
+++ b/peatlead/planner/fleet_load.py
@@ -12,8 +12,9 @@
 from .request_demand import RequestDemand
 from .statistics import median, weighted_median
 
-HIGH_ERROR_RATE = 0.1  # median over attempts
-HIGH_LATENCY_RATIO = 0.42  # median latency over attempts, as a ratio to the mean response target
+HIGH_ERROR_RATE = 0.1  # median error rate over attempts, 0 to 1
+# Median latency over attempts, divided by the mean response target.
+HIGH_LATENCY_RATIO = 0.42
 BUSY_UTILIZATION = 0.7  # above it the fleet has little spare capacity
 SATURATED_UTILIZATION = 0.9  # above it the fleet has no spare capacity
 SATURATION_HYSTERESIS = 0.2  # relative decrease after which a saturated fleet counts as recovered
--- a/peatlead/planner/gossip.py
+++ b/peatlead/planner/gossip.py
@@ -12,7 +12,7 @@
 from .endpoint_state import DISTANT_PAST, Counts, DatedCounts, EndpointState
 from .load_statistics import FailingEndpoint, LoadStatistics
 
-MAX_ENDPOINTS = 20  # sent per round, and read per received message
+MAX_ENDPOINTS = 20  # endpoints that are sent per round, and read per received message
 MAX_PAYLOAD_BYTES = 250  # the wire format allows 256
 MAX_COUNT = 1e6  # attempts, errors or seconds; greater received values are reduced to this
 
--- a/peatlead/planner/health_checks.py
+++ b/peatlead/planner/health_checks.py
@@ -20,8 +20,9 @@
 CHECK_INTERVAL = 1.0  # seconds
 RECHECK_DELAY = 0.3  # seconds after a failed check
 MAX_CHECKS_PER_SECOND = 300  # for all endpoints together
-MIN_JITTER = 0.9  # minimum of the random factor of the interval
-MAX_JITTER = 1.1  # maximum of the random factor of the interval
+# Each interval between checks is multiplied by a random factor from this range.
+MIN_JITTER = 0.9
+MAX_JITTER = 1.1
 FAILURE_RATE_WINDOW = 4  # checks that the failure rate is averaged over
 
 
--- a/peatlead/planner/load_shedding.py
+++ b/peatlead/planner/load_shedding.py
@@ -12,27 +12,39 @@
 from .fleet_load import HIGH_ERROR_RATE, HIGH_LATENCY_RATIO, FleetLoad
 
 MIN_ADMITTED_FRACTION = 0.3  # of all work
-MAX_UTILIZATION = 0.85  # median over attempts, above which less is admitted
-MAX_UTILIZATION_SHARDED = 0.75  # the same if shards load the endpoints unevenly
-UPDATE_INTERVAL = 0.8  # seconds between two changes
-OVERLOAD_DELAY = 1.0  # additional seconds after a cut to the minimum
-MIN_REPORTING_ENDPOINTS = 3  # minimum number of endpoints with reported attempts for a change
-ADMISSION_MESSAGES_FRACTION = 0.7  # of each proxy's message limit, since a change is sent to all
+# Median utilization over attempts, above which the admitted fraction is cut.
+MAX_UTILIZATION = 0.85
+MAX_UTILIZATION_SHARDED = 0.75  # replaces MAX_UTILIZATION if shards load endpoints unevenly
+UPDATE_INTERVAL = 0.8  # seconds between two updates of the admitted fraction
+OVERLOAD_DELAY = 1.0  # seconds added to the update interval after a cut to the minimum
+# The admitted fraction changes only if at least this many endpoints have reported attempts.
+MIN_REPORTING_ENDPOINTS = 3
+# The admitted fraction changes only while every proxy has used less than this fraction of its
+# message limit, because each change is sent to all proxies.
+ADMISSION_MESSAGES_FRACTION = 0.7
 
 # Below this utilization, errors and high latency do not indicate a lack of capacity.
 LOW_UTILIZATION = 0.6
-MIN_MEAN_WEIGHT_FRACTION = 0.9  # above it the fleet counts as not ramping
-OVERLOAD_ERROR_FACTOR = 3  # times the high error rate: above it the fleet is overloaded
-OVERLOAD_LATENCY_FACTOR = 2  # times the high latency ratio: above it the fleet is overloaded
-MIN_CUT_FACTOR = 0.85  # of the admitted fraction, after the largest regular cut
-MAX_CUT_FACTOR = 0.9  # of the admitted fraction, after the smallest regular cut
-# Fraction of the severity at the last cut, below which no further cut is made.
+# Mean weight fraction of the ready endpoints, above which the fleet counts as not ramping.
+MIN_MEAN_WEIGHT_FRACTION = 0.9
+# The fleet is overloaded if its error rate exceeds this multiple of HIGH_ERROR_RATE, or its latency
+# ratio exceeds this multiple of HIGH_LATENCY_RATIO.
+OVERLOAD_ERROR_FACTOR = 3
+OVERLOAD_LATENCY_FACTOR = 2
+# A cut without a confirmed overload multiplies the admitted fraction by a factor from this range.
+MIN_CUT_FACTOR = 0.85
+MAX_CUT_FACTOR = 0.9
+# Without a confirmed overload, no further cut is made if the severity is below this fraction of the
+# severity at the last cut.
 IMPROVED_SEVERITY_FACTOR = 0.95
-SAFE_FACTOR = 0.85  # of the admitted fraction before an overload
-LOW_LATENCY_FACTOR = 0.7  # of the high latency ratio, below which more is admitted
-MIN_INCREASE = 0.02  # fraction of all work, added by a step above the safe fraction
+# The first of consecutive cuts sets the safe fraction to this factor times the admitted fraction. A
+# confirmed overload multiplies the safe fraction by the factor again.
+SAFE_FACTOR = 0.85
+# More is admitted if the latency ratio is below this fraction of HIGH_LATENCY_RATIO.
+LOW_LATENCY_FACTOR = 0.7
+MIN_INCREASE = 0.02  # minimum step of the admitted fraction above the safe fraction
 INCREASE_ROUNDS = 10  # updates after which about all reported spare capacity is admitted
-MIN_UTILIZATION = 0.4  # lower bound in the computation of the spare capacity
+MIN_UTILIZATION = 0.4  # lower bound of the utilization from which spare capacity is computed
 
 
 class LoadShedding:
--- a/peatlead/planner/outlier_detection.py
+++ b/peatlead/planner/outlier_detection.py
@@ -24,14 +24,14 @@
 MAX_EJECTION_DURATION = 60.0  # seconds
 REPEATED_EJECTION_WINDOW = 30  # seconds after a return within which an ejection counts as repeated
 MAX_EJECTED_FRACTION = 0.4  # of the ready endpoints, so that the rest can carry the load
-MIN_PASSED_CHECKS = 2  # consecutive, to end an ejection caused by health checks
+MIN_PASSED_CHECKS = 2  # consecutive passed checks that end an ejection caused by failed checks
 
 # An unresponsive endpoint has no recent successful attempt, and its health checks fail.
 MAX_CYCLES_WITHOUT_SUCCESS = 1.3  # reporting cycles since the last successful attempt
 # Error rate above which an endpoint is ejected earlier if its peers have spare capacity.
 UNRESPONSIVE_ERROR_RATE = 0.6
 SPARE_CAPACITY_UTILIZATION = 0.7  # median utilization, below which peers have spare capacity
-MIN_FAILED_CHECKS = 3.0  # consecutive
+MIN_FAILED_CHECKS = 3.0  # minimum of the consecutive failed checks of an unresponsive endpoint
 # Maximum probability that the median endpoint fails as many consecutive checks.
 MAX_CHANCE_OF_FAILED_CHECKS = 0.001
 # Range to which the median failure rate of health checks is clamped.
@@ -39,19 +39,26 @@
 MIN_REPORTED_ERRORS = 0.5  # decayed errors that confirm failed checks
 
 # Errors, latency and utilization are compared with the medians of the peers.
-MIN_EVALUATED_ATTEMPTS = 2  # decayed; fewer are too few for a comparison
-MIN_ERRORS = 3  # decayed, of an endpoint that fails
+MIN_EVALUATED_ATTEMPTS = 2  # decayed attempts; an endpoint with fewer is not compared
+MIN_ERRORS = 3  # minimum decayed errors of an endpoint that fails
 EJECTION_ERROR_RATE = 0.25  # minimum error rate of an endpoint that fails
-PEER_ERROR_RATE_FACTOR = 3  # times the peers' error rate, tolerated
-PEER_ERROR_RATE_MARGIN = 0.1  # added to the product of the factor and the peers' rate
-SLOW_LATENCY_FACTOR = 1.5  # times the peers' latency
-SLOW_TARGET_FACTOR = 0.6  # times the response target
-# Times the peers' latency, above which an endpoint's errors are attributed to overload.
+# An endpoint may have an error rate of this factor times the peers' error rate, plus the margin.
+PEER_ERROR_RATE_FACTOR = 3
+PEER_ERROR_RATE_MARGIN = 0.1
+# An endpoint is slow if its latency exceeds both this multiple of the peers' latency and this
+# multiple of the mean response target.
+SLOW_LATENCY_FACTOR = 1.5
+SLOW_TARGET_FACTOR = 0.6
+# An endpoint's errors are attributed to overload if its latency exceeds this multiple of the peers'
+# latency.
 OVERLOADED_LATENCY_FACTOR = 1.2
 OVERLOADED_UTILIZATION = 0.8  # at or above it, an endpoint's errors are attributed to overload
-RELIEF_UTILIZATION = 0.85  # above it an endpoint is relieved
-RELIEF_UTILIZATION_MARGIN = 0.15  # above the peers' utilization
-RESTORE_UTILIZATION_MARGIN = 0.1  # below the peers' utilization
+# An endpoint is full, and is relieved, if its utilization exceeds both RELIEF_UTILIZATION and the
+# peers' utilization plus the margin.
+RELIEF_UTILIZATION = 0.85
+RELIEF_UTILIZATION_MARGIN = 0.15
+# Traffic is restored to an endpoint whose utilization is lower than the peers' by this margin.
+RESTORE_UTILIZATION_MARGIN = 0.1
 
 
 class OutlierDetection:
--- a/peatlead/planner/proxy_connections.py
+++ b/peatlead/planner/proxy_connections.py
@@ -7,7 +7,8 @@
 from .proxy_state import ProxyState
 from .zone_capacity import ZoneCapacity
 
-PREVIOUS_TABLE_FRACTION = 1 / 2  # of the maximum time that a previous table may stay in use
+# Fraction of the maximum safe time for which a proxy keeps the table of its previous controller.
+PREVIOUS_TABLE_FRACTION = 1 / 2
 
 
 class ProxyConnections:
--- a/peatlead/planner/rendezvous.py
+++ b/peatlead/planner/rendezvous.py
@@ -23,10 +23,10 @@
 WORD_MASK = 0xFFFFFFFF  # the lower half of a lane, which holds the endpoint's hash
 MIX_SHIFT = 15  # bits, in the xorshift between the two multiplications
 MAX_FULL_SORT_SIZE = 32  # endpoints; pools up to this size are sorted without selecting candidates
-# Maximum limit of the candidate filter, at which about half of a pool passes. Above this limit,
-# sorting the whole pool is as fast.
+# The candidate filter passes ranks whose most significant byte is at most a limit. If the limit
+# exceeds this value, at which half of the pool passes, sorting the whole pool is as fast.
 MAX_FILTER_BYTE = 128
-# By byte value: a pattern that matches every byte up to this value.
+# For each byte value, a pattern that matches all bytes up to and including that value.
 BYTE_FILTERS = [re.compile(b"[\\x00-\\x%02x]" % highest, re.DOTALL) for highest in range(256)]
 
 ProxyKey = tuple[int, int]  # two odd 32-bit multipliers
--- a/peatlead/planner/table_changes.py
+++ b/peatlead/planner/table_changes.py
@@ -9,7 +9,7 @@
 
 
 class TableChanges:
-    """Change counts, and the proxies whose tables must be checked."""
+    """Counts changes that affect tables, and holds the proxies whose tables must be checked."""
 
     def __init__(self) -> None:
         self.change_count = 0  # number of changes so far, of one endpoint or of all tables
@@ -18,7 +18,7 @@
         self.pending_proxies: set[int] = set()  # numbers of proxies whose tables may differ
         self.all_pending = False  # whether the tables of all proxies may differ
         self.removals_pending = False  # whether tables may name an unusable endpoint
-        # Whether a published weight has decreased, which is urgent.
+        # Whether a published weight has decreased; changed tables then do not wait for a stage.
         self.weight_decrease_pending = False
 
     def mark_all_changed(self) -> None:
--- a/peatlead/planner/zone_capacity.py
+++ b/peatlead/planner/zone_capacity.py
@@ -15,7 +15,7 @@
 from .table_changes import TableChanges
 
 PLAN_INTERVAL = 2.0  # seconds between two computations of the plan
-# Of a density, relative to the highest density; a greater change replaces the plan.
+# A new plan is used if a density changes by more than this fraction of the highest density.
 MIN_PLAN_CHANGE = 0.15
 MIN_CROSSING_PRICE = 0.02  # fraction of a request's gain; no plan is needed below this price
 MIN_PROXY_RATE = 0.1  # requests per second, lower bound of a proxy's rate in the plan
@@ -37,7 +37,7 @@
 
 
 def total_capacity(endpoints: list[EndpointState]) -> float:
-    """Return the published weight of the endpoints."""
+    """Return the capacity of the endpoints, measured as the sum of their published weights."""
     return fsum([endpoint.weight * endpoint.weight_fraction for endpoint in endpoints])
 
 
--- a/peatlead/platform/controller.py
+++ b/peatlead/platform/controller.py
@@ -350,7 +350,8 @@
             self.listener.count(Incident.UNKNOWN_NAME)
         elif type(event) is interface.Acknowledged:
             self.telemetry.acknowledged(event.duration)
-            # Each message is acknowledged: a batch for each acknowledgement would be too expensive.
+            # Proxies acknowledge every message. A separate batch for each acknowledgement would be
+            # too expensive.
             self.add_to_next_batch(event)
         else:
             self.submit(event)
--- a/peatlead/platform/endpoint_tracker.py
+++ b/peatlead/platform/endpoint_tracker.py
@@ -26,8 +26,9 @@
             assume_old=True,
             compute_age=compute_age,
         )
-        # Endpoints that may have been in another phase before. A proxy may still eject such an
-        # endpoint, by order of a controller that the proxy was connected to before.
+        # Endpoints that a full list has omitted, or that may have been in another phase since the
+        # previous list. A proxy may still eject such an endpoint because the proxy's previous
+        # controller has commanded this.
         self.possibly_ejected: set[int] = set()
         self.forgotten_names: dict[str, bool] = {}  # used as an ordered set
 
--- a/peatlead/platform/health_checks.py
+++ b/peatlead/platform/health_checks.py
@@ -16,8 +16,8 @@
 DEFAULT_TIMEOUT = 0.25  # seconds, for the whole check
 OUTCOME_BY_STATUS = {200: HealthCheckOutcome.OK, 503: HealthCheckOutcome.ERRORED}
 
-# Called with the endpoint, the outcome, the duration in seconds, the load report, and None in place
-# of request counts.
+# Arguments: the endpoint's number, the outcome, the duration in seconds, the load report, and None,
+# because these checks report no request counts.
 OnResult = Callable[[int, str, float, Optional[LoadReport], None], None]
 
 
--- a/peatlead/tables/pin.py
+++ b/peatlead/tables/pin.py
@@ -68,7 +68,7 @@
     scope_argument: str  # see PinScope
     target: str  # a PinTarget
     target_argument: str  # see PinTarget
-    rollout_duration: float  # from the first proxy to the last
+    rollout_duration: float  # from the change of the first proxy to that of the last
     age: float  # since the pin was made
     remaining: float  # until the pin ends
     ended_ago: Optional[float] = None  # since the pin ended; None while it has not ended
--- a/peatlead/wire/event_records.py
+++ b/peatlead/wire/event_records.py
@@ -8,7 +8,7 @@
 
 
 class Attach(NamedTuple):
-    """An instance starts, with its settings and its random seed."""
+    """A planner instance starts, with its settings and its random seed."""
 
     instance: int
     seed: int
@@ -16,7 +16,7 @@
 
 
 class Shutdown(NamedTuple):
-    """An instance ends."""
+    """The planner instance with this number ends."""
 
     instance: int
 
