--- a/peatlead/controller/overload.py
+++ b/peatlead/controller/overload.py
@@ -45,8 +45,10 @@
 HEADROOM_INCREASE = 0.05  # added to the headroom when lateness is normal
 HEADROOM_DECREASE_FACTOR = 0.7  # applied to the headroom when timers are late
 
-MAX_INTERVAL_FACTOR = 8  # times the configured interval; limits the delay in noticing failures
-INTERVAL_STEP_FACTOR = 1.25  # between two consecutive report intervals
+# Maximum report interval, as a multiple of the configured interval. The maximum limits the delay
+# in noticing failures.
+MAX_INTERVAL_FACTOR = 8
+INTERVAL_STEP_FACTOR = 1.25  # ratio of two consecutive steps of the report interval
 MIN_INTERVAL_CHANGE_GAP = 5.0  # seconds between two changes of the report interval
 INTERVAL_DECREASE_DELAY = 20.0  # seconds of full headroom before the interval is lowered
 INTERVAL_SCATTER = 0.25  # fraction by which a proxy's interval may differ from the common interval
@@ -59,7 +61,7 @@
 MAX_COST_REPORTS = 10  # further reports do not increase the weight of a measurement
 RATE_SMOOTHING = 0.1  # weight of a new value in the mean report rate
 
-MAX_GATHER_FRACTION = 0.5  # of the configured report interval; the longest gather window
+MAX_GATHER_FRACTION = 0.5  # maximum gather window as a fraction of the configured report interval
 JOIN_RATE = 600.0  # joins per second of proxies with a table, at full headroom
 MEAN_JOIN_DELAY = 0.5  # seconds until a proxy retries a delayed join
 QUERY_RATE = 50.0  # operators' queries per second, at full headroom
--- a/peatlead/controller/pin_targets.py
+++ b/peatlead/controller/pin_targets.py
@@ -24,7 +24,7 @@
 
 MAX_ANNOUNCEMENTS_PER_ROUND = 20  # targets sent in one round of the planner's timer
 MAX_PACKED_BYTES = 60_000  # a compressed announcement must fit into a datagram
-MAX_UNPACKED_BYTES = 1 << 20  # of a decompressed announcement
+MAX_UNPACKED_BYTES = 1 << 20  # maximum size of a decompressed announcement
 MAX_ANNOUNCED_TARGETS = 100_000  # stored targets that other controllers have announced
 TARGET_NOTE_PREFIX = "wish/"  # the table log's keys for targets are wish/PIN/PROXY
 
--- a/peatlead/planner/class_admission.py
+++ b/peatlead/planner/class_admission.py
@@ -42,7 +42,7 @@
         self.fleet_load = fleet_load
         self.load_shedding = load_shedding
         self.budget = budget
-        # By class, as published; None before the first batch.
+        # The published admission of each class; None before the first batch.
         self.admissions: Optional[list[Admission]] = None
 
     def on_request_stats(self, event: RequestStats) -> None:
--- a/peatlead/planner/health_checks.py
+++ b/peatlead/planner/health_checks.py
@@ -19,7 +19,7 @@
 
 CHECK_INTERVAL = 1.0  # seconds
 RECHECK_DELAY = 0.3  # seconds after a failed check
-MAX_CHECKS_PER_SECOND = 300  # for all endpoints together
+MAX_CHECKS_PER_SECOND = 300  # checks of all endpoints together
 # Each interval between checks is multiplied by a random factor from this range.
 MIN_JITTER = 0.9
 MAX_JITTER = 1.1
--- a/peatlead/planner/proxy_state.py
+++ b/peatlead/planner/proxy_state.py
@@ -17,7 +17,7 @@
         self.zone = 0
         # Table number of the first group; the numbers of the other groups' tables follow.
         self.first_table = first_table
-        # By group: endpoint id -> weight as published.
+        # For each group, the published weight of each endpoint in the table, by endpoint id.
         self.entries: list[dict[int, float]] = [{} for _ in range(groups)]
         self.assigned = False  # whether tables have been assigned since the proxy connected
 
@@ -36,10 +36,10 @@
         # The counts of `TableChanges` when the tables were last computed.
         self.seen_global_change_count = NEVER_WRITTEN
         self.seen_change_count = NEVER_WRITTEN
-        # Whether the tables have endpoints from outside the shards, so that every write computes
-        # them again.
+        # Whether the tables have endpoints from outside the shards. Such tables are computed again
+        # with every write.
         self.has_endpoints_outside_shards = False
-        # By (group, zone): the pool, and its first endpoints in the proxy's order.
+        # For each (group, zone), the pool and its first endpoints in the proxy's order.
         self.ranked_pools: dict[
             tuple[int, int], tuple[RendezvousPool[EndpointState], list[EndpointState]]
         ] = {}
--- a/peatlead/planner/removals.py
+++ b/peatlead/planner/removals.py
@@ -8,8 +8,9 @@
 from .table_changes import TableChanges
 from .table_writer import TableWriter
 
-REMOVAL_QUEUE_FRACTION = 0.75  # of the maximum queue; above it removals wait for a later batch
-# Of the drain grace: delay of removals while tables with earlier deadlines wait.
+# While the queue is above this fraction of its maximum length, removals wait for a later batch.
+REMOVAL_QUEUE_FRACTION = 0.75
+# Removals are delayed by this fraction of the drain grace while tables with earlier deadlines wait.
 REMOVAL_DELAY_FRACTION = 1 / 3
 
 
--- a/peatlead/planner/rendezvous.py
+++ b/peatlead/planner/rendezvous.py
@@ -19,7 +19,7 @@
 # Seed of the hashes. Another value changes all orders and the results of simulations
 # (docs/results/scale.md).
 SALT = b"turf"
-LANE_BITS = 64  # of the wide integer, for each endpoint
+LANE_BITS = 64  # bits of the wide integer for each endpoint
 WORD_MASK = 0xFFFFFFFF  # the lower half of a lane, which holds the endpoint's hash
 MIX_SHIFT = 15  # bits, in the xorshift between the two multiplications
 MAX_FULL_SORT_SIZE = 32  # endpoints; pools up to this size are sorted without selecting candidates
--- a/peatlead/planner/shuffle_sharding.py
+++ b/peatlead/planner/shuffle_sharding.py
@@ -21,8 +21,10 @@
 from .statistics import cold_and_warm_weight
 from .zone_capacity import MIN_DIVISOR, ZoneCapacity
 
-MIN_ENDPOINTS_PER_ZONE = 1  # in a shard, for each zone with endpoints that the shard may use
-MAX_COLD_FRACTION = 0.2  # of a table's weight, at or above which warm endpoints are added
+# A shard has at least this many endpoints of each zone with endpoints that the shard may use.
+MIN_ENDPOINTS_PER_ZONE = 1
+# Warm endpoints are added to a table if at least this fraction of the table's weight is cold.
+MAX_COLD_FRACTION = 0.2
 # Maximum number of warm endpoints added to a table, or the table's size if that is larger.
 MAX_ADDED_WARM_ENDPOINTS = 24
 
--- a/peatlead/planner/slow_start.py
+++ b/peatlead/planner/slow_start.py
@@ -16,8 +16,9 @@
 RAMP_STEP = 0.25  # fraction of the weight that each step adds
 RAMP_STEPS = 3  # number of steps after the start of a ramp
 STEP_INTERVAL = 10 / 3  # seconds between two steps
-COLD_LOAD_FRACTION = 0.3  # of the load that would overload a cold endpoint
-COLD_LOAD_FRACTION_AVOIDING = 0.2  # the same if proxies avoid failing endpoints
+# A cold endpoint is given at most this fraction of the load that would overload it.
+COLD_LOAD_FRACTION = 0.3
+COLD_LOAD_FRACTION_AVOIDING = 0.2  # replaces COLD_LOAD_FRACTION if proxies avoid failing endpoints
 # Possible published fractions. There are few, since each change must be sent to proxies.
 COLD_WEIGHT_FRACTIONS = (0.06, 0.12, 0.18, 0.25, 0.37, 0.5, 0.75, 1.0)
 
--- a/peatlead/planner/staged_updates.py
+++ b/peatlead/planner/staged_updates.py
@@ -17,7 +17,8 @@
 STAGES = 10  # each stage covers one part in STAGES of the proxies
 STAGE_INTERVAL = 0.2  # seconds between two stages, on average
 STAGE_JITTER = (0.5, 1.5)  # each interval is multiplied by a random factor from this range
-URGENT_MESSAGES_FRACTION = 0.8  # of a proxy's message limit, for decreased weights
+# Fraction of a proxy's message limit that updates may use after a weight has decreased.
+URGENT_MESSAGES_FRACTION = 0.8
 
 
 class StagedUpdates:
--- a/peatlead/platform/endpoint_watch.py
+++ b/peatlead/platform/endpoint_watch.py
@@ -22,7 +22,7 @@
 # Seconds between a failed poll and the next one; the delay doubles after each failure.
 INITIAL_RETRY_DELAY = 0.05
 MAX_RETRY_DELAY = 0.5
-MAX_DOUBLINGS = 8  # of the retry delay; keeps the exponent small
+MAX_DOUBLINGS = 8  # maximum exponent in the computation of the retry delay
 MAX_ERRORS_LOGGED = 5  # logged errors about invalid entries, for each list
 ENDPOINTS_PATH = "/v1/endpoints"
 HTTP_OK = 200
--- a/peatlead/platform/messages/outbound.py
+++ b/peatlead/platform/messages/outbound.py
@@ -18,7 +18,7 @@
 MIN_WEIGHT = 1e-6  # a smaller weight would be rounded to 0, which removes the entry
 WEIGHT_DECIMAL_PLACES = 6
 MAX_ERROR_LENGTH = 200  # characters
-# By RetryPolicy; the plain string of a policy's value is found too.
+# Code of each retry policy. A policy's plain string value can also be used as the key.
 RETRY_POLICY_CODES: dict[str, int] = {
     RetryPolicy.NEVER: 0,
     RetryPolicy.UNSTARTED: 1,
--- a/peatlead/platform/sessions.py
+++ b/peatlead/platform/sessions.py
@@ -33,7 +33,7 @@
 # Maximum size of a line before the peer has joined; afterwards, the maximum is MAX_LINE_BYTES.
 MAX_HELLO_LINE_BYTES = 4096
 MAX_UNSENT_BYTES = 128 << 10  # buffered bytes that wait for the peer to read
-MAX_PENDING_LIVENESS_CHECKS = 8  # for each connection
+MAX_PENDING_LIVENESS_CHECKS = 8  # unanswered checks of each connection
 
 
 class Session(LineStream):
--- a/peatlead/tables/guard.py
+++ b/peatlead/tables/guard.py
@@ -19,8 +19,9 @@
 
 from ..interface import EndpointPhase
 
-KEPT_WEIGHT_FRACTION_MIN = 0.5  # of the pinned table's total weight
-RAMPED_FRACTION = 0.999  # of the listed weight, at or above which a ramp is finished
+KEPT_WEIGHT_FRACTION_MIN = 0.5  # minimum kept fraction of the pinned table's total weight
+# A ramp is finished if at least this fraction of the listed weight is published.
+RAMPED_FRACTION = 0.999
 
 Table = Mapping[int, float]  # endpoint -> weight
 
--- a/peatlead/tables/log_records.py
+++ b/peatlead/tables/log_records.py
@@ -23,11 +23,11 @@
 FORMAT_VERSION = 1
 HEADER_LINE = b"peatlead-tables %d\n"
 HEADER_MAGIC = HEADER_LINE.split()[0]  # first word of the header line of every format
-HEADER_BYTES_MAX = 64  # of the header line
+HEADER_BYTES_MAX = 64  # maximum length of the header line
 FRAME_HEADER = struct.Struct(">I8s")  # body length, checksum
-CHECKSUM_BYTES = 8  # of a frame's checksum
+CHECKSUM_BYTES = 8  # length of a frame's checksum
 FRAME_BYTES_MAX = 16 << 20  # a frame with a greater length counts as damaged
-DECOMPRESSED_BYTES_MAX = 256 << 20  # of a segment
+DECOMPRESSED_BYTES_MAX = 256 << 20  # maximum size of a decompressed segment
 COMPRESSION_LEVEL = 3  # of zstandard
 
 
