--- a/peatlead/benchmarks/herd.py
+++ b/peatlead/benchmarks/herd.py
@@ -40,7 +40,7 @@
 START_DELAY = 2.5  # seconds from the controller's start until proxies connect
 IDLE_PERIOD = 5.0  # seconds of each idle measurement; the withdrawal is measured for 3 periods
 STOP_TIMEOUT = 10.0  # seconds for the controller to end
-DRAINED_ADDRESS = "127.10.0.1"  # of endpoint 0
+DRAINED_ADDRESS = "127.10.0.1"  # address of endpoint 0
 STATUS_FIELDS = ("slowest_decide", "channel", "burden")
 
 
@@ -123,7 +123,7 @@
     def __init__(self, proxies: int, endpoints: int, rate: float) -> None:
         self.proxies = proxies
         self.endpoints = endpoints
-        self.report_rate = rate  # load reports per second and proxy
+        self.report_rate = rate  # load reports per second that each proxy sends
         self.port = free_port()
         self.folder = tempfile.mkdtemp(prefix="peatlead-herd-")
         self.pipes: list[Pipe[Any, Any]] = []
--- a/peatlead/benchmarks/herd_agents.py
+++ b/peatlead/benchmarks/herd_agents.py
@@ -48,9 +48,9 @@
     def __init__(self, number: int, controller: Address) -> None:
         self.number = number
         self.controller = controller
-        self.observations: list[Observation] = []  # after each assignment
-        self.received_bytes = 0  # of all responses
-        self.addresses: set[str] = set()  # in the current tables
+        self.observations: list[Observation] = []  # one after each assignment
+        self.received_bytes = 0  # total size of all received responses
+        self.addresses: set[str] = set()  # endpoint addresses in the current tables
         self.addresses_by_class: dict[str, set[str]] = {}  # in the current tables, by request class
         self.connection: Connection
         self.call: Call
@@ -180,7 +180,8 @@
 ) -> None:
     """Run a process of proxies.
 
-    `rate` is in load reports per second. Below 0, proxies ignore a longer interval that the
-    controller asks for.
+    `rate` is the number of load reports per second that each proxy sends; 0 disables them. If
+    `rate` is negative, its absolute value applies, and the proxies ignore a longer report interval
+    that the controller requests.
     """
     asyncio.run(serve_proxies(numbers, controller, rate, pipe))
--- a/peatlead/benchmarks/paced_runs.py
+++ b/peatlead/benchmarks/paced_runs.py
@@ -12,7 +12,7 @@
 from .planner_runs import REPLACED_FRACTION, SETTINGS, ZONES, PlannerRun, list_update
 
 RESTART_TIME = 1.0  # seconds between an endpoint's drain and its return
-UTILIZATION = 0.5  # of a warm endpoint, when load is evenly distributed
+UTILIZATION = 0.5  # utilization of a warm endpoint when load is evenly distributed
 SETTLING_TICKS = 100  # ticks of 0.1 s after a release
 
 Figures = dict[str, Union[int, float]]
@@ -38,13 +38,16 @@
         self.views: dict[int, ViewState] = {}  # the state that each proxy holds
         self.request_rate = request_rate
         self.recent_messages: dict[int, deque[float]] = {}  # send times, by proxy
-        self.operations = 0  # sent to all proxies
-        self.max_messages = 0  # to one proxy within `messages_span` seconds
-        self.empty_proxies = 0  # proxies without entries, summed over the checks
+        self.operations = 0  # operations sent to all proxies together
+        # Maximum number of messages to one proxy within `messages_span` seconds.
+        self.max_messages = 0
+        self.empty_proxies = 0  # proxies without entries, counted again in each check
         self.max_batch_cpu_time = 0.0  # CPU seconds of one batch
         self.cpu_time = 0.0  # CPU seconds of all batches
-        self.max_cold_load = 0.0  # of a cold endpoint, as a fraction of the overload threshold
-        self.acknowledged: list[interface.Acknowledged] = []  # to be delivered with the next batch
+        # Maximum load of a cold endpoint, as a fraction of the overload threshold.
+        self.max_cold_load = 0.0
+        # Acknowledgements to deliver with the next batch of events.
+        self.acknowledged: list[interface.Acknowledged] = []
         super().__init__(planner_module, endpoints, proxies)
         self.planner.settings.update(channel_rate=channel_rate, queue_most=channel_rate)
 
--- a/peatlead/benchmarks/planner_runs.py
+++ b/peatlead/benchmarks/planner_runs.py
@@ -11,7 +11,7 @@
 FIRST_PROXY = 2**32 - 1  # proxy numbers are large and sparse, since the planner allows any
 PROXY_SPACING = 7919
 CHANNEL_RATE = 100.0  # operations per second and proxy
-REPLACED_FRACTION = 0.96  # of the endpoints, by a release
+REPLACED_FRACTION = 0.96  # fraction of the endpoints that a release replaces
 
 REQUEST_CLASS: dict[str, Any] = {
     "response_target": 0.5,
--- a/peatlead/benchmarks/tables_rollback.py
+++ b/peatlead/benchmarks/tables_rollback.py
@@ -6,7 +6,8 @@
 from ..scenario.script import load_day
 
 DURATIONS = (0.0, 2.0, 10.0)  # seconds over which proxies are rolled back
-SETTLING_TIME = 3.0  # seconds after the rollback in which changes still count
+# Seconds after the end of the rollback in which a proxy's first change still counts.
+SETTLING_TIME = 3.0
 
 
 def load_rollback_day(duration: float) -> Any:
--- a/peatlead/dns/answer_cache.py
+++ b/peatlead/dns/answer_cache.py
@@ -34,10 +34,11 @@
 class AnswerSource:
     """The endpoints that the answers to one view for one service are drawn from."""
 
-    weights: Mapping[int, float] = field(default_factory=dict)  # of the address records
-    planned_weights: Mapping[int, float] = field(default_factory=dict)  # of the SRV records
+    # Weights of the endpoints for address records (A and AAAA).
+    weights: Mapping[int, float] = field(default_factory=dict)
+    planned_weights: Mapping[int, float] = field(default_factory=dict)  # weights for SRV records
     cacheable: bool = True  # whether answers may be cached
-    min_addresses: int = 1  # in each answer, if the source has as many endpoints
+    min_addresses: int = 1  # minimum addresses per answer, or all endpoints if there are fewer
     version: int = 0  # incremented by each change
     cycles: dict[int, AnswerCycle] = field(default_factory=dict)  # by address family
 
--- a/peatlead/dns/answers.py
+++ b/peatlead/dns/answers.py
@@ -225,7 +225,8 @@
             self.counts["unknown"] += 1
             query.response.set_rcode(dns.rcode.NXDOMAIN)
             return self.answer_negatively(query)
-        if query.question.rdtype == dns.rdatatype.ANY:  # one small record (RFC 8482)
+        # ANY is answered with one small HINFO record (RFC 8482).
+        if query.question.rdtype == dns.rdatatype.ANY:
             name = query.question.name
             add_record(query.response.answer, name, ANY_TTL, "HINFO", '"RFC8482" ""')
             return self.encode_response(query)
--- a/peatlead/dns/server.py
+++ b/peatlead/dns/server.py
@@ -79,7 +79,7 @@
             self.sendto(answer, peer)
 
     def error_received(self, error: Exception) -> None:
-        """Ignore that a peer's port is closed (asyncio callback)."""
+        """Ignore the error (asyncio callback), which occurs when a peer has closed its port."""
 
 
 class TcpConnection(Stream):
--- a/peatlead/dns/views.py
+++ b/peatlead/dns/views.py
@@ -42,13 +42,13 @@
     """The network with the longest prefix that contains an address."""
 
     value: Value
-    length: int  # of the prefix, in bits
+    length: int  # prefix length in bits
 
 
 class PrefixTable(NamedTuple, Generic[Value]):
     """The values of all networks of one prefix length."""
 
-    length: int  # in bits
+    length: int  # prefix length in bits
     mask: int
     values: dict[int, Value]  # by network address
 
@@ -66,9 +66,9 @@
     """
 
     def __init__(self) -> None:
-        # By address family, then by prefix length, then by network address.
+        # Values by address family, then by prefix length, then by network address.
         self.values: dict[int, dict[int, dict[int, Value]]] = {IPV4: {}, IPV6: {}}
-        # By address family; the longest prefix first.
+        # Tables by address family, sorted with the longest prefix first.
         self.tables: dict[int, tuple[PrefixTable[Value], ...]] = {IPV4: (), IPV6: ()}
 
     def add(self, network: IPNetwork | str, value: Value) -> None:
--- a/peatlead/dns/warmup_thinning.py
+++ b/peatlead/dns/warmup_thinning.py
@@ -192,9 +192,10 @@
 
 
 def select_within_rate(planned_rate: float, candidates: Iterable[Candidate]) -> set[Any]:
-    """Return the first candidates' views that stay within the limits of a planned rate.
+    """Return the views of the candidates before the first candidate that exceeds a limit.
 
-    `candidates` are sorted by rate. See `WarmupThinning.select_views` for the limits.
+    `candidates` are sorted by rate. `WarmupThinning.select_views` explains the limits, which
+    depend on the planned rate.
     """
     selected_views = set()
     mean_rate = 0.0
--- a/peatlead/fleet/member_table.py
+++ b/peatlead/fleet/member_table.py
@@ -14,7 +14,7 @@
 from .messages import Address, MemberInfo, MemberState
 
 MAX_MEMBERS = 500
-MAX_FACTS = 12  # in one message; keeps a datagram below 1200 bytes
+MAX_FACTS = 12  # maximum facts in one message; keeps a datagram below 1200 bytes
 RETRANSMIT_FACTOR = 3  # a fact is sent at most this factor times log2(members) times
 FORGET_DELAY = 60.0  # seconds; a dead or departed member is kept to recognize old facts
 
@@ -210,6 +210,6 @@
         return facts
 
     def _dissemination_order(self, member: Member) -> tuple[bool, int, str]:
-        """Returns the sort key of a fact: this member's own first, then the least often sent."""
+        """Returns the sort key of a fact: this member's own first, then those sent least often."""
         name = member.info.name
         return name != self.own_info.name, member.times_sent, name
--- a/peatlead/grpc/call.py
+++ b/peatlead/grpc/call.py
@@ -65,7 +65,7 @@
 
     def __init__(self, connection: CallTransport, stream_id: int, path: str = "") -> None:
         self.connection = connection
-        self.stream_id = stream_id  # of the HTTP/2 stream
+        self.stream_id = stream_id  # ID of the HTTP/2 stream
         self.path = path
         self.deframer = MessageDeframer()
         self.backlog: deque[memoryview] = deque()  # data that waits for the peer's window
--- a/peatlead/grpc/discovery.py
+++ b/peatlead/grpc/discovery.py
@@ -36,7 +36,7 @@
 
     def __init__(self) -> None:
         self.names: tuple[str, ...] = ()  # subscribed names; empty for all resources
-        self.nonce = ""  # of the response that awaits its ACK or NACK, else empty
+        self.nonce = ""  # nonce of the response that awaits its ACK or NACK, empty if none does
         self.sent_resources: Optional[SentResources] = None
         self.dirty = False  # whether the resources may have changed since the last response
         self.request_received = False  # whether the first request has arrived
@@ -76,7 +76,7 @@
         self.identity = identity  # sent in each response
         self.on_response_sent = on_response_sent
         self.subscriptions: dict[str, Subscription] = {}  # by type URL
-        self.serial = 0  # of the newest response
+        self.serial = 0  # serial number of the newest response
         self.nacks: list[Nack] = []
         self.acks: list[tuple[str, Version]] = []  # type URL and version
 
--- a/peatlead/grpc/http2.py
+++ b/peatlead/grpc/http2.py
@@ -23,16 +23,17 @@
 
 MAX_CALLS = 16  # concurrent calls per peer
 MAX_HEADER_LIST = 16384  # bytes per header list
-MAX_UNSENT_BYTES = 16 << 20  # in the write buffer of the socket
+MAX_UNSENT_BYTES = 16 << 20  # bytes in the write buffer of the socket
 
-MAX_CONTROL_FRAMES = 200  # per CONTROL_WINDOW: resets, pings, settings and similar frames of a peer
+# Maximum resets, pings, settings and similar frames of a peer within CONTROL_WINDOW.
+MAX_CONTROL_FRAMES = 200
 CONTROL_WINDOW = 10.0  # seconds
 WINDOW_UPDATES_PER_FRAME = 3  # uncounted window updates of a peer per data frame sent to it
 
 PING_INTERVAL = 1.0  # seconds without received data until a peer is pinged
 PING_TIMEOUT = 1.0  # seconds to wait for the answer
 MIN_PING_DELAY = 0.01  # seconds; with a shorter delay the timer could fire again at the same time
-MAX_PING_RATE = 500  # per second, for all connections of a listener together
+MAX_PING_RATE = 500  # pings per second on all connections of a listener together
 PING_DATA = b"peatlead"
 
 GRPC_CONTENT_TYPE = "application/grpc"
@@ -45,7 +46,8 @@
     __slots__ = ("frame_times", "window_updates_left")
 
     def __init__(self) -> None:
-        self.frame_times: deque[float] = deque()  # of the counted frames in the current window
+        # Arrival times of the counted frames in the current window.
+        self.frame_times: deque[float] = deque()
         self.window_updates_left = 2 * WINDOW_UPDATES_PER_FRAME
 
     def count_frame(self, now: float) -> bool:
--- a/peatlead/grpc/incremental.py
+++ b/peatlead/grpc/incremental.py
@@ -59,8 +59,8 @@
     """A response that awaits its ACK or NACK."""
 
     version: Version
-    items: Items  # that the proxy holds after the response
-    digest: Digest  # of these items
+    items: Items  # all items that the proxy holds once it has accepted the response
+    digest: Digest  # digest of `items`
 
 
 class Subscription:
@@ -81,9 +81,9 @@
     def __init__(self) -> None:
         # Items that the proxy has acknowledged or reported; None if unknown.
         self.held_items: Optional[Items] = {}
-        self.digest = Digest()  # of the held items
+        self.digest = Digest()  # digest of `held_items`
         self.in_flight: Optional[InFlight] = None
-        self.nonce = ""  # of the response in flight
+        self.nonce = ""  # nonce of the response in flight, empty if there is none
         self.request_received = False  # whether the first request has arrived
         self.dirty = False  # whether the items may have changed since the last response
         self.rejected_items: Optional[Items] = None  # items that the last NACK rejected
@@ -141,10 +141,10 @@
         self.on_response_sent = on_response_sent
         self.zones = zones
         self.subscriptions: dict[str, Subscription] = {}  # by type URL
-        self.serial = 0  # of the newest response
+        self.serial = 0  # serial number of the newest response
         self.nacks: list[Nack] = []
         self.acks: list[tuple[str, Version]] = []  # type URL and version
-        self.resources_sent = 0  # including removals
+        self.resources_sent = 0  # sent resources, including removals
         self.full_resyncs = 0  # responses with the full state after a rejection
 
     def handle_request(self, request: Message) -> list[Message]:
--- a/peatlead/grpc/load_aggregation.py
+++ b/peatlead/grpc/load_aggregation.py
@@ -52,7 +52,7 @@
 
     def __init__(self) -> None:
         self.endpoint_totals: dict[tuple[int, int], EndpointTotals] = {}  # by (endpoint, zone)
-        # By proxy, then by request class.
+        # Totals by proxy number, then by index of the request class.
         self.request_totals: dict[int, dict[int, RequestTotals]] = {}
         self.first_report_at: Optional[float] = None  # None if there are no totals
         self.max_delay = 0.0  # seconds
--- a/peatlead/grpc/proxy_node.py
+++ b/peatlead/grpc/proxy_node.py
@@ -30,7 +30,7 @@
     zone: str
     epoch: int  # newest epoch that the proxy has seen
     held: Held  # endpoints of the proxy's tables from an earlier stream
-    rate: float  # requests per second
+    rate: float  # requests per second that the proxy sends
     hops: int  # redirects in a row
     unreachable_controllers: tuple[str, ...]
 
--- a/peatlead/grpc/server.py
+++ b/peatlead/grpc/server.py
@@ -40,7 +40,7 @@
         self.identity = identity
         self.zones = zones
         self.class_indices = {name: index for index, name in enumerate(request_classes)}
-        self.sessions: dict[str, Session] = {}  # of admitted proxies, by name
+        self.sessions: dict[str, Session] = {}  # admitted proxies only, by proxy name
         self.connections = ConnectionSet(max_connections)
         self.listener: Optional[asyncio.Server] = None
 
--- a/peatlead/grpc/session.py
+++ b/peatlead/grpc/session.py
@@ -60,7 +60,7 @@
         # The handler sets the following attributes.
         self.number: Any = None  # the planner's proxy number
         self.state: Any = None  # the tables that the planner has assigned
-        self.zone = 0  # index
+        self.zone = 0  # index of the proxy's zone
         self.admitted_fractions: dict[str, float] = {}  # by request class
         self.retry_policies: dict[str, str] = {}  # by request class
         self.causes: dict[Any, None] = {}  # causes of the next response
@@ -212,7 +212,10 @@
         self.send_stale_types()
 
     def send_stale_types(self) -> None:
-        """Sends the resource types that have changed, while the call has no backlog."""
+        """Sends the resource types that have changed, until the call has a backlog.
+
+        The call's `on_writable` sends the remaining types when the backlog has been sent.
+        """
         for type_url in self.PARTS_BY_TYPE_URL:
             if type_url in self.stale_types and self.call.idle and self.discovery is not None:
                 self.stale_types.discard(type_url)
--- a/peatlead/net/http/client.py
+++ b/peatlead/net/http/client.py
@@ -72,10 +72,11 @@
         super().__init__()
         self.response_message = ResponseMessage(self)
         self.parser = httptools.HttpResponseParser(self.response_message)
-        self.pending_response: asyncio.Future[Response] | None = None  # of the current request
+        # The response to the current request; None if no request is pending.
+        self.pending_response: asyncio.Future[Response] | None = None
         self.request_sent = False  # whether the current request was written to the transport
         self.keep_alive = True
-        self.received_bytes = 0  # since the start of the current request
+        self.received_bytes = 0  # bytes received since the start of the current request
 
     @property
     def usable(self) -> bool:
--- a/peatlead/net/http/server.py
+++ b/peatlead/net/http/server.py
@@ -47,9 +47,10 @@
         super().__init__(idle_timeout)
         self.parser = httptools.HttpRequestParser(RequestMessage(self))
         self.pipelined_requests: deque[Request] = deque()
-        self.serving = False  # between the calls of `serve` and `respond`
+        self.serving = False  # whether `serve` was called and `respond` not yet
         self.ignores_input = False  # whether further data from the client is ignored
-        self.error_status: HTTPStatus | None = None  # of a request to reject
+        # Status of the response to an invalid request; None if there is none.
+        self.error_status: HTTPStatus | None = None
 
     def serve(self, method: str, path: str, headers: dict[str, str], body: bytes) -> None:
         """Handle one request and call `respond` for it, now or later."""
--- a/peatlead/net/orca.py
+++ b/peatlead/net/orca.py
@@ -19,7 +19,7 @@
 }
 METRIC_OF_FIELD = {field: metric for metric, field in FIELD_OF_METRIC.items()}
 
-LoadReport = dict[str, float]  # by field name as in the settings, such as "util"
+LoadReport = dict[str, float]  # values by the field names of the settings, such as "util"
 
 
 def format_load_report(report: LoadReport) -> str:
--- a/peatlead/scenario/endpoint_list_file.py
+++ b/peatlead/scenario/endpoint_list_file.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-OUTDATED_VERSION_LAG = 5  # versions by which an outdated list is older
+OUTDATED_VERSION_LAG = 5  # how many versions an outdated list is behind the current list
 GHOST_WEIGHT = 4.0  # weight of a listed endpoint that does not exist
 
 Entry = dict[str, Any]  # an endpoint in the file
--- a/peatlead/scenario/script_schema.py
+++ b/peatlead/scenario/script_schema.py
@@ -115,7 +115,7 @@
         "probe_deadline": Field(positive_seconds, 0.8, "see the controllers' settings"),
     },
 }
-# Builtins of faults and load changes, which a script calls once for each.
+# Builtins that add faults and load changes; each call adds one of them.
 FAULT_BUILTINS: Schema = {
     "silent": ENDPOINT_FAULT_FIELDS,
     "hung": ENDPOINT_FAULT_FIELDS,
--- a/peatlead/sources/endpoint_list.py
+++ b/peatlead/sources/endpoint_list.py
@@ -11,9 +11,9 @@
 
 PHASES = ("ready", "draining", "gone")
 DOCUMENT_SCOPES = ("whole", "changes")
-MAX_ENDPOINTS = 20_000  # in one list
+MAX_ENDPOINTS = 20_000  # maximum entries in one list
 MAX_LABEL_LENGTH = 63  # characters (RFC 1035, section 2.3.4)
-WEIGHT_UPPER_BOUND = 1e6  # exclusive
+WEIGHT_UPPER_BOUND = 1e6  # weights must be below this value
 
 # Value of an `interface.ListScope`, as in stored lists and recordings. "whole": all endpoints;
 # "changes": the endpoints that changed; "remembered": all endpoints, read from the cache;
@@ -44,11 +44,12 @@
     written: float  # time of writing in seconds, by the clock of the list's author
     endpoints: tuple[ListedEndpoint, ...]
     entry_errors: tuple[str, ...] = ()  # one message for each invalid entry
-    unusable_names: tuple[str | None, ...] = ()  # of invalid entries; None: the name is invalid too
+    # Names of the invalid entries; None if the name is invalid too.
+    unusable_names: tuple[str | None, ...] = ()
 
 
 class ListDocument(msgspec.Struct):
-    """The JSON document of a list; `hosts` holds the entries, each checked on its own."""
+    """The JSON document of a list; `hosts` holds the entries before their validation."""
 
     version: int
     hosts: list[Any]
--- a/peatlead/sources/file_watch.py
+++ b/peatlead/sources/file_watch.py
@@ -42,7 +42,8 @@
         self.on_list = on_list
         self.log = log
         self.last_stamp: FileStamp | None = None  # the file's stamp when the file was last read
-        self.version: int | None = None  # of the last accepted list; None before the first
+        # Version of the last accepted list; None before the first list.
+        self.version: int | None = None
         self.unreadable_since: float | None = None  # seconds on the loop's clock
         self.reported_unavailable = False
         self.task: asyncio.Task[None] | None = None
--- a/peatlead/standin/dns_clients.py
+++ b/peatlead/standin/dns_clients.py
@@ -27,9 +27,10 @@
 MIN_LOOKUP_TIMEOUT = 0.01  # seconds, if the request's deadline is near
 CONNECT_TIMEOUT = 0.7  # seconds
 FINISH_TIMEOUT = 10.0  # seconds for active requests to end
-MAX_IDLE_CONNECTIONS = 4  # of one client
+MAX_IDLE_CONNECTIONS = 4  # idle connections that one client keeps
 FIRST_BACKOFF = (0.02, 0.06)  # seconds, random in this range; doubled by each retry
-ATTEMPT_TIME_FRACTION = (0.5, 1.0)  # of the remaining time, random, if a retry is possible
+# Range of the random fraction of the remaining time that an attempt may take if a retry can follow.
+ATTEMPT_TIME_FRACTION = (0.5, 1.0)
 
 
 class Outcome(StrEnum):
@@ -48,7 +49,7 @@
 class Habit(StrEnum):
     """How a client orders the addresses of an answer.
 
-    A client with any other habit keeps the order of the answer.
+    A plan may contain other habits, such as "first": these clients keep the order of the answer.
     """
 
     ANY = "any"  # in random order
@@ -68,7 +69,7 @@
     """A request class; times are in seconds, and `repeat` is its repeat semantics."""
 
     name: str
-    share: float  # of requests, relative to the shares of the other classes
+    share: float  # weight of the class when the class of a request is drawn
     response_target: float
     client_timeout: float
     gain: float  # value of a request that is done in time
@@ -92,7 +93,7 @@
     habits: list[str]
     kinds: list[RequestClass]
     retries: int = 2
-    late_gain: float = 0.1  # fraction of the gain for a late request
+    late_gain: float = 0.1  # fraction of the gain that a request earns when it is done late
     tells_subnet: bool = False
 
 
@@ -105,7 +106,7 @@
         self.habit = habit
         self.local_address = local_address
         self.idle_connections: dict[str, ClientConnection] = {}
-        self.last_address: Optional[str] = None  # of the endpoint that last responded
+        self.last_address: Optional[str] = None  # address of the endpoint that last responded
 
     def order_addresses(self, addresses: list[str], rng: Random) -> list[str]:
         """Return the addresses in the order in which the client tries them."""
@@ -178,7 +179,7 @@
         self.resolver = resolver
         self.rng = rng
         self.recorder = recorder
-        self.id_prefix = id_prefix  # of request ids
+        self.id_prefix = id_prefix  # prefix of the request ids
         self.loop = asyncio.get_running_loop()
         self.rate = plan.rate
         self.request_count = 0
--- a/peatlead/standin/endpoint_work.py
+++ b/peatlead/standin/endpoint_work.py
@@ -15,8 +15,8 @@
 class EndpointPlan(msgspec.Struct):
     """The properties of an endpoint.
 
-    `work` is the mean work of a request in seconds of one core, and `repeat` the repeat semantics,
-    both by request class.
+    `work` maps each request class to the mean work of a request in seconds of one core. `repeat`
+    maps each request class to its repeat semantics.
     """
 
     name: str
--- a/peatlead/standin/hosts.py
+++ b/peatlead/standin/hosts.py
@@ -32,11 +32,11 @@
 ADMISSION_LIFETIME = 5.0  # seconds after which a controller's admitted fraction is ignored
 HEALTH_CHECK_WORK = 0.004  # seconds of one core for a health check
 WORK_SPREAD = (0.6, 1.4)  # range of a request's work, as factors of the mean of its class
-MIN_CORES = 0.3  # that other work on the machine leaves to the endpoint
+MIN_CORES = 0.3  # cores left to the endpoint at least when a fault takes cores away
 MEASURE_INTERVAL = 1.0  # minimum seconds between measurements of utilization
 RATE_WINDOW = 2  # seconds over which the rate of done requests is measured
 MAX_RECENT_DONE = 400  # stored completion times
-LISTEN_BACKLOG = 512  # connections
+LISTEN_BACKLOG = 512  # connections that wait to be accepted
 NO_COUNTS = RequestCounts(seconds=0)
 
 
@@ -74,17 +74,17 @@
         self.unanswered_connections: list[Connection] = []  # whose request a fault holds back
         self.recent_work: deque[tuple[float, float]] = deque()  # (time, work) while cold
         self.recent_work_sum = 0.0
-        self.busy_seconds = 0.0  # of all cores since the last measurement
+        self.busy_seconds = 0.0  # CPU time of all cores since the last measurement
         self.counts: dict[str, dict[str, RequestCounts]] = {}  # by network and request class
         self.recent_done: deque[float] = deque(maxlen=MAX_RECENT_DONE)
         self.utilization = 0.0  # fraction of the cores in use at the last measurement
         self.utilization_measured_at = now
 
     def _reset_faults(self) -> None:
-        self.silent = False  # accepts connections but does not respond
-        self.hung = False  # accepts requests but never finishes them
+        self.silent = False  # whether it accepts connections but does not respond
+        self.hung = False  # whether it accepts requests but never finishes them
         self.draining = False
-        self.overloaded = False  # was overloaded while cold, and no longer responds
+        self.overloaded = False  # whether it stopped responding after an overload while cold
         self.errors = 0.0  # fraction of requests answered with an error
         self.lost = 0.0  # fraction of responses lost
         self.stolen = 0.0  # fraction of the cores that others use
--- a/peatlead/standin/platform_discovery.py
+++ b/peatlead/standin/platform_discovery.py
@@ -64,7 +64,7 @@
     def __init__(self, endpoint_list: EndpointList) -> None:
         super().__init__(0.0)
         self.endpoint_list = endpoint_list
-        self.path = ""  # of the pending request
+        self.path = ""  # path of the controller's latest request
 
     def serve(self, method: str, path: str, headers: dict[str, str], body: bytes) -> None:
         """Add a watch, and answer it at once unless it has to wait for a change."""
--- a/peatlead/standin/platform_fleet.py
+++ b/peatlead/standin/platform_fleet.py
@@ -28,7 +28,7 @@
 ACKNOWLEDGE_DELAY = 0.05  # seconds from a message's arrival to its acknowledgement
 READY_TIMEOUT = 30.0  # seconds for a controller to answer its first probe
 REDIAL_INTERVAL = 0.01  # seconds from a failed connection attempt to the next
-MAX_SOCKETS = 1024  # per controller
+MAX_SOCKETS = 1024  # maximum open sockets of one controller
 DISCOVERY_ADDRESS = "127.4.2.1"
 
 
@@ -38,9 +38,11 @@
     controllers: int
     proxies: int
     endpoints: int
-    port: int  # of all controllers and the discovery agent
-    channel_rate_fraction: float = 1.0  # of the configured rate
-    redial_delay: tuple[float, float] = (0.3, 0.4)  # seconds after a stream ended
+    port: int  # port on which all controllers and the discovery agent listen
+    # The channel's rate as a fraction of the configured `channelRate`.
+    channel_rate_fraction: float = 1.0
+    # Range of the seconds from a stream's end to the next connection.
+    redial_delay: tuple[float, float] = (0.3, 0.4)
     return_delay: float = 0.0  # seconds until a proxy returns to its own controller; 0: never
     seed: int = 1
 
@@ -69,7 +71,7 @@
         self.fleet = fleet
         self.proxy = proxy
         self.controller = controller
-        self.parts: list[MessagePart] = []  # of an incomplete message
+        self.parts: list[MessagePart] = []  # received parts of a message that is still incomplete
 
     def opened(self) -> None:
         """Send the proxy's hello message."""
@@ -333,7 +335,7 @@
                 self.reachable_seconds[key] = max(seconds, self.reachable_seconds.get(key, 0.0))
 
     def drain_report(self, grace: float) -> DrainReport:
-        """Return the results of the drain checks for a grace in seconds."""
+        """Return the results of the drain checks for a drain grace of `grace` seconds."""
         late_withdrawals = [
             LateWithdrawal(proxy, endpoint, round(seconds, 3))
             for (proxy, endpoint), seconds in self.reachable_seconds.items()
--- a/peatlead/standin/proxy_requests.py
+++ b/peatlead/standin/proxy_requests.py
@@ -95,7 +95,7 @@
     async def _run_attempts(self, request: ProxyRequest, tried_addresses: list[str]) -> str:
         """Try endpoints until the request ends, and return the outcome.
 
-        The address of each is added to `tried_addresses`.
+        The address of each tried endpoint is added to `tried_addresses`.
         """
         outcome: str = Outcome.UNRESOLVED.value
         while len(tried_addresses) < request.max_attempts and self.loop.time() < request.deadline:
